--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -27,7 +27,11 @@
 impl Host {
     /// Plays one record into the instance it is for and keeps its actions for the reply.
     fn play(&mut self, now: Duration, located: Located) -> Result<(), WireError> {
-        let Located { at, instance, record } = located;
+        let Located {
+            at,
+            instance,
+            record,
+        } = located;
         let wrong = |what: String| WireError { at, what };
         let event = match &record {
             Record::Directory { .. } => {
@@ -37,7 +41,9 @@
                 return Ok(());
             }
             Record::PowerOn { seed, settings } => {
-                let settings = lapisroute_settings::parse(settings).map_err(wrong)?.settings;
+                let settings = lapisroute_settings::parse(settings)
+                    .map_err(wrong)?
+                    .settings;
                 let balancer = Balancer::new(settings, *seed).map_err(|e| wrong(e.to_string()))?;
                 self.instances.insert(instance, balancer);
                 self.pending.retain(|(owner, _)| *owner != instance);
@@ -51,15 +57,29 @@
             }
             Record::Peer if self.instances.contains_key(&instance) => return Ok(()),
             Record::Peer => return Err(wrong(format!("instance {instance} was never started"))),
-            Record::Fleet { scope: FleetScope::Failed, .. } => {
-                Event::Fleet { scope: FleetScope::Failed, listed: &[] }
-            }
+            Record::Fleet {
+                scope: FleetScope::Failed,
+                ..
+            } => Event::Fleet {
+                scope: FleetScope::Failed,
+                listed: &[],
+            },
             Record::Fleet { scope, list } => {
                 let listed = self.lists.get(list);
                 let listed = listed.ok_or_else(|| wrong(format!("no list has number {list}")))?;
-                Event::Fleet { scope: *scope, listed }
+                Event::Fleet {
+                    scope: *scope,
+                    listed,
+                }
             }
-            Record::Request { id, class, tenant, left, work, repeat } => Event::Request {
+            Record::Request {
+                id,
+                class,
+                tenant,
+                left,
+                work,
+                repeat,
+            } => Event::Request {
                 id: *id,
                 class: *class,
                 tenant: *tenant,
@@ -67,10 +87,21 @@
                 work_ms: *work,
                 repeat: *repeat,
             },
-            Record::Started { id, attempt, latency } => {
-                Event::StreamStarted { id: *id, attempt: *attempt, latency: *latency }
-            }
-            Record::Ended { id, attempt, finished, end } => Event::AttemptEnded {
+            Record::Started {
+                id,
+                attempt,
+                latency,
+            } => Event::StreamStarted {
+                id: *id,
+                attempt: *attempt,
+                latency: *latency,
+            },
+            Record::Ended {
+                id,
+                attempt,
+                finished,
+                end,
+            } => Event::AttemptEnded {
                 id: *id,
                 attempt: *attempt,
                 upstream: end.upstream,
@@ -89,10 +120,12 @@
             Record::Timer { timer } => Event::Timer { timer: *timer },
         };
         let balancer = self.instances.get_mut(&instance);
-        let balancer = balancer.ok_or_else(|| wrong(format!("instance {instance} was never started")))?;
+        let balancer =
+            balancer.ok_or_else(|| wrong(format!("instance {instance} was never started")))?;
         self.actions.clear();
         balancer.handle(now, event, &mut self.actions);
-        self.pending.extend(self.actions.drain(..).map(|action| (instance, action)));
+        self.pending
+            .extend(self.actions.drain(..).map(|action| (instance, action)));
         Ok(())
     }
 }
@@ -101,17 +134,31 @@
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, String> {
     frame.clear();
     let cut = |got: usize, want: usize| format!("frame cut short at byte {got}: {want} expected");
-    let got = input.by_ref().take(4).read_to_end(frame).map_err(|e| e.to_string())?;
+    let got = input
+        .by_ref()
+        .take(4)
+        .read_to_end(frame)
+        .map_err(|e| e.to_string())?;
     if got == 0 {
         return Ok(false);
     }
-    let Ok(head) = <[u8; 4]>::try_from(&frame[..]) else { return Err(cut(got, 4)) };
+    let Ok(head) = <[u8; 4]>::try_from(&frame[..]) else {
+        return Err(cut(got, 4));
+    };
     let length = u32::from_be_bytes(head) as usize;
     if !(8..=LONGEST_FRAME).contains(&length) {
         return Err(format!("byte 0: length {length} fits no batch"));
     }
-    input.by_ref().take(length as u64).read_to_end(frame).map_err(|e| e.to_string())?;
-    if frame.len() < length + 4 { Err(cut(frame.len(), length + 4)) } else { Ok(true) }
+    input
+        .by_ref()
+        .take(length as u64)
+        .read_to_end(frame)
+        .map_err(|e| e.to_string())?;
+    if frame.len() < length + 4 {
+        Err(cut(frame.len(), length + 4))
+    } else {
+        Ok(true)
+    }
 }
 
 fn run() -> Result<(), String> {
@@ -128,7 +175,10 @@
             wire::encode(&mut reply, instance, &action);
         }
         wire::finish(&mut reply);
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|e| e.to_string())?;
     }
     Ok(())
 }
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -1,8 +1,8 @@
 //! The simulator's binary dialect: batches of events in, replies of actions out. No decisions.
 
 use lapisroute::{
-    Action, AttemptNo, Availability, CellId, ClassId, FleetScope, KindId, Listed, Outcome, RequestId,
-    TenantId, TimerId, UpstreamId, ZoneId,
+    Action, AttemptNo, Availability, CellId, ClassId, FleetScope, KindId, Listed, Outcome,
+    RequestId, TenantId, TimerId, UpstreamId, ZoneId,
 };
 use lapisroute_settings::ms;
 use std::time::Duration;
@@ -85,9 +85,15 @@
 
 impl<'a> Reader<'a> {
     fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], WireError> {
-        let end = self.at.checked_add(n).filter(|end| *end <= self.bytes.len());
+        let end = self
+            .at
+            .checked_add(n)
+            .filter(|end| *end <= self.bytes.len());
         let Some(end) = end else {
-            let what = format!("{what} needs {n} bytes, {} are left", self.bytes.len() - self.at);
+            let what = format!(
+                "{what} needs {n} bytes, {} are left",
+                self.bytes.len() - self.at
+            );
             return Err(WireError { at: self.at, what });
         };
         let taken = &self.bytes[self.at..end];
@@ -124,7 +130,9 @@
 
     fn upstream(&mut self) -> Result<UpstreamId, WireError> {
         let bytes: [u8; 6] = self.array("upstream")?;
-        Ok(UpstreamId(bytes.iter().fold(0, |id, b| id << 8 | u64::from(*b))))
+        Ok(UpstreamId(
+            bytes.iter().fold(0, |id, b| id << 8 | u64::from(*b)),
+        ))
     }
 
     fn report(&mut self) -> Result<Vec<f32>, WireError> {
@@ -154,7 +162,12 @@
             305 => Outcome::Reset,
             306 => Outcome::Cancelled,
             307 => Outcome::NotSent,
-            other => return Err(WireError { at, what: format!("unknown outcome {other}") }),
+            other => {
+                return Err(WireError {
+                    at,
+                    what: format!("unknown outcome {other}"),
+                });
+            }
         })
     }
 
@@ -168,27 +181,50 @@
             0 => Availability::Gone,
             1 => Availability::Ready,
             2 => Availability::Draining,
-            other => return Err(WireError { at, what: format!("unknown availability {other}") }),
+            other => {
+                return Err(WireError {
+                    at,
+                    what: format!("unknown availability {other}"),
+                });
+            }
         };
         let weight = f64::from(self.f32("weight")?);
         let started = Some(self.f64("start time")?).filter(|t| *t > 0.0).map(ms);
-        Ok(Listed { id, zone, kind, cell, availability, weight, started })
+        Ok(Listed {
+            id,
+            zone,
+            kind,
+            cell,
+            availability,
+            weight,
+            started,
+        })
     }
 
     fn record(&mut self) -> Result<Located, WireError> {
         let at = self.at;
         let code = self.u8("record code")?;
         if code == 4 {
-            let (list, n) = (self.u32("list number")?, self.count(24, "number of entries")?);
+            let (list, n) = (
+                self.u32("list number")?,
+                self.count(24, "number of entries")?,
+            );
             if list > 15 {
                 let what = format!("list number {list} is over 15");
                 return Err(WireError { at: at + 1, what });
             }
             let listed = (0..n).map(|_| self.listed()).collect::<Result<_, _>>()?;
-            return Ok(Located { at, instance: 0, record: Record::Directory { list, listed } });
+            return Ok(Located {
+                at,
+                instance: 0,
+                record: Record::Directory { list, listed },
+            });
         }
         if !(1..=11).contains(&code) {
-            return Err(WireError { at, what: format!("unknown event code {code}") });
+            return Err(WireError {
+                at,
+                what: format!("unknown event code {code}"),
+            });
         }
         let instance = self.u32("instance")?;
         let record = match code {
@@ -198,26 +234,47 @@
                 self.take(usize::from(n), "message")?;
                 Record::Peer
             }
-            2 => Record::Gone { id: RequestId(self.u32("request")?) },
+            2 => Record::Gone {
+                id: RequestId(self.u32("request")?),
+            },
             3 => {
                 let id = RequestId(self.u32("request")?);
                 self.upstream()?;
                 let attempt = AttemptNo(self.u8("attempt")?);
-                Record::Started { id, attempt, latency: self.time("latency")? }
+                Record::Started {
+                    id,
+                    attempt,
+                    latency: self.time("latency")?,
+                }
             }
             5 => {
                 let seed = self.u64("seed")?;
                 let n = self.count(1, "settings' length")?;
                 let from = self.at;
-                let text = std::str::from_utf8(self.take(n, "settings")?)
-                    .map_err(|e| WireError { at: from, what: format!("settings: {e}") })?;
-                Record::PowerOn { seed, settings: text.to_owned() }
+                let text =
+                    std::str::from_utf8(self.take(n, "settings")?).map_err(|e| WireError {
+                        at: from,
+                        what: format!("settings: {e}"),
+                    })?;
+                Record::PowerOn {
+                    seed,
+                    settings: text.to_owned(),
+                }
             }
-            6 => Record::Timer { timer: TimerId(self.u32("timer")?) },
+            6 => Record::Timer {
+                timer: TimerId(self.u32("timer")?),
+            },
             7 => {
                 let (upstream, latency) = (self.upstream()?, self.time("latency")?);
                 let (outcome, report) = (self.outcome()?, self.report()?);
-                Record::Probed { end: End { upstream, outcome, latency, report } }
+                Record::Probed {
+                    end: End {
+                        upstream,
+                        outcome,
+                        latency,
+                        report,
+                    },
+                }
             }
             8 => Record::Detach,
             9 => {
@@ -227,18 +284,36 @@
                     1 => FleetScope::Full,
                     2 => FleetScope::Cached,
                     3 => FleetScope::Changes,
-                    other => return Err(WireError { at, what: format!("unknown scope {other}") }),
+                    other => {
+                        return Err(WireError {
+                            at,
+                            what: format!("unknown scope {other}"),
+                        });
+                    }
                 };
                 self.u32("version")?;
-                Record::Fleet { scope, list: self.u32("list number")? }
+                Record::Fleet {
+                    scope,
+                    list: self.u32("list number")?,
+                }
             }
             10 => {
                 let id = RequestId(self.u32("request")?);
                 let attempt = AttemptNo(self.u8("attempt")?);
                 let (upstream, outcome) = (self.upstream()?, self.outcome()?);
                 let (latency, finished) = (self.time("latency")?, self.u8("done flag")? != 0);
-                let end = End { upstream, outcome, latency, report: self.report()? };
-                Record::Ended { id, attempt, finished, end }
+                let end = End {
+                    upstream,
+                    outcome,
+                    latency,
+                    report: self.report()?,
+                };
+                Record::Ended {
+                    id,
+                    attempt,
+                    finished,
+                    end,
+                }
             }
             _ => {
                 let id = RequestId(self.u32("request")?);
@@ -248,19 +323,36 @@
                 let (left, hint) = (self.time("time left")?, self.f64("work hint")?);
                 let flags = self.u8("flags")?;
                 let work = Some(hint).filter(|w| flags & 1 != 0 && w.is_finite() && *w > 0.0);
-                Record::Request { id, class, tenant, left, work, repeat: flags & 2 != 0 }
+                Record::Request {
+                    id,
+                    class,
+                    tenant,
+                    left,
+                    work,
+                    repeat: flags & 2 != 0,
+                }
             }
         };
-        Ok(Located { at, instance, record })
+        Ok(Located {
+            at,
+            instance,
+            record,
+        })
     }
 }
 
 /// Takes a whole batch apart, its length field included.
 pub fn decode(frame: &[u8]) -> Result<(Duration, Vec<Located>), WireError> {
-    let mut reader = Reader { bytes: frame, at: 0 };
+    let mut reader = Reader {
+        bytes: frame,
+        at: 0,
+    };
     let (length, body) = (reader.u32("length")? as usize, frame.len() - 4);
     if length != body {
-        return Err(WireError { at: 0, what: format!("length {length} for {body} bytes") });
+        return Err(WireError {
+            at: 0,
+            what: format!("length {length} for {body} bytes"),
+        });
     }
     let clock = reader.time("clock")?;
     let mut records = Vec::new();
@@ -287,7 +379,11 @@
 /// Adds one action to a reply begun with [`begin`].
 pub fn encode(reply: &mut Vec<u8>, instance: u32, action: &Action) {
     match action {
-        Action::Attempt { id, upstream, timeout } => {
+        Action::Attempt {
+            id,
+            upstream,
+            timeout,
+        } => {
             head(reply, 72, instance);
             reply.extend(id.0.to_be_bytes());
             put_upstream(reply, *upstream);
@@ -298,7 +394,9 @@
             reply.extend(id.0.to_be_bytes());
             reply.push(attempt.0);
         }
-        Action::Refuse { id, retry_after, .. } => {
+        Action::Refuse {
+            id, retry_after, ..
+        } => {
             head(reply, 65, instance);
             reply.extend(id.0.to_be_bytes());
             reply.extend(retry_after.map_or(0f64.to_be_bytes(), to_ms));
--- a/benchlink/tests/wire.rs
+++ b/benchlink/tests/wire.rs
@@ -19,17 +19,33 @@
 }
 
 fn batch(clock: f64, records: &[Vec<u8>]) -> Vec<u8> {
-    let body: Vec<u8> = clock.to_be_bytes().into_iter().chain(records.concat()).collect();
+    let body: Vec<u8> = clock
+        .to_be_bytes()
+        .into_iter()
+        .chain(records.concat())
+        .collect();
     [&(body.len() as u32).to_be_bytes()[..], &body].concat()
 }
 
 fn power_on(instance: u32, settings: &str) -> Vec<u8> {
     let length = (settings.len() as u32).to_be_bytes();
-    [&[5][..], &instance.to_be_bytes(), &7u64.to_be_bytes(), &length, settings.as_bytes()].concat()
+    [
+        &[5][..],
+        &instance.to_be_bytes(),
+        &7u64.to_be_bytes(),
+        &length,
+        settings.as_bytes(),
+    ]
+    .concat()
 }
 
 fn directory(number: u32, ids: &[u8]) -> Vec<u8> {
-    let mut record = [&[4][..], &number.to_be_bytes(), &(ids.len() as u32).to_be_bytes()].concat();
+    let mut record = [
+        &[4][..],
+        &number.to_be_bytes(),
+        &(ids.len() as u32).to_be_bytes(),
+    ]
+    .concat();
     for id in ids {
         record.extend([10, 0, 0, *id, 0x2b, 0xc0, 0, 0, 0, 0, 0, 1]);
         record.extend(1f32.to_be_bytes());
@@ -39,11 +55,25 @@
 }
 
 fn fleet(instance: u32, scope: u8, number: u32) -> Vec<u8> {
-    [&[9][..], &instance.to_be_bytes(), &[scope], &1u32.to_be_bytes(), &number.to_be_bytes()].concat()
+    [
+        &[9][..],
+        &instance.to_be_bytes(),
+        &[scope],
+        &1u32.to_be_bytes(),
+        &number.to_be_bytes(),
+    ]
+    .concat()
 }
 
 fn ask(instance: u32, request: u32) -> Vec<u8> {
-    let mut record = [&[11][..], &instance.to_be_bytes(), &request.to_be_bytes(), &[0; 2], &[0; 4]].concat();
+    let mut record = [
+        &[11][..],
+        &instance.to_be_bytes(),
+        &request.to_be_bytes(),
+        &[0; 2],
+        &[0; 4],
+    ]
+    .concat();
     record.extend(0u64.to_be_bytes());
     record.extend(1500f64.to_be_bytes());
     record.extend(0f64.to_be_bytes());
@@ -52,7 +82,10 @@
 }
 
 fn start() -> Vec<u8> {
-    batch(100.0, &[power_on(3, SETTINGS), directory(0, &[1, 2]), fleet(3, 2, 0)])
+    batch(
+        100.0,
+        &[power_on(3, SETTINGS), directory(0, &[1, 2]), fleet(3, 2, 0)],
+    )
 }
 
 /// The replies in order, without their lengths.
@@ -70,7 +103,11 @@
 fn a_request_is_sent_to_a_listed_upstream() {
     let input = [batch(90.0, &[]), start(), batch(105.0, &[ask(3, 77)])].concat();
     let out = run(&input);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let replies = replies(&out.stdout);
     assert_eq!(replies.len(), 3, "one reply a batch");
     assert_eq!(replies[0], [0u8; 0]);
@@ -89,7 +126,10 @@
     let line = String::from_utf8(out.stderr).unwrap();
     assert_eq!(out.status.code(), Some(1), "{word}: {line}");
     assert_eq!(line.lines().count(), 1, "{word}: {line}");
-    assert!(line.contains(&format!("byte {byte}")), "{word}: no byte {byte} in {line}");
+    assert!(
+        line.contains(&format!("byte {byte}")),
+        "{word}: no byte {byte} in {line}"
+    );
     assert!(line.contains(word), "{word}: {line}");
     assert_eq!(replies(&out.stdout).len(), 1, "{word}: no part of a reply");
 }
@@ -116,7 +156,11 @@
 
 #[test]
 fn an_unknown_record_code() {
-    malformed(&batch(105.0, &[ask(3, 77), vec![99, 0, 0, 0, 3]]), 12 + ask(3, 77).len(), "99");
+    malformed(
+        &batch(105.0, &[ask(3, 77), vec![99, 0, 0, 0, 3]]),
+        12 + ask(3, 77).len(),
+        "99",
+    );
 }
 
 #[test]
@@ -131,8 +175,16 @@
 
 #[test]
 fn settings_that_are_no_json_or_permit_nothing() {
-    malformed(&batch(105.0, &[power_on(4, "{\"balancers\": ")]), 12, "settings");
-    malformed(&batch(105.0, &[power_on(4, "{\"balancers\": 1}")]), 12, "class");
+    malformed(
+        &batch(105.0, &[power_on(4, "{\"balancers\": ")]),
+        12,
+        "settings",
+    );
+    malformed(
+        &batch(105.0, &[power_on(4, "{\"balancers\": 1}")]),
+        12,
+        "class",
+    );
     let negative = SETTINGS.replace("\"worth\": 1.0", "\"worth\": -1.0");
     malformed(&batch(105.0, &[power_on(4, &negative)]), 12, "worth");
 }
@@ -147,8 +199,16 @@
 #[test]
 fn what_a_dead_instance_wanted_does_not_reach_the_next() {
     let detach = [&[8][..], &3u32.to_be_bytes()].concat();
-    let input = [start(), batch(105.0, &[ask(3, 77), detach, power_on(3, SETTINGS)])].concat();
+    let input = [
+        start(),
+        batch(105.0, &[ask(3, 77), detach, power_on(3, SETTINGS)]),
+    ]
+    .concat();
     let out = run(&input);
     assert!(out.status.success());
-    assert_eq!(replies(&out.stdout)[1], [0u8; 0], "no FORWARD for the dead one's request");
+    assert_eq!(
+        replies(&out.stdout)[1],
+        [0u8; 0],
+        "no FORWARD for the dead one's request"
+    );
 }
--- a/faultshim/src/faults.rs
+++ b/faultshim/src/faults.rs
@@ -51,18 +51,32 @@
 impl Rule {
     /// Reads `SHARE:ERROR,ERROR`; a test that words it wrongly ends at once.
     fn parse(text: &str) -> Self {
-        let (share, names) = text.split_once(':').unwrap_or_else(|| panic!("{text}: SHARE:ERROR,..."));
-        let number = |name: &str| ERRORS.iter().find(|(known, _)| *known == name).map(|(_, number)| *number);
+        let (share, names) = text
+            .split_once(':')
+            .unwrap_or_else(|| panic!("{text}: SHARE:ERROR,..."));
+        let number = |name: &str| {
+            ERRORS
+                .iter()
+                .find(|(known, _)| *known == name)
+                .map(|(_, number)| *number)
+        };
         Self {
             share: share.parse().unwrap_or_else(|e| panic!("{share}: {e}")),
-            errors: names.split(',').map(|n| number(n).unwrap_or_else(|| panic!("{n}: unknown"))).collect(),
+            errors: names
+                .split(',')
+                .map(|n| number(n).unwrap_or_else(|| panic!("{n}: unknown")))
+                .collect(),
         }
     }
 }
 
 impl Faults {
     fn from_env() -> Self {
-        let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<i64>().ok());
+        let number = |name: &str| {
+            std::env::var(name)
+                .ok()
+                .and_then(|text| text.parse::<i64>().ok())
+        };
         let rule = |(_, name): (Call, &str)| {
             std::env::var(name).map_or_else(|_| Rule::default(), |t| Rule::parse(&t))
         };
@@ -75,7 +89,9 @@
 
     /// A number drawn by the seed (splitmix64).
     fn draw(&self) -> u64 {
-        let state = self.drawn.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
+        let state = self
+            .drawn
+            .fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
         let mixed = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
--- a/faultshim/src/lib.rs
+++ b/faultshim/src/lib.rs
@@ -56,7 +56,9 @@
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     type Function = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
     // SAFETY: the next function of this name has this type, and the arguments are the caller's own.
-    let result = unsafe { std::mem::transmute::<*mut c_void, Function>(next(c"clock_gettime"))(clock, time) };
+    let result = unsafe {
+        std::mem::transmute::<*mut c_void, Function>(next(c"clock_gettime"))(clock, time)
+    };
     if result == 0 && clock == libc::CLOCK_REALTIME {
         // SAFETY: the call has succeeded, so that `time` may be written.
         unsafe { (*time).tv_sec += faults::wall_offset_s() };
--- a/frostkeel/examples/bad_balancer.rs
+++ b/frostkeel/examples/bad_balancer.rs
@@ -62,12 +62,18 @@
     if breaks == Breaks::Stays {
         stay()?;
     }
-    let bad = Arc::new(Bad { breaks, ready: Mutex::default(), turn: AtomicU64::new(0) });
+    let bad = Arc::new(Bad {
+        breaks,
+        ready: Mutex::default(),
+        turn: AtomicU64::new(0),
+    });
     bad.take(&config["known"]);
     let listener = TcpListener::bind("127.0.0.1:0")?;
     eprintln!("serving listen={} ", listener.local_addr()?);
-    let discovery: SocketAddr =
-        config["discovery"].as_str().and_then(|a| a.parse().ok()).ok_or(io::ErrorKind::InvalidInput)?;
+    let discovery: SocketAddr = config["discovery"]
+        .as_str()
+        .and_then(|a| a.parse().ok())
+        .ok_or(io::ErrorKind::InvalidInput)?;
     let follower = Arc::clone(&bad);
     std::thread::spawn(move || follower.follow(discovery));
     let _held = (breaks == Breaks::Memory).then(|| vec![1u8; 100 << 20]);
@@ -80,7 +86,9 @@
 
 /// Takes SIGTERM and does nothing about it.
 fn stay() -> io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let (ready, taken) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         runtime.block_on(async {
@@ -100,13 +108,26 @@
     write!(stream, "{head}host: app.svc\r\nconnection: close\r\n\r\n")?;
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
-    let status = text.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or(io::ErrorKind::InvalidData)?;
-    Ok((status, text.split_once("\r\n\r\n").map(|(_, body)| body.to_owned()).unwrap_or_default()))
+    let status = text
+        .split(' ')
+        .nth(1)
+        .and_then(|s| s.parse().ok())
+        .ok_or(io::ErrorKind::InvalidData)?;
+    Ok((
+        status,
+        text.split_once("\r\n\r\n")
+            .map(|(_, body)| body.to_owned())
+            .unwrap_or_default(),
+    ))
 }
 
 impl Bad {
     fn take(&self, list: &Value) {
-        let ready = list["targets"].as_array().into_iter().flatten().filter(|t| t["state"] == "Ready");
+        let ready = list["targets"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter(|t| t["state"] == "Ready");
         let ready = ready.filter_map(|t| {
             let number = t["uid"].as_str()?.strip_prefix('u')?.parse().ok()?;
             Some((number, t["endpoint"].as_str()?.parse().ok()?))
@@ -171,7 +192,9 @@
         };
         let mut status = 503;
         for again in 0..times {
-            let Some(address) = self.choose(turn + again) else { return 503 };
+            let Some(address) = self.choose(turn + again) else {
+                return 503;
+            };
             status = exchange(address, head).map_or(502, |(status, _)| status);
         }
         status
--- a/frostkeel/src/agent.rs
+++ b/frostkeel/src/agent.rs
@@ -55,7 +55,10 @@
     if !(1.0..=3600.0).contains(&agent.ttl_s) || !(0.0..=3600.0).contains(&agent.drain_s) {
         return Err("ttl-s of 1 to 3600 and drain-s of 0 to 3600 are possible".into());
     }
-    tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(agent.keep())
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?
+        .block_on(agent.keep())
 }
 
 impl Agent {
@@ -63,7 +66,10 @@
         let mut term = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
         let (program, arguments) = self.command.split_first().ok_or("a command is needed")?;
-        let spawned = Command::new(program).args(arguments).kill_on_drop(true).spawn();
+        let spawned = Command::new(program)
+            .args(arguments)
+            .kill_on_drop(true)
+            .spawn();
         let mut child = spawned.map_err(|e| format!("{program}: {e}"))?;
         let boot_ms = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis() as u64;
         let ended = tokio::select! {
@@ -78,14 +84,23 @@
         };
         // It is on the list no more. Where the service cannot be told, the lease ends by itself.
         let life = json!({"boot_ms": boot_ms}).to_string();
-        let gone = timeout(FAREWELL, call(self.write, Method::DELETE, &self.path(""), life)).await;
+        let gone = timeout(
+            FAREWELL,
+            call(self.write, Method::DELETE, &self.path(""), life),
+        )
+        .await;
         if !matches!(gone, Ok(Ok((200, _)))) {
             tracing::warn!(
                 "{}: the list service was not told of the end; its lease ends by itself",
                 self.uid
             );
         }
-        Ok(ExitCode::from(ended.code().and_then(|code| u8::try_from(code).ok()).unwrap_or(1)))
+        Ok(ExitCode::from(
+            ended
+                .code()
+                .and_then(|code| u8::try_from(code).ok())
+                .unwrap_or(1),
+        ))
     }
 
     fn path(&self, what: &str) -> String {
@@ -124,7 +139,8 @@
                     return format!("{}: the list service refuses it: {said}", self.uid);
                 }
                 failed => {
-                    let why = failed.map_or_else(|e| e, |(status, _)| format!("it answered {status}"));
+                    let why =
+                        failed.map_or_else(|e| e, |(status, _)| format!("it answered {status}"));
                     tracing::warn!("{}: not heard by the list service: {why}", self.uid);
                     again = (again * 2).min(AGAIN_MOST);
                     // Many agents of one service must not all come back together.
@@ -139,7 +155,10 @@
     async fn leave(&self, child: &mut Child) -> std::io::Result<std::process::ExitStatus> {
         let path = self.path("/drain");
         let drained = call(self.write, Method::POST, &path, String::new());
-        if let Err(e) = timeout(FAREWELL, drained).await.unwrap_or_else(|_| Err("no answer".into())) {
+        if let Err(e) = timeout(FAREWELL, drained)
+            .await
+            .unwrap_or_else(|_| Err("no answer".into()))
+        {
             tracing::warn!("{}: not drained: {e}", self.uid);
         }
         let until = Instant::now() + Duration::from_secs_f64(self.drain_s);
@@ -147,7 +166,10 @@
             ended = child.wait() => return ended,
             () = sleep_until(until) => {}
         }
-        if let Some(pid) = child.id().and_then(|pid| rustix::process::Pid::from_raw(pid as i32)) {
+        if let Some(pid) = child
+            .id()
+            .and_then(|pid| rustix::process::Pid::from_raw(pid as i32))
+        {
             let _ = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
         }
         match timeout(ENDS, child.wait()).await {
--- a/frostkeel/src/lab.rs
+++ b/frostkeel/src/lab.rs
@@ -132,7 +132,15 @@
             Ok(ExitCode::SUCCESS)
         }
         Lab::Run { file, place } => runtime()?.block_on(one(read(&file)?, place)),
-        Lab::Simulate { file, members, seed, plays, seconds, known, plot } => {
+        Lab::Simulate {
+            file,
+            members,
+            seed,
+            plays,
+            seconds,
+            known,
+            plot,
+        } => {
             let mut experiment = read(&file)?;
             if let Some(seconds) = seconds {
                 let length = std::time::Duration::try_from_secs_f64(seconds);
@@ -140,16 +148,37 @@
             }
             simulate(&experiment, &members, seed, plays, known, plot.as_deref())
         }
-        Lab::Registry { watchers, upstreams, changes, writers, seconds, kills, place } => {
+        Lab::Registry {
+            watchers,
+            upstreams,
+            changes,
+            writers,
+            seconds,
+            kills,
+            place,
+        } => {
             let lasts = std::time::Duration::try_from_secs_f64(seconds)
                 .map_err(|e| format!("--seconds {seconds}: {e}"))?;
-            if !(0.1..=100_000.0).contains(&changes) || writers == 0 || upstreams == 0 || watchers == 0 {
+            if !(0.1..=100_000.0).contains(&changes)
+                || writers == 0
+                || upstreams == 0
+                || watchers == 0
+            {
                 return Err(
-                    "one watcher, writer and upstream at least, and 0.1 to 100000 changes a second".into()
+                    "one watcher, writer and upstream at least, and 0.1 to 100000 changes a second"
+                        .into(),
                 );
             }
             let seed = place.seed.unwrap_or(1);
-            let plan = watching::Plan { watchers, upstreams, changes, writers, lasts, kills, seed };
+            let plan = watching::Plan {
+                watchers,
+                upstreams,
+                changes,
+                writers,
+                lasts,
+                kills,
+                seed,
+            };
             let dir = folder(&place, "registry");
             let program = std::env::current_exe()?;
             let watched = runtime()?.block_on(watching::watch_registry(program, &dir, plan))?;
@@ -164,17 +193,36 @@
                 watched.unanswered,
                 watched.lines
             );
-            watched.broken.iter().for_each(|text| println!("  BROKEN: {text}"));
-            Ok(if watched.broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            watched
+                .broken
+                .iter()
+                .for_each(|text| println!("  BROKEN: {text}"));
+            Ok(if watched.broken.is_empty() {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
-        Lab::Compare { file, other, before, after, plays, place } => {
+        Lab::Compare {
+            file,
+            other,
+            before,
+            after,
+            plays,
+            place,
+        } => {
             if other.is_none() && before == after {
-                return Err("nothing to compare: name a second experiment, or --before and --after".into());
+                return Err(
+                    "nothing to compare: name a second experiment, or --before and --after".into(),
+                );
             }
             let first = read(&file)?;
             let second = other.as_deref().map_or_else(|| Ok(first.clone()), read)?;
             let own = balancer(&place)?;
-            let sides = [(first, before.unwrap_or_else(|| own.clone())), (second, after.unwrap_or(own))];
+            let sides = [
+                (first, before.unwrap_or_else(|| own.clone())),
+                (second, after.unwrap_or(own)),
+            ];
             runtime()?.block_on(compare(sides, plays, place))
         }
     }
@@ -220,14 +268,20 @@
             })
         };
         let played: Vec<_> = std::thread::scope(|scope| {
-            let running: Vec<_> =
-                (first..first + plays).map(|seed| scope.spawn(move || play(seed))).collect();
-            running.into_iter().filter_map(|one| one.join().ok()).collect()
+            let running: Vec<_> = (first..first + plays)
+                .map(|seed| scope.spawn(move || play(seed)))
+                .collect();
+            running
+                .into_iter()
+                .filter_map(|one| one.join().ok())
+                .collect()
         });
         for one in played {
             let (played, missed) = one?;
             let f = &played.figures;
-            let equal = f.equal_since_s.map_or_else(|| "never".into(), |s| format!("{s:.1}"));
+            let equal = f
+                .equal_since_s
+                .map_or_else(|| "never".into(), |s| format!("{s:.1}"));
             println!(
                 "{:>7} {:>5} {:>9.0} {:>6.2} {:>7.1} {:>5} {:>6.2} {:>6.2} {:>6.2} {:>6} {:>6} {equal:>8} {:>8}",
                 played.members,
@@ -243,7 +297,11 @@
                 f.false_gone_held,
                 f.unequal
             );
-            let wrong = if experiment.expect.none_taken_for_gone { &played.broken[..] } else { &[] };
+            let wrong = if experiment.expect.none_taken_for_gone {
+                &played.broken[..]
+            } else {
+                &[]
+            };
             for what in missed.iter().chain(wrong).chain(&f.differences).take(6) {
                 println!("        missed: {what}");
             }
@@ -254,12 +312,19 @@
     if let Some(path) = plot {
         std::fs::write(path, report::over_sizes(&all))?;
     }
-    Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if sound {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
     // Four threads: beside a hundred balancers the stand-ins must not wait for a core.
-    tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build()
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(4)
+        .enable_all()
+        .build()
 }
 
 fn read(file: &Path) -> Result<Experiment, Box<dyn Error>> {
@@ -304,7 +369,11 @@
     let page = report::write(&played, &dir)?;
     table(&played);
     println!("report: {}", page.display());
-    Ok(if played.is_good() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if played.is_good() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 async fn compare(sides: [(Experiment, PathBuf); 2], plays: u32, place: Place) -> Done {
@@ -333,7 +402,11 @@
                 f.worst_class,
                 f.p99_ms,
                 played.broken.len(),
-                played.void.as_ref().map(|why| format!(", VOID: {why}")).unwrap_or_default()
+                played
+                    .void
+                    .as_ref()
+                    .map(|why| format!(", VOID: {why}"))
+                    .unwrap_or_default()
             );
             sound &= played.void.is_none();
             if played.void.is_none() {
@@ -354,5 +427,9 @@
             ),
         }
     }
-    Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if sound {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
--- a/frostkeel/src/lab_output.rs
+++ b/frostkeel/src/lab_output.rs
@@ -10,7 +10,10 @@
 /// Prints the figures of a play and what broke.
 pub fn table(played: &Played) {
     let f = &played.figures;
-    println!("{:16} {:>7} {:>8} {:>6} {:>8} {:>7}", "class", "asked", "in time", "late", "refused", "failed");
+    println!(
+        "{:16} {:>7} {:>8} {:>6} {:>8} {:>7}",
+        "class", "asked", "in time", "late", "refused", "failed"
+    );
     for class in &f.classes {
         let c = &class.counts;
         println!(
@@ -28,7 +31,10 @@
         f.calls_most
     );
     let lab = &played.lab;
-    println!("the lab: {:.1} ms late (99th percentile), {:.2} cores", lab.late_p99_ms, lab.cores);
+    println!(
+        "the lab: {:.1} ms late (99th percentile), {:.2} cores",
+        lab.late_p99_ms, lab.cores
+    );
     if let Some(members) = &played.members {
         let f = &members.figures;
         println!(
@@ -45,7 +51,8 @@
             f.false_gone,
             f.false_gone_held,
             f.suspected,
-            f.equal_since_s.map_or_else(|| "never".into(), |s| format!("{s:.1} s")),
+            f.equal_since_s
+                .map_or_else(|| "never".into(), |s| format!("{s:.1} s")),
             f.unequal
         );
         println!(
@@ -80,8 +87,15 @@
 impl Shown {
     /// For a play of an experiment, at its start.
     pub fn new(experiment: &Experiment) -> Self {
-        println!("{}: starting {} balancers", experiment.name, experiment.fleet.balancers);
-        let faults = experiment.faults.iter().map(|f| f.at.as_secs_f64()).collect();
+        println!(
+            "{}: starting {} balancers",
+            experiment.name, experiment.fleet.balancers
+        );
+        let faults = experiment
+            .faults
+            .iter()
+            .map(|f| f.at.as_secs_f64())
+            .collect();
         Self {
             terminal: std::io::stdout().is_terminal(),
             length: experiment.length.as_secs_f64(),
@@ -98,8 +112,16 @@
             return;
         }
         let begun = self.faults.iter().filter(|f| **f <= at).count();
-        let running = progress.balancers.iter().filter(|(state, _)| *state != "down").count();
-        let up = progress.upstreams.iter().filter(|row| row.state == "up").count();
+        let running = progress
+            .balancers
+            .iter()
+            .filter(|(state, _)| *state != "down")
+            .count();
+        let up = progress
+            .upstreams
+            .iter()
+            .filter(|row| row.state == "up")
+            .count();
         let holds: usize = progress.upstreams.iter().map(|row| row.holds).sum();
         let line = format!(
             "{at:5.0} of {:.0} s  {running} balancers  {up} upstreams hold {holds} requests  {begun} of {} faults \
@@ -116,7 +138,11 @@
             table.extend(self.rows(progress));
         }
         // Back to the first line of the table before, then over it.
-        let back = if self.lines > 0 { format!("\x1b[{}A", self.lines) } else { String::new() };
+        let back = if self.lines > 0 {
+            format!("\x1b[{}A", self.lines)
+        } else {
+            String::new()
+        };
         println!("{back}{}\x1b[J", table.join("\x1b[K\n") + "\x1b[K");
         self.lines = table.len();
         let _ = std::io::stdout().flush();
@@ -125,14 +151,23 @@
     /// One line for each process.
     fn rows(&mut self, progress: &Progress) -> Vec<String> {
         let mut rows = Vec::new();
-        for (k, ((state, answered), before)) in progress.balancers.iter().zip(&mut self.answered).enumerate()
+        for (k, ((state, answered), before)) in progress
+            .balancers
+            .iter()
+            .zip(&mut self.answered)
+            .enumerate()
         {
             let since = answered - std::mem::replace(before, *answered);
-            rows.push(format!("  b{k:<3} {state:8} {since:>4} answers in the last second"));
+            rows.push(format!(
+                "  b{k:<3} {state:8} {since:>4} answers in the last second"
+            ));
         }
         for row in &progress.upstreams {
             let bar = "#".repeat((row.busy * 20.0).round().clamp(0.0, 40.0) as usize);
-            rows.push(format!("  u{:<3} {:8} {:>4} held  {bar}", row.number, row.state, row.holds));
+            rows.push(format!(
+                "  u{:<3} {:8} {:>4} held  {bar}",
+                row.number, row.state, row.holds
+            ));
         }
         rows
     }
--- a/frostkeel/src/main.rs
+++ b/frostkeel/src/main.rs
@@ -56,7 +56,10 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(cli.log);
+    let log = tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_max_level(cli.log);
     match cli.log_form {
         LogForm::Text => log.init(),
         LogForm::Json => log.json().init(),
--- a/frostkeel/src/members.rs
+++ b/frostkeel/src/members.rs
@@ -74,7 +74,10 @@
     if !command.all {
         pages.truncate(1);
     }
-    tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(show(&command, &pages))
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?
+        .block_on(show(&command, &pages))
 }
 
 async fn show(command: &Members, pages: &[SocketAddr]) -> Result<ExitCode, Box<dyn Error>> {
@@ -95,7 +98,10 @@
                 for text in texts.iter().flatten() {
                     println!("{}", String::from_utf8_lossy(text));
                 }
-                views.iter().filter_map(|view| view.as_ref().err()).for_each(|e| eprintln!("{e}"));
+                views
+                    .iter()
+                    .filter_map(|view| view.as_ref().err())
+                    .for_each(|e| eprintln!("{e}"));
             } else if command.all {
                 print!("{}", side_by_side(&views));
             } else {
@@ -105,7 +111,11 @@
         }
         if !command.watch {
             let good = views.iter().all(Result::is_ok) && equal(&views);
-            return Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE });
+            return Ok(if good {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            });
         }
         sleep(LOOK_EVERY).await;
     }
@@ -122,7 +132,11 @@
 
 fn equal(views: &[Read]) -> bool {
     let members = views.iter().flatten().filter(|page| page.phase == "member");
-    members.map(|page| &page.digest).collect::<BTreeSet<_>>().len() <= 1
+    members
+        .map(|page| &page.digest)
+        .collect::<BTreeSet<_>>()
+        .len()
+        <= 1
 }
 
 async fn read(page: SocketAddr) -> Result<Bytes, String> {
@@ -153,14 +167,20 @@
     for row in &page.members {
         let from = row.from.as_deref().unwrap_or("itself");
         let life = format!("{}.{}", row.incarnation, row.turn);
-        text += &format!("{:16} {:8} {:>10.1} {life:>16} {from}\n", row.name, row.standing, row.since_s);
+        text += &format!(
+            "{:16} {:8} {:>10.1} {life:>16} {from}\n",
+            row.name, row.standing, row.since_s
+        );
     }
     text
 }
 
 /// One line for each process; below, for each name that not all see alike, who sees what.
 fn side_by_side(views: &[Read]) -> String {
-    let mut text = format!("{:16} {:8} {:>8} {:>6} digest\n", "view of", "phase", "version", "there");
+    let mut text = format!(
+        "{:16} {:8} {:>8} {:>6} digest\n",
+        "view of", "phase", "version", "there"
+    );
     let mut seen: BTreeMap<&str, BTreeMap<String, Vec<&str>>> = BTreeMap::new();
     let pages: Vec<&Page> = views.iter().flatten().collect();
     for page in &pages {
@@ -169,11 +189,23 @@
             page.name, page.phase, page.version, page.there, page.digest
         );
     }
-    views.iter().filter_map(|view| view.as_ref().err()).for_each(|e| text += &format!("{e}\n"));
-    let members: Vec<&Page> = pages.into_iter().filter(|page| page.phase == "member").collect();
-    let names: BTreeSet<&str> =
-        members.iter().flat_map(|p| &p.members).map(|row| row.name.as_str()).collect();
-    for (name, page) in names.iter().flat_map(|name| members.iter().map(move |page| (*name, *page))) {
+    views
+        .iter()
+        .filter_map(|view| view.as_ref().err())
+        .for_each(|e| text += &format!("{e}\n"));
+    let members: Vec<&Page> = pages
+        .into_iter()
+        .filter(|page| page.phase == "member")
+        .collect();
+    let names: BTreeSet<&str> = members
+        .iter()
+        .flat_map(|p| &p.members)
+        .map(|row| row.name.as_str())
+        .collect();
+    for (name, page) in names
+        .iter()
+        .flat_map(|name| members.iter().map(move |page| (*name, *page)))
+    {
         let row = page.members.iter().find(|row| row.name == name);
         let said = match row {
             Some(row) if matches!(row.standing.as_str(), "present" | "suspect") => {
@@ -181,7 +213,11 @@
             }
             _ => "not there".into(),
         };
-        seen.entry(name).or_default().entry(said).or_default().push(&page.name);
+        seen.entry(name)
+            .or_default()
+            .entry(said)
+            .or_default()
+            .push(&page.name);
     }
     seen.retain(|_, said| said.len() > 1);
     if seen.is_empty() {
@@ -191,7 +227,11 @@
         for (what, by) in said {
             let shown = by.iter().take(8).copied().collect::<Vec<_>>().join(" ");
             let more = by.len().saturating_sub(8);
-            let more = if more > 0 { format!(" and {more} more") } else { String::new() };
+            let more = if more > 0 {
+                format!(" and {more} more")
+            } else {
+                String::new()
+            };
             text += &format!("{name}: {what}, say {shown}{more}\n");
         }
     }
--- a/frostkeel/src/registry.rs
+++ b/frostkeel/src/registry.rs
@@ -59,21 +59,29 @@
 }
 
 fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
-    tokio::runtime::Builder::new_multi_thread().enable_all().build()
+    tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()
 }
 
 pub fn run(command: Registry) -> Done {
     match (command.config, command.ask) {
         (Some(path), None) => {
-            let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+            let text =
+                std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
             let config = Config::parse(&text).map_err(|e| format!("{}: {e}", path.display()))?;
             runtime()?.block_on(service::run(config))?;
             Ok(ExitCode::SUCCESS)
         }
         (None, Some(Ask::Status { write })) => {
-            let (status, body) = runtime()?.block_on(call(write, Method::GET, "/status", String::new()))?;
+            let (status, body) =
+                runtime()?.block_on(call(write, Method::GET, "/status", String::new()))?;
             print!("{}", String::from_utf8_lossy(&body));
-            Ok(if status == 200 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if status == 200 {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
         _ => Err("registry --config FILE runs one, registry status asks one".into()),
     }
@@ -95,19 +103,33 @@
 pub fn list(command: List) -> Done {
     runtime()?.block_on(async {
         if !command.watch {
-            let (status, body) =
-                call(command.read, Method::GET, "/registry/instances", String::new()).await?;
+            let (status, body) = call(
+                command.read,
+                Method::GET,
+                "/registry/instances",
+                String::new(),
+            )
+            .await?;
             if status != 200 {
-                return Err(format!("{}: {}", command.read, String::from_utf8_lossy(&body).trim()).into());
+                return Err(format!(
+                    "{}: {}",
+                    command.read,
+                    String::from_utf8_lossy(&body).trim()
+                )
+                .into());
             }
             show(&body, command.json)?;
             return Ok(ExitCode::SUCCESS);
         }
         let target = "/registry/instances?stream=1&index=0";
-        let mut body = begin(command.read, Method::GET, target, String::new()).await?.into_body();
+        let mut body = begin(command.read, Method::GET, target, String::new())
+            .await?
+            .into_body();
         let mut pending = BytesMut::new();
         while let Some(frame) = body.frame().await {
-            let Ok(data) = frame?.into_data() else { continue };
+            let Ok(data) = frame?.into_data() else {
+                continue;
+            };
             pending.extend_from_slice(&data);
             while let Some(n) = pending.iter().position(|byte| *byte == b'\n') {
                 let line = pending.split_to(n + 1).freeze();
@@ -126,7 +148,11 @@
         return Ok(());
     }
     let list: Text = serde_json::from_slice(text)?;
-    println!("version {}{}", list.rev, if list.all { ", the whole list" } else { "" });
+    println!(
+        "version {}{}",
+        list.rev,
+        if list.all { ", the whole list" } else { "" }
+    );
     for t in &list.targets {
         println!(
             "  {:20} {:22} {:8} {:8} {:12?} weight {:<6} start {}",
--- a/frostkeel/tests/bad_balancer.rs
+++ b/frostkeel/tests/bad_balancer.rs
@@ -14,7 +14,11 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("bad.toml");
-    let rate = if breaks == "cold-spared" { "40.0" } else { "12.0" };
+    let rate = if breaks == "cold-spared" {
+        "40.0"
+    } else {
+        "12.0"
+    };
     std::fs::write(&file, EXPERIMENT.replace("RATE", rate)).expect("written");
     let frostkeel = Path::new(env!("CARGO_BIN_EXE_frostkeel"));
     let bad: PathBuf = frostkeel.with_file_name("examples").join("bad_balancer");
@@ -31,8 +35,8 @@
         .output()
         .expect("it starts");
     let result = std::fs::read_to_string(folder.join("result.json"));
-    let result =
-        result.unwrap_or_else(|e| panic!("{breaks}: {e}: {}", String::from_utf8_lossy(&done.stderr)));
+    let result = result
+        .unwrap_or_else(|e| panic!("{breaks}: {e}: {}", String::from_utf8_lossy(&done.stderr)));
     let events = std::fs::read_to_string(folder.join("events.jsonl")).expect("events");
     (serde_json::from_str(&result).expect("a result"), events)
 }
@@ -40,7 +44,9 @@
 /// The rules that were broken, each once.
 fn rules(result: &serde_json::Value) -> Vec<String> {
     let broken = result["broken"].as_array().expect("a list").iter();
-    let mut rules: Vec<String> = broken.filter_map(|b| b["rule"].as_str().map(str::to_owned)).collect();
+    let mut rules: Vec<String> = broken
+        .filter_map(|b| b["rule"].as_str().map(str::to_owned))
+        .collect();
     rules.sort();
     rules.dedup();
     rules
@@ -63,7 +69,12 @@
         for (breaks, rule) in cases {
             scope.spawn(move || {
                 let (result, _) = played(breaks);
-                assert_eq!(rules(&result), Vec::from_iter(rule), "{breaks}: {}", result["broken"][0]);
+                assert_eq!(
+                    rules(&result),
+                    Vec::from_iter(rule),
+                    "{breaks}: {}",
+                    result["broken"][0]
+                );
             });
         }
     });
@@ -76,7 +87,14 @@
     assert_eq!(rules(&result), Vec::<String>::new());
     let became = |what: &str| {
         let what = format!("\"became\":\"{what}\"");
-        events.lines().filter(|line| line.contains("\"balancer\":") && line.contains(&what)).count()
+        events
+            .lines()
+            .filter(|line| line.contains("\"balancer\":") && line.contains(&what))
+            .count()
     };
-    assert_eq!((became("asked"), became("killed"), became("ended")), (2, 2, 2), "both had to be killed");
+    assert_eq!(
+        (became("asked"), became("killed"), became("ended")),
+        (2, 2, 2),
+        "both had to be killed"
+    );
 }
--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -80,14 +80,33 @@
     let mut tries: BTreeMap<TryId, Try> = BTreeMap::new();
     for Event { at, what } in events {
         match what {
-            What::Asked { id, balancer, class, .. } => {
+            What::Asked {
+                id,
+                balancer,
+                class,
+                ..
+            } => {
                 tries.entry(*id).or_default().asked = Some((*at, *balancer, *class));
             }
-            What::Answered { id, status } => tries.entry(*id).or_default().answers.push((*at, *status)),
+            What::Answered { id, status } => {
+                tries.entry(*id).or_default().answers.push((*at, *status))
+            }
             What::Unanswered { id, how } => tries.entry(*id).or_default().lost = Some((*at, *how)),
-            What::Arrived { id, upstream } => tries.entry(*id).or_default().arrivals.push((*at, *upstream)),
-            What::Replied { id, upstream, reply } => {
-                tries.entry(*id).or_default().replies.push((*upstream, *reply));
+            What::Arrived { id, upstream } => tries
+                .entry(*id)
+                .or_default()
+                .arrivals
+                .push((*at, *upstream)),
+            What::Replied {
+                id,
+                upstream,
+                reply,
+            } => {
+                tries
+                    .entry(*id)
+                    .or_default()
+                    .replies
+                    .push((*upstream, *reply));
             }
             _ => {}
         }
@@ -105,10 +124,14 @@
     events.iter().any(|e| {
         let (b, lasts) = match &e.what {
             What::Unlinked { balancer } => (balancer, NOTED_WITHIN),
-            What::Balancer { balancer, became: Process::Killed | Process::Ended | Process::Crashed } => {
-                (balancer, NOTED_WITHIN)
-            }
-            What::Balancer { balancer, became: Process::Asked } => (balancer, LEAVE_MOST),
+            What::Balancer {
+                balancer,
+                became: Process::Killed | Process::Ended | Process::Crashed,
+            } => (balancer, NOTED_WITHIN),
+            What::Balancer {
+                balancer,
+                became: Process::Asked,
+            } => (balancer, LEAVE_MOST),
             _ => return false,
         };
         *b == balancer && e.at + lasts >= from && e.at <= to + NOTED_WITHIN
@@ -116,11 +139,16 @@
 }
 
 fn answers(id: TryId, one: &Try, events: &[Event], found: &mut Vec<Broken>) {
-    let Some((asked, balancer, _)) = one.asked else { return };
+    let Some((asked, balancer, _)) = one.asked else {
+        return;
+    };
     let mut breach = |rule, at, text| found.push(Broken { rule, at, text });
     if one.answers.len() > 1 {
-        let times: Vec<String> =
-            one.answers.iter().map(|(at, s)| format!("{s} at {}", seconds(*at))).collect();
+        let times: Vec<String> = one
+            .answers
+            .iter()
+            .map(|(at, s)| format!("{s} at {}", seconds(*at)))
+            .collect();
         let text = format!(
             "try {id:x}, asked of b{balancer} at {}, was answered {}",
             seconds(asked),
@@ -142,32 +170,52 @@
     if let Some((at, _)) = one.answers.iter().find(|(_, status)| *status == 200)
         && !served
     {
-        let text = format!("try {id:x}: b{balancer} answered 200 at {}, no upstream served it", seconds(*at));
+        let text = format!(
+            "try {id:x}: b{balancer} answered 200 at {}, no upstream served it",
+            seconds(*at)
+        );
         breach(Rule::TrulyServed, *at, text);
     }
 }
 
 fn attempts(id: TryId, one: &Try, experiment: &Experiment, found: &mut Vec<Broken>) {
-    let Some((_, balancer, class)) = one.asked else { return };
+    let Some((_, balancer, class)) = one.asked else {
+        return;
+    };
     let shown = || {
-        let list: Vec<String> =
-            one.arrivals.iter().map(|(at, u)| format!("u{u} at {}", seconds(*at))).collect();
+        let list: Vec<String> = one
+            .arrivals
+            .iter()
+            .map(|(at, u)| format!("u{u} at {}", seconds(*at)))
+            .collect();
         format!("try {id:x} of b{balancer} reached {}", list.join(", "))
     };
     if let Some((at, _)) = one.arrivals.get(ATTEMPTS_MOST) {
-        found.push(Broken { rule: Rule::ThreeAttempts, at: *at, text: shown() });
+        found.push(Broken {
+            rule: Rule::ThreeAttempts,
+            at: *at,
+            text: shown(),
+        });
     }
     let effect = experiment.classes.get(usize::from(class)).map(|c| c.effect);
     if effect == Some(Effect::Unsafe) {
         // One that was turned away unseen did not run.
         let mut ran = one.arrivals.clone();
-        for (upstream, _) in one.replies.iter().filter(|(_, reply)| *reply == Reply::TurnedAway) {
+        for (upstream, _) in one
+            .replies
+            .iter()
+            .filter(|(_, reply)| *reply == Reply::TurnedAway)
+        {
             if let Some(k) = ran.iter().position(|(_, u)| u == upstream) {
                 ran.remove(k);
             }
         }
         if let Some((at, _)) = ran.get(1) {
-            found.push(Broken { rule: Rule::NeverTwice, at: *at, text: shown() });
+            found.push(Broken {
+                rule: Rule::NeverTwice,
+                at: *at,
+                text: shown(),
+            });
         }
     }
 }
@@ -175,25 +223,42 @@
 fn drains(tries: &BTreeMap<TryId, Try>, events: &[Event], found: &mut Vec<Broken>) {
     let mut told: HashMap<(u32, u32), Vec<(u64, Listed)>> = HashMap::new();
     for Event { at, what } in events {
-        if let What::Told { balancer, upstream, listed } = what {
-            told.entry((*balancer, *upstream)).or_default().push((*at, *listed));
+        if let What::Told {
+            balancer,
+            upstream,
+            listed,
+        } = what
+        {
+            told.entry((*balancer, *upstream))
+                .or_default()
+                .push((*at, *listed));
         }
     }
     for (id, one) in tries {
-        let Some((_, balancer, _)) = one.asked else { continue };
+        let Some((_, balancer, _)) = one.asked else {
+            continue;
+        };
         for (at, upstream) in &one.arrivals {
             // What it had been told last, long enough before.
-            let known = told.get(&(balancer, *upstream)).map_or(&[][..], Vec::as_slice);
+            let known = told
+                .get(&(balancer, *upstream))
+                .map_or(&[][..], Vec::as_slice);
             let last = known.iter().rev().find(|(t, _)| t + GRACE < *at);
-            let since =
-                known.iter().any(|(t, listed)| *listed == Listed::Ready && t + GRACE >= *at && t <= at);
-            if let Some((t, listed)) = last.filter(|(_, listed)| *listed != Listed::Ready && !since) {
+            let since = known
+                .iter()
+                .any(|(t, listed)| *listed == Listed::Ready && t + GRACE >= *at && t <= at);
+            if let Some((t, listed)) = last.filter(|(_, listed)| *listed != Listed::Ready && !since)
+            {
                 let text = format!(
                     "try {id:x} of b{balancer} reached u{upstream} at {}, told {listed:?} at {}",
                     seconds(*at),
                     seconds(*t)
                 );
-                found.push(Broken { rule: Rule::Drained, at: *at, text });
+                found.push(Broken {
+                    rule: Rule::Drained,
+                    at: *at,
+                    text,
+                });
             }
         }
     }
@@ -202,16 +267,27 @@
 fn processes(events: &[Event], found: &mut Vec<Broken>) {
     for Event { at, what } in events {
         let (rule, text) = match what {
-            What::Upstream { upstream, became: Process::Fell } => {
-                (Rule::ColdSpared, format!("u{upstream} was pushed over while cold at {}", seconds(*at)))
-            }
+            What::Upstream {
+                upstream,
+                became: Process::Fell,
+            } => (
+                Rule::ColdSpared,
+                format!("u{upstream} was pushed over while cold at {}", seconds(*at)),
+            ),
             What::Balancer {
                 balancer,
                 became: became @ (Process::Crashed | Process::OverMemory | Process::Outlived),
-            } => (Rule::Sound, format!("b{balancer}: {became:?} at {}", seconds(*at))),
+            } => (
+                Rule::Sound,
+                format!("b{balancer}: {became:?} at {}", seconds(*at)),
+            ),
             _ => continue,
         };
-        found.push(Broken { rule, at: *at, text });
+        found.push(Broken {
+            rule,
+            at: *at,
+            text,
+        });
     }
 }
 
@@ -225,7 +301,14 @@
     }
 
     fn asked(id: TryId, class: u16) -> What {
-        What::Asked { id, request: id as u32, again: 0, class, tenant: 0, balancer: 1 }
+        What::Asked {
+            id,
+            request: id as u32,
+            again: 0,
+            class,
+            tenant: 0,
+            balancer: 1,
+        }
     }
 
     fn arrived(id: TryId, upstream: u32) -> What {
@@ -233,19 +316,36 @@
     }
 
     fn replied(id: TryId, upstream: u32, reply: Reply) -> What {
-        What::Replied { id, upstream, reply }
+        What::Replied {
+            id,
+            upstream,
+            reply,
+        }
     }
 
     fn rules(events: Vec<(u64, What)>) -> Vec<Rule> {
-        let events: Vec<Event> = events.into_iter().map(|(ms, what)| Event { at: ms * 1000, what }).collect();
-        broken(&experiment(), &events).into_iter().map(|b| b.rule).collect()
+        let events: Vec<Event> = events
+            .into_iter()
+            .map(|(ms, what)| Event {
+                at: ms * 1000,
+                what,
+            })
+            .collect();
+        broken(&experiment(), &events)
+            .into_iter()
+            .map(|b| b.rule)
+            .collect()
     }
 
     const SETTLE: u16 = 3;
 
     #[test]
     fn a_history_that_keeps_the_rules_breaks_none() {
-        let told = What::Told { balancer: 1, upstream: 2, listed: Listed::Terminating };
+        let told = What::Told {
+            balancer: 1,
+            upstream: 2,
+            listed: Listed::Terminating,
+        };
         let kept = vec![
             (0, asked(1, SETTLE)),
             (10, arrived(1, 0)),
@@ -259,8 +359,20 @@
             (1020, replied(2, 2, Reply::Served)),
             (1025, What::Answered { id: 2, status: 200 }),
             (2000, asked(3, 0)),
-            (2010, What::Balancer { balancer: 1, became: Process::Killed }),
-            (2020, What::Unanswered { id: 3, how: Lost::Broken }),
+            (
+                2010,
+                What::Balancer {
+                    balancer: 1,
+                    became: Process::Killed,
+                },
+            ),
+            (
+                2020,
+                What::Unanswered {
+                    id: 3,
+                    how: Lost::Broken,
+                },
+            ),
             (3000, asked(4, 0)),
             (3001, What::Answered { id: 4, status: 503 }),
         ];
@@ -269,8 +381,14 @@
 
     #[test]
     fn a_kill_excuses_only_what_was_held_then() {
-        let killed = What::Balancer { balancer: 1, became: Process::Killed };
-        let lost = What::Unanswered { id: 1, how: Lost::Broken };
+        let killed = What::Balancer {
+            balancer: 1,
+            became: Process::Killed,
+        };
+        let lost = What::Unanswered {
+            id: 1,
+            how: Lost::Broken,
+        };
         let held = vec![(0, asked(1, 0)), (500, killed.clone()), (510, lost.clone())];
         assert_eq!(rules(held), []);
         let later = vec![(0, killed), (3000, asked(1, 0)), (3100, lost)];
@@ -280,19 +398,65 @@
     #[test]
     fn each_broken_rule_is_seen() {
         let answer = |id, status| What::Answered { id, status };
-        let crashed = What::Balancer { balancer: 0, became: Process::Crashed };
-        let fell = What::Upstream { upstream: 3, became: Process::Fell };
-        let gone = What::Told { balancer: 1, upstream: 2, listed: Listed::Gone };
+        let crashed = What::Balancer {
+            balancer: 0,
+            became: Process::Crashed,
+        };
+        let fell = What::Upstream {
+            upstream: 3,
+            became: Process::Fell,
+        };
+        let gone = What::Told {
+            balancer: 1,
+            upstream: 2,
+            listed: Listed::Gone,
+        };
         for (rule, events) in [
-            (Rule::OneAnswer, vec![(0, asked(1, 0)), (5, answer(1, 503)), (6, answer(1, 503))]),
-            (Rule::OneAnswer, vec![(0, asked(1, 0)), (5, What::Unanswered { id: 1, how: Lost::Broken })]),
-            (Rule::TrulyServed, vec![(0, asked(1, 0)), (5, answer(1, 200))]),
-            (Rule::NeverTwice, vec![(0, asked(1, SETTLE)), (5, arrived(1, 0)), (9, arrived(1, 2))]),
+            (
+                Rule::OneAnswer,
+                vec![(0, asked(1, 0)), (5, answer(1, 503)), (6, answer(1, 503))],
+            ),
+            (
+                Rule::OneAnswer,
+                vec![
+                    (0, asked(1, 0)),
+                    (
+                        5,
+                        What::Unanswered {
+                            id: 1,
+                            how: Lost::Broken,
+                        },
+                    ),
+                ],
+            ),
+            (
+                Rule::TrulyServed,
+                vec![(0, asked(1, 0)), (5, answer(1, 200))],
+            ),
+            (
+                Rule::NeverTwice,
+                vec![
+                    (0, asked(1, SETTLE)),
+                    (5, arrived(1, 0)),
+                    (9, arrived(1, 2)),
+                ],
+            ),
             (
                 Rule::ThreeAttempts,
-                (0..5).map(|k| if k == 0 { (0, asked(1, 0)) } else { (k, arrived(1, 0)) }).collect(),
+                (0..5)
+                    .map(|k| {
+                        if k == 0 {
+                            (0, asked(1, 0))
+                        } else {
+                            (k, arrived(1, 0))
+                        }
+                    })
+                    .collect(),
+            ),
+            (
+                Rule::Drained,
+                vec![(0, gone), (1000, asked(1, 0)), (1200, arrived(1, 2))],
             ),
-            (Rule::Drained, vec![(0, gone), (1000, asked(1, 0)), (1200, arrived(1, 2))]),
             (Rule::ColdSpared, vec![(7, fell)]),
             (Rule::Sound, vec![(7, crashed)]),
         ] {
--- a/lab/src/child.rs
+++ b/lab/src/child.rs
@@ -96,7 +96,13 @@
         discovery: Vec<SocketAddr>,
         known: impl Fn(u32) -> String + Send + Sync + 'static,
     ) -> Arc<Self> {
-        let Round { experiment, seed, history, front, peers } = round;
+        let Round {
+            experiment,
+            seed,
+            history,
+            front,
+            peers,
+        } = round;
         let slot = |number| Slot {
             life: watch::Sender::new(Life::Off),
             ending: Mutex::default(),
@@ -123,7 +129,11 @@
     }
 
     fn name(&self, number: u32) -> String {
-        self.slots[number as usize].name.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.slots[number as usize]
+            .name
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     fn became(&self, balancer: u32, became: Process) {
@@ -132,7 +142,10 @@
 
     /// The most memory that any has taken, in KB, as far as was seen.
     pub fn most_memory_kb(&self) -> u64 {
-        *self.most_memory_kb.lock().unwrap_or_else(PoisonError::into_inner)
+        *self
+            .most_memory_kb
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The share of a core that balancers took while they ran last: mean and most.
@@ -179,13 +192,20 @@
             peers: self.peers.as_ref().map(|peers| peers.addresses(number)),
         };
         let text = config(told).to_string();
-        let write = |path: &Path, e: std::io::Error| LabError::File { path: path.to_owned(), source: e };
-        tokio::fs::write(&path, text).await.map_err(|e| write(&path, e))?;
+        let write = |path: &Path, e: std::io::Error| LabError::File {
+            path: path.to_owned(),
+            source: e,
+        };
+        tokio::fs::write(&path, text)
+            .await
+            .map_err(|e| write(&path, e))?;
         let log = self.dir.join(format!("b{number}.log"));
         let (tell, told) = oneshot::channel();
         let (balancers, mut tell) = (Arc::clone(self), Some(tell));
         let mut command = Command::new(&self.program);
-        command.env("NODE_CONFIG", &path).env("NODE_NAME", self.name(number));
+        command
+            .env("NODE_CONFIG", &path)
+            .env("NODE_NAME", self.name(number));
         let child = process::start(&mut command, &log, move |line| {
             balancers.heard(number, line);
             if let Some(address) = field(line, "listen").and_then(|a| a.parse::<SocketAddr>().ok())
@@ -199,7 +219,9 @@
             return Err(LabError::NotReady { number, log });
         };
         let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32));
-        let Some(pid) = pid else { return Err(LabError::NotReady { number, log }) };
+        let Some(pid) = pid else {
+            return Err(LabError::NotReady { number, log });
+        };
         if let Some(guard) = &self.guard {
             guard.started(pid.as_raw_nonzero().get() as u32);
         }
@@ -213,7 +235,9 @@
 
     /// What a line of a balancer's log tells of the others.
     fn heard(&self, number: u32, line: &str) {
-        let Some((_, said)) = line.split_once(" maplehook::members: ") else { return };
+        let Some((_, said)) = line.split_once(" maplehook::members: ") else {
+            return;
+        };
         if said.starts_with("yielded") {
             self.history.note(What::Yielded { by: number });
         } else if let Some(saw) = saw(number, said) {
@@ -255,7 +279,14 @@
             guard.ended(pid.as_raw_nonzero().get() as u32);
         }
         let meant = *slot.ending.lock().unwrap_or_else(PoisonError::into_inner);
-        self.became(number, if meant { Process::Ended } else { Process::Crashed });
+        self.became(
+            number,
+            if meant {
+                Process::Ended
+            } else {
+                Process::Crashed
+            },
+        );
         slot.life.send_replace(Life::Off);
         if !meant {
             self.unlist_late(number);
@@ -280,19 +311,27 @@
     }
 
     fn ending(&self, number: u32) {
-        *self.slots[number as usize].ending.lock().unwrap_or_else(PoisonError::into_inner) = true;
+        *self.slots[number as usize]
+            .ending
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = true;
     }
 
     async fn ended(&self, number: u32, within: Duration) -> bool {
         let mut life = self.slots[number as usize].life.subscribe();
-        timeout(within, life.wait_for(|life| *life == Life::Off)).await.is_ok()
+        timeout(within, life.wait_for(|life| *life == Life::Off))
+            .await
+            .is_ok()
     }
 
     /// SIGKILL; started again after `back`, by another name where one is given.
     pub async fn kill(self: Arc<Self>, number: u32, back: Option<Duration>, name: Option<String>) {
         self.ending(number);
         if let Some(name) = name {
-            *self.slots[number as usize].name.lock().unwrap_or_else(PoisonError::into_inner) = name;
+            *self.slots[number as usize]
+                .name
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner) = name;
         }
         self.became(number, Process::Killed);
         if !self.signal(number, Signal::KILL) {
@@ -374,12 +413,20 @@
     };
     let name = Name::new(field(said, "name")?).ok()?;
     let incarnation = number("incarnation")? + number("turn")?;
-    Some(What::Saw { by, name, incarnation, standing, version: number("version")? })
+    Some(What::Saw {
+        by,
+        name,
+        incarnation,
+        standing,
+        version: number("version")?,
+    })
 }
 
 /// Processor time that a process has taken, in seconds; `None` once it is gone.
 async fn processor_seconds(pid: Pid) -> Option<f64> {
-    let text = tokio::fs::read_to_string(format!("/proc/{}/stat", pid.as_raw_nonzero())).await.ok()?;
+    let text = tokio::fs::read_to_string(format!("/proc/{}/stat", pid.as_raw_nonzero()))
+        .await
+        .ok()?;
     Some(figures::processor_seconds(&text))
 }
 
@@ -387,5 +434,12 @@
 async fn memory_kb(pid: Pid) -> Option<u64> {
     let path = format!("/proc/{}/status", pid.as_raw_nonzero());
     let text = tokio::fs::read_to_string(path).await.ok()?;
-    text.lines().find_map(|line| line.strip_prefix("VmRSS:")?.trim().strip_suffix("kB")?.trim().parse().ok())
+    text.lines().find_map(|line| {
+        line.strip_prefix("VmRSS:")?
+            .trim()
+            .strip_suffix("kB")?
+            .trim()
+            .parse()
+            .ok()
+    })
 }
--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -59,14 +59,25 @@
             return arrivals;
         }
         let rate = load.rate * (1.0 + load.swing * (TAU * at / load.period_s).sin());
-        let (thin, class, tenant) = (rng.random::<f64>(), rng.random::<f64>(), rng.random::<f64>());
+        let (thin, class, tenant) = (
+            rng.random::<f64>(),
+            rng.random::<f64>(),
+            rng.random::<f64>(),
+        );
         // A few keys far more popular than the rest.
         let key = (f64::from(load.keys).powf(rng.random::<f64>()) - 1.0) as u32;
         let (heeds, chance) = (rng.random::<f64>() < load.honour, rng.random());
         if thin * most <= rate {
             let class = pick(class, experiment.classes.iter().map(|c| c.share));
             let tenant = pick(tenant, experiment.tenants.iter().map(|t| t.share));
-            arrivals.push(Arrival { at, class, tenant, key, heeds, chance });
+            arrivals.push(Arrival {
+                at,
+                class,
+                tenant,
+                key,
+                heeds,
+                chance,
+            });
         }
     }
 }
@@ -99,7 +110,9 @@
 impl Front {
     /// A front of so many balancers, none of which is there yet.
     pub fn new(balancers: u32) -> Self {
-        Self { places: (0..balancers).map(|_| Mutex::default()).collect() }
+        Self {
+            places: (0..balancers).map(|_| Mutex::default()).collect(),
+        }
     }
 
     /// A balancer is at this address, or is not sent to any more.
@@ -115,22 +128,35 @@
 
     /// Where a balancer is.
     pub fn address(&self, balancer: u32) -> Option<SocketAddr> {
-        self.places.get(balancer as usize)?.lock().unwrap_or_else(PoisonError::into_inner).address
+        self.places
+            .get(balancer as usize)?
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .address
     }
 
     /// How many tries a balancer has answered.
     pub fn answered(&self, balancer: u32) -> u64 {
         let place = self.places.get(balancer as usize);
-        place.map_or(0, |place| place.lock().unwrap_or_else(PoisonError::into_inner).answered)
+        place.map_or(0, |place| {
+            place
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .answered
+        })
     }
 
     fn choose(&self, chance: u64) -> Option<(u32, SocketAddr)> {
         let n = self.places.len() as u64;
-        (0..n).map(|k| ((chance.wrapping_add(k)) % n) as u32).find_map(|b| Some((b, self.address(b)?)))
+        (0..n)
+            .map(|k| ((chance.wrapping_add(k)) % n) as u32)
+            .find_map(|b| Some((b, self.address(b)?)))
     }
 
     fn idle(&self, balancer: u32, address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-        let mut place = self.places[balancer as usize].lock().unwrap_or_else(PoisonError::into_inner);
+        let mut place = self.places[balancer as usize]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         if place.address != Some(address) {
             return None;
         }
@@ -143,7 +169,9 @@
     }
 
     fn keep(&self, balancer: u32, address: SocketAddr, connection: SendRequest<Full<Bytes>>) {
-        let mut place = self.places[balancer as usize].lock().unwrap_or_else(PoisonError::into_inner);
+        let mut place = self.places[balancer as usize]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         place.answered += 1;
         if place.address == Some(address) {
             place.idle.push(connection);
@@ -152,10 +180,15 @@
 }
 
 async fn connect(address: SocketAddr, link: &Link) -> Option<SendRequest<Full<Bytes>>> {
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await.ok()?.ok()?;
+    let stream = timeout(CONNECT, TcpStream::connect(address))
+        .await
+        .ok()?
+        .ok()?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) =
-        hyper::client::conn::http1::handshake(TokioIo::new(link.through(stream))).await.ok()?;
+        hyper::client::conn::http1::handshake(TokioIo::new(link.through(stream)))
+            .await
+            .ok()?;
     tokio::spawn(connection);
     Some(sender)
 }
@@ -184,12 +217,21 @@
         front: Arc<Front>,
         links: Arc<Links>,
     ) -> Arc<Self> {
-        Arc::new(Self { experiment, history, front, links, late: Mutex::new(times()) })
+        Arc::new(Self {
+            experiment,
+            history,
+            front,
+            links,
+            late: Mutex::new(times()),
+        })
     }
 
     /// How late requests were sent, in microseconds.
     pub fn lateness(&self) -> Histogram<u64> {
-        self.late.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.late
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Sends what is due when it is due; returns when the last client has ended. Dropped, all end.
@@ -215,14 +257,21 @@
     }
 
     async fn client(self: Arc<Self>, request: u32, arrival: Arrival, due: Instant) {
-        let (load, Some(class)) =
-            (&self.experiment.load, self.experiment.classes.get(usize::from(arrival.class)))
-        else {
+        let (load, Some(class)) = (
+            &self.experiment.load,
+            self.experiment.classes.get(usize::from(arrival.class)),
+        ) else {
             return;
         };
         let late = Instant::now().saturating_duration_since(due).as_micros() as u64;
-        self.late.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(late.max(1));
-        self.history.note(What::Wanted { request, class: arrival.class });
+        self.late
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .saturating_record(late.max(1));
+        self.history.note(What::Wanted {
+            request,
+            class: arrival.class,
+        });
         let deadline = due + Duration::from_secs_f64(class.deadline_ms / 1e3);
         let most = Duration::from_secs_f64(class.deadline_ms / 1e3 * load.try_share);
         let mut chance = ChaCha8Rng::seed_from_u64(arrival.chance);
@@ -232,7 +281,9 @@
                 return;
             }
             let id = (TryId::from(request) << TRIES_BITS) | TryId::from(again);
-            let said = self.attempt(id, again, request, &arrival, left, chance.random()).await;
+            let said = self
+                .attempt(id, again, request, &arrival, left, chance.random())
+                .await;
             let asked_for = match said {
                 Some(Said::Served) => return,
                 Some(Said::Refused(after)) => after.filter(|_| arrival.heeds),
@@ -242,7 +293,8 @@
             if class.effect == Effect::Unsafe && !matches!(said, Some(Said::Refused(_))) {
                 return;
             }
-            let backoff = load.backoff_ms / 1e3 * f64::from(1 << again) * chance.random_range(0.5..1.5);
+            let backoff =
+                load.backoff_ms / 1e3 * f64::from(1 << again) * chance.random_range(0.5..1.5);
             sleep(asked_for.unwrap_or(Duration::from_secs_f64(backoff))).await;
         }
     }
@@ -272,14 +324,24 @@
                 None => match timeout_at(gives_up, connect(address, &link)).await {
                     Ok(Some(connection)) => connection,
                     _ => {
-                        self.history.note(What::Unanswered { id, how: Lost::NoConnection });
+                        self.history.note(What::Unanswered {
+                            id,
+                            how: Lost::NoConnection,
+                        });
                         return None;
                     }
                 },
             };
             let message = self.message(id, again, arrival, left)?;
             if !std::mem::replace(&mut asked, true) {
-                self.history.note(What::Asked { id, request, again, class, tenant, balancer });
+                self.history.note(What::Asked {
+                    id,
+                    request,
+                    again,
+                    class,
+                    tenant,
+                    balancer,
+                });
             }
             let exchange = async {
                 let (parts, body) = connection.send_request(message).await?.into_parts();
@@ -287,20 +349,33 @@
             };
             match timeout_at(gives_up, exchange).await {
                 Err(_) => {
-                    self.history.note(What::Unanswered { id, how: Lost::GaveUp });
+                    self.history.note(What::Unanswered {
+                        id,
+                        how: Lost::GaveUp,
+                    });
                     return None;
                 }
                 // Between requests a balancer may close a connection: the request goes once more on a new one.
-                Ok(Err(e)) if reused && (e.is_canceled() || e.is_incomplete_message() || e.is_closed()) => {}
+                Ok(Err(e))
+                    if reused
+                        && (e.is_canceled() || e.is_incomplete_message() || e.is_closed()) => {}
                 Ok(Err(_)) => {
-                    self.history.note(What::Unanswered { id, how: Lost::Broken });
+                    self.history.note(What::Unanswered {
+                        id,
+                        how: Lost::Broken,
+                    });
                     return None;
                 }
                 Ok(Ok(parts)) => {
-                    self.history.note(What::Answered { id, status: parts.status.as_u16() });
+                    self.history.note(What::Answered {
+                        id,
+                        status: parts.status.as_u16(),
+                    });
                     self.front.keep(balancer, address, connection);
-                    let after =
-                        parts.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
+                    let after = parts
+                        .headers
+                        .get("retry-after")
+                        .and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
                     let after = after.and_then(|s| Duration::try_from_secs_f64(s).ok());
                     return Some(match parts.status.as_u16() {
                         200 => Said::Served,
@@ -321,7 +396,11 @@
     ) -> Option<Request<Full<Bytes>>> {
         let class = self.experiment.classes.get(usize::from(arrival.class))?;
         let tenant = self.experiment.tenants.get(usize::from(arrival.tenant))?;
-        let method = if class.effect == Effect::Safe { Method::GET } else { Method::POST };
+        let method = if class.effect == Effect::Safe {
+            Method::GET
+        } else {
+            Method::POST
+        };
         let mut message = Request::builder()
             .method(method)
             .uri(format!("/{}", class.name))
@@ -345,16 +424,18 @@
     use super::*;
 
     fn experiment() -> Experiment {
-        let text =
-            "name = \"x\"\nseconds = 60.0\n[fleet]\nbalancers = 2\nupstreams = 4\n[load]\nrate = 200.0\n";
+        let text = "name = \"x\"\nseconds = 60.0\n[fleet]\nbalancers = 2\nupstreams = 4\n[load]\nrate = 200.0\n";
         Experiment::parse(text).expect("it can be meant")
     }
 
     #[test]
     fn the_same_seed_gives_the_same_load_and_another_one_another() {
         let experiment = experiment();
-        let (one, same, other) =
-            (schedule(&experiment, 4), schedule(&experiment, 4), schedule(&experiment, 5));
+        let (one, same, other) = (
+            schedule(&experiment, 4),
+            schedule(&experiment, 4),
+            schedule(&experiment, 5),
+        );
         assert_eq!(one, same);
         assert_ne!(one, other);
     }
@@ -367,8 +448,16 @@
         assert!((n / 60.0 - 200.0).abs() < 10.0, "{n} in 60 s");
         assert!(arrivals.is_sorted_by(|a, b| a.at <= b.at));
         for (k, class) in experiment.classes.iter().enumerate() {
-            let share = arrivals.iter().filter(|a| usize::from(a.class) == k).count() as f64 / n;
-            assert!((share - class.share).abs() < 0.02, "{}: {share}", class.name);
+            let share = arrivals
+                .iter()
+                .filter(|a| usize::from(a.class) == k)
+                .count() as f64
+                / n;
+            assert!(
+                (share - class.share).abs() < 0.02,
+                "{}: {share}",
+                class.name
+            );
         }
     }
 }
--- a/lab/src/config.rs
+++ b/lab/src/config.rs
@@ -44,8 +44,11 @@
     let m = &e.upstream;
     let work: f64 = e.classes.iter().map(|c| c.share * c.work_ms / 1e3).sum();
     let able = f64::from(e.fleet.upstreams * m.cores) * m.speed / work.max(1e-6);
-    let parties: Vec<_> =
-        e.tenants.iter().map(|t| json!({"name": t.name, "allowance_per_s": 0.85 * able * t.share})).collect();
+    let parties: Vec<_> = e
+        .tenants
+        .iter()
+        .map(|t| json!({"name": t.name, "allowance_per_s": 0.85 * able * t.share}))
+        .collect();
     let known: serde_json::Value = serde_json::from_str(&told.known).unwrap_or_default();
     let mut config = json!({
         "name": told.name, "listen": "127.0.0.1:0", "discovery": told.discovery.to_string(),
@@ -68,8 +71,7 @@
     if let (Some(membership), Some(peers)) = (&e.membership, told.peers) {
         config["peer_listen"] = "127.0.0.1:0".into();
         config["peers"] = peers.into();
-        config["membership"] =
-            json!({"fleet": "lab", "page": "127.0.0.1:0", "forget_s": membership.forget_after().as_secs()});
+        config["membership"] = json!({"fleet": "lab", "page": "127.0.0.1:0", "forget_s": membership.forget_after().as_secs()});
     }
     config
 }
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -50,13 +50,30 @@
 
 impl Discovery {
     /// An empty list.
-    pub fn new(history: Arc<History>, links: Arc<Links>, registrar: Option<Arc<Registrar>>) -> Arc<Self> {
+    pub fn new(
+        history: Arc<History>,
+        links: Arc<Links>,
+        registrar: Option<Arc<Registrar>>,
+    ) -> Arc<Self> {
         let (rev, up) = (watch::Sender::new(1), watch::Sender::new(true));
-        Arc::new(Self { history, links, entries: Mutex::default(), rev, up, registrar })
+        Arc::new(Self {
+            history,
+            links,
+            entries: Mutex::default(),
+            rev,
+            up,
+            registrar,
+        })
     }
 
     /// How an upstream stands from now on.
-    pub fn list(&self, upstream: u32, listed: Listed, boot_ms: u64, endpoints: &Arc<Vec<SocketAddr>>) {
+    pub fn list(
+        &self,
+        upstream: u32,
+        listed: Listed,
+        boot_ms: u64,
+        endpoints: &Arc<Vec<SocketAddr>>,
+    ) {
         if let Some(registrar) = &self.registrar {
             let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
             entries.entry(upstream).or_insert_with(|| {
@@ -64,7 +81,12 @@
                 if let Some(first) = endpoints.first() {
                     registrar.add(upstream, *first);
                 }
-                Entry { listed, boot_ms, endpoints, rev: 0 }
+                Entry {
+                    listed,
+                    boot_ms,
+                    endpoints,
+                    rev: 0,
+                }
             });
             registrar.says(upstream, listed, boot_ms);
             return;
@@ -73,13 +95,24 @@
         self.rev.send_modify(|rev| {
             *rev += 1;
             let endpoints = Arc::clone(endpoints);
-            entries.insert(upstream, Entry { listed, boot_ms, endpoints, rev: *rev });
+            entries.insert(
+                upstream,
+                Entry {
+                    listed,
+                    boot_ms,
+                    endpoints,
+                    rev: *rev,
+                },
+            );
         });
     }
 
     /// An upstream has died: with the real service, it is silent from now on, and nobody else tells of it. Whether so.
     pub fn falls_silent(&self, upstream: u32) -> bool {
-        self.registrar.as_ref().map(|registrar| registrar.dies(upstream)).is_some()
+        self.registrar
+            .as_ref()
+            .map(|registrar| registrar.dies(upstream))
+            .is_some()
     }
 
     /// The real service, where there is one.
@@ -115,7 +148,10 @@
                 })
             })
             .collect();
-        (rev, serde_json::json!({"rev": rev, "all": since.is_none(), "targets": targets}).to_string())
+        (
+            rev,
+            serde_json::json!({"rev": rev, "all": since.is_none(), "targets": targets}).to_string(),
+        )
     }
 
     /// Notes what a text tells a balancer: now, or where its watch is cut off, once that counts as told all the same.
@@ -133,9 +169,15 @@
 
     fn note_told(&self, balancer: u32, since: Option<u64>) {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        let newer = entries.iter().filter(|(_, e)| since.is_none_or(|since| e.rev > since));
+        let newer = entries
+            .iter()
+            .filter(|(_, e)| since.is_none_or(|since| e.rev > since));
         for (upstream, e) in newer {
-            self.history.note(What::Told { balancer, upstream: *upstream, listed: e.listed });
+            self.history.note(What::Told {
+                balancer,
+                upstream: *upstream,
+                listed: e.listed,
+            });
         }
     }
 
@@ -153,7 +195,11 @@
                 let service = service_fn(move |request| {
                     let discovery = Arc::clone(&discovery);
                     async move {
-                        match discovery.registrar.as_ref().and_then(|registrar| registrar.read()) {
+                        match discovery
+                            .registrar
+                            .as_ref()
+                            .and_then(|registrar| registrar.read())
+                        {
                             Some(real) => discovery.pass_on(balancer, real, &request).await,
                             None => Ok(discovery.respond(balancer, &request)),
                         }
@@ -177,8 +223,13 @@
         request: &Request<Incoming>,
     ) -> Result<Response<BoxBody<Bytes, std::io::Error>>, std::io::Error> {
         let broken = || std::io::Error::other("the list service does not answer");
-        let target = request.uri().path_and_query().map_or("/", |target| target.as_str());
-        let answer = begin(real, Method::GET, target, String::new()).await.map_err(|_| broken())?;
+        let target = request
+            .uri()
+            .path_and_query()
+            .map_or("/", |target| target.as_str());
+        let answer = begin(real, Method::GET, target, String::new())
+            .await
+            .map_err(|_| broken())?;
         let (parts, mut body) = answer.into_parts();
         if !target.contains("stream=1") {
             let text = body.collect().await.map_err(|_| broken())?.to_bytes();
@@ -191,7 +242,9 @@
         tokio::spawn(async move {
             let mut pending = BytesMut::new();
             while let Some(Ok(frame)) = body.frame().await {
-                let Ok(data) = frame.into_data() else { continue };
+                let Ok(data) = frame.into_data() else {
+                    continue;
+                };
                 pending.extend_from_slice(&data);
                 while let Some(n) = pending.iter().position(|byte| *byte == b'\n') {
                     let line = pending.split_to(n + 1).freeze();
@@ -205,7 +258,8 @@
             // The watch has ended there: it ends here, as one that broke off.
             let _ = lines.send(Err(broken())).await;
         });
-        let mut response = Response::new(BodyExt::boxed(StreamBody::new(ReceiverStream::new(sent))));
+        let mut response =
+            Response::new(BodyExt::boxed(StreamBody::new(ReceiverStream::new(sent))));
         *response.status_mut() = parts.status;
         Ok(response)
     }
@@ -217,8 +271,12 @@
         };
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         for target in list["targets"].as_array_mut().into_iter().flatten() {
-            let number = target["uid"].as_str().and_then(|uid| uid.strip_prefix('u')?.parse::<u32>().ok());
-            let Some((upstream, entry)) = number.and_then(|n| Some((n, entries.get(&n)?))) else { continue };
+            let number = target["uid"]
+                .as_str()
+                .and_then(|uid| uid.strip_prefix('u')?.parse::<u32>().ok());
+            let Some((upstream, entry)) = number.and_then(|n| Some((n, entries.get(&n)?))) else {
+                continue;
+            };
             if let Some(endpoint) = entry.endpoints.get(balancer as usize) {
                 target["endpoint"] = endpoint.to_string().into();
             }
@@ -227,7 +285,11 @@
                 Some("Terminating") => Listed::Terminating,
                 _ => Listed::Gone,
             };
-            self.history.note(What::Told { balancer, upstream, listed });
+            self.history.note(What::Told {
+                balancer,
+                upstream,
+                listed,
+            });
         }
         Bytes::from(list.to_string())
     }
@@ -247,7 +309,9 @@
             self.told(balancer, None);
             return Response::new(whole(self.text(balancer, None).1.into()));
         }
-        let index = query.split('&').find_map(|part| part.strip_prefix("index=")?.parse().ok());
+        let index = query
+            .split('&')
+            .find_map(|part| part.strip_prefix("index=")?.parse().ok());
         let since = index.filter(|n| *n > 0 && *n <= *self.rev.borrow());
         let (lines, body) = mpsc::channel(LINES_BEHIND);
         tokio::spawn(Arc::clone(self).follow(balancer, since, lines));
@@ -263,10 +327,17 @@
         let mut changes = self.rev.subscribe();
         loop {
             let rev = *changes.borrow_and_update();
-            let line = if since == Some(rev) { String::new() } else { self.text(balancer, since).1 };
+            let line = if since == Some(rev) {
+                String::new()
+            } else {
+                self.text(balancer, since).1
+            };
             // Written, or as good as: a watcher that does not read is let go.
             if lines
-                .send_timeout(Ok(Frame::data(format!("{line}\n").into())), EMPTY_LINE_EVERY)
+                .send_timeout(
+                    Ok(Frame::data(format!("{line}\n").into())),
+                    EMPTY_LINE_EVERY,
+                )
                 .await
                 .is_err()
             {
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -15,7 +15,9 @@
         source: std::io::Error,
     },
     /// No child.
-    #[error("{program} cannot be started: {source}; build it first: cargo build --release --locked")]
+    #[error(
+        "{program} cannot be started: {source}; build it first: cargo build --release --locked"
+    )]
     Start {
         /// Which program.
         program: PathBuf,
@@ -41,7 +43,9 @@
         limit: u64,
     },
     /// A list service that does not serve.
-    #[error("the list service did not say that it serves, or does not list all upstreams: see {log}")]
+    #[error(
+        "the list service did not say that it serves, or does not list all upstreams: see {log}"
+    )]
     RegistryNotReady {
         /// Its log.
         log: PathBuf,
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -201,7 +201,10 @@
 
 impl Default for ListService {
     fn default() -> Self {
-        Self { notice_s: 0.5, crash_notice_s: 2.0 }
+        Self {
+            notice_s: 0.5,
+            crash_notice_s: 2.0,
+        }
     }
 }
 
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -64,7 +64,9 @@
     pub fn ends(&self, length: Duration) -> Duration {
         let lasts = match &self.act {
             Act::Kill { back, .. } => back.unwrap_or_default(),
-            Act::Stop(lasts) | Act::Slow(_, lasts) | Act::Silent(lasts) | Act::Links(_, lasts) => *lasts,
+            Act::Stop(lasts) | Act::Slow(_, lasts) | Act::Silent(lasts) | Act::Links(_, lasts) => {
+                *lasts
+            }
             Act::Storm { lasts, .. } => *lasts,
             Act::Term | Act::Replace { .. } | Act::Reset | Act::Replay => Duration::ZERO,
         };
@@ -169,11 +171,20 @@
 }
 
 /// Reads a fault of a fleet; `real` says whether membership and the list service are real.
-pub fn read(raw: RawFault, fleet: &Fleet, length: Duration, real: (bool, bool)) -> Result<Fault, String> {
+pub fn read(
+    raw: RawFault,
+    fleet: &Fleet,
+    length: Duration,
+    real: (bool, bool),
+) -> Result<Fault, String> {
     let (membership, registry) = real;
     let target = read_target(&raw.target, fleet)?;
     if !(0.0..=length.as_secs_f64()).contains(&raw.at_s) {
-        return Err(format!("at_s is {}: the play takes 0 to {} s", raw.at_s, length.as_secs_f64()));
+        return Err(format!(
+            "at_s is {}: the play takes 0 to {} s",
+            raw.at_s,
+            length.as_secs_f64()
+        ));
     }
     let span = |what: &str, value: Option<f64>| match value {
         None => Err(format!("{what} is missing: this kind of fault needs it")),
@@ -192,12 +203,28 @@
         Some(x) => Err(format!("{what} is {x}: 0 to 60000 can be played")),
     };
     let act = match raw.kind {
-        Kind::Cut => Act::Links(ways(Way { cut: true, ..Way::default() }), for_s()?),
+        Kind::Cut => Act::Links(
+            ways(Way {
+                cut: true,
+                ..Way::default()
+            }),
+            for_s()?,
+        ),
         Kind::Delay => {
-            let (delay, jitter) = (millis("delay_ms", raw.delay_ms)?, millis("jitter_ms", raw.jitter_ms)?);
-            let way = Way { delay, jitter, bytes_per_s: raw.bytes_per_s, ..Way::default() };
+            let (delay, jitter) = (
+                millis("delay_ms", raw.delay_ms)?,
+                millis("jitter_ms", raw.jitter_ms)?,
+            );
+            let way = Way {
+                delay,
+                jitter,
+                bytes_per_s: raw.bytes_per_s,
+                ..Way::default()
+            };
             if way == Way::default() || way.bytes_per_s == Some(0) {
-                return Err("delay_ms, jitter_ms or bytes_per_s is missing: what slows the link?".into());
+                return Err(
+                    "delay_ms, jitter_ms or bytes_per_s is missing: what slows the link?".into(),
+                );
             }
             Act::Links(ways(way), for_s()?)
         }
@@ -206,35 +233,61 @@
                 x if (0.0..=1.0).contains(&x) => Ok(x),
                 x => Err(format!("{what} is {x}: 0 to 1 can be played")),
             };
-            let (delay, jitter) = (millis("delay_ms", raw.delay_ms)?, millis("jitter_ms", raw.jitter_ms)?);
+            let (delay, jitter) = (
+                millis("delay_ms", raw.delay_ms)?,
+                millis("jitter_ms", raw.jitter_ms)?,
+            );
             let (loss, duplicate) = (share("loss", raw.loss)?, share("duplicate", raw.duplicate)?);
-            Act::Links(ways(Way { delay, jitter, loss, duplicate, ..Way::default() }), for_s()?)
+            Act::Links(
+                ways(Way {
+                    delay,
+                    jitter,
+                    loss,
+                    duplicate,
+                    ..Way::default()
+                }),
+                for_s()?,
+            )
         }
         Kind::Replay => Act::Replay,
         Kind::Storm => {
             let rate = raw.rate.filter(|rate| (1.0..=100_000.0).contains(rate));
-            Act::Storm { rate: rate.ok_or("rate: 1 to 100000 a second can be played")?, lasts: for_s()? }
+            Act::Storm {
+                rate: rate.ok_or("rate: 1 to 100000 a second can be played")?,
+                lasts: for_s()?,
+            }
         }
         Kind::Reset => Act::Reset,
-        Kind::Kill => Act::Kill { back: raw.for_s.map(|_| for_s()).transpose()?, name: raw.name.clone() },
+        Kind::Kill => Act::Kill {
+            back: raw.for_s.map(|_| for_s()).transpose()?,
+            name: raw.name.clone(),
+        },
         Kind::Term => Act::Term,
         Kind::Stop => Act::Stop(for_s()?),
         Kind::Silent => Act::Silent(for_s()?),
         Kind::Slow => {
-            let factor = raw.factor.ok_or("factor is missing: how many times slower?")?;
+            let factor = raw
+                .factor
+                .ok_or("factor is missing: how many times slower?")?;
             if !(1.0..=1000.0).contains(&factor) {
                 return Err(format!("factor is {factor}: 1 to 1000 can be played"));
             }
             Act::Slow(factor, for_s()?)
         }
         Kind::Replace => Act::Replace {
-            batch: raw.batch.filter(|n| *n > 0).ok_or("batch is missing: how many at a time, 1 or more?")?,
+            batch: raw
+                .batch
+                .filter(|n| *n > 0)
+                .ok_or("batch is missing: how many at a time, 1 or more?")?,
             every: span("every_s", raw.every_s)?,
             drain: span("drain_s", raw.drain_s)?,
         },
     };
     let among_balancers = |t: &Target| {
-        matches!(t, Target::Balancer(_) | Target::Balancers(_) | Target::Range(..) | Target::Others)
+        matches!(
+            t,
+            Target::Balancer(_) | Target::Balancers(_) | Target::Range(..) | Target::Others
+        )
     };
     let of_balancers = among_balancers(&target);
     let of_upstreams = matches!(target, Target::Upstream(_) | Target::Upstreams(_));
@@ -251,52 +304,107 @@
     }
     for (given, what, goes_with) in [
         (raw.factor.is_some(), "factor", matches!(act, Act::Slow(..))),
-        (raw.batch.is_some(), "batch", matches!(act, Act::Replace { .. })),
-        (raw.every_s.is_some(), "every_s", matches!(act, Act::Replace { .. })),
-        (raw.drain_s.is_some(), "drain_s", matches!(act, Act::Replace { .. })),
+        (
+            raw.batch.is_some(),
+            "batch",
+            matches!(act, Act::Replace { .. }),
+        ),
+        (
+            raw.every_s.is_some(),
+            "every_s",
+            matches!(act, Act::Replace { .. }),
+        ),
+        (
+            raw.drain_s.is_some(),
+            "drain_s",
+            matches!(act, Act::Replace { .. }),
+        ),
         (
             raw.for_s.is_some(),
             "for_s",
-            !matches!(act, Act::Replace { .. } | Act::Term | Act::Reset | Act::Replay),
+            !matches!(
+                act,
+                Act::Replace { .. } | Act::Term | Act::Reset | Act::Replay
+            ),
         ),
         (raw.loss.is_some(), "loss", raw.kind == Kind::Lossy),
-        (raw.duplicate.is_some(), "duplicate", raw.kind == Kind::Lossy),
+        (
+            raw.duplicate.is_some(),
+            "duplicate",
+            raw.kind == Kind::Lossy,
+        ),
         (raw.rate.is_some(), "rate", raw.kind == Kind::Storm),
         (raw.until_s.is_some(), "until_s", raw.again_s.is_some()),
-        (raw.name.is_some(), "name", raw.for_s.is_some() && matches!(target, Target::Balancer(_))),
+        (
+            raw.name.is_some(),
+            "name",
+            raw.for_s.is_some() && matches!(target, Target::Balancer(_)),
+        ),
         (raw.with.is_some(), "with", of_links),
         (raw.way.is_some(), "way", matches!(act, Act::Links(..))),
-        (raw.delay_ms.is_some(), "delay_ms", matches!(raw.kind, Kind::Delay | Kind::Lossy)),
-        (raw.jitter_ms.is_some(), "jitter_ms", matches!(raw.kind, Kind::Delay | Kind::Lossy)),
-        (raw.bytes_per_s.is_some(), "bytes_per_s", raw.kind == Kind::Delay),
+        (
+            raw.delay_ms.is_some(),
+            "delay_ms",
+            matches!(raw.kind, Kind::Delay | Kind::Lossy),
+        ),
+        (
+            raw.jitter_ms.is_some(),
+            "jitter_ms",
+            matches!(raw.kind, Kind::Delay | Kind::Lossy),
+        ),
+        (
+            raw.bytes_per_s.is_some(),
+            "bytes_per_s",
+            raw.kind == Kind::Delay,
+        ),
     ] {
         if given && !goes_with {
             return Err(format!("{what} says nothing to this kind of fault"));
         }
     }
-    let with = raw.with.as_deref().map(|text| read_target(text, fleet)).transpose()?;
+    let with = raw
+        .with
+        .as_deref()
+        .map(|text| read_target(text, fleet))
+        .transpose()?;
     let between_balancers = of_balancers && with.as_ref().is_some_and(among_balancers);
     if !of_balancers && with.as_ref().is_some_and(|with| !among_balancers(with)) {
-        return Err(format!("with {:?}: one end of a link is a balancer's", raw.with.unwrap_or_default()));
+        return Err(format!(
+            "with {:?}: one end of a link is a balancer's",
+            raw.with.unwrap_or_default()
+        ));
     }
     let for_datagrams = between_balancers || matches!(act, Act::Replay | Act::Storm { .. });
     if for_datagrams && !membership {
-        return Err("balancers have links with each other only where there is a [membership]".into());
+        return Err(
+            "balancers have links with each other only where there is a [membership]".into(),
+        );
     }
     if raw.kind == Kind::Lossy && !between_balancers {
         return Err(
-            "only datagrams between balancers are lost or come twice: with = \"other balancers\"?".into()
+            "only datagrams between balancers are lost or come twice: with = \"other balancers\"?"
+                .into(),
         );
     }
     if raw.kind == Kind::Reset && between_balancers {
         return Err("datagrams have no connection to be reset".into());
     }
-    let every = raw.again_s.map(|_| span("again_s", raw.again_s)).transpose()?;
+    let every = raw
+        .again_s
+        .map(|_| span("again_s", raw.again_s))
+        .transpose()?;
     if every.is_some_and(|every| every < Duration::from_millis(100)) {
         return Err("again_s: 0.1 or more can be played".into());
     }
     let until = raw.until_s.map(Duration::from_secs_f64);
-    Ok(Fault { at: Duration::from_secs_f64(raw.at_s), target, act, with, every, until })
+    Ok(Fault {
+        at: Duration::from_secs_f64(raw.at_s),
+        target,
+        act,
+        with,
+        every,
+        until,
+    })
 }
 
 /// `b3`, `b0..b9`, `other balancers`, `u0`, `discovery`, `clients`, `all balancers`, `30% of upstreams`.
@@ -309,7 +417,11 @@
     };
     let within = |prefix: char, text: &str, most: u32| -> Option<Result<u32, String>> {
         let n: u32 = text.strip_prefix(prefix)?.parse().ok()?;
-        Some(if n < most { Ok(n) } else { Err(format!("target {text:?}: there are only {most}")) })
+        Some(if n < most {
+            Ok(n)
+        } else {
+            Err(format!("target {text:?}: there are only {most}"))
+        })
     };
     let numbered = |prefix, most| within(prefix, text, most);
     let number = |prefix, text| within(prefix, text, fleet.balancers);
@@ -332,7 +444,10 @@
         _ => {}
     }
     let (share, whom) = match text.split_once("% of ") {
-        Some((percent, whom)) => (percent.trim().parse::<f64>().map_err(|_| unknown())? / 100.0, whom),
+        Some((percent, whom)) => (
+            percent.trim().parse::<f64>().map_err(|_| unknown())? / 100.0,
+            whom,
+        ),
         None => (1.0, text.strip_prefix("all ").ok_or_else(unknown)?),
     };
     if !(0.0..=1.0).contains(&share) {
--- a/lab/src/figures.rs
+++ b/lab/src/figures.rs
@@ -80,9 +80,18 @@
             calls.entry(*balancer).or_default().push(*at);
         }
     }
-    let within =
-        |times: &[u64], k: usize| times[k..].iter().take_while(|at| **at < times[k] + 1_000_000).count();
-    let most = |times: &Vec<u64>| (0..times.len()).map(|k| within(times, k)).max().unwrap_or(0);
+    let within = |times: &[u64], k: usize| {
+        times[k..]
+            .iter()
+            .take_while(|at| **at < times[k] + 1_000_000)
+            .count()
+    };
+    let most = |times: &Vec<u64>| {
+        (0..times.len())
+            .map(|k| within(times, k))
+            .max()
+            .unwrap_or(0)
+    };
     calls.values().map(most).max().unwrap_or(0)
 }
 
@@ -90,7 +99,12 @@
 pub fn processor_seconds(stat: &str) -> f64 {
     // After the name, which may hold anything: user and system time are the 12th and 13th, in 1/100 s.
     let rest = stat.rsplit(')').next().unwrap_or_default();
-    let ticks: u64 = rest.split_whitespace().skip(11).take(2).filter_map(|n| n.parse::<u64>().ok()).sum();
+    let ticks: u64 = rest
+        .split_whitespace()
+        .skip(11)
+        .take(2)
+        .filter_map(|n| n.parse::<u64>().ok())
+        .sum();
     ticks as f64 / 100.0
 }
 
@@ -109,7 +123,12 @@
     for Event { at, what } in events {
         match what {
             What::Wanted { request, class } => {
-                let one = Wanted { since: *at, class: usize::from(*class), served: None, refused: false };
+                let one = Wanted {
+                    since: *at,
+                    class: usize::from(*class),
+                    served: None,
+                    refused: false,
+                };
                 wanted.insert(*request, one);
             }
             What::Asked { .. } => tries += 1,
@@ -136,12 +155,17 @@
     let mut classes: Vec<ClassCounts> = experiment
         .classes
         .iter()
-        .map(|class| ClassCounts { class: class.name.clone(), counts: Counts::default() })
+        .map(|class| ClassCounts {
+            class: class.name.clone(),
+            counts: Counts::default(),
+        })
         .collect();
     let mut all = times();
     let mut by_second: Vec<Histogram<u64>> = seconds.iter().map(|_| times()).collect();
     for one in wanted.values() {
-        let Some(class) = experiment.classes.get(one.class) else { continue };
+        let Some(class) = experiment.classes.get(one.class) else {
+            continue;
+        };
         let second = ((one.since / 1_000_000) as usize).min(seconds.len() - 1);
         let took = one.served.map(|at| at - one.since);
         for counts in [&mut seconds[second].counts, &mut classes[one.class].counts] {
@@ -165,7 +189,12 @@
     loads(events, &mut seconds);
     let share = |of: &dyn Fn(&Counts) -> u32| {
         let sum = |of: &dyn Fn(&Counts) -> u32| -> f64 {
-            experiment.classes.iter().zip(&classes).map(|(c, n)| c.worth * f64::from(of(&n.counts))).sum()
+            experiment
+                .classes
+                .iter()
+                .zip(&classes)
+                .map(|(c, n)| c.worth * f64::from(of(&n.counts)))
+                .sum()
         };
         sum(of) / sum(&|n| n.asked).max(1e-9)
     };
@@ -194,16 +223,34 @@
 
 /// Share of the requests served in time before the first fault, and from `after` seconds after the end of the last
 /// one on; `None` where either time holds no request.
-pub fn before_and_after(experiment: &Experiment, figures: &Figures, after: f64) -> Option<(f64, f64)> {
+pub fn before_and_after(
+    experiment: &Experiment,
+    figures: &Figures,
+    after: f64,
+) -> Option<(f64, f64)> {
     let first = experiment.faults.iter().map(|f| f.at).min()?.as_secs_f64() as usize;
-    let last = experiment.faults.iter().map(|f| f.ends(experiment.length)).max()?.as_secs_f64() + after;
+    let last = experiment
+        .faults
+        .iter()
+        .map(|f| f.ends(experiment.length))
+        .max()?
+        .as_secs_f64()
+        + after;
     let share = |seconds: &[Second]| {
-        let sum = |of: fn(&Counts) -> u32| seconds.iter().map(|s| f64::from(of(&s.counts))).sum::<f64>();
+        let sum = |of: fn(&Counts) -> u32| {
+            seconds
+                .iter()
+                .map(|s| f64::from(of(&s.counts)))
+                .sum::<f64>()
+        };
         let asked = sum(|c| c.asked);
         (asked > 0.0).then(|| sum(|c| c.in_time) / asked)
     };
     let before = figures.seconds.get(SETTLES.min(first)..first)?;
-    Some((share(before)?, share(figures.seconds.get(last.ceil() as usize..)?)?))
+    Some((
+        share(before)?,
+        share(figures.seconds.get(last.ceil() as usize..)?)?,
+    ))
 }
 
 fn request_of(id: TryId) -> u32 {
@@ -227,7 +274,8 @@
 
 /// Times in microseconds, of up to an hour, to three digits.
 pub fn times() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("the bounds and three digits are allowed")
+    Histogram::new_with_bounds(1, 3_600_000_000, 3)
+        .expect("the bounds and three digits are allowed")
 }
 
 /// A percentile in milliseconds.
@@ -251,8 +299,10 @@
             tenant: 0,
             balancer: 0,
         };
-        let answered =
-            |request: u64, again: u64, status| What::Answered { id: request << TRIES_BITS | again, status };
+        let answered = |request: u64, again: u64, status| What::Answered {
+            id: request << TRIES_BITS | again,
+            status,
+        };
         let wants = |request, class| What::Wanted { request, class };
         let events = [
             (0, wants(0, 0)),
@@ -273,15 +323,37 @@
             (5100, answered(3, 0, 502)),
             (6000, wants(4, 3)),
         ];
-        let events: Vec<Event> = events.into_iter().map(|(ms, what)| Event { at: ms * 1000, what }).collect();
+        let events: Vec<Event> = events
+            .into_iter()
+            .map(|(ms, what)| Event {
+                at: ms * 1000,
+                what,
+            })
+            .collect();
         let figures = figures(&experiment, &events);
         let status = &figures.classes[0].counts;
-        assert_eq!((status.asked, status.in_time, status.late), (2, 1, 1), "the aim is 1.2 s");
+        assert_eq!(
+            (status.asked, status.in_time, status.late),
+            (2, 1, 1),
+            "the aim is 1.2 s"
+        );
         let settle = &figures.classes[3].counts;
-        assert_eq!((settle.asked, settle.refused, settle.failed), (3, 1, 2), "one found no balancer");
-        assert!((figures.served - 1.0 / 32.0).abs() < 1e-9, "{}", figures.served);
+        assert_eq!(
+            (settle.asked, settle.refused, settle.failed),
+            (3, 1, 2),
+            "one found no balancer"
+        );
+        assert!(
+            (figures.served - 1.0 / 32.0).abs() < 1e-9,
+            "{}",
+            figures.served
+        );
         assert_eq!(figures.seconds[2].counts.late, 1);
-        assert_eq!(before_and_after(&experiment, &figures, 0.0), None, "there is no fault");
+        assert_eq!(
+            before_and_after(&experiment, &figures, 0.0),
+            None,
+            "there is no fault"
+        );
         assert!((figures.tries - 6.0 / 5.0).abs() < 1e-9);
     }
 
@@ -291,12 +363,23 @@
                     [[fault]]\nat_s = 5.0\nkind = \"slow\"\ntarget = \"all upstreams\"\nfactor = 4\nfor_s = 2.0\n";
         let experiment = Experiment::parse(text).expect("it can be meant");
         let second = |in_time| Second {
-            counts: Counts { asked: 10, in_time, ..Counts::default() },
+            counts: Counts {
+                asked: 10,
+                in_time,
+                ..Counts::default()
+            },
             ..Second::default()
         };
         let mut figures = figures(&experiment, &[]);
         figures.seconds = [1, 1, 1, 8, 10, 0, 0, 0, 0, 5, 6, 7].map(second).into();
-        assert_eq!(before_and_after(&experiment, &figures, 2.0), Some((0.9, 0.6)));
-        assert_eq!(before_and_after(&experiment, &figures, 6.0), None, "the play is over");
+        assert_eq!(
+            before_and_after(&experiment, &figures, 2.0),
+            Some((0.9, 0.6))
+        );
+        assert_eq!(
+            before_and_after(&experiment, &figures, 6.0),
+            None,
+            "the play is over"
+        );
     }
 }
--- a/lab/src/guard.rs
+++ b/lab/src/guard.rs
@@ -17,8 +17,11 @@
 impl Guard {
     /// Starts `program guard`, which must call [`watch`] on its standard input.
     pub fn start(program: &Path) -> io::Result<Self> {
-        let mut child =
-            Command::new(program).arg("guard").stdin(Stdio::piped()).stdout(Stdio::null()).spawn()?;
+        let mut child = Command::new(program)
+            .arg("guard")
+            .stdin(Stdio::piped())
+            .stdout(Stdio::null())
+            .spawn()?;
         let pipe = Mutex::new(child.stdin.take());
         Ok(Self { child, pipe })
     }
@@ -34,7 +37,10 @@
     }
 
     fn say(&self, line: &str) {
-        let mut pipe = self.pipe.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut pipe = self
+            .pipe
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         if let Some(to) = pipe.as_mut()
             && to.write_all(line.as_bytes()).is_err()
         {
@@ -46,7 +52,10 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        self.pipe.lock().unwrap_or_else(std::sync::PoisonError::into_inner).take();
+        self.pipe
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .take();
         let _ = self.child.wait();
     }
 }
@@ -55,15 +64,21 @@
 pub fn watch(input: impl BufRead) -> usize {
     let mut living = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
-        let Some((sign, pid)) = line.split_at_checked(1) else { continue };
-        let Ok(pid) = pid.parse::<i32>() else { continue };
+        let Some((sign, pid)) = line.split_at_checked(1) else {
+            continue;
+        };
+        let Ok(pid) = pid.parse::<i32>() else {
+            continue;
+        };
         match sign {
             "+" => living.insert(pid),
             _ => living.remove(&pid),
         };
     }
     let living = living.into_iter().filter_map(Pid::from_raw);
-    living.filter(|pid| kill_process(*pid, Signal::KILL).is_ok()).count()
+    living
+        .filter(|pid| kill_process(*pid, Signal::KILL).is_ok())
+        .count()
 }
 
 #[cfg(test)]
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -223,7 +223,11 @@
 impl History {
     /// An empty one for at most so many events. Its time stands at nil until it [`begin`](Self::begin)s.
     pub fn new(most: usize) -> Self {
-        Self { start: OnceLock::new(), kept: Mutex::default(), most }
+        Self {
+            start: OnceLock::new(),
+            kept: Mutex::default(),
+            most,
+        }
     }
 
     /// Time goes on from here.
@@ -233,7 +237,9 @@
 
     /// The time, from where it began.
     pub fn now(&self) -> Duration {
-        self.start.get().map_or(Duration::ZERO, |start| Instant::now().saturating_duration_since(*start))
+        self.start.get().map_or(Duration::ZERO, |start| {
+            Instant::now().saturating_duration_since(*start)
+        })
     }
 
     /// The moment at which it will be so many seconds.
--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -50,8 +50,17 @@
 
 impl Link {
     fn new(seed: u64, plain: bool) -> Self {
-        let ways = [watch::Sender::new(Way::default()), watch::Sender::new(Way::default())];
-        Self { ways, resets: watch::Sender::new(0), seed, opened: AtomicU64::new(0), plain }
+        let ways = [
+            watch::Sender::new(Way::default()),
+            watch::Sender::new(Way::default()),
+        ];
+        Self {
+            ways,
+            resets: watch::Sender::new(0),
+            seed,
+            opened: AtomicU64::new(0),
+            plain,
+        }
     }
 
     /// What happens from now on to what goes from the balancer, and back to it.
@@ -79,7 +88,10 @@
         let (near, far) = duplex(CHUNK);
         let seed = self.seed ^ (self.opened.fetch_add(1, Ordering::Relaxed) << 20);
         // As things stand now, not when the task first runs: a cut or a reset in between must meet it.
-        let (ways, resets) = (self.ways.each_ref().map(watch::Sender::subscribe), self.resets.subscribe());
+        let (ways, resets) = (
+            self.ways.each_ref().map(watch::Sender::subscribe),
+            self.resets.subscribe(),
+        );
         if ways.iter().any(|way| way.borrow().cut) {
             tokio::spawn(refuse(stream, far, ways));
         } else {
@@ -106,7 +118,12 @@
     seed: u64,
 ) {
     let ((net_in, net_out), (far_in, far_out)) = (stream.into_split(), split(far));
-    let both = async { tokio::join!(pump(net_in, far_out, to, seed), pump(far_in, net_out, back, !seed)) };
+    let both = async {
+        tokio::join!(
+            pump(net_in, far_out, to, seed),
+            pump(far_in, net_out, back, !seed)
+        )
+    };
     tokio::select! {
         _ = both => (),
         _ = resets.changed() => (),
@@ -123,14 +140,17 @@
     let (chunks, mut due) = mpsc::channel::<(Instant, Vec<u8>)>(UNDER_WAY);
     let now = way.clone();
     let reading = async move {
-        let (mut rng, mut last, mut buffer) =
-            (ChaCha8Rng::seed_from_u64(seed), Instant::now(), vec![0; CHUNK]);
+        let (mut rng, mut last, mut buffer) = (
+            ChaCha8Rng::seed_from_u64(seed),
+            Instant::now(),
+            vec![0; CHUNK],
+        );
         while let Ok(n @ 1..) = from.read(&mut buffer).await {
             let way = *now.borrow();
             let jitter = way.jitter.mul_f64(rng.random::<f64>());
-            let sending = way
-                .bytes_per_s
-                .map_or(Duration::ZERO, |rate| Duration::from_secs_f64(n as f64 / f64::from(rate.max(1))));
+            let sending = way.bytes_per_s.map_or(Duration::ZERO, |rate| {
+                Duration::from_secs_f64(n as f64 / f64::from(rate.max(1)))
+            });
             // In order, and no sooner than what was sent before it has passed.
             last = (Instant::now() + way.delay + jitter).max(last) + sending;
             if chunks.send((last, buffer[..n].to_vec())).await.is_err() {
@@ -161,7 +181,11 @@
 impl Links {
     /// Those of a play with this seed; `plain` where no fault of it meets a link.
     pub fn new(seed: u64, plain: bool) -> Arc<Self> {
-        Arc::new(Self { seed, plain, links: Mutex::default() })
+        Arc::new(Self {
+            seed,
+            plain,
+            links: Mutex::default(),
+        })
     }
 
     /// The link between a balancer and another party.
@@ -173,7 +197,11 @@
         };
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         let seed = self.seed ^ (u64::from(balancer) << 32) ^ (number << 48);
-        Arc::clone(links.entry((balancer, other)).or_insert_with(|| Arc::new(Link::new(seed, self.plain))))
+        Arc::clone(
+            links
+                .entry((balancer, other))
+                .or_insert_with(|| Arc::new(Link::new(seed, self.plain))),
+        )
     }
 }
 
@@ -185,8 +213,13 @@
     /// A client's end, and the other party's end behind the link.
     async fn connected(link: &Arc<Link>) -> (TcpStream, Box<dyn Io>) {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let client = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("up");
-        (client, link.through(listener.accept().await.expect("accepted").0))
+        let client = TcpStream::connect(listener.local_addr().expect("an address"))
+            .await
+            .expect("up");
+        (
+            client,
+            link.through(listener.accept().await.expect("accepted").0),
+        )
     }
 
     async fn arrives(client: &mut TcpStream, server: &mut Box<dyn Io>, text: &[u8]) {
@@ -212,7 +245,13 @@
     async fn what_is_delayed_comes_no_sooner() {
         let link = Links::new(1, false).between(0, Other::Upstream(3));
         let delay = Duration::from_millis(80);
-        link.set([Way { delay, ..Way::default() }, Way::default()]);
+        link.set([
+            Way {
+                delay,
+                ..Way::default()
+            },
+            Way::default(),
+        ]);
         let (mut client, mut server) = connected(&link).await;
         let start = Instant::now();
         arrives(&mut client, &mut server, b"late").await;
@@ -224,13 +263,23 @@
         let link = Links::new(1, false).between(0, Other::Upstream(3));
         let (mut client, mut server) = connected(&link).await;
         arrives(&mut client, &mut server, b"before").await;
-        link.set([Way { cut: true, ..Way::default() }, Way::default()]);
+        link.set([
+            Way {
+                cut: true,
+                ..Way::default()
+            },
+            Way::default(),
+        ]);
         client.write_all(b"held").await.expect("written");
         server.write_all(b"back").await.expect("written");
         let mut got = [0; 4];
-        client.read_exact(&mut got).await.expect("the other way is open");
+        client
+            .read_exact(&mut got)
+            .await
+            .expect("the other way is open");
         let mut held = [0; 4];
-        let waited = tokio::time::timeout(Duration::from_millis(60), server.read_exact(&mut held)).await;
+        let waited =
+            tokio::time::timeout(Duration::from_millis(60), server.read_exact(&mut held)).await;
         assert!(waited.is_err(), "nothing comes through a cut");
         link.set([Way::default(), Way::default()]);
         server.read_exact(&mut held).await.expect("it goes on");
@@ -243,7 +292,13 @@
         let (mut client, _server) = connected(&link).await;
         link.reset();
         assert!(!matches!(client.read(&mut [0; 1]).await, Ok(1..)));
-        link.set([Way { cut: true, ..Way::default() }, Way::default()]);
+        link.set([
+            Way {
+                cut: true,
+                ..Way::default()
+            },
+            Way::default(),
+        ]);
         let (mut client, _server) = connected(&link).await;
         link.set([Way::default(), Way::default()]);
         assert!(!matches!(client.read(&mut [0; 1]).await, Ok(1..)));
--- a/lab/src/machine.rs
+++ b/lab/src/machine.rs
@@ -73,7 +73,10 @@
             sent_sum: 0.0,
             fallen: false,
             measured: (0.0, now),
-            reports: [Report { util: 0.0, inflight: 0.0 }; 2],
+            reports: [Report {
+                util: 0.0,
+                inflight: 0.0,
+            }; 2],
         }
     }
 
@@ -84,7 +87,9 @@
 
     /// Share of its full capacity that it has at `now`, but for what slows it.
     pub fn climb(&self, now: f64) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started) = self.started else {
+            return 1.0;
+        };
         let share = ((now - started) / self.model.cold_s.max(1e-9)).clamp(0.0, 1.0);
         self.model.cold_from + (1.0 - self.model.cold_from) * share
     }
@@ -100,10 +105,16 @@
             return Err(Turned::Full);
         }
         self.fall(now, work);
-        let choke = if self.choked.is_some() { self.model.choke_slower } else { 1.0 };
+        let choke = if self.choked.is_some() {
+            self.model.choke_slower
+        } else {
+            1.0
+        };
         let takes = work / (self.model.speed * self.climb(now)) * self.slower * choke;
         let first = self.free.iter_mut().min_by(|a, b| a.total_cmp(b));
-        let Some(core) = first else { return Err(Turned::Full) };
+        let Some(core) = first else {
+            return Err(Turned::Full);
+        };
         let begins = core.max(now);
         *core = begins + takes;
         let finish = begins + takes + waits;
@@ -123,12 +134,19 @@
             let (done_now, cores) = (self.done(now), f64::from(self.model.cores));
             let noise = 1.0 + self.model.report_noise * self.rng.random_range(-1.0..1.0);
             let util = ((done_now - done) / ((now - at) * cores)).clamp(0.0, 1.0);
-            let newest = Report { util: util * noise, inflight: self.holds() as f64 * noise };
+            let newest = Report {
+                util: util * noise,
+                inflight: self.holds() as f64 * noise,
+            };
             self.reports = [newest, self.reports[0]];
             self.measured = (done_now, now);
         }
         let fresh = now - self.measured.1 >= self.model.report_delay_ms / 1e3;
-        if fresh { self.reports[0] } else { self.reports[1] }
+        if fresh {
+            self.reports[0]
+        } else {
+            self.reports[1]
+        }
     }
 
     /// Requests in hand, as of the last event.
@@ -192,7 +210,12 @@
         }
         self.sent.push_back((now, work));
         self.sent_sum += work;
-        while let Some((_, old)) = self.sent.front().copied().filter(|s| s.0 < now - self.model.fall_s) {
+        while let Some((_, old)) = self
+            .sent
+            .front()
+            .copied()
+            .filter(|s| s.0 < now - self.model.fall_s)
+        {
             self.sent_sum -= old;
             self.sent.pop_front();
         }
@@ -211,14 +234,20 @@
     use rand::SeedableRng;
 
     fn machine(cold: bool) -> Machine {
-        let model = Model { speed: 1.0, choke_at: 2.0, ..Model::default() };
+        let model = Model {
+            speed: 1.0,
+            choke_at: 2.0,
+            ..Model::default()
+        };
         Machine::new(model, ChaCha8Rng::seed_from_u64(1), 0.0, cold)
     }
 
     #[test]
     fn cores_serve_in_the_order_of_arrival() {
         let mut m = machine(false);
-        let finish: Vec<f64> = (0..4).map(|_| m.arrive(0.0, 0.1, 0.3).expect("taken")).collect();
+        let finish: Vec<f64> = (0..4)
+            .map(|_| m.arrive(0.0, 0.1, 0.3).expect("taken"))
+            .collect();
         for (got, want) in finish.iter().zip([0.4, 0.4, 0.5, 0.5]) {
             assert!((got - want).abs() < 1e-9, "{finish:?}");
         }
@@ -236,7 +265,10 @@
         assert_eq!(m.report(0.5).util, 0.0, "nothing measured yet");
         m.report(2.0);
         let told = m.report(2.3).util;
-        assert!((0.45..0.55).contains(&told), "{told}: one of two cores was in use");
+        assert!(
+            (0.45..0.55).contains(&told),
+            "{told}: one of two cores was in use"
+        );
     }
 
     #[test]
--- a/lab/src/net.rs
+++ b/lab/src/net.rs
@@ -18,17 +18,26 @@
     /// All open.
     pub fn new(count: u32) -> Self {
         let count = count as usize;
-        Self { count, ways: vec![Way::default(); count * count] }
+        Self {
+            count,
+            ways: vec![Way::default(); count * count],
+        }
     }
 
     /// The way from one to another.
     pub fn way(&self, from: u32, to: u32) -> Way {
-        self.ways.get(from as usize * self.count + to as usize).copied().unwrap_or_default()
+        self.ways
+            .get(from as usize * self.count + to as usize)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// The ways between some and some others from now on: there, and back.
     pub fn set(&mut self, some: &[u32], others: &[u32], [there, back]: [Way; 2]) {
-        for (a, b) in some.iter().flat_map(|a| others.iter().map(move |b| (*a as usize, *b as usize))) {
+        for (a, b) in some
+            .iter()
+            .flat_map(|a| others.iter().map(move |b| (*a as usize, *b as usize)))
+        {
             if a != b {
                 self.ways[a * self.count + b] = there;
                 self.ways[b * self.count + a] = back;
--- a/lab/src/peers.rs
+++ b/lab/src/peers.rs
@@ -46,7 +46,9 @@
             for other in 0..count {
                 row.push(match at == other {
                     true => None,
-                    false => Some(Arc::new(UdpSocket::bind((pair_address(at, other), 0)).await?)),
+                    false => Some(Arc::new(
+                        UdpSocket::bind((pair_address(at, other), 0)).await?,
+                    )),
                 });
             }
             sockets.push(row);
@@ -72,10 +74,11 @@
     /// By number, where one balancer reaches all; itself nowhere.
     pub fn addresses(&self, of: u32) -> Vec<String> {
         let row = self.sockets.get(of as usize).into_iter().flatten();
-        let address = |socket: &Option<Arc<UdpSocket>>| match socket.as_ref().map(|s| s.local_addr()) {
-            Some(Ok(address)) => address.to_string(),
-            _ => "127.0.0.1:1".into(),
-        };
+        let address =
+            |socket: &Option<Arc<UdpSocket>>| match socket.as_ref().map(|s| s.local_addr()) {
+                Some(Ok(address)) => address.to_string(),
+                _ => "127.0.0.1:1".into(),
+            };
         row.map(address).collect()
     }
 
@@ -88,12 +91,18 @@
 
     /// The ways between some and some others from now on: there, and back.
     pub fn set(&self, some: &[u32], others: &[u32], ways: [Way; 2]) {
-        self.ways.lock().unwrap_or_else(PoisonError::into_inner).set(some, others, ways);
+        self.ways
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .set(some, others, ways);
     }
 
     /// Datagrams that balancers have sent so far, and their bytes.
     pub fn sent(&self) -> (u64, u64) {
-        (self.sent.load(Ordering::Relaxed), self.sent_bytes.load(Ordering::Relaxed))
+        (
+            self.sent.load(Ordering::Relaxed),
+            self.sent_bytes.load(Ordering::Relaxed),
+        )
     }
 
     /// Carries datagrams for as long as the tasks live.
@@ -122,9 +131,16 @@
             self.sent.fetch_add(1, Ordering::Relaxed);
             self.sent_bytes.fetch_add(length as u64, Ordering::Relaxed);
             if self.keeps {
-                self.kept.lock().unwrap_or_else(PoisonError::into_inner).keep(datagram);
+                self.kept
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .keep(datagram);
             }
-            let way = self.ways.lock().unwrap_or_else(PoisonError::into_inner).way(from, to);
+            let way = self
+                .ways
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .way(from, to);
             for after in copies(&way, &mut chance) {
                 if after.is_zero() {
                     self.hand_over(from, to, datagram);
@@ -141,12 +157,19 @@
     }
 
     fn real(&self, balancer: u32) -> Option<SocketAddr> {
-        *self.real.get(balancer as usize)?.lock().unwrap_or_else(PoisonError::into_inner)
+        *self
+            .real
+            .get(balancer as usize)?
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// What one sent reaches another one from the address at which that one knows it.
     fn hand_over(&self, from: u32, to: u32, datagram: &[u8]) {
-        let socket = self.sockets.get(to as usize).and_then(|row| row.get(from as usize)?.as_ref());
+        let socket = self
+            .sockets
+            .get(to as usize)
+            .and_then(|row| row.get(from as usize)?.as_ref());
         if let (Some(socket), Some(address)) = (socket, self.real(to)) {
             // Full: lost, as on a real way.
             let _ = socket.try_send_to(datagram, address);
@@ -158,7 +181,9 @@
         let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
         for datagram in kept.all() {
             for to in 0..self.real.len() as u32 {
-                some.iter().filter(|from| **from != to).for_each(|from| self.hand_over(*from, to, datagram));
+                some.iter()
+                    .filter(|from| **from != to)
+                    .for_each(|from| self.hand_over(*from, to, datagram));
             }
         }
     }
@@ -173,7 +198,11 @@
                 owed -= 1.0;
                 let from = some[chance.random_range(0..some.len())];
                 let to = chance.random_range(0..self.real.len()) as u32;
-                let datagram = self.kept.lock().unwrap_or_else(PoisonError::into_inner).bad(&mut chance);
+                let datagram = self
+                    .kept
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .bad(&mut chance);
                 if from != to {
                     self.hand_over(from, to, &datagram);
                 }
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -137,15 +137,23 @@
     mut progress: impl FnMut(Progress),
 ) -> Result<Played, LabError> {
     descriptors(&experiment)?;
-    let file = |path: &Path, source| LabError::File { path: path.to_owned(), source };
-    tokio::fs::create_dir_all(&options.dir).await.map_err(|e| file(&options.dir, e))?;
+    let file = |path: &Path, source| LabError::File {
+        path: path.to_owned(),
+        source,
+    };
+    tokio::fs::create_dir_all(&options.dir)
+        .await
+        .map_err(|e| file(&options.dir, e))?;
     let experiment = Arc::new(experiment);
     let history = Arc::new(History::new(EVENTS_MOST));
     let on_links = |f: &Fault| matches!(f.act, Act::Links(..) | Act::Reset);
     let links = Links::new(options.seed, !experiment.faults.iter().any(on_links));
     let guard = options.guard.as_deref().map(Guard::start).transpose();
     let guard = guard
-        .map_err(|source| LabError::Start { program: options.guard.clone().unwrap_or_default(), source })?
+        .map_err(|source| LabError::Start {
+            program: options.guard.clone().unwrap_or_default(),
+            source,
+        })?
         .map(Arc::new);
     let registrar = match (&experiment.registry, &options.guard) {
         (None, _) => None,
@@ -168,8 +176,9 @@
     let mut tasks = JoinSet::new();
     let mut addresses = Vec::new();
     for balancer in 0..experiment.fleet.balancers {
-        let listener =
-            TcpListener::bind((pair_address(balancer, 249), 0)).await.map_err(LabError::Address)?;
+        let listener = TcpListener::bind((pair_address(balancer, 249), 0))
+            .await
+            .map_err(LabError::Address)?;
         addresses.push(listener.local_addr().map_err(LabError::Address)?);
         tasks.spawn(Arc::clone(&discovery).serve(balancer, listener));
     }
@@ -179,7 +188,10 @@
     let peers = match experiment.membership {
         None => None,
         Some(_) => {
-            let keeps = experiment.faults.iter().any(|f| matches!(f.act, Act::Replay | Act::Storm { .. }));
+            let keeps = experiment
+                .faults
+                .iter()
+                .any(|f| matches!(f.act, Act::Replay | Act::Storm { .. }));
             let bound = Peers::bind(experiment.fleet.balancers, options.seed, keeps).await;
             Some(bound.map_err(LabError::Address)?)
         }
@@ -199,18 +211,28 @@
         front: Arc::clone(&front),
         peers: peers.clone(),
     };
-    let balancers =
-        Balancers::new(round, &options.balancer, guard, &options.dir, addresses, move |balancer| {
-            known.text(balancer, None).1
-        });
+    let balancers = Balancers::new(
+        round,
+        &options.balancer,
+        guard,
+        &options.dir,
+        addresses,
+        move |balancer| known.text(balancer, None).1,
+    );
     start_all(&balancers, experiment.fleet.balancers).await?;
     if peers.is_some() {
         let pages = options.dir.join("pages");
-        tokio::fs::write(&pages, balancers.pages()).await.map_err(|e| file(&pages, e))?;
+        tokio::fs::write(&pages, balancers.pages())
+            .await
+            .map_err(|e| file(&pages, e))?;
     }
 
-    let clients =
-        Clients::new(Arc::clone(&experiment), Arc::clone(&history), Arc::clone(&front), Arc::clone(&links));
+    let clients = Clients::new(
+        Arc::clone(&experiment),
+        Arc::clone(&history),
+        Arc::clone(&front),
+        Arc::clone(&links),
+    );
     let arrivals = schedule(&experiment, options.seed);
     let processor = processor_seconds();
     let sent = peers.as_ref().map_or((0, 0), |peers| peers.sent());
@@ -243,7 +265,9 @@
         }
     };
     let seconds = history.now().min(experiment.length).as_secs_f64();
-    let sent = peers.as_ref().map(|peers| (peers.sent().0 - sent.0, peers.sent().1 - sent.1));
+    let sent = peers
+        .as_ref()
+        .map(|peers| (peers.sent().0 - sent.0, peers.sent().1 - sent.1));
     let (elapsed, spent) = (history.now().as_secs_f64(), processor_seconds() - processor);
     tasks.abort_all();
     end_all(&balancers, experiment.fleet.balancers).await;
@@ -262,7 +286,10 @@
     };
     let figures = figures::figures(&experiment, &events);
     let void = if lab.late_p99_ms > LATE_MOST_MS {
-        Some(format!("the lab was late: p99 {:.1} ms of {LATE_MOST_MS} allowed", lab.late_p99_ms))
+        Some(format!(
+            "the lab was late: p99 {:.1} ms of {LATE_MOST_MS} allowed",
+            lab.late_p99_ms
+        ))
     } else {
         (dropped > 0).then(|| format!("{dropped} events were not kept"))
     };
@@ -276,7 +303,14 @@
             let (figures, wrong) = presence.end();
             let of_each = elapsed * f64::from(experiment.fleet.balancers);
             let (datagrams, bytes) = (datagrams as f64 / of_each, bytes as f64 / of_each);
-            (Some(Members { figures, datagrams, bytes }), wrong)
+            (
+                Some(Members {
+                    figures,
+                    datagrams,
+                    bytes,
+                }),
+                wrong,
+            )
         }
     };
     let mut missed = Vec::new();
@@ -284,7 +318,10 @@
         missed = presence::missed(&experiment, &members.figures);
     }
     if figures.served < experiment.expect.served {
-        missed.push(format!("served {:.3} of {:.3} expected", figures.served, experiment.expect.served));
+        missed.push(format!(
+            "served {:.3} of {:.3} expected",
+            figures.served, experiment.expect.served
+        ));
     }
     if let Some(within) = experiment.expect.back_s {
         match figures::before_and_after(&experiment, &figures, within) {
@@ -306,7 +343,11 @@
         broken: {
             let mut broken = check::broken(&experiment, &events);
             if experiment.expect.none_taken_for_gone {
-                broken.extend(wrong.drain(..).map(|(at, text)| Broken { rule: Rule::Present, at, text }));
+                broken.extend(wrong.drain(..).map(|(at, text)| Broken {
+                    rule: Rule::Present,
+                    at,
+                    text,
+                }));
             }
             broken
         },
@@ -350,18 +391,29 @@
 
 /// Whether so many files may be open.
 fn descriptors(experiment: &Experiment) -> Result<(), LabError> {
-    let replaced = experiment.faults.iter().any(|f| matches!(f.act, Act::Replace { .. }));
+    let replaced = experiment
+        .faults
+        .iter()
+        .any(|f| matches!(f.act, Act::Replace { .. }));
     let pairs = u64::from(experiment.fleet.balancers) * u64::from(experiment.fleet.upstreams);
     // A listener and a connection for each pair, the clients' connections, pipes and logs.
     let clients = (experiment.load.rate * 2.0) as u64;
-    let peers = experiment.membership.map_or(0, |_| Peers::needs(experiment.fleet.balancers));
+    let peers = experiment
+        .membership
+        .map_or(0, |_| Peers::needs(experiment.fleet.balancers));
     let need = peers
         + pairs * if replaced { 3 } else { 2 }
         + clients
         + 4 * u64::from(experiment.fleet.balancers)
         + DESCRIPTORS_BESIDES;
-    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
-    if need > limit { Err(LabError::Descriptors { need, limit }) } else { Ok(()) }
+    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile)
+        .current
+        .unwrap_or(u64::MAX);
+    if need > limit {
+        Err(LabError::Descriptors { need, limit })
+    } else {
+        Ok(())
+    }
 }
 
 /// Processor time that this process has taken, in seconds.
--- a/lab/src/presence.rs
+++ b/lab/src/presence.rs
@@ -92,21 +92,31 @@
         ));
     }
     if let Some(within) = expect.equal_s {
-        let ends = experiment.faults.iter().map(|fault| fault.ends(experiment.length).as_secs_f64());
+        let ends = experiment
+            .faults
+            .iter()
+            .map(|fault| fault.ends(experiment.length).as_secs_f64());
         let last = ends.fold(0.0, f64::max);
         match figures.equal_since_s {
             Some(since) if since <= last + within => {}
-            Some(since) => {
-                missed.push(format!("views were equal {:.1} s after the last fault", since - last))
-            }
+            Some(since) => missed.push(format!(
+                "views were equal {:.1} s after the last fault",
+                since - last
+            )),
             None => missed.push(format!("{} views are not like the others", figures.unequal)),
         }
     }
     if expect.none_taken_for_gone && figures.false_gone > 0 {
-        missed.push(format!("living ones were taken for gone {} times", figures.false_gone));
+        missed.push(format!(
+            "living ones were taken for gone {} times",
+            figures.false_gone
+        ));
     }
     if expect.none_stopped_taken_for_gone && figures.false_gone_held > 0 {
-        missed.push(format!("stopped ones were taken for gone {} times", figures.false_gone_held));
+        missed.push(format!(
+            "stopped ones were taken for gone {} times",
+            figures.false_gone_held
+        ));
     }
     missed
 }
@@ -139,7 +149,13 @@
     pub fn feed(&mut self, at: u64, what: &What) {
         match what {
             What::Balancer { balancer, became } => self.became(at, *balancer, *became),
-            What::Saw { by, name, incarnation, standing, version } => {
+            What::Saw {
+                by,
+                name,
+                incarnation,
+                standing,
+                version,
+            } => {
                 self.saw(at, *by, *name, *incarnation, *standing, *version);
             }
             What::Yielded { by } => {
@@ -149,11 +165,17 @@
             _ => return,
         }
         let equal = self.digests.len() <= 1;
-        self.equal_since = if equal { self.equal_since.or(Some(at)) } else { None };
+        self.equal_since = if equal {
+            self.equal_since.or(Some(at))
+        } else {
+            None
+        };
     }
 
     fn counted(&self, number: u32) -> bool {
-        self.members.get(&number).is_some_and(|member| member.alive && !member.out)
+        self.members
+            .get(&number)
+            .is_some_and(|member| member.alive && !member.out)
     }
 
     fn uncount(&mut self, number: u32) {
@@ -185,9 +207,19 @@
                     && let Some(name) = member.name
                 {
                     let asked = became == Process::Asked;
-                    let living = self.members.iter().filter(|(_, member)| member.alive && !member.out);
+                    let living = self
+                        .members
+                        .iter()
+                        .filter(|(_, member)| member.alive && !member.out);
                     let others = living.map(|(number, _)| *number).collect();
-                    self.deaths.push(Death { of: number, name, at, asked, others, known: HashMap::new() });
+                    self.deaths.push(Death {
+                        of: number,
+                        name,
+                        at,
+                        asked,
+                        others,
+                        known: HashMap::new(),
+                    });
                 }
             }
             Process::Held | Process::Released => {
@@ -197,12 +229,26 @@
         }
     }
 
-    fn saw(&mut self, at: u64, by: u32, name: Name, incarnation: u64, standing: Standing, version: u64) {
+    fn saw(
+        &mut self,
+        at: u64,
+        by: u32,
+        name: Name,
+        incarnation: u64,
+        standing: Standing,
+        version: u64,
+    ) {
         let begins = version == 1;
         if begins {
             self.uncount(by);
             self.seen.insert(by, Seen::default());
-            let own = Member { name: Some(name), life: incarnation, alive: true, held: false, out: false };
+            let own = Member {
+                name: Some(name),
+                life: incarnation,
+                alive: true,
+                held: false,
+                out: false,
+            };
             self.members.insert(by, own);
         } else if !self.members.get(&by).is_some_and(|member| member.alive) {
             // Last words of one that has been ended.
@@ -212,7 +258,10 @@
         }
         let seen = self.seen.entry(by).or_default();
         if version != seen.version + 1 {
-            let text = format!("b{by}: version {version} of its view came after {}", seen.version);
+            let text = format!(
+                "b{by}: version {version} of its view came after {}",
+                seen.version
+            );
             self.broken.push((at, text));
         }
         seen.version = version;
@@ -235,7 +284,11 @@
     }
 
     fn known(&mut self, at: u64, by: u32, name: Name) -> Option<&Death> {
-        let death = self.deaths.iter_mut().rev().find(|death| death.name == name && death.at <= at)?;
+        let death = self
+            .deaths
+            .iter_mut()
+            .rev()
+            .find(|death| death.name == name && death.at <= at)?;
         death.known.entry(by).or_insert(at);
         Some(death)
     }
@@ -250,8 +303,10 @@
             } else {
                 self.figures.false_gone += 1;
                 if self.broken.len() < SHOWN {
-                    let text =
-                        format!("b{by} took {name} for {standing:?} at {:.3} s: it lived", seconds(at));
+                    let text = format!(
+                        "b{by} took {name} for {standing:?} at {:.3} s: it lived",
+                        seconds(at)
+                    );
                     self.broken.push((at, text));
                 }
             }
@@ -262,15 +317,28 @@
     }
 
     fn differences(&self, most: u64) -> Vec<String> {
-        let living = || self.seen.iter().filter(|(number, _)| self.counted(**number));
-        let Some((_, like)) = living().find(|(_, seen)| seen.digest == most) else { return Vec::new() };
+        let living = || {
+            self.seen
+                .iter()
+                .filter(|(number, _)| self.counted(**number))
+        };
+        let Some((_, like)) = living().find(|(_, seen)| seen.digest == most) else {
+            return Vec::new();
+        };
         let mut said = Vec::new();
         for (number, seen) in living().filter(|(_, seen)| seen.digest != most) {
-            let names: BTreeSet<Name> = seen.there.keys().chain(like.there.keys()).copied().collect();
+            let names: BTreeSet<Name> = seen
+                .there
+                .keys()
+                .chain(like.there.keys())
+                .copied()
+                .collect();
             for name in names {
                 let (has, most_have) = (seen.there.get(&name), like.there.get(&name));
                 if has != most_have {
-                    said.push(format!("b{number} has {name} as {has:?}, most have {most_have:?}"));
+                    said.push(format!(
+                        "b{number} has {name} as {has:?}, most have {most_have:?}"
+                    ));
                 }
             }
         }
@@ -284,9 +352,21 @@
         let mut times: [Vec<f64>; 2] = Default::default();
         for death in &self.deaths {
             // Those that lived then and live on; those that end themselves need not know.
-            let ended = |n: u32| self.deaths.iter().any(|other| other.of == n && other.at >= death.at);
-            let others: Vec<u32> = death.others.iter().copied().filter(|n| !ended(*n)).collect();
-            let mut known: Vec<u64> = others.iter().filter_map(|n| death.known.get(n).copied()).collect();
+            let ended = |n: u32| {
+                self.deaths
+                    .iter()
+                    .any(|other| other.of == n && other.at >= death.at)
+            };
+            let others: Vec<u32> = death
+                .others
+                .iter()
+                .copied()
+                .filter(|n| !ended(*n))
+                .collect();
+            let mut known: Vec<u64> = others
+                .iter()
+                .filter_map(|n| death.known.get(n).copied())
+                .collect();
             known.sort_unstable();
             let needed = (KNOWN_BY * others.len() as f64).ceil() as usize;
             match known.get(needed.saturating_sub(1)) {
@@ -295,7 +375,9 @@
                 None => figures.unknown += 1,
             }
         }
-        times.iter_mut().for_each(|times| times.sort_by(f64::total_cmp));
+        times
+            .iter_mut()
+            .for_each(|times| times.sort_by(f64::total_cmp));
         figures.kills = self.deaths.iter().filter(|death| !death.asked).count();
         figures.leaves = self.deaths.len() - figures.kills;
         figures.known_p50_s = times[0].get(times[0].len() / 2).copied().unwrap_or(0.0);
@@ -323,7 +405,13 @@
     }
 
     fn saw(by: u32, of: u32, incarnation: u64, standing: Standing, version: u64) -> What {
-        What::Saw { by, name: name(of), incarnation, standing, version }
+        What::Saw {
+            by,
+            name: name(of),
+            incarnation,
+            standing,
+            version,
+        }
     }
 
     fn became(balancer: u32, became: Process) -> What {
@@ -338,7 +426,8 @@
                 presence.feed(1_000_000, &saw(by, of, 5, Standing::Present, version));
             }
         }
-        then.into_iter().for_each(|(at, what)| presence.feed(at * 1_000_000, &what));
+        then.into_iter()
+            .for_each(|(at, what)| presence.feed(at * 1_000_000, &what));
         let (figures, broken) = presence.end();
         (figures, broken.len())
     }
@@ -350,7 +439,15 @@
             (13, saw(0, 2, 5, Standing::Gone, 4)),
             (15, saw(1, 2, 5, Standing::Gone, 4)),
         ]);
-        assert_eq!((figures.kills, figures.known_worst_s, figures.unknown, broken), (1, 5.0, 0, 0));
+        assert_eq!(
+            (
+                figures.kills,
+                figures.known_worst_s,
+                figures.unknown,
+                broken
+            ),
+            (1, 5.0, 0, 0)
+        );
         assert_eq!((figures.equal_since_s, figures.unequal), (Some(15.0), 0));
     }
 
@@ -359,13 +456,22 @@
         let living = judged(vec![(10, saw(0, 2, 5, Standing::Gone, 4))]);
         assert_eq!((living.0.false_gone, living.0.unequal, living.1), (1, 1, 1));
         assert_eq!(living.0.equal_since_s, None);
-        let held = judged(vec![(9, became(2, Process::Held)), (10, saw(0, 2, 5, Standing::Gone, 4))]);
+        let held = judged(vec![
+            (9, became(2, Process::Held)),
+            (10, saw(0, 2, 5, Standing::Gone, 4)),
+        ]);
         assert_eq!((held.0.false_gone, held.0.false_gone_held), (0, 1));
         let skipped = judged(vec![(10, saw(0, 2, 5, Standing::Suspect, 6))]);
         assert_eq!((skipped.0.suspected, skipped.1), (1, 1));
-        let unknown = judged(vec![(10, became(2, Process::Killed)), (13, saw(0, 2, 5, Standing::Gone, 4))]);
+        let unknown = judged(vec![
+            (10, became(2, Process::Killed)),
+            (13, saw(0, 2, 5, Standing::Gone, 4)),
+        ]);
         assert_eq!((unknown.0.kills, unknown.0.unknown), (1, 1));
-        let leave = judged(vec![(10, became(2, Process::Asked)), (13, saw(0, 2, 5, Standing::Gone, 4))]);
+        let leave = judged(vec![
+            (10, became(2, Process::Asked)),
+            (13, saw(0, 2, 5, Standing::Gone, 4)),
+        ]);
         assert_eq!((leave.0.leaves, leave.0.left_as_gone), (1, 1));
     }
 }
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -8,7 +8,8 @@
 
 /// The value of a field in a line of a log.
 pub fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
-    line.split(' ').find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
+    line.split(' ')
+        .find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
 /// Starts a command whose log is added to a file; each line of it is heard first.
@@ -17,10 +18,21 @@
     log: &Path,
     mut heard: impl FnMut(&str) + Send + 'static,
 ) -> Result<Child, LabError> {
-    let file = tokio::fs::OpenOptions::new().create(true).append(true).open(log).await;
-    let mut file = file.map_err(|source| LabError::File { path: log.to_owned(), source })?;
-    let spawned =
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true).spawn();
+    let file = tokio::fs::OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(log)
+        .await;
+    let mut file = file.map_err(|source| LabError::File {
+        path: log.to_owned(),
+        source,
+    })?;
+    let spawned = command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped())
+        .kill_on_drop(true)
+        .spawn();
     let mut child = spawned.map_err(|source| {
         let program = command.as_std().get_program().into();
         LabError::Start { program, source }
--- a/lab/src/registrar.rs
+++ b/lab/src/registrar.rs
@@ -97,15 +97,26 @@
             "fleet = \"lab\"\nname = \"r0\"\nread = \"{}\"\nwrite = \"{}\"\nfolder = {:?}\n",
             at[0], at[1], folder
         );
-        let (config, log) = (self.dir.join("registry.toml"), self.dir.join("registry.log"));
-        let file = |path: &Path, source| LabError::File { path: path.to_owned(), source };
-        tokio::fs::write(&config, text).await.map_err(|e| file(&config, e))?;
+        let (config, log) = (
+            self.dir.join("registry.toml"),
+            self.dir.join("registry.log"),
+        );
+        let file = |path: &Path, source| LabError::File {
+            path: path.to_owned(),
+            source,
+        };
+        tokio::fs::write(&config, text)
+            .await
+            .map_err(|e| file(&config, e))?;
         let (tell, told) = oneshot::channel();
         let mut tell = Some(tell);
         let mut command = Command::new(&self.program);
-        command.args(["--log", "info", "registry", "--config"]).arg(&config);
+        command
+            .args(["--log", "info", "registry", "--config"])
+            .arg(&config);
         let child = process::start(&mut command, &log, move |line| {
-            let address = |name| field(line, name).and_then(|value| value.parse::<SocketAddr>().ok());
+            let address =
+                |name| field(line, name).and_then(|value| value.parse::<SocketAddr>().ok());
             if let (Some(read), Some(write)) = (address("read"), address("write"))
                 && let Some(tell) = tell.take()
             {
@@ -114,9 +125,14 @@
         })
         .await?;
         let not_ready = || LabError::RegistryNotReady { log: log.clone() };
-        let Ok(Ok(at)) = timeout(READY, told).await else { return Err(not_ready()) };
+        let Ok(Ok(at)) = timeout(READY, told).await else {
+            return Err(not_ready());
+        };
         *self.at.lock().unwrap_or_else(PoisonError::into_inner) = Some(at);
-        let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32)).ok_or_else(not_ready)?;
+        let pid = child
+            .id()
+            .and_then(|pid| Pid::from_raw(pid as i32))
+            .ok_or_else(not_ready)?;
         if let Some(guard) = &self.guard {
             guard.started(pid.as_raw_nonzero().get() as u32);
         }
@@ -147,7 +163,12 @@
 
     /// SIGSTOP, and SIGCONT after so long.
     pub async fn hold(&self, lasts: Duration) {
-        let pid = self.running.lock().await.as_ref().map(|running| running.pid);
+        let pid = self
+            .running
+            .lock()
+            .await
+            .as_ref()
+            .map(|running| running.pid);
         if let Some(pid) = pid
             && kill_process(pid, Signal::STOP).is_ok()
         {
@@ -161,7 +182,10 @@
     /// An upstream that says nothing yet.
     pub fn add(self: &Arc<Self>, upstream: u32, endpoint: SocketAddr) {
         let (word, heard) = watch::channel(Word::None);
-        self.words.lock().unwrap_or_else(PoisonError::into_inner).push(word);
+        self.words
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(word);
         tokio::spawn(Arc::clone(self).speak(upstream, endpoint, heard));
     }
 
@@ -190,7 +214,12 @@
     }
 
     /// Says what an upstream has to say, again and again until it is heard, and renews its lease.
-    async fn speak(self: Arc<Self>, upstream: u32, endpoint: SocketAddr, mut heard: watch::Receiver<Word>) {
+    async fn speak(
+        self: Arc<Self>,
+        upstream: u32,
+        endpoint: SocketAddr,
+        mut heard: watch::Receiver<Word>,
+    ) {
         let (path, mut registered) = (format!("/upstreams/u{upstream}"), 0);
         loop {
             let word = *heard.borrow_and_update();
@@ -201,9 +230,11 @@
                     }
                     continue;
                 }
-                Word::Ready { boot_ms } if registered == boot_ms + 1 => {
-                    (Method::POST, format!("{path}/renew"), json!({"boot_ms": boot_ms}).to_string())
-                }
+                Word::Ready { boot_ms } if registered == boot_ms + 1 => (
+                    Method::POST,
+                    format!("{path}/renew"),
+                    json!({"boot_ms": boot_ms}).to_string(),
+                ),
                 Word::Ready { boot_ms } => {
                     let body = json!({"endpoint": endpoint.to_string(), "az": "a", "model": "m",
                         "boot_ms": boot_ms, "ttl_s": self.lease.as_secs_f64()});
@@ -212,8 +243,13 @@
                 Word::Draining => (Method::POST, format!("{path}/drain"), String::new()),
                 Word::Leaving => (Method::DELETE, path.clone(), String::new()),
             };
-            let Some((_, write)) = self.addresses() else { return };
-            let status = call(write, method, &target, body).await.ok().map(|(status, _)| status);
+            let Some((_, write)) = self.addresses() else {
+                return;
+            };
+            let status = call(write, method, &target, body)
+                .await
+                .ok()
+                .map(|(status, _)| status);
             let next = match (status, word) {
                 (Some(200), Word::Ready { boot_ms }) => {
                     registered = boot_ms + 1;
@@ -239,10 +275,14 @@
     pub async fn lists(&self, count: usize) -> Result<(), LabError> {
         let listed = async {
             loop {
-                let Some((_, write)) = self.addresses() else { return };
+                let Some((_, write)) = self.addresses() else {
+                    return;
+                };
                 if let Ok((200, body)) = call(write, Method::GET, "/status", String::new()).await
                     && let Ok(status) = serde_json::from_slice::<serde_json::Value>(&body)
-                    && status["ready"].as_u64().is_some_and(|ready| ready >= count as u64)
+                    && status["ready"]
+                        .as_u64()
+                        .is_some_and(|ready| ready >= count as u64)
                 {
                     return;
                 }
@@ -250,6 +290,8 @@
             }
         };
         let log = self.dir.join("registry.log");
-        timeout(READY, listed).await.map_err(|_| LabError::RegistryNotReady { log })
+        timeout(READY, listed)
+            .await
+            .map_err(|_| LabError::RegistryNotReady { log })
     }
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -18,7 +18,10 @@
         lines.write_all(b"\n")?;
     }
     lines.flush()?;
-    std::fs::write(dir.join("result.json"), serde_json::to_string_pretty(played)?)?;
+    std::fs::write(
+        dir.join("result.json"),
+        serde_json::to_string_pretty(played)?,
+    )?;
     let page = dir.join("report.html");
     std::fs::write(&page, html(played))?;
     Ok(page)
@@ -35,16 +38,41 @@
     );
     let title = escaped(&played.experiment);
     // Writing to a string cannot fail.
-    let _ = write!(page, "<h1>{title}</h1><p>Seed {}, {:.1} s of load", played.seed, played.seconds);
-    let _ = write!(page, "{}.</p>", if played.cut_short { ", ended before its time" } else { "" });
+    let _ = write!(
+        page,
+        "<h1>{title}</h1><p>Seed {}, {:.1} s of load",
+        played.seed, played.seconds
+    );
+    let _ = write!(
+        page,
+        "{}.</p>",
+        if played.cut_short {
+            ", ended before its time"
+        } else {
+            ""
+        }
+    );
     match &played.void {
-        Some(why) => drop(write!(page, "<p class=bad>This play counts for nothing: {}.</p>", escaped(why))),
+        Some(why) => drop(write!(
+            page,
+            "<p class=bad>This play counts for nothing: {}.</p>",
+            escaped(why)
+        )),
         None if played.broken.is_empty() => page.push_str("<p class=good>All rules kept.</p>"),
-        None => drop(write!(page, "<p class=bad>{} breaches of the rules.</p>", played.broken.len())),
+        None => drop(write!(
+            page,
+            "<p class=bad>{} breaches of the rules.</p>",
+            played.broken.len()
+        )),
     }
     page.push_str("<ul>");
     for broken in played.broken.iter().take(50) {
-        let _ = write!(page, "<li class=bad>{:?}: {}</li>", broken.rule, escaped(&broken.text));
+        let _ = write!(
+            page,
+            "<li class=bad>{:?}: {}</li>",
+            broken.rule,
+            escaped(&broken.text)
+        );
     }
     for missed in &played.missed {
         let _ = write!(page, "<li class=bad>{}</li>", escaped(missed));
@@ -74,7 +102,11 @@
     page.push_str("</table>");
     let faults: Vec<Band<'_>> = played.events.iter().filter_map(fault).collect();
     let seconds = |of: &dyn Fn(&crate::figures::Second) -> f64| -> Vec<(f64, f64)> {
-        f.seconds.iter().enumerate().map(|(k, s)| (k as f64 + 0.5, of(s))).collect()
+        f.seconds
+            .iter()
+            .enumerate()
+            .map(|(k, s)| (k as f64 + 0.5, of(s)))
+            .collect()
     };
     let asked = seconds(&|s| f64::from(s.counts.asked));
     let in_time = seconds(&|s| f64::from(s.counts.in_time));
@@ -92,12 +124,21 @@
                 ("late or failed", lost, RED),
             ],
         ),
-        ("Time to the answer, ms", vec![("median", p50, BLUE), ("99th percentile", p99, RED)]),
-        ("Upstreams' cores in use, % (mean)", vec![("in use", util, BLUE)]),
+        (
+            "Time to the answer, ms",
+            vec![("median", p50, BLUE), ("99th percentile", p99, RED)],
+        ),
+        (
+            "Upstreams' cores in use, % (mean)",
+            vec![("in use", util, BLUE)],
+        ),
     ] {
         let _ = write!(page, "<h2>{title}</h2><p>");
         for (name, _, RGBColor(r, g, b)) in &series {
-            let _ = write!(page, "<b style=\"color:rgb({r},{g},{b})\">{name}</b> &nbsp; ");
+            let _ = write!(
+                page,
+                "<b style=\"color:rgb({r},{g},{b})\">{name}</b> &nbsp; "
+            );
         }
         page.push_str("</p>");
         page.push_str(&plot(&series, &faults, played.seconds, "s"));
@@ -119,22 +160,38 @@
 /// A plot over the sizes of simulated fleets: how soon deaths are known, and what each member sends.
 pub fn over_sizes(all: &[Simulated]) -> String {
     let of = |pick: &dyn Fn(&Simulated) -> f64| -> Vec<(f64, f64)> {
-        all.iter().map(|one| (f64::from(one.members).log10(), pick(one))).collect()
+        all.iter()
+            .map(|one| (f64::from(one.members).log10(), pick(one)))
+            .collect()
     };
     let series = [
-        ("known to 99%, s, median", of(&|s| s.figures.known_p50_s), BLUE),
-        ("known to 99%, s, 99th percentile", of(&|s| s.figures.known_p99_s), RED),
+        (
+            "known to 99%, s, median",
+            of(&|s| s.figures.known_p50_s),
+            BLUE,
+        ),
+        (
+            "known to 99%, s, 99th percentile",
+            of(&|s| s.figures.known_p99_s),
+            RED,
+        ),
         ("datagrams a second", of(&|s| s.datagrams), GREY),
         ("KB a second", of(&|s| s.bytes / 1000.0), ORANGE),
     ];
-    let right = all.iter().map(|one| f64::from(one.members).log10()).fold(1.0, f64::max);
+    let right = all
+        .iter()
+        .map(|one| f64::from(one.members).log10())
+        .fold(1.0, f64::max);
     let svg = plot(&series, &[], right, "members, as a power of 10");
-    let legend = series.iter().enumerate().map(|(k, (name, _, RGBColor(r, g, b)))| {
-        format!(
-            "<text x=\"70\" y=\"{}\" font-size=\"12\" fill=\"rgb({r},{g},{b})\">{name}</text>",
-            20 + 14 * k
-        )
-    });
+    let legend = series
+        .iter()
+        .enumerate()
+        .map(|(k, (name, _, RGBColor(r, g, b)))| {
+            format!(
+                "<text x=\"70\" y=\"{}\" font-size=\"12\" fill=\"rgb({r},{g},{b})\">{name}</text>",
+                20 + 14 * k
+            )
+        });
     svg.replace("</svg>", &(legend.collect::<String>() + "</svg>"))
 }
 
@@ -151,9 +208,15 @@
 }
 
 fn fault(event: &Event) -> Option<Band<'_>> {
-    let What::Fault { text, lasts } = &event.what else { return None };
+    let What::Fault { text, lasts } = &event.what else {
+        return None;
+    };
     let at = event.at as f64 / 1e6;
-    Some(Band { at, until: lasts.map(|lasts| at + lasts), text })
+    Some(Band {
+        at,
+        until: lasts.map(|lasts| at + lasts),
+        text,
+    })
 }
 
 type Series<'a> = (&'a str, Vec<(f64, f64)>, RGBColor);
@@ -161,9 +224,17 @@
 /// One plot as SVG; what can't be drawn says why.
 fn plot(series: &[Series<'_>], faults: &[Band<'_>], right: f64, along: &str) -> String {
     let mut svg = String::new();
-    let top = series.iter().flat_map(|s| &s.1).map(|p| p.1).fold(1.0, f64::max) * 1.08;
+    let top = series
+        .iter()
+        .flat_map(|s| &s.1)
+        .map(|p| p.1)
+        .fold(1.0, f64::max)
+        * 1.08;
     let drawn = draw(&mut svg, series, faults, (right.max(1.0), top), along);
-    drawn.map_or_else(|e| format!("<p class=bad>no plot: {}</p>", escaped(&e)), |()| svg)
+    drawn.map_or_else(
+        |e| format!("<p class=bad>no plot: {}</p>", escaped(&e)),
+        |()| svg,
+    )
 }
 
 fn draw(
@@ -181,13 +252,20 @@
         .y_label_area_size(52)
         .build_cartesian_2d(0.0..right, 0.0..top)
         .map_err(|e| said(&e))?;
-    chart.configure_mesh().light_line_style(TRANSPARENT).x_desc(along).draw().map_err(|e| said(&e))?;
+    chart
+        .configure_mesh()
+        .light_line_style(TRANSPARENT)
+        .x_desc(along)
+        .draw()
+        .map_err(|e| said(&e))?;
     for Band { at, until, .. } in faults {
         // Its beginning darker than the rest, so that those that overlap can be told apart.
         let begins = ([(*at, 0.0), (at + right * 0.004, top)], 0.35);
         let lasts = until.map(|until| ([(*at, 0.0), (until.min(right), top)], 0.10));
         for (corners, shade) in [Some(begins), lasts].into_iter().flatten() {
-            chart.draw_series([Rectangle::new(corners, RED.mix(shade).filled())]).map_err(|e| said(&e))?;
+            chart
+                .draw_series([Rectangle::new(corners, RED.mix(shade).filled())])
+                .map_err(|e| said(&e))?;
         }
     }
     for (_, points, color) in series {
@@ -198,5 +276,7 @@
 }
 
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -43,13 +43,30 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Happening {
-    Arrives { to: u32, from: u32, datagram: Vec<u8> },
-    Wakes { member: u32, life: u32 },
-    Begins { fault: usize },
-    Starts { member: u32 },
-    GoesOn { member: u32 },
-    Opens { fault: usize },
-    Bad { fault: usize },
+    Arrives {
+        to: u32,
+        from: u32,
+        datagram: Vec<u8>,
+    },
+    Wakes {
+        member: u32,
+        life: u32,
+    },
+    Begins {
+        fault: usize,
+    },
+    Starts {
+        member: u32,
+    },
+    GoesOn {
+        member: u32,
+    },
+    Opens {
+        fault: usize,
+    },
+    Bad {
+        fault: usize,
+    },
 }
 
 struct Node {
@@ -93,7 +110,10 @@
         wakes: Duration::MAX,
         name: name(n).unwrap_or_else(|e| unreachable!("{e}")),
     };
-    let keeps = experiment.faults.iter().any(|f| matches!(f.act, Act::Replay | Act::Storm { .. }));
+    let keeps = experiment
+        .faults
+        .iter()
+        .any(|f| matches!(f.act, Act::Replay | Act::Storm { .. }));
     let mut rig = Rig {
         experiment,
         seed,
@@ -173,7 +193,11 @@
     fn start_known(&mut self) -> Result<(), ConfigError> {
         let all = 0..self.nodes.len() as u32;
         all.clone().try_for_each(|member| self.start(member))?;
-        let lives: Vec<_> = self.nodes.iter().filter_map(|node| Some(node.machine.as_ref()?.me())).collect();
+        let lives: Vec<_> = self
+            .nodes
+            .iter()
+            .filter_map(|node| Some(node.machine.as_ref()?.me()))
+            .collect();
         for member in all {
             if let Some(machine) = &mut self.nodes[member as usize].machine {
                 machine.remember(self.now, lives.iter().copied());
@@ -197,7 +221,11 @@
             places,
             boot: EPOCH_MS + self.now.as_millis() as u64,
             members_most: 2 * usize::from(places),
-            forget_after: self.experiment.membership.unwrap_or_default().forget_after(),
+            forget_after: self
+                .experiment
+                .membership
+                .unwrap_or_default()
+                .forget_after(),
             seed: self.seed ^ (u64::from(member) << 20) ^ (u64::from(node.life) << 50),
         };
         node.machine = Some(Membership::new(config, self.now)?);
@@ -213,7 +241,9 @@
     fn after(&mut self, member: u32) {
         loop {
             let node = &mut self.nodes[member as usize];
-            let Some(output) = node.machine.as_mut().and_then(Membership::output) else { break };
+            let Some(output) = node.machine.as_mut().and_then(Membership::output) else {
+                break;
+            };
             match output {
                 Output::Send { to, datagram } => self.send(member, u32::from(to.0), datagram),
                 Output::Changed(change) => self.note(&What::Saw {
@@ -249,12 +279,21 @@
         }
         let way = self.ways.way(from, to);
         for after in copies(&way, &mut self.chance).collect::<Vec<_>>() {
-            self.push(self.now + DELAY + after, Happening::Arrives { to, from, datagram: datagram.clone() });
+            self.push(
+                self.now + DELAY + after,
+                Happening::Arrives {
+                    to,
+                    from,
+                    datagram: datagram.clone(),
+                },
+            );
         }
     }
 
     fn arrives(&mut self, to: u32, from: u32, datagram: Vec<u8>) {
-        let Some(node) = self.nodes.get_mut(to as usize) else { return };
+        let Some(node) = self.nodes.get_mut(to as usize) else {
+            return;
+        };
         if node.held {
             node.waiting.push((from, datagram));
             return;
@@ -315,7 +354,9 @@
         let what = &experiment.faults[fault];
         let some = self.some(&what.target);
         let others = match &what.with {
-            Some(Target::Others) => (0..experiment.fleet.balancers).filter(|n| !some.contains(n)).collect(),
+            Some(Target::Others) => (0..experiment.fleet.balancers)
+                .filter(|n| !some.contains(n))
+                .collect(),
             Some(with) => self.some(with),
             None => Vec::new(),
         };
@@ -342,7 +383,10 @@
                         self.after(member);
                     }
                     self.nodes[member as usize].machine = None;
-                    self.push(self.now + Duration::from_secs(1), Happening::Starts { member });
+                    self.push(
+                        self.now + Duration::from_secs(1),
+                        Happening::Starts { member },
+                    );
                 }
             }
             Act::Stop(lasts) => {
@@ -382,7 +426,9 @@
     /// One bad datagram of a storm, and the next.
     fn bad(&mut self, fault: usize) {
         let what = &self.experiment.faults[fault];
-        let Act::Storm { rate, lasts } = what.act else { return };
+        let Act::Storm { rate, lasts } = what.act else {
+            return;
+        };
         let (some, count) = (&self.met[fault].0, self.experiment.fleet.balancers);
         if some.is_empty() || self.now >= what.at + lasts {
             return;
@@ -393,6 +439,9 @@
         if from != to {
             self.arrives(to, from, datagram);
         }
-        self.push(self.now + Duration::from_secs_f64(1.0 / rate), Happening::Bad { fault });
+        self.push(
+            self.now + Duration::from_secs_f64(1.0 / rate),
+            Happening::Bad { fault },
+        );
     }
 }
--- a/lab/src/stage.rs
+++ b/lab/src/stage.rs
@@ -38,8 +38,13 @@
 type Owned = (u32, Other, Arc<Link>);
 
 fn unlinked(history: &History, links: &[Owned]) {
-    for (balancer, ..) in links.iter().filter(|(_, other, _)| *other == Other::Clients) {
-        history.note(What::Unlinked { balancer: *balancer });
+    for (balancer, ..) in links
+        .iter()
+        .filter(|(_, other, _)| *other == Other::Clients)
+    {
+        history.note(What::Unlinked {
+            balancer: *balancer,
+        });
     }
 }
 
@@ -49,7 +54,10 @@
         let mut running = JoinSet::new();
         for (k, fault) in occurrences(&self.experiment) {
             sleep_until(self.history.at(fault.at.as_secs_f64())).await;
-            self.history.note(What::Fault { text: words(&fault), lasts: lasts(&fault.act) });
+            self.history.note(What::Fault {
+                text: words(&fault),
+                lasts: lasts(&fault.act),
+            });
             let mut draw = ChaCha8Rng::seed_from_u64(seed ^ (k + 1) << 40);
             let met = self.met(&fault.target, &mut draw);
             match &fault.act {
@@ -87,7 +95,9 @@
                     links.iter().for_each(|(_, _, link)| link.set(ways));
                     running.spawn(async move {
                         sleep(lasts).await;
-                        links.iter().for_each(|(_, _, link)| link.set(Default::default()));
+                        links
+                            .iter()
+                            .for_each(|(_, _, link)| link.set(Default::default()));
                         // What came up while the way was cut is reset now.
                         if ways.iter().any(|way| way.cut) {
                             unlinked(&history, &links);
@@ -114,15 +124,36 @@
         };
         let fleet = &self.experiment.fleet;
         match target {
-            Target::Balancer(n) => Met { balancers: vec![*n], ..Met::default() },
-            Target::Upstream(n) => Met { upstreams: vec![*n], ..Met::default() },
-            Target::Range(first, last) => Met { balancers: (*first..=*last).collect(), ..Met::default() },
+            Target::Balancer(n) => Met {
+                balancers: vec![*n],
+                ..Met::default()
+            },
+            Target::Upstream(n) => Met {
+                upstreams: vec![*n],
+                ..Met::default()
+            },
+            Target::Range(first, last) => Met {
+                balancers: (*first..=*last).collect(),
+                ..Met::default()
+            },
             // Whom it does not mean is said by the fault's target.
             Target::Others => Met::default(),
-            Target::Balancers(share) => Met { balancers: some(*share, fleet.balancers), ..Met::default() },
-            Target::Upstreams(share) => Met { upstreams: some(*share, fleet.upstreams), ..Met::default() },
-            Target::Discovery => Met { discovery: true, ..Met::default() },
-            Target::Clients => Met { clients: true, ..Met::default() },
+            Target::Balancers(share) => Met {
+                balancers: some(*share, fleet.balancers),
+                ..Met::default()
+            },
+            Target::Upstreams(share) => Met {
+                upstreams: some(*share, fleet.upstreams),
+                ..Met::default()
+            },
+            Target::Discovery => Met {
+                discovery: true,
+                ..Met::default()
+            },
+            Target::Clients => Met {
+                clients: true,
+                ..Met::default()
+            },
         }
     }
 
@@ -136,7 +167,9 @@
                 met.discovery |= other.discovery;
                 met.clients |= other.clients;
             }
-            None if met.balancers.is_empty() => met.balancers.extend(0..self.experiment.fleet.balancers),
+            None if met.balancers.is_empty() => {
+                met.balancers.extend(0..self.experiment.fleet.balancers)
+            }
             None => {
                 met.upstreams.extend(0..self.upstreams.count());
                 met.discovery = true;
@@ -144,9 +177,16 @@
         }
         let others = met.upstreams.iter().map(|n| Other::Upstream(*n));
         let others = others.chain(met.discovery.then_some(Other::Discovery));
-        let others: Vec<Other> = others.chain(met.clients.then_some(Other::Clients)).collect();
-        let pairs = met.balancers.iter().flat_map(|b| others.iter().map(|other| (*b, *other)));
-        pairs.map(|(balancer, other)| (balancer, other, self.links.between(balancer, other))).collect()
+        let others: Vec<Other> = others
+            .chain(met.clients.then_some(Other::Clients))
+            .collect();
+        let pairs = met
+            .balancers
+            .iter()
+            .flat_map(|b| others.iter().map(|other| (*b, *other)));
+        pairs
+            .map(|(balancer, other)| (balancer, other, self.links.between(balancer, other)))
+            .collect()
     }
 
     /// What happens to processes and stand-ins themselves.
@@ -165,14 +205,18 @@
                 }
             });
         }
-        if let (true, Act::Stop(lasts), Some(registrar)) = (met.discovery, act, self.discovery.registrar()) {
+        if let (true, Act::Stop(lasts), Some(registrar)) =
+            (met.discovery, act, self.discovery.registrar())
+        {
             let (registrar, lasts) = (Arc::clone(registrar), *lasts);
             running.spawn(async move { registrar.hold(lasts).await });
         }
         for number in met.balancers {
             let balancers = Arc::clone(&self.balancers);
             match act {
-                Act::Kill { back, name } => running.spawn(balancers.kill(number, *back, name.clone())),
+                Act::Kill { back, name } => {
+                    running.spawn(balancers.kill(number, *back, name.clone()))
+                }
                 Act::Term => running.spawn(balancers.replace(number)),
                 Act::Stop(lasts) => running.spawn(balancers.hold(number, *lasts)),
                 _ => continue,
@@ -184,7 +228,11 @@
                 Act::Kill { back, .. } => running.spawn(upstreams.crash(number, back)),
                 Act::Slow(factor, lasts) => running.spawn(upstreams.slow(number, factor, lasts)),
                 Act::Silent(lasts) => running.spawn(upstreams.silence(number, lasts)),
-                Act::Replace { batch, every, drain } => running.spawn(async move {
+                Act::Replace {
+                    batch,
+                    every,
+                    drain,
+                } => running.spawn(async move {
                     sleep(every * (rank / batch)).await;
                     upstreams.replace(number, drain).await;
                 }),
@@ -207,8 +255,14 @@
     };
     let what = match &fault.act {
         Act::Kill { back: None, .. } => "killed".into(),
-        Act::Kill { back: Some(back), name: None } => format!("killed, back after {back:?}"),
-        Act::Kill { back: Some(back), name: Some(name) } => {
+        Act::Kill {
+            back: Some(back),
+            name: None,
+        } => format!("killed, back after {back:?}"),
+        Act::Kill {
+            back: Some(back),
+            name: Some(name),
+        } => {
             format!("killed, back after {back:?} by the name of {name}")
         }
         Act::Term => "asked to leave, started again".into(),
@@ -228,7 +282,11 @@
                 ),
                 way => format!("{:?} later, up to {:?} more", way.delay, way.jitter),
             };
-            format!("links from balancers {}, back {}, for {lasts:?}", slow(to), slow(back))
+            format!(
+                "links from balancers {}, back {}, for {lasts:?}",
+                slow(to),
+                slow(back)
+            )
         }
         Act::Reset => "all connections reset".into(),
         Act::Replay => "old datagrams come once more".into(),
@@ -238,7 +296,10 @@
 }
 
 fn of_balancers(target: &Target) -> bool {
-    matches!(target, Target::Balancer(_) | Target::Balancers(_) | Target::Range(..) | Target::Others)
+    matches!(
+        target,
+        Target::Balancer(_) | Target::Balancers(_) | Target::Range(..) | Target::Others
+    )
 }
 
 /// The faults as often as they happen, each with a number of its own, in the order of time.
@@ -248,7 +309,10 @@
         let until = fault.until.unwrap_or(experiment.length);
         let mut at = fault.at;
         loop {
-            all.push(Fault { at, ..fault.clone() });
+            all.push(Fault {
+                at,
+                ..fault.clone()
+            });
             match fault.every {
                 Some(every) if at + every < until => at += every,
                 _ => break,
@@ -263,7 +327,9 @@
 fn lasts(act: &Act) -> Option<f64> {
     let lasts = match act {
         Act::Kill { back, .. } => *back,
-        Act::Stop(lasts) | Act::Slow(_, lasts) | Act::Silent(lasts) | Act::Links(_, lasts) => Some(*lasts),
+        Act::Stop(lasts) | Act::Slow(_, lasts) | Act::Silent(lasts) | Act::Links(_, lasts) => {
+            Some(*lasts)
+        }
         Act::Storm { lasts, .. } => Some(*lasts),
         Act::Term | Act::Replace { .. } | Act::Reset | Act::Replay => None,
     };
