--- a/lab/src/upstream.rs
+++ b/lab/src/upstream.rs
@@ -73,12 +73,19 @@
 /// The address kept for what one balancer reaches: 16 nets of 250 balancers by 250 numbers.
 pub fn pair_address(balancer: u32, number: u32) -> IpAddr {
     let octet = |n: u32| n as u8;
-    let address = [127, octet(16 + balancer / 250), octet(1 + balancer % 250), octet(2 + number % 250)];
+    let address = [
+        127,
+        octet(16 + balancer / 250),
+        octet(1 + balancer % 250),
+        octet(2 + number % 250),
+    ];
     IpAddr::V4(Ipv4Addr::from(address))
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |t| t.as_millis() as u64)
 }
 
 impl Upstreams {
@@ -90,7 +97,14 @@
         discovery: Arc<Discovery>,
         links: Arc<Links>,
     ) -> Arc<Self> {
-        Arc::new(Self { experiment, seed, history, discovery, links, units: Mutex::default() })
+        Arc::new(Self {
+            experiment,
+            seed,
+            history,
+            discovery,
+            links,
+            units: Mutex::default(),
+        })
     }
 
     /// How many there have been.
@@ -105,7 +119,10 @@
         for balancer in 0..self.experiment.fleet.balancers {
             listeners.push(TcpListener::bind((pair_address(balancer, number), 0)).await?);
         }
-        let endpoints = listeners.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>()?;
+        let endpoints = listeners
+            .iter()
+            .map(TcpListener::local_addr)
+            .collect::<Result<Vec<_>, _>>()?;
         let unit = Arc::new(Unit {
             number,
             endpoints: Arc::new(endpoints),
@@ -116,7 +133,10 @@
             starts: AtomicU64::new(0),
             boot_ms: Mutex::new(if cold { unix_ms() } else { 0 }),
         });
-        self.units.lock().unwrap_or_else(PoisonError::into_inner).push(Arc::clone(&unit));
+        self.units
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(Arc::clone(&unit));
         for (balancer, listener) in (0u32..).zip(listeners) {
             tokio::spawn(Arc::clone(self).accept(Arc::clone(&unit), balancer, listener));
         }
@@ -127,20 +147,33 @@
     fn machine(&self, number: u32, starts: u64, cold: bool) -> Machine {
         let seed = self.seed ^ (u64::from(number) << 32) ^ (starts << 56);
         let now = self.history.now().as_secs_f64();
-        Machine::new(self.experiment.upstream.clone(), ChaCha8Rng::seed_from_u64(seed), now, cold)
+        Machine::new(
+            self.experiment.upstream.clone(),
+            ChaCha8Rng::seed_from_u64(seed),
+            now,
+            cold,
+        )
     }
 
     fn all(&self) -> Vec<Arc<Unit>> {
-        self.units.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.units
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     fn unit(&self, number: u32) -> Option<Arc<Unit>> {
-        self.units.lock().unwrap_or_else(PoisonError::into_inner).get(number as usize).cloned()
+        self.units
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(number as usize)
+            .cloned()
     }
 
     fn listed(&self, unit: &Unit, listed: Listed) {
         let boot_ms = *unit.boot_ms.lock().unwrap_or_else(PoisonError::into_inner);
-        self.discovery.list(unit.number, listed, boot_ms, &unit.endpoints);
+        self.discovery
+            .list(unit.number, listed, boot_ms, &unit.endpoints);
     }
 
     fn became(&self, upstream: u32, became: Process) {
@@ -149,7 +182,9 @@
 
     /// It dies; the list hears of it late. With `back` it starts again, cold, under the same name.
     pub async fn crash(self: Arc<Self>, number: u32, back: Option<Duration>) {
-        let Some(unit) = self.unit(number) else { return };
+        let Some(unit) = self.unit(number) else {
+            return;
+        };
         self.became(number, Process::Killed);
         unit.phase.send_replace(Phase::Down);
         let list = &self.experiment.discovery;
@@ -162,7 +197,8 @@
         let Some(back) = back else { return };
         sleep_until(back).await;
         let starts = 1 + unit.starts.fetch_add(1, Ordering::Relaxed);
-        *unit.machine.lock().unwrap_or_else(PoisonError::into_inner) = self.machine(number, starts, true);
+        *unit.machine.lock().unwrap_or_else(PoisonError::into_inner) =
+            self.machine(number, starts, true);
         *unit.boot_ms.lock().unwrap_or_else(PoisonError::into_inner) = unix_ms();
         unit.phase.send_replace(Phase::Up);
         self.became(number, Process::Ready);
@@ -172,17 +208,27 @@
 
     /// It takes `factor` times as long, for a while.
     pub async fn slow(self: Arc<Self>, number: u32, factor: f64, lasts: Duration) {
-        let Some(unit) = self.unit(number) else { return };
+        let Some(unit) = self.unit(number) else {
+            return;
+        };
         self.became(number, Process::Ill);
-        unit.machine.lock().unwrap_or_else(PoisonError::into_inner).slow(factor);
+        unit.machine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .slow(factor);
         sleep(lasts).await;
-        unit.machine.lock().unwrap_or_else(PoisonError::into_inner).slow(1.0);
+        unit.machine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .slow(1.0);
         self.became(number, Process::Well);
     }
 
     /// It takes requests and connections and says nothing, for a while; then its connections are reset.
     pub async fn silence(self: Arc<Self>, number: u32, lasts: Duration) {
-        let Some(unit) = self.unit(number) else { return };
+        let Some(unit) = self.unit(number) else {
+            return;
+        };
         self.became(number, Process::Ill);
         unit.phase.send_replace(Phase::Silent);
         sleep(lasts).await;
@@ -196,7 +242,9 @@
 
     /// It drains and leaves, and a cold one under another name comes in its place at once.
     pub async fn replace(self: Arc<Self>, number: u32, drain: Duration) {
-        let Some(unit) = self.unit(number) else { return };
+        let Some(unit) = self.unit(number) else {
+            return;
+        };
         self.became(number, Process::Asked);
         if let Err(e) = self.add(true).await {
             tracing::warn!("no successor for u{number}: {e}");
@@ -216,11 +264,19 @@
         loop {
             sleep(LOAD_EVERY).await;
             let now = self.history.now().as_secs_f64();
-            for unit in self.all().iter().filter(|unit| *unit.phase.borrow() != Phase::Down) {
+            for unit in self
+                .all()
+                .iter()
+                .filter(|unit| *unit.phase.borrow() != Phase::Down)
+            {
                 let mut machine = unit.machine.lock().unwrap_or_else(PoisonError::into_inner);
                 let Report { util, .. } = machine.report(now);
                 let holds = machine.holds() as u32;
-                self.history.note(What::Load { upstream: unit.number, holds, util: util as f32 });
+                self.history.note(What::Load {
+                    upstream: unit.number,
+                    holds,
+                    util: util as f32,
+                });
             }
         }
     }
@@ -241,13 +297,20 @@
                 "up" => (machine.holds(), machine.report(now).util),
                 _ => (0, 0.0),
             };
-            Some(Row { number: unit.number, state, holds, busy })
+            Some(Row {
+                number: unit.number,
+                state,
+                holds,
+                busy,
+            })
         };
         self.all().iter().filter_map(row).collect()
     }
 
     async fn accept(self: Arc<Self>, unit: Arc<Unit>, balancer: u32, listener: TcpListener) {
-        let Ok(address) = listener.local_addr() else { return };
+        let Ok(address) = listener.local_addr() else {
+            return;
+        };
         let link = self.links.between(balancer, Other::Upstream(unit.number));
         let (mut phase, mut listener) = (unit.phase.subscribe(), Some(listener));
         loop {
@@ -290,9 +353,12 @@
             let mut phase = unit.phase.subscribe();
             let was_silent = *phase.borrow_and_update() == Phase::Silent;
             let (upstreams, of) = (Arc::clone(&self), Arc::clone(&unit));
-            let service = service_fn(move |request| Arc::clone(&upstreams).respond(Arc::clone(&of), request));
+            let service =
+                service_fn(move |request| Arc::clone(&upstreams).respond(Arc::clone(&of), request));
             let mut builder = hyper::server::conn::http1::Builder::new();
-            builder.timer(TokioTimer::new()).header_read_timeout(Duration::from_secs_f64(model.idle_s));
+            builder
+                .timer(TokioTimer::new())
+                .header_read_timeout(Duration::from_secs_f64(model.idle_s));
             tokio::select! {
                 _ = builder.serve_connection(TokioIo::new(stream), service) => (),
                 _ = phase.wait_for(|p| *p == Phase::Down || (was_silent && *p == Phase::Up)) => (),
@@ -308,12 +374,26 @@
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, std::io::Error> {
         let (parts, body) = request.into_parts();
-        let id = parts.headers.get("x-correlation-id").and_then(|v| v.to_str().ok());
+        let id = parts
+            .headers
+            .get("x-correlation-id")
+            .and_then(|v| v.to_str().ok());
         let Some(id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) else {
             return Ok(plain(StatusCode::NOT_FOUND));
         };
-        let name = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let Some(class) = self.experiment.classes.iter().find(|class| class.name == name) else {
+        let name = parts
+            .uri
+            .path()
+            .trim_start_matches('/')
+            .split('/')
+            .next()
+            .unwrap_or_default();
+        let Some(class) = self
+            .experiment
+            .classes
+            .iter()
+            .find(|class| class.name == name)
+        else {
             return Ok(plain(StatusCode::NOT_FOUND));
         };
         body.collect().await.map_err(std::io::Error::other)?;
@@ -321,14 +401,19 @@
         self.history.note(What::Arrived { id, upstream });
         let broken = || std::io::Error::other("it has died");
         if *unit.phase.borrow() == Phase::Silent {
-            let _ = unit.phase.subscribe().wait_for(|p| *p != Phase::Silent).await;
+            let _ = unit
+                .phase
+                .subscribe()
+                .wait_for(|p| *p != Phase::Silent)
+                .await;
             return Err(broken());
         }
         if *unit.draining.borrow() {
             return Ok(self.turn_away(id, upstream));
         }
         // The same work wherever it runs: drawn from the try's own number.
-        let mut draw = ChaCha8Rng::seed_from_u64(self.seed ^ (id >> 3).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mut draw =
+            ChaCha8Rng::seed_from_u64(self.seed ^ (id >> 3).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let work = -class.work_ms / 1e3 * (1.0 - draw.random::<f64>()).ln();
         let waits = class.io_ms / 1e3 * draw.random_range(0.5..1.5);
         let arrived = {
@@ -348,12 +433,24 @@
         };
         sleep_until(self.history.at(finish)).await;
         if *unit.phase.borrow() == Phase::Silent {
-            let _ = unit.phase.subscribe().wait_for(|p| *p != Phase::Silent).await;
+            let _ = unit
+                .phase
+                .subscribe()
+                .wait_for(|p| *p != Phase::Silent)
+                .await;
             return Err(broken());
         }
         let now = self.history.now().as_secs_f64();
-        let report = unit.machine.lock().unwrap_or_else(PoisonError::into_inner).report(now);
-        self.history.note(What::Replied { id, upstream, reply: Reply::Served });
+        let report = unit
+            .machine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .report(now);
+        self.history.note(What::Replied {
+            id,
+            upstream,
+            reply: Reply::Served,
+        });
         let mut response = plain(StatusCode::OK);
         let load = format!("util={:.3},inflight={:.1}", report.util, report.inflight);
         if let Ok(load) = load.parse() {
@@ -363,9 +460,16 @@
     }
 
     fn turn_away(&self, id: u64, upstream: u32) -> Response<Full<Bytes>> {
-        self.history.note(What::Replied { id, upstream, reply: Reply::TurnedAway });
+        self.history.note(What::Replied {
+            id,
+            upstream,
+            reply: Reply::TurnedAway,
+        });
         let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
-        response.headers_mut().insert("x-unprocessed", hyper::header::HeaderValue::from_static("1"));
+        response.headers_mut().insert(
+            "x-unprocessed",
+            hyper::header::HeaderValue::from_static("1"),
+        );
         response
     }
 }
--- a/lab/src/watching.rs
+++ b/lab/src/watching.rs
@@ -116,7 +116,9 @@
                 while !self.over.load(Ordering::Relaxed)
                     && let Ok(Some(Ok(frame))) = timeout(SILENT, body.frame()).await
                 {
-                    let Ok(data) = frame.into_data() else { continue };
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
                     pending.extend_from_slice(&data);
                     while let Some(n) = pending.iter().position(|byte| *byte == b'\n') {
                         let line = pending.split_to(n + 1);
@@ -137,7 +139,10 @@
         };
         self.lines.fetch_add(1, Ordering::Relaxed);
         if text.rev < *rev || (text.rev == *rev && !text.all) {
-            self.broke(format!("watcher {number}: version {} after {rev}", text.rev));
+            self.broke(format!(
+                "watcher {number}: version {} after {rev}",
+                text.rev
+            ));
         }
         *rev = text.rev;
         if text.all {
@@ -152,11 +157,16 @@
             let change = target.capacity_hint as u64;
             weights.insert(target.uid, change);
             if !text.all
-                && let (Some(sent), Some(reached)) =
-                    (self.sent.get(change as usize), self.reached.get(change as usize))
+                && let (Some(sent), Some(reached)) = (
+                    self.sent.get(change as usize),
+                    self.reached.get(change as usize),
+                )
             {
                 let took = now.saturating_sub(sent.load(Ordering::Relaxed)) as u32;
-                reached.lock().unwrap_or_else(PoisonError::into_inner).push(took);
+                reached
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push(took);
             }
         }
     }
@@ -167,19 +177,28 @@
         let every = Duration::from_secs_f64(f64::from(plan.writers) / plan.changes);
         let mut due = Instant::now() + every.mul_f64(rng.random::<f64>());
         // Each upstream has one writer, so that its weights go up in the order of its acknowledgements.
-        let own: Vec<u32> = (0..plan.upstreams).filter(|u| u % plan.writers == writer).collect();
+        let own: Vec<u32> = (0..plan.upstreams)
+            .filter(|u| u % plan.writers == writer)
+            .collect();
         while self.start.elapsed() < plan.lasts && !own.is_empty() {
             sleep_until(due).await;
             due += every;
             let uid = format!("u{}", own[rng.random_range(0..own.len())]);
             let change = next.fetch_add(1, Ordering::Relaxed);
-            let (Some(sent), Some((_, write))) = (self.sent.get(change as usize), self.registrar.addresses())
+            let (Some(sent), Some((_, write))) =
+                (self.sent.get(change as usize), self.registrar.addresses())
             else {
                 return;
             };
             sent.store(self.now(), Ordering::Relaxed);
             let body = format!("{{\"capacity_hint\":{change}}}");
-            let answer = call(write, Method::PUT, &format!("/upstreams/{uid}/weight"), body).await;
+            let answer = call(
+                write,
+                Method::PUT,
+                &format!("/upstreams/{uid}/weight"),
+                body,
+            )
+            .await;
             let rev = match answer {
                 Ok((200, body)) => serde_json::from_slice::<serde_json::Value>(&body)
                     .ok()
@@ -201,29 +220,59 @@
                 && let Some((seen, _)) = self.whole().await
                 && seen < rev
             {
-                self.broke(format!("a read after version {rev} was acknowledged has version {seen}"));
+                self.broke(format!(
+                    "a read after version {rev} was acknowledged has version {seen}"
+                ));
             }
         }
     }
 
     async fn whole(&self) -> Option<(u64, Weights)> {
-        let (_, body) = call(self.read()?, Method::GET, "/registry/instances", String::new()).await.ok()?;
+        let (_, body) = call(
+            self.read()?,
+            Method::GET,
+            "/registry/instances",
+            String::new(),
+        )
+        .await
+        .ok()?;
         let text: Text = serde_json::from_slice(&body).ok()?;
-        Some((text.rev, text.targets.into_iter().map(|t| (t.uid, t.capacity_hint as u64)).collect()))
+        Some((
+            text.rev,
+            text.targets
+                .into_iter()
+                .map(|t| (t.uid, t.capacity_hint as u64))
+                .collect(),
+        ))
     }
 }
 
 fn percentiles(mut of: Vec<u32>) -> (f64, f64, f64) {
     of.sort_unstable();
-    let at = |share: f64| of.get((share * (of.len().max(1) - 1) as f64) as usize).copied().unwrap_or(0);
-    (f64::from(at(0.5)) / 1e3, f64::from(at(0.99)) / 1e3, f64::from(at(1.0)) / 1e3)
+    let at = |share: f64| {
+        of.get((share * (of.len().max(1) - 1) as f64) as usize)
+            .copied()
+            .unwrap_or(0)
+    };
+    (
+        f64::from(at(0.5)) / 1e3,
+        f64::from(at(0.99)) / 1e3,
+        f64::from(at(1.0)) / 1e3,
+    )
 }
 
 /// Plays a plan with a list service started from `program`; its files go to `dir`.
 pub async fn watch_registry(program: PathBuf, dir: &Path, plan: Plan) -> Result<Watched, LabError> {
-    tokio::fs::create_dir_all(dir).await.map_err(|source| LabError::File { path: dir.to_owned(), source })?;
-    let guard =
-        Guard::start(&program).map_err(|source| LabError::Start { program: program.clone(), source })?;
+    tokio::fs::create_dir_all(dir)
+        .await
+        .map_err(|source| LabError::File {
+            path: dir.to_owned(),
+            source,
+        })?;
+    let guard = Guard::start(&program).map_err(|source| LabError::Start {
+        program: program.clone(),
+        source,
+    })?;
     let history = Arc::new(History::new(100_000));
     let lease = Duration::from_secs(60);
     let registrar = Registrar::new(&program, dir, Some(Arc::new(guard)), history, lease);
@@ -265,14 +314,27 @@
     judge(&stage, watchers).await;
     registrar.kill(None).await;
     let reached = stage.reached.iter().filter_map(|reached| {
-        let mut reached = reached.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let mut reached = reached
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         reached.sort_unstable();
         // Only those that were not overtaken on their way to so many.
-        reached.get((f64::from(plan.watchers) * 0.99).ceil() as usize - 1).copied()
+        reached
+            .get((f64::from(plan.watchers) * 0.99).ceil() as usize - 1)
+            .copied()
     });
-    let (acked, took) = stage.acked.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    let (acked, took) = stage
+        .acked
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone();
     let acknowledged_ms = percentiles(took.clone());
-    let broken = stage.broken.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    let broken = stage
+        .broken
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone();
     drop(acked);
     Ok(Watched {
         acknowledged: took.len() as u64,
@@ -296,9 +358,16 @@
         differ += usize::from(watcher.is_ok_and(|watcher| watcher != (rev, list.clone())));
     }
     if differ > 0 {
-        stage.broke(format!("{differ} watchers have another list than version {rev}"));
+        stage.broke(format!(
+            "{differ} watchers have another list than version {rev}"
+        ));
     }
-    let acked = stage.acked.lock().unwrap_or_else(PoisonError::into_inner).0.clone();
+    let acked = stage
+        .acked
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .0
+        .clone();
     for (uid, change) in acked {
         let has = list.get(&uid).copied();
         // A later one that had no answer may have been taken.
@@ -328,8 +397,7 @@
     }
 
     fn line(rev: u64, all: bool, state: &str) -> String {
-        let record =
-            "\"uid\":\"u1\",\"endpoint\":\"\",\"az\":\"\",\"model\":\"\",\"pod_group\":0,\"boot_ms\":1";
+        let record = "\"uid\":\"u1\",\"endpoint\":\"\",\"az\":\"\",\"model\":\"\",\"pod_group\":0,\"boot_ms\":1";
         format!(
             "{{\"rev\":{rev},\"all\":{all},\"targets\":[{{{record},\"state\":{state:?},\"capacity_hint\":7}}]}}"
         )
@@ -339,15 +407,28 @@
     #[test]
     fn a_version_that_goes_back_or_stands_still_is_seen() {
         for (lines, wrong) in [
-            (vec![line(4, true, "Ready"), line(5, false, "Ready"), line(5, true, "Ready")], 0),
+            (
+                vec![
+                    line(4, true, "Ready"),
+                    line(5, false, "Ready"),
+                    line(5, true, "Ready"),
+                ],
+                0,
+            ),
             (vec![line(4, true, "Ready"), line(3, false, "Ready")], 1),
             (vec![line(4, true, "Ready"), line(4, false, "Ready")], 1),
             (vec![line(4, true, "Ready"), line(3, true, "Ready")], 1),
             (vec!["nonsense".into()], 1),
         ] {
             let (stage, mut rev, mut weights) = (stage(), 0, Weights::new());
-            lines.iter().for_each(|line| stage.take(1, line.as_bytes(), &mut rev, &mut weights));
-            assert_eq!(stage.broken.lock().expect("whole").len(), wrong, "{lines:?}");
+            lines
+                .iter()
+                .for_each(|line| stage.take(1, line.as_bytes(), &mut rev, &mut weights));
+            assert_eq!(
+                stage.broken.lock().expect("whole").len(),
+                wrong,
+                "{lines:?}"
+            );
         }
     }
 
--- a/lab/tests/simulated.rs
+++ b/lab/tests/simulated.rs
@@ -28,14 +28,22 @@
     ] {
         for seed in [1, 2] {
             let (played, missed) = played(name, members, seed);
-            assert_eq!(missed, Vec::<String>::new(), "{name}, {members}, seed {seed}: {:?}", played.figures);
+            assert_eq!(
+                missed,
+                Vec::<String>::new(),
+                "{name}, {members}, seed {seed}: {:?}",
+                played.figures
+            );
         }
     }
 }
 
 #[test]
 fn a_seed_gives_one_history() {
-    let (one, other) = (played("membership-kill", 8, 4).0, played("membership-kill", 8, 4).0);
+    let (one, other) = (
+        played("membership-kill", 8, 4).0,
+        played("membership-kill", 8, 4).0,
+    );
     assert_eq!(one.figures, other.figures);
     assert_eq!((one.datagrams, one.bytes), (other.datagrams, other.bytes));
 }
--- a/membership/src/config.rs
+++ b/membership/src/config.rs
@@ -53,7 +53,9 @@
 impl Config {
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         if self.fleet.is_empty() || self.fleet.len() > FLEET_MOST {
-            return Err(ConfigError::Fleet(self.fleet.chars().take(FLEET_MOST).collect()));
+            return Err(ConfigError::Fleet(
+                self.fleet.chars().take(FLEET_MOST).collect(),
+            ));
         }
         if self.places == 0 || usize::from(self.places) > PEERS_MOST {
             return Err(ConfigError::Places(self.places));
@@ -64,7 +66,8 @@
         if self.members_most < usize::from(self.places) {
             return Err(ConfigError::Members(self.members_most, self.places));
         }
-        if !(Duration::from_secs(60)..=Duration::from_secs(7 * 86_400)).contains(&self.forget_after) {
+        if !(Duration::from_secs(60)..=Duration::from_secs(7 * 86_400)).contains(&self.forget_after)
+        {
             return Err(ConfigError::Forget(self.forget_after));
         }
         Ok(())
--- a/membership/src/hello.rs
+++ b/membership/src/hello.rs
@@ -22,7 +22,12 @@
 impl Hello {
     /// The first call is due at once.
     pub fn new(now: Duration) -> Self {
-        Self { due: now, every: FIRST, answers: ANSWERS, answered: now }
+        Self {
+            due: now,
+            every: FIRST,
+            answers: ANSWERS,
+            answered: now,
+        }
     }
 
     /// When the next one is due.
@@ -39,7 +44,9 @@
     /// The view has changed: there may be others to be found.
     pub fn again(&mut self, now: Duration, rng: &mut impl RngExt) {
         self.every = FIRST;
-        self.due = self.due.min(now + FIRST.mul_f64(rng.random_range(0.5..1.5)));
+        self.due = self
+            .due
+            .min(now + FIRST.mul_f64(rng.random_range(0.5..1.5)));
     }
 
     /// Whether a call that came is to be answered.
--- a/membership/src/io.rs
+++ b/membership/src/io.rs
@@ -83,7 +83,10 @@
             }
             Reverse(due)
         };
-        self.timers = std::mem::take(&mut self.timers).into_iter().map(put_off).collect();
+        self.timers = std::mem::take(&mut self.timers)
+            .into_iter()
+            .map(put_off)
+            .collect();
     }
 }
 
@@ -107,6 +110,10 @@
             _ => 1,
         };
         self.number += 1;
-        self.timers.push(Reverse(Due { at: self.now + after * stretch, number: self.number, timer }));
+        self.timers.push(Reverse(Due {
+            at: self.now + after * stretch,
+            number: self.number,
+            timer,
+        }));
     }
 }
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -9,7 +9,9 @@
 use crate::view::{Change, Standing, View, Viewed};
 use crate::watch::{Want, Watch};
 use crate::wire::{self, Dropped, Own, Said};
-use foca::{Foca, Member, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec, State, Timer};
+use foca::{
+    Foca, Member, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec, State, Timer,
+};
 use rand::rngs::StdRng;
 use rand::seq::{IteratorRandom, SliceRandom};
 use rand::{RngExt, SeedableRng};
@@ -161,7 +163,10 @@
         NonZeroUsize::new(wire::room(&config.fleet)).unwrap_or(protocol.max_packet_size);
     protocol.notify_down_members = true;
     let periodic = |frequency, members| {
-        NonZeroUsize::new(members).map(|num_members| PeriodicParams { frequency, num_members })
+        NonZeroUsize::new(members).map(|num_members| PeriodicParams {
+            frequency,
+            num_members,
+        })
     };
     protocol.periodic_gossip = periodic(GOSSIP.0, GOSSIP.1);
     protocol.periodic_announce = periodic(ASK_EVERY, 1);
@@ -172,8 +177,20 @@
     /// A process that joins from now on.
     pub fn new(config: Config, now: Duration) -> Result<Self, ConfigError> {
         config.check()?;
-        let Config { name, place, boot, seed, .. } = config;
-        let me = Identity { name, place, boot, turn: 0, leaving: false };
+        let Config {
+            name,
+            place,
+            boot,
+            seed,
+            ..
+        } = config;
+        let me = Identity {
+            name,
+            place,
+            boot,
+            turn: 0,
+            leaving: false,
+        };
         let mut rng = StdRng::seed_from_u64(seed);
         let own_rng = StdRng::seed_from_u64(rng.random());
         let set_for = usize::from(config.places);
@@ -196,7 +213,12 @@
             config,
         };
         membership.watch = Watch::new(now, membership.rng.random());
-        membership.put(Viewed { id: me, standing: Standing::Present, since: now, from: None });
+        membership.put(Viewed {
+            id: me,
+            standing: Standing::Present,
+            since: now,
+            from: None,
+        });
         for _ in 1..FIRST_CALLS {
             membership.call();
         }
@@ -208,8 +230,12 @@
     pub fn remember(&mut self, now: Duration, lives: impl Iterator<Item = Identity>) {
         self.io.now = now;
         let name = self.me().name;
-        let lives: Vec<_> = lives.filter(|id| id.name != name && self.possible(id).is_ok()).collect();
-        let applied = self.foca.apply_many(lives.into_iter().map(Member::alive), false, &mut self.io);
+        let lives: Vec<_> = lives
+            .filter(|id| id.name != name && self.possible(id).is_ok())
+            .collect();
+        let applied =
+            self.foca
+                .apply_many(lives.into_iter().map(Member::alive), false, &mut self.io);
         self.counters.odd += u64::from(applied.is_err());
         self.settle(None);
     }
@@ -249,8 +275,17 @@
         if self.phase != Phase::Member {
             return None;
         }
-        let doubts = self.doubts.iter().map(|doubt| doubt.due.min(doubt.tell)).min();
-        let own = [Some(self.watch.due()), Some(self.hello.due()), doubts, self.io.due()];
+        let doubts = self
+            .doubts
+            .iter()
+            .map(|doubt| doubt.due.min(doubt.tell))
+            .min();
+        let own = [
+            Some(self.watch.due()),
+            Some(self.hello.due()),
+            doubts,
+            self.io.due(),
+        ];
         own.into_iter().flatten().min()
     }
 
@@ -284,13 +319,28 @@
         match wire::read(&self.config.fleet, datagram)? {
             Said::Own(Own::Check { nonce }) => {
                 let (from, digest) = (self.me(), self.view.digest());
-                self.say(place, &Own::Checked { nonce, from, digest });
+                self.say(
+                    place,
+                    &Own::Checked {
+                        nonce,
+                        from,
+                        digest,
+                    },
+                );
             }
-            Said::Own(Own::Checked { nonce, from, digest }) => {
+            Said::Own(Own::Checked {
+                nonce,
+                from,
+                digest,
+            }) => {
                 self.admit(place, &from)?;
                 if self.watch.answered(nonce, from.name) {
                     self.health.better();
-                    self.differ = if digest == self.view.digest() { 0 } else { self.differ + 1 };
+                    self.differ = if digest == self.view.digest() {
+                        0
+                    } else {
+                        self.differ + 1
+                    };
                     if self.differ >= DIFFER {
                         self.compare(place, Part::default());
                     }
@@ -334,7 +384,9 @@
             }
             Said::Own(Own::Tell { from, back, about }) => {
                 self.admit(place, &from)?;
-                about.iter().try_for_each(|member| self.possible(member.id()))?;
+                about
+                    .iter()
+                    .try_for_each(|member| self.possible(member.id()))?;
                 if back.is_some_and(|part| !part.is_sound()) {
                     return Err(Dropped::Beyond);
                 }
@@ -342,7 +394,9 @@
                     let doubted = self.take_news(&about);
                     if self.phase == Phase::Member {
                         // No news: those travel by themselves. This makes up for those that went past here.
-                        let applied = self.foca.apply_many(about.iter().cloned(), false, &mut self.io);
+                        let applied =
+                            self.foca
+                                .apply_many(about.iter().cloned(), false, &mut self.io);
                         self.counters.odd += u64::from(applied.is_err());
                         if doubted {
                             // Whoever says so hears at once that it is wrong; the others will.
@@ -367,7 +421,11 @@
                     self.settle(None);
                 }
             }
-            Said::Swim { payload, from, about } => {
+            Said::Swim {
+                payload,
+                from,
+                about,
+            } => {
                 self.admit(place, &from)?;
                 for member in &about {
                     self.possible(member.id())?;
@@ -424,20 +482,37 @@
     /// Tells what is known of a part, as far as it fits; what does not, at another time by chance.
     fn tell(&mut self, to: Place, part: Part, back: Option<Part>) {
         let me = self.me();
-        let known = self.foca.iter_membership_state().filter(|member| member.id().name != me.name);
-        let mut known: Vec<Member<Identity>> =
-            known.filter(|member| part.holds(sync::position(&member.id().name))).cloned().collect();
+        let known = self
+            .foca
+            .iter_membership_state()
+            .filter(|member| member.id().name != me.name);
+        let mut known: Vec<Member<Identity>> = known
+            .filter(|member| part.holds(sync::position(&member.id().name)))
+            .cloned()
+            .collect();
         if part.holds(sync::position(&me.name)) {
             known.push(Member::alive(me));
         }
         known.shuffle(&mut self.rng);
-        let (mut about, mut left) = (Vec::new(), wire::room(&self.config.fleet).saturating_sub(TELLING));
+        let (mut about, mut left) = (
+            Vec::new(),
+            wire::room(&self.config.fleet).saturating_sub(TELLING),
+        );
         for member in known {
-            let Some(rest) = left.checked_sub(wire::size(&member)) else { break };
+            let Some(rest) = left.checked_sub(wire::size(&member)) else {
+                break;
+            };
             left = rest;
             about.push(member);
         }
-        self.say(to, &Own::Tell { from: me, back, about });
+        self.say(
+            to,
+            &Own::Tell {
+                from: me,
+                back,
+                about,
+            },
+        );
     }
 
     /// Whether a sender can be who it says.
@@ -453,7 +528,11 @@
         let known = self.view.get(&id.name).is_some();
         let room = self.view.len() < self.config.members_most;
         // By the clock of this process's start: it needs no later one, as a day is allowed for.
-        let in_time = id.boot <= self.config.boot.saturating_add(AHEAD_MOST + self.io.now.as_millis() as u64);
+        let in_time = id.boot
+            <= self
+                .config
+                .boot
+                .saturating_add(AHEAD_MOST + self.io.now.as_millis() as u64);
         if id.place.0 < self.config.places && (known || room) && in_time {
             Ok(())
         } else {
@@ -473,7 +552,11 @@
         }
         if self.io.now < self.started + JOINING && self.outbids < OUTBIDS {
             self.outbids += 1;
-            let next = Identity { boot: other.boot + 1, turn: 0, ..me };
+            let next = Identity {
+                boot: other.boot + 1,
+                turn: 0,
+                ..me
+            };
             let changed = self.foca.change_identity(next, &mut self.io);
             self.counters.odd += u64::from(changed.is_err());
             self.outputs.push_back(Output::Outbid(other));
@@ -502,7 +585,11 @@
             if let Timer::RemoveDown(id) = &timer {
                 self.view.forget(id);
             }
-            if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer
+            if let Timer::ChangeSuspectToDown {
+                member_id,
+                incarnation,
+                ..
+            } = &timer
                 && !self.is_suspect(member_id, *incarnation)
             {
                 // The protocol would change nothing, but tell a member that has said in time that it is there that
@@ -513,7 +600,9 @@
             self.counters.odd += u64::from(handled.is_err());
             self.settle(None);
             if probed {
-                for (id, incarnation) in self.look_for_suspects(None, |m| m.state() == State::Suspect) {
+                for (id, incarnation) in
+                    self.look_for_suspects(None, |m| m.state() == State::Suspect)
+                {
                     self.remember_doubt(id, incarnation, now);
                 }
             }
@@ -533,7 +622,12 @@
         match self.watch.timeout(now, &self.health) {
             Want::Choose => {
                 let me = self.me().name;
-                if let Some(next) = self.view.after(&me).map(|viewed| viewed.id).filter(|id| id.name != me) {
+                if let Some(next) = self
+                    .view
+                    .after(&me)
+                    .map(|viewed| viewed.id)
+                    .filter(|id| id.name != me)
+                {
                     let nonce = self.watch.begin(next, now, &self.health);
                     self.say(next.place, &Own::Check { nonce });
                 }
@@ -542,11 +636,21 @@
                 self.say(target.place, &Own::Check { nonce });
                 // Only the way from here may be cut: another one asks as well.
                 let me = self.me().name;
-                let others = self.view.members().filter(|viewed| viewed.standing == Standing::Present);
-                let others =
-                    others.map(|viewed| viewed.id).filter(|id| id.name != me && id.name != target.name);
+                let others = self
+                    .view
+                    .members()
+                    .filter(|viewed| viewed.standing == Standing::Present);
+                let others = others
+                    .map(|viewed| viewed.id)
+                    .filter(|id| id.name != me && id.name != target.name);
                 if let Some(other) = others.choose(&mut self.rng) {
-                    self.say(other.place, &Own::PassCheck { nonce, to: target.place });
+                    self.say(
+                        other.place,
+                        &Own::PassCheck {
+                            nonce,
+                            to: target.place,
+                        },
+                    );
                 }
             }
             Want::Doubt(target) => self.doubt(target, now),
@@ -556,9 +660,13 @@
     /// One did not answer: it is suspected, and judged later if it does not say that it is there.
     fn doubt(&mut self, id: Identity, now: Duration) {
         let known = self.foca.iter_members().find(|member| *member.id() == id);
-        let Some(incarnation) = known.map(Member::incarnation) else { return };
+        let Some(incarnation) = known.map(Member::incarnation) else {
+            return;
+        };
         let suspect = Member::new(id, incarnation, State::Suspect);
-        let applied = self.foca.apply_many([suspect].into_iter(), true, &mut self.io);
+        let applied = self
+            .foca
+            .apply_many([suspect].into_iter(), true, &mut self.io);
         self.counters.odd += u64::from(applied.is_err());
         self.settle(None);
         self.look_for_suspects(None, |member| *member.id() == id);
@@ -566,10 +674,18 @@
     }
 
     fn remember_doubt(&mut self, id: Identity, incarnation: u16, now: Duration) {
-        let doubted = self.doubts.iter().any(|d| d.id == id && d.incarnation == incarnation);
+        let doubted = self
+            .doubts
+            .iter()
+            .any(|d| d.id == id && d.incarnation == incarnation);
         if !doubted && self.doubts.len() < self.config.members_most {
             let due = now + suspicion(self.foca.num_members());
-            self.doubts.push(Doubt { id, incarnation, tell: now, due });
+            self.doubts.push(Doubt {
+                id,
+                incarnation,
+                tell: now,
+                due,
+            });
         }
     }
 
@@ -588,10 +704,18 @@
             .collect();
         for (id, incarnation) in due {
             let about = vec![Member::new(id, incarnation, State::Suspect)];
-            let said = Own::Tell { from: self.me(), back: None, about };
+            let said = Own::Tell {
+                from: self.me(),
+                back: None,
+                about,
+            };
             self.say(id.place, &said);
         }
-        for doubt in self.doubts.extract_if(.., |doubt| doubt.due <= now).collect::<Vec<_>>() {
+        for doubt in self
+            .doubts
+            .extract_if(.., |doubt| doubt.due <= now)
+            .collect::<Vec<_>>()
+        {
             if self.is_suspect(&doubt.id, doubt.incarnation) {
                 let down = Member::new(doubt.id, doubt.incarnation, State::Down);
                 let applied = self.foca.apply_many([down].into_iter(), true, &mut self.io);
@@ -604,7 +728,9 @@
     /// Whether one is still suspected as it was, and has not said since that it is there.
     fn is_suspect(&self, id: &Identity, incarnation: u16) -> bool {
         self.foca.iter_members().any(|member| {
-            member.id() == id && member.incarnation() == incarnation && member.state() == State::Suspect
+            member.id() == id
+                && member.incarnation() == incarnation
+                && member.state() == State::Suspect
         })
     }
 
@@ -614,12 +740,19 @@
             return;
         }
         let mut taken = vec![false; usize::from(self.config.places)];
-        for viewed in self.view.members().filter(|viewed| viewed.standing.is_there()) {
+        for viewed in self
+            .view
+            .members()
+            .filter(|viewed| viewed.standing.is_there())
+        {
             if let Some(taken) = taken.get_mut(usize::from(viewed.id.place.0)) {
                 *taken = true;
             }
         }
-        let free = (0u16..).zip(&taken).filter(|(_, taken)| !**taken).map(|(place, _)| Place(place));
+        let free = (0u16..)
+            .zip(&taken)
+            .filter(|(_, taken)| !**taken)
+            .map(|(place, _)| Place(place));
         if let Some(place) = free.choose(&mut self.rng) {
             let from = self.me();
             self.say(place, &Own::Hello { from });
@@ -632,7 +765,10 @@
             return;
         }
         self.io.now = now;
-        let leaving = Identity { leaving: true, ..self.me() };
+        let leaving = Identity {
+            leaving: true,
+            ..self.me()
+        };
         let mut done = self.foca.change_identity(leaving, &mut self.io);
         for _ in 1..FAREWELLS {
             done = done.and_then(|()| self.foca.gossip(&mut self.io));
@@ -666,19 +802,35 @@
                 OwnedNotification::Rename(_, now) if now.leaving => (now, Standing::Left),
                 // No other note follows where the earlier life counted as there with the protocol: one that leaves
                 // does so until its end has come round.
-                OwnedNotification::Rename(_, now) if self.foca.iter_members().any(|m| *m.id() == now) => {
+                OwnedNotification::Rename(_, now)
+                    if self.foca.iter_members().any(|m| *m.id() == now) =>
+                {
                     (now, Standing::Present)
                 }
                 OwnedNotification::Rename(_, now) => (now, Standing::Gone),
                 _ => continue,
             };
             if id.name != me.name {
-                self.put(Viewed { id, standing, since, from });
+                self.put(Viewed {
+                    id,
+                    standing,
+                    since,
+                    from,
+                });
             }
         }
         if self.view.get(&me.name).is_none_or(|viewed| viewed.id != me) {
-            let standing = if me.leaving { Standing::Left } else { Standing::Present };
-            self.put(Viewed { id: me, standing, since, from });
+            let standing = if me.leaving {
+                Standing::Left
+            } else {
+                Standing::Present
+            };
+            self.put(Viewed {
+                id: me,
+                standing,
+                since,
+                from,
+            });
         }
         for (to, payload) in std::mem::take(&mut self.io.sends) {
             if to.name != me.name {
@@ -690,10 +842,17 @@
 
     /// The same among those of whom a datagram tells, and its sender, where it can have changed that.
     fn look_for_suspects_among(&mut self, about: &[Member<Identity>], from: Name) {
-        let suspect =
-            |name: &Name| self.view.get(name).is_some_and(|viewed| viewed.standing == Standing::Suspect);
-        let of = about.iter().filter(|m| m.state() == State::Suspect || suspect(&m.id().name));
-        let of = of.map(|member| member.id().name).chain(Some(from).filter(suspect));
+        let suspect = |name: &Name| {
+            self.view
+                .get(name)
+                .is_some_and(|viewed| viewed.standing == Standing::Suspect)
+        };
+        let of = about
+            .iter()
+            .filter(|m| m.state() == State::Suspect || suspect(&m.id().name));
+        let of = of
+            .map(|member| member.id().name)
+            .chain(Some(from).filter(suspect));
         let of: Vec<Name> = of.collect();
         if !of.is_empty() {
             self.look_for_suspects(Some(from), |member| of.contains(&member.id().name));
@@ -714,8 +873,14 @@
                 _ => Standing::Present,
             };
             let known = self.view.get(&member.id().name);
-            if known.is_some_and(|viewed| viewed.standing.is_there() && viewed.standing != standing) {
-                changed.push(Viewed { id: *member.id(), standing, since: self.io.now, from });
+            if known.is_some_and(|viewed| viewed.standing.is_there() && viewed.standing != standing)
+            {
+                changed.push(Viewed {
+                    id: *member.id(),
+                    standing,
+                    since: self.io.now,
+                    from,
+                });
                 if standing == Standing::Suspect {
                     suspects.push((*member.id(), member.incarnation()));
                 }
--- a/membership/src/sync.rs
+++ b/membership/src/sync.rs
@@ -59,7 +59,10 @@
     }
 
     fn inner(self, way: usize) -> Self {
-        Self { depth: self.depth + 1, prefix: (self.prefix << BITS) | way as u32 }
+        Self {
+            depth: self.depth + 1,
+            prefix: (self.prefix << BITS) | way as u32,
+        }
     }
 
     /// The hashes of its parts, over the positions and hashes of who is there.
@@ -80,7 +83,9 @@
         rng: &mut impl RngExt,
     ) -> Vec<Follow> {
         let mut counts = [0; WAYS];
-        known.filter(|at| self.holds(*at)).for_each(|at| counts[self.way(at)] += 1);
+        known
+            .filter(|at| self.holds(*at))
+            .for_each(|at| counts[self.way(at)] += 1);
         let mut differ: Vec<usize> = (0..WAYS).filter(|way| own[*way] != theirs[*way]).collect();
         differ.shuffle(rng);
         differ.truncate(FOLLOWED);
@@ -110,7 +115,13 @@
 
     fn life(n: u64, boot: u64) -> Identity {
         let name = Name::new(&format!("m{n}")).expect("a name");
-        Identity { name, place: Place(0), boot, turn: 0, leaving: false }
+        Identity {
+            name,
+            place: Place(0),
+            boot,
+            turn: 0,
+            leaving: false,
+        }
     }
 
     #[test]
--- a/membership/src/tests.rs
+++ b/membership/src/tests.rs
@@ -15,7 +15,13 @@
 }
 
 fn life(n: u16, boot: u64) -> Identity {
-    Identity { name: name(n), place: Place(n), boot: BOOT + boot, turn: 0, leaving: false }
+    Identity {
+        name: name(n),
+        place: Place(n),
+        boot: BOOT + boot,
+        turn: 0,
+        leaving: false,
+    }
 }
 
 fn member(n: u16, boot: u64) -> Membership {
@@ -35,10 +41,21 @@
 /// What `from` gossips to `to`.
 fn gossip(from: Identity, to: Identity, about: &[Member<Identity>]) -> Vec<u8> {
     let mut payload = Vec::new();
-    let header = Header { src: from, src_incarnation: 0, dst: to, message: Message::Gossip };
-    PostcardCodec.encode_header(&header, &mut payload).expect("it fits");
+    let header = Header {
+        src: from,
+        src_incarnation: 0,
+        dst: to,
+        message: Message::Gossip,
+    };
+    PostcardCodec
+        .encode_header(&header, &mut payload)
+        .expect("it fits");
     payload.extend((about.len() as u16).to_be_bytes());
-    about.iter().for_each(|m| PostcardCodec.encode_member(m, &mut payload).expect("it fits"));
+    about.iter().for_each(|m| {
+        PostcardCodec
+            .encode_member(m, &mut payload)
+            .expect("it fits")
+    });
     wire::swim(FLEET, &payload)
 }
 
@@ -63,7 +80,10 @@
 #[test]
 fn news_in_any_order_end_in_the_same_view() {
     let (one, two) = (life(3, 1), life(3, 2));
-    let left = |id| Identity { leaving: true, ..id };
+    let left = |id| Identity {
+        leaving: true,
+        ..id
+    };
     let news = |id, incarnation, state| Member::new(id, incarnation, state);
     let cases = [
         (
@@ -114,7 +134,8 @@
             let known = news[0].clone();
             for told in std::iter::once(&known).chain(&order).chain(&order[..2]) {
                 let datagram = gossip(life(1, 0), me.me(), std::slice::from_ref(told));
-                me.datagram(Duration::from_secs(1), Place(1), &datagram).expect("it can be read");
+                me.datagram(Duration::from_secs(1), Place(1), &datagram)
+                    .expect("it can be read");
             }
             let seen = me.view().get(&name(3)).expect("known");
             assert_eq!((seen.id, seen.standing), (id, standing), "after {order:?}");
@@ -127,7 +148,8 @@
     let mut me = member(0, 0);
     for n in 1..6 {
         let datagram = gossip(life(n, 0), me.me(), &[Member::alive(life(n + 1, 0))]);
-        me.datagram(Duration::from_secs(1), Place(n), &datagram).expect("it can be read");
+        me.datagram(Duration::from_secs(1), Place(n), &datagram)
+            .expect("it can be read");
     }
     let mut versions = Vec::new();
     while let Some(output) = me.output() {
@@ -164,14 +186,25 @@
         (&beyond, 1, Dropped::Beyond),
         (&to_come, 1, Dropped::Beyond),
     ] {
-        assert_eq!(me.datagram(Duration::ZERO, Place(place), datagram), Err(why));
+        assert_eq!(
+            me.datagram(Duration::ZERO, Place(place), datagram),
+            Err(why)
+        );
     }
     me.unknown_sender();
     let c = me.counters();
-    let dropped = (c.other_fleet, c.other_version, c.broken, c.impostor, c.beyond, c.unknown_sender);
+    let dropped = (
+        c.other_fleet,
+        c.other_version,
+        c.broken,
+        c.impostor,
+        c.beyond,
+        c.unknown_sender,
+    );
     assert_eq!(dropped, (1, 1, 3, 1, 2, 1));
     assert_eq!(me.view().len(), 1, "nobody has become known");
-    me.datagram(Duration::ZERO, Place(1), &good).expect("it can be read");
+    me.datagram(Duration::ZERO, Place(1), &good)
+        .expect("it can be read");
     assert_eq!(me.view().len(), 2);
 }
 
@@ -183,13 +216,21 @@
 #[test]
 fn of_two_that_claim_a_name_the_later_one_has_it() {
     let mut earlier = member(0, 0);
-    let later = Identity { place: Place(5), boot: BOOT + 60_000, ..earlier.me() };
+    let later = Identity {
+        place: Place(5),
+        boot: BOOT + 60_000,
+        ..earlier.me()
+    };
     let datagram = gossip(life(1, 0), earlier.me(), &[Member::alive(later)]);
-    earlier.datagram(Duration::from_secs(60), Place(1), &datagram).expect("it can be read");
+    earlier
+        .datagram(Duration::from_secs(60), Place(1), &datagram)
+        .expect("it can be read");
     assert!(outputs(&mut earlier).contains(&Output::Yielded(later)));
     assert_eq!((earlier.phase(), earlier.due()), (Phase::Yielded, None));
     let hello = wire::own(FLEET, &Own::Hello { from: life(1, 0) });
-    earlier.datagram(Duration::from_secs(61), Place(1), &hello).expect("it can be read");
+    earlier
+        .datagram(Duration::from_secs(61), Place(1), &hello)
+        .expect("it can be read");
     assert_eq!(outputs(&mut earlier), []);
 }
 
@@ -197,15 +238,26 @@
 #[test]
 fn a_restart_with_its_clock_set_back_takes_its_name_all_the_same() {
     let mut back = member(0, 0);
-    let before = Identity { boot: BOOT + 60_000, ..back.me() };
+    let before = Identity {
+        boot: BOOT + 60_000,
+        ..back.me()
+    };
     let datagram = gossip(life(1, 0), back.me(), &[Member::alive(before)]);
-    back.datagram(Duration::from_millis(100), Place(1), &datagram).expect("it can be read");
+    back.datagram(Duration::from_millis(100), Place(1), &datagram)
+        .expect("it can be read");
     assert!(outputs(&mut back).contains(&Output::Outbid(before)));
-    assert_eq!((back.phase(), back.me().boot), (Phase::Member, before.boot + 1));
-    let claims = (2..9).map(|n| Identity { boot: BOOT + n * 60_000, ..back.me() });
+    assert_eq!(
+        (back.phase(), back.me().boot),
+        (Phase::Member, before.boot + 1)
+    );
+    let claims = (2..9).map(|n| Identity {
+        boot: BOOT + n * 60_000,
+        ..back.me()
+    });
     for claim in claims.collect::<Vec<_>>() {
         let datagram = gossip(life(1, 0), back.me(), &[Member::alive(claim)]);
-        back.datagram(Duration::from_millis(200), Place(1), &datagram).expect("it can be read");
+        back.datagram(Duration::from_millis(200), Place(1), &datagram)
+            .expect("it can be read");
     }
     assert_eq!(back.phase(), Phase::Yielded, "the bidding ends");
 }
@@ -217,15 +269,42 @@
     let mut rng = StdRng::seed_from_u64(11);
     let mut me = member(0, 0);
     let about: Vec<Member<Identity>> = (2..7)
-        .map(|n| Member::new(life(n, 3), n, [State::Alive, State::Suspect, State::Down][n as usize % 3]))
+        .map(|n| {
+            Member::new(
+                life(n, 3),
+                n,
+                [State::Alive, State::Suspect, State::Down][n as usize % 3],
+            )
+        })
         .collect();
     let seeds = [
         gossip(life(1, 0), me.me(), &about),
         gossip(life(1, 0), me.me(), &about[..1]),
         wire::own(FLEET, &Own::Hello { from: life(1, 0) }),
-        wire::own(FLEET, &Own::Checked { nonce: 3, from: life(1, 0), digest: 9 }),
-        wire::own(FLEET, &Own::Tell { from: life(1, 0), back: None, about: about.clone() }),
-        wire::own(FLEET, &Own::Compare { from: life(1, 0), part: Default::default(), hashes: [7; 16] }),
+        wire::own(
+            FLEET,
+            &Own::Checked {
+                nonce: 3,
+                from: life(1, 0),
+                digest: 9,
+            },
+        ),
+        wire::own(
+            FLEET,
+            &Own::Tell {
+                from: life(1, 0),
+                back: None,
+                about: about.clone(),
+            },
+        ),
+        wire::own(
+            FLEET,
+            &Own::Compare {
+                from: life(1, 0),
+                part: Default::default(),
+                hashes: [7; 16],
+            },
+        ),
     ];
     let mut now = Duration::from_secs(1);
     for round in 0..1_000_000 {
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -89,7 +89,10 @@
 
     /// The positions and hashes of who is there.
     pub(crate) fn hashes(&self) -> impl Iterator<Item = (u32, u64)> {
-        let there = self.members.values().filter(|entry| entry.viewed.standing.is_there());
+        let there = self
+            .members
+            .values()
+            .filter(|entry| entry.viewed.standing.is_there());
         there.map(|entry| (entry.position, entry.hash))
     }
 
@@ -125,9 +128,16 @@
 
     /// The next one that is present after a name, in a ring of all names.
     pub fn after(&self, name: &Name) -> Option<&Viewed> {
-        let later = self.members.range((Bound::Excluded(*name), Bound::Unbounded));
-        let earlier = self.members.range((Bound::Unbounded, Bound::Excluded(*name)));
-        later.chain(earlier).map(|(_, entry)| &entry.viewed).find(|v| v.standing == Standing::Present)
+        let later = self
+            .members
+            .range((Bound::Excluded(*name), Bound::Unbounded));
+        let earlier = self
+            .members
+            .range((Bound::Unbounded, Bound::Excluded(*name)));
+        later
+            .chain(earlier)
+            .map(|(_, entry)| &entry.viewed)
+            .find(|v| v.standing == Standing::Present)
     }
 
     /// Takes in how one stands; whether that was news.
@@ -136,15 +146,29 @@
         if before.is_some_and(|before| before.id == now.id && before.standing == now.standing) {
             return None;
         }
-        for viewed in [Some(&now), before].into_iter().flatten().filter(|viewed| viewed.standing.is_there()) {
+        for viewed in [Some(&now), before]
+            .into_iter()
+            .flatten()
+            .filter(|viewed| viewed.standing.is_there())
+        {
             self.digest ^= sync::hash(&viewed.id);
         }
         self.there += usize::from(now.standing.is_there());
         self.there -= usize::from(before.is_some_and(|before| before.standing.is_there()));
         let (position, hash) = (sync::position(&now.id.name), sync::hash(&now.id));
-        self.members.insert(now.id.name, Entry { viewed: now, position, hash });
+        self.members.insert(
+            now.id.name,
+            Entry {
+                viewed: now,
+                position,
+                hash,
+            },
+        );
         self.version += 1;
-        let change = Change { version: self.version, now };
+        let change = Change {
+            version: self.version,
+            now,
+        };
         if self.changes.len() >= CHANGES_KEPT {
             self.changes.pop_front();
         }
@@ -154,7 +178,10 @@
 
     /// Forgets one that is not there any more.
     pub(crate) fn forget(&mut self, id: &Identity) {
-        if self.get(&id.name).is_some_and(|v| v.id == *id && !v.standing.is_there()) {
+        if self
+            .get(&id.name)
+            .is_some_and(|v| v.id == *id && !v.standing.is_there())
+        {
             self.members.remove(&id.name);
         }
     }
--- a/membership/src/watch.rs
+++ b/membership/src/watch.rs
@@ -41,7 +41,11 @@
 impl Watch {
     /// One that begins a period from now; nonces begin somewhere.
     pub fn new(now: Duration, nonce: u32) -> Self {
-        Self { next: now + PERIOD, under: None, nonce }
+        Self {
+            next: now + PERIOD,
+            under: None,
+            nonce,
+        }
     }
 
     /// When it wants something next.
@@ -60,7 +64,11 @@
             Some(under) => {
                 let (target, nonce) = (under.target, under.nonce);
                 let until = now + health.stretched(ANSWER);
-                self.under = Some(Under { asked: under.asked + 1, until, ..under });
+                self.under = Some(Under {
+                    asked: under.asked + 1,
+                    until,
+                    ..under
+                });
                 Want::Ask(target, nonce)
             }
         }
@@ -70,13 +78,20 @@
     pub fn begin(&mut self, target: Identity, now: Duration, health: &Health) -> u32 {
         self.nonce = self.nonce.wrapping_add(1);
         let until = now + health.stretched(ANSWER);
-        self.under = Some(Under { target, nonce: self.nonce, asked: 1, until });
+        self.under = Some(Under {
+            target,
+            nonce: self.nonce,
+            asked: 1,
+            until,
+        });
         self.nonce
     }
 
     /// An answer; whether it was the one waited for.
     pub fn answered(&mut self, nonce: u32, from: Name) -> bool {
-        let meant = self.under.take_if(|under| under.nonce == nonce && under.target.name == from);
+        let meant = self
+            .under
+            .take_if(|under| under.nonce == nonce && under.target.name == from);
         meant.is_some()
     }
 
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -90,7 +90,11 @@
 #[derive(Debug)]
 pub enum Said<'a> {
     /// The protocol's, with what it tells about whom.
-    Swim { payload: &'a [u8], from: Identity, about: Vec<Member<Identity>> },
+    Swim {
+        payload: &'a [u8],
+        from: Identity,
+        about: Vec<Member<Identity>>,
+    },
     /// One of this crate's.
     Own(Own),
 }
@@ -168,7 +172,9 @@
     if version != VERSION {
         return Err(Dropped::Version);
     }
-    let (name, rest) = rest.split_at_checked(length.into()).ok_or(Dropped::Broken)?;
+    let (name, rest) = rest
+        .split_at_checked(length.into())
+        .ok_or(Dropped::Broken)?;
     if name != fleet.as_bytes() {
         return Err(Dropped::Fleet);
     }
@@ -198,5 +204,9 @@
             about.push(PostcardCodec.decode_member(&mut members).ok()?);
         }
     }
-    Some(Said::Swim { payload, from, about })
+    Some(Said::Swim {
+        payload,
+        from,
+        about,
+    })
 }
--- a/node/src/client_stream.rs
+++ b/node/src/client_stream.rs
@@ -73,9 +73,20 @@
         head_since: Cell::new(None),
         write_blocked_since: Cell::new(None),
     });
-    let stream = ClientStream { shared: Rc::clone(&shared), writer };
+    let stream = ClientStream {
+        shared: Rc::clone(&shared),
+        writer,
+    };
     let state = ClientState(Rc::clone(&shared));
-    (stream, ClientWatch { shared, reader, discarded: 0 }, state)
+    (
+        stream,
+        ClientWatch {
+            shared,
+            reader,
+            discarded: 0,
+        },
+        state,
+    )
 }
 
 impl ClientState {
@@ -166,7 +177,9 @@
             return;
         }
         shared.ahead.borrow_mut().extend_from_slice(bytes);
-        shared.head_since.set(shared.head_since.get().or_else(|| Some(Instant::now())));
+        shared
+            .head_since
+            .set(shared.head_since.get().or_else(|| Some(Instant::now())));
         shared.wake_server();
     }
 
@@ -184,7 +197,11 @@
 }
 
 impl AsyncRead for ClientStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let shared = &self.shared;
         let mut ahead = shared.ahead.borrow_mut();
         if ahead.is_empty() {
@@ -218,7 +235,11 @@
 }
 
 impl AsyncWrite for ClientStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.writer).poll_write(cx, buf);
         self.note_write(again_if_interrupted(poll, cx))
     }
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -16,8 +16,13 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        let start_unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), start_unix }
+        let start_unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Self {
+            start: Instant::now(),
+            start_unix,
+        }
     }
 
     /// The time now.
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -126,20 +126,25 @@
         let path = std::env::var_os("NODE_CONFIG")
             .ok_or_else(|| ConfigError("NODE_CONFIG names no configuration file".into()))?;
         let shown = path.to_string_lossy();
-        let text = std::fs::read_to_string(&path).map_err(|e| ConfigError(format!("{shown}: {e}")))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| ConfigError(format!("{shown}: {e}")))?;
         Self::parse(&text).map_err(|e| ConfigError(format!("{shown}: {e}")))
     }
 
     /// Reads a configuration's text.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: Raw<'_> = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
-        let seed = u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
+        let seed =
+            u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
         let mut site = lapisroute_settings::parse(raw.settings.get()).map_err(ConfigError)?;
         // Where lists are pushed, an agent of this balancer's own has them: on sockets they come over its watch.
         site.settings.own_agent = !site.settings.ask_for_fleet;
         site.settings.ask_for_fleet = true;
         if raw.limits.sockets < 2 * RESERVED_SOCKETS {
-            return Err(ConfigError(format!("limits.sockets: {} are too few", raw.limits.sockets)));
+            return Err(ConfigError(format!(
+                "limits.sockets: {} are too few",
+                raw.limits.sockets
+            )));
         }
         Ok(Self {
             listen: raw.listen,
@@ -165,17 +170,26 @@
 
 impl Raw<'_> {
     fn members(&self) -> Result<Option<Members>, ConfigError> {
-        let Some(raw) = &self.membership else { return Ok(None) };
+        let Some(raw) = &self.membership else {
+            return Ok(None);
+        };
         let wrong = |text: String| ConfigError(format!("membership: {text}"));
-        let position: Position =
-            serde_json::from_str(self.settings.get()).map_err(|e| wrong(format!("settings.me: {e}")))?;
-        let listen = self.peer_listen.ok_or_else(|| wrong("peer_listen is missing".into()))?;
+        let position: Position = serde_json::from_str(self.settings.get())
+            .map_err(|e| wrong(format!("settings.me: {e}")))?;
+        let listen = self
+            .peer_listen
+            .ok_or_else(|| wrong("peer_listen is missing".into()))?;
         if usize::from(position.me) >= self.peers.len() {
             let count = self.peers.len();
-            return Err(wrong(format!("settings.me is {}, and peers names {count} addresses", position.me)));
+            return Err(wrong(format!(
+                "settings.me is {}, and peers names {count} addresses",
+                position.me
+            )));
         }
         if let Some(page) = raw.page.filter(|page| !page.ip().is_loopback()) {
-            return Err(wrong(format!("page {page}: it is shown on a loopback address only")));
+            return Err(wrong(format!(
+                "page {page}: it is shown on a loopback address only"
+            )));
         }
         Ok(Some(Members {
             fleet: raw.fleet.clone(),
--- a/node/src/connection.rs
+++ b/node/src/connection.rs
@@ -71,7 +71,11 @@
 }
 
 impl<S: Unpin> AsyncWrite for Counted<S> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.count(again_if_interrupted(poll, cx))
     }
@@ -121,12 +125,25 @@
         let stream = TcpStream::connect(peer).await?;
         stream.set_nodelay(true)?;
         let written = Rc::new(Cell::new(0));
-        let io = TokioIo::new(Counted { stream, written: Rc::clone(&written), first_byte, _slot: slot });
-        let (sender, connection) =
-            http1::Builder::new().max_buf_size(BUFFER).handshake(io).await.map_err(io::Error::other)?;
+        let io = TokioIo::new(Counted {
+            stream,
+            written: Rc::clone(&written),
+            first_byte,
+            _slot: slot,
+        });
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(BUFFER)
+            .handshake(io)
+            .await
+            .map_err(io::Error::other)?;
         // How it ends shows at the sender.
         let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
-        Ok(Self { sender, task, written, peer })
+        Ok(Self {
+            sender,
+            task,
+            written,
+            peer,
+        })
     }
 
     /// Whom it leads to.
@@ -150,7 +167,10 @@
     }
 
     /// Sends a request and waits for the head of its answer.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
+    pub async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> hyper::Result<Response<Incoming>> {
         self.sender.send_request(request).await
     }
 }
@@ -164,10 +184,14 @@
 /// The bytes that hyper makes of a request which states its own length: line, headers, body.
 pub fn wire_length(request: &Request<Full<Bytes>>) -> u64 {
     use hyper::body::Body;
-    let path = request.uri().path_and_query().map_or(1, |p| p.as_str().len());
+    let path = request
+        .uri()
+        .path_and_query()
+        .map_or(1, |p| p.as_str().len());
     let line = request.method().as_str().len() + path + " ".len() + " HTTP/1.1\r\n".len();
     let headers = request.headers().iter();
-    let headers: usize =
-        headers.map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len()).sum();
+    let headers: usize = headers
+        .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len())
+        .sum();
     (line + headers + "\r\n".len()) as u64 + request.body().size_hint().exact().unwrap_or(0)
 }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -91,7 +91,9 @@
 
 /// Whether a call failed by this machine's fault, which says nothing of discovery.
 fn is_machines_own(failure: &Failure) -> bool {
-    failure.downcast_ref::<io::Error>().is_some_and(|e| ErrorOrigin::of(e) != ErrorOrigin::Peer)
+    failure
+        .downcast_ref::<io::Error>()
+        .is_some_and(|e| ErrorOrigin::of(e) != ErrorOrigin::Peer)
 }
 
 /// How far the lines of a watch have come.
@@ -105,7 +107,11 @@
 impl Progress {
     /// The answer has begun, and its first line is still to come.
     fn answered(at: Instant) -> Self {
-        Self { last_line: at, last_byte: at, line_began: None }
+        Self {
+            last_line: at,
+            last_byte: at,
+            line_began: None,
+        }
     }
 
     fn line_ended(&mut self) {
@@ -151,22 +157,36 @@
     fn take(&self, text: &[u8]) -> Result<ReadList, Failure> {
         let list = self.reader.read(text)?;
         if let Some(why) = &list.unreadable {
-            self.warnings.warn(|| format!("unreadable list entry: {why}"));
+            self.warnings
+                .warn(|| format!("unreadable list entry: {why}"));
         }
         if !list.all && list.rev < self.rev.get() {
-            return Err(format!("changes of version {}, older than {}", list.rev, self.rev.get()).into());
+            return Err(format!(
+                "changes of version {}, older than {}",
+                list.rev,
+                self.rev.get()
+            )
+            .into());
         }
         if !list.all && list.nameless > 0 {
             return Err("a change of an upstream that is not named".into());
         }
         self.rev.set(list.rev);
-        tracing::info!(rev = list.rev, whole = list.all, entries = list.entries.len(), "list taken in");
+        tracing::info!(
+            rev = list.rev,
+            whole = list.all,
+            entries = list.entries.len(),
+            "list taken in"
+        );
         Ok(list)
     }
 
     /// The list from the configuration, as [`FleetScope::Cached`].
     pub fn known(&self, text: &str) -> ListUpdate {
-        let mut update = ListUpdate { scope: FleetScope::Cached, entries: Vec::new() };
+        let mut update = ListUpdate {
+            scope: FleetScope::Cached,
+            entries: Vec::new(),
+        };
         if !text.is_empty() {
             match self.take(text.as_bytes()) {
                 Ok(list) => update.entries = list.entries,
@@ -236,7 +256,8 @@
         }
         let (_connection, body) = answer?;
         tracing::info!(watch = number, "list call answered");
-        self.follow_lines(number, body, Progress::answered(Instant::now()), tell).await
+        self.follow_lines(number, body, Progress::answered(Instant::now()), tell)
+            .await
     }
 
     /// Reads the lines of a watch until it ends.
@@ -262,10 +283,17 @@
                     return Err(elapsed.into());
                 }
             };
-            let Ok(data) = frame.into_data() else { continue };
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
             progress.last_byte = Instant::now();
             lines.push(&data);
-            tracing::debug!(watch = number, bytes = data.len(), rev = self.rev.get(), "discovery sent");
+            tracing::debug!(
+                watch = number,
+                bytes = data.len(),
+                rev = self.rev.get(),
+                "discovery sent"
+            );
             while self.watches.get() == number {
                 let line = self.next_line(&mut lines).inspect_err(|_| {
                     tell(WatchEvent::Partial(progress.last_byte));
@@ -288,24 +316,40 @@
     /// The next line of a watch, with what it tells of the list. One that can't be read may have told of a drain, so
     /// the whole list is asked for then.
     fn next_line(&self, lines: &mut WatchLines) -> Result<Option<Option<ListUpdate>>, Failure> {
-        let read = lines.next_line().map_err(Failure::from).and_then(|line| match line {
-            None => Ok(None),
-            Some(WatchLine::Heartbeat) => Ok(Some(None)),
-            Some(WatchLine::List(text)) => self.take(&text).map(|list| {
-                let scope = if list.all { FleetScope::Full } else { FleetScope::Changes };
-                Some(Some(ListUpdate { scope, entries: list.entries }))
-            }),
-        });
+        let read = lines
+            .next_line()
+            .map_err(Failure::from)
+            .and_then(|line| match line {
+                None => Ok(None),
+                Some(WatchLine::Heartbeat) => Ok(Some(None)),
+                Some(WatchLine::List(text)) => self.take(&text).map(|list| {
+                    let scope = if list.all {
+                        FleetScope::Full
+                    } else {
+                        FleetScope::Changes
+                    };
+                    Some(Some(ListUpdate {
+                        scope,
+                        entries: list.entries,
+                    }))
+                }),
+            });
         read.inspect_err(|_| self.rev.set(0))
     }
 
     /// Calls for a watch on what is newer than a version; `first_byte` learns when its answer begins.
-    async fn ask(&self, rev: u64, first_byte: &FirstByte) -> Result<(Connection, Incoming), Failure> {
+    async fn ask(
+        &self,
+        rev: u64,
+        first_byte: &FirstByte,
+    ) -> Result<(Connection, Incoming), Failure> {
         let address = self.address.get();
         let opened = Connection::open_timed(address, (), first_byte.clone());
         let mut connection = timeout(CONNECT_TIMEOUT, opened).await??;
         let request = Request::get(format!("/registry/instances?stream=1&index={rev}"));
-        let request = request.header(HOST, address.to_string()).body(Full::<Bytes>::default())?;
+        let request = request
+            .header(HOST, address.to_string())
+            .body(Full::<Bytes>::default())?;
         let response = connection.send(request).await?;
         if response.status() != StatusCode::OK {
             return Err(Refused(response.status()).into());
--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -14,8 +14,8 @@
 use crate::tally::Tally;
 use crate::upstream::{Ended, Upstreams};
 use lapisroute::{
-    Action, AttemptNo, Balancer, Event, FleetScope, ListEvent, Listed, Loss, Outcome, RequestId, TimerId,
-    UpstreamId,
+    Action, AttemptNo, Balancer, Event, FleetScope, ListEvent, Listed, Loss, Outcome, RequestId,
+    TimerId, UpstreamId,
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::{Cell, RefCell};
@@ -71,7 +71,13 @@
         discovery: Discovery,
         known: ListUpdate,
     ) -> Rc<Self> {
-        let core = Core { balancer, requests: FxHashMap::default(), actions: Vec::new(), next_id: 0, tally };
+        let core = Core {
+            balancer,
+            requests: FxHashMap::default(),
+            actions: Vec::new(),
+            next_id: 0,
+            tally,
+        };
         let driver = Rc::new(Self {
             clock: Clock::start(),
             core: RefCell::new(core),
@@ -100,7 +106,12 @@
             let id = RequestId(core.next_id);
             core.next_id = core.next_id.wrapping_add(1);
             let (came, reply) = (Instant::now(), Some(reply));
-            let held = Held { asked: Rc::new(asked), came, reply, attempts: Vec::new() };
+            let held = Held {
+                asked: Rc::new(asked),
+                came,
+                reply,
+                attempts: Vec::new(),
+            };
             core.requests.insert(id, held);
             id
         };
@@ -126,7 +137,10 @@
         let driver = Rc::clone(self);
         let number = self.discovery.begin_watch();
         let watch = spawn_local(async move {
-            driver.discovery.watch(number, |event| driver.happened(Queued::Watch(event))).await;
+            driver
+                .discovery
+                .watch(number, |event| driver.happened(Queued::Watch(event)))
+                .await;
         });
         self.discovery.watched_by(watch.abort_handle());
     }
@@ -169,11 +183,14 @@
         match event {
             Queued::Watch(event) => self.watch_event(core, now, event, &mut actions),
             Queued::Moved => {
-                core.balancer.handle(now, Event::List(ListEvent::Moved), &mut actions);
+                core.balancer
+                    .handle(now, Event::List(ListEvent::Moved), &mut actions);
                 self.hold_sends(core);
             }
             Queued::Asked(id) => {
-                let Some(held) = core.requests.get(&id) else { return };
+                let Some(held) = core.requests.get(&id) else {
+                    return;
+                };
                 let asked = &held.asked;
                 core.tally.asked(asked.class);
                 let event = Event::Request {
@@ -199,16 +216,26 @@
                 core.balancer.handle(now, event, &mut actions);
             }
             Queued::AttemptEnded(id, no, ended) => {
-                let Some(held) = core.requests.get_mut(&id) else { return };
+                let Some(held) = core.requests.get_mut(&id) else {
+                    return;
+                };
                 // One event for each: a cancelled attempt may have ended by itself just before.
-                let Some(attempt) = held.attempts.get_mut(usize::from(no.0)).filter(|a| a.out) else {
+                let Some(attempt) = held.attempts.get_mut(usize::from(no.0)).filter(|a| a.out)
+                else {
                     return;
                 };
                 attempt.out = false;
                 core.tally.attempt(held.asked.class, ended.outcome);
                 let (upstream, latency) = (attempt.upstream, attempt.sent.elapsed());
                 let (outcome, report) = (ended.outcome, &ended.report);
-                tracing::debug!(id = id.0, no = no.0, upstream = upstream.0, ?latency, ?outcome, ?report);
+                tracing::debug!(
+                    id = id.0,
+                    no = no.0,
+                    upstream = upstream.0,
+                    ?latency,
+                    ?outcome,
+                    ?report
+                );
                 // A second copy's answer comes to a request that is over: it is dropped.
                 if let Some(served) = ended.served
                     && let Some(reply) = held.reply.take()
@@ -231,20 +258,29 @@
                 self.forget_if_over(core, id);
             }
             Queued::ProbeEnded(upstream, latency, ended) => {
-                let event =
-                    Event::ProbeEnded { upstream, outcome: ended.outcome, latency, report: &ended.report };
+                let event = Event::ProbeEnded {
+                    upstream,
+                    outcome: ended.outcome,
+                    latency,
+                    report: &ended.report,
+                };
                 core.balancer.handle(now, event, &mut actions);
             }
             Queued::Gone(id) => {
-                let Some(held) = core.requests.get_mut(&id) else { return };
+                let Some(held) = core.requests.get_mut(&id) else {
+                    return;
+                };
                 if held.reply.take().is_some() {
                     tracing::debug!(id = id.0, "client has left");
                     core.tally.gone(held.asked.class);
-                    core.balancer.handle(now, Event::RequestGone { id }, &mut actions);
+                    core.balancer
+                        .handle(now, Event::RequestGone { id }, &mut actions);
                 }
                 self.forget_if_over(core, id);
             }
-            Queued::Timer(timer) => core.balancer.handle(now, Event::Timer { timer }, &mut actions),
+            Queued::Timer(timer) => core
+                .balancer
+                .handle(now, Event::Timer { timer }, &mut actions),
         }
         for action in actions.drain(..) {
             self.carry_out(core, action);
@@ -253,20 +289,35 @@
     }
 
     /// Tells the module what has come of a watch, and the connections for how long its list is sent by.
-    fn watch_event(&self, core: &mut Core, now: Duration, event: WatchEvent, actions: &mut Vec<Action>) {
+    fn watch_event(
+        &self,
+        core: &mut Core,
+        now: Duration,
+        event: WatchEvent,
+        actions: &mut Vec<Action>,
+    ) {
         let listed;
         let event = match event {
             WatchEvent::Update(update) => {
                 listed = self.fleet(&update);
-                Event::Fleet { scope: update.scope, listed: &listed }
+                Event::Fleet {
+                    scope: update.scope,
+                    listed: &listed,
+                }
             }
-            WatchEvent::Silent(since) => Event::List(ListEvent::Silent { since: self.clock.at(since) }),
+            WatchEvent::Silent(since) => Event::List(ListEvent::Silent {
+                since: self.clock.at(since),
+            }),
             WatchEvent::Ended => Event::List(ListEvent::Ended),
-            WatchEvent::Partial(since) => Event::List(ListEvent::Partial { since: self.clock.at(since) }),
-            WatchEvent::Refused(called) => Event::List(ListEvent::Refused { called: self.clock.at(called) }),
-            WatchEvent::Unreachable(called) => {
-                Event::List(ListEvent::Unreachable { called: self.clock.at(called) })
-            }
+            WatchEvent::Partial(since) => Event::List(ListEvent::Partial {
+                since: self.clock.at(since),
+            }),
+            WatchEvent::Refused(called) => Event::List(ListEvent::Refused {
+                called: self.clock.at(called),
+            }),
+            WatchEvent::Unreachable(called) => Event::List(ListEvent::Unreachable {
+                called: self.clock.at(called),
+            }),
         };
         core.balancer.handle(now, event, actions);
         self.hold_sends(core);
@@ -274,7 +325,8 @@
 
     fn hold_sends(&self, core: &Core) {
         let held = core.balancer.sends_held();
-        self.upstreams.hold_sends(held.map(|h| self.clock.instant(h.from)..self.clock.instant(h.until)));
+        self.upstreams
+            .hold_sends(held.map(|h| self.clock.instant(h.from)..self.clock.instant(h.until)));
     }
 
     /// Applies update to the connections and words them for the module.
@@ -295,7 +347,12 @@
                 cell: entry.cell,
                 availability: entry.place.availability,
                 weight: entry.weight,
-                started: starts.seen(entry, now, self.clock.at_unix_ms(entry.place.boot_ms), first),
+                started: starts.seen(
+                    entry,
+                    now,
+                    self.clock.at_unix_ms(entry.place.boot_ms),
+                    first,
+                ),
             }
         });
         listed.collect()
@@ -303,16 +360,27 @@
 
     fn carry_out(self: &Rc<Self>, core: &mut Core, action: Action) {
         match action {
-            Action::Attempt { id, upstream, timeout } => self.attempt(core, id, upstream, timeout),
+            Action::Attempt {
+                id,
+                upstream,
+                timeout,
+            } => self.attempt(core, id, upstream, timeout),
             Action::Cancel { id, attempt } => {
-                let out = core.requests.get(&id).and_then(|held| held.attempts.get(usize::from(attempt.0)));
+                let out = core
+                    .requests
+                    .get(&id)
+                    .and_then(|held| held.attempts.get(usize::from(attempt.0)));
                 if let Some(out) = out.filter(|a| a.out) {
                     out.task.abort();
                     let cancelled = Queued::AttemptEnded(id, attempt, Outcome::Cancelled.into());
                     self.queue.borrow_mut().push_back(cancelled);
                 }
             }
-            Action::Refuse { id, retry_after, why } => {
+            Action::Refuse {
+                id,
+                retry_after,
+                why,
+            } => {
                 tracing::debug!(id = id.0, ?retry_after, ?why, "refused");
                 self.answer(core, id, Answer::Refused(retry_after), why);
             }
@@ -347,7 +415,9 @@
         upstream: UpstreamId,
         timeout: Option<Duration>,
     ) {
-        let Some(held) = core.requests.get_mut(&id) else { return };
+        let Some(held) = core.requests.get_mut(&id) else {
+            return;
+        };
         let (sent, no) = (Instant::now(), AttemptNo(held.attempts.len() as u8));
         let give_up = timeout.map_or(held.asked.deadline, |t| held.asked.deadline.min(sent + t));
         let (driver, asked) = (Rc::clone(self), Rc::clone(&held.asked));
@@ -365,7 +435,13 @@
             };
             driver.happened(Queued::AttemptEnded(id, no, ended));
         });
-        held.attempts.push(Attempt { upstream, sent, task: task.abort_handle(), begun, out: true });
+        held.attempts.push(Attempt {
+            upstream,
+            sent,
+            task: task.abort_handle(),
+            begun,
+            out: true,
+        });
     }
 
     /// Gives a request its final answer, which is not an upstream's.
@@ -382,8 +458,15 @@
     /// Lets go of a request that has its answer and no attempt out. Attempts that have not begun are dropped, also
     /// where the site allows none to be cancelled: nobody waits for them, and nothing of them has left.
     fn forget_if_over(&self, core: &mut Core, id: RequestId) {
-        let Some(held) = core.requests.get(&id).filter(|held| held.reply.is_none()) else { return };
-        for (no, attempt) in held.attempts.iter().enumerate().filter(|(_, a)| a.out && !a.begun.get()) {
+        let Some(held) = core.requests.get(&id).filter(|held| held.reply.is_none()) else {
+            return;
+        };
+        for (no, attempt) in held
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, a)| a.out && !a.begun.get())
+        {
             attempt.task.abort();
             let dropped = Queued::AttemptEnded(id, AttemptNo(no as u8), Outcome::NotSent.into());
             self.queue.borrow_mut().push_back(dropped);
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -54,9 +54,16 @@
     request: Request<Full<Bytes>>,
 ) -> Result<Response<Bytes>, ExchangeError> {
     let response = connection.send(request).await.map_err(|e| {
-        if e.is_parse() { ExchangeError::Unreadable(e.into()) } else { ExchangeError::Ended(e) }
+        if e.is_parse() {
+            ExchangeError::Unreadable(e.into())
+        } else {
+            ExchangeError::Ended(e)
+        }
     })?;
     let (parts, body) = response.into_parts();
-    let body = Limited::new(body, BODY_MOST).collect().await.map_err(ExchangeError::Unreadable)?;
+    let body = Limited::new(body, BODY_MOST)
+        .collect()
+        .await
+        .map_err(ExchangeError::Unreadable)?;
     Ok(Response::from_parts(parts, body.to_bytes()))
 }
--- a/node/src/headers.rs
+++ b/node/src/headers.rs
@@ -1,8 +1,8 @@
 //! Names and forms of headers, and which of them stay behind when a message is passed on.
 
 use hyper::header::{
-    CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
-    TRANSFER_ENCODING, UPGRADE,
+    CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE,
+    TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use lapisroute::LoadField;
 
--- a/node/src/list.rs
+++ b/node/src/list.rs
@@ -40,12 +40,18 @@
 impl ListUpdate {
     /// That nothing has changed.
     pub fn unchanged() -> Self {
-        Self { scope: FleetScope::Changes, entries: Vec::new() }
+        Self {
+            scope: FleetScope::Changes,
+            entries: Vec::new(),
+        }
     }
 
     /// That a call failed or a watch ended.
     pub fn failed() -> Self {
-        Self { scope: FleetScope::Failed, entries: Vec::new() }
+        Self {
+            scope: FleetScope::Failed,
+            entries: Vec::new(),
+        }
     }
 }
 
@@ -143,12 +149,18 @@
     /// Reads a list's text.
     pub fn read(&self, text: &[u8]) -> Result<ReadList, ListError> {
         let list: RawList<'_> = serde_json::from_slice(text).map_err(ListError::Json)?;
-        let mut read =
-            ReadList { rev: list.rev, all: list.all, entries: Vec::new(), nameless: 0, unreadable: None };
+        let mut read = ReadList {
+            rev: list.rev,
+            all: list.all,
+            entries: Vec::new(),
+            nameless: 0,
+            unreadable: None,
+        };
         for raw in list.targets {
             let Ok(RawName { uid }) = serde_json::from_str(raw.get()) else {
                 read.nameless += 1;
-                read.unreadable.get_or_insert_with(|| "an entry without a uid".to_owned());
+                read.unreadable
+                    .get_or_insert_with(|| "an entry without a uid".to_owned());
                 continue;
             };
             let entry = self.entry(&uid, raw.get()).unwrap_or_else(|why| {
@@ -157,7 +169,13 @@
             });
             if !list.all {
                 let (id, state) = (entry.id.0, entry.place.availability);
-                tracing::info!(rev = list.rev, uid, upstream = id, ?state, "list entry changed");
+                tracing::info!(
+                    rev = list.rev,
+                    uid,
+                    upstream = id,
+                    ?state,
+                    "list entry changed"
+                );
             }
             read.entries.push(entry);
         }
@@ -172,7 +190,9 @@
             "Gone" => Availability::Gone,
             other => return Err(format!("unknown state {other:?}")),
         };
-        let endpoint = raw.endpoint.and_then(|e| serde_json::from_str(e.get()).ok());
+        let endpoint = raw
+            .endpoint
+            .and_then(|e| serde_json::from_str(e.get()).ok());
         if endpoint.is_none() && availability == Availability::Ready {
             return Err("no address".to_owned());
         }
@@ -183,7 +203,11 @@
             kind: KindId(position(&self.names.kinds, &raw.model).map_or(u16::MAX, |k| k as u16)),
             cell: CellId(raw.pod_group),
             weight: raw.capacity_hint,
-            place: Place { endpoint, availability, boot_ms: raw.boot_ms.max(0.0) as u64 },
+            place: Place {
+                endpoint,
+                availability,
+                boot_ms: raw.boot_ms.max(0.0) as u64,
+            },
         })
     }
 }
@@ -196,7 +220,11 @@
         kind: KindId(u16::MAX),
         cell: CellId(0),
         weight: 1.0,
-        place: Place { endpoint: None, availability: Availability::Draining, boot_ms: 0 },
+        place: Place {
+            endpoint: None,
+            availability: Availability::Draining,
+            boot_ms: 0,
+        },
     }
 }
 
@@ -249,7 +277,11 @@
             self.filled |= !byte.is_ascii_whitespace();
             self.scan(byte);
         }
-        if self.pending.len() > LIST_MOST { Err(ListError::Endless) } else { Ok(None) }
+        if self.pending.len() > LIST_MOST {
+            Err(ListError::Endless)
+        } else {
+            Ok(None)
+        }
     }
 
     fn scan(&mut self, byte: u8) {
@@ -274,8 +306,15 @@
         if self.depth == 0 && !self.in_string {
             let line = self.pending.split_to(self.scanned).freeze();
             let held_text = filled || self.lines > 1;
-            *self = Self { pending: std::mem::take(&mut self.pending), ..Self::default() };
-            return Ok(Some(if held_text { WatchLine::List(line) } else { WatchLine::Heartbeat }));
+            *self = Self {
+                pending: std::mem::take(&mut self.pending),
+                ..Self::default()
+            };
+            return Ok(Some(if held_text {
+                WatchLine::List(line)
+            } else {
+                WatchLine::Heartbeat
+            }));
         }
         // No list has an empty line in it, nor does one go on that is wrong already.
         let wrong = || serde_json::from_slice::<&RawValue>(&self.pending[..self.scanned]);
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -8,7 +8,9 @@
 use tracing::level_filters::LevelFilter;
 
 fn main() -> ExitCode {
-    let level = std::env::var("NODE_LOG").ok().and_then(|level| level.parse().ok());
+    let level = std::env::var("NODE_LOG")
+        .ok()
+        .and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
@@ -25,7 +27,8 @@
 
 fn run() -> Result<(), Box<dyn Error>> {
     let config = Config::from_env()?;
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build_local(LocalOptions::default())?;
     runtime.block_on(process::serve(config))
 }
--- a/node/src/members.rs
+++ b/node/src/members.rs
@@ -75,7 +75,10 @@
 impl Members {
     /// Joins, and takes part until the process ends.
     pub async fn start(config: &config::Members, seed: u64) -> Result<Rc<Self>, Box<dyn Error>> {
-        let boot = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        let boot = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis() as u64;
         let machine = Membership::new(
             Config {
                 fleet: config.fleet.clone(),
@@ -93,19 +96,30 @@
             let what = what.to_owned();
             move |e: io::Error| format!("membership: {what} {address}: {e}")
         };
-        let socket = UdpSocket::bind(config.listen).await.map_err(named("peer_listen", config.listen))?;
+        let socket = UdpSocket::bind(config.listen)
+            .await
+            .map_err(named("peer_listen", config.listen))?;
         let page = match config.page {
-            Some(address) => Some(TcpListener::bind(address).await.map_err(named("page", address))?),
+            Some(address) => Some(
+                TcpListener::bind(address)
+                    .await
+                    .map_err(named("page", address))?,
+            ),
             None => None,
         };
-        let shown =
-            page.as_ref().map_or(Ok("none".into()), |page| page.local_addr().map(|a| a.to_string()))?;
+        let shown = page.as_ref().map_or(Ok("none".into()), |page| {
+            page.local_addr().map(|a| a.to_string())
+        })?;
         tracing::info!(peers = %socket.local_addr()?, page = %shown, "joining");
-        let others = (0u16..).zip(&config.peers).filter(|(place, _)| *place != config.place.0);
+        let others = (0u16..)
+            .zip(&config.peers)
+            .filter(|(place, _)| *place != config.place.0);
         let members = Rc::new(Self {
             machine: RefCell::new(machine),
             socket,
-            places: others.map(|(place, address)| (*address, Place(place))).collect(),
+            places: others
+                .map(|(place, address)| (*address, Place(place)))
+                .collect(),
             peers: config.peers.clone(),
             fleet: config.fleet.clone(),
             start: Instant::now(),
@@ -189,7 +203,9 @@
                     }
                 }
                 Some(Output::Changed(change)) => {
-                    let Viewed { id, standing, from, .. } = change.now;
+                    let Viewed {
+                        id, standing, from, ..
+                    } = change.now;
                     let from = from.map_or_else(|| "itself".to_owned(), |name| name.to_string());
                     tracing::info!(
                         version = change.version,
@@ -220,8 +236,12 @@
     async fn show(self: Rc<Self>, page: TcpListener) {
         let readers = Arc::new(Semaphore::new(READERS));
         loop {
-            let Ok(reader) = Arc::clone(&readers).acquire_owned().await else { return };
-            let Ok((stream, _)) = page.accept().await else { continue };
+            let Ok(reader) = Arc::clone(&readers).acquire_owned().await else {
+                return;
+            };
+            let Ok((stream, _)) = page.accept().await else {
+                continue;
+            };
             let members = Rc::clone(&self);
             spawn_local(async move {
                 let service = service_fn(|request| {
@@ -231,7 +251,11 @@
                 let mut builder = hyper::server::conn::http1::Builder::new();
                 builder.timer(TokioTimer::new()).keep_alive(false);
                 // A reader that goes away or says nothing is its own loss.
-                let _ = timeout(READER_TAKES, builder.serve_connection(TokioIo::new(stream), service)).await;
+                let _ = timeout(
+                    READER_TAKES,
+                    builder.serve_connection(TokioIo::new(stream), service),
+                )
+                .await;
                 drop(reader);
             });
         }
@@ -244,7 +268,9 @@
             return none;
         }
         let mut response = Response::new(Full::new(self.page().into()));
-        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        response
+            .headers_mut()
+            .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         response
     }
 
--- a/node/src/pending.rs
+++ b/node/src/pending.rs
@@ -14,13 +14,23 @@
 }
 
 impl Pending {
-    pub(crate) fn new(driver: Rc<Driver>, id: RequestId, answer: oneshot::Receiver<Answer>) -> Self {
-        Self { driver, id, answer: Some(answer) }
+    pub(crate) fn new(
+        driver: Rc<Driver>,
+        id: RequestId,
+        answer: oneshot::Receiver<Answer>,
+    ) -> Self {
+        Self {
+            driver,
+            id,
+            answer: Some(answer),
+        }
     }
 
     /// The final answer.
     pub async fn answer(mut self) -> Answer {
-        let Some(answer) = &mut self.answer else { return Answer::Failed };
+        let Some(answer) = &mut self.answer else {
+            return Answer::Failed;
+        };
         let answer = answer.await;
         self.answer = None;
         answer.unwrap_or(Answer::Failed)
--- a/node/src/pool.rs
+++ b/node/src/pool.rs
@@ -27,7 +27,9 @@
     /// The most recently used of those that have rested, unless it has been idle for `idle_most` or longer.
     pub fn take_rested(&self, idle_most: Duration) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let rested = idle.iter().rposition(|(_, since)| since.elapsed() >= REST)?;
+        let rested = idle
+            .iter()
+            .rposition(|(_, since)| since.elapsed() >= REST)?;
         let (connection, since) = idle.remove(rested);
         (since.elapsed() < idle_most).then_some(connection)
     }
@@ -68,7 +70,11 @@
 impl OpenLimit {
     /// At most `most` at a time.
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Self { most, open: Cell::new(0), freed: Notify::new() })
+        Rc::new(Self {
+            most,
+            open: Cell::new(0),
+            freed: Notify::new(),
+        })
     }
 
     /// Connections open now.
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -34,8 +34,9 @@
     let balancer = Balancer::new(config.site.settings.clone(), config.seed)?;
     let mut term = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let listener =
-        TcpListener::bind(config.listen).await.map_err(|e| format!("listen on {}: {e}", config.listen))?;
+    let listener = TcpListener::bind(config.listen)
+        .await
+        .map_err(|e| format!("listen on {}: {e}", config.listen))?;
     let upstreams = Upstreams::new(&config.site.settings, config.upstream_connections());
     let discovery = Discovery::new(config.discovery, config.site.names.clone());
     let known = discovery.known(&config.known);
@@ -43,9 +44,17 @@
         Some(members) => Some(Members::start(members, config.seed).await?),
         None => None,
     };
-    let (ask_every, drain_grace) = (config.site.settings.ask_every, config.site.settings.drain_grace);
+    let (ask_every, drain_grace) = (
+        config.site.settings.ask_every,
+        config.site.settings.drain_grace,
+    );
     let pushed = config.site.settings.own_agent;
-    tracing::info!(?ask_every, ?drain_grace, pushed, "what the settings say of the list");
+    tracing::info!(
+        ?ask_every,
+        ?drain_grace,
+        pushed,
+        "what the settings say of the list"
+    );
     tracing::info!(listen = %listener.local_addr()?, upstreams = known.entries.len(), "serving");
     let tally = Tally::new(&config.site);
     let driver = Driver::start(balancer, tally, upstreams, discovery, known);
@@ -79,7 +88,12 @@
     phase.send_replace(Phase::Draining);
     sleep(ACCEPT_AFTER_TERM).await;
     phase.send_replace(Phase::Closing);
-    let deadlines = config.site.settings.classes.iter().map(|class| class.deadline);
+    let deadlines = config
+        .site
+        .settings
+        .classes
+        .iter()
+        .map(|class| class.deadline);
     let longest = deadlines.max().unwrap_or_default().min(KILL_DEADLINE_MOST);
     let rest = (longest + KILL_AFTER_DEADLINE).saturating_sub(ACCEPT_AFTER_TERM + LAST_ANSWERS);
     if timeout(rest, &mut *accepting).await.is_err() {
@@ -93,7 +107,8 @@
     while hangup.recv().await.is_some() {
         let mut reload = pin!(reload(driver));
         // A further signal begins anew: the file may have been replaced since it was read.
-        while tokio::select! { () = &mut reload => false, again = hangup.recv() => again.is_some() } {
+        while tokio::select! { () = &mut reload => false, again = hangup.recv() => again.is_some() }
+        {
             reload.set(self::reload(driver));
         }
     }
@@ -115,5 +130,7 @@
         }
         sleep(RELOAD_RETRY).await;
     }
-    tracing::error!("the configuration stays as it was: its file could not be read for {RELOAD_TRIES} times");
+    tracing::error!(
+        "the configuration stays as it was: its file could not be read for {RELOAD_TRIES} times"
+    );
 }
--- a/node/src/request.rs
+++ b/node/src/request.rs
@@ -1,7 +1,9 @@
 //! What clients ask: reads a request for the module, and words its final answer.
 
 use crate::exchange::Outgoing;
-use crate::headers::{self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT};
+use crate::headers::{
+    self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT,
+};
 use crate::in_flight::{Answer, Asked};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -44,7 +46,10 @@
         let classes = classes.map(|(k, (name, effect))| (name, (ClassId(k as u16), effect)));
         let tenants = site.names.tenants.iter().cloned().enumerate();
         let tenants = tenants.map(|(k, name)| (name, TenantId(k as u32)));
-        Self { classes: classes.collect(), tenants: tenants.collect() }
+        Self {
+            classes: classes.collect(),
+            tenants: tenants.collect(),
+        }
     }
 
     /// Reads a request, its body included.
@@ -59,23 +64,54 @@
         let repeat = headers.get(REPEAT).is_some_and(|v| v.as_bytes() == b"1");
         let body = read_body(body, came + left.min(READ_TIMEOUT)).await?;
         headers::strip_hop_by_hop(&mut headers);
-        let target = parts.uri.path_and_query().map(|p| Uri::from(p.clone())).unwrap_or_default();
-        let outgoing = Outgoing { method: parts.method, target, headers, body };
+        let target = parts
+            .uri
+            .path_and_query()
+            .map(|p| Uri::from(p.clone()))
+            .unwrap_or_default();
+        let outgoing = Outgoing {
+            method: parts.method,
+            target,
+            headers,
+            body,
+        };
         let deadline = came + left.saturating_sub(ON_THE_WAY);
-        Ok(Asked { class, tenant, deadline, work_ms, repeat, outgoing })
+        Ok(Asked {
+            class,
+            tenant,
+            deadline,
+            work_ms,
+            repeat,
+            outgoing,
+        })
     }
 
     /// The class that a path names, where the rest of the head fits it.
     fn class(&self, uri: &Uri, method: &Method, headers: &HeaderMap) -> Result<ClassId, Rejected> {
-        let name = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
+        let name = uri
+            .path()
+            .trim_start_matches('/')
+            .split('/')
+            .next()
+            .unwrap_or_default();
         let Some((class, effect)) = self.classes.get(name).copied() else {
             return Err(Rejected(StatusCode::NOT_FOUND, "unknown class"));
         };
-        let expected = if effect == Effect::Idempotent { Method::GET } else { Method::POST };
+        let expected = if effect == Effect::Idempotent {
+            Method::GET
+        } else {
+            Method::POST
+        };
         if *method != expected {
-            return Err(Rejected(StatusCode::METHOD_NOT_ALLOWED, "the class has another method"));
+            return Err(Rejected(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "the class has another method",
+            ));
         }
-        if headers.get(CORRELATION_ID).is_none_or(HeaderValue::is_empty) {
+        if headers
+            .get(CORRELATION_ID)
+            .is_none_or(HeaderValue::is_empty)
+        {
             return Err(Rejected(StatusCode::BAD_REQUEST, "no X-Correlation-Id"));
         }
         if matches!(effect, Effect::Deduplicated { .. }) && !headers.contains_key(IDEMPOTENCY_KEY) {
@@ -95,16 +131,28 @@
 
 fn time_left(headers: &HeaderMap) -> Result<Duration, Rejected> {
     let left = text(headers, &TIME_LEFT).and_then(|t| t.trim().parse::<u64>().ok());
-    let left = left.ok_or(Rejected(StatusCode::BAD_REQUEST, "no readable X-Time-Left-Ms"))?;
+    let left = left.ok_or(Rejected(
+        StatusCode::BAD_REQUEST,
+        "no readable X-Time-Left-Ms",
+    ))?;
     Ok(Duration::from_millis(left.min(TIME_LEFT_MOST)))
 }
 
 /// Expected work in milliseconds, where the client says so.
 fn work_hint(headers: &HeaderMap) -> Result<Option<f64>, Rejected> {
-    let Some(hint) = headers.get(WEIGHT_HINT) else { return Ok(None) };
-    match hint.to_str().ok().and_then(|h| h.trim().parse::<f64>().ok()) {
+    let Some(hint) = headers.get(WEIGHT_HINT) else {
+        return Ok(None);
+    };
+    match hint
+        .to_str()
+        .ok()
+        .and_then(|h| h.trim().parse::<f64>().ok())
+    {
         Some(us) if us.is_finite() && us >= 0.0 => Ok(Some(us / 1e3)),
-        _ => Err(Rejected(StatusCode::BAD_REQUEST, "unreadable X-Weight-Hint")),
+        _ => Err(Rejected(
+            StatusCode::BAD_REQUEST,
+            "unreadable X-Weight-Hint",
+        )),
     }
 }
 
@@ -116,7 +164,10 @@
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(TOO_LONG),
         Ok(Err(_)) => Err(Rejected(StatusCode::BAD_REQUEST, "the body broke off")),
-        Err(_) => Err(Rejected(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
+        Err(_) => Err(Rejected(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body did not come in time",
+        )),
     }
 }
 
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -143,7 +143,8 @@
             if permits.available_permits() == 0 {
                 self.close_longest_idle();
             }
-            if let Ok(Ok(permit)) = timeout(PERMIT_RETRY, Arc::clone(permits).acquire_owned()).await {
+            if let Ok(Ok(permit)) = timeout(PERMIT_RETRY, Arc::clone(permits).acquire_owned()).await
+            {
                 return permit;
             }
         }
@@ -261,7 +262,9 @@
             "/health/ready" if draining() => plain(StatusCode::SERVICE_UNAVAILABLE, "draining"),
             "/health/ready" | "/health/live" => plain(StatusCode::OK, "ok"),
             _ => match self.requests.read(request).await {
-                Ok(_) if client.state.has_left() => plain(StatusCode::BAD_REQUEST, "the client has left"),
+                Ok(_) if client.state.has_left() => {
+                    plain(StatusCode::BAD_REQUEST, "the client has left")
+                }
                 Ok(asked) => {
                     client.state.set_answering(true);
                     response_of(self.driver.ask(asked).answer().await)
@@ -270,7 +273,9 @@
             },
         };
         if draining() || client.state.is_flooded() {
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
@@ -289,7 +294,10 @@
 
     /// Whether an answer has left so lately that a reset of the connection could overtake it.
     fn has_just_been_answered(&self) -> bool {
-        let since = self.idle_since.get().filter(|_| self.known.get() || self.state.head_since().is_some());
+        let since = self
+            .idle_since
+            .get()
+            .filter(|_| self.known.get() || self.state.head_since().is_some());
         since.is_some_and(|since| since.elapsed() < LINGER_AFTER)
     }
 
--- a/node/src/starts.rs
+++ b/node/src/starts.rs
@@ -42,7 +42,11 @@
             return None;
         }
         let boot_ms = entry.place.boot_ms;
-        if let Some(start) = self.0.get(&entry.id).filter(|start| start.boot_ms == boot_ms) {
+        if let Some(start) = self
+            .0
+            .get(&entry.id)
+            .filter(|start| start.boot_ms == boot_ms)
+        {
             return start.at;
         }
         let at = match dated {
--- a/node/src/tally.rs
+++ b/node/src/tally.rs
@@ -44,7 +44,9 @@
 
     /// Begins anew.
     pub fn clear(&mut self) {
-        self.0.iter_mut().for_each(|class| class.counts = Counts::default());
+        self.0
+            .iter_mut()
+            .for_each(|class| class.counts = Counts::default());
     }
 
     /// A request has come.
@@ -54,8 +56,14 @@
 
     /// A request has an upstream's answer, so long after it came.
     pub fn served(&mut self, class: ClassId, after: Duration) {
-        let Some(class) = self.0.get_mut(usize::from(class.0)) else { return };
-        *if after <= class.aim { &mut class.counts.in_time } else { &mut class.counts.after_aim } += 1;
+        let Some(class) = self.0.get_mut(usize::from(class.0)) else {
+            return;
+        };
+        *if after <= class.aim {
+            &mut class.counts.in_time
+        } else {
+            &mut class.counts.after_aim
+        } += 1;
     }
 
     /// A client has gone away from a request.
@@ -86,12 +94,21 @@
 impl fmt::Display for Tally {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut apart = "";
-        for Class { name, counts, .. } in self.0.iter().filter(|c| c.counts.asked + c.counts.attempts > 0) {
+        for Class { name, counts, .. } in self
+            .0
+            .iter()
+            .filter(|c| c.counts.asked + c.counts.attempts > 0)
+        {
             write!(f, "{apart}{name}: asked {}", counts.asked)?;
-            let lost = Loss::ALL.iter().map(|why| (why.word(), counts.lost[*why as usize]));
+            let lost = Loss::ALL
+                .iter()
+                .map(|why| (why.word(), counts.lost[*why as usize]));
             let first = [("in-time", counts.in_time), ("after-aim", counts.after_aim)].into_iter();
-            let last =
-                [("gone", counts.gone), ("attempts", counts.attempts), ("unanswered", counts.unanswered)];
+            let last = [
+                ("gone", counts.gone),
+                ("attempts", counts.attempts),
+                ("unanswered", counts.unanswered),
+            ];
             for (what, n) in first.chain(lost).chain(last).filter(|(_, n)| *n > 0) {
                 write!(f, ", {what} {n}")?;
             }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -53,7 +53,11 @@
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, served: None, report: Vec::new() }
+        Self {
+            outcome,
+            served: None,
+            report: Vec::new(),
+        }
     }
 }
 
@@ -94,7 +98,11 @@
 
     /// Keeps a connection for reuse where it still leads to the process that is listed, which wants requests.
     fn put_back(&self, used: Used) {
-        let Used { connection, boot_ms, .. } = used;
+        let Used {
+            connection,
+            boot_ms,
+            ..
+        } = used;
         let same = self.boot_ms.get() == boot_ms && self.endpoint.get() == Some(connection.peer());
         if self.ready.get() && same && !connection.is_closed() {
             self.idle.put(connection);
@@ -151,7 +159,9 @@
             }
             return;
         }
-        let upstream = known.entry(id).or_insert_with(|| Rc::new(Upstream::new(place.boot_ms)));
+        let upstream = known
+            .entry(id)
+            .or_insert_with(|| Rc::new(Upstream::new(place.boot_ms)));
         let moved = place.endpoint.is_some() && upstream.endpoint.get() != place.endpoint;
         if moved {
             upstream.endpoint.set(place.endpoint);
@@ -161,7 +171,10 @@
             tracing::debug!(upstream = id.0, ready, endpoint = ?place.endpoint, "upstream changed");
         }
         // Connections to a process that is no more, or wants nothing new, serve nobody.
-        if upstream.boot_ms.replace(place.boot_ms) != place.boot_ms || moved || !upstream.ready.get() {
+        if upstream.boot_ms.replace(place.boot_ms) != place.boot_ms
+            || moved
+            || !upstream.ready.get()
+        {
             upstream.idle.clear();
         }
     }
@@ -201,7 +214,10 @@
     }
 
     fn holds_sends(&self, now: Instant) -> bool {
-        self.sends_held.borrow().as_ref().is_some_and(|span| span.contains(&now))
+        self.sends_held
+            .borrow()
+            .as_ref()
+            .is_some_and(|span| span.contains(&now))
     }
 
     /// Connections open now, to all of them together.
@@ -211,7 +227,9 @@
 
     fn close_an_idle_one(&self) {
         let known = self.known.borrow();
-        known.values().find_map(|upstream| upstream.idle.take_oldest());
+        known
+            .values()
+            .find_map(|upstream| upstream.idle.take_oldest());
     }
 
     /// A connection in use before, or else a new one.
@@ -219,7 +237,11 @@
         let boot_ms = upstream.boot_ms.get();
         while let Some(mut connection) = upstream.idle.take_rested(self.idle_most) {
             if timeout_at(give_up, connection.is_usable()).await == Ok(true) {
-                return Ok(Used { connection, reused: true, boot_ms });
+                return Ok(Used {
+                    connection,
+                    reused: true,
+                    boot_ms,
+                });
             }
         }
         if self.open.is_full()
@@ -227,19 +249,31 @@
         {
             sleep_until(rested.min(give_up)).await;
             if timeout_at(give_up, connection.is_usable()).await == Ok(true) {
-                return Ok(Used { connection, reused: true, boot_ms });
+                return Ok(Used {
+                    connection,
+                    reused: true,
+                    boot_ms,
+                });
             }
         }
         let connection = self.connect(upstream, give_up).await?;
-        Ok(Used { connection, reused: false, boot_ms })
+        Ok(Used {
+            connection,
+            reused: false,
+            boot_ms,
+        })
     }
 
     async fn connect(&self, upstream: &Upstream, give_up: Instant) -> Result<Connection, Outcome> {
-        let Some(endpoint) = upstream.endpoint.get() else { return Err(Outcome::NotSent) };
+        let Some(endpoint) = upstream.endpoint.get() else {
+            return Err(Outcome::NotSent);
+        };
         let until = give_up.min(Instant::now() + self.connect_timeout);
         // What this machine is out of, descriptors or time, says nothing of the upstream.
         let permit = timeout_at(until, self.open.permit(|| self.close_an_idle_one())).await;
-        let Ok(permit) = permit else { return Err(Outcome::NotSent) };
+        let Ok(permit) = permit else {
+            return Err(Outcome::NotSent);
+        };
         match timeout_at(until, Connection::open(endpoint, permit)).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(e)) if ErrorOrigin::of(&e) != ErrorOrigin::Peer => {
@@ -265,7 +299,9 @@
         begun: &Cell<bool>,
     ) -> Ended {
         let upstream = self.known.borrow().get(&id).map(Rc::clone);
-        let Some(upstream) = upstream else { return Outcome::NotSent.into() };
+        let Some(upstream) = upstream else {
+            return Outcome::NotSent.into();
+        };
         loop {
             begun.set(false);
             // What the kernel knows and nobody has looked at yet comes first: an idle connection that has ended,
@@ -284,8 +320,17 @@
             }
             begun.set(true);
             let correlation = outgoing.headers.get(CORRELATION_ID);
-            tracing::debug!(?correlation, upstream = id.0, reused = used.reused, ?left, "attempt is written");
-            if let Some(ended) = self.exchange(id, &upstream, used, outgoing.request(left), give_up).await {
+            tracing::debug!(
+                ?correlation,
+                upstream = id.0,
+                reused = used.reused,
+                ?left,
+                "attempt is written"
+            );
+            if let Some(ended) = self
+                .exchange(id, &upstream, used, outgoing.request(left), give_up)
+                .await
+            {
                 return ended;
             }
         }
@@ -309,7 +354,8 @@
         Some(match exchanged {
             // An upstream starts with the last byte: this is an answer to something else, perhaps an earlier request.
             Ok(Ok(response)) if !whole && response.status() == StatusCode::OK => {
-                self.answer_warnings.warn(|| format!("upstream {} answered before it was asked", id.0));
+                self.answer_warnings
+                    .warn(|| format!("upstream {} answered before it was asked", id.0));
                 Outcome::ConnectFailed.into()
             }
             Ok(Ok(response)) => {
@@ -321,26 +367,53 @@
             }
             // Its process lives and has answered, so that this is no broken connection.
             Ok(Err(ExchangeError::Unreadable(e))) => {
-                self.answer_warnings.warn(|| format!("unreadable answer of upstream {}: {e}", id.0));
+                self.answer_warnings
+                    .warn(|| format!("unreadable answer of upstream {}: {e}", id.0));
                 Outcome::Error.into()
             }
             // It had ended unseen while idle.
             Ok(Err(ExchangeError::Ended(_))) if used.reused && written == 0 => return None,
             Ok(Err(ExchangeError::Ended(e))) => {
                 tracing::debug!(upstream = id.0, written, length, "broken: {e}");
-                if whole { Outcome::Reset } else { Outcome::ConnectFailed }.into()
+                if whole {
+                    Outcome::Reset
+                } else {
+                    Outcome::ConnectFailed
+                }
+                .into()
             }
-            Err(_) => if whole { Outcome::TimedOut } else { Outcome::NotSent }.into(),
+            Err(_) => if whole {
+                Outcome::TimedOut
+            } else {
+                Outcome::NotSent
+            }
+            .into(),
         })
     }
 
     /// Asks an upstream how it is.
     pub async fn probe(&self, id: UpstreamId) -> Ended {
-        let target = Uri::from_static(if self.reports == Reports::Off { "/health/live" } else { "/stats" });
+        let target = Uri::from_static(if self.reports == Reports::Off {
+            "/health/live"
+        } else {
+            "/stats"
+        });
         let mut headers = HeaderMap::with_capacity(3);
         headers.insert(HOST, HeaderValue::from_static("upstream"));
-        let outgoing = Outgoing { method: Method::GET, target, headers, body: Bytes::new() };
-        let mut ended = self.attempt(id, &outgoing, Instant::now() + PROBE_TIMEOUT, &Cell::new(false)).await;
+        let outgoing = Outgoing {
+            method: Method::GET,
+            target,
+            headers,
+            body: Bytes::new(),
+        };
+        let mut ended = self
+            .attempt(
+                id,
+                &outgoing,
+                Instant::now() + PROBE_TIMEOUT,
+                &Cell::new(false),
+            )
+            .await;
         if let Some(served) = &ended.served
             && self.reports != Reports::Off
             && ended.report.is_empty()
@@ -353,24 +426,37 @@
     fn answered(&self, response: Response<Bytes>) -> Ended {
         let (parts, body) = response.into_parts();
         let mut headers = parts.headers;
-        let load = headers.remove(LOAD).filter(|_| self.reports == Reports::Inline);
+        let load = headers
+            .remove(LOAD)
+            .filter(|_| self.reports == Reports::Inline);
         let report = load.map_or_else(Vec::new, |load| self.read_report(load.as_bytes()));
-        let unprocessed = headers.get(UNPROCESSED).is_some_and(|v| v.as_bytes() == b"1");
+        let unprocessed = headers
+            .get(UNPROCESSED)
+            .is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match parts.status {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Rejected,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
+                Outcome::Rejected
+            }
             _ => Outcome::Error,
         };
         headers::strip_hop_by_hop(&mut headers);
         let served = (outcome == Outcome::Ok).then_some(Served { headers, body });
-        Ended { outcome, served, report }
+        Ended {
+            outcome,
+            served,
+            report,
+        }
     }
 
     fn read_report(&self, text: &[u8]) -> Vec<f32> {
-        let read = std::str::from_utf8(text).ok().and_then(|t| headers::load_report(t, &self.report_fields));
+        let read = std::str::from_utf8(text)
+            .ok()
+            .and_then(|t| headers::load_report(t, &self.report_fields));
         read.unwrap_or_else(|| {
             let shown = || String::from_utf8_lossy(&text[..text.len().min(80)]).into_owned();
-            self.report_warnings.warn(|| format!("unreadable load report {:?}", shown()));
+            self.report_warnings
+                .warn(|| format!("unreadable load report {:?}", shown()));
             Vec::new()
         })
     }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -39,11 +39,20 @@
         loop {
             let mut header = String::new();
             length += stream.read_line(&mut header).ok().filter(|n| *n > 0)?;
-            let Some((name, value)) = header.trim_end().split_once(':') else { break };
+            let Some((name, value)) = header.trim_end().split_once(':') else {
+                break;
+            };
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
-        let mut message = Self { line: line.trim_end().to_owned(), headers, body: Vec::new(), length };
-        let n = message.header("content-length").map_or(0, |n| n.parse().unwrap());
+        let mut message = Self {
+            line: line.trim_end().to_owned(),
+            headers,
+            body: Vec::new(),
+            length,
+        };
+        let n = message
+            .header("content-length")
+            .map_or(0, |n| n.parse().unwrap());
         message.body.resize(n, 0);
         stream.read_exact(&mut message.body).ok()?;
         message.length += n;
@@ -51,11 +60,18 @@
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or_else(|| panic!("{self:?}"))
+        self.line
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or_else(|| panic!("{self:?}"))
     }
 }
 
--- a/node/tests/common/node.rs
+++ b/node/tests/common/node.rs
@@ -37,7 +37,10 @@
 impl Setup {
     /// These upstreams, by address.
     pub fn with(upstreams: &[SocketAddr]) -> Self {
-        let entries = upstreams.iter().enumerate().map(|(k, a)| entry(&format!("s-{k}"), *a, "Ready"));
+        let entries = upstreams
+            .iter()
+            .enumerate()
+            .map(|(k, a)| entry(&format!("s-{k}"), *a, "Ready"));
         Self {
             discovery: nobody(),
             known: list(1, true, &entries.collect::<Vec<_>>()),
@@ -52,16 +55,28 @@
     }
 
     pub fn text(&self) -> String {
-        let Self { discovery, known, sockets, balancers, deadline_ms, asks, cancelling, cold_ms, faults: _ } =
-            self;
+        let Self {
+            discovery,
+            known,
+            sockets,
+            balancers,
+            deadline_ms,
+            asks,
+            cancelling,
+            cold_ms,
+            faults: _,
+        } = self;
         let how = if *asks { "subscribe" } else { "automatic" };
         let class = |name: &str, effect: &str| {
             format!(
                 r#"{{"name":"{name}","aim_ms":{deadline_ms},"hard_limit_ms":{deadline_ms},"late_worth":0.5,"effect":"{effect}","dedup_scope":"all","key_ttl_ms":5000}}"#
             )
         };
-        let classes =
-            [class("look", "idempotent"), class("book", "at_most_once"), class("keyed", "deduplicated")];
+        let classes = [
+            class("look", "idempotent"),
+            class("book", "at_most_once"),
+            class("keyed", "deduplicated"),
+        ];
         format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},
@@ -77,10 +92,14 @@
     pub fn start(&self) -> Node {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let number = COUNT.fetch_add(1, Ordering::SeqCst);
-        let path = std::env::temp_dir().join(format!("maplehook-{}-{number}.json", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("maplehook-{}-{number}.json", std::process::id()));
         std::fs::write(&path, self.text()).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_maplehook"));
-        command.env("NODE_CONFIG", &path).env("NODE_LOG", "info").stderr(Stdio::piped());
+        command
+            .env("NODE_CONFIG", &path)
+            .env("NODE_LOG", "info")
+            .stderr(Stdio::piped());
         if !self.faults.is_empty() {
             command.env("LD_PRELOAD", shim());
             command.envs(self.faults.iter().map(|(name, value)| (name, value)));
@@ -92,7 +111,11 @@
             line.clear();
             assert_ne!(log.read_line(&mut line).unwrap(), 0, "it has ended");
         }
-        let address = line.split("listen=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
+        let address = line
+            .split("listen=")
+            .nth(1)
+            .and_then(|rest| rest.split(' ').next())
+            .unwrap();
         let address = address.trim().parse().unwrap();
         // The log must go on being read, or it would fill.
         let last_lines = Arc::new(Mutex::new(VecDeque::new()));
@@ -106,13 +129,20 @@
                 }
             }
         });
-        Node { child, address, path, last_lines }
+        Node {
+            child,
+            address,
+            path,
+            last_lines,
+        }
     }
 }
 
 /// The shim that lets system calls fail, built beside the tests.
 fn shim() -> PathBuf {
-    let path = std::env::current_exe().unwrap().with_file_name("libfrostkeel_faultshim.so");
+    let path = std::env::current_exe()
+        .unwrap()
+        .with_file_name("libfrostkeel_faultshim.so");
     assert!(path.exists(), "{} is not built", path.display());
     path
 }
@@ -129,7 +159,10 @@
 
 impl Node {
     pub fn connect(&self) -> Client {
-        Client { address: self.address, reader: open(self.address) }
+        Client {
+            address: self.address,
+            reader: open(self.address),
+        }
     }
 
     /// A round trip: what reached the balancer before it has been seen by it.
@@ -147,7 +180,9 @@
     pub fn stop(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("it stands still", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
+        until("it stands still", || {
+            std::fs::read_to_string(&stat).unwrap().contains(") T ")
+        });
     }
 
     /// Lets it go on.
@@ -166,25 +201,33 @@
     /// The most memory that it has held, in megabytes.
     pub fn peak_mb(&self) -> f64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .unwrap();
         line.trim().trim_end_matches(" kB").parse::<f64>().unwrap() / 1024.0
     }
 
     /// Descriptors that it holds now.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .unwrap()
+            .count()
     }
 
     /// Lets it open no further descriptor.
     pub fn exhaust_descriptors(&self) {
-        let open = |fd: &u64| std::path::Path::new(&format!("/proc/{}/fd/{fd}", self.child.id())).exists();
+        let open =
+            |fd: &u64| std::path::Path::new(&format!("/proc/{}/fd/{fd}", self.child.id())).exists();
         self.limit_descriptors((0..).find(|fd| !open(fd)).unwrap());
     }
 
     /// Lets it open so many.
     pub fn limit_descriptors(&self, most: u64) {
         let pid = self.child.id().to_string();
-        let limited = Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={most}:")]).status();
+        let limited = Command::new("prlimit")
+            .args(["--pid", &pid, &format!("--nofile={most}:")])
+            .status();
         assert!(limited.expect("prlimit, of util-linux").success());
     }
 
@@ -200,7 +243,10 @@
     }
 
     fn signal(&self, name: &str) {
-        let sent = Command::new("sh").arg("-c").arg(format!("kill -{name} {}", self.child.id())).status();
+        let sent = Command::new("sh")
+            .arg("-c")
+            .arg(format!("kill -{name} {}", self.child.id()))
+            .status();
         assert!(sent.unwrap().success());
     }
 
@@ -265,7 +311,10 @@
         socket.connect(&address.into()).unwrap();
         let stream = TcpStream::from(socket);
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Self { address, reader: BufReader::new(stream) }
+        Self {
+            address,
+            reader: BufReader::new(stream),
+        }
     }
 
     /// Closes the connection now. A plain drop may come later: a process that another test is just starting holds
@@ -276,7 +325,9 @@
 
     /// Closes the connection with a reset.
     pub fn reset(self) {
-        SockRef::from(self.reader.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(self.reader.get_ref())
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
 
     /// Ends the sending; what comes can still be read.
--- a/node/tests/common/peers.rs
+++ b/node/tests/common/peers.rs
@@ -102,10 +102,21 @@
             let read = Message::read(&mut BufReader::new(&stream));
             let calls: &Sender<_> = &calls;
             if let Some(message) = read {
-                let target = message.line.split(' ').nth(1).unwrap_or_default().to_owned();
-                (&stream).write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+                let target = message
+                    .line
+                    .split(' ')
+                    .nth(1)
+                    .unwrap_or_default()
+                    .to_owned();
+                (&stream)
+                    .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                    .unwrap();
                 // A watch begins with what has changed after the version that is asked about.
-                let rev = target.split("index=").nth(1).and_then(|rev| rev.parse().ok()).unwrap_or(0);
+                let rev = target
+                    .split("index=")
+                    .nth(1)
+                    .and_then(|rev| rev.parse().ok())
+                    .unwrap_or(0);
                 tell(&stream, &list(rev, false, &[]));
                 let _ = calls.send((target, stream));
             }
@@ -132,7 +143,10 @@
 }
 
 pub fn list(rev: u64, all: bool, entries: &[String]) -> String {
-    format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 /// An upstream, or discovery, whose connections the test itself reads and writes, in the order in which they come.
--- a/node/tests/config.rs
+++ b/node/tests/config.rs
@@ -23,15 +23,24 @@
         "membership": {"fleet": "f", "page": "127.0.0.1:0"}, "settings": {"me": 1,"#;
     let told = GOOD.replace(r#""settings": {"#, told);
     let members = Config::parse(&told).unwrap().members.expect("named");
-    assert_eq!((members.place, members.peers.len(), members.name.as_str()), (Place(1), 2, "n0"));
+    assert_eq!(
+        (members.place, members.peers.len(), members.name.as_str()),
+        (Place(1), 2, "n0")
+    );
     for (from, to, named) in [
         (r#""me": 1"#, r#""me": 2"#, "settings.me is 2"),
         (r#""peer_listen": "127.0.0.1:0","#, "", "peer_listen"),
-        (r#""page": "127.0.0.1:0""#, r#""page": "10.0.0.4:80""#, "loopback"),
+        (
+            r#""page": "127.0.0.1:0""#,
+            r#""page": "10.0.0.4:80""#,
+            "loopback",
+        ),
         (r#""name": "n0""#, r#""name": "n 0""#, "no name"),
         (r#""fleet": "f""#, r#""fleets": "f""#, "fleets"),
     ] {
-        let error = Config::parse(&told.replace(from, to)).unwrap_err().to_string();
+        let error = Config::parse(&told.replace(from, to))
+            .unwrap_err()
+            .to_string();
         assert!(error.contains(named), "{error}");
     }
 }
@@ -44,7 +53,9 @@
         ("1024", "20", "sockets"),
         ("idempotent", "maybe", "maybe"),
     ] {
-        let error = Config::parse(&GOOD.replace(from, to)).unwrap_err().to_string();
+        let error = Config::parse(&GOOD.replace(from, to))
+            .unwrap_err()
+            .to_string();
         assert!(error.contains(named), "{error}");
     }
 }
--- a/node/tests/connection.rs
+++ b/node/tests/connection.rs
@@ -14,7 +14,10 @@
     let peer = listener.local_addr().unwrap();
     for (method, body) in [("GET", ""), ("POST", ""), ("POST", "some words")] {
         let mut connection = Connection::open(peer, ()).await.unwrap();
-        let mut request = Request::builder().method(method).uri("/book/day?n=1").header(HOST, "app.svc");
+        let mut request = Request::builder()
+            .method(method)
+            .uri("/book/day?n=1")
+            .header(HOST, "app.svc");
         if method == "POST" {
             request = request.header(CONTENT_LENGTH, body.len());
         }
@@ -24,7 +27,10 @@
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut read = vec![0; length as usize];
             stream.read_exact(&mut read).await.unwrap();
-            stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
+            stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                .await
+                .unwrap();
             String::from_utf8(read).unwrap()
         };
         let (answer, read) = tokio::join!(connection.send(request), upstream);
--- a/node/tests/crossing_clients.rs
+++ b/node/tests/crossing_clients.rs
@@ -44,7 +44,10 @@
             let _ = (&upstream).write_all(ERROR.as_bytes());
             node.round_trip();
             let further = streams.try_iter().count();
-            assert_eq!(further, 0, "{leaves:?} with {behind} bytes behind: attempts after it had left");
+            assert_eq!(
+                further, 0,
+                "{leaves:?} with {behind} bytes behind: attempts after it had left"
+            );
         }
     }
 }
@@ -62,10 +65,16 @@
     for (k, client) in holders.iter_mut().enumerate() {
         client.write(&look(8000).replace("77aa", &format!("held{k}")));
     }
-    let held: Vec<_> = (0..18).map(|_| streams.recv_timeout(LONG).expect("an attempt")).collect();
+    let held: Vec<_> = (0..18)
+        .map(|_| streams.recv_timeout(LONG).expect("an attempt"))
+        .collect();
     // Each of them is in use by a request of its own: there is no place for another.
-    let requests = held.iter().map(|stream| next_request(stream).expect("a request"));
-    let ids: BTreeSet<_> = requests.map(|r| r.header("x-correlation-id").map(str::to_owned)).collect();
+    let requests = held
+        .iter()
+        .map(|stream| next_request(stream).expect("a request"));
+    let ids: BTreeSet<_> = requests
+        .map(|r| r.header("x-correlation-id").map(str::to_owned))
+        .collect();
     assert_eq!(ids.len(), 18, "{ids:?}");
     let mut leaver = node.connect();
     leaver.write(&look(8000).replace("77aa", "left"));
@@ -76,11 +85,19 @@
     stayer.write(&look(8000).replace("77aa", "stays"));
     node.round_trip();
     for stream in held {
-        (&stream).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").unwrap();
+        (&stream)
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+            .unwrap();
     }
-    let next = streams.recv_timeout(LONG).expect("a connection that was waited for");
+    let next = streams
+        .recv_timeout(LONG)
+        .expect("a connection that was waited for");
     let request = next_request(&next).expect("a request");
-    assert_eq!(request.header("x-correlation-id"), Some("stays"), "{request:?}");
+    assert_eq!(
+        request.header("x-correlation-id"),
+        Some("stays"),
+        "{request:?}"
+    );
 }
 
 /// Guards against a reset that takes an answer with it: what came behind the request is read before the close.
@@ -98,7 +115,12 @@
         node.round_trip();
     }
     let body = "y".repeat(60_000);
-    write!(&upstream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
+    write!(
+        &upstream,
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .unwrap();
     until("the answer begins", || client.has_bytes());
     node.round_trip();
     let answer = client.answer().expect("the whole answer");
@@ -111,24 +133,36 @@
 fn bad_clients_get_an_error_and_take_nobody_along() {
     let upstream = Upstream::start(Then::Answer(OK));
     let mut node = Setup::with(&[upstream.address]).start();
-    let long_head = format!("GET /look HTTP/1.1\r\nX-Long: {}\r\n\r\n", "y".repeat(64 * 1024));
+    let long_head = format!(
+        "GET /look HTTP/1.1\r\nX-Long: {}\r\n\r\n",
+        "y".repeat(64 * 1024)
+    );
     let long_body = book(8000, &"y".repeat(200_000));
-    let endless = book(8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked") + "fffff\r\n";
+    let endless =
+        book(8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked") + "fffff\r\n";
     let endless = endless + &"y".repeat(150_000);
     for (text, errors) in [
         ("\0\0\0\0\r\n\r\n", 400..=400),
         ("GET\r\n\r\n", 400..=400),
         ("GET /look HTTP/7.0\r\n\r\n", 400..=505),
-        ("GET /look HTTP/1.1\r\nContent-Length: many\r\n\r\n", 400..=400),
+        (
+            "GET /look HTTP/1.1\r\nContent-Length: many\r\n\r\n",
+            400..=400,
+        ),
         (&long_head, 400..=431),
         (&long_body, 413..=413),
         (&endless, 413..=413),
     ] {
         let mut client = node.connect();
         client.write_if_taken(text.as_bytes());
-        let answer =
-            client.answer().unwrap_or_else(|| panic!("an error for {:?}", &text[..text.len().min(60)]));
-        assert!(errors.contains(&answer.status()), "{answer:?} for {:?}", &text[..text.len().min(60)]);
+        let answer = client
+            .answer()
+            .unwrap_or_else(|| panic!("an error for {:?}", &text[..text.len().min(60)]));
+        assert!(
+            errors.contains(&answer.status()),
+            "{answer:?} for {:?}",
+            &text[..text.len().min(60)]
+        );
         assert!(client.is_open_no_more());
     }
     assert!(upstream.seen().is_empty());
--- a/node/tests/crossing_instants.rs
+++ b/node/tests/crossing_instants.rs
@@ -40,7 +40,10 @@
         client.leave();
         node.go_on();
         node.round_trip();
-        assert!(streams.try_recv().is_err(), "a further attempt, after {error:?}");
+        assert!(
+            streams.try_recv().is_err(),
+            "a further attempt, after {error:?}"
+        );
     }
 }
 
@@ -49,7 +52,9 @@
 fn clients_that_leave_as_they_are_answered_cost_nothing() {
     let (node, streams) = before_two(8000);
     let mut clients: Vec<Client> = (0..40).map(|_| node.connect()).collect();
-    clients.iter_mut().for_each(|client| client.write(&look(8000)));
+    clients
+        .iter_mut()
+        .for_each(|client| client.write(&look(8000)));
     let attempts: Vec<TcpStream> = (0..40).map(|_| attempt(&streams)).collect();
     node.stop();
     for stream in attempts.iter().step_by(2) {
@@ -59,7 +64,10 @@
     node.go_on();
     for stream in attempts.iter().skip(1).step_by(2) {
         stream.set_read_timeout(Some(LONG)).unwrap();
-        assert!(next_request(stream).is_none(), "an attempt goes on for nobody");
+        assert!(
+            next_request(stream).is_none(),
+            "an attempt goes on for nobody"
+        );
     }
     let mut client = node.connect();
     client.write(&look(8000));
@@ -82,7 +90,12 @@
     node.go_on();
     assert_eq!(client.answer().expect("an answer").status(), 200);
     // A second answer would be read in place of this one.
-    assert_eq!(client.exchange("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status(), 404);
+    assert_eq!(
+        client
+            .exchange("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n")
+            .status(),
+        404
+    );
 }
 
 /// Guards the one final answer where the time is over as the last byte comes.
@@ -98,7 +111,12 @@
     node.go_on();
     let answer = client.answer().expect("an answer");
     assert!([200, 502].contains(&answer.status()), "{answer:?}");
-    assert_eq!(client.exchange("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status(), 404);
+    assert_eq!(
+        client
+            .exchange("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n")
+            .status(),
+        404
+    );
 }
 
 /// Guards a request that comes as its connection is due to be closed as idle.
@@ -123,7 +141,10 @@
     let mut client = node.connect();
     assert_eq!(client.exchange(&look(8000)).status(), 200);
     node.stop();
-    tell(&watch, &list(2, false, &[entry("s-0", upstream.address, "Terminating")]));
+    tell(
+        &watch,
+        &list(2, false, &[entry("s-0", upstream.address, "Terminating")]),
+    );
     client.write(&look(8000));
     node.go_on();
     assert!(client.answer().is_some());
@@ -144,9 +165,13 @@
     tell(&watch, "");
     node.round_trip();
     drop(watch);
-    let (target, watch) = calls.recv_timeout(Duration::from_secs(5)).expect("another watch");
+    let (target, watch) = calls
+        .recv_timeout(Duration::from_secs(5))
+        .expect("another watch");
     assert!(target.contains("index=1"), "{target}");
     tell(&watch, &list(2, true, &[]));
-    until("it is gone", || node.connect().exchange(&look(8000)).status() == 503);
+    until("it is gone", || {
+        node.connect().exchange(&look(8000)).status() == 503
+    });
     assert!(upstream.seen().len() <= 1);
 }
--- a/node/tests/crossing_lists.rs
+++ b/node/tests/crossing_lists.rs
@@ -25,8 +25,13 @@
     let node = setup.start();
     let (target, watch) = calls.recv_timeout(Duration::from_secs(3)).expect("a watch");
     assert!(target.contains("stream=1"), "{target}");
-    tell(&watch, &list(2, false, &[entry("s-0", upstream.address, "Terminating")]));
-    until("the drain is known", || node.connect().exchange(&book(5000, "x")).status() == 503);
+    tell(
+        &watch,
+        &list(2, false, &[entry("s-0", upstream.address, "Terminating")]),
+    );
+    until("the drain is known", || {
+        node.connect().exchange(&book(5000, "x")).status() == 503
+    });
 }
 
 /// Guards lists that go over several lines, on a watch too.
@@ -35,8 +40,16 @@
     let upstream = Upstream::start(Then::Answer(OK));
     let (node, calls, watch) = watching(&upstream);
     let text = list(2, false, &[entry("s-0", upstream.address, "Terminating")]);
-    tell(&watch, &text.replace('{', "{\n  ").replace(',', ",\n  ").replace('}', "\n}"));
-    until("the drain is known", || node.connect().exchange(&book(5000, "x")).status() == 503);
+    tell(
+        &watch,
+        &text
+            .replace('{', "{\n  ")
+            .replace(',', ",\n  ")
+            .replace('}', "\n}"),
+    );
+    until("the drain is known", || {
+        node.connect().exchange(&book(5000, "x")).status() == 503
+    });
     assert!(calls.try_recv().is_err(), "the watch went on");
 }
 
@@ -53,21 +66,42 @@
         let (node, _calls, watch) = watching(&upstream);
         assert_eq!(node.connect().exchange(&book(5000, "x")).status(), 200);
         tell(&watch, &list(2, false, &[odd.to_owned()]));
-        until(odd, || node.connect().exchange(&book(5000, "x")).status() == 503);
-        tell(&watch, &list(3, false, &[entry("s-0", upstream.address, "Ready")]));
-        until("it is ready again", || node.connect().exchange(&book(5000, "x")).status() == 200);
+        until(odd, || {
+            node.connect().exchange(&book(5000, "x")).status() == 503
+        });
+        tell(
+            &watch,
+            &list(3, false, &[entry("s-0", upstream.address, "Ready")]),
+        );
+        until("it is ready again", || {
+            node.connect().exchange(&book(5000, "x")).status() == 200
+        });
     }
     for (odd, what) in [
-        (list(6, false, &[r#"{"state":"Terminating"}"#.to_owned()]), "a change of nobody"),
-        (list(3, false, &[entry("s-0", upstream.address, "Ready")]), "a change older than the list"),
-        ("{\"rev\":6,\"all\":false,\"targets\":[\n\n".to_owned(), "half a list and a heartbeat"),
+        (
+            list(6, false, &[r#"{"state":"Terminating"}"#.to_owned()]),
+            "a change of nobody",
+        ),
+        (
+            list(3, false, &[entry("s-0", upstream.address, "Ready")]),
+            "a change older than the list",
+        ),
+        (
+            "{\"rev\":6,\"all\":false,\"targets\":[\n\n".to_owned(),
+            "half a list and a heartbeat",
+        ),
         ("{\"rev\":6,\"all\":fal".to_owned(), "half a word"),
         ("\"rev".to_owned(), "half a string"),
     ] {
         let (_node, calls, watch) = watching(&upstream);
-        tell(&watch, &list(5, true, &[entry("s-0", upstream.address, "Ready")]));
+        tell(
+            &watch,
+            &list(5, true, &[entry("s-0", upstream.address, "Ready")]),
+        );
         tell(&watch, &odd);
-        let (target, _) = calls.recv_timeout(LONG).unwrap_or_else(|e| panic!("{what}: no further call: {e}"));
+        let (target, _) = calls
+            .recv_timeout(LONG)
+            .unwrap_or_else(|e| panic!("{what}: no further call: {e}"));
         assert!(target.contains("index=0"), "{what}: {target}");
     }
 }
@@ -85,7 +119,10 @@
         ("within its head", "HTTP/1.1 200 OK\r\nTrans".to_owned()),
         ("after its head", head.clone()),
         ("between two chunks of a line", head.clone() + &chunk(first)),
-        ("within a chunk", format!("{head}{:x}\r\n{first}", whole.len())),
+        (
+            "within a chunk",
+            format!("{head}{:x}\r\n{first}", whole.len()),
+        ),
         ("after a line", head.clone() + &chunk(first) + &chunk(rest)),
         ("after a heartbeat", head + &chunk("\n")),
     ];
@@ -100,9 +137,14 @@
                 assert!(next_request(&watch).is_some());
                 watch.write_all(text.as_bytes()).unwrap();
                 let silent = Instant::now();
-                streams.recv_timeout(LONG).unwrap_or_else(|e| panic!("{where_silent}: {e}"));
+                streams
+                    .recv_timeout(LONG)
+                    .unwrap_or_else(|e| panic!("{where_silent}: {e}"));
                 let after = silent.elapsed();
-                assert!(after < TOLD_WITHIN - Duration::from_millis(500), "{where_silent}: after {after:?}");
+                assert!(
+                    after < TOLD_WITHIN - Duration::from_millis(500),
+                    "{where_silent}: after {after:?}"
+                );
             });
         }
     });
@@ -112,7 +154,9 @@
 fn tell_slowly(mut watch: &TcpStream, upstream: &Upstream) {
     const PIECES: usize = 40;
     let others = (0..3200).map(|k| entry(&format!("t-{k}"), upstream.address, "Terminating"));
-    let all: Vec<_> = others.chain([entry("s-0", upstream.address, "Terminating")]).collect();
+    let all: Vec<_> = others
+        .chain([entry("s-0", upstream.address, "Terminating")])
+        .collect();
     let text = list(2, true, &all) + "\n";
     for piece in text.as_bytes().chunks(text.len().div_ceil(PIECES)) {
         write!(watch, "{:x}\r\n", piece.len()).unwrap();
@@ -127,7 +171,9 @@
 fn a_long_list_may_take_its_time() {
     let upstream = Upstream::start(Then::Answer(OK));
     let drain_is_known = |node: &Node| {
-        until("the drain is known", || node.connect().exchange(&book(5000, "x")).status() == 503);
+        until("the drain is known", || {
+            node.connect().exchange(&book(5000, "x")).status() == 503
+        });
     };
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -138,7 +184,9 @@
         });
         scope.spawn(|| {
             let (node, streams, mut watch) = calling(&upstream);
-            watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+            watch
+                .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                .unwrap();
             tell_slowly(&watch, &upstream);
             drain_is_known(&node);
             assert!(streams.try_recv().is_err(), "the first call went on");
@@ -151,10 +199,17 @@
 fn a_first_line_may_come_after_its_head() {
     let upstream = Upstream::start(Then::Answer(OK));
     let (node, streams, mut watch) = calling(&upstream);
-    watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    watch
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
     std::thread::sleep(Duration::from_millis(1500));
-    tell(&watch, &list(2, true, &[entry("s-0", upstream.address, "Ready")]));
-    until("the list is sent by", || node.connect().exchange(&book(5000, "x")).status() == 200);
+    tell(
+        &watch,
+        &list(2, true, &[entry("s-0", upstream.address, "Ready")]),
+    );
+    until("the list is sent by", || {
+        node.connect().exchange(&book(5000, "x")).status() == 200
+    });
     assert!(streams.try_recv().is_err(), "the first call went on");
 }
 
@@ -186,8 +241,13 @@
     let (discovery, calls) = discovery();
     setup.discovery = discovery;
     node.reload(&setup.text());
-    let (_, watch) = calls.recv_timeout(LONG).expect("a watch at the new address");
-    tell(&watch, &list(2, true, &[entry("s-0", upstream.address, "Ready")]));
+    let (_, watch) = calls
+        .recv_timeout(LONG)
+        .expect("a watch at the new address");
+    tell(
+        &watch,
+        &list(2, true, &[entry("s-0", upstream.address, "Ready")]),
+    );
     for _ in 0..10 {
         assert_eq!(node.connect().exchange(&look(5000)).status(), 200);
     }
@@ -212,7 +272,9 @@
         };
         watch.watch(number, update).await;
     });
-    let (_, stream) = tokio::task::spawn_blocking(move || calls.recv_timeout(LONG).unwrap()).await.unwrap();
+    let (_, stream) = tokio::task::spawn_blocking(move || calls.recv_timeout(LONG).unwrap())
+        .await
+        .unwrap();
     tell(&stream, &list(5, true, &[]));
     while told.borrow().len() < 2 {
         tokio::task::yield_now().await;
@@ -220,7 +282,10 @@
     watched.begin_watch();
     tell(&stream, &list(6, true, &[]));
     drop(stream);
-    tokio::time::timeout(LONG, task).await.expect("it ends").unwrap();
+    tokio::time::timeout(LONG, task)
+        .await
+        .expect("it ends")
+        .unwrap();
     assert_eq!(*told.borrow(), [FleetScope::Changes, FleetScope::Full]);
 }
 
--- a/node/tests/crossing_server.rs
+++ b/node/tests/crossing_server.rs
@@ -27,30 +27,58 @@
 const SMALL: usize = 2048;
 
 fn site() -> Site {
-    let class = Class { effect: Effect::Idempotent, deadline: Duration::from_secs(60), ..Class::default() };
+    let class = Class {
+        effect: Effect::Idempotent,
+        deadline: Duration::from_secs(60),
+        ..Class::default()
+    };
     Site {
-        settings: Settings { classes: vec![class], ..Settings::default() },
-        names: Names { classes: vec!["look".to_owned()], ..Names::default() },
+        settings: Settings {
+            classes: vec![class],
+            ..Settings::default()
+        },
+        names: Names {
+            classes: vec!["look".to_owned()],
+            ..Names::default()
+        },
     }
 }
 
 /// A server in this process that sends little at a time, before one upstream.
 async fn serve(upstream: SocketAddr) -> (SocketAddr, watch::Sender<Phase>) {
     let site = site();
-    let place = Place { endpoint: Some(upstream), availability: Availability::Ready, boot_ms: 0 };
+    let place = Place {
+        endpoint: Some(upstream),
+        availability: Availability::Ready,
+        boot_ms: 0,
+    };
     let (id, zone, kind, cell) = (UpstreamId(1), ZoneId(0), KindId(0), CellId(0));
-    let entries = vec![Entry { id, zone, kind, cell, weight: 1.0, place }];
+    let entries = vec![Entry {
+        id,
+        zone,
+        kind,
+        cell,
+        weight: 1.0,
+        place,
+    }];
     let driver = Driver::start(
         Balancer::new(site.settings.clone(), 7).unwrap(),
         Tally::new(&site),
         Upstreams::new(&site.settings, 8),
         Discovery::new(nobody(), site.names.clone()),
-        ListUpdate { scope: FleetScope::Cached, entries },
+        ListUpdate {
+            scope: FleetScope::Cached,
+            entries,
+        },
     );
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     // Connections take this over from their listener.
     listener.set_send_buffer_size(SMALL).unwrap();
-    listener.bind(&SockAddr::from("127.0.0.1:0".parse::<SocketAddr>().unwrap())).unwrap();
+    listener
+        .bind(&SockAddr::from(
+            "127.0.0.1:0".parse::<SocketAddr>().unwrap(),
+        ))
+        .unwrap();
     listener.listen(8).unwrap();
     listener.set_nonblocking(true).unwrap();
     let listener = TcpListener::from_std(listener.into()).unwrap();
@@ -76,7 +104,10 @@
         let (mut stream, _) = upstream.accept().await.unwrap();
         assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY}\r\n\r\n");
-        stream.write_all(&[head.as_bytes(), &[b'y'; BODY]].concat()).await.unwrap();
+        stream
+            .write_all(&[head.as_bytes(), &[b'y'; BODY]].concat())
+            .await
+            .unwrap();
         client.readable().await.unwrap();
         if ends {
             phase.send_replace(Phase::Closing);
@@ -88,7 +119,10 @@
         while taken.len() < BODY {
             match client.read(&mut part).await {
                 Ok(n) if n > 0 => taken.extend_from_slice(&part[..n]),
-                ended => panic!("cut short after {} bytes, ending: {ends}: {ended:?}", taken.len()),
+                ended => panic!(
+                    "cut short after {} bytes, ending: {ends}: {ended:?}",
+                    taken.len()
+                ),
             }
         }
     }
@@ -107,10 +141,16 @@
             break;
         }
         let accepted = tokio::time::timeout(Duration::from_secs(1), upstream.accept()).await;
-        let Ok(Ok((mut stream, _))) = accepted else { continue };
+        let Ok(Ok((mut stream, _))) = accepted else {
+            continue;
+        };
         assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY}\r\nConnection: close\r\n\r\n");
-        stream.write_all(&[head.as_bytes(), &[b'y'; BODY]].concat()).await.unwrap();
+        let head =
+            format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY}\r\nConnection: close\r\n\r\n");
+        stream
+            .write_all(&[head.as_bytes(), &[b'y'; BODY]].concat())
+            .await
+            .unwrap();
         answers += 1;
     }
     assert!(answers > 0);
--- a/node/tests/crossing_shutdown.rs
+++ b/node/tests/crossing_shutdown.rs
@@ -10,7 +10,9 @@
 
 /// Waits until a balancer that was told to end has begun to.
 fn until_draining(node: &Node) {
-    until("not ready any more", || node.connect().exchange(READY).status() == 503);
+    until("not ready any more", || {
+        node.connect().exchange(READY).status() == 503
+    });
 }
 
 /// Guards requests on connections that the system has accepted and the balancer has not yet: while all places are
@@ -24,15 +26,23 @@
     // Of 64 descriptors 24 are reserved, and 22 of the rest are for clients.
     let mut holders: Vec<Client> = (0..22).map(|_| node.connect()).collect();
     // Some send more behind their request, over which a connection would be reset at the process's end.
-    holders.iter_mut().for_each(|client| client.write(&book(1500, "x")));
-    holders.iter_mut().step_by(3).for_each(|client| client.write(&look(1500)));
+    holders
+        .iter_mut()
+        .for_each(|client| client.write(&book(1500, "x")));
+    holders
+        .iter_mut()
+        .step_by(3)
+        .for_each(|client| client.write(&look(1500)));
     until("all are in flight or waiting", || mute.seen().len() == 18);
     let mut waiting: Vec<Client> = (0..4).map(|_| node.connect()).collect();
-    waiting.iter_mut().for_each(|client| client.write(&book(8000, "x")));
+    waiting
+        .iter_mut()
+        .for_each(|client| client.write(&book(8000, "x")));
     node.terminate();
     for (k, client) in holders.iter_mut().chain(&mut waiting).enumerate() {
-        let answer =
-            client.answer().unwrap_or_else(|| panic!("client {k} was closed upon without an answer"));
+        let answer = client
+            .answer()
+            .unwrap_or_else(|| panic!("client {k} was closed upon without an answer"));
         assert!(answer.status() >= 500, "{answer:?}");
     }
     assert!(node.wait().success());
@@ -45,7 +55,9 @@
     let upstream = Upstream::start(Then::Answer(OK));
     let mut node = Setup::with(&[upstream.address]).start();
     let mut clients: Vec<Client> = (0..12).map(|_| node.connect()).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.exchange(HEALTH).status(), 200));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.exchange(HEALTH).status(), 200));
     node.terminate();
     until_draining(&node);
     // Each goes on as soon as the one before has its answer: some before the connections are closed, one or two in
@@ -55,14 +67,20 @@
         client.write_if_taken(look(3000).as_bytes());
         match client.answer() {
             Some(answer) => {
-                assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+                assert_eq!(
+                    (answer.status(), answer.header("connection")),
+                    (200, Some("close"))
+                );
                 served += 1;
             }
             None => closed += 1,
         }
         std::thread::sleep(Duration::from_millis(60));
     }
-    assert!(served > 0 && closed > 0, "{served} served, {closed} closed: nothing was crossed");
+    assert!(
+        served > 0 && closed > 0,
+        "{served} served, {closed} closed: nothing was crossed"
+    );
     assert_eq!(upstream.seen().len(), served, "sent on and not answered");
     assert!(node.wait().success());
 }
@@ -74,8 +92,10 @@
     let upstream = Upstream::start(Then::Answer(OK));
     let mut node = Setup::with(&[upstream.address]).start();
     let text = book(3000, "a day");
-    let mut halves: Vec<(Client, usize)> =
-        [20, text.len() - 3].into_iter().map(|cut| (node.connect(), cut)).collect();
+    let mut halves: Vec<(Client, usize)> = [20, text.len() - 3]
+        .into_iter()
+        .map(|cut| (node.connect(), cut))
+        .collect();
     let mut never = node.connect();
     for (client, cut) in &mut halves {
         client.write(&text[..*cut]);
--- a/node/tests/crossing_upstreams.rs
+++ b/node/tests/crossing_upstreams.rs
@@ -34,16 +34,31 @@
 /// One upstream, listed as ready, and where it listens.
 async fn one() -> (Rc<Upstreams>, TcpListener, Place) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let settings = Settings { connect_timeout: LONG, conn_idle: LONG, ..Settings::default() };
+    let settings = Settings {
+        connect_timeout: LONG,
+        conn_idle: LONG,
+        ..Settings::default()
+    };
     let upstreams = Rc::new(Upstreams::new(&settings, 8));
     let endpoint = Some(listener.local_addr().unwrap());
-    let place = Place { endpoint, availability: Availability::Ready, boot_ms: 5 };
+    let place = Place {
+        endpoint,
+        availability: Availability::Ready,
+        boot_ms: 5,
+    };
     upstreams.place(ID, &place);
     (upstreams, listener, place)
 }
 
 async fn attempt(upstreams: &Upstreams, body: usize, within: Duration) -> Ended {
-    upstreams.attempt(ID, &outgoing(body), Instant::now() + within, &Cell::new(false)).await
+    upstreams
+        .attempt(
+            ID,
+            &outgoing(body),
+            Instant::now() + within,
+            &Cell::new(false),
+        )
+        .await
 }
 
 /// A connection of the balancer's, with the request on it read.
@@ -64,8 +79,16 @@
     place.boot_ms = 6;
     upstreams.place(ID, &place);
     stream.write_all(OK).await.unwrap();
-    assert_eq!(asked.await.unwrap().outcome, Outcome::Ok, "what it has it finishes");
-    assert_eq!(upstreams.open_connections(), 0, "the connection to the old process is kept");
+    assert_eq!(
+        asked.await.unwrap().outcome,
+        Outcome::Ok,
+        "what it has it finishes"
+    );
+    assert_eq!(
+        upstreams.open_connections(),
+        0,
+        "the connection to the old process is kept"
+    );
     assert_eq!(stream.read(&mut [0; 16]).await.unwrap(), 0);
 }
 
@@ -100,7 +123,10 @@
             }
         };
         let (ended, _open) = tokio::join!(attempt(&upstreams, 1, within), respond);
-        assert_eq!(ended.outcome, outcome, "{answer:?}, closed by a reset: {closes:?}");
+        assert_eq!(
+            ended.outcome, outcome,
+            "{answer:?}, closed by a reset: {closes:?}"
+        );
         assert_eq!(ended.served.is_some(), outcome == Outcome::Ok);
     }
 }
@@ -108,7 +134,11 @@
 /// Guards against bytes that nobody asked for, on a connection at rest: it is not used any more.
 #[tokio::test(flavor = "local")]
 async fn bytes_on_a_connection_at_rest_end_it() {
-    for late in ["HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate", "HTTP/1.1 2", "\r\n"] {
+    for late in [
+        "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate",
+        "HTTP/1.1 2",
+        "\r\n",
+    ] {
         let (upstreams, listener, _) = one().await;
         let respond = async {
             let mut stream = requested(&listener).await;
@@ -122,7 +152,9 @@
         stream.write_all(late.as_bytes()).await.unwrap();
         let respond = async { requested(&listener).await.write_all(OK).await.unwrap() };
         let both = async { tokio::join!(attempt(&upstreams, 1, LONG), respond) };
-        let (ended, ()) = tokio::time::timeout(LONG, both).await.expect("a new connection");
+        let (ended, ()) = tokio::time::timeout(LONG, both)
+            .await
+            .expect("a new connection");
         assert_eq!(ended.outcome, Outcome::Ok, "{late:?}");
     }
 }
@@ -132,17 +164,38 @@
 async fn an_answer_before_the_requests_last_byte_is_none() {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener.set_recv_buffer_size(2048).unwrap();
-    listener.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
+    listener
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<std::net::SocketAddr>()
+                .unwrap()
+                .into(),
+        )
+        .unwrap();
     listener.listen(8).unwrap();
     listener.set_nonblocking(true).unwrap();
     let listener = TcpListener::from_std(listener.into()).unwrap();
-    let settings = Settings { connect_timeout: LONG, conn_idle: LONG, ..Settings::default() };
+    let settings = Settings {
+        connect_timeout: LONG,
+        conn_idle: LONG,
+        ..Settings::default()
+    };
     let upstreams = Upstreams::new(&settings, 8);
     let endpoint = Some(listener.local_addr().unwrap());
-    upstreams.place(ID, &Place { endpoint, availability: Availability::Ready, boot_ms: 0 });
+    upstreams.place(
+        ID,
+        &Place {
+            endpoint,
+            availability: Availability::Ready,
+            boot_ms: 0,
+        },
+    );
     for (answer, outcome) in [
         (OK, Outcome::ConnectFailed),
-        (&b"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"[..], Outcome::Rejected),
+        (
+            &b"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"[..],
+            Outcome::Rejected,
+        ),
     ] {
         let respond = async {
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -157,7 +210,9 @@
                 tokio::task::yield_now().await
             }
         };
-        tokio::time::timeout(LONG, closed).await.expect("it is closed");
+        tokio::time::timeout(LONG, closed)
+            .await
+            .expect("it is closed");
     }
 }
 
@@ -166,16 +221,40 @@
 async fn a_connection_that_comes_up_too_late_carries_nothing() {
     // With a full backlog the system leaves further connections hanging until there is room.
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    listener.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
+    listener
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<std::net::SocketAddr>()
+                .unwrap()
+                .into(),
+        )
+        .unwrap();
     listener.listen(0).unwrap();
     let address = listener.local_addr().unwrap().as_socket().unwrap();
     let _fills = std::net::TcpStream::connect(address).unwrap();
-    let settings = Settings { connect_timeout: Duration::from_millis(200), ..Settings::default() };
+    let settings = Settings {
+        connect_timeout: Duration::from_millis(200),
+        ..Settings::default()
+    };
     let upstreams = Upstreams::new(&settings, 8);
-    upstreams.place(ID, &Place { endpoint: Some(address), availability: Availability::Ready, boot_ms: 0 });
+    upstreams.place(
+        ID,
+        &Place {
+            endpoint: Some(address),
+            availability: Availability::Ready,
+            boot_ms: 0,
+        },
+    );
     let ended = attempt(&upstreams, 1, Duration::from_millis(50)).await;
-    assert_eq!(ended.outcome, Outcome::NotSent, "given up before the connection counts as failed");
-    assert_eq!(attempt(&upstreams, 1, LONG).await.outcome, Outcome::ConnectFailed);
+    assert_eq!(
+        ended.outcome,
+        Outcome::NotSent,
+        "given up before the connection counts as failed"
+    );
+    assert_eq!(
+        attempt(&upstreams, 1, LONG).await.outcome,
+        Outcome::ConnectFailed
+    );
     assert_eq!(upstreams.open_connections(), 0);
 }
 
@@ -222,9 +301,18 @@
     assert!(next_request(&first).is_some());
     std::thread::sleep(Duration::from_millis(200));
     let passed = asked.elapsed().as_millis() as u64;
-    (&first).write_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").unwrap();
+    (&first)
+        .write_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+        .unwrap();
     let second = streams.recv_timeout(LONG).expect("a further attempt");
     let told = next_request(&second).expect("a request");
-    let told: u64 = told.header("x-time-left-ms").expect("a time").parse().unwrap();
-    assert!(told + passed <= 3000, "{told} ms told after {passed} of 3000");
+    let told: u64 = told
+        .header("x-time-left-ms")
+        .expect("a time")
+        .parse()
+        .unwrap();
+    assert!(
+        told + passed <= 3000,
+        "{told} ms told after {passed} of 3000"
+    );
 }
--- a/node/tests/error_origin.rs
+++ b/node/tests/error_origin.rs
@@ -35,8 +35,16 @@
     ];
     for (number, name, connection, accept) in all {
         let error = io::Error::from_raw_os_error(number);
-        assert_eq!(ErrorOrigin::of(&error), connection, "{name} of a connection");
-        assert_eq!(ErrorOrigin::of_accept(&error), accept, "{name} of an accept");
+        assert_eq!(
+            ErrorOrigin::of(&error),
+            connection,
+            "{name} of a connection"
+        );
+        assert_eq!(
+            ErrorOrigin::of_accept(&error),
+            accept,
+            "{name} of an accept"
+        );
     }
 }
 
@@ -58,8 +66,14 @@
     let failed = |number| Poll::Ready(Err::<usize, _>(io::Error::from_raw_os_error(number)));
     assert!(again_if_interrupted(failed(4), &cx).is_pending(), "EINTR");
     assert_eq!(wakes.0.load(Ordering::SeqCst), 1, "it is polled again");
-    assert!(matches!(again_if_interrupted(failed(104), &cx), Poll::Ready(Err(_))), "ECONNRESET");
-    assert!(matches!(again_if_interrupted(Poll::Ready(Ok(3)), &cx), Poll::Ready(Ok(3))));
+    assert!(
+        matches!(again_if_interrupted(failed(104), &cx), Poll::Ready(Err(_))),
+        "ECONNRESET"
+    );
+    assert!(matches!(
+        again_if_interrupted(Poll::Ready(Ok(3)), &cx),
+        Poll::Ready(Ok(3))
+    ));
     assert!(again_if_interrupted(Poll::<io::Result<usize>>::Pending, &cx).is_pending());
     assert_eq!(wakes.0.load(Ordering::SeqCst), 1, "no further wake");
 }
--- a/node/tests/failing_calls.rs
+++ b/node/tests/failing_calls.rs
@@ -22,7 +22,9 @@
     assert_eq!(node.connect().exchange(&look(5000)).status(), 200);
     node.exhaust_descriptors();
     let mut clients: Vec<Client> = (0..5).map(|_| node.connect()).collect();
-    clients.iter_mut().for_each(|client| client.write(&look(5000)));
+    clients
+        .iter_mut()
+        .for_each(|client| client.write(&look(5000)));
     node.terminate();
     std::thread::sleep(LISTENER_CLOSED_AFTER);
     node.limit_descriptors(DESCRIPTORS);
@@ -35,7 +37,10 @@
 /// Guards upstreams against being ejected because this machine has no descriptor for a connection to them.
 #[test]
 fn a_machine_without_descriptors_says_nothing_of_its_upstreams() {
-    let upstreams = [Upstream::start(Then::AnswerAndClose(OK)), Upstream::start(Then::AnswerAndClose(OK))];
+    let upstreams = [
+        Upstream::start(Then::AnswerAndClose(OK)),
+        Upstream::start(Then::AnswerAndClose(OK)),
+    ];
     let node = Setup::with(&[upstreams[0].address, upstreams[1].address]).start();
     let mut client = node.connect();
     assert_eq!(client.exchange(&look(5000)).status(), 200);
@@ -47,7 +52,11 @@
         assert_eq!(client.exchange(&look(5000)).status(), 503);
     }
     node.limit_descriptors(DESCRIPTORS);
-    assert_eq!(client.exchange(&look(5000)).status(), 200, "nobody is ejected");
+    assert_eq!(
+        client.exchange(&look(5000)).status(),
+        200,
+        "nobody is ejected"
+    );
 }
 
 /// Guards a reload against a configuration file that is half written, or cannot be read, as the signal comes: it is read
@@ -65,7 +74,9 @@
     node.round_trip();
     assert_eq!(node.connect().exchange(&look(5000)).status(), 200);
     node.replace_configuration(&text);
-    calls.recv_timeout(LONG).expect("a watch at the new address");
+    calls
+        .recv_timeout(LONG)
+        .expect("a watch at the new address");
     assert!(node.runs());
 }
 
@@ -74,21 +85,37 @@
 fn served_with(then: Then, faults: &[(&'static str, &str)]) -> usize {
     let upstreams = [Upstream::start(then), Upstream::start(then)];
     let mut setup = Setup::with(&[upstreams[0].address, upstreams[1].address]);
-    setup.faults = faults.iter().map(|(name, value)| (*name, (*value).to_owned())).collect();
+    setup.faults = faults
+        .iter()
+        .map(|(name, value)| (*name, (*value).to_owned()))
+        .collect();
     let mut node = setup.start();
     let mut served = 0;
     for k in 0..CONNECTIONS {
         let mut client = node.connect();
         for n in 0..REQUESTS_EACH {
-            client.write(&if k % 2 == 0 { look(5000) } else { book(5000, &format!("{k}-{n}")) });
-            let answer = client.answer().unwrap_or_else(|| panic!("{faults:?}: connection {k} ended"));
+            client.write(&if k % 2 == 0 {
+                look(5000)
+            } else {
+                book(5000, &format!("{k}-{n}"))
+            });
+            let answer = client
+                .answer()
+                .unwrap_or_else(|| panic!("{faults:?}: connection {k} ended"));
             served += usize::from(answer.status() == 200);
         }
     }
     assert!(node.runs());
     let mut booked = HashSet::new();
-    for message in upstreams.iter().flat_map(Upstream::seen).filter(|m| m.line.starts_with("POST")) {
-        assert!(booked.insert(message.body.clone()), "{faults:?}: {message:?} ran twice");
+    for message in upstreams
+        .iter()
+        .flat_map(Upstream::seen)
+        .filter(|m| m.line.starts_with("POST"))
+    {
+        assert!(
+            booked.insert(message.body.clone()),
+            "{faults:?}: {message:?} ran twice"
+        );
     }
     served
 }
@@ -100,10 +127,20 @@
     let all = CONNECTIONS * REQUESTS_EACH;
     let (keeps, closes) = (Then::Answer(OK), Then::AnswerAndClose(OK));
     for (name, value, then, least) in [
-        ("FAULT_ACCEPT", "0.5:ECONNABORTED,EMFILE,ENOBUFS,EPROTO", keeps, all),
+        (
+            "FAULT_ACCEPT",
+            "0.5:ECONNABORTED,EMFILE,ENOBUFS,EPROTO",
+            keeps,
+            all,
+        ),
         ("FAULT_READ", "0.3:EINTR", keeps, all),
         ("FAULT_WRITE", "0.3:EINTR", keeps, all),
-        ("FAULT_CONNECT", "0.5:EADDRNOTAVAIL,ENOBUFS,ENETUNREACH,ENOMEM", closes, all * 13 / 20),
+        (
+            "FAULT_CONNECT",
+            "0.5:EADDRNOTAVAIL,ENOBUFS,ENETUNREACH,ENOMEM",
+            closes,
+            all * 13 / 20,
+        ),
         ("FAULT_WALL_MS", "3600000", keeps, all),
         ("FAULT_WALL_MS", "-3600000", keeps, all),
     ] {
--- a/node/tests/fleet_size.rs
+++ b/node/tests/fleet_size.rs
@@ -32,7 +32,11 @@
 fn changes(rev: u64, upstreams: &[Upstream]) -> String {
     let at = upstreams[rev as usize % LISTENERS].address;
     let (old, new) = (format!("s-{}", rev), format!("t-{rev}"));
-    list(rev, false, &[entry(&old, at, "Terminating"), entry(&new, at, "Ready")])
+    list(
+        rev,
+        false,
+        &[entry(&old, at, "Terminating"), entry(&new, at, "Ready")],
+    )
 }
 
 fn go_on_changing(watch: &TcpStream, upstreams: &[Upstream], over: &AtomicBool) {
@@ -46,11 +50,16 @@
 
 /// Plays a fleet as one of its balancers sees it.
 fn play(balancers: usize, count: usize) -> Needs {
-    let upstreams: Vec<Upstream> = (0..LISTENERS).map(|_| Upstream::start(Then::Answer(OK))).collect();
-    let all: Vec<_> = (0..count).map(|k| upstreams[k % LISTENERS].address).collect();
+    let upstreams: Vec<Upstream> = (0..LISTENERS)
+        .map(|_| Upstream::start(Then::Answer(OK)))
+        .collect();
+    let all: Vec<_> = (0..count)
+        .map(|k| upstreams[k % LISTENERS].address)
+        .collect();
     let (discovery, calls) = discovery();
     let mut setup = Setup::with(&all);
-    (setup.discovery, setup.asks, setup.balancers, setup.sockets) = (discovery, true, balancers, 1024);
+    (setup.discovery, setup.asks, setup.balancers, setup.sockets) =
+        (discovery, true, balancers, 1024);
     let node = setup.start();
     let (_, watch) = calls.recv_timeout(LONG).expect("a watch");
     let over = AtomicBool::new(false);
@@ -83,9 +92,21 @@
     let large = play(900, 3200);
     let thousands = 3.2;
     println!("{usual:?} {large:?}");
-    assert!(large.cpu_s <= CPU_GROWTH * usual.cpu_s + 0.02 + 0.03 * thousands, "{large:?}, {usual:?}");
-    assert!(large.peak_mb <= 1.5 * usual.peak_mb + 8.0 + 4.0 * thousands, "{large:?}, {usual:?}");
-    assert!(large.descriptors <= 2 * usual.descriptors + 40, "{large:?}, {usual:?}");
-    assert!(large.connections <= usual.connections * 5 / 2 + 40, "{large:?}, {usual:?}");
+    assert!(
+        large.cpu_s <= CPU_GROWTH * usual.cpu_s + 0.02 + 0.03 * thousands,
+        "{large:?}, {usual:?}"
+    );
+    assert!(
+        large.peak_mb <= 1.5 * usual.peak_mb + 8.0 + 4.0 * thousands,
+        "{large:?}, {usual:?}"
+    );
+    assert!(
+        large.descriptors <= 2 * usual.descriptors + 40,
+        "{large:?}, {usual:?}"
+    );
+    assert!(
+        large.connections <= usual.connections * 5 / 2 + 40,
+        "{large:?}, {usual:?}"
+    );
     assert!(large.served >= 0.85 * usual.served, "{large:?}, {usual:?}");
 }
--- a/node/tests/headers.rs
+++ b/node/tests/headers.rs
@@ -7,7 +7,10 @@
 #[test]
 fn load_reports_keep_the_order_of_the_settings() {
     let fields = [LoadField::Queue, LoadField::InFlight];
-    assert_eq!(load_report("inflight=7,queue=2,util=0.61", &fields), Some(vec![2.0, 7.0]));
+    assert_eq!(
+        load_report("inflight=7,queue=2,util=0.61", &fields),
+        Some(vec![2.0, 7.0])
+    );
     let half = load_report("depth=3, inflight=many", &fields).unwrap();
     assert_eq!(half[0], 3.0);
     assert!(half[1].is_nan());
--- a/node/tests/list_lease.rs
+++ b/node/tests/list_lease.rs
@@ -43,12 +43,21 @@
 }
 
 /// Answers calls in the way of a case until the balancer has been watched; returns when the first answer was written.
-fn answer_badly(calls: &Receiver<TcpStream>, how: Calls, text: &str, until: Instant) -> Option<Instant> {
+fn answer_badly(
+    calls: &Receiver<TcpStream>,
+    how: Calls,
+    text: &str,
+    until: Instant,
+) -> Option<Instant> {
     let (mut open, mut written) = (Vec::new(), None);
     while let Ok(mut stream) = calls.recv_timeout(until.saturating_duration_since(Instant::now())) {
         if let Calls::TurnedAway | Calls::TurnedAwayLate = how {
             std::thread::spawn(move || {
-                std::thread::sleep(if how == Calls::TurnedAway { Duration::ZERO } else { QUEUE_MOST });
+                std::thread::sleep(if how == Calls::TurnedAway {
+                    Duration::ZERO
+                } else {
+                    QUEUE_MOST
+                });
                 stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             });
             continue;
@@ -82,7 +91,9 @@
     let upstream = Upstream::start(Then::Answer(OK));
     let (node, calls, mut watch) = calling(&upstream);
     let text = whole_list(&upstream);
-    watch.write_all((HEAD.to_owned() + &chunk(&text)).as_bytes()).unwrap();
+    watch
+        .write_all((HEAD.to_owned() + &chunk(&text)).as_bytes())
+        .unwrap();
     let silent = Instant::now();
     let notified_after = match end {
         Watch::FallsSilent => NOTIFIED_WITHIN,
@@ -92,7 +103,13 @@
         watch.shutdown(Shutdown::Both).unwrap();
     }
     let latest = silent + notified_after + GRACE;
-    let badly = std::thread::spawn(move || (answer_badly(&calls, how, &text, latest + WATCHED), calls, text));
+    let badly = std::thread::spawn(move || {
+        (
+            answer_badly(&calls, how, &text, latest + WATCHED),
+            calls,
+            text,
+        )
+    });
     // What is sent from `latest` on must be refused, whatever became of the calls; before, an answer that broke off
     // may have ended it earlier.
     let mut served = Vec::new();
@@ -105,10 +122,23 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     let (written, calls, text) = badly.join().unwrap();
-    assert!(served.iter().any(|at| *at < silent + Duration::from_secs(2)), "{how:?}: served at first");
+    assert!(
+        served
+            .iter()
+            .any(|at| *at < silent + Duration::from_secs(2)),
+        "{how:?}: served at first"
+    );
     let notified = written.map_or(latest, |at| latest.min(at + GRACE));
-    let after: Vec<_> = served.iter().filter(|at| **at >= notified).map(|at| *at - silent).collect();
-    assert!(after.is_empty(), "{how:?}: sent at {after:?}, {:?} at the latest", notified - silent);
+    let after: Vec<_> = served
+        .iter()
+        .filter(|at| **at >= notified)
+        .map(|at| *at - silent)
+        .collect();
+    assert!(
+        after.is_empty(),
+        "{how:?}: sent at {after:?}, {:?} at the latest",
+        notified - silent
+    );
     // A whole list ends it.
     std::thread::spawn(move || {
         let mut open = Vec::new();
@@ -117,16 +147,23 @@
             open.push(stream);
         }
     });
-    until(&format!("{end:?}, {how:?}: a whole list is sent by again"), || {
-        node.connect().exchange(&book(5000, "x")).status() == 200
-    });
+    until(
+        &format!("{end:?}, {how:?}: a whole list is sent by again"),
+        || node.connect().exchange(&book(5000, "x")).status() == 200,
+    );
 }
 
 /// Plays these cases side by side.
 fn play_all(end: Watch, all: &[Calls]) {
     std::thread::scope(|scope| {
-        let plays: Vec<_> = all.iter().map(|how| scope.spawn(move || play(end, *how))).collect();
-        let failed = plays.into_iter().filter_map(|play| play.join().err()).count();
+        let plays: Vec<_> = all
+            .iter()
+            .map(|how| scope.spawn(move || play(end, *how)))
+            .collect();
+        let failed = plays
+            .into_iter()
+            .filter_map(|play| play.join().err())
+            .count();
         assert_eq!(failed, 0, "cases that failed");
     });
 }
@@ -135,8 +172,13 @@
 /// never answered or turned away late, answers that stop after their head or within their list.
 #[test]
 fn a_list_that_nothing_confirms_is_not_sent_by_for_long() {
-    let all =
-        [Calls::Unanswered, Calls::TurnedAwayLate, Calls::HeadOnly, Calls::HalfList, Calls::HalfListAndClose];
+    let all = [
+        Calls::Unanswered,
+        Calls::TurnedAwayLate,
+        Calls::HeadOnly,
+        Calls::HalfList,
+        Calls::HalfListAndClose,
+    ];
     play_all(Watch::FallsSilent, &all);
 }
 
@@ -156,7 +198,12 @@
     let node = setup.start();
     let start = Instant::now();
     while start.elapsed() < NOTIFIED_WITHIN + GRACE + WATCHED {
-        assert_eq!(node.connect().exchange(&book(5000, "x")).status(), 200, "after {:?}", start.elapsed());
+        assert_eq!(
+            node.connect().exchange(&book(5000, "x")).status(),
+            200,
+            "after {:?}",
+            start.elapsed()
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
 }
--- a/node/tests/sockets.rs
+++ b/node/tests/sockets.rs
@@ -37,7 +37,12 @@
 /// Guards against an effect twice: what may have run is not sent again, nor refused as harmless to retry.
 #[test]
 fn an_unsafe_request_that_may_have_run_has_failed() {
-    for then in [Then::Close, Then::Answer(PLAIN_503), Then::Answer(ERROR), Then::AnswerAndClose(CUT_SHORT)] {
+    for then in [
+        Then::Close,
+        Then::Answer(PLAIN_503),
+        Then::Answer(ERROR),
+        Then::AnswerAndClose(CUT_SHORT),
+    ] {
         let upstreams = [Upstream::start(then), Upstream::start(then)];
         let node = Setup::with(&[upstreams[0].address, upstreams[1].address]).start();
         let answer = node.connect().exchange(&book(5000, "x"));
@@ -65,7 +70,11 @@
     let node = Setup::with(&[nobody()]).start();
     let answer = node.connect().exchange(&book(5000, "x"));
     assert_eq!(answer.status(), 503);
-    let seconds: f64 = answer.header("retry-after").expect("a time").parse().unwrap();
+    let seconds: f64 = answer
+        .header("retry-after")
+        .expect("a time")
+        .parse()
+        .unwrap();
     assert!(seconds > 0.0 && seconds <= 1.0, "{seconds}");
 }
 
@@ -131,23 +140,37 @@
         (": 5000", ": 99999999999999999999"),
         ("Host", "X-Weight-Hint: heavy\r\nHost"),
         ("/book/day", "/keyed"),
-        ("Content-Length: 1\r\n\r\nx", "Content-Length: 99999999\r\n\r\n"),
+        (
+            "Content-Length: 1\r\n\r\nx",
+            "Content-Length: 99999999\r\n\r\n",
+        ),
         ("Content-Length: 1", "Content-Length: one"),
         (" HTTP/1.1", ""),
     ] {
         let text = good.replacen(from, to, 1);
         assert_ne!(text, good);
         let answer = node.connect().exchange(&text);
-        assert!((400..500).contains(&answer.status()) && answer.status() != 429, "{text:?}: {answer:?}");
+        assert!(
+            (400..500).contains(&answer.status()) && answer.status() != 429,
+            "{text:?}: {answer:?}"
+        );
     }
     let long = "y".repeat(64 * 1024 + 1);
-    let chunk = format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{long}\r\n0\r\n\r\n", long.len());
-    let answer = node.connect().exchange(&good.replacen("Content-Length: 1\r\n\r\nx", &chunk, 1));
+    let chunk = format!(
+        "Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{long}\r\n0\r\n\r\n",
+        long.len()
+    );
+    let answer = node
+        .connect()
+        .exchange(&good.replacen("Content-Length: 1\r\n\r\nx", &chunk, 1));
     assert_eq!(answer.status(), 413);
     node.connect().write("\u{1}\u{2} nonsense\r\n\r\n");
     assert!(upstream.seen().is_empty());
     // The largest that is allowed.
-    assert_eq!(node.connect().exchange(&book(5000, &long[1..])).status(), 200);
+    assert_eq!(
+        node.connect().exchange(&book(5000, &long[1..])).status(),
+        200
+    );
     assert!(node.runs());
 }
 
@@ -164,8 +187,14 @@
         let mut client = node.connect();
         assert_eq!(client.exchange(&book(5000, "x")).status(), 200);
         let (target, watch) = calls.recv_timeout(LONG).unwrap();
-        assert!(target.contains("stream=1") && target.contains("index=1"), "{target}");
-        tell(&watch, &list(2, false, &[entry("s-0", leaving.address, state)]));
+        assert!(
+            target.contains("stream=1") && target.contains("index=1"),
+            "{target}"
+        );
+        tell(
+            &watch,
+            &list(2, false, &[entry("s-0", leaving.address, state)]),
+        );
         until("its idle connection is closed", || leaving.ended() == 1);
         assert_eq!(client.exchange(&book(5000, "x")).status(), 503);
         assert_eq!(leaving.seen().len(), 1);
@@ -175,7 +204,10 @@
 /// Guards against an upstream being taken for its address: one that has moved is followed.
 #[test]
 fn an_upstream_that_moves_is_followed() {
-    let (before, after) = (Upstream::start(Then::Answer(OK)), Upstream::start(Then::Answer(OK)));
+    let (before, after) = (
+        Upstream::start(Then::Answer(OK)),
+        Upstream::start(Then::Answer(OK)),
+    );
     let (discovery, calls) = discovery();
     let mut setup = Setup::with(&[before.address]);
     (setup.discovery, setup.asks) = (discovery, true);
@@ -183,8 +215,13 @@
     let mut client = node.connect();
     assert_eq!(client.exchange(&book(5000, "x")).status(), 200);
     let (_, watch) = calls.recv_timeout(LONG).unwrap();
-    tell(&watch, &list(2, false, &[entry("s-0", after.address, "Ready")]));
-    until("the connection to its old place is closed", || before.ended() == 1);
+    tell(
+        &watch,
+        &list(2, false, &[entry("s-0", after.address, "Ready")]),
+    );
+    until("the connection to its old place is closed", || {
+        before.ended() == 1
+    });
     assert_eq!(client.exchange(&book(5000, "x")).status(), 200);
     assert_eq!((before.seen().len(), after.seen().len()), (1, 1));
 }
@@ -205,9 +242,18 @@
     assert!(target.contains("index=0"), "{target}");
     let odd = r#"{"uid":7,"endpoint":[],"state":"Ready"}"#.to_owned();
     let lost = r#"{"uid":"s-8","endpoint":"nowhere","state":"Ready"}"#.to_owned();
-    tell(&watch, &list(9, true, &[odd, lost, entry("s-9", upstream.address, "Ready")]));
+    tell(
+        &watch,
+        &list(
+            9,
+            true,
+            &[odd, lost, entry("s-9", upstream.address, "Ready")],
+        ),
+    );
     let mut client = node.connect();
-    until("the list has come", || client.exchange(&look(5000)).status() == 200);
+    until("the list has come", || {
+        client.exchange(&look(5000)).status() == 200
+    });
     assert!(node.runs());
 }
 
@@ -245,7 +291,10 @@
         assert_eq!(client.exchange(&look(5000)).status(), 200);
         clients.push(client);
     }
-    assert!(clients[0].ends(), "the longest idle was closed between requests");
+    assert!(
+        clients[0].ends(),
+        "the longest idle was closed between requests"
+    );
     assert!(node.runs());
 }
 
@@ -273,7 +322,12 @@
     let node = Setup::with(&[upstream.address]).start();
     let body = book(60_000, "half").replace("Content-Length: 4", "Content-Length: 9");
     let mut peers: Vec<Client> = Vec::new();
-    for text in ["", "POST /book/day HT", "POST /book/day HTTP/1.1\r\nHost: app.svc\r\n", &body] {
+    for text in [
+        "",
+        "POST /book/day HT",
+        "POST /book/day HTTP/1.1\r\nHost: app.svc\r\n",
+        &body,
+    ] {
         let mut peer = node.connect();
         peer.write(text);
         peers.push(peer);
@@ -281,7 +335,9 @@
     for (k, peer) in peers.iter_mut().enumerate() {
         // Reading fails after `LONG`, a third of what the last one says that it would wait.
         let answer = peer.answer();
-        let error = answer.as_ref().is_none_or(|a| (400..500).contains(&a.status()));
+        let error = answer
+            .as_ref()
+            .is_none_or(|a| (400..500).contains(&a.status()));
         assert!(error && peer.is_open_no_more(), "peer {k}: {answer:?}");
     }
     assert!(upstream.seen().is_empty());
@@ -309,7 +365,10 @@
         status == 503
     });
     let answer = held.answer().expect("an answer, not only an end");
-    assert!(![200, 429, 503].contains(&answer.status()), "it may have run: {answer:?}");
+    assert!(
+        ![200, 429, 503].contains(&answer.status()),
+        "it may have run: {answer:?}"
+    );
     assert!(kept.ends(), "idle connections end");
     assert!(node.wait().success());
 }
@@ -325,16 +384,31 @@
     let mut node = setup.start();
     let mut client = node.connect();
     let (_, watch) = calls.recv_timeout(LONG).unwrap();
-    tell(&watch, &list(5, true, &[entry("s-0", upstream.address, "Ready")]));
-    until("the list has come", || client.exchange(&book(5000, "x")).status() == 200);
+    tell(
+        &watch,
+        &list(5, true, &[entry("s-0", upstream.address, "Ready")]),
+    );
+    until("the list has come", || {
+        client.exchange(&book(5000, "x")).status() == 200
+    });
     node.reload("{");
     assert_eq!(client.exchange(&book(5000, "x")).status(), 200);
     setup.discovery = after;
     node.reload(&setup.text());
-    let (target, watch) = calls_after.recv_timeout(LONG).expect("a watch at the new address");
-    assert!(target.contains("stream=1") && target.contains("index=5"), "{target}");
-    tell(&watch, &list(6, false, &[entry("s-0", upstream.address, "Terminating")]));
-    until("the news has come", || client.exchange(&book(5000, "x")).status() == 503);
+    let (target, watch) = calls_after
+        .recv_timeout(LONG)
+        .expect("a watch at the new address");
+    assert!(
+        target.contains("stream=1") && target.contains("index=5"),
+        "{target}"
+    );
+    tell(
+        &watch,
+        &list(6, false, &[entry("s-0", upstream.address, "Terminating")]),
+    );
+    until("the news has come", || {
+        client.exchange(&book(5000, "x")).status() == 503
+    });
     assert!(node.runs());
 }
 
@@ -351,11 +425,18 @@
     ] {
         std::fs::write(&path, good.replacen(from, to, 1)).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_maplehook"));
-        let output = command.env("NODE_CONFIG", &path).stderr(Stdio::piped()).output().unwrap();
+        let output = command
+            .env("NODE_CONFIG", &path)
+            .stderr(Stdio::piped())
+            .output()
+            .unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success() && error.contains(named), "{error}");
     }
     std::fs::remove_file(&path).unwrap();
-    let output = Command::new(env!("CARGO_BIN_EXE_maplehook")).env_remove("NODE_CONFIG").output().unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_maplehook"))
+        .env_remove("NODE_CONFIG")
+        .output()
+        .unwrap();
     assert!(!output.status.success());
 }
