--- a/node/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a balancer at its start: the JSON file that `NODE_CONFIG` names.
 
 use frostkeel_membership::{Name, Place};
-use lapisroute_settings::Site;
+use frostkeel_settings::Site;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::fmt;
@@ -136,7 +136,7 @@
         let raw: Raw<'_> = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
         let seed =
             u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
-        let mut site = lapisroute_settings::parse(raw.settings.get()).map_err(ConfigError)?;
+        let mut site = frostkeel_settings::parse(raw.settings.get()).map_err(ConfigError)?;
         // Where lists are pushed, an agent of this balancer's own has them: on sockets they come over its watch.
         site.settings.own_agent = !site.settings.ask_for_fleet;
         site.settings.ask_for_fleet = true;
--- a/node/src/driver.rs
+++ b/balancer/src/driver.rs
@@ -13,7 +13,7 @@
 use crate::starts::Starts;
 use crate::tally::Tally;
 use crate::upstream::{Ended, Upstreams};
-use lapisroute::{
+use frostkeel_policy::{
     Action, AttemptNo, Balancer, Event, FleetScope, ListEvent, Listed, Loss, Outcome, RequestId,
     TimerId, UpstreamId,
 };
--- a/node/src/headers.rs
+++ b/balancer/src/headers.rs
@@ -1,10 +1,10 @@
 //! Names and forms of headers, and which of them stay behind when a message is passed on.
 
+use frostkeel_policy::LoadField;
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE,
     TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
-use lapisroute::LoadField;
 
 /// A request's own id, new with each try.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
@@ -59,7 +59,7 @@
 pub fn load_report(text: &str, fields: &[LoadField]) -> Option<Vec<f32>> {
     let mut values = vec![f32::NAN; fields.len()];
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-        let field = lapisroute_settings::load_field(name.trim());
+        let field = frostkeel_settings::load_field(name.trim());
         let value = value.trim().parse().ok().filter(|v: &f32| v.is_finite());
         if let (Some(k), Some(value)) = (fields.iter().position(|f| *f == field), value) {
             values[k] = value;
--- a/node/src/in_flight.rs
+++ b/balancer/src/in_flight.rs
@@ -2,7 +2,7 @@
 
 use crate::exchange::Outgoing;
 use crate::upstream::Served;
-use lapisroute::{ClassId, TenantId, UpstreamId};
+use frostkeel_policy::{ClassId, TenantId, UpstreamId};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/node/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,4 +1,4 @@
-//! `maplehook`: a load balancer on real sockets. Every decision is the `lapisroute` library's; this crate does the
+//! `frostkeel-balancer`: a load balancer on real sockets. Every decision is the `frostkeel-policy` library's; this crate does the
 //! input and output round it, on one thread.
 
 pub mod client_stream;
--- a/node/src/list.rs
+++ b/balancer/src/list.rs
@@ -2,8 +2,8 @@
 
 use crate::upstream::Place;
 use bytes::{Bytes, BytesMut};
-use lapisroute::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
-use lapisroute_settings::Names;
+use frostkeel_policy::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
+use frostkeel_settings::Names;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::fmt;
--- a/node/src/main.rs
+++ b/balancer/src/main.rs
@@ -1,7 +1,7 @@
 //! The program: reads its configuration, writes its log to standard error and serves until it is told to end.
 
-use maplehook::config::Config;
-use maplehook::process;
+use frostkeel_balancer::config::Config;
+use frostkeel_balancer::process;
 use std::error::Error;
 use std::process::ExitCode;
 use tokio::runtime::LocalOptions;
@@ -19,7 +19,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("maplehook: {e}");
+            eprintln!("frostkeel-balancer: {e}");
             ExitCode::FAILURE
         }
     }
--- a/node/src/pending.rs
+++ b/balancer/src/pending.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::Driver;
 use crate::in_flight::Answer;
-use lapisroute::RequestId;
+use frostkeel_policy::RequestId;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
--- a/node/src/process.rs
+++ b/balancer/src/process.rs
@@ -7,7 +7,7 @@
 use crate::server::{Phase, Server};
 use crate::tally::Tally;
 use crate::upstream::Upstreams;
-use lapisroute::Balancer;
+use frostkeel_policy::Balancer;
 use std::error::Error;
 use std::pin::pin;
 use std::rc::Rc;
--- a/node/src/request.rs
+++ b/balancer/src/request.rs
@@ -6,12 +6,12 @@
 };
 use crate::in_flight::{Answer, Asked};
 use bytes::Bytes;
+use frostkeel_policy::{ClassId, Effect, TenantId};
+use frostkeel_settings::Site;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use lapisroute::{ClassId, Effect, TenantId};
-use lapisroute_settings::Site;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
--- a/node/src/starts.rs
+++ b/balancer/src/starts.rs
@@ -4,7 +4,7 @@
 //! a start is first seen. The wall clock only says how long ago it was where that fits what a list takes to come.
 
 use crate::list::Entry;
-use lapisroute::{Availability, UpstreamId};
+use frostkeel_policy::{Availability, UpstreamId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
 
--- a/node/src/tally.rs
+++ b/balancer/src/tally.rs
@@ -1,7 +1,7 @@
 //! What became of requests, by class, since the log last said so.
 
-use lapisroute::{ClassId, Loss, Outcome};
-use lapisroute_settings::Site;
+use frostkeel_policy::{ClassId, Loss, Outcome};
+use frostkeel_settings::Site;
 use std::fmt;
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     /// An empty one for the classes of a site.
     pub fn new(site: &Site) -> Self {
         let classes = site.names.classes.iter().zip(&site.settings.classes);
-        let class = |(name, class): (&String, &lapisroute::Class)| Class {
+        let class = |(name, class): (&String, &frostkeel_policy::Class)| Class {
             name: name.clone(),
             aim: class.aim,
             counts: Counts::default(),
--- a/node/tests/common/node.rs
+++ b/balancer/tests/common/node.rs
@@ -30,7 +30,7 @@
     pub cancelling: bool,
     /// How long an upstream that has started is cold.
     pub cold_ms: u64,
-    /// What the preloaded shim is told to let fail; see the crate `frostkeel-faultshim`.
+    /// What the preloaded shim is told to let fail; see the crate `frostkeel-syscall-faults`.
     pub faults: Vec<(&'static str, String)>,
 }
 
@@ -92,10 +92,12 @@
     pub fn start(&self) -> Node {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let number = COUNT.fetch_add(1, Ordering::SeqCst);
-        let path =
-            std::env::temp_dir().join(format!("maplehook-{}-{number}.json", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "frostkeel-balancer-{}-{number}.json",
+            std::process::id()
+        ));
         std::fs::write(&path, self.text()).unwrap();
-        let mut command = Command::new(env!("CARGO_BIN_EXE_maplehook"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_frostkeel-balancer"));
         command
             .env("NODE_CONFIG", &path)
             .env("NODE_LOG", "info")
@@ -142,7 +144,7 @@
 fn shim() -> PathBuf {
     let path = std::env::current_exe()
         .unwrap()
-        .with_file_name("libfrostkeel_faultshim.so");
+        .with_file_name("libfrostkeel_syscall_faults.so");
     assert!(path.exists(), "{} is not built", path.display());
     path
 }
--- a/node/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file: what it says, and what is wrong with it.
 
+use frostkeel_balancer::config::{Config, RESERVED_SOCKETS};
 use frostkeel_membership::Place;
-use maplehook::config::{Config, RESERVED_SOCKETS};
 
 const GOOD: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"rev": 4, "targets": []},
--- a/node/tests/connection.rs
+++ b/balancer/tests/connection.rs
@@ -1,9 +1,9 @@
 //! What is known of a connection to an upstream.
 
+use frostkeel_balancer::connection::{Connection, wire_length};
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::{CONTENT_LENGTH, HOST};
-use maplehook::connection::{Connection, wire_length};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
--- a/node/tests/crossing_lists.rs
+++ b/balancer/tests/crossing_lists.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::*;
-use lapisroute::FleetScope;
-use lapisroute_settings::Names;
-use maplehook::discovery::{Discovery, WatchEvent};
+use frostkeel_balancer::discovery::{Discovery, WatchEvent};
+use frostkeel_policy::FleetScope;
+use frostkeel_settings::Names;
 use std::cell::RefCell;
 use std::io::Write;
 use std::net::TcpStream;
--- a/node/tests/crossing_server.rs
+++ b/balancer/tests/crossing_server.rs
@@ -4,16 +4,16 @@
 mod common;
 
 use common::{look, nobody};
-use lapisroute::{
+use frostkeel_balancer::discovery::Discovery;
+use frostkeel_balancer::driver::Driver;
+use frostkeel_balancer::list::{Entry, ListUpdate};
+use frostkeel_balancer::server::{Phase, Server};
+use frostkeel_balancer::tally::Tally;
+use frostkeel_balancer::upstream::{Place, Upstreams};
+use frostkeel_policy::{
     Availability, Balancer, CellId, Class, Effect, FleetScope, KindId, Settings, UpstreamId, ZoneId,
 };
-use lapisroute_settings::{Names, Site};
-use maplehook::discovery::Discovery;
-use maplehook::driver::Driver;
-use maplehook::list::{Entry, ListUpdate};
-use maplehook::server::{Phase, Server};
-use maplehook::tally::Tally;
-use maplehook::upstream::{Place, Upstreams};
+use frostkeel_settings::{Names, Site};
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/node/tests/crossing_upstreams.rs
+++ b/balancer/tests/crossing_upstreams.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use common::{LONG, Setup, look, next_request};
+use frostkeel_balancer::exchange::Outgoing;
+use frostkeel_balancer::upstream::{Ended, Place, Upstreams};
+use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
-use lapisroute::{Availability, Outcome, Settings, UpstreamId};
-use maplehook::exchange::Outgoing;
-use maplehook::upstream::{Ended, Place, Upstreams};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::cell::Cell;
 use std::io::Write;
--- a/node/tests/error_origin.rs
+++ b/balancer/tests/error_origin.rs
@@ -1,7 +1,7 @@
 //! Errors of system calls, each with whose it is.
 
-use maplehook::error_origin::ErrorOrigin::{self, Machine, Nobody, Peer};
-use maplehook::error_origin::again_if_interrupted;
+use frostkeel_balancer::error_origin::ErrorOrigin::{self, Machine, Nobody, Peer};
+use frostkeel_balancer::error_origin::again_if_interrupted;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/node/tests/fleet_size.rs
+++ b/balancer/tests/fleet_size.rs
@@ -15,7 +15,7 @@
 const REQUEST_EVERY: Duration = Duration::from_millis(20);
 
 /// How much the processor time may grow. The operators' bound is one of the program as it is shipped
-/// (`cargo test --release -p maplehook --test fleet_size`); without optimization its passes over the list weigh more.
+/// (`cargo test --release -p frostkeel-balancer --test fleet_size`); without optimization its passes over the list weigh more.
 const CPU_GROWTH: f64 = if cfg!(debug_assertions) { 4.0 } else { 1.4 };
 
 /// What a play needed and did.
--- a/node/tests/headers.rs
+++ b/balancer/tests/headers.rs
@@ -1,8 +1,8 @@
 //! Load reports and the headers that stay behind.
 
+use frostkeel_balancer::headers::{CORRELATION_ID, load_report, strip_hop_by_hop};
+use frostkeel_policy::LoadField;
 use hyper::header::{CONNECTION, HeaderMap, TRANSFER_ENCODING};
-use lapisroute::LoadField;
-use maplehook::headers::{CORRELATION_ID, load_report, strip_hop_by_hop};
 
 #[test]
 fn load_reports_keep_the_order_of_the_settings() {
--- a/node/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -415,16 +415,19 @@
 /// Guards against a balancer that starts half configured: it says what is wrong and ends.
 #[test]
 fn a_bad_configuration_is_named() {
-    let path = std::env::temp_dir().join(format!("maplehook-bad-{}.json", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "frostkeel-balancer-bad-{}.json",
+        std::process::id()
+    ));
     let good = Setup::with(&[]).text();
     for (from, to, named) in [
         ("idempotent", "perhaps", "perhaps"),
         ("\"seed\"", "\"seeds\"", "seed"),
         ("\"balancers\":1", "\"balancers\":0", "balancers"),
-        ("{", "[", "maplehook:"),
+        ("{", "[", "frostkeel-balancer:"),
     ] {
         std::fs::write(&path, good.replacen(from, to, 1)).unwrap();
-        let mut command = Command::new(env!("CARGO_BIN_EXE_maplehook"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_frostkeel-balancer"));
         let output = command
             .env("NODE_CONFIG", &path)
             .stderr(Stdio::piped())
@@ -434,7 +437,7 @@
         assert!(!output.status.success() && error.contains(named), "{error}");
     }
     std::fs::remove_file(&path).unwrap();
-    let output = Command::new(env!("CARGO_BIN_EXE_maplehook"))
+    let output = Command::new(env!("CARGO_BIN_EXE_frostkeel-balancer"))
         .env_remove("NODE_CONFIG")
         .output()
         .unwrap();
--- a/node/tests/tally.rs
+++ b/balancer/tests/tally.rs
@@ -1,12 +1,12 @@
 //! What the log says became of requests.
 
-use lapisroute::{ClassId, Loss, Outcome};
-use maplehook::tally::Tally;
+use frostkeel_balancer::tally::Tally;
+use frostkeel_policy::{ClassId, Loss, Outcome};
 use std::time::Duration;
 
 #[test]
 fn each_class_says_only_what_is_not_nil() {
-    let site = lapisroute_settings::parse(
+    let site = frostkeel_settings::parse(
         r#"{"classes": [{"name": "look", "aim_ms": 100}, {"name": "pay", "aim_ms": 200}]}"#,
     );
     let mut tally = Tally::new(&site.expect("a site"));
--- a/node/tests/upstreams.rs
+++ b/balancer/tests/upstreams.rs
@@ -1,11 +1,11 @@
 //! Attempts at upstreams on real sockets.
 
 use bytes::Bytes;
+use frostkeel_balancer::exchange::Outgoing;
+use frostkeel_balancer::upstream::{Ended, Place, Upstreams};
+use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
-use lapisroute::{Availability, Outcome, Settings, UpstreamId};
-use maplehook::exchange::Outgoing;
-use maplehook::upstream::{Ended, Place, Upstreams};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/frostkeel/src/lab.rs
+++ b/frostkeel/src/lab.rs
@@ -11,7 +11,7 @@
 
 const DEMO: &str = include_str!("../../lab/experiments/demo.toml");
 /// The balancer's program, beside this one.
-const BALANCER: &str = "maplehook";
+const BALANCER: &str = "frostkeel-balancer";
 
 /// Where a play's programs and files are.
 #[derive(Args)]
--- a/lab/src/child.rs
+++ b/lab/src/child.rs
@@ -235,7 +235,7 @@
 
     /// What a line of a balancer's log tells of the others.
     fn heard(&self, number: u32, line: &str) {
-        let Some((_, said)) = line.split_once(" maplehook::members: ") else {
+        let Some((_, said)) = line.split_once("::members: ") else {
             return;
         };
         if said.starts_with("yielded") {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Keys that are not known are skipped; keys that are missing take the values of `Settings::default()`.
 
-use lapisroute::{
+use frostkeel_policy::{
     Class, DedupGroup, Effect, LoadField, Prices, Reports, Settings, Tenant, Weights, ZoneId,
 };
 use serde::Deserialize;
--- a/benchlink/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,11 +1,11 @@
-//! `lapisroute-benchlink`: hosts many [`Balancer`]s and speaks the simulator's wire on standard input and output.
+//! `frostkeel-simulator-adapter`: hosts many [`Balancer`]s and speaks the simulator's wire on standard input and output.
 //!
 //! It only translates; every decision is the library's. Anything malformed ends it with one line on
 //! standard error and exit code 1, and with no part of a reply written.
 
 mod wire;
 
-use lapisroute::{Action, Balancer, Event, FleetScope, Listed};
+use frostkeel_policy::{Action, Balancer, Event, FleetScope, Listed};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
@@ -41,9 +41,7 @@
                 return Ok(());
             }
             Record::PowerOn { seed, settings } => {
-                let settings = lapisroute_settings::parse(settings)
-                    .map_err(wrong)?
-                    .settings;
+                let settings = frostkeel_settings::parse(settings).map_err(wrong)?.settings;
                 let balancer = Balancer::new(settings, *seed).map_err(|e| wrong(e.to_string()))?;
                 self.instances.insert(instance, balancer);
                 self.pending.retain(|(owner, _)| *owner != instance);
@@ -187,7 +185,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("lapisroute-benchlink: {what}");
+            eprintln!("frostkeel-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/benchlink/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,10 +1,10 @@
 //! The simulator's binary dialect: batches of events in, replies of actions out. No decisions.
 
-use lapisroute::{
+use frostkeel_policy::{
     Action, AttemptNo, Availability, CellId, ClassId, FleetScope, KindId, Listed, Outcome,
     RequestId, TenantId, TimerId, UpstreamId, ZoneId,
 };
-use lapisroute_settings::ms;
+use frostkeel_settings::ms;
 use std::time::Duration;
 
 /// What is wrong with a batch, and at which byte of it (the length field included).
--- a/benchlink/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -7,7 +7,7 @@
     "effect": "idempotent", "worth": 1.0, "name": "a", "unknown": [1]}], "news": {"of": "tomorrow"}}"#;
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_lapisroute-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_frostkeel-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 //! same actions.
 //!
 //! ```
-//! use lapisroute::*;
+//! use frostkeel_policy::*;
 //! use std::time::Duration;
 //! let ms = Duration::from_millis;
 //!
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use frostkeel_policy::*;
 
 /// A thousand balancers, each with a fraction of a request's room: none may starve its tenants for good.
 #[test]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small embedder for tests: it keeps what a balancer did for each request.
 #![allow(dead_code)]
 
-use lapisroute::*;
+use frostkeel_policy::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/ejection.rs
+++ b/tests/ejection.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use frostkeel_policy::*;
 use std::time::Duration;
 
 /// Thin traffic of four classes, one of them unrepeatable: how often `ill` was sent to, and with what of that class,
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use frostkeel_policy::*;
 
 fn settings() -> Settings {
     Settings {
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use lapisroute::*;
+use frostkeel_policy::*;
 use std::time::Duration;
 
 /// A change counts as told so long after discovery had it and could be reached.
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use lapisroute::*;
+use frostkeel_policy::*;
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/tests/room.rs
+++ b/tests/room.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use frostkeel_policy::*;
 
 /// A hundred balancers share ten upstreams, and each gets fifteen requests a second.
 fn shared(tenants: &[f64]) -> Bench {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{listed, ms, varied_settings};
-use lapisroute::*;
+use frostkeel_policy::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use frostkeel_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const BALANCERS: u32 = 240;
