--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -138,8 +138,8 @@
             u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
         let mut site = frostkeel_settings::parse(raw.settings.get()).map_err(ConfigError)?;
         // Where lists are pushed, an agent of this balancer's own has them: on sockets they come over its watch.
-        site.settings.own_agent = !site.settings.ask_for_fleet;
-        site.settings.ask_for_fleet = true;
+        site.settings.has_local_agent = !site.settings.polls_endpoints;
+        site.settings.polls_endpoints = true;
         if raw.limits.sockets < 2 * RESERVED_SOCKETS {
             return Err(ConfigError(format!(
                 "limits.sockets: {} are too few",
--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::list::{ListReader, ListUpdate, ReadList, WatchLine, WatchLines};
 use crate::rate_limited::RateLimitedWarning;
 use bytes::Bytes;
-use frostkeel_policy::FleetScope;
+use frostkeel_policy::UpdateScope;
 use frostkeel_settings::Names;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -50,7 +50,7 @@
 
 /// What has come of a watch, or of the call for one. The moments are those of the monotonic clock.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WatchEvent {
+pub enum DiscoveryEvent {
     /// A list, changes, or that the watch is over.
     Update(ListUpdate),
     /// Nothing has come since then, and the watch or the call is given up.
@@ -156,9 +156,9 @@
     /// Reads a list and takes its version for the one in hand.
     fn take(&self, text: &[u8]) -> Result<ReadList, Failure> {
         let list = self.reader.read(text)?;
-        if let Some(why) = &list.unreadable {
+        if let Some(reason) = &list.unreadable {
             self.warnings
-                .warn(|| format!("unreadable list entry: {why}"));
+                .warn(|| format!("unreadable list entry: {reason}"));
         }
         if !list.all && list.rev < self.rev.get() {
             return Err(format!(
@@ -181,10 +181,10 @@
         Ok(list)
     }
 
-    /// The list from the configuration, as [`FleetScope::Cached`].
+    /// The list from the configuration, as [`UpdateScope::Cached`].
     pub fn known(&self, text: &str) -> ListUpdate {
         let mut update = ListUpdate {
-            scope: FleetScope::Cached,
+            scope: UpdateScope::Cached,
             entries: Vec::new(),
         };
         if !text.is_empty() {
@@ -216,7 +216,7 @@
 
     /// Watches the list until the watch ends, and tells what comes; the last word is that it has failed. A watch that
     /// another has taken the place of says nothing more, though its task may still run.
-    pub async fn watch(&self, number: u64, mut tell: impl FnMut(WatchEvent)) {
+    pub async fn watch(&self, number: u64, mut tell: impl FnMut(DiscoveryEvent)) {
         let mut tell = |event| {
             if self.watches.get() == number {
                 tell(event);
@@ -231,26 +231,30 @@
             Ok(()) => tracing::info!(watch = number, "watch ended by discovery"),
             Err(e) => tracing::warn!(watch = number, "watch failed: {e}"),
         }
-        tell(WatchEvent::Update(ListUpdate::failed()));
+        tell(DiscoveryEvent::Update(ListUpdate::failed()));
     }
 
-    async fn follow(&self, number: u64, tell: &mut impl FnMut(WatchEvent)) -> Result<(), Failure> {
+    async fn follow(
+        &self,
+        number: u64,
+        tell: &mut impl FnMut(DiscoveryEvent),
+    ) -> Result<(), Failure> {
         let rev = self.rev.get();
         tracing::info!(watch = number, address = %self.address.get(), rev, "list call begins");
         let (began, first_byte) = (Instant::now(), FirstByte::default());
         let answer = match timeout(CALL_TIMEOUT, self.ask(rev, &first_byte)).await {
             Ok(answer) => answer,
             Err(_) => {
-                tell(WatchEvent::Silent(began));
+                tell(DiscoveryEvent::Silent(began));
                 Err(Unanswered.into())
             }
         };
         match (&answer, first_byte.at()) {
-            (Err(e), _) if e.is::<Refused>() => tell(WatchEvent::Refused(began)),
+            (Err(e), _) if e.is::<Refused>() => tell(DiscoveryEvent::Refused(began)),
             // Whatever has come of an answer was written there.
-            (_, Some(since)) => tell(WatchEvent::Partial(since)),
+            (_, Some(since)) => tell(DiscoveryEvent::Partial(since)),
             (Err(e), None) if !e.is::<Unanswered>() && !is_machines_own(e) => {
-                tell(WatchEvent::Unreachable(began));
+                tell(DiscoveryEvent::Unreachable(began));
             }
             _ => (),
         }
@@ -266,19 +270,19 @@
         number: u64,
         mut body: Incoming,
         mut progress: Progress,
-        tell: &mut impl FnMut(WatchEvent),
+        tell: &mut impl FnMut(DiscoveryEvent),
     ) -> Result<(), Failure> {
         let (mut lines, mut answered) = (WatchLines::default(), false);
         loop {
             let frame = match timeout_at(progress.read_until(), body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(ended) => {
-                    tell(WatchEvent::Ended);
+                    tell(DiscoveryEvent::Ended);
                     return ended.transpose().map(|_| ()).map_err(Failure::from);
                 }
                 Err(elapsed) => {
                     if progress.is_silent() {
-                        tell(WatchEvent::Silent(progress.last_line));
+                        tell(DiscoveryEvent::Silent(progress.last_line));
                     }
                     return Err(elapsed.into());
                 }
@@ -296,7 +300,7 @@
             );
             while self.watches.get() == number {
                 let line = self.next_line(&mut lines).inspect_err(|_| {
-                    tell(WatchEvent::Partial(progress.last_byte));
+                    tell(DiscoveryEvent::Partial(progress.last_byte));
                 })?;
                 let Some(line) = line else { break };
                 progress.line_ended();
@@ -304,11 +308,11 @@
                 let first = (!answered).then(ListUpdate::unchanged);
                 answered = true;
                 if let Some(update) = line.or(first) {
-                    tell(WatchEvent::Update(update));
+                    tell(DiscoveryEvent::Update(update));
                 }
             }
             if lines.has_begun() && progress.line_begins() {
-                tell(WatchEvent::Partial(progress.last_byte));
+                tell(DiscoveryEvent::Partial(progress.last_byte));
             }
         }
     }
@@ -324,9 +328,9 @@
                 Some(WatchLine::Heartbeat) => Ok(Some(None)),
                 Some(WatchLine::List(text)) => self.take(&text).map(|list| {
                     let scope = if list.all {
-                        FleetScope::Full
+                        UpdateScope::Snapshot
                     } else {
-                        FleetScope::Changes
+                        UpdateScope::Delta
                     };
                     Some(Some(ListUpdate {
                         scope,
--- a/balancer/src/driver.rs
+++ b/balancer/src/driver.rs
@@ -5,7 +5,7 @@
 //! is never entered twice; tasks only ever add to the queue.
 
 use crate::clock::Clock;
-use crate::discovery::{Discovery, WatchEvent};
+use crate::discovery::{Discovery, DiscoveryEvent};
 use crate::headers::CORRELATION_ID;
 use crate::in_flight::{Answer, Asked, Attempt, Held};
 use crate::list::ListUpdate;
@@ -14,8 +14,8 @@
 use crate::tally::Tally;
 use crate::upstream::{Ended, Upstreams};
 use frostkeel_policy::{
-    Action, AttemptNo, Balancer, Event, FleetScope, ListEvent, Listed, Loss, Outcome, RequestId,
-    TimerId, UpstreamId,
+    Action, AttemptNo, Balancer, Endpoint, Event, FailureReason, Outcome, RequestId, TimerId,
+    UpdateScope, UpstreamId, WatchEvent,
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::{Cell, RefCell};
@@ -32,11 +32,11 @@
 
 /// What is told to the module next.
 enum Queued {
-    Watch(WatchEvent),
+    Watch(DiscoveryEvent),
     Moved,
     Asked(RequestId),
     AttemptEnded(RequestId, AttemptNo, Ended),
-    ProbeEnded(UpstreamId, Duration, Ended),
+    HealthCheckEnded(UpstreamId, Duration, Ended),
     Gone(RequestId),
     Timer(TimerId),
 }
@@ -92,7 +92,7 @@
         spawn_local(async move { sweeper.upstreams.sweep().await });
         let teller = Rc::clone(&driver);
         spawn_local(async move { teller.tell_standing().await });
-        driver.happened(Queued::Watch(WatchEvent::Update(known)));
+        driver.happened(Queued::Watch(DiscoveryEvent::Update(known)));
         driver
     }
 
@@ -150,8 +150,8 @@
         loop {
             sleep(STANDING_EVERY).await;
             let core = &mut *self.core.borrow_mut();
-            let standing = core.balancer.standing();
-            tracing::info!(held = core.requests.len(), tally = %core.tally, ?standing);
+            let status = core.balancer.status();
+            tracing::info!(held = core.requests.len(), tally = %core.tally, ?status);
             core.tally.clear();
         }
     }
@@ -184,7 +184,7 @@
             Queued::Watch(event) => self.watch_event(core, now, event, &mut actions),
             Queued::Moved => {
                 core.balancer
-                    .handle(now, Event::List(ListEvent::Moved), &mut actions);
+                    .handle(now, Event::Watch(WatchEvent::Moved), &mut actions);
                 self.hold_sends(core);
             }
             Queued::Asked(id) => {
@@ -199,7 +199,7 @@
                     tenant: asked.tenant,
                     time_left: asked.deadline.saturating_duration_since(Instant::now()),
                     work_ms: asked.work_ms,
-                    repeat: asked.repeat,
+                    is_retry: asked.is_retry,
                 };
                 let (class, tenant) = (asked.class.0, asked.tenant.0);
                 let left = asked.deadline.saturating_duration_since(Instant::now());
@@ -210,7 +210,7 @@
                     class,
                     tenant,
                     ?left,
-                    repeat = asked.repeat,
+                    is_retry = asked.is_retry,
                     "asked"
                 );
                 core.balancer.handle(now, event, &mut actions);
@@ -257,8 +257,8 @@
                 core.balancer.handle(now, event, &mut actions);
                 self.forget_if_over(core, id);
             }
-            Queued::ProbeEnded(upstream, latency, ended) => {
-                let event = Event::ProbeEnded {
+            Queued::HealthCheckEnded(upstream, latency, ended) => {
+                let event = Event::HealthCheckEnded {
                     upstream,
                     outcome: ended.outcome,
                     latency,
@@ -274,7 +274,7 @@
                     tracing::debug!(id = id.0, "client has left");
                     core.tally.gone(held.asked.class);
                     core.balancer
-                        .handle(now, Event::RequestGone { id }, &mut actions);
+                        .handle(now, Event::ClientDisconnected { id }, &mut actions);
                 }
                 self.forget_if_over(core, id);
             }
@@ -293,30 +293,30 @@
         &self,
         core: &mut Core,
         now: Duration,
-        event: WatchEvent,
+        event: DiscoveryEvent,
         actions: &mut Vec<Action>,
     ) {
-        let listed;
+        let endpoints;
         let event = match event {
-            WatchEvent::Update(update) => {
-                listed = self.fleet(&update);
-                Event::Fleet {
+            DiscoveryEvent::Update(update) => {
+                endpoints = self.fleet(&update);
+                Event::EndpointsUpdated {
                     scope: update.scope,
-                    listed: &listed,
+                    endpoints: &endpoints,
                 }
             }
-            WatchEvent::Silent(since) => Event::List(ListEvent::Silent {
+            DiscoveryEvent::Silent(since) => Event::Watch(WatchEvent::Silent {
                 since: self.clock.at(since),
             }),
-            WatchEvent::Ended => Event::List(ListEvent::Ended),
-            WatchEvent::Partial(since) => Event::List(ListEvent::Partial {
+            DiscoveryEvent::Ended => Event::Watch(WatchEvent::Ended),
+            DiscoveryEvent::Partial(since) => Event::Watch(WatchEvent::Partial {
                 since: self.clock.at(since),
             }),
-            WatchEvent::Refused(called) => Event::List(ListEvent::Refused {
-                called: self.clock.at(called),
+            DiscoveryEvent::Refused(called) => Event::Watch(WatchEvent::Rejected {
+                requested_at: self.clock.at(called),
             }),
-            WatchEvent::Unreachable(called) => Event::List(ListEvent::Unreachable {
-                called: self.clock.at(called),
+            DiscoveryEvent::Unreachable(called) => Event::Watch(WatchEvent::Unreachable {
+                requested_at: self.clock.at(called),
             }),
         };
         core.balancer.handle(now, event, actions);
@@ -324,23 +324,23 @@
     }
 
     fn hold_sends(&self, core: &Core) {
-        let held = core.balancer.sends_held();
+        let held = core.balancer.send_pause();
         self.upstreams
             .hold_sends(held.map(|h| self.clock.instant(h.from)..self.clock.instant(h.until)));
     }
 
     /// Applies update to the connections and words them for the module.
-    fn fleet(&self, update: &ListUpdate) -> Vec<Listed> {
+    fn fleet(&self, update: &ListUpdate) -> Vec<Endpoint> {
         let starts = &mut *self.starts.borrow_mut();
         let (now, first) = (self.clock.now(), starts.is_empty());
-        if matches!(update.scope, FleetScope::Full | FleetScope::Cached) {
+        if matches!(update.scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             let ids: FxHashSet<UpstreamId> = update.entries.iter().map(|e| e.id).collect();
             self.upstreams.keep_only(|id| ids.contains(&id));
             starts.keep_only(&ids);
         }
-        let listed = update.entries.iter().map(|entry| {
+        let endpoints = update.entries.iter().map(|entry| {
             self.upstreams.place(entry.id, &entry.place);
-            Listed {
+            Endpoint {
                 id: entry.id,
                 zone: entry.zone,
                 kind: entry.kind,
@@ -355,7 +355,7 @@
                 ),
             }
         });
-        listed.collect()
+        endpoints.collect()
     }
 
     fn carry_out(self: &Rc<Self>, core: &mut Core, action: Action) {
@@ -376,17 +376,17 @@
                     self.queue.borrow_mut().push_back(cancelled);
                 }
             }
-            Action::Refuse {
+            Action::Reject {
                 id,
                 retry_after,
-                why,
+                reason,
             } => {
-                tracing::debug!(id = id.0, ?retry_after, ?why, "refused");
-                self.answer(core, id, Answer::Refused(retry_after), why);
+                tracing::debug!(id = id.0, ?retry_after, ?reason, "refused");
+                self.answer(core, id, Answer::Refused(retry_after), reason);
             }
-            Action::Fail { id, why } => {
-                tracing::debug!(id = id.0, ?why, "failed");
-                self.answer(core, id, Answer::Failed, why);
+            Action::Fail { id, reason } => {
+                tracing::debug!(id = id.0, ?reason, "failed");
+                self.answer(core, id, Answer::Failed, reason);
             }
             Action::Timer { after, timer } => {
                 let driver = Rc::clone(self);
@@ -395,13 +395,13 @@
                     driver.happened(Queued::Timer(timer));
                 });
             }
-            Action::WatchFleet => self.watch(),
-            Action::CloseIdle { upstream } => self.upstreams.close_idle(upstream),
-            Action::Probe { upstream } => {
+            Action::WatchEndpoints => self.watch(),
+            Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
+            Action::HealthCheck { upstream } => {
                 let (driver, sent) = (Rc::clone(self), Instant::now());
                 spawn_local(async move {
                     let ended = driver.upstreams.probe(upstream).await;
-                    driver.happened(Queued::ProbeEnded(upstream, sent.elapsed(), ended));
+                    driver.happened(Queued::HealthCheckEnded(upstream, sent.elapsed(), ended));
                 });
             }
             Action::Log { line } => tracing::info!("{line}"),
@@ -445,11 +445,11 @@
     }
 
     /// Gives a request its final answer, which is not an upstream's.
-    fn answer(&self, core: &mut Core, id: RequestId, answer: Answer, why: Loss) {
+    fn answer(&self, core: &mut Core, id: RequestId, answer: Answer, reason: FailureReason) {
         if let Some(held) = core.requests.get_mut(&id)
             && let Some(reply) = held.reply.take()
         {
-            core.tally.lost(held.asked.class, why);
+            core.tally.lost(held.asked.class, reason);
             let _ = reply.send(answer);
         }
         self.forget_if_over(core, id);
--- a/balancer/src/in_flight.rs
+++ b/balancer/src/in_flight.rs
@@ -32,7 +32,7 @@
     /// Expected work in milliseconds, where the client says so.
     pub work_ms: Option<f64>,
     /// The client says that it has tried this before.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// What is passed on.
     pub outgoing: Outgoing,
 }
--- a/balancer/src/list.rs
+++ b/balancer/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::upstream::Place;
 use bytes::{Bytes, BytesMut};
-use frostkeel_policy::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
+use frostkeel_policy::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
 use frostkeel_settings::Names;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
     /// How complete it is.
-    pub scope: FleetScope,
+    pub scope: UpdateScope,
     /// The entries.
     pub entries: Vec<Entry>,
 }
@@ -41,7 +41,7 @@
     /// That nothing has changed.
     pub fn unchanged() -> Self {
         Self {
-            scope: FleetScope::Changes,
+            scope: UpdateScope::Delta,
             entries: Vec::new(),
         }
     }
@@ -49,7 +49,7 @@
     /// That a call failed or a watch ended.
     pub fn failed() -> Self {
         Self {
-            scope: FleetScope::Failed,
+            scope: UpdateScope::Failed,
             entries: Vec::new(),
         }
     }
@@ -163,8 +163,8 @@
                     .get_or_insert_with(|| "an entry without a uid".to_owned());
                 continue;
             };
-            let entry = self.entry(&uid, raw.get()).unwrap_or_else(|why| {
-                read.unreadable.get_or_insert(format!("{uid}: {why}"));
+            let entry = self.entry(&uid, raw.get()).unwrap_or_else(|reason| {
+                read.unreadable.get_or_insert(format!("{uid}: {reason}"));
                 unreadable_entry(&uid)
             });
             if !list.all {
@@ -187,7 +187,7 @@
         let availability = match raw.state.as_str() {
             "Ready" => Availability::Ready,
             "Terminating" => Availability::Draining,
-            "Gone" => Availability::Gone,
+            "Gone" => Availability::Removed,
             other => return Err(format!("unknown state {other:?}")),
         };
         let endpoint = raw
--- a/balancer/src/members.rs
+++ b/balancer/src/members.rs
@@ -67,7 +67,7 @@
     place: u16,
     incarnation: u64,
     turn: u16,
-    standing: frostkeel_membership::Standing,
+    standing: frostkeel_membership::MemberState,
     since_s: f64,
     from: Option<&'a str>,
 }
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -44,13 +44,13 @@
         Some(members) => Some(Members::start(members, config.seed).await?),
         None => None,
     };
-    let (ask_every, drain_grace) = (
-        config.site.settings.ask_every,
+    let (poll_interval, drain_grace) = (
+        config.site.settings.poll_interval,
         config.site.settings.drain_grace,
     );
-    let pushed = config.site.settings.own_agent;
+    let pushed = config.site.settings.has_local_agent;
     tracing::info!(
-        ?ask_every,
+        ?poll_interval,
         ?drain_grace,
         pushed,
         "what the settings say of the list"
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -61,7 +61,7 @@
         let tenant = self.tenant(&headers)?;
         let left = time_left(&headers)?;
         let work_ms = work_hint(&headers)?;
-        let repeat = headers.get(REPEAT).is_some_and(|v| v.as_bytes() == b"1");
+        let is_retry = headers.get(REPEAT).is_some_and(|v| v.as_bytes() == b"1");
         let body = read_body(body, came + left.min(READ_TIMEOUT)).await?;
         headers::strip_hop_by_hop(&mut headers);
         let target = parts
@@ -81,7 +81,7 @@
             tenant,
             deadline,
             work_ms,
-            repeat,
+            is_retry,
             outgoing,
         })
     }
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -269,7 +269,7 @@
                     client.state.set_answering(true);
                     response_of(self.driver.ask(asked).answer().await)
                 }
-                Err(Rejected(status, why)) => plain(status, why),
+                Err(Rejected(status, reason)) => plain(status, reason),
             },
         };
         if draining() || client.state.is_flooded() {
--- a/balancer/src/starts.rs
+++ b/balancer/src/starts.rs
@@ -37,7 +37,7 @@
         dated: Option<Duration>,
         first: bool,
     ) -> Option<Duration> {
-        if entry.place.availability == Availability::Gone {
+        if entry.place.availability == Availability::Removed {
             self.0.remove(&entry.id);
             return None;
         }
@@ -60,7 +60,7 @@
     }
 
     /// Forgets all that are not listed any more.
-    pub fn keep_only(&mut self, listed: &FxHashSet<UpstreamId>) {
-        self.0.retain(|id, _| listed.contains(id));
+    pub fn keep_only(&mut self, endpoints: &FxHashSet<UpstreamId>) {
+        self.0.retain(|id, _| endpoints.contains(id));
     }
 }
--- a/balancer/src/tally.rs
+++ b/balancer/src/tally.rs
@@ -1,6 +1,6 @@
 //! What became of requests, by class, since the log last said so.
 
-use frostkeel_policy::{ClassId, Loss, Outcome};
+use frostkeel_policy::{ClassId, FailureReason, Outcome};
 use frostkeel_settings::Site;
 use std::fmt;
 use std::time::Duration;
@@ -17,12 +17,12 @@
     /// Attempts made, and those that ended without an answer.
     attempts: u32,
     unanswered: u32,
-    lost: [u32; Loss::ALL.len()],
+    lost: [u32; FailureReason::ALL.len()],
 }
 
 struct Class {
     name: String,
-    aim: Duration,
+    latency_objective: Duration,
     counts: Counts,
 }
 
@@ -36,7 +36,7 @@
         let classes = site.names.classes.iter().zip(&site.settings.classes);
         let class = |(name, class): (&String, &frostkeel_policy::Class)| Class {
             name: name.clone(),
-            aim: class.aim,
+            latency_objective: class.latency_objective,
             counts: Counts::default(),
         };
         Self(classes.map(class).collect())
@@ -59,7 +59,7 @@
         let Some(class) = self.0.get_mut(usize::from(class.0)) else {
             return;
         };
-        *if after <= class.aim {
+        *if after <= class.latency_objective {
             &mut class.counts.in_time
         } else {
             &mut class.counts.after_aim
@@ -72,8 +72,8 @@
     }
 
     /// A request was refused or has failed.
-    pub fn lost(&mut self, class: ClassId, why: Loss) {
-        self.count(class, |c| c.lost[why as usize] += 1);
+    pub fn lost(&mut self, class: ClassId, reason: FailureReason) {
+        self.count(class, |c| c.lost[reason as usize] += 1);
     }
 
     /// An attempt has ended.
@@ -100,10 +100,14 @@
             .filter(|c| c.counts.asked + c.counts.attempts > 0)
         {
             write!(f, "{apart}{name}: asked {}", counts.asked)?;
-            let lost = Loss::ALL
+            let lost = FailureReason::ALL
                 .iter()
-                .map(|why| (why.word(), counts.lost[*why as usize]));
-            let first = [("in-time", counts.in_time), ("after-aim", counts.after_aim)].into_iter();
+                .map(|reason| (reason.as_str(), counts.lost[*reason as usize]));
+            let first = [
+                ("in-time", counts.in_time),
+                ("after-objective", counts.after_aim),
+            ]
+            .into_iter();
             let last = [
                 ("gone", counts.gone),
                 ("attempts", counts.attempts),
--- a/balancer/src/upstream.rs
+++ b/balancer/src/upstream.rs
@@ -10,7 +10,7 @@
 use crate::pool::{IdlePool, OpenLimit};
 use crate::rate_limited::RateLimitedWarning;
 use bytes::Bytes;
-use frostkeel_policy::{Availability, LoadField, Outcome, Reports, Settings, UpstreamId};
+use frostkeel_policy::{Availability, LoadField, LoadReports, Outcome, Settings, UpstreamId};
 use http_body_util::Full;
 use hyper::header::{HOST, HeaderMap, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
@@ -125,10 +125,10 @@
     open: Rc<OpenLimit>,
     connect_timeout: Duration,
     idle_most: Duration,
-    reports: Reports,
+    reports: LoadReports,
     report_fields: Vec<LoadField>,
     /// When nothing new may be sent, as the list may be out of date.
-    sends_held: RefCell<Option<Range<Instant>>>,
+    send_pause: RefCell<Option<Range<Instant>>>,
     report_warnings: RateLimitedWarning,
     answer_warnings: RateLimitedWarning,
 }
@@ -140,10 +140,10 @@
             known: RefCell::default(),
             open: OpenLimit::new(most_open),
             connect_timeout: settings.connect_timeout,
-            idle_most: settings.conn_idle.mul_f64(IDLE_SHARE),
-            reports: settings.reports,
+            idle_most: settings.connection_idle_timeout.mul_f64(IDLE_SHARE),
+            reports: settings.load_reports,
             report_fields: settings.report_fields.clone(),
-            sends_held: RefCell::default(),
+            send_pause: RefCell::default(),
             report_warnings: RateLimitedWarning::default(),
             answer_warnings: RateLimitedWarning::default(),
         }
@@ -152,7 +152,7 @@
     /// Takes in what the list says of one.
     pub fn place(&self, id: UpstreamId, place: &Place) {
         let mut known = self.known.borrow_mut();
-        if place.availability == Availability::Gone {
+        if place.availability == Availability::Removed {
             if let Some(upstream) = known.remove(&id) {
                 tracing::debug!(upstream = id.0, "upstream is gone");
                 upstream.retire();
@@ -179,12 +179,12 @@
         }
     }
 
-    /// Forgets all that `listed` does not name: they are gone.
-    pub fn keep_only(&self, listed: impl Fn(UpstreamId) -> bool) {
+    /// Forgets all upstreams that `is_listed` denies: they are removed.
+    pub fn keep_only(&self, is_listed: impl Fn(UpstreamId) -> bool) {
         self.known.borrow_mut().retain(|id, upstream| {
-            let stays = listed(*id);
+            let stays = is_listed(*id);
             if !stays {
-                tracing::debug!(upstream = id.0, "upstream is not listed any more");
+                tracing::debug!(upstream = id.0, "upstream is no longer listed");
                 upstream.retire();
             }
             stays
@@ -210,11 +210,11 @@
 
     /// Begins no attempt in this span.
     pub fn hold_sends(&self, span: Option<Range<Instant>>) {
-        self.sends_held.replace(span);
+        self.send_pause.replace(span);
     }
 
     fn holds_sends(&self, now: Instant) -> bool {
-        self.sends_held
+        self.send_pause
             .borrow()
             .as_ref()
             .is_some_and(|span| span.contains(&now))
@@ -393,7 +393,7 @@
 
     /// Asks an upstream how it is.
     pub async fn probe(&self, id: UpstreamId) -> Ended {
-        let target = Uri::from_static(if self.reports == Reports::Off {
+        let target = Uri::from_static(if self.reports == LoadReports::Off {
             "/health/live"
         } else {
             "/stats"
@@ -415,7 +415,7 @@
             )
             .await;
         if let Some(served) = &ended.served
-            && self.reports != Reports::Off
+            && self.reports != LoadReports::Off
             && ended.report.is_empty()
         {
             ended.report = self.read_report(&served.body);
@@ -428,7 +428,7 @@
         let mut headers = parts.headers;
         let load = headers
             .remove(LOAD)
-            .filter(|_| self.reports == Reports::Inline);
+            .filter(|_| self.reports == LoadReports::Inline);
         let report = load.map_or_else(Vec::new, |load| self.read_report(load.as_bytes()));
         let unprocessed = headers
             .get(UNPROCESSED)
--- a/balancer/tests/common/node.rs
+++ b/balancer/tests/common/node.rs
@@ -27,7 +27,7 @@
     pub deadline_ms: u64,
     pub asks: bool,
     /// Whether attempts may be cancelled.
-    pub cancelling: bool,
+    pub cancellation: bool,
     /// How long an upstream that has started is cold.
     pub cold_ms: u64,
     /// What the preloaded shim is told to let fail; see the crate `frostkeel-syscall-faults`.
@@ -48,7 +48,7 @@
             balancers: 1,
             deadline_ms: 8000,
             asks: false,
-            cancelling: true,
+            cancellation: true,
             cold_ms: 10_000,
             faults: Vec::new(),
         }
@@ -62,7 +62,7 @@
             balancers,
             deadline_ms,
             asks,
-            cancelling,
+            cancellation,
             cold_ms,
             faults: _,
         } = self;
@@ -83,7 +83,7 @@
             "settings":{{"balancers":{balancers},"me":0,"classes":[{}],"discovery":"{how}",
             "guarantees":{{"cold_ms":{cold_ms}}},"failure_domains":["a","b"],"skus":["m"],"locality":0,
             "limits":{{"conn_idle_ms":60000,"connect_timeout_ms":2000,"try_limit":5,"retry_after":false,
-            "cancelling":{cancelling}}},
+            "cancelling":{cancellation}}},
             "parties":[{{"name":"acme","allowance_per_s":1000.0}}]}}}}"#,
             classes.join(",")
         )
--- a/balancer/tests/crossing_clients.rs
+++ b/balancer/tests/crossing_clients.rs
@@ -58,7 +58,7 @@
 fn an_attempt_that_waits_for_a_connection_is_dropped_with_its_client() {
     let (address, streams) = raw_peer();
     let mut setup = Setup::with(&[address]);
-    (setup.sockets, setup.cancelling) = (64, false);
+    (setup.sockets, setup.cancellation) = (64, false);
     let node = setup.start();
     // Of 64 descriptors 24 are reserved, and of the rest 18 are for upstreams.
     let mut holders: Vec<Client> = (0..18).map(|_| node.connect()).collect();
--- a/balancer/tests/crossing_lists.rs
+++ b/balancer/tests/crossing_lists.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use frostkeel_balancer::discovery::{Discovery, WatchEvent};
-use frostkeel_policy::FleetScope;
+use frostkeel_balancer::discovery::{Discovery, DiscoveryEvent};
+use frostkeel_policy::UpdateScope;
 use frostkeel_settings::Names;
 use std::cell::RefCell;
 use std::io::Write;
@@ -266,8 +266,8 @@
     let (watch, tells) = (Rc::clone(&watched), Rc::clone(&told));
     let task = tokio::task::spawn_local(async move {
         let update = |event| match event {
-            WatchEvent::Update(update) => tells.borrow_mut().push(update.scope),
-            WatchEvent::Partial(_) => (),
+            DiscoveryEvent::Update(update) => tells.borrow_mut().push(update.scope),
+            DiscoveryEvent::Partial(_) => (),
             other => panic!("{other:?}"),
         };
         watch.watch(number, update).await;
@@ -286,7 +286,7 @@
         .await
         .expect("it ends")
         .unwrap();
-    assert_eq!(*told.borrow(), [FleetScope::Changes, FleetScope::Full]);
+    assert_eq!(*told.borrow(), [UpdateScope::Delta, UpdateScope::Snapshot]);
 }
 
 /// Guards a good watch on which nothing has changed: a heartbeat is an answer, and the call is not made again.
--- a/balancer/tests/crossing_server.rs
+++ b/balancer/tests/crossing_server.rs
@@ -11,7 +11,8 @@
 use frostkeel_balancer::tally::Tally;
 use frostkeel_balancer::upstream::{Place, Upstreams};
 use frostkeel_policy::{
-    Availability, Balancer, CellId, Class, Effect, FleetScope, KindId, Settings, UpstreamId, ZoneId,
+    Availability, Balancer, CellId, Class, Effect, KindId, Settings, UpdateScope, UpstreamId,
+    ZoneId,
 };
 use frostkeel_settings::{Names, Site};
 use socket2::{Domain, SockAddr, Socket, Type};
@@ -67,7 +68,7 @@
         Upstreams::new(&site.settings, 8),
         Discovery::new(nobody(), site.names.clone()),
         ListUpdate {
-            scope: FleetScope::Cached,
+            scope: UpdateScope::Cached,
             entries,
         },
     );
--- a/balancer/tests/crossing_upstreams.rs
+++ b/balancer/tests/crossing_upstreams.rs
@@ -36,7 +36,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let settings = Settings {
         connect_timeout: LONG,
-        conn_idle: LONG,
+        connection_idle_timeout: LONG,
         ..Settings::default()
     };
     let upstreams = Rc::new(Upstreams::new(&settings, 8));
@@ -177,7 +177,7 @@
     let listener = TcpListener::from_std(listener.into()).unwrap();
     let settings = Settings {
         connect_timeout: LONG,
-        conn_idle: LONG,
+        connection_idle_timeout: LONG,
         ..Settings::default()
     };
     let upstreams = Upstreams::new(&settings, 8);
--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstreams.rs
@@ -32,7 +32,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let settings = Settings {
         connect_timeout: LONG,
-        conn_idle: LONG,
+        connection_idle_timeout: LONG,
         ..Settings::default()
     };
     let upstreams = Rc::new(Upstreams::new(&settings, most_open));
--- a/lab/src/child.rs
+++ b/lab/src/child.rs
@@ -9,7 +9,7 @@
 use crate::history::{History, Process, What};
 use crate::peers::Peers;
 use crate::process::{self, field};
-use frostkeel_membership::{Name, Standing};
+use frostkeel_membership::{MemberState, Name};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -405,10 +405,10 @@
 fn saw(by: u32, said: &str) -> Option<What> {
     let number = |name| field(said, name).and_then(|n| n.parse::<u64>().ok());
     let standing = match field(said, "standing")? {
-        "present" => Standing::Present,
-        "suspect" => Standing::Suspect,
-        "left" => Standing::Left,
-        "gone" => Standing::Gone,
+        "present" => MemberState::Present,
+        "suspect" => MemberState::Suspect,
+        "left" => MemberState::Left,
+        "gone" => MemberState::Gone,
         _ => return None,
     };
     let name = Name::new(field(said, "name")?).ok()?;
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -1,6 +1,6 @@
 //! What happened, in the order in which the lab saw it: the material of every check and figure.
 
-use frostkeel_membership::{Name, Standing};
+use frostkeel_membership::{MemberState, Name};
 use serde::Serialize;
 use std::sync::{Mutex, OnceLock, PoisonError};
 use std::time::Duration;
@@ -180,7 +180,7 @@
         /// In which life; a later one has a higher number.
         incarnation: u64,
         /// How it stands.
-        standing: Standing,
+        standing: MemberState,
         /// The view's version.
         version: u64,
     },
--- a/lab/src/presence.rs
+++ b/lab/src/presence.rs
@@ -4,7 +4,7 @@
 
 use crate::experiment::Experiment;
 use crate::history::{Process, What};
-use frostkeel_membership::{Name, Standing};
+use frostkeel_membership::{MemberState, Name};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -235,7 +235,7 @@
         by: u32,
         name: Name,
         incarnation: u64,
-        standing: Standing,
+        standing: MemberState,
         version: u64,
     ) {
         let begins = version == 1;
@@ -273,12 +273,14 @@
         }
         self.count(by);
         match standing {
-            Standing::Suspect => self.figures.suspected += 1,
-            Standing::Present => {}
-            Standing::Left | Standing::Gone => self.ended(at, by, name, incarnation, standing),
+            MemberState::Suspect => self.figures.suspected += 1,
+            MemberState::Present => {}
+            MemberState::Left | MemberState::Gone => {
+                self.ended(at, by, name, incarnation, standing)
+            }
         }
         // A later life tells of the end of the one before as well.
-        if standing == Standing::Present && before.is_some_and(|before| before < incarnation) {
+        if standing == MemberState::Present && before.is_some_and(|before| before < incarnation) {
             self.known(at, by, name);
         }
     }
@@ -293,7 +295,7 @@
         Some(death)
     }
 
-    fn ended(&mut self, at: u64, by: u32, name: Name, incarnation: u64, standing: Standing) {
+    fn ended(&mut self, at: u64, by: u32, name: Name, incarnation: u64, standing: MemberState) {
         // That an earlier life has ended is true.
         let of = |m: &&Member| m.name == Some(name) && m.life <= incarnation;
         let living = self.members.values().filter(of).find(|m| m.alive && !m.out);
@@ -313,7 +315,7 @@
             return;
         }
         let asked = self.known(at, by, name).is_some_and(|death| death.asked);
-        self.figures.left_as_gone += usize::from(asked && standing == Standing::Gone);
+        self.figures.left_as_gone += usize::from(asked && standing == MemberState::Gone);
     }
 
     fn differences(&self, most: u64) -> Vec<String> {
@@ -404,7 +406,7 @@
         Name::new(&format!("b{n}")).expect("a name")
     }
 
-    fn saw(by: u32, of: u32, incarnation: u64, standing: Standing, version: u64) -> What {
+    fn saw(by: u32, of: u32, incarnation: u64, standing: MemberState, version: u64) -> What {
         What::Saw {
             by,
             name: name(of),
@@ -423,7 +425,7 @@
         let mut presence = Presence::default();
         for by in 0..3 {
             for (version, of) in (1..).zip([by, (by + 1) % 3, (by + 2) % 3]) {
-                presence.feed(1_000_000, &saw(by, of, 5, Standing::Present, version));
+                presence.feed(1_000_000, &saw(by, of, 5, MemberState::Present, version));
             }
         }
         then.into_iter()
@@ -436,8 +438,8 @@
     fn a_death_counts_from_the_kill_until_all_that_live_on_know() {
         let (figures, broken) = judged(vec![
             (10, became(2, Process::Killed)),
-            (13, saw(0, 2, 5, Standing::Gone, 4)),
-            (15, saw(1, 2, 5, Standing::Gone, 4)),
+            (13, saw(0, 2, 5, MemberState::Gone, 4)),
+            (15, saw(1, 2, 5, MemberState::Gone, 4)),
         ]);
         assert_eq!(
             (
@@ -453,24 +455,24 @@
 
     #[test]
     fn what_is_wrong_is_seen() {
-        let living = judged(vec![(10, saw(0, 2, 5, Standing::Gone, 4))]);
+        let living = judged(vec![(10, saw(0, 2, 5, MemberState::Gone, 4))]);
         assert_eq!((living.0.false_gone, living.0.unequal, living.1), (1, 1, 1));
         assert_eq!(living.0.equal_since_s, None);
         let held = judged(vec![
             (9, became(2, Process::Held)),
-            (10, saw(0, 2, 5, Standing::Gone, 4)),
+            (10, saw(0, 2, 5, MemberState::Gone, 4)),
         ]);
         assert_eq!((held.0.false_gone, held.0.false_gone_held), (0, 1));
-        let skipped = judged(vec![(10, saw(0, 2, 5, Standing::Suspect, 6))]);
+        let skipped = judged(vec![(10, saw(0, 2, 5, MemberState::Suspect, 6))]);
         assert_eq!((skipped.0.suspected, skipped.1), (1, 1));
         let unknown = judged(vec![
             (10, became(2, Process::Killed)),
-            (13, saw(0, 2, 5, Standing::Gone, 4)),
+            (13, saw(0, 2, 5, MemberState::Gone, 4)),
         ]);
         assert_eq!((unknown.0.kills, unknown.0.unknown), (1, 1));
         let leave = judged(vec![
             (10, became(2, Process::Asked)),
-            (13, saw(0, 2, 5, Standing::Gone, 4)),
+            (13, saw(0, 2, 5, MemberState::Gone, 4)),
         ]);
         assert_eq!((leave.0.leaves, leave.0.left_as_gone), (1, 1));
     }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -32,5 +32,5 @@
 pub use config::{Config, ConfigError};
 pub use identity::{Identity, Name, NameError, Place};
 pub use machine::{Counters, Membership, Output, Phase};
-pub use view::{Change, Standing, View, Viewed};
+pub use view::{Change, MemberState, View, Viewed};
 pub use wire::{DATAGRAM_MOST, Dropped};
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -6,7 +6,7 @@
 use crate::identity::{Identity, Name, Place};
 use crate::io::Io;
 use crate::sync::{self, Follow, Part};
-use crate::view::{Change, Standing, View, Viewed};
+use crate::view::{Change, MemberState, View, Viewed};
 use crate::watch::{Want, Watch};
 use crate::wire::{self, Dropped, Own, Said};
 use foca::{
@@ -215,7 +215,7 @@
         membership.watch = Watch::new(now, membership.rng.random());
         membership.put(Viewed {
             id: me,
-            standing: Standing::Present,
+            standing: MemberState::Present,
             since: now,
             from: None,
         });
@@ -639,7 +639,7 @@
                 let others = self
                     .view
                     .members()
-                    .filter(|viewed| viewed.standing == Standing::Present);
+                    .filter(|viewed| viewed.standing == MemberState::Present);
                 let others = others
                     .map(|viewed| viewed.id)
                     .filter(|id| id.name != me && id.name != target.name);
@@ -795,19 +795,19 @@
         let since = self.io.now;
         for note in std::mem::take(&mut self.io.notes) {
             let (id, standing) = match note {
-                OwnedNotification::MemberUp(id) if id.leaving => (id, Standing::Left),
-                OwnedNotification::MemberUp(id) => (id, Standing::Present),
-                OwnedNotification::MemberDown(id) if id.leaving => (id, Standing::Left),
-                OwnedNotification::MemberDown(id) => (id, Standing::Gone),
-                OwnedNotification::Rename(_, now) if now.leaving => (now, Standing::Left),
+                OwnedNotification::MemberUp(id) if id.leaving => (id, MemberState::Left),
+                OwnedNotification::MemberUp(id) => (id, MemberState::Present),
+                OwnedNotification::MemberDown(id) if id.leaving => (id, MemberState::Left),
+                OwnedNotification::MemberDown(id) => (id, MemberState::Gone),
+                OwnedNotification::Rename(_, now) if now.leaving => (now, MemberState::Left),
                 // No other note follows where the earlier life counted as there with the protocol: one that leaves
                 // does so until its end has come round.
                 OwnedNotification::Rename(_, now)
                     if self.foca.iter_members().any(|m| *m.id() == now) =>
                 {
-                    (now, Standing::Present)
+                    (now, MemberState::Present)
                 }
-                OwnedNotification::Rename(_, now) => (now, Standing::Gone),
+                OwnedNotification::Rename(_, now) => (now, MemberState::Gone),
                 _ => continue,
             };
             if id.name != me.name {
@@ -821,9 +821,9 @@
         }
         if self.view.get(&me.name).is_none_or(|viewed| viewed.id != me) {
             let standing = if me.leaving {
-                Standing::Left
+                MemberState::Left
             } else {
-                Standing::Present
+                MemberState::Present
             };
             self.put(Viewed {
                 id: me,
@@ -845,7 +845,7 @@
         let suspect = |name: &Name| {
             self.view
                 .get(name)
-                .is_some_and(|viewed| viewed.standing == Standing::Suspect)
+                .is_some_and(|viewed| viewed.standing == MemberState::Suspect)
         };
         let of = about
             .iter()
@@ -868,9 +868,9 @@
         let (mut changed, mut suspects) = (Vec::new(), Vec::new());
         for member in self.foca.iter_members().filter(|member| of(member)) {
             let standing = match member.state() {
-                State::Suspect => Standing::Suspect,
-                _ if member.id().leaving => Standing::Left,
-                _ => Standing::Present,
+                State::Suspect => MemberState::Suspect,
+                _ if member.id().leaving => MemberState::Left,
+                _ => MemberState::Present,
             };
             let known = self.view.get(&member.id().name);
             if known.is_some_and(|viewed| viewed.standing.is_there() && viewed.standing != standing)
@@ -881,7 +881,7 @@
                     since: self.io.now,
                     from,
                 });
-                if standing == Standing::Suspect {
+                if standing == MemberState::Suspect {
                     suspects.push((*member.id(), member.incarnation()));
                 }
             }
--- a/membership/src/tests.rs
+++ b/membership/src/tests.rs
@@ -94,7 +94,7 @@
                 news(one, 1, State::Suspect),
                 news(one, 2, State::Alive),
             ],
-            (one, Standing::Present),
+            (one, MemberState::Present),
         ),
         (
             vec![
@@ -104,7 +104,7 @@
                 news(two, 0, State::Alive),
                 news(one, 9, State::Alive),
             ],
-            (two, Standing::Present),
+            (two, MemberState::Present),
         ),
         (
             vec![
@@ -114,7 +114,7 @@
                 news(one, 7, State::Alive),
                 news(one, 7, State::Down),
             ],
-            (left(one), Standing::Left),
+            (left(one), MemberState::Left),
         ),
         (
             vec![
@@ -124,7 +124,7 @@
                 news(two, 0, State::Down),
                 news(left(one), 0, State::Down),
             ],
-            (two, Standing::Gone),
+            (two, MemberState::Gone),
         ),
     ];
     for (news, (id, standing)) in cases {
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -13,7 +13,7 @@
 /// How a member stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum MemberState {
     /// It is there.
     Present,
     /// It did not answer somebody, and has not yet said that it is there.
@@ -24,7 +24,7 @@
     Gone,
 }
 
-impl Standing {
+impl MemberState {
     /// Whether it counts as there.
     pub fn is_there(self) -> bool {
         matches!(self, Self::Present | Self::Suspect)
@@ -37,7 +37,7 @@
     /// Who.
     pub id: Identity,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: MemberState,
     /// Since when, on the embedder's clock.
     pub since: Duration,
     /// Whose datagram told; `None`: it was found out here.
@@ -137,7 +137,7 @@
         later
             .chain(earlier)
             .map(|(_, entry)| &entry.viewed)
-            .find(|v| v.standing == Standing::Present)
+            .find(|v| v.standing == MemberState::Present)
     }
 
     /// Takes in how one stands; whether that was news.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -4,7 +4,8 @@
 //! Keys that are not known are skipped; keys that are missing take the values of `Settings::default()`.
 
 use frostkeel_policy::{
-    Class, DedupGroup, Effect, LoadField, Prices, Reports, Settings, Tenant, Weights, ZoneId,
+    Class, DedupGroup, Effect, EndpointWeights, LoadField, LoadReports, Prices, Settings, Tenant,
+    ZoneId,
 };
 use serde::Deserialize;
 use std::time::Duration;
@@ -172,11 +173,11 @@
         (other, _) => return Err(format!("unknown effect {other:?}")),
     };
     Ok(Class {
-        aim: ms(raw.aim_ms),
-        aim_stretch: raw.aim_stretch,
+        latency_objective: ms(raw.aim_ms),
+        objective_work_multiple: raw.aim_stretch,
         deadline: ms(raw.hard_limit_ms),
-        worth: raw.worth,
-        late_worth: raw.late_worth,
+        priority_weight: raw.worth,
+        late_weight_share: raw.late_worth,
         effect,
         streamed: raw.streamed,
     })
@@ -210,29 +211,29 @@
             .parties
             .iter()
             .map(|t| Tenant {
-                allowance_per_s: t.allowance_per_s,
+                quota_per_s: t.allowance_per_s,
             })
             .collect(),
-        over_share_worth: raw.over_share_worth.unwrap_or(base.over_share_worth),
-        worth_by_work: raw.worth_by.as_deref() == Some("work"),
-        ask_for_fleet: raw.discovery.as_deref() == Some("subscribe"),
-        own_agent: base.own_agent,
-        ask_every: time(rules.ask_every_ms, base.ask_every),
+        over_quota_weight_share: raw.over_share_worth.unwrap_or(base.over_quota_weight_share),
+        weight_by_work: raw.worth_by.as_deref() == Some("work"),
+        polls_endpoints: raw.discovery.as_deref() == Some("subscribe"),
+        has_local_agent: base.has_local_agent,
+        poll_interval: time(rules.ask_every_ms, base.poll_interval),
         drain_grace: time(rules.drain_grace_ms, base.drain_grace),
-        cold_from: rules.cold_from.unwrap_or(base.cold_from),
-        cold_time: time(rules.cold_ms, base.cold_time),
-        fall_multiple: rules.fall_multiple.unwrap_or(base.fall_multiple),
-        fall_time: time(rules.overload_for_ms, base.fall_time),
+        slow_start_initial_share: rules.cold_from.unwrap_or(base.slow_start_initial_share),
+        slow_start_duration: time(rules.cold_ms, base.slow_start_duration),
+        overload_multiple: rules.fall_multiple.unwrap_or(base.overload_multiple),
+        overload_window: time(rules.overload_for_ms, base.overload_window),
         max_attempts: limits
             .try_limit
             .map_or(base.max_attempts, |n| n.min(250) as u8),
         hedging: limits.second_copies.unwrap_or(base.hedging),
-        cancelling: limits.cancelling.unwrap_or(base.cancelling),
-        probing: limits.may_probe.unwrap_or(base.probing),
+        cancellation: limits.cancelling.unwrap_or(base.cancellation),
+        health_checks: limits.may_probe.unwrap_or(base.health_checks),
         max_retry_after: time(limits.max_retry_after_ms, base.max_retry_after),
-        repeats_marked: raw.clients.marks_retry.unwrap_or(base.repeats_marked),
+        retries_marked: raw.clients.marks_retry.unwrap_or(base.retries_marked),
         connect_timeout: time(limits.connect_timeout_ms, base.connect_timeout),
-        conn_idle: time(limits.conn_idle_ms, base.conn_idle),
+        connection_idle_timeout: time(limits.conn_idle_ms, base.connection_idle_timeout),
         max_streams: limits.max_streams.unwrap_or(base.max_streams),
         tail_miss: raw
             .goal
@@ -240,15 +241,15 @@
             .filter(|w| *w > 0.0)
             .and(raw.goal.tail_miss),
         cpu_per_request: ms(limits.cpu_us_per_request / 1e3),
-        weights: match raw.weight_kind.as_deref() {
-            Some("live") => Weights::Live,
-            Some("nominal" | "rough") => Weights::Size,
-            _ => Weights::Off,
+        endpoint_weights: match raw.weight_kind.as_deref() {
+            Some("live") => EndpointWeights::Live,
+            Some("nominal" | "rough") => EndpointWeights::Size,
+            _ => EndpointWeights::Off,
         },
-        reports: match raw.telemetry.how.as_deref() {
-            Some("inline") => Reports::Inline,
-            Some("on_probe") => Reports::OnProbe,
-            _ => Reports::Off,
+        load_reports: match raw.telemetry.how.as_deref() {
+            Some("inline") => LoadReports::Inline,
+            Some("on_probe") => LoadReports::OnHealthCheck,
+            _ => LoadReports::Off,
         },
         report_fields: raw
             .telemetry
@@ -260,8 +261,8 @@
             cross_zone: raw.prices.cross_zone,
             connection: raw.prices.connection,
             handshake: raw.prices.handshake,
-            late_fail: raw.prices.late_fail,
-            probe: raw.prices.probe,
+            late_failure: raw.prices.late_fail,
+            health_check: raw.prices.probe,
             waste: raw.prices.waste,
         },
     };
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -5,7 +5,7 @@
 
 mod wire;
 
-use frostkeel_policy::{Action, Balancer, Event, FleetScope, Listed};
+use frostkeel_policy::{Action, Balancer, Endpoint, Event, UpdateScope};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u32, Balancer>,
-    lists: HashMap<u32, Vec<Listed>>,
+    lists: HashMap<u32, Vec<Endpoint>>,
     actions: Vec<Action>,
     /// What the instances of this batch want done, in order.
     pending: Vec<(u32, Action)>,
@@ -35,8 +35,8 @@
         let wrong = |what: String| WireError { at, what };
         let event = match &record {
             Record::Directory { .. } => {
-                if let Record::Directory { list, listed } = record {
-                    self.lists.insert(list, listed);
+                if let Record::Directory { list, endpoints } = record {
+                    self.lists.insert(list, endpoints);
                 }
                 return Ok(());
             }
@@ -56,18 +56,19 @@
             Record::Peer if self.instances.contains_key(&instance) => return Ok(()),
             Record::Peer => return Err(wrong(format!("instance {instance} was never started"))),
             Record::Fleet {
-                scope: FleetScope::Failed,
+                scope: UpdateScope::Failed,
                 ..
-            } => Event::Fleet {
-                scope: FleetScope::Failed,
-                listed: &[],
+            } => Event::EndpointsUpdated {
+                scope: UpdateScope::Failed,
+                endpoints: &[],
             },
             Record::Fleet { scope, list } => {
-                let listed = self.lists.get(list);
-                let listed = listed.ok_or_else(|| wrong(format!("no list has number {list}")))?;
-                Event::Fleet {
+                let endpoints = self.lists.get(list);
+                let endpoints =
+                    endpoints.ok_or_else(|| wrong(format!("no list has number {list}")))?;
+                Event::EndpointsUpdated {
                     scope: *scope,
-                    listed,
+                    endpoints,
                 }
             }
             Record::Request {
@@ -76,14 +77,14 @@
                 tenant,
                 left,
                 work,
-                repeat,
+                is_retry,
             } => Event::Request {
                 id: *id,
                 class: *class,
                 tenant: *tenant,
                 time_left: *left,
                 work_ms: *work,
-                repeat: *repeat,
+                is_retry: *is_retry,
             },
             Record::Started {
                 id,
@@ -108,13 +109,13 @@
                 finished: *finished,
                 report: &end.report,
             },
-            Record::Probed { end } => Event::ProbeEnded {
+            Record::Probed { end } => Event::HealthCheckEnded {
                 upstream: end.upstream,
                 outcome: end.outcome,
                 latency: end.latency,
                 report: &end.report,
             },
-            Record::Gone { id } => Event::RequestGone { id: *id },
+            Record::Gone { id } => Event::ClientDisconnected { id: *id },
             Record::Timer { timer } => Event::Timer { timer: *timer },
         };
         let balancer = self.instances.get_mut(&instance);
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! The simulator's binary dialect: batches of events in, replies of actions out. No decisions.
 
 use frostkeel_policy::{
-    Action, AttemptNo, Availability, CellId, ClassId, FleetScope, KindId, Listed, Outcome,
-    RequestId, TenantId, TimerId, UpstreamId, ZoneId,
+    Action, AttemptNo, Availability, CellId, ClassId, Endpoint, KindId, Outcome, RequestId,
+    TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
 };
 use frostkeel_settings::ms;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 pub enum Record {
     Directory {
         list: u32,
-        listed: Vec<Listed>,
+        endpoints: Vec<Endpoint>,
     },
     PowerOn {
         seed: u64,
@@ -27,7 +27,7 @@
     },
     Detach,
     Fleet {
-        scope: FleetScope,
+        scope: UpdateScope,
         list: u32,
     },
     Request {
@@ -36,7 +36,7 @@
         tenant: TenantId,
         left: Duration,
         work: Option<f64>,
-        repeat: bool,
+        is_retry: bool,
     },
     Started {
         id: RequestId,
@@ -171,14 +171,14 @@
         })
     }
 
-    fn listed(&mut self) -> Result<Listed, WireError> {
+    fn listed(&mut self) -> Result<Endpoint, WireError> {
         let id = self.upstream()?;
         let zone = ZoneId(self.u8("zone")?);
         let kind = KindId(self.u16("kind")?);
         let cell = CellId(self.u16("cell")?);
         let at = self.at;
         let availability = match self.u8("availability")? {
-            0 => Availability::Gone,
+            0 => Availability::Removed,
             1 => Availability::Ready,
             2 => Availability::Draining,
             other => {
@@ -190,7 +190,7 @@
         };
         let weight = f64::from(self.f32("weight")?);
         let started = Some(self.f64("start time")?).filter(|t| *t > 0.0).map(ms);
-        Ok(Listed {
+        Ok(Endpoint {
             id,
             zone,
             kind,
@@ -213,11 +213,11 @@
                 let what = format!("list number {list} is over 15");
                 return Err(WireError { at: at + 1, what });
             }
-            let listed = (0..n).map(|_| self.listed()).collect::<Result<_, _>>()?;
+            let endpoints = (0..n).map(|_| self.listed()).collect::<Result<_, _>>()?;
             return Ok(Located {
                 at,
                 instance: 0,
-                record: Record::Directory { list, listed },
+                record: Record::Directory { list, endpoints },
             });
         }
         if !(1..=11).contains(&code) {
@@ -280,10 +280,10 @@
             9 => {
                 let at = self.at;
                 let scope = match self.u8("scope")? {
-                    0 => FleetScope::Failed,
-                    1 => FleetScope::Full,
-                    2 => FleetScope::Cached,
-                    3 => FleetScope::Changes,
+                    0 => UpdateScope::Failed,
+                    1 => UpdateScope::Snapshot,
+                    2 => UpdateScope::Cached,
+                    3 => UpdateScope::Delta,
                     other => {
                         return Err(WireError {
                             at,
@@ -329,7 +329,7 @@
                     tenant,
                     left,
                     work,
-                    repeat: flags & 2 != 0,
+                    is_retry: flags & 2 != 0,
                 }
             }
         };
@@ -394,7 +394,7 @@
             reply.extend(id.0.to_be_bytes());
             reply.push(attempt.0);
         }
-        Action::Refuse {
+        Action::Reject {
             id, retry_after, ..
         } => {
             head(reply, 65, instance);
@@ -410,15 +410,15 @@
             reply.extend(to_ms(*after));
             reply.extend(timer.0.to_be_bytes());
         }
-        Action::WatchFleet => {
+        Action::WatchEndpoints => {
             head(reply, 73, instance);
             reply.push(1);
         }
-        Action::CloseIdle { upstream } => {
+        Action::CloseIdleConnections { upstream } => {
             head(reply, 76, instance);
             put_upstream(reply, *upstream);
         }
-        Action::Probe { upstream } => {
+        Action::HealthCheck { upstream } => {
             head(reply, 74, instance);
             put_upstream(reply, *upstream);
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
-//! The interface of the decision module: its settings, the events it is told, the actions it answers.
+//! The interface of the decision module: settings, the events it handles, the actions it returns.
 //!
-//! All times are [`Duration`]s on one clock of the embedder's choice that only goes forward.
+//! All times are [`Duration`]s on one monotonic clock of the embedder's choice.
 
 pub use crate::settings::*;
 use std::time::Duration;
@@ -33,20 +33,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerId(pub u32);
 
-/// What the list of upstreams says of one of them.
+/// The state of an upstream in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has; nothing new goes there.
+    /// It completes what is in flight; nothing new is sent there.
     Draining,
-    /// It is no more.
-    Gone,
+    /// It is no longer part of the service.
+    Removed,
 }
 
-/// One upstream as listed.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     /// Its id.
     pub id: UpstreamId,
     /// Its zone.
@@ -55,7 +55,7 @@
     pub kind: KindId,
     /// Its cell.
     pub cell: CellId,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub availability: Availability,
     /// Its weight; see [`Settings::weights`].
     pub weight: f64,
@@ -63,155 +63,155 @@
     pub started: Option<Duration>,
 }
 
-/// How complete a piece of news about the list is.
+/// What an endpoint update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FleetScope {
+pub enum UpdateScope {
     /// Only the entries that changed.
-    Changes,
-    /// The whole list; what is missing is gone.
-    Full,
-    /// The whole list as this balancer last held it, perhaps out of date.
+    Delta,
+    /// The complete list; upstreams missing from it are removed.
+    Snapshot,
+    /// The complete list as this balancer last had it, perhaps out of date.
     Cached,
-    /// A call failed or the watch broke; the list held stays.
+    /// A poll failed or the watch broke; the present list stays in use.
     Failed,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// A successful response.
     Ok,
-    /// The upstream answered with an error; it may have run.
+    /// The upstream responded with an error; the request may have been processed.
     Error,
-    /// Turned away unseen: the queue was full, or it drains.
+    /// Rejected without processing: the queue was full, or the upstream is draining.
     Rejected,
-    /// No answer in time; it may have run, or may still.
+    /// No response in time; the request may have been processed, or may still be.
     TimedOut,
-    /// No connection in time; it never ran.
+    /// No connection in time; the request was not processed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was reset; the request may have been processed.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled; the request may have been processed.
     Cancelled,
     /// Not sent at all.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the request was not processed.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// What ended a request without an answer that could be passed on, as a final answer says it.
+/// Why a request ended without a response that could be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
-    /// No class of the settings.
-    Unknown,
-    /// Its tenant's bucket had no token, though W left some room: it asked for more than its share.
-    Token,
-    /// Its tenant's bucket had no token, and W left no room.
-    Room,
-    /// Every upstream that could take it had been sent what it can do for now.
-    Clock,
-    /// No upstream in turn could take it: none ready, or all ejected or in doubt.
-    Nobody,
-    /// Its last attempt was not answered, nor was anything else sent to that upstream, for as long.
-    Silent,
-    /// Its last attempt was given up or its time ran out, though that upstream answered others.
-    Late,
-    /// The connection of its last attempt broke or never came up.
-    Broken,
+pub enum FailureReason {
+    /// Its class is not in the settings.
+    UnknownClass,
+    /// Its tenant's token bucket was empty although there was spare capacity: the tenant is over its quota.
+    QuotaExceeded,
+    /// Its tenant's token bucket was empty, and there was no spare capacity W.
+    NoSpareCapacity,
+    /// Send pacing held back every upstream that could have taken it.
+    Paced,
+    /// No upstream in the rotation could take it: none is ready, or all are ejected or suspected.
+    NoHealthyUpstream,
+    /// Its last attempt got no response, and the upstream has responded to nothing else since it was sent.
+    UpstreamUnresponsive,
+    /// Its last attempt was abandoned or ran out of time, although the upstream responded to others.
+    Timeout,
+    /// The connection of its last attempt failed or could not be made.
+    ConnectionError,
     /// Its last attempt was answered with an error.
-    Error,
-    /// Its last attempt was turned away unseen.
-    TurnedAway,
-    /// Its last attempt was not sent: no connection was to be had, or the process is about to end.
+    UpstreamError,
+    /// The upstream rejected its last attempt without processing it.
+    UpstreamRejected,
+    /// Its last attempt was not sent: no connection was available, or the process is about to end.
     NotSent,
-    /// Discovery has not confirmed the list of upstreams for so long that any of them may drain by now.
-    StaleList,
+    /// Discovery has not confirmed the endpoint list for so long that any upstream may be draining.
+    StaleEndpoints,
 }
 
-impl Loss {
-    /// All of them, in the order of their numbers.
+impl FailureReason {
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [Self; 12] = [
-        Self::Unknown,
-        Self::Token,
-        Self::Room,
-        Self::Clock,
-        Self::Nobody,
-        Self::Silent,
-        Self::Late,
-        Self::Broken,
-        Self::Error,
-        Self::TurnedAway,
+        Self::UnknownClass,
+        Self::QuotaExceeded,
+        Self::NoSpareCapacity,
+        Self::Paced,
+        Self::NoHealthyUpstream,
+        Self::UpstreamUnresponsive,
+        Self::Timeout,
+        Self::ConnectionError,
+        Self::UpstreamError,
+        Self::UpstreamRejected,
         Self::NotSent,
-        Self::StaleList,
+        Self::StaleEndpoints,
     ];
 
-    /// Its word in the operators' log.
-    pub fn word(self) -> &'static str {
+    /// The reason as it stands in the log.
+    pub fn as_str(self) -> &'static str {
         match self {
-            Self::Unknown => "unknown",
-            Self::Token => "token",
-            Self::Room => "room",
-            Self::Clock => "clock",
-            Self::Nobody => "nobody",
-            Self::Silent => "silent",
-            Self::Late => "late",
-            Self::Broken => "broken",
-            Self::Error => "error",
-            Self::TurnedAway => "turned-away",
+            Self::UnknownClass => "unknown-class",
+            Self::QuotaExceeded => "quota-exceeded",
+            Self::NoSpareCapacity => "no-spare-capacity",
+            Self::Paced => "paced",
+            Self::NoHealthyUpstream => "no-healthy-upstream",
+            Self::UpstreamUnresponsive => "upstream-unresponsive",
+            Self::Timeout => "timeout",
+            Self::ConnectionError => "connection-error",
+            Self::UpstreamError => "upstream-error",
+            Self::UpstreamRejected => "upstream-rejected",
             Self::NotSent => "not-sent",
-            Self::StaleList => "stale-list",
+            Self::StaleEndpoints => "stale-endpoints",
         }
     }
 }
 
-/// What befell the watch on the list of upstreams, or a call for one.
+/// A change in the state of the endpoint watch, or of a poll that should open one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListEvent {
-    /// Nothing has come for so long that the watch, or the call, counts as broken.
+pub enum WatchEvent {
+    /// Nothing was received for so long that the watch, or the poll, counts as broken.
     Silent {
-        /// When something last came, or when the call was made.
+        /// When something was last received, or when the poll was made.
         since: Duration,
     },
-    /// Discovery has ended the watch: in place of telling, or as it goes down.
+    /// Discovery closed the watch: in place of an update, or while shutting down.
     Ended,
-    /// Part of a list has come, and not its end: discovery has written it, and it may break off.
+    /// The beginning of a list was received, and not its end: the response may be truncated.
     Partial {
-        /// When its first part came.
+        /// When its first part was received.
         since: Duration,
     },
-    /// Discovery has turned a call away.
-    Refused {
-        /// When it was made.
-        called: Duration,
+    /// Discovery rejected a poll.
+    Rejected {
+        /// When the poll was made.
+        requested_at: Duration,
     },
-    /// A call has met nobody, or was ended without an answer.
+    /// A poll could not connect, or was closed without a response.
     Unreachable {
-        /// When it was made.
-        called: Duration,
+        /// When the poll was made.
+        requested_at: Duration,
     },
-    /// Discovery is at another address from now on.
+    /// Discovery has another address from now on.
     Moved,
 }
 
-/// Something the embedder tells [`Balancer`](crate::Balancer).
+/// An event that the embedder passes to [`Balancer`](crate::Balancer).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// News of the list of upstreams. The first event of a balancer's life is a `Cached` one.
-    Fleet {
-        /// How complete it is.
-        scope: FleetScope,
+    /// An endpoint update. The first event that a balancer handles is a `Cached` one.
+    EndpointsUpdated {
+        /// What it contains.
+        scope: UpdateScope,
         /// The entries.
-        listed: &'a [Listed],
+        endpoints: &'a [Endpoint],
     },
-    /// What befell the watch on the list, or a call for one. A watch that is over is told of by
-    /// [`FleetScope::Failed`] as well.
-    List(ListEvent),
-    /// A client's request has come.
+    /// A change in the state of the endpoint watch. The end of a watch is also reported as an update with
+    /// [`UpdateScope::Failed`].
+    Watch(WatchEvent),
+    /// A client's request was received.
     Request {
         /// Its id.
         id: RequestId,
@@ -221,12 +221,12 @@
         tenant: TenantId,
         /// How long the client still waits.
         time_left: Duration,
-        /// Expected work in milliseconds on a standard core, where known.
+        /// Expected CPU time in milliseconds on a standard core, where known.
         work_ms: Option<f64>,
-        /// The client says that it has tried this before.
-        repeat: bool,
+        /// The client marked the request as a retry.
+        is_retry: bool,
     },
-    /// A streamed answer has started: the request has no deadline any more.
+    /// A streamed response has started: the request has no deadline any more.
     StreamStarted {
         /// The request.
         id: RequestId,
@@ -235,7 +235,7 @@
         /// Time since it was sent.
         latency: Duration,
     },
-    /// An attempt has ended; told once for each.
+    /// An attempt has ended; reported once for each attempt.
     AttemptEnded {
         /// The request.
         id: RequestId,
@@ -247,25 +247,25 @@
         outcome: Outcome,
         /// Time since it was sent.
         latency: Duration,
-        /// The request has its final answer, by this outcome or before it.
+        /// The request has its final response, by this outcome or before it.
         finished: bool,
-        /// A load report, its values as in [`Settings::report_fields`]; empty if none came.
+        /// A load report with values as in [`Settings::report_fields`]; empty if there was none.
         report: &'a [f32],
     },
-    /// The client has gone; no answer is owed.
-    RequestGone {
+    /// The client closed its connection; no response is due.
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// A probe has ended.
-    ProbeEnded {
-        /// The upstream probed.
+    /// A health check has ended.
+    HealthCheckEnded {
+        /// The upstream that was checked.
         upstream: UpstreamId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         latency: Duration,
-        /// A load report; empty if none came.
+        /// A load report; empty if there was none.
         report: &'a [f32],
     },
     /// A timer set by [`Action::Timer`] is due.
@@ -275,7 +275,7 @@
     },
 }
 
-/// Something [`Balancer`](crate::Balancer) wants done, in order.
+/// Something that the embedder has to do for [`Balancer`](crate::Balancer), in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to an upstream.
@@ -284,31 +284,31 @@
         id: RequestId,
         /// Where to.
         upstream: UpstreamId,
-        /// When to give this attempt up; `None`: when the client does.
+        /// When to abandon this attempt; `None`: at the client's deadline.
         timeout: Option<Duration>,
     },
-    /// Stop waiting for one attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: not taken; trying again is harmless.
-    Refuse {
+    /// Final response: rejected without any effect; the client may retry.
+    Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before a retry.
         retry_after: Option<Duration>,
-        /// What ended it.
-        why: Loss,
+        /// Why.
+        reason: FailureReason,
     },
-    /// Final answer: failed; nothing is promised of the effect.
+    /// Final response: failed; the request may have had an effect.
     Fail {
         /// The request.
         id: RequestId,
-        /// What ended it.
-        why: Loss,
+        /// Why.
+        reason: FailureReason,
     },
     /// Ask for [`Event::Timer`] after some time.
     Timer {
@@ -317,40 +317,44 @@
         /// Its name.
         timer: TimerId,
     },
-    /// Ask the list service for changes from now on.
-    WatchFleet,
+    /// Poll discovery for the endpoint list and watch it for changes.
+    WatchEndpoints,
     /// Close the idle connections to an upstream; those in use stay.
-    CloseIdle {
+    CloseIdleConnections {
         /// Which.
         upstream: UpstreamId,
     },
-    /// Probe an upstream.
-    Probe {
+    /// Send a health check to an upstream.
+    HealthCheck {
         /// Which.
         upstream: UpstreamId,
     },
-    /// A line for the operators.
+    /// A log line for the operators.
     Log {
         /// Its text.
         line: String,
     },
 }
 
-/// How a balancer stands: what its decisions go by, for the operators' log.
+/// The state that a balancer's decisions are based on, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
-    /// Free room W, in requests; under nil where more is held than there is room for.
-    pub room: f64,
-    /// What the upstreams that take turns are believed to do together, in requests a second.
-    pub rate: f64,
-    /// Share of their cores in use, by their reports.
-    pub busy: f64,
-    /// Mean time of an attempt in seconds, over the classes as they are admitted.
-    pub latency: f64,
-    /// Requests a second that are asked for.
-    pub demand: f64,
-    /// Attempts out.
+pub struct StatusSnapshot {
+    /// Spare capacity W in requests; negative where more is in flight than there is capacity for.
+    pub spare_capacity: f64,
+    /// Estimated service rate of all upstreams in the rotation, in requests a second.
+    pub service_rate: f64,
+    /// Share of the upstreams' cores in use, from load reports.
+    pub utilization: f64,
+    /// Mean duration of an attempt in seconds, over the classes as they are admitted.
+    pub mean_latency_s: f64,
+    /// Demand in requests a second.
+    pub demand_per_s: f64,
+    /// Attempts in flight.
     pub in_flight: u32,
-    /// Upstreams that take turns, those of them still held cold, and those ejected.
-    pub turns: (usize, usize, usize),
+    /// Upstreams in the rotation.
+    pub rotation_size: usize,
+    /// Upstreams of the rotation in slow start.
+    pub warming_up: usize,
+    /// Upstreams of the rotation that are ejected.
+    pub ejected: usize,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
-//!         aim: ms(200),
+//!         latency_objective: ms(200),
 //!         deadline: ms(1000),
 //!         effect: Effect::Idempotent,
 //!         ..Class::default()
@@ -23,7 +23,7 @@
 //! let mut actions = Vec::new();
 //!
 //! // A balancer's life starts with the list of upstreams it knows.
-//! let listed = [Listed {
+//! let endpoints = [Endpoint {
 //!     id: UpstreamId(7),
 //!     zone: ZoneId(0),
 //!     kind: KindId(0),
@@ -32,7 +32,7 @@
 //!     weight: 1.0,
 //!     started: None,
 //! }];
-//! balancer.handle(ms(0), Event::Fleet { scope: FleetScope::Cached, listed: &listed }, &mut actions);
+//! balancer.handle(ms(0), Event::EndpointsUpdated { scope: UpdateScope::Cached, endpoints: &endpoints }, &mut actions);
 //!
 //! // A request comes: it is sent on, or refused at once.
 //! actions.clear();
@@ -42,7 +42,7 @@
 //!     tenant: TenantId(0),
 //!     time_left: ms(1000),
 //!     work_ms: None,
-//!     repeat: false,
+//!     is_retry: false,
 //! };
 //! balancer.handle(ms(5), request, &mut actions);
 //! assert!(matches!(actions[..], [Action::Attempt { id: RequestId(1), upstream: UpstreamId(7), .. }]));
@@ -74,7 +74,7 @@
 mod stats;
 
 pub use interface::*;
-pub use policy::{Balancer, SendsHeld};
+pub use policy::{Balancer, SendPause};
 
 /// README's embedding example, kept honest by the tests.
 #[doc = include_str!("../README.md")]
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -4,7 +4,7 @@
     BUCKET, BUCKET_LEAST, BUSY_KEPT, Balancer, RATE_KEPT, RATE_OVER, RETRY_SAVED, RETRY_SHARE,
     TICK, bound,
 };
-use crate::interface::{Action, Loss, RequestId};
+use crate::interface::{Action, FailureReason, RequestId};
 use crate::state::{Request, Upstream};
 use crate::stats::Chance;
 use std::time::Duration;
@@ -45,12 +45,12 @@
         class: usize,
         tenant: usize,
         left: Duration,
-        repeat: bool,
+        is_retry: bool,
     ) {
         if class >= self.classes.len() {
             self.out.push(Action::Fail {
                 id,
-                why: Loss::Unknown,
+                reason: FailureReason::UnknownClass,
             });
             return;
         }
@@ -58,7 +58,7 @@
         let bucket = &mut self.buckets[tenant];
         bucket.arrivals += 1.0;
         if self.list_is_stale() {
-            self.refuse(id, left, Loss::StaleList);
+            self.refuse(id, left, FailureReason::StaleEndpoints);
             return;
         }
         let bucket = &self.buckets[tenant];
@@ -67,9 +67,9 @@
                 id,
                 left,
                 if self.room > 0.0 {
-                    Loss::Token
+                    FailureReason::QuotaExceeded
                 } else {
-                    Loss::Room
+                    FailureReason::NoSpareCapacity
                 },
             );
             return;
@@ -78,7 +78,7 @@
             .map(|k| self.value(k))
             .fold(1e-9, f64::max);
         let light = KEPT_FOR_WORTH * (1.0 - self.value(class) / worthy);
-        let kept = (self.saved_most - 1.0) * if repeat { KEPT_FROM_REPEATS } else { light };
+        let kept = (self.saved_most - 1.0) * if is_retry { KEPT_FROM_REPEATS } else { light };
         let short = self.busy > 0.0 && self.saved < 1.0 + kept;
         let turn = if short { None } else { self.next_turn(class) };
         let Some(turn) = turn else {
@@ -91,20 +91,32 @@
             } else {
                 0.0
             };
-            self.refuse(id, left, if waits { Loss::Clock } else { Loss::Nobody });
+            self.refuse(
+                id,
+                left,
+                if waits {
+                    FailureReason::Paced
+                } else {
+                    FailureReason::NoHealthyUpstream
+                },
+            );
             return;
         };
         self.buckets[tenant].tokens -= 1.0;
-        self.wanted += f64::from(u8::from(!self.set.repeats_marked));
+        self.wanted += f64::from(u8::from(!self.set.retries_marked));
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
         for (k, learned) in self.classes.iter_mut().enumerate() {
             learned.share += 0.01 * (f64::from(u8::from(k == class)) - learned.share);
         }
         let deadline = self.at + left.as_secs_f64();
         let c = &self.set.classes[class];
-        let lasts = c.late_worth > 0.0 || c.aim_stretch > 0.0 || c.streamed;
-        let aim = self.at + AIM_LEFT * c.aim.as_secs_f64();
-        let worth_until = if lasts { deadline } else { deadline.min(aim) };
+        let lasts = c.late_weight_share > 0.0 || c.objective_work_multiple > 0.0 || c.streamed;
+        let latency_objective = self.at + AIM_LEFT * c.latency_objective.as_secs_f64();
+        let worth_until = if lasts {
+            deadline
+        } else {
+            deadline.min(latency_objective)
+        };
         let (attempts, ended, streaming) = (Vec::new(), false, false);
         let request = Request {
             class,
@@ -121,25 +133,25 @@
     /// What a class earns for the room it takes: a heavy request is worth less than its worth says, as others
     /// could be served in its place.
     pub(super) fn value(&self, class: usize) -> f64 {
-        let worth = self.set.classes[class].worth;
-        if self.set.worth_by_work {
-            worth
+        let priority_weight = self.set.classes[class].priority_weight;
+        if self.set.weight_by_work {
+            priority_weight
         } else {
-            worth / self.classes[class].latency.max(TICK)
+            priority_weight / self.classes[class].latency.max(TICK)
         }
     }
 
     /// A refusal always tells when to come back. The moment is spread by the request's own number, so that
     /// those refused together do not return together.
-    pub(super) fn refuse(&mut self, id: RequestId, left: Duration, why: Loss) {
+    pub(super) fn refuse(&mut self, id: RequestId, left: Duration, reason: FailureReason) {
         // No sooner than an attempt takes, however little of this try is left: the client may have another.
         let least = Duration::from_secs_f64(self.latency().max(TICK));
         let longest = self.set.max_retry_after.min(least.max(left / 2));
         let retry_after = longest.mul_f64(0.5 + 0.5 * Chance::with_seed(u64::from(id.0)).f64());
-        self.out.push(Action::Refuse {
+        self.out.push(Action::Reject {
             id,
             retry_after: Some(retry_after),
-            why,
+            reason,
         });
     }
 
@@ -154,8 +166,8 @@
             .zip(&mut self.classes)
             .filter(|(_, l)| at > l.at + HEARD)
         {
-            l.latency -=
-                (tau / HEARD).min(1.0) * (l.latency - 0.5 * ROOM * c.aim.as_secs_f64()).max(0.0);
+            l.latency -= (tau / HEARD).min(1.0)
+                * (l.latency - 0.5 * ROOM * c.latency_objective.as_secs_f64()).max(0.0);
         }
         // Queues are shared by all classes: the one whose answers come closest to its aim sets how much they
         // may grow, or by how much they are too long.
@@ -186,7 +198,7 @@
         let telling = self.busy > 0.0;
         let part = if telling { ROOM_TOLD } else { ROOM };
         let slack = classes
-            .map(|(c, l)| part * c.aim.as_secs_f64() - l.latency)
+            .map(|(c, l)| part * c.latency_objective.as_secs_f64() - l.latency)
             .fold(f64::INFINITY, f64::min);
         let mut within = (self.latency() + slack).max(0.0);
         let weights: f64 = self.in_turn().map(|u| u.weight).sum::<f64>().max(1e-9);
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts of a request: sends, further ones, second copies, and the final answer.
 
 use super::{Balancer, DOUBT, OVERDUE_BY};
-use crate::interface::{Action, AttemptNo, DedupGroup, Effect, Loss, Outcome, RequestId};
+use crate::interface::{Action, AttemptNo, DedupGroup, Effect, FailureReason, Outcome, RequestId};
 use crate::state::{Attempt, Request, Upstream};
 use std::time::Duration;
 
@@ -20,7 +20,8 @@
             self.at - u.used_at
         };
         if idle > self.reap && self.at < self.reap_until && self.silent[1] > 2.0 * self.silent[0] {
-            self.out.push(Action::CloseIdle { upstream: u.id });
+            self.out
+                .push(Action::CloseIdleConnections { upstream: u.id });
             idle = 0.0;
         }
         u.used_at = self.at;
@@ -30,7 +31,7 @@
         let class = &self.set.classes[r.class];
         let overdue = self.classes[r.class]
             .usual
-            .min(OVERDUE_BY * class.aim.as_secs_f64());
+            .min(OVERDUE_BY * class.latency_objective.as_secs_f64());
         // Where no second copy may run beside the first, what may be repeated is given up when overdue.
         let last = r.attempts.len() + 1 >= usize::from(self.set.max_attempts);
         let repeatable = class.effect != Effect::AtMostOnce && !class.streamed;
@@ -191,15 +192,15 @@
                     .index
                     .get(&upstream)
                     .is_some_and(|j| self.ring[*j].heard >= sent);
-                let why = match outcome {
-                    Outcome::Error => Loss::Error,
-                    Outcome::Rejected => Loss::TurnedAway,
-                    Outcome::ConnectFailed | Outcome::Reset => Loss::Broken,
-                    Outcome::NotSent => Loss::NotSent,
-                    _ if heard => Loss::Late,
-                    _ => Loss::Silent,
+                let reason = match outcome {
+                    Outcome::Error => FailureReason::UpstreamError,
+                    Outcome::Rejected => FailureReason::UpstreamRejected,
+                    Outcome::ConnectFailed | Outcome::Reset => FailureReason::ConnectionError,
+                    Outcome::NotSent => FailureReason::NotSent,
+                    _ if heard => FailureReason::Timeout,
+                    _ => FailureReason::UpstreamUnresponsive,
                 };
-                self.give_up(id, deadline, why);
+                self.give_up(id, deadline, reason);
             }
         }
         if ended && !others {
@@ -208,16 +209,16 @@
     }
 
     /// The final answer when no attempt is out and none may follow: a refusal only if nothing can have run.
-    pub(super) fn give_up(&mut self, id: RequestId, deadline: f64, why: Loss) {
+    pub(super) fn give_up(&mut self, id: RequestId, deadline: f64, reason: FailureReason) {
         let Some(r) = self.requests.remove(&id) else {
             return;
         };
         let safe = self.set.classes[r.class].effect == Effect::Idempotent;
         if safe || r.attempts.iter().all(|a| !a.may_have_run) {
             let left = (deadline - self.at).max(0.0);
-            self.refuse(id, Duration::from_secs_f64(left.min(1e6)), why);
+            self.refuse(id, Duration::from_secs_f64(left.min(1e6)), reason);
         } else {
-            self.out.push(Action::Fail { id, why });
+            self.out.push(Action::Fail { id, reason });
         }
     }
 
@@ -227,7 +228,7 @@
             return;
         };
         let was_ended = std::mem::replace(&mut r.ended, true);
-        if !was_ended && self.set.cancelling {
+        if !was_ended && self.set.cancellation {
             for (k, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.out) {
                 self.out.push(Action::Cancel {
                     id,
--- a/src/policy/doubt.rs
+++ b/src/policy/doubt.rs
@@ -41,7 +41,7 @@
     ) {
         let (overdue, idle) = way;
         let slow = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && overdue;
-        let aim = self.set.classes[class].aim.as_secs_f64();
+        let latency_objective = self.set.classes[class].latency_objective.as_secs_f64();
         let learned = &mut self.classes[class];
         let ratio = latency / learned.latency.max(1e-6);
         let ok = outcome == Outcome::Ok;
@@ -52,13 +52,13 @@
             } else {
                 1.0 - 0.05 * (1.0 - USUAL)
             };
-            learned.usual = learned.usual.clamp(2.0 * TICK, aim);
+            learned.usual = learned.usual.clamp(2.0 * TICK, latency_objective);
         }
         if ok || slow {
             let latency = if ok {
-                latency.min(2.0 * aim)
+                latency.min(2.0 * latency_objective)
             } else {
-                (GIVEN_UP * latency).min(2.0 * aim)
+                (GIVEN_UP * latency).min(2.0 * latency_objective)
             };
             let newest = ((self.at - learned.at) / LATENCY_OVER).clamp(LATENCY_NEWEST, 0.2);
             learned.at = self.at;
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -6,7 +6,7 @@
 //! knows of no change: calls that wait in vain or meet nobody end such a doubt, others do not.
 
 use super::Balancer;
-use crate::interface::{Action, ListEvent};
+use crate::interface::{Action, WatchEvent};
 use std::time::Duration;
 
 /// Seconds after which what was missed counts as notified: by a watch that fell silent or is not to be had,
@@ -83,7 +83,7 @@
 
 /// A span in which nothing new may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SendsHeld {
+pub struct SendPause {
     /// Its begin.
     pub from: Duration,
     /// Its end, should no list come before.
@@ -135,26 +135,28 @@
 impl Balancer {
     /// Takes in what befell the watch or a call. An agent of this balancer's own is silent only where it
     /// knows of nothing, and answers at once else: there only an answer in part is a doubt.
-    pub(super) fn list_event(&mut self, event: ListEvent) {
+    pub(super) fn list_event(&mut self, event: WatchEvent) {
         let (at, lease) = (self.at, &mut self.lease);
         match event {
-            ListEvent::Partial { since } => {
+            WatchEvent::Partial { since } => {
                 lease.doubt(Doubt::Partial, since.as_secs_f64());
                 self.list_coming = true;
             }
-            _ if self.set.own_agent => (),
-            ListEvent::Silent { since } => lease.doubt(Doubt::Silent, since.as_secs_f64()),
-            ListEvent::Ended => {
+            _ if self.set.has_local_agent => (),
+            WatchEvent::Silent { since } => lease.doubt(Doubt::Silent, since.as_secs_f64()),
+            WatchEvent::Ended => {
                 lease.excused_at = at;
                 lease.doubt(Doubt::Ended, at);
             }
-            ListEvent::Refused { called } if at - called.as_secs_f64() < REFUSED_AT_ONCE => {
+            WatchEvent::Rejected { requested_at }
+                if at - requested_at.as_secs_f64() < REFUSED_AT_ONCE =>
+            {
                 lease.doubt(Doubt::Refused, lease.excused_at);
             }
-            ListEvent::Refused { called } | ListEvent::Unreachable { called } => {
-                lease.excuse(called.as_secs_f64());
+            WatchEvent::Rejected { requested_at } | WatchEvent::Unreachable { requested_at } => {
+                lease.excuse(requested_at.as_secs_f64());
             }
-            ListEvent::Moved => lease.doubt(Doubt::Moved, at),
+            WatchEvent::Moved => lease.doubt(Doubt::Moved, at),
         }
     }
 
@@ -191,10 +193,10 @@
 
     /// The span in which nothing new may be sent, unless a list comes before; `None`: the list is confirmed.
     /// An embedder looks here again just before it writes an attempt.
-    pub fn sends_held(&self) -> Option<SendsHeld> {
+    pub fn send_pause(&self) -> Option<SendPause> {
         let (from, _) = self.lease.end(self.grace())?;
         let at = |seconds: f64| Duration::from_secs_f64(seconds.clamp(0.0, 1e9));
-        Some(SendsHeld {
+        Some(SendPause {
             from: at(from),
             until: at(from + HELD_MOST),
         })
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -1,7 +1,7 @@
 //! The list of upstreams: asking for it, taking it in, and the subset that takes turns.
 
 use super::{BUDGET, Balancer, EJECTED_MOST};
-use crate::interface::{Action, Availability, FleetScope, Listed, Weights};
+use crate::interface::{Action, Availability, Endpoint, EndpointWeights, UpdateScope};
 use crate::state::{Health, Upstream};
 use crate::stats::Chance;
 use std::collections::VecDeque;
@@ -28,35 +28,35 @@
 impl Balancer {
     /// Seconds over which the calls of all balancers are spread, should all need their list at once.
     pub(super) fn calls_over(&self) -> f64 {
-        let all = if self.set.own_agent {
+        let all = if self.set.has_local_agent {
             0.0
         } else {
             CALL_EACH * f64::from(self.set.balancers)
         };
-        all.min(0.5 * self.set.ask_every.as_secs_f64())
+        all.min(0.5 * self.set.poll_interval.as_secs_f64())
     }
 
     /// Asks for the list where that is due.
     pub(super) fn ask_for_list(&mut self) {
         let called = self.watching || self.list_coming;
-        if !self.set.ask_for_fleet || called || self.at < self.ask_at {
+        if !self.set.polls_endpoints || called || self.at < self.ask_at {
             return;
         }
         // An unanswered call is asked again well before silence counts as having been told.
-        let again = self.set.ask_every.as_secs_f64() * (0.4 + 0.2 * self.rng.f64());
-        let again = if self.set.own_agent {
+        let again = self.set.poll_interval.as_secs_f64() * (0.4 + 0.2 * self.rng.f64());
+        let again = if self.set.has_local_agent {
             AGENT_CALL_MOST
         } else {
             again.max(CALL_MOST)
         };
         (self.asked_at, self.ask_at) = (self.at, self.at + again);
-        self.out.push(Action::WatchFleet);
+        self.out.push(Action::WatchEndpoints);
     }
 
     /// A call failed, or the watch ended: doubling, jittered waits, as a list service that was down must not
     /// meet all at once; but none so long that a change made meanwhile is known later than it counts as told.
     fn list_failed(&mut self) {
-        let longest = self.set.ask_every.as_secs_f64() * 0.8;
+        let longest = self.set.poll_interval.as_secs_f64() * 0.8;
         let doubling = (longest / 16.0) * f64::from(1u32 << self.ask_failures.min(4));
         let spent = if self.watching {
             SILENCE
@@ -71,7 +71,7 @@
             CROWD_MOST
         };
         let left = (TOLD_WITHIN - CALL_TAKES - spent).max(least);
-        let wait = if self.set.own_agent {
+        let wait = if self.set.has_local_agent {
             WAIT_LEAST
         } else {
             doubling.max(crowd).min(left)
@@ -94,17 +94,17 @@
         self.ask_at = self.at + wait * (0.1 + 0.9 * self.rng.f64());
     }
 
-    pub(super) fn fleet(&mut self, scope: FleetScope, listed: &[Listed]) {
+    pub(super) fn fleet(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
         self.list_coming = false;
-        if scope == FleetScope::Failed {
+        if scope == UpdateScope::Failed {
             self.list_failed();
             return;
         }
-        if scope != FleetScope::Cached {
+        if scope != UpdateScope::Cached {
             (self.watching, self.ask_failures) = (true, 0);
         }
         self.renew_lease();
-        let mut changed = scope != FleetScope::Changes;
+        let mut changed = scope != UpdateScope::Delta;
         if changed {
             // What a full list no longer names is gone.
             self.ring
@@ -112,7 +112,7 @@
                 .for_each(|u| (u.ready, u.draining) = (false, false));
         }
         let (first, mut grown) = (self.ring.is_empty(), false);
-        for l in listed {
+        for l in endpoints {
             let started = l.started.map(|s| s.as_secs_f64());
             let j = *self.index.entry(l.id).or_insert_with(|| {
                 // A newcomer to a list already known has just started, whatever the list says.
@@ -143,17 +143,18 @@
             } else {
                 1.0
             };
-            match self.set.weights {
-                Weights::Off => u.size = 1.0,
-                Weights::Size => u.size = weight,
-                Weights::Live => {
+            match self.set.endpoint_weights {
+                EndpointWeights::Off => u.size = 1.0,
+                EndpointWeights::Size => u.size = weight,
+                EndpointWeights::Live => {
                     u.size = u.size.max(weight);
                     let others = 1.0 - 1.0 / f64::from(self.set.balancers.max(1));
                     (u.held, u.held_at) = ((u.size / weight - 1.0) * others, self.at);
                 }
             }
             let fresh = |s: &f64| {
-                self.at - s < self.set.cold_time.as_secs_f64() && u.started.is_none_or(|k| *s > k)
+                self.at - s < self.set.slow_start_duration.as_secs_f64()
+                    && u.started.is_none_or(|k| *s > k)
             };
             if let Some(s) = started.filter(fresh) {
                 // It has restarted: what was held against it is void, and it is cold.
@@ -250,7 +251,8 @@
             let u = &mut self.ring[*j];
             if members > least && u.member && !all {
                 (u.member, members) = (false, members - 1);
-                self.out.push(Action::CloseIdle { upstream: u.id });
+                self.out
+                    .push(Action::CloseIdleConnections { upstream: u.id });
             }
         }
         let before = self.turns.len();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -14,12 +14,12 @@
 mod turns;
 
 use crate::interface::{
-    Action, Event, LoadField, Reports, RequestId, Settings, SettingsError, Standing, TimerId,
-    UpstreamId, Weights,
+    Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, Settings, SettingsError,
+    StatusSnapshot, TimerId, UpstreamId,
 };
 use crate::state::{Bucket, Learned, Request, Upstream};
 use crate::stats::Chance;
-pub use lease::SendsHeld;
+pub use lease::SendPause;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -72,7 +72,7 @@
 
 /// Share of the upstreams' cores that may be kept busy.
 fn bound(set: &Settings) -> f64 {
-    BUSY + BUSY_MORE * set.over_share_worth.min(0.5)
+    BUSY + BUSY_MORE * set.over_quota_weight_share.min(0.5)
 }
 
 /// One balancer's decisions. See the crate's page for its use.
@@ -83,7 +83,7 @@
     at: f64,       // the same in seconds
     out: Vec<Action>,
     rng: Chance,
-    ring: Vec<Upstream>, // all that are listed
+    ring: Vec<Upstream>, // all that are endpoints
     index: FxHashMap<UpstreamId, usize>,
     turns: Vec<usize>,      // the subset, in this balancer's own order
     subset_least: usize,    // of an equal part of the traffic
@@ -133,11 +133,11 @@
         let stated: f64 = set
             .tenants
             .iter()
-            .map(|t| t.allowance_per_s)
+            .map(|t| t.quota_per_s)
             .filter(|a| a.is_finite())
             .sum();
         let buckets = (0..count).map(|i| {
-            let stated = set.tenants.get(i).map_or(0.0, |t| t.allowance_per_s);
+            let stated = set.tenants.get(i).map_or(0.0, |t| t.quota_per_s);
             let guarantee = if stated > 0.0 {
                 stated / f64::from(set.balancers)
             } else {
@@ -152,10 +152,10 @@
             }
         });
         let classes = set.classes.iter().map(|c| {
-            let aim = c.aim.as_secs_f64();
+            let latency_objective = c.latency_objective.as_secs_f64();
             Learned {
-                latency: aim * 0.3,
-                usual: aim * OVERDUE_BY,
+                latency: latency_objective * 0.3,
+                usual: latency_objective * OVERDUE_BY,
                 share: 1.0,
                 ..Learned::default()
             }
@@ -163,8 +163,8 @@
         let each = stated.max(1.0) / f64::from(set.balancers);
         let subset = (SUBSET_EACH * each).clamp(SUBSET_LEAST, 1e6) as usize;
         // Where reports will tell how busy the cores are: as busy as they may be, until then.
-        let telling =
-            set.reports == Reports::Inline && set.report_fields.contains(&LoadField::Utilization);
+        let telling = set.load_reports == LoadReports::Inline
+            && set.report_fields.contains(&LoadField::Utilization);
         let busy = if telling { bound(&set) } else { 0.0 };
         Ok(Self {
             busy,
@@ -176,7 +176,7 @@
             buckets: buckets.collect(),
             classes: classes.collect(),
             // Where the list says nothing of their sizes the small ones would be full first.
-            rate_now: if telling && set.weights == Weights::Off {
+            rate_now: if telling && set.endpoint_weights == EndpointWeights::Off {
                 busy * each
             } else {
                 each
@@ -198,18 +198,20 @@
         self.turns.iter().map(|j| &self.ring[*j])
     }
 
-    /// How it stands now.
-    pub fn standing(&self) -> Standing {
-        let cold = self.in_turn().filter(|u| u.started.is_some()).count();
+    /// The present state that decisions are based on.
+    pub fn status(&self) -> StatusSnapshot {
+        let warming_up = self.in_turn().filter(|u| u.started.is_some()).count();
         let ejected = self.in_turn().filter(|u| u.ejected_until > self.at).count();
-        Standing {
-            room: self.room,
-            rate: self.rate * self.in_turn().map(|u| u.weight).sum::<f64>(),
-            busy: self.busy,
-            latency: self.latency(),
-            demand: self.buckets.iter().map(|b| b.demand).sum(),
+        StatusSnapshot {
+            spare_capacity: self.room,
+            service_rate: self.rate * self.in_turn().map(|u| u.weight).sum::<f64>(),
+            utilization: self.busy,
+            mean_latency_s: self.latency(),
+            demand_per_s: self.buckets.iter().map(|b| b.demand).sum(),
             in_flight: self.ring.iter().map(|u| u.in_flight).sum(),
-            turns: (self.turns.len(), cold, ejected),
+            rotation_size: self.turns.len(),
+            warming_up,
+            ejected,
         }
     }
 
@@ -228,23 +230,23 @@
             });
         }
         match event {
-            Event::Fleet { scope, listed } => self.fleet(scope, listed),
-            Event::List(event) => self.list_event(event),
+            Event::EndpointsUpdated { scope, endpoints } => self.fleet(scope, endpoints),
+            Event::Watch(event) => self.list_event(event),
             Event::Request {
                 id,
                 class,
                 tenant,
                 time_left,
-                repeat,
+                is_retry,
                 ..
             } => {
-                self.wanted += f64::from(u8::from(self.set.repeats_marked && !repeat));
+                self.wanted += f64::from(u8::from(self.set.retries_marked && !is_retry));
                 self.request(
                     id,
                     usize::from(class.0),
                     tenant.0 as usize,
                     time_left,
-                    repeat,
+                    is_retry,
                 );
             }
             Event::StreamStarted { id, .. } => {
@@ -267,8 +269,8 @@
                 self.report(upstream, report);
                 self.attempt_ended(id, attempt.0, outcome, latency.as_secs_f64(), finished);
             }
-            Event::RequestGone { id } => self.end(id),
-            Event::ProbeEnded {
+            Event::ClientDisconnected { id } => self.end(id),
+            Event::HealthCheckEnded {
                 upstream, report, ..
             } => self.report(upstream, report),
             Event::Timer { timer: TICK_TIMER } => self.tick(),
--- a/src/policy/turns.rs
+++ b/src/policy/turns.rs
@@ -35,14 +35,17 @@
         let far = (1.0 - self.set.prices.cross_zone / FAR_PRICE).max(0.0);
         let near = |u: &Upstream| u.ready && u.zone == self.set.zone && u.ejected_until <= self.at;
         let near_ready = self.in_turn().any(near);
-        let (fade, cold_from) = ((-tau / PACE_KEPT).exp(), self.set.cold_from.min(1.0));
-        let aim = self
+        let (fade, slow_start_initial_share) = (
+            (-tau / PACE_KEPT).exp(),
+            self.set.slow_start_initial_share.min(1.0),
+        );
+        let latency_objective = self
             .set
             .classes
             .iter()
-            .map(|c| c.aim.as_secs_f64())
+            .map(|c| c.latency_objective.as_secs_f64())
             .fold(f64::INFINITY, f64::min);
-        let laid = (-tau / aim).exp();
+        let laid = (-tau / latency_objective).exp();
         let (mut warm_rate, mut warm) = (0.0, 0.0);
         for j in &self.turns {
             let u = &mut self.ring[*j];
@@ -51,9 +54,9 @@
             u.ghosts *= laid;
             let pace = (u.pace * u.seen + PACE_DOUBT) / (u.seen + PACE_DOUBT);
             let climb = u.started.map_or(1.0, |s| {
-                let share =
-                    ((self.at - s) / self.set.cold_time.as_secs_f64().max(1e-6)).clamp(0.0, 1.0);
-                cold_from + (1.0 - cold_from) * share
+                let share = ((self.at - s) / self.set.slow_start_duration.as_secs_f64().max(1e-6))
+                    .clamp(0.0, 1.0);
+                slow_start_initial_share + (1.0 - slow_start_initial_share) * share
             });
             if climb >= 1.0 {
                 u.started = None;
@@ -81,7 +84,7 @@
         } else {
             self.rate
         };
-        let cold = COLD_SHARE * self.set.fall_multiple;
+        let cold = COLD_SHARE * self.set.overload_multiple;
         // What others send shows late: each sends what C says, whoever drops out. Where few share one,
         // what it holds is this balancer's own, and the skip rule sees it at once.
         let spare = (self.sharers / (self.sharers - 1.0).max(1e-3)).min(1e3);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,25 +1,26 @@
-//! What a balancer is told once, at its start: classes, tenants, limits, prices.
+//! The configuration of a balancer: classes, tenants, limits, prices.
 
 use crate::interface::ZoneId;
 use std::time::Duration;
 
-/// What a repeat of a request may do.
+/// What a second execution of a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// Running it again is harmless.
     Idempotent,
-    /// Upstreams of one group drop a repeat that is sent within `ttl` of the first send that may have run.
+    /// It carries an idempotency key: the upstreams of one group ignore a second send within `ttl` of the
+    /// first one that may have been processed.
     Deduplicated {
         /// Which upstreams share the memory of a key.
         group: DedupGroup,
         /// How long they remember it.
         ttl: Duration,
     },
-    /// It must never run twice.
+    /// It must never be processed twice.
     AtMostOnce,
 }
 
-/// The upstreams that drop one another's repeats.
+/// The upstreams that share their memory of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
     /// All of them.
@@ -33,47 +34,47 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
-    pub aim: Duration,
-    /// The aim grows by this multiple of the request's own work, where the work is known.
-    pub aim_stretch: f64,
+    /// A response within this time earns the full weight.
+    pub latency_objective: Duration,
+    /// The objective grows by this multiple of the request's own CPU time, where that is known.
+    pub objective_work_multiple: f64,
     /// The longest a client waits.
     pub deadline: Duration,
-    /// What one answer in time is worth.
-    pub worth: f64,
-    /// The share of the worth left for an answer after the aim.
-    pub late_worth: f64,
-    /// What a repeat may do.
+    /// What a response within the objective counts for.
+    pub priority_weight: f64,
+    /// The share of that weight which a response after the objective still earns.
+    pub late_weight_share: f64,
+    /// What a second execution may do.
     pub effect: Effect,
-    /// The answer is a stream: [`Event::StreamStarted`](crate::Event::StreamStarted) is told.
+    /// The response is a stream, announced by [`Event::StreamStarted`](crate::Event::StreamStarted).
     pub streamed: bool,
 }
 
-/// A customer whose traffic shares the fleet.
+/// A customer that shares the upstreams with others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all balancers that count as within its share; 0 = not stated.
-    pub allowance_per_s: f64,
+    /// Requests a second over all balancers that count as within its quota; 0: not stated.
+    pub quota_per_s: f64,
 }
 
 impl Default for Class {
-    /// A class that may not run twice, wanted within a second.
+    /// A class that may not be processed twice, with an objective of a second.
     fn default() -> Self {
         Self {
-            aim: Duration::from_secs(1),
-            aim_stretch: 0.0,
+            latency_objective: Duration::from_secs(1),
+            objective_work_multiple: 0.0,
             deadline: Duration::from_secs(3),
-            worth: 1.0,
-            late_worth: 0.0,
+            priority_weight: 1.0,
+            late_weight_share: 0.0,
             effect: Effect::AtMostOnce,
             streamed: false,
         }
     }
 }
 
-/// What an upstream's listed weight means.
+/// What the weight of an endpoint means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum EndpointWeights {
     /// Nothing.
     Off,
     /// Its registered size, or about that.
@@ -84,13 +85,13 @@
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReports {
     /// There are none.
     Off,
-    /// With every outcome and probe.
+    /// With every outcome and health check.
     Inline,
-    /// With probes only.
-    OnProbe,
+    /// With health checks only.
+    OnHealthCheck,
 }
 
 /// The meaning of one value in a load report.
@@ -121,73 +122,74 @@
     pub connection: f64,
     /// A new connection.
     pub handshake: f64,
-    /// A request that ends unserved only after its aim.
-    pub late_fail: f64,
-    /// A probe.
-    pub probe: f64,
-    /// Upstream work that served nobody, a mean request's worth of it.
+    /// A request that fails only after its objective.
+    pub late_failure: f64,
+    /// A health check.
+    pub health_check: f64,
+    /// Upstream work without a use, for each mean request's amount of it.
     pub waste: f64,
 }
 
-/// What one balancer is told once, at its start.
+/// The configuration of a balancer; it stays the same while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many balancers share the fleet, this one included.
     pub balancers: u32,
     /// This one's number among them, from 0.
     pub index: u32,
-    /// The zone this balancer stands in.
+    /// The zone this balancer runs in.
     pub zone: ZoneId,
     /// The classes of requests; at least one.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What a request over its tenant's allowance is worth, as a share of its class's worth.
-    pub over_share_worth: f64,
-    /// A request's worth is in proportion to its work.
-    pub worth_by_work: bool,
-    /// The list of upstreams must be asked for: [`Action::WatchFleet`](crate::Action::WatchFleet).
-    pub ask_for_fleet: bool,
-    /// Whoever is asked for it is this balancer's own agent: no other balancer's calls wait there.
-    pub own_agent: bool,
-    /// A balancer silent for this long counts as told of all that was listed then.
-    pub ask_every: Duration,
+    /// What a request over its tenant's quota counts for, as a share of its class's weight.
+    pub over_quota_weight_share: f64,
+    /// A request's weight is in proportion to its work.
+    pub weight_by_work: bool,
+    /// The endpoint list has to be polled for: [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
+    pub polls_endpoints: bool,
+    /// Polls go to this balancer's own agent, which no other balancer uses.
+    pub has_local_agent: bool,
+    /// A balancer that has not polled for this long counts as notified of all changes up to then.
+    pub poll_interval: Duration,
     /// Sends to an upstream that drains or is gone must have stopped so long after the balancer was notified.
     pub drain_grace: Duration,
-    /// A starting upstream can do at least this share of its work ...
-    pub cold_from: f64,
+    /// A starting upstream has at least this share of its capacity ...
+    pub slow_start_initial_share: f64,
     /// ... and all of it after this long.
-    pub cold_time: Duration,
-    /// A cold upstream falls over when sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
-    /// ... for this long.
-    pub fall_time: Duration,
-    /// The most attempts one request may have.
+    pub slow_start_duration: Duration,
+    /// An upstream in slow start is overloaded by more than this multiple of its present capacity ...
+    pub overload_multiple: f64,
+    /// ... over this time.
+    pub overload_window: Duration,
+    /// The maximum number of attempts of a request.
     pub max_attempts: u8,
-    /// Two attempts of a request may be out together.
+    /// Two attempts of a request may be in flight together.
     pub hedging: bool,
     /// Attempts may be cancelled.
-    pub cancelling: bool,
-    /// Probes are allowed.
-    pub probing: bool,
-    /// The longest stay away that clients heed.
+    pub cancellation: bool,
+    /// Health checks are allowed.
+    pub health_checks: bool,
+    /// The longest Retry-After that clients respect.
     pub max_retry_after: Duration,
-    /// Clients mark their repeats: a request that is not marked is a first try.
-    pub repeats_marked: bool,
+    /// Clients mark their retries: a request without the mark is a first attempt.
+    pub retries_marked: bool,
     /// A connection not made in this time counts as failed.
     pub connect_timeout: Duration,
     /// A connection not used for this long closes.
-    pub conn_idle: Duration,
+    pub connection_idle_timeout: Duration,
     /// Attempts that one connection carries at once.
     pub max_streams: u32,
-    /// The share of misses, by class, that is tolerated where the goal has a part for the slow end.
+    /// The share of responses after the objective, by class, that is tolerated; `None` where the tail does
+    /// not count.
     pub tail_miss: Option<f64>,
     /// CPU that a request and its outcomes may cost; zero: no limit.
     pub cpu_per_request: Duration,
-    /// What upstreams' listed weights mean.
-    pub weights: Weights,
+    /// What the weights of endpoints mean.
+    pub endpoint_weights: EndpointWeights,
     /// Where load reports come from.
-    pub reports: Reports,
+    pub load_reports: LoadReports,
     /// The values in a load report, in order.
     pub report_fields: Vec<LoadField>,
     /// What acts cost.
@@ -195,7 +197,7 @@
 }
 
 impl Default for Settings {
-    /// One balancer that is told its list, with no classes yet.
+    /// One balancer that does not poll for endpoints, with no classes yet.
     fn default() -> Self {
         Self {
             balancers: 1,
@@ -203,36 +205,36 @@
             zone: ZoneId(0),
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 0.1,
-            worth_by_work: false,
-            ask_for_fleet: false,
-            own_agent: false,
-            ask_every: Duration::from_secs(10),
+            over_quota_weight_share: 0.1,
+            weight_by_work: false,
+            polls_endpoints: false,
+            has_local_agent: false,
+            poll_interval: Duration::from_secs(10),
             drain_grace: Duration::from_secs(1),
-            cold_from: 0.3,
-            cold_time: Duration::from_secs(10),
-            fall_multiple: 3.0,
-            fall_time: Duration::from_secs(2),
+            slow_start_initial_share: 0.3,
+            slow_start_duration: Duration::from_secs(10),
+            overload_multiple: 3.0,
+            overload_window: Duration::from_secs(2),
             max_attempts: 3,
             hedging: true,
-            cancelling: true,
-            probing: false,
+            cancellation: true,
+            health_checks: false,
             max_retry_after: Duration::from_secs(1),
-            repeats_marked: true,
+            retries_marked: true,
             connect_timeout: Duration::from_millis(250),
-            conn_idle: Duration::from_secs(60),
+            connection_idle_timeout: Duration::from_secs(60),
             max_streams: 100,
             tail_miss: None,
             cpu_per_request: Duration::ZERO,
-            weights: Weights::Size,
-            reports: Reports::Off,
+            endpoint_weights: EndpointWeights::Size,
+            load_reports: LoadReports::Off,
             report_fields: Vec::new(),
             prices: Prices::default(),
         }
     }
 }
 
-/// Why no decision is possible with some [`Settings`].
+/// Why [`Settings`] are not usable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// There are no classes.
@@ -244,7 +246,7 @@
 }
 
 impl Settings {
-    /// Whether decisions are possible with these figures; the error names the first that permits none.
+    /// Checks all values; the error names the first that is not usable.
     pub fn check(&self) -> Result<(), SettingsError> {
         let out = |what| Err(SettingsError::OutOfRange(what));
         let real = |x: f64| x >= 0.0 && x.is_finite();
@@ -264,15 +266,15 @@
             return out("max_streams");
         }
         for (x, what) in [
-            (self.over_share_worth, "over_share_worth"),
-            (self.cold_from, "cold_from"),
-            (self.fall_multiple, "fall_multiple"),
+            (self.over_quota_weight_share, "over_share_worth"),
+            (self.slow_start_initial_share, "cold_from"),
+            (self.overload_multiple, "fall_multiple"),
             (self.prices.cross_zone, "prices.cross_zone"),
             (self.prices.connection, "prices.connection"),
             (self.prices.handshake, "prices.handshake"),
-            (self.prices.late_fail, "prices.late_fail"),
+            (self.prices.late_failure, "prices.late_fail"),
             (self.tail_miss.unwrap_or(0.0), "tail_miss"),
-            (self.prices.probe, "prices.probe"),
+            (self.prices.health_check, "prices.probe"),
             (self.prices.waste, "prices.waste"),
         ] {
             if !real(x) {
@@ -280,13 +282,13 @@
             }
         }
         for class in &self.classes {
-            if class.aim.is_zero() {
+            if class.latency_objective.is_zero() {
                 return out("class aim");
             }
             for (x, what) in [
-                (class.worth, "class worth"),
-                (class.late_worth, "class late_worth"),
-                (class.aim_stretch, "class aim_stretch"),
+                (class.priority_weight, "class worth"),
+                (class.late_weight_share, "class late_worth"),
+                (class.objective_work_multiple, "class aim_stretch"),
             ] {
                 if !real(x) {
                     return out(what);
@@ -294,7 +296,7 @@
             }
         }
         for tenant in &self.tenants {
-            if !real(tenant.allowance_per_s) {
+            if !real(tenant.quota_per_s) {
                 return out("tenant allowance_per_s");
             }
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -12,11 +12,11 @@
     pub(crate) draining: bool,
     pub(crate) member: bool,         // of the subset that takes turns
     pub(crate) fresh: bool, // new, restarted or back from ejection since the subset was last chosen
-    pub(crate) size: f64,   // listed size; with live weights the largest seen
+    pub(crate) size: f64,   // endpoints size; with live weights the largest seen
     pub(crate) started: Option<f64>, // begins the climb from cold; None: long warm
     pub(crate) in_flight: u32, // q_j: this balancer's own
     pub(crate) overdue: u32, // of these, out for longer than usual
-    pub(crate) ghosts: f64, // given up, and perhaps still at work there; fading over the shortest aim
+    pub(crate) ghosts: f64, // given up, and perhaps still at work there; fading over the shortest latency_objective
     pub(crate) held: f64,   // what others hold there, by the latest report
     pub(crate) held_at: f64,
     pub(crate) told: f64,   // what it holds in all, by the same
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -96,21 +96,21 @@
         ),
         (
             Settings {
-                cold_from: f64::NAN,
+                slow_start_initial_share: f64::NAN,
                 ..ok()
             },
             "cold_from",
         ),
         (
             Settings {
-                fall_multiple: f64::INFINITY,
+                overload_multiple: f64::INFINITY,
                 ..ok()
             },
             "fall_multiple",
         ),
         (
             Settings {
-                over_share_worth: -1.0,
+                over_quota_weight_share: -1.0,
                 ..ok()
             },
             "over_share_worth",
@@ -183,10 +183,10 @@
 /// no busier than before. What they are believed to do must keep up with what they are seen to do.
 #[test]
 fn the_rate_follows_what_is_done_while_the_cores_are_no_busier() {
-    let (reports, report_fields) = (Reports::Inline, vec![LoadField::Utilization]);
+    let (reports, report_fields) = (LoadReports::Inline, vec![LoadField::Utilization]);
     let mut bench = Bench::new(
         Settings {
-            reports,
+            load_reports: reports,
             report_fields,
             ..stated(2, &[200.0])
         },
@@ -207,7 +207,7 @@
                 bench.ended(open.pop_front().unwrap().1, 0, Outcome::Ok);
                 done += 1;
                 let (upstream, outcome, latency) = (UpstreamId(1), Outcome::Ok, ms(1));
-                bench.tell(Event::ProbeEnded {
+                bench.tell(Event::HealthCheckEnded {
                     upstream,
                     outcome,
                     latency,
@@ -219,13 +219,13 @@
         f64::from(done - before) / f64::from(halves) * 2.0
     };
     let before = play(&mut bench, 16, 6);
-    let steady = bench.balancer.standing().rate;
+    let steady = bench.balancer.status().service_rate;
     assert!(
         (before - 42.0).abs() < 3.0 && (steady - before).abs() < 8.0,
         "{before} done, {steady} believed"
     );
     let after = play(&mut bench, 3, 2);
-    let followed = bench.balancer.standing().rate;
+    let followed = bench.balancer.status().service_rate;
     assert!(after > 100.0, "{after} done a second");
     assert!(
         followed > 0.6 * after,
@@ -237,10 +237,10 @@
 /// not a mean over fifty reports, which is several seconds of its traffic.
 #[test]
 fn one_report_of_each_upstream_tells_how_busy_they_are() {
-    let (reports, report_fields) = (Reports::Inline, vec![LoadField::Utilization]);
+    let (reports, report_fields) = (LoadReports::Inline, vec![LoadField::Utilization]);
     let mut bench = Bench::new(
         Settings {
-            reports,
+            load_reports: reports,
             report_fields,
             ..stated(100, &[1500.0])
         },
@@ -249,7 +249,7 @@
     let mut all_say = |busy: f32| {
         for id in 1..=10 {
             let (upstream, outcome, latency) = (UpstreamId(id), Outcome::Ok, ms(1));
-            bench.tell(Event::ProbeEnded {
+            bench.tell(Event::HealthCheckEnded {
                 upstream,
                 outcome,
                 latency,
@@ -257,7 +257,7 @@
             });
             bench.run(ms(70));
         }
-        bench.balancer.standing().busy
+        bench.balancer.status().utilization
     };
     for _ in 0..10 {
         all_say(0.3);
@@ -280,7 +280,7 @@
     }
     let longest = Settings::default().max_retry_after;
     let told = bench.actions.iter().find_map(|a| match a {
-        Action::Refuse { retry_after, .. } => *retry_after,
+        Action::Reject { retry_after, .. } => *retry_after,
         _ => None,
     });
     assert!(
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -28,22 +28,26 @@
 
 impl Play {
     fn settings(&self) -> Settings {
-        let aim = 5_000 / self.pace;
+        let latency_objective = 5_000 / self.pace;
         Settings {
             balancers: self.balancers,
-            classes: vec![class(aim, 4 * aim, Effect::Idempotent)],
+            classes: vec![class(
+                latency_objective,
+                4 * latency_objective,
+                Effect::Idempotent,
+            )],
             tenants: vec![Tenant {
-                allowance_per_s: LOAD * (WARM * self.pace) as f64,
+                quota_per_s: LOAD * (WARM * self.pace) as f64,
             }],
-            cold_from: 0.12,
-            cold_time: ms(23_000),
-            fall_multiple: 3.0,
-            fall_time: ms(2000),
+            slow_start_initial_share: 0.12,
+            slow_start_duration: ms(23_000),
+            overload_multiple: 3.0,
+            overload_window: ms(2000),
             ..Settings::default()
         }
     }
 
-    fn balancer(&self, index: u32, life: u64, list: &[Listed], now: Duration) -> Bench {
+    fn balancer(&self, index: u32, life: u64, list: &[Endpoint], now: Duration) -> Bench {
         let settings = Settings {
             index,
             ..self.settings()
@@ -53,23 +57,23 @@
             Balancer::new(settings, self.seed << 32 | u64::from(index) << 8 | life).unwrap();
         bench.timers.clear();
         bench.now = now;
-        bench.tell(Event::Fleet {
-            scope: FleetScope::Cached,
-            listed: list,
+        bench.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Cached,
+            endpoints: list,
         });
         bench
     }
 
     /// The most that a cold upstream got in a window over what the budget and chance allow, in requests.
     fn excess(&self) -> f64 {
-        let old: Vec<Listed> = fleet(WARM);
+        let old: Vec<Endpoint> = fleet(WARM);
         let with_new = || {
             let started = Some(STARTS);
             old.iter()
                 .cloned()
-                .chain(NEW.map(|id| Listed {
+                .chain(NEW.map(|id| Endpoint {
                     started,
-                    ..listed(id)
+                    ..endpoint(id)
                 }))
                 .collect::<Vec<_>>()
         };
@@ -97,9 +101,9 @@
                 told = true;
                 for bench in &mut all {
                     bench.run(now.saturating_sub(bench.now));
-                    bench.tell(Event::Fleet {
-                        scope: FleetScope::Full,
-                        listed: &with_new(),
+                    bench.tell(Event::EndpointsUpdated {
+                        scope: UpdateScope::Snapshot,
+                        endpoints: &with_new(),
                     });
                 }
             }
@@ -123,7 +127,7 @@
             out.insert((now + takes, k, id));
         }
         let settings = self.settings();
-        let window = settings.fall_time;
+        let window = settings.overload_window;
         let mut worst = f64::NEG_INFINITY;
         for new in NEW {
             let sends: Vec<Duration> = cold
@@ -137,10 +141,12 @@
                     .iter()
                     .take_while(|at| **at < *from + window)
                     .count() as f64;
-                let age = (*from - STARTS).as_secs_f64() / settings.cold_time.as_secs_f64();
-                let climb = settings.cold_from + (1.0 - settings.cold_from) * age.min(1.0);
+                let age =
+                    (*from - STARTS).as_secs_f64() / settings.slow_start_duration.as_secs_f64();
+                let climb = settings.slow_start_initial_share
+                    + (1.0 - settings.slow_start_initial_share) * age.min(1.0);
                 let budget =
-                    settings.fall_multiple * self.pace as f64 * climb * window.as_secs_f64();
+                    settings.overload_multiple * self.pace as f64 * climb * window.as_secs_f64();
                 worst = worst.max(count - (budget + 2.0 * budget.sqrt() + 2.0));
             }
         }
@@ -178,12 +184,10 @@
     for (sparse, balancers) in [(false, 20), (true, 400)] {
         let mut set = varied_settings(true, sparse, true, 4);
         set.balancers = balancers;
-        set.ask_for_fleet = false;
-        (set.cold_from, set.cold_time) = (0.1, ms(20_000));
-        (set.fall_multiple, set.fall_time) = (3.0, ms(2000));
-        set.tenants = vec![Tenant {
-            allowance_per_s: 700.0,
-        }];
+        set.polls_endpoints = false;
+        (set.slow_start_initial_share, set.slow_start_duration) = (0.1, ms(20_000));
+        (set.overload_multiple, set.overload_window) = (3.0, ms(2000));
+        set.tenants = vec![Tenant { quota_per_s: 700.0 }];
         let mut all: Vec<_> = (0..balancers)
             .map(|_| Bench::new(set.clone(), &fleet(WARM)))
             .collect();
@@ -194,9 +198,9 @@
             };
             b.balancer = Balancer::new(set, k as u64).unwrap();
             b.timers.clear();
-            b.tell(Event::Fleet {
-                scope: FleetScope::Cached,
-                listed: &fleet(WARM),
+            b.tell(Event::EndpointsUpdated {
+                scope: UpdateScope::Cached,
+                endpoints: &fleet(WARM),
             });
         }
         // Ten warm upstreams that can each do 100 a second, loaded to seven tenths; every answer takes 20 ms.
@@ -209,17 +213,17 @@
             for b in &mut all {
                 b.run(now.saturating_sub(b.now));
                 if step == 3 * rate {
-                    let mut newcomer = listed(99);
+                    let mut newcomer = endpoint(99);
                     newcomer.started = Some(now);
-                    b.tell(Event::Fleet {
-                        scope: FleetScope::Changes,
-                        listed: &[newcomer],
+                    b.tell(Event::EndpointsUpdated {
+                        scope: UpdateScope::Delta,
+                        endpoints: &[newcomer],
                     });
                 }
                 for upstream in std::mem::take(&mut b.probes) {
                     let held = if upstream == new { 0.0 } else { 2.0 };
                     let (outcome, latency, report) = (Outcome::Ok, ms(1), &[held][..]);
-                    b.tell(Event::ProbeEnded {
+                    b.tell(Event::HealthCheckEnded {
                         upstream,
                         outcome,
                         latency,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,17 +9,17 @@
     Duration::from_millis(t)
 }
 
-pub fn class(aim: u64, deadline: u64, effect: Effect) -> Class {
+pub fn class(latency_objective: u64, deadline: u64, effect: Effect) -> Class {
     Class {
-        aim: ms(aim),
+        latency_objective: ms(latency_objective),
         deadline: ms(deadline),
         effect,
         ..Class::default()
     }
 }
 
-pub fn listed(id: u64) -> Listed {
-    Listed {
+pub fn endpoint(id: u64) -> Endpoint {
+    Endpoint {
         id: UpstreamId(id),
         zone: ZoneId(0),
         kind: KindId(0),
@@ -31,8 +31,8 @@
 }
 
 /// So many warm upstreams.
-pub fn fleet(n: u64) -> Vec<Listed> {
-    (1..=n).map(listed).collect()
+pub fn fleet(n: u64) -> Vec<Endpoint> {
+    (1..=n).map(endpoint).collect()
 }
 
 /// One class of this effect.
@@ -50,9 +50,7 @@
         classes: vec![class(400, 1000, Effect::Idempotent)],
         tenants: allowances
             .iter()
-            .map(|a| Tenant {
-                allowance_per_s: *a,
-            })
+            .map(|a| Tenant { quota_per_s: *a })
             .collect(),
         ..Settings::default()
     }
@@ -62,7 +60,7 @@
 pub fn varied_settings(
     hedging: bool,
     sparse: bool,
-    cancelling: bool,
+    cancellation: bool,
     max_attempts: u8,
 ) -> Settings {
     let keyed = |group, ttl| Effect::Deduplicated {
@@ -84,17 +82,17 @@
             streamed,
         ],
         tenants: [900.0, 2000.0, 0.0]
-            .map(|a| Tenant { allowance_per_s: a })
+            .map(|a| Tenant { quota_per_s: a })
             .to_vec(),
-        ask_for_fleet: sparse,
+        polls_endpoints: sparse,
         hedging,
-        cancelling,
+        cancellation,
         max_attempts,
-        probing: sparse,
-        reports: if sparse {
-            Reports::OnProbe
+        health_checks: sparse,
+        load_reports: if sparse {
+            LoadReports::OnHealthCheck
         } else {
-            Reports::Inline
+            LoadReports::Inline
         },
         report_fields: vec![LoadField::InFlight],
         ..Settings::default()
@@ -109,14 +107,14 @@
     pub timers: Vec<(Duration, TimerId)>,
     pub sent: BTreeMap<RequestId, Vec<(Duration, UpstreamId)>>,
     pub answers: BTreeMap<RequestId, &'static str>,
-    pub losses: BTreeMap<RequestId, Loss>,
+    pub losses: BTreeMap<RequestId, FailureReason>,
     pub probes: Vec<UpstreamId>,
     pub list_calls: Vec<Duration>,
     next: u32,
 }
 
 impl Bench {
-    pub fn new(settings: Settings, fleet: &[Listed]) -> Self {
+    pub fn new(settings: Settings, fleet: &[Endpoint]) -> Self {
         let mut bench = Self {
             balancer: Balancer::new(settings, 7).expect("settings permit decisions"),
             now: Duration::ZERO,
@@ -129,9 +127,9 @@
             list_calls: Vec::new(),
             next: 0,
         };
-        bench.tell(Event::Fleet {
-            scope: FleetScope::Cached,
-            listed: fleet,
+        bench.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Cached,
+            endpoints: fleet,
         });
         bench
     }
@@ -149,18 +147,20 @@
                         .or_default()
                         .push((self.now, *upstream));
                 }
-                Action::Refuse { id, why, .. } | Action::Fail { id, why } => {
+                Action::Reject { id, reason, .. } | Action::Fail { id, reason } => {
                     let how = if matches!(action, Action::Fail { .. }) {
                         "failed"
                     } else {
                         "refused"
                     };
                     assert_eq!(self.answers.insert(*id, how), None);
-                    self.losses.insert(*id, *why);
+                    self.losses.insert(*id, *reason);
                 }
-                Action::Probe { upstream } => self.probes.push(*upstream),
-                Action::WatchFleet => self.list_calls.push(self.now),
-                Action::Cancel { .. } | Action::CloseIdle { .. } | Action::Log { .. } => {}
+                Action::HealthCheck { upstream } => self.probes.push(*upstream),
+                Action::WatchEndpoints => self.list_calls.push(self.now),
+                Action::Cancel { .. }
+                | Action::CloseIdleConnections { .. }
+                | Action::Log { .. } => {}
             }
         }
     }
@@ -187,7 +187,7 @@
     }
 
     /// A client's request, marked where it has tried this before.
-    pub fn try_of(&mut self, class: u16, tenant: u32, left: Duration, repeat: bool) -> RequestId {
+    pub fn try_of(&mut self, class: u16, tenant: u32, left: Duration, is_retry: bool) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
         let (class, tenant) = (ClassId(class), TenantId(tenant));
@@ -197,7 +197,7 @@
             tenant,
             time_left: left,
             work_ms: None,
-            repeat,
+            is_retry,
         });
         id
     }
--- a/tests/ejection.rs
+++ b/tests/ejection.rs
@@ -99,10 +99,10 @@
 #[test]
 fn one_not_heard_of_is_not_taken_for_empty() {
     let mut set = one_class(Effect::Idempotent);
-    (set.reports, set.report_fields, set.balancers) =
-        (Reports::Inline, vec![LoadField::InFlight], 100);
+    (set.load_reports, set.report_fields, set.balancers) =
+        (LoadReports::Inline, vec![LoadField::InFlight], 100);
     set.tenants = vec![Tenant {
-        allowance_per_s: 5000.0,
+        quota_per_s: 5000.0,
     }];
     let mut bench = Bench::new(set, &fleet(5));
     for k in 0..600 {
@@ -114,7 +114,7 @@
         let quiet_from = 100;
         for upstream in (1..=if k < quiet_from { 5 } else { 4 }).map(UpstreamId) {
             let (outcome, latency, report) = (Outcome::Ok, ms(1), &[8.0][..]);
-            bench.tell(Event::ProbeEnded {
+            bench.tell(Event::HealthCheckEnded {
                 upstream,
                 outcome,
                 latency,
@@ -138,7 +138,7 @@
         closed += bench
             .actions
             .iter()
-            .filter(|a| matches!(a, Action::CloseIdle { .. }))
+            .filter(|a| matches!(a, Action::CloseIdleConnections { .. }))
             .count();
         if bench.at(id, 0).is_none() {
             continue;
@@ -155,7 +155,7 @@
 #[test]
 fn a_long_request_at_an_upstream_that_answers_others_gets_no_copy() {
     let tenants = vec![Tenant {
-        allowance_per_s: 1000.0,
+        quota_per_s: 1000.0,
     }];
     let mut bench = Bench::new(
         Settings {
@@ -220,7 +220,7 @@
 fn the_calls_of_many_balancers_for_their_list_are_spread() {
     let calls = |balancers: u32, index: u32| {
         let set = Settings {
-            ask_for_fleet: true,
+            polls_endpoints: true,
             balancers,
             index,
             ..one_class(Effect::Idempotent)
@@ -228,18 +228,18 @@
         let mut bench = Bench::new(set.clone(), &[]);
         bench.balancer = Balancer::new(set, u64::from(index)).unwrap();
         bench.timers.clear();
-        bench.tell(Event::Fleet {
-            scope: FleetScope::Cached,
-            listed: &fleet(4),
+        bench.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Cached,
+            endpoints: &fleet(4),
         });
         while bench.list_calls.is_empty() {
             bench.run(ms(10));
         }
         // It has waited in turn for three seconds.
         bench.run(ms(3000));
-        bench.tell(Event::Fleet {
-            scope: FleetScope::Failed,
-            listed: &[],
+        bench.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Failed,
+            endpoints: &[],
         });
         let failed = bench.now;
         bench.list_calls.truncate(1);
@@ -279,7 +279,7 @@
 /// nothing but errors is still found out among them.
 #[test]
 fn errors_that_all_have_eject_nobody_and_the_one_that_has_only_errors_is_ejected() {
-    let fleet: Vec<_> = (1..=8).map(listed).collect();
+    let fleet: Vec<_> = (1..=8).map(endpoint).collect();
     let classes = vec![class(400, 1000, Effect::Idempotent)];
     let mut bench = Bench::new(
         Settings {
@@ -304,7 +304,7 @@
                 attempt += 1;
             }
             bench.run(ms(3));
-            most_out = most_out.max(bench.balancer.standing().turns.2);
+            most_out = most_out.max(bench.balancer.status().ejected);
         }
         std::mem::take(&mut most_out)
     };
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -81,9 +81,9 @@
                 })
             };
             bench.traffic(12, ms(10), nth);
-            let standing = bench.balancer.standing();
+            let status = bench.balancer.status();
             assert_eq!(
-                standing.turns,
+                (status.rotation_size, status.warming_up, status.ejected),
                 (4, 0, 0),
                 "in turn, cold, ejected after {round} rounds of {outcome:?}"
             );
@@ -97,7 +97,7 @@
 #[test]
 fn a_run_of_broken_connections_between_answers_ejects_nobody() {
     let tenants = vec![Tenant {
-        allowance_per_s: 1000.0,
+        quota_per_s: 1000.0,
     }];
     let mut bench = Bench::new(
         Settings {
@@ -125,8 +125,9 @@
         .iter()
         .chain(&others)
         .for_each(|(id, _)| bench.ended(*id, 0, Outcome::Ok));
+    let status = bench.balancer.status();
     assert_eq!(
-        bench.balancer.standing().turns,
+        (status.rotation_size, status.warming_up, status.ejected),
         (2, 0, 0),
         "in turn, cold, ejected"
     );
@@ -174,26 +175,26 @@
     let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(3));
     bench.traffic(20, ms(5), |_| Some(Outcome::Ok));
     let (mut drains, before) = (
-        listed(1),
+        endpoint(1),
         [
             bench.attempts_at(UpstreamId(1)),
             bench.attempts_at(UpstreamId(2)),
         ],
     );
     drains.availability = Availability::Draining;
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Changes,
-        listed: &[drains],
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Delta,
+        endpoints: &[drains],
     });
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Full,
-        listed: &[listed(1), listed(3)],
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Snapshot,
+        endpoints: &[endpoint(1), endpoint(3)],
     });
-    let mut drains = listed(1);
+    let mut drains = endpoint(1);
     drains.availability = Availability::Draining;
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Changes,
-        listed: &[drains],
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Delta,
+        endpoints: &[drains],
     });
     bench.traffic(60, ms(30), |_| Some(Outcome::Ok));
     assert_eq!(
@@ -212,9 +213,9 @@
     let mut bench = Bench::new(one_class(Effect::AtMostOnce), &[]);
     let id = bench.request(0, 0, ms(1000));
     assert_eq!(bench.answers.get(&id), Some(&"refused"));
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Full,
-        listed: &fleet(1),
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Snapshot,
+        endpoints: &fleet(1),
     });
     bench.run(ms(3000));
     bench.traffic(100, ms(100), |_| Some(Outcome::Ok));
@@ -225,7 +226,7 @@
 #[test]
 fn a_failing_list_service_is_asked_ever_more_seldom_and_the_old_list_stays() {
     let settings = Settings {
-        ask_for_fleet: true,
+        polls_endpoints: true,
         ..one_class(Effect::Idempotent)
     };
     let mut bench = Bench::new(settings, &fleet(2));
@@ -233,9 +234,9 @@
         let calls = bench.list_calls.len();
         bench.run(ms(10));
         if bench.list_calls.len() > calls {
-            bench.tell(Event::Fleet {
-                scope: FleetScope::Failed,
-                listed: &[],
+            bench.tell(Event::EndpointsUpdated {
+                scope: UpdateScope::Failed,
+                endpoints: &[],
             });
         }
     }
@@ -249,24 +250,24 @@
 #[test]
 fn bad_reports_are_passed_over() {
     let mut s = one_class(Effect::Idempotent);
-    s.reports = Reports::Inline;
+    s.load_reports = LoadReports::Inline;
     s.report_fields = vec![LoadField::Utilization, LoadField::Queue];
     let mut bench = Bench::new(s, &fleet(2));
     for bad in [f32::NAN, f32::INFINITY, f32::NEG_INFINITY, -3.0, 1e30] {
         let (upstream, outcome, latency, report) =
             (UpstreamId(1), Outcome::Ok, ms(1), &[bad, bad][..]);
-        bench.tell(Event::ProbeEnded {
+        bench.tell(Event::HealthCheckEnded {
             upstream,
             outcome,
             latency,
             report,
         });
     }
-    let mut odd = [listed(1), listed(2)];
+    let mut odd = [endpoint(1), endpoint(2)];
     (odd[0].weight, odd[1].weight) = (f64::NAN, f64::INFINITY);
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Full,
-        listed: &odd,
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Snapshot,
+        endpoints: &odd,
     });
     bench.run(ms(10_000));
     bench.traffic(200, ms(30), |_| Some(Outcome::Ok));
@@ -291,7 +292,7 @@
             finished: false,
             report,
         },
-        Event::ProbeEnded {
+        Event::HealthCheckEnded {
             upstream,
             outcome,
             latency,
@@ -302,7 +303,7 @@
             attempt,
             latency,
         },
-        Event::RequestGone { id },
+        Event::ClientDisconnected { id },
         Event::Timer {
             timer: TimerId(12345),
         },
@@ -364,7 +365,10 @@
         let Some(upstream) = bench.at(id, 0) else {
             continue;
         };
-        if bench.actions.contains(&Action::CloseIdle { upstream }) {
+        if bench
+            .actions
+            .contains(&Action::CloseIdleConnections { upstream })
+        {
             closed.insert(upstream, bench.now);
         }
         let idle = used.get(&upstream).map_or(ms(0), |at| bench.now - *at);
@@ -423,9 +427,9 @@
 #[test]
 fn alone_it_goes_by_its_own_requests_not_by_old_reports() {
     let mut set = one_class(Effect::Idempotent);
-    (set.reports, set.report_fields) = (Reports::Inline, vec![LoadField::InFlight]);
+    (set.load_reports, set.report_fields) = (LoadReports::Inline, vec![LoadField::InFlight]);
     set.tenants = vec![Tenant {
-        allowance_per_s: 1000.0,
+        quota_per_s: 1000.0,
     }];
     let mut bench = Bench::new(set, &fleet(3));
     for k in 0..300 {
@@ -435,7 +439,7 @@
         bench.ended(id, 0, Outcome::Ok);
         let (upstream, outcome, latency) = (UpstreamId(1), Outcome::Ok, ms(1));
         let report = [if k % 2 == 0 { 9.0 } else { 0.0 }];
-        bench.tell(Event::ProbeEnded {
+        bench.tell(Event::HealthCheckEnded {
             upstream,
             outcome,
             latency,
@@ -452,14 +456,14 @@
 /// What is worth nothing after its aim is not waited for; what still earns then is.
 #[test]
 fn an_attempt_ends_with_its_worth() {
-    for (late_worth, ends) in [(0.0, Some(ms(392))), (0.5, None)] {
+    for (late_weight_share, ends) in [(0.0, Some(ms(392))), (0.5, None)] {
         let mut set = one_class(Effect::AtMostOnce);
-        set.classes[0].late_worth = late_worth;
+        set.classes[0].late_weight_share = late_weight_share;
         let mut bench = Bench::new(set, &fleet(2));
         bench.request(0, 0, ms(1000));
         let Some(Action::Attempt { timeout, .. }) = bench.actions.last() else {
             panic!("not sent")
         };
-        assert_eq!(*timeout, ends, "late worth {late_worth}");
+        assert_eq!(*timeout, ends, "late priority_weight {late_weight_share}");
     }
 }
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -7,9 +7,7 @@
 fn settings() -> Settings {
     Settings {
         classes: vec![class(400, 1000, Effect::Idempotent)],
-        tenants: vec![Tenant {
-            allowance_per_s: 50.0,
-        }],
+        tenants: vec![Tenant { quota_per_s: 50.0 }],
         ..Settings::default()
     }
 }
@@ -17,12 +15,12 @@
 /// A fleet replaced again and again: those gone leave, and turns keep going to those that are there.
 #[test]
 fn churn_leaves_no_trace_in_the_turns() {
-    let mut bench = Bench::new(settings(), &(1..=4).map(listed).collect::<Vec<_>>());
+    let mut bench = Bench::new(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
     for round in 1..200u64 {
-        let fleet: Vec<_> = (4 * round..4 * round + 4).map(listed).collect();
-        bench.tell(Event::Fleet {
-            scope: FleetScope::Full,
-            listed: &fleet,
+        let fleet: Vec<_> = (4 * round..4 * round + 4).map(endpoint).collect();
+        bench.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Snapshot,
+            endpoints: &fleet,
         });
         bench.run(ms(200));
         let id = bench.request(0, 0, ms(1000));
@@ -40,7 +38,7 @@
 
 #[test]
 fn ended_requests_are_released() {
-    let mut bench = Bench::new(settings(), &(1..=4).map(listed).collect::<Vec<_>>());
+    let mut bench = Bench::new(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
     bench.traffic(2000, ms(20), |_| Some(Outcome::Ok));
     bench.run(ms(2000));
     let held = bench.balancer.entries();
@@ -53,9 +51,9 @@
     let mut s = settings();
     s.balancers = 500;
     s.tenants = vec![Tenant {
-        allowance_per_s: 1000.0,
+        quota_per_s: 1000.0,
     }];
-    let mut bench = Bench::new(s, &(1..=40).map(listed).collect::<Vec<_>>());
+    let mut bench = Bench::new(s, &(1..=40).map(endpoint).collect::<Vec<_>>());
     let mut phase = |outcome: Outcome, latency: u64, rounds: usize| {
         let (mut tried, mut served) = (0, 0);
         for _ in 0..rounds {
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -16,25 +16,25 @@
     Duration::from_millis(t)
 }
 
-fn settings(balancers: u32, index: u32, ask_every: u64) -> Settings {
+fn settings(balancers: u32, index: u32, poll_interval: u64) -> Settings {
     Settings {
-        ask_for_fleet: true,
+        polls_endpoints: true,
         balancers,
         index,
-        ask_every: ms(ask_every),
+        poll_interval: ms(poll_interval),
         ..one_class(Effect::Idempotent)
     }
 }
 
-fn balancer(balancers: u32, index: u32, ask_every: u64) -> Bench {
-    let set = settings(balancers, index, ask_every);
+fn balancer(balancers: u32, index: u32, poll_interval: u64) -> Bench {
+    let set = settings(balancers, index, poll_interval);
     let mut bench = Bench::new(set.clone(), &[]);
     bench.balancer = Balancer::new(set, u64::from(index)).unwrap();
     bench.timers.clear();
     bench.list_calls.clear();
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Cached,
-        listed: &fleet(4),
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Cached,
+        endpoints: &fleet(4),
     });
     bench
 }
@@ -49,9 +49,9 @@
 }
 
 fn fail(bench: &mut Bench) {
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Failed,
-        listed: &[],
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Failed,
+        endpoints: &[],
     });
 }
 
@@ -60,10 +60,10 @@
 #[test]
 fn after_any_failed_call_a_change_is_known_in_time() {
     for balancers in [2, 5, 20, 30] {
-        for ask_every in [4_000, 8_000, 20_000, 60_000] {
+        for poll_interval in [4_000, 8_000, 20_000, 60_000] {
             for call_lasts in [0, 1000, 3000, 3500] {
                 for index in 0..balancers.min(4) {
-                    let mut bench = balancer(balancers, index, ask_every);
+                    let mut bench = balancer(balancers, index, poll_interval);
                     for failures in 0..12 {
                         let began = next_call(&mut bench);
                         bench.run(ms(call_lasts));
@@ -72,7 +72,7 @@
                         let known = next_call(&mut bench) + CALL_TAKES - began;
                         assert!(
                             known <= TOLD_WITHIN,
-                            "{balancers} balancers, asking every {ask_every} ms, calls of {call_lasts} ms: \
+                            "{balancers} balancers, asking every {poll_interval} ms, calls of {call_lasts} ms: \
                              known after {known:?} ({failures} failures before)"
                         );
                         bench.run(ms(call_lasts));
@@ -89,14 +89,14 @@
 fn after_a_silent_watch_a_change_is_known_in_time() {
     const SILENCE: Duration = ms_const(3000);
     for balancers in [2, 5, 20, 30] {
-        for ask_every in [4_000, 8_000, 20_000, 60_000] {
+        for poll_interval in [4_000, 8_000, 20_000, 60_000] {
             for index in 0..balancers.min(4) {
-                let mut bench = balancer(balancers, index, ask_every);
+                let mut bench = balancer(balancers, index, poll_interval);
                 for _ in 0..6 {
                     next_call(&mut bench);
-                    bench.tell(Event::Fleet {
-                        scope: FleetScope::Full,
-                        listed: &fleet(4),
+                    bench.tell(Event::EndpointsUpdated {
+                        scope: UpdateScope::Snapshot,
+                        endpoints: &fleet(4),
                     });
                     bench.run(ms(7000));
                     fail(&mut bench);
@@ -104,7 +104,7 @@
                     let known = SILENCE + (next_call(&mut bench) - failed) + CALL_TAKES;
                     assert!(
                         known <= TOLD_WITHIN,
-                        "{balancers}, {ask_every}: known after {known:?}"
+                        "{balancers}, {poll_interval}: known after {known:?}"
                     );
                 }
             }
@@ -135,7 +135,7 @@
 #[test]
 fn an_agent_of_its_own_is_asked_at_once() {
     let set = Settings {
-        own_agent: true,
+        has_local_agent: true,
         ..settings(300, 7, 20_000)
     };
     let mut bench = Bench::new(set, &fleet(4));
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -22,10 +22,10 @@
 
 fn settings(balancers: u32, index: u32) -> Settings {
     Settings {
-        ask_for_fleet: true,
+        polls_endpoints: true,
         balancers,
         index,
-        ask_every: 20 * SECOND,
+        poll_interval: 20 * SECOND,
         ..one_class(Effect::Idempotent)
     }
 }
@@ -35,19 +35,19 @@
     let mut bench = Bench::new(set.clone(), &[]);
     bench.balancer = Balancer::new(set, u64::from(index)).unwrap();
     bench.timers.clear();
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Cached,
-        listed: &fleet(4),
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Cached,
+        endpoints: &fleet(4),
     });
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Full,
-        listed: &fleet(4),
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Snapshot,
+        endpoints: &fleet(4),
     });
     bench.list_calls.clear();
     bench
 }
 
-fn without_the_drained() -> Vec<Listed> {
+fn without_the_drained() -> Vec<Endpoint> {
     fleet(4)
         .into_iter()
         .filter(|l| l.id != UpstreamId(DRAINS))
@@ -128,25 +128,25 @@
         now += STEP;
         if now == SILENCE {
             for bench in &mut fleet {
-                bench.tell(Event::List(ListEvent::Silent {
+                bench.tell(Event::Watch(WatchEvent::Silent {
                     since: Duration::ZERO,
                 }));
-                bench.tell(Event::Fleet {
-                    scope: FleetScope::Failed,
-                    listed: &[],
+                bench.tell(Event::EndpointsUpdated {
+                    scope: UpdateScope::Failed,
+                    endpoints: &[],
                 });
             }
         }
         for (who, answered) in service.ended(now) {
-            let listed = without_the_drained();
+            let endpoints = without_the_drained();
             let scope = if answered {
-                FleetScope::Full
+                UpdateScope::Snapshot
             } else {
-                FleetScope::Failed
+                UpdateScope::Failed
             };
-            fleet[who].tell(Event::Fleet {
+            fleet[who].tell(Event::EndpointsUpdated {
                 scope,
-                listed: if answered { &listed } else { &[] },
+                endpoints: if answered { &endpoints } else { &[] },
             });
             knows[who] |= answered;
             found.known_by = if answered { now } else { found.known_by };
@@ -157,9 +157,9 @@
                 called[who] = bench.list_calls.len();
                 found.calls += 1;
                 if service.is_full() {
-                    bench.tell(Event::Fleet {
-                        scope: FleetScope::Failed,
-                        listed: &[],
+                    bench.tell(Event::EndpointsUpdated {
+                        scope: UpdateScope::Failed,
+                        endpoints: &[],
                     });
                 } else {
                     service.queue.push_back((who, now));
@@ -176,7 +176,9 @@
                     found.late_sends += usize::from(late);
                     bench.ended(id, 0, Outcome::Ok);
                 }
-                None if bench.losses.get(&id) == Some(&Loss::StaleList) => held[who] += 0.25,
+                None if bench.losses.get(&id) == Some(&FailureReason::StaleEndpoints) => {
+                    held[who] += 0.25
+                }
                 None => {}
             }
         }
@@ -222,65 +224,69 @@
     };
     for (event, ends) in [
         (
-            ListEvent::Silent {
+            WatchEvent::Silent {
                 since: Duration::ZERO,
             },
             NOTIFIED_WITHIN + GRACE,
         ),
         (
-            ListEvent::Refused {
-                called: Duration::ZERO,
+            WatchEvent::Rejected {
+                requested_at: Duration::ZERO,
             },
             NOTIFIED_WITHIN + GRACE,
         ),
-        (ListEvent::Moved, 4 * SECOND + GRACE),
-        (ListEvent::Ended, 2 * SECOND + GRACE),
+        (WatchEvent::Moved, 4 * SECOND + GRACE),
+        (WatchEvent::Ended, 2 * SECOND + GRACE),
         (
-            ListEvent::Partial {
+            WatchEvent::Partial {
                 since: Duration::ZERO,
             },
             GRACE,
         ),
     ] {
         let mut bench = balancer(3, 0);
-        bench.tell(Event::List(event));
+        bench.tell(Event::Watch(event));
         bench.run(ends - ms(300));
         assert!(answered(&mut bench), "{event:?}: still sent by");
         // A pause of 0.15 s before the write is left for.
         bench.run(ms(150));
         assert!(!answered(&mut bench), "{event:?}: no more");
-        let held = bench.balancer.sends_held().expect("sends are held");
+        let held = bench.balancer.send_pause().expect("sends are held");
         assert!(held.from <= ends - ms(150) && held.until > ends, "{held:?}");
         // Calls that fail renew nothing, and neither does a later silence.
-        bench.tell(Event::Fleet {
-            scope: FleetScope::Failed,
-            listed: &[],
+        bench.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Failed,
+            endpoints: &[],
         });
-        bench.tell(Event::List(ListEvent::Silent { since: bench.now }));
+        bench.tell(Event::Watch(WatchEvent::Silent { since: bench.now }));
         assert!(!answered(&mut bench));
-        bench.tell(Event::Fleet {
-            scope: FleetScope::Changes,
-            listed: &[],
+        bench.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Delta,
+            endpoints: &[],
         });
         assert!(answered(&mut bench), "{event:?}: a heartbeat renews it");
-        assert_eq!(bench.balancer.sends_held(), None);
+        assert_eq!(bench.balancer.send_pause(), None);
     }
     // Calls that wait in vain, or meet nobody, tell of a discovery that is down and knows of nothing.
     for down in [
-        ListEvent::Refused { called: 2 * SECOND },
-        ListEvent::Unreachable { called: 2 * SECOND },
+        WatchEvent::Rejected {
+            requested_at: 2 * SECOND,
+        },
+        WatchEvent::Unreachable {
+            requested_at: 2 * SECOND,
+        },
     ] {
         let mut bench = balancer(3, 0);
-        bench.tell(Event::List(ListEvent::Ended));
+        bench.tell(Event::Watch(WatchEvent::Ended));
         bench.run(5 * SECOND);
         assert!(!answered(&mut bench));
-        bench.tell(Event::List(down));
+        bench.tell(Event::Watch(down));
         bench.run(60 * SECOND);
         assert!(answered(&mut bench), "{down:?}");
     }
     // Who is cut off for very long serves with what it has.
     let mut bench = balancer(3, 0);
-    bench.tell(Event::List(ListEvent::Silent { since: bench.now }));
+    bench.tell(Event::Watch(WatchEvent::Silent { since: bench.now }));
     bench.run(40 * SECOND);
     assert!(answered(&mut bench));
 }
@@ -289,7 +295,7 @@
 #[test]
 fn an_attempt_that_fails_after_the_lease_is_not_followed_by_another() {
     let mut bench = balancer(3, 0);
-    bench.tell(Event::List(ListEvent::Partial {
+    bench.tell(Event::Watch(WatchEvent::Partial {
         since: Duration::ZERO,
     }));
     bench.run(ms(700));
--- a/tests/room.rs
+++ b/tests/room.rs
@@ -7,12 +7,12 @@
 /// A hundred balancers share ten upstreams, and each gets fifteen requests a second.
 fn shared(tenants: &[f64]) -> Bench {
     let (reports, report_fields) = (
-        Reports::Inline,
+        LoadReports::Inline,
         vec![LoadField::Utilization, LoadField::InFlight],
     );
     Bench::new(
         Settings {
-            reports,
+            load_reports: reports,
             report_fields,
             ..stated(100, tenants)
         },
@@ -34,7 +34,7 @@
             let (_, id, upstream) = open.remove(0);
             bench.ended(id, 0, Outcome::Ok);
             let (outcome, latency) = (Outcome::Ok, ms(1));
-            bench.tell(Event::ProbeEnded {
+            bench.tell(Event::HealthCheckEnded {
                 upstream,
                 outcome,
                 latency,
@@ -56,14 +56,14 @@
         "all are sent while all are there"
     );
     let gone: Vec<_> = (1..=6)
-        .map(|id| Listed {
-            availability: Availability::Gone,
-            ..listed(id)
+        .map(|id| Endpoint {
+            availability: Availability::Removed,
+            ..endpoint(id)
         })
         .collect();
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Changes,
-        listed: &gone,
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Delta,
+        endpoints: &gone,
     });
     let left = play(&mut bench, 45, [0.65, 9.0]);
     assert!(
@@ -81,7 +81,7 @@
     let mut all_say = |load: [f32; 2]| {
         for id in 1..=10 {
             let (upstream, outcome, latency) = (UpstreamId(id), Outcome::Ok, ms(1));
-            bench.tell(Event::ProbeEnded {
+            bench.tell(Event::HealthCheckEnded {
                 upstream,
                 outcome,
                 latency,
@@ -89,7 +89,7 @@
             });
         }
         bench.run(ms(50));
-        bench.balancer.standing().room
+        bench.balancer.status().spare_capacity
     };
     let (full, idle) = (all_say([0.9, 30.0]), all_say([0.1, 1.0]));
     assert!(
@@ -101,7 +101,7 @@
 /// On-call staff go by what ended a request: each cause must be told from the others.
 #[test]
 fn a_final_answer_says_what_ended_the_request() {
-    let once = |fleet: &[Listed]| {
+    let once = |fleet: &[Endpoint]| {
         let classes = vec![class(400, 1000, Effect::AtMostOnce)];
         let mut bench = Bench::new(
             Settings {
@@ -115,21 +115,27 @@
     };
     let mut empty = once(&[]);
     let nobody = empty.request(0, 0, ms(1000));
-    assert_eq!(empty.losses.get(&nobody), Some(&Loss::Nobody));
+    assert_eq!(
+        empty.losses.get(&nobody),
+        Some(&FailureReason::NoHealthyUpstream)
+    );
     assert_eq!(empty.request(9, 0, ms(1000)), RequestId(2));
-    assert_eq!(empty.losses.get(&RequestId(2)), Some(&Loss::Unknown));
+    assert_eq!(
+        empty.losses.get(&RequestId(2)),
+        Some(&FailureReason::UnknownClass)
+    );
 
-    for (outcome, why) in [
-        (Outcome::TimedOut, Loss::Silent),
-        (Outcome::Reset, Loss::Broken),
-        (Outcome::Error, Loss::Error),
-        (Outcome::NotSent, Loss::NotSent),
+    for (outcome, reason) in [
+        (Outcome::TimedOut, FailureReason::UpstreamUnresponsive),
+        (Outcome::Reset, FailureReason::ConnectionError),
+        (Outcome::Error, FailureReason::UpstreamError),
+        (Outcome::NotSent, FailureReason::NotSent),
     ] {
         let mut bench = once(&fleet(1));
         let id = bench.request(0, 0, ms(1000));
         bench.run(ms(30));
         bench.ended(id, 0, outcome);
-        assert_eq!(bench.losses.get(&id), Some(&why), "{outcome:?}");
+        assert_eq!(bench.losses.get(&id), Some(&reason), "{outcome:?}");
     }
 
     let mut bench = once(&fleet(1));
@@ -139,13 +145,16 @@
     bench.ended(slow, 0, Outcome::TimedOut);
     assert_eq!(
         bench.losses.get(&slow),
-        Some(&Loss::Late),
+        Some(&FailureReason::Timeout),
         "it has answered another meanwhile"
     );
     let many: Vec<RequestId> = (0..40).map(|_| bench.request(0, 0, ms(1000))).collect();
     let last = many.last().and_then(|id| bench.losses.get(id));
     assert!(
-        matches!(last, Some(Loss::Token | Loss::Room)),
+        matches!(
+            last,
+            Some(FailureReason::QuotaExceeded | FailureReason::NoSpareCapacity)
+        ),
         "the bucket is empty: {last:?}"
     );
 }
@@ -188,15 +197,15 @@
 #[test]
 fn before_the_first_reports_no_more_is_sent_than_what_is_stated_leaves_spare() {
     let (reports, report_fields) = (
-        Reports::Inline,
+        LoadReports::Inline,
         vec![LoadField::Utilization, LoadField::InFlight],
     );
-    let weights = Weights::Off;
+    let weights = EndpointWeights::Off;
     let mut bench = Bench::new(
         Settings {
-            reports,
+            load_reports: reports,
             report_fields,
-            weights,
+            endpoint_weights: weights,
             ..stated(100, &[1500.0])
         },
         &fleet(10),
@@ -212,12 +221,12 @@
 #[test]
 fn a_larger_subset_is_no_more_room() {
     let (reports, report_fields) = (
-        Reports::Inline,
+        LoadReports::Inline,
         vec![LoadField::Utilization, LoadField::InFlight],
     );
     let mut bench = Bench::new(
         Settings {
-            reports,
+            load_reports: reports,
             report_fields,
             ..stated(100, &[1500.0])
         },
@@ -225,20 +234,24 @@
     );
     play(&mut bench, 60, [0.65, 9.0]);
     let (turns, rate) = (
-        bench.balancer.standing().turns.0,
-        bench.balancer.standing().rate,
+        bench.balancer.status().rotation_size,
+        bench.balancer.status().service_rate,
     );
     for _ in 0..400 {
         bench.request(0, 0, ms(1000));
         bench.run(ms(5));
     }
-    let after = bench.balancer.standing();
+    let after = bench.balancer.status();
     assert!(
-        after.turns.0 > turns,
+        after.rotation_size > turns,
         "{} turns after {turns}",
-        after.turns.0
+        after.rotation_size
+    );
+    assert!(
+        after.service_rate < 1.2 * rate,
+        "C is {} after {rate}",
+        after.service_rate
     );
-    assert!(after.rate < 1.2 * rate, "C is {} after {rate}", after.rate);
 }
 
 /// What comes again and again in a shortage: the class, and whether it is a repeat.
@@ -248,13 +261,13 @@
 /// Returns how many of each place in the round were sent.
 fn in_a_shortage(classes: &[(Class, u64)], round: Round) -> [usize; 3] {
     let (reports, report_fields) = (
-        Reports::Inline,
+        LoadReports::Inline,
         vec![LoadField::Utilization, LoadField::InFlight],
     );
     let takes: Vec<_> = classes.iter().map(|(_, takes)| ms(*takes)).collect();
     let classes = classes.iter().map(|(class, _)| class.clone()).collect();
     let settings = Settings {
-        reports,
+        load_reports: reports,
         report_fields,
         classes,
         ..stated(100, &[1500.0])
@@ -263,8 +276,8 @@
     play(&mut bench, 150, [0.65, 9.0]);
     let (mut open, mut sent) = (std::collections::BTreeSet::new(), [0; 3]);
     for step in 0..600 {
-        let (class, repeat) = round[step % 3];
-        let id = bench.try_of(class, 0, ms(1000), repeat);
+        let (class, is_retry) = round[step % 3];
+        let id = bench.try_of(class, 0, ms(1000), is_retry);
         if bench.at(id, 0).is_some() {
             sent[step % 3] += 1;
             open.insert((bench.now + takes[usize::from(class)], id));
@@ -274,7 +287,7 @@
             let id = open.pop_first().expect("one is due").1;
             let (upstream, outcome, latency) = (bench.sent[&id][0].1, Outcome::Ok, ms(1));
             bench.ended(id, 0, Outcome::Ok);
-            bench.tell(Event::ProbeEnded {
+            bench.tell(Event::HealthCheckEnded {
                 upstream,
                 outcome,
                 latency,
@@ -285,10 +298,10 @@
     sent
 }
 
-fn worth(worth: f64, takes: u64) -> (Class, u64) {
+fn worth(priority_weight: f64, takes: u64) -> (Class, u64) {
     (
         Class {
-            worth,
+            priority_weight,
             ..class(400, 1000, Effect::Idempotent)
         },
         takes,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The four rules under random legal event sequences, and the cold budget over many balancers together.
 
 mod common;
-use common::{listed, ms, varied_settings};
+use common::{endpoint, ms, varied_settings};
 use frostkeel_policy::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -88,14 +88,14 @@
 }
 
 /// Zones and cells by id, so that a test can tell which upstreams share a memory of keys.
-fn entry(id: u64, availability: Availability, started: Option<Duration>) -> Listed {
+fn entry(id: u64, availability: Availability, started: Option<Duration>) -> Endpoint {
     let (zone, cell) = (ZoneId((id % 2) as u8), CellId((id % 4) as u16));
-    Listed {
+    Endpoint {
         zone,
         cell,
         availability,
         started,
-        ..listed(id)
+        ..endpoint(id)
     }
 }
 
@@ -129,15 +129,15 @@
         let now = self.now;
         match action {
             Action::Timer { after, timer } => self.timers.push((now + after, timer)),
-            Action::Probe { upstream } => {
-                assert!(self.set.probing, "probes are not allowed");
+            Action::HealthCheck { upstream } => {
+                assert!(self.set.health_checks, "probes are not allowed");
                 assert!(self.named.contains(&upstream));
                 self.probes.push(upstream);
             }
-            Action::WatchFleet => assert!(self.set.ask_for_fleet),
-            Action::Log { .. } | Action::CloseIdle { .. } => {}
+            Action::WatchEndpoints => assert!(self.set.polls_endpoints),
+            Action::Log { .. } | Action::CloseIdleConnections { .. } => {}
             Action::Cancel { id, attempt } => {
-                assert!(self.set.cancelling);
+                assert!(self.set.cancellation);
                 assert!(
                     usize::from(attempt.0) < self.requests[&id].attempts.len(),
                     "a cancel of nothing"
@@ -158,9 +158,9 @@
                     r.attempts.len() < usize::from(self.set.max_attempts),
                     "too many attempts"
                 );
-                let listed = self.fleet.get(&upstream).copied();
+                let endpoints = self.fleet.get(&upstream).copied();
                 assert_eq!(
-                    listed,
+                    endpoints,
                     Some(Availability::Ready),
                     "to {upstream:?}, drained, gone or unknown"
                 );
@@ -194,7 +194,7 @@
                     may_have_run: false,
                 });
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let effect = self
                     .requests
                     .get(&id)
@@ -315,7 +315,7 @@
                     tenant,
                     time_left,
                     work_ms: *work,
-                    repeat: n.is_multiple_of(3),
+                    is_retry: n.is_multiple_of(3),
                 });
             }
             Op::End {
@@ -348,7 +348,7 @@
                     Outcome::ConnectFailed
                 };
                 let (latency, report) = (ms(1), &[*held][..]);
-                self.tell(Event::ProbeEnded {
+                self.tell(Event::HealthCheckEnded {
                     upstream,
                     outcome,
                     latency,
@@ -388,29 +388,32 @@
                 };
                 let r = self.requests.get_mut(&id).unwrap();
                 (r.gone, r.streaming) = (true, false);
-                self.tell(Event::RequestGone { id });
+                self.tell(Event::ClientDisconnected { id });
             }
             Op::List { scope, entries } => {
                 let scope = match scope {
-                    0 => FleetScope::Failed,
-                    1 => FleetScope::Full,
-                    2 => FleetScope::Cached,
-                    _ => FleetScope::Changes,
+                    0 => UpdateScope::Failed,
+                    1 => UpdateScope::Snapshot,
+                    2 => UpdateScope::Cached,
+                    _ => UpdateScope::Delta,
                 };
-                if scope == FleetScope::Failed {
-                    return self.tell(Event::Fleet { scope, listed: &[] });
+                if scope == UpdateScope::Failed {
+                    return self.tell(Event::EndpointsUpdated {
+                        scope,
+                        endpoints: &[],
+                    });
                 }
                 let mut list = BTreeMap::new();
                 for (id, state, restarted) in entries {
                     let availability = match state {
                         0 => Availability::Draining,
-                        1 => Availability::Gone,
+                        1 => Availability::Removed,
                         _ => Availability::Ready,
                     };
                     let started = restarted.then_some(self.now.saturating_sub(ms(500)));
                     list.insert(*id, entry(*id, availability, started));
                 }
-                if scope != FleetScope::Changes {
+                if scope != UpdateScope::Delta {
                     self.fleet.clear();
                 }
                 for l in list.values() {
@@ -418,9 +421,9 @@
                     self.named.insert(l.id);
                 }
                 let list: Vec<_> = list.into_values().collect();
-                self.tell(Event::Fleet {
+                self.tell(Event::EndpointsUpdated {
                     scope,
-                    listed: &list,
+                    endpoints: &list,
                 });
             }
             Op::Wait { ms } => self.wait(*ms),
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -12,9 +12,7 @@
         balancers: BALANCERS,
         index,
         classes: vec![class(400, 1000, Effect::Idempotent)],
-        tenants: vec![Tenant {
-            allowance_per_s: 480.0,
-        }],
+        tenants: vec![Tenant { quota_per_s: 480.0 }],
         ..Settings::default()
     }
 }
@@ -28,7 +26,7 @@
 /// Guards against upstreams that run out of connections: 240 balancers, two requests a second each.
 #[test]
 fn a_thin_balancer_uses_few_and_all_together_use_all_alike() {
-    let fleet: Vec<_> = (1..=48).map(|id| listed(id * 7919)).collect();
+    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
     let mut users: BTreeMap<UpstreamId, usize> = BTreeMap::new();
     for index in 0..BALANCERS {
         let own = used(&mut Bench::new(settings(index), &fleet), 60);
@@ -50,34 +48,34 @@
 
 #[test]
 fn a_small_fleet_and_a_busy_balancer_use_all() {
-    let mut few = Bench::new(settings(5), &(1..=2).map(listed).collect::<Vec<_>>());
+    let mut few = Bench::new(settings(5), &(1..=2).map(endpoint).collect::<Vec<_>>());
     assert_eq!(used(&mut few, 100).len(), 2);
     let busy = Settings {
         balancers: 4,
         ..settings(3)
     };
-    let mut busy = Bench::new(busy, &(1..=60).map(listed).collect::<Vec<_>>());
+    let mut busy = Bench::new(busy, &(1..=60).map(endpoint).collect::<Vec<_>>());
     assert_eq!(used(&mut busy, 300).len(), 60);
 }
 
 /// The subset outlives changes elsewhere; one lost is replaced, and those that left the list are forgotten.
 #[test]
 fn a_subset_is_stable_and_refilled() {
-    let fleet: Vec<_> = (1..=48).map(|id| listed(id * 7919)).collect();
+    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
     let mut bench = Bench::new(settings(17), &fleet);
     let before = used(&mut bench, 60);
-    let gone = |id: UpstreamId| Listed {
-        availability: Availability::Gone,
-        ..listed(id.0)
+    let gone = |id: UpstreamId| Endpoint {
+        availability: Availability::Removed,
+        ..endpoint(id.0)
     };
     let (own, other): (Vec<_>, Vec<_>) = fleet
         .iter()
         .map(|l| l.id)
         .partition(|id| before.contains(id));
     for id in other.iter().take(20) {
-        bench.tell(Event::Fleet {
-            scope: FleetScope::Changes,
-            listed: &[gone(*id)],
+        bench.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Delta,
+            endpoints: &[gone(*id)],
         });
         bench.run(ms(50));
     }
@@ -86,9 +84,9 @@
         before,
         "what happens elsewhere moves nothing"
     );
-    bench.tell(Event::Fleet {
-        scope: FleetScope::Changes,
-        listed: &[gone(own[0]), gone(own[1])],
+    bench.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Delta,
+        endpoints: &[gone(own[0]), gone(own[1])],
     });
     let after = used(&mut bench, 60);
     assert_eq!(after.len(), before.len());
@@ -99,7 +97,7 @@
 /// while others idle. It takes more of them, keeps those it has, and lets go once the traffic has gone elsewhere.
 #[test]
 fn a_subset_grows_and_shrinks_with_what_a_balancer_really_gets() {
-    let fleet: Vec<_> = (1..=48).map(|id| listed(id * 7919)).collect();
+    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
     let mut bench = Bench::new(settings(17), &fleet);
     let thin = used(&mut bench, 60);
     bench.traffic(200, ms(50), |_| Some(Outcome::Ok));
@@ -125,11 +123,11 @@
 /// multiplies them, and would spread itself. Where they are not marked, only what is admitted counts.
 #[test]
 fn first_tries_size_the_subset_and_repeats_do_not() {
-    let fleet: Vec<_> = (1..=48).map(|id| listed(id * 7919)).collect();
-    let sent_to = |repeat: bool, repeats_marked: bool| {
+    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
+    let sent_to = |is_retry: bool, retries_marked: bool| {
         let mut bench = Bench::new(
             Settings {
-                repeats_marked,
+                retries_marked,
                 ..settings(17)
             },
             &fleet,
@@ -143,11 +141,11 @@
                 tenant,
                 time_left,
                 work_ms: None,
-                repeat,
+                is_retry,
             });
             bench.run(ms(50));
         }
-        bench.balancer.standing().turns.0
+        bench.balancer.status().rotation_size
     };
     let first = sent_to(false, true);
     assert!(
@@ -171,6 +169,6 @@
         tenants: Vec::new(),
         ..settings(0)
     };
-    let mut alone = Bench::new(alone, &(1..=40).map(listed).collect::<Vec<_>>());
+    let mut alone = Bench::new(alone, &(1..=40).map(endpoint).collect::<Vec<_>>());
     assert_eq!(used(&mut alone, 200).len(), 40);
 }
