--- a/node/src/tally.rs
+++ b/balancer/src/tally.rs
@@ -1,7 +1,7 @@
 //! What became of requests, by class, since the log last said so.
 
-use lapisroute::{ClassId, Loss, Outcome};
-use lapisroute_settings::Site;
+use frostkeel_policy::{ClassId, FailureReason, Outcome};
+use frostkeel_settings::Site;
 use std::fmt;
 use std::time::Duration;
 
@@ -17,12 +17,12 @@
     /// Attempts made, and those that ended without an answer.
     attempts: u32,
     unanswered: u32,
-    lost: [u32; Loss::ALL.len()],
+    lost: [u32; FailureReason::ALL.len()],
 }
 
 struct Class {
     name: String,
-    aim: Duration,
+    latency_objective: Duration,
     counts: Counts,
 }
 
@@ -34,9 +34,9 @@
     /// An empty one for the classes of a site.
     pub fn new(site: &Site) -> Self {
         let classes = site.names.classes.iter().zip(&site.settings.classes);
-        let class = |(name, class): (&String, &lapisroute::Class)| Class {
+        let class = |(name, class): (&String, &frostkeel_policy::Class)| Class {
             name: name.clone(),
-            aim: class.aim,
+            latency_objective: class.latency_objective,
             counts: Counts::default(),
         };
         Self(classes.map(class).collect())
@@ -44,7 +44,9 @@
 
     /// Begins anew.
     pub fn clear(&mut self) {
-        self.0.iter_mut().for_each(|class| class.counts = Counts::default());
+        self.0
+            .iter_mut()
+            .for_each(|class| class.counts = Counts::default());
     }
 
     /// A request has come.
@@ -54,8 +56,14 @@
 
     /// A request has an upstream's answer, so long after it came.
     pub fn served(&mut self, class: ClassId, after: Duration) {
-        let Some(class) = self.0.get_mut(usize::from(class.0)) else { return };
-        *if after <= class.aim { &mut class.counts.in_time } else { &mut class.counts.after_aim } += 1;
+        let Some(class) = self.0.get_mut(usize::from(class.0)) else {
+            return;
+        };
+        *if after <= class.latency_objective {
+            &mut class.counts.in_time
+        } else {
+            &mut class.counts.after_aim
+        } += 1;
     }
 
     /// A client has gone away from a request.
@@ -64,8 +72,8 @@
     }
 
     /// A request was refused or has failed.
-    pub fn lost(&mut self, class: ClassId, why: Loss) {
-        self.count(class, |c| c.lost[why as usize] += 1);
+    pub fn lost(&mut self, class: ClassId, reason: FailureReason) {
+        self.count(class, |c| c.lost[reason as usize] += 1);
     }
 
     /// An attempt has ended.
@@ -86,12 +94,25 @@
 impl fmt::Display for Tally {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut apart = "";
-        for Class { name, counts, .. } in self.0.iter().filter(|c| c.counts.asked + c.counts.attempts > 0) {
+        for Class { name, counts, .. } in self
+            .0
+            .iter()
+            .filter(|c| c.counts.asked + c.counts.attempts > 0)
+        {
             write!(f, "{apart}{name}: asked {}", counts.asked)?;
-            let lost = Loss::ALL.iter().map(|why| (why.word(), counts.lost[*why as usize]));
-            let first = [("in-time", counts.in_time), ("after-aim", counts.after_aim)].into_iter();
-            let last =
-                [("gone", counts.gone), ("attempts", counts.attempts), ("unanswered", counts.unanswered)];
+            let lost = FailureReason::ALL
+                .iter()
+                .map(|reason| (reason.as_str(), counts.lost[*reason as usize]));
+            let first = [
+                ("in-time", counts.in_time),
+                ("after-objective", counts.after_aim),
+            ]
+            .into_iter();
+            let last = [
+                ("gone", counts.gone),
+                ("attempts", counts.attempts),
+                ("unanswered", counts.unanswered),
+            ];
             for (what, n) in first.chain(lost).chain(last).filter(|(_, n)| *n > 0) {
                 write!(f, ", {what} {n}")?;
             }
