--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -8,7 +8,7 @@
     "settings": {"classes": [{"name": "a", "aim_ms": 200, "effect": "idempotent"}]}}"#;
 
 #[test]
-fn the_descriptors_are_shared_out_within_the_limit() {
+fn connection_limits_add_up_to_the_descriptor_limit() {
     let config = Config::parse(GOOD).unwrap();
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     let out = config.upstream_connections() + config.client_connections() + RESERVED_SOCKETS;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn members_are_off_unless_named_and_refused_where_they_cannot_be_meant() {
+fn membership_is_off_by_default_and_invalid_membership_is_rejected() {
     assert!(Config::parse(GOOD).unwrap().members.is_none());
     let told = r#""peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:5", "127.0.0.1:6"],
         "membership": {"fleet": "f", "page": "127.0.0.1:0"}, "settings": {"me": 1,"#;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn config_error_names_the_invalid_value() {
     for (from, to, named) in [
         ("127.0.0.1:9", "nowhere", "socket address"),
         ("8c1f", "zzzz", "seed"),
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/end_to_end.rs
@@ -14,7 +14,7 @@
 
 /// Guards the way through: what must go on unchanged does, and connections are reused on both sides.
 #[test]
-fn a_request_and_its_answer_pass_unchanged_and_connections_are_kept() {
+fn forwards_request_and_response_unchanged_and_reuses_connections() {
     let upstream = Upstream::start(Then::Answer(OK));
     let node = Setup::with(&[upstream.address]).start();
     let mut client = node.connect();
@@ -36,7 +36,7 @@
 
 /// Guards against an effect twice: what may have run is not sent again, nor refused as harmless to retry.
 #[test]
-fn an_unsafe_request_that_may_have_run_has_failed() {
+fn fails_an_at_most_once_request_that_may_have_run() {
     for then in [
         Then::Close,
         Then::Answer(PLAIN_503),
@@ -53,7 +53,7 @@
 
 /// Guards the other side of that: what is proved not to have run goes to another upstream.
 #[test]
-fn an_unsafe_request_that_never_ran_is_served_elsewhere() {
+fn retries_an_at_most_once_request_that_never_ran() {
     let away = Upstream::start(Then::Answer(TURNED_AWAY));
     let good = Upstream::start(Then::Answer(OK));
     let node = Setup::with(&[away.address, nobody(), good.address]).start();
@@ -66,7 +66,7 @@
 
 /// Guards against a refusal held back or without a time: nobody can serve, so the client is told at once.
 #[test]
-fn a_request_that_nobody_can_take_is_refused_with_a_time() {
+fn rejects_with_retry_after_when_no_upstream_is_reachable() {
     let node = Setup::with(&[nobody()]).start();
     let answer = node.connect().exchange(&book(5000, "x"));
     assert_eq!(answer.status(), 503);
@@ -81,7 +81,7 @@
 /// Guards against stale connections: one that the upstream has closed while idle is not used for a request
 /// that could then not be told from one that ran.
 #[test]
-fn a_connection_closed_while_idle_costs_no_request() {
+fn connection_closed_while_idle_costs_no_request() {
     let upstream = Upstream::start(Then::AnswerAndClose(OK));
     let node = Setup::with(&[upstream.address]).start();
     let mut client = node.connect();
@@ -96,7 +96,7 @@
 
 /// Guards against work for nobody: a client that leaves takes its attempt along, connection and all.
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn client_disconnect_closes_the_upstream_connection() {
     let upstream = Upstream::start(Then::Mute);
     let node = Setup::with(&[upstream.address]).start();
     let mut client = node.connect();
@@ -111,7 +111,7 @@
 
 /// Guards against lost requests: a mute upstream still leaves the client its answer, within its time.
 #[test]
-fn a_mute_upstream_leaves_an_answer_before_the_deadline() {
+fn answers_before_the_deadline_when_the_upstream_never_responds() {
     let upstream = Upstream::start(Then::Mute);
     let node = Setup::with(&[upstream.address]).start();
     let answer = node.connect().exchange(&book(500, "x"));
@@ -121,7 +121,7 @@
 
 /// Guards against crashes and needless attempts over what clients send.
 #[test]
-fn unfit_requests_are_answered_plainly_and_go_nowhere() {
+fn rejects_invalid_requests_without_forwarding_them() {
     let upstream = Upstream::start(Then::Answer(OK));
     let mut node = Setup::with(&[upstream.address]).start();
     let good = book(5000, "x");
@@ -177,7 +177,7 @@
 /// Guards the drain rule: once told that an upstream drains or is gone, nothing new goes there, not even on
 /// a connection that is still open.
 #[test]
-fn nothing_new_goes_to_an_upstream_that_drains_or_is_gone() {
+fn sends_nothing_to_a_draining_or_removed_upstream() {
     for state in ["Terminating", "Gone"] {
         let leaving = Upstream::start(Then::Answer(OK));
         let (discovery, calls) = discovery();
@@ -203,7 +203,7 @@
 
 /// Guards against an upstream being taken for its address: one that has moved is followed.
 #[test]
-fn an_upstream_that_moves_is_followed() {
+fn follows_an_upstream_to_its_new_address() {
     let (before, after) = (
         Upstream::start(Then::Answer(OK)),
         Upstream::start(Then::Answer(OK)),
@@ -229,7 +229,7 @@
 /// Guards against a missed change: a line that can't be read may have been a drain, so the whole list is
 /// asked for. An entry that can't be read costs only itself.
 #[test]
-fn an_unreadable_line_has_the_list_asked_for_again() {
+fn refetches_the_list_after_an_unreadable_line() {
     let upstream = Upstream::start(Then::Answer(OK));
     let (discovery, calls) = discovery();
     let mut setup = Setup::with(&[]);
@@ -259,7 +259,7 @@
 
 /// Guards against a watch that is dead without having ended: it says something every 2 s or is given up.
 #[test]
-fn a_silent_watch_is_given_up() {
+fn gives_up_a_silent_watch() {
     let (discovery, calls) = discovery();
     let mut setup = Setup::with(&[nobody()]);
     (setup.discovery, setup.asks) = (discovery, true);
@@ -280,7 +280,7 @@
 
 /// Guards against clients locked out by others that only keep their connections.
 #[test]
-fn an_idle_client_makes_room_when_places_run_out() {
+fn closes_the_longest_idle_client_at_the_connection_limit() {
     let upstream = Upstream::start(Then::Answer(OK));
     let mut setup = Setup::with(&[upstream.address]);
     setup.sockets = 64;
@@ -300,7 +300,7 @@
 
 /// Guards against places taken by clients that begin a request and never end it.
 #[test]
-fn clients_that_never_end_their_head_make_room() {
+fn clients_with_unfinished_heads_do_not_block_others() {
     let upstream = Upstream::start(Then::Answer(OK));
     let mut setup = Setup::with(&[upstream.address]);
     setup.sockets = 64;
@@ -317,7 +317,7 @@
 /// Guards against peers that connect and send nothing, or stop in the middle: each gets an error or a close soon,
 /// however long it says that it would wait.
 #[test]
-fn peers_that_send_no_whole_request_are_let_go() {
+fn closes_clients_that_never_complete_a_request() {
     let upstream = Upstream::start(Then::Answer(OK));
     let node = Setup::with(&[upstream.address]).start();
     let body = book(60_000, "half").replace("Content-Length: 4", "Content-Length: 9");
@@ -346,7 +346,7 @@
 /// Guards what was taken before the end: SIGTERM turns ready to 503, connections end with their next answer,
 /// what is still unanswered gets its final answer, and the process ends by itself.
 #[test]
-fn a_planned_end_answers_all_that_was_taken() {
+fn shutdown_answers_all_accepted_requests() {
     let mute = Upstream::start(Then::Mute);
     let mut setup = Setup::with(&[mute.address]);
     setup.deadline_ms = 60_000;
@@ -376,7 +376,7 @@
 /// Guards the reload: SIGHUP ends nothing, and what discovery has to tell comes from its new address. A file
 /// that can't be read changes nothing.
 #[test]
-fn a_reload_follows_discovery_to_its_new_address() {
+fn reload_follows_discovery_to_its_new_address() {
     let upstream = Upstream::start(Then::Answer(OK));
     let ((before, calls), (after, calls_after)) = (discovery(), discovery());
     let mut setup = Setup::with(&[]);
@@ -414,7 +414,7 @@
 
 /// Guards against a balancer that starts half configured: it says what is wrong and ends.
 #[test]
-fn a_bad_configuration_is_named() {
+fn startup_error_names_the_invalid_setting() {
     let path = std::env::temp_dir().join(format!(
         "frostkeel-balancer-bad-{}.json",
         std::process::id()
--- a/balancer/tests/list_lease.rs
+++ b/balancer/tests/endpoint_lease.rs
@@ -171,7 +171,7 @@
 /// Guards against a list that is trusted without end where discovery is slow, crowded or breaks off: calls that are
 /// never answered or turned away late, answers that stop after their head or within their list.
 #[test]
-fn a_list_that_nothing_confirms_is_not_sent_by_for_long() {
+fn stops_sending_after_a_silent_watch_that_no_poll_confirms() {
     let all = [
         Calls::Unanswered,
         Calls::TurnedAwayLate,
@@ -185,13 +185,13 @@
 /// Guards against the same after a watch that discovery has ended in place of telling, where the calls for another
 /// are turned away at once, or wait among many.
 #[test]
-fn a_list_is_not_sent_by_for_long_after_its_watch_was_ended() {
+fn stops_sending_after_a_closed_watch_that_no_poll_confirms() {
     play_all(Watch::IsEnded, &[Calls::Unanswered, Calls::TurnedAway]);
 }
 
 /// Guards service while discovery is down: nobody can be notified of anything then, so the list goes on to be used.
 #[test]
-fn a_list_is_sent_by_while_discovery_cannot_be_reached() {
+fn keeps_sending_while_discovery_is_unreachable() {
     let upstream = Upstream::start(Then::Answer(OK));
     let mut setup = Setup::with(&[upstream.address]);
     setup.asks = true;
--- a/balancer/tests/crossing_lists.rs
+++ b/balancer/tests/endpoint_watch.rs
@@ -17,7 +17,7 @@
 
 /// Guards sites whose lists are pushed: what their agent has counts as told, so it is watched from the start.
 #[test]
-fn where_lists_are_pushed_the_agent_is_watched() {
+fn watches_the_local_agent_from_the_start_in_automatic_mode() {
     let upstream = Upstream::start(Then::Answer(OK));
     let (discovery, calls) = discovery();
     let mut setup = Setup::with(&[upstream.address]);
@@ -36,7 +36,7 @@
 
 /// Guards lists that go over several lines, on a watch too.
 #[test]
-fn a_list_may_come_indented() {
+fn reads_an_endpoint_list_with_line_breaks() {
     let upstream = Upstream::start(Then::Answer(OK));
     let (node, calls, watch) = watching(&upstream);
     let text = list(2, false, &[entry("s-0", upstream.address, "Terminating")]);
@@ -56,7 +56,7 @@
 /// Guards against a drain missed where part of a list can't be used: it is taken for a drain, or the whole list is
 /// asked for.
 #[test]
-fn what_cannot_be_read_of_a_change_may_have_been_a_drain() {
+fn treats_an_unreadable_change_as_a_drain_or_refetches_the_list() {
     let upstream = Upstream::start(Then::Answer(OK));
     for odd in [
         r#"{"uid":"s-0","state":"Paused"}"#,
@@ -109,7 +109,7 @@
 /// Guards the one clock for silence: wherever a watch falls silent, the next call comes in time for what was missed
 /// to be known within 6 s.
 #[test]
-fn wherever_a_watch_falls_silent_it_is_opened_anew_in_time() {
+fn reopens_a_silent_watch_in_time() {
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
     let whole = list(1, true, &[]) + "\n";
@@ -168,7 +168,7 @@
 
 /// Guards long lists on a slow way: one that goes on coming is read to its end, on a watch and as its first answer.
 #[test]
-fn a_long_list_may_take_its_time() {
+fn reads_a_long_list_that_arrives_slowly() {
     let upstream = Upstream::start(Then::Answer(OK));
     let drain_is_known = |node: &Node| {
         until("the drain is known", || {
@@ -196,7 +196,7 @@
 
 /// Guards against a watch that is given up because its first line comes some time after its head.
 #[test]
-fn a_first_line_may_come_after_its_head() {
+fn accepts_a_first_line_long_after_the_response_head() {
     let upstream = Upstream::start(Then::Answer(OK));
     let (node, streams, mut watch) = calling(&upstream);
     watch
@@ -215,7 +215,7 @@
 
 /// Guards against blank lines that keep alive a watch which has broken off within a line.
 #[test]
-fn blank_lines_within_a_list_are_no_heartbeat() {
+fn blank_lines_within_a_list_are_not_heartbeats() {
     let upstream = Upstream::start(Then::Answer(OK));
     let (_node, calls, watch) = watching(&upstream);
     tell(&watch, "{\"rev\":2,\"all\":false,");
@@ -258,7 +258,7 @@
 /// Guards against the last words of a watch that another has taken the place of, at SIGHUP or as it was asked for
 /// anew: its task may still be reading.
 #[tokio::test(flavor = "local")]
-async fn a_watch_that_was_replaced_says_nothing_more() {
+async fn replaced_watch_reports_no_more_events() {
     let (address, calls) = discovery();
     let watched = Rc::new(Discovery::new(address, Names::default()));
     let told = Rc::new(RefCell::new(Vec::new()));
@@ -291,7 +291,7 @@
 
 /// Guards a good watch on which nothing has changed: a heartbeat is an answer, and the call is not made again.
 #[test]
-fn a_heartbeat_answers_the_call_for_a_list() {
+fn heartbeat_completes_the_poll() {
     let (discovery, calls) = discovery();
     let mut setup = Setup::with(&[nobody()]);
     setup.discovery = discovery;
--- a/balancer/tests/error_origin.rs
+++ b/balancer/tests/error_origin.rs
@@ -10,7 +10,7 @@
 /// Guards against an upstream that is ejected for what this machine ran out of, and against an accept that gives up
 /// what waits behind a connection that is no more.
 #[test]
-fn an_error_is_put_down_to_whom_it_is() {
+fn classifies_system_errors_by_origin() {
     // Number, name, of a connection, of an accept.
     let all = [
         (1, "EPERM", Machine, Machine),
@@ -59,7 +59,7 @@
 
 /// Guards against a signal that is taken for the end of a connection: the call is made again, nothing else is changed.
 #[test]
-fn an_interrupted_call_is_made_again() {
+fn retries_an_interrupted_call() {
     let wakes = Arc::new(Wakes::default());
     let waker = Waker::from(Arc::clone(&wakes));
     let cx = Context::from_waker(&waker);
--- a/balancer/tests/fleet_size.rs
+++ b/balancer/tests/fleet_size.rs
@@ -87,7 +87,7 @@
 
 /// Guards what a balancer needs against the size of its fleet, by the operators' bounds.
 #[test]
-fn a_balancer_of_a_fleet_sixteen_times_as_large_needs_little_more() {
+fn resource_use_is_bounded_in_a_fleet_sixteen_times_as_large() {
     let usual = play(300, 200);
     let large = play(900, 3200);
     let thousands = 3.2;
--- a/balancer/tests/headers.rs
+++ b/balancer/tests/headers.rs
@@ -5,7 +5,7 @@
 use hyper::header::{CONNECTION, HeaderMap, TRANSFER_ENCODING};
 
 #[test]
-fn load_reports_keep_the_order_of_the_settings() {
+fn load_report_values_follow_the_order_of_the_settings() {
     let fields = [LoadField::Queue, LoadField::InFlight];
     assert_eq!(
         load_report("inflight=7,queue=2,util=0.61", &fields),
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_speaks_of_one_connection_stays_behind() {
+fn strips_hop_by_hop_headers() {
     let mut headers = HeaderMap::new();
     headers.insert(CONNECTION, "close, X-Mine".parse().unwrap());
     headers.insert("x-mine", "1".parse().unwrap());
--- a/balancer/tests/crossing_clients.rs
+++ b/balancer/tests/races_clients.rs
@@ -19,7 +19,7 @@
 /// Guards against work for nobody: however a client leaves, and whatever of it waits unread behind its request, its
 /// attempt is called off at once and no further one begins.
 #[test]
-fn a_client_that_leaves_is_seen_to_leave() {
+fn cancels_the_attempt_when_the_client_disconnects() {
     for leaves in [Leaves::Closes, Leaves::Resets, Leaves::EndsItsSending] {
         for behind in [0, 1, 300, 40_000, 400_000] {
             let (address, streams) = raw_peer();
@@ -55,7 +55,7 @@
 /// Guards against an attempt for a client that left while it waited for a connection, where the site allows no
 /// attempt to be cancelled: nothing of it had left.
 #[test]
-fn an_attempt_that_waits_for_a_connection_is_dropped_with_its_client() {
+fn drops_an_attempt_waiting_for_a_connection_when_the_client_disconnects() {
     let (address, streams) = raw_peer();
     let mut setup = Setup::with(&[address]);
     (setup.sockets, setup.cancellation) = (64, false);
@@ -102,7 +102,7 @@
 
 /// Guards against a reset that takes an answer with it: what came behind the request is read before the close.
 #[test]
-fn an_answer_is_whole_though_bytes_came_behind_the_request() {
+fn response_is_complete_when_extra_bytes_follow_the_request() {
     let (address, streams) = raw_peer();
     let node = Setup::with(&[address]).start();
     let mut client = Client::narrow(node.address);
@@ -130,7 +130,7 @@
 /// Guards the balancer against those who send what is no request, much of it or little: each gets an error or a
 /// close, none reaches an upstream, and a good request beside them is served.
 #[test]
-fn bad_clients_get_an_error_and_take_nobody_along() {
+fn malformed_requests_get_an_error_and_do_not_affect_others() {
     let upstream = Upstream::start(Then::Answer(OK));
     let mut node = Setup::with(&[upstream.address]).start();
     let long_head = format!(
--- a/balancer/tests/crossing_shutdown.rs
+++ b/balancer/tests/races_shutdown.rs
@@ -18,7 +18,7 @@
 /// Guards requests on connections that the system has accepted and the balancer has not yet: while all places are
 /// taken they wait in the listener's queue, and the listener is closed at the end.
 #[test]
-fn a_request_that_waits_in_the_accept_queue_gets_its_answer() {
+fn shutdown_serves_requests_waiting_in_the_accept_queue() {
     let mute = Upstream::start(Then::Mute);
     let mut setup = Setup::with(&[mute.address]);
     (setup.sockets, setup.deadline_ms) = (64, 3000);
@@ -51,7 +51,7 @@
 /// Guards a request that comes on a resting connection while the balancer is ending: it gets its answer, or the
 /// connection ends before anything of it has been sent on.
 #[test]
-fn a_request_on_a_resting_connection_is_answered_or_not_sent_on() {
+fn shutdown_serves_or_never_forwards_requests_on_idle_connections() {
     let upstream = Upstream::start(Then::Answer(OK));
     let mut node = Setup::with(&[upstream.address]).start();
     let mut clients: Vec<Client> = (0..12).map(|_| node.connect()).collect();
@@ -88,7 +88,7 @@
 /// Guards a request of which half has come when the balancer is told to end: where the rest comes in time it is
 /// answered, where it does not the process ends all the same.
 #[test]
-fn half_a_request_at_the_end_is_answered_once_it_is_whole() {
+fn shutdown_serves_a_partial_request_once_it_is_complete() {
     let upstream = Upstream::start(Then::Answer(OK));
     let mut node = Setup::with(&[upstream.address]).start();
     let text = book(3000, "a day");
@@ -116,7 +116,7 @@
 /// Guards against a second signal that undoes the first, and against a list that is old because discovery moved
 /// after the end had begun.
 #[test]
-fn further_signals_do_not_cut_the_end_short_and_a_move_of_discovery_is_followed() {
+fn shutdown_ignores_repeated_sigterm_and_applies_sighup() {
     let (slow, streams) = raw_peer();
     let ((before, calls), (after, calls_after)) = (discovery(), discovery());
     let mut setup = Setup::with(&[slow]);
@@ -142,7 +142,7 @@
 
 /// Guards the first moments: a balancer told to end as soon as it serves answers what it took, with discovery down.
 #[test]
-fn an_end_in_the_first_moments_answers_what_was_taken() {
+fn shutdown_right_after_start_answers_accepted_requests() {
     let mute = Upstream::start(Then::Mute);
     let mut setup = Setup::with(&[mute.address]);
     (setup.asks, setup.deadline_ms) = (true, 1000);
--- a/balancer/tests/crossing_instants.rs
+++ b/balancer/tests/races_simultaneous_events.rs
@@ -27,7 +27,7 @@
 
 /// Guards against a further attempt for a client that left as the one before failed.
 #[test]
-fn a_client_that_leaves_as_its_attempt_fails_gets_no_further_one() {
+fn no_retry_when_the_client_disconnects_as_the_attempt_fails() {
     for error in [ERROR, ""] {
         let (node, streams) = before_two(8000);
         let mut client = node.connect();
@@ -49,7 +49,7 @@
 
 /// Guards the balancer where a client leaves as its answer comes, and where many leave at once.
 #[test]
-fn clients_that_leave_as_they_are_answered_cost_nothing() {
+fn clients_that_disconnect_as_responses_arrive_leave_no_work_behind() {
     let (node, streams) = before_two(8000);
     let mut clients: Vec<Client> = (0..40).map(|_| node.connect()).collect();
     clients
@@ -78,7 +78,7 @@
 
 /// Guards the one final answer: two copies answer in one instant, and the connection goes on as before.
 #[test]
-fn two_copies_that_answer_at_once_make_one_answer() {
+fn simultaneous_hedge_responses_give_one_final_response() {
     let (node, streams) = before_two(1500);
     let mut client = node.connect();
     client.write(&look(1500));
@@ -100,7 +100,7 @@
 
 /// Guards the one final answer where the time is over as the last byte comes.
 #[test]
-fn an_answer_that_meets_its_deadline_is_answered_once() {
+fn response_at_the_deadline_gives_one_final_response() {
     let (node, streams) = before_two(400);
     let mut client = node.connect();
     client.write(&book(400, "x"));
@@ -121,7 +121,7 @@
 
 /// Guards a request that comes as its connection is due to be closed as idle.
 #[test]
-fn a_request_that_meets_the_limit_for_idle_clients_is_answered() {
+fn request_at_the_client_idle_timeout_is_served() {
     let upstream = Upstream::start(Then::Answer(OK));
     let node = Setup::with(&[upstream.address]).start();
     let mut client = node.connect();
@@ -135,7 +135,7 @@
 
 /// Guards the drain rule where a drain is told as requests come: none of them goes there.
 #[test]
-fn a_drain_told_as_requests_come_is_heeded() {
+fn drain_update_applies_to_requests_that_arrive_with_it() {
     let upstream = Upstream::start(Then::Answer(OK));
     let (node, _calls, watch) = watching(&upstream);
     let mut client = node.connect();
@@ -159,7 +159,7 @@
 /// Guards against a list that is old: a watch that ends in place of telling is opened anew at once, and what a whole
 /// list does not name is gone, though it still answers.
 #[test]
-fn a_watch_that_ends_in_place_of_telling_is_opened_anew() {
+fn reopens_a_watch_that_ends_without_an_update() {
     let upstream = Upstream::start(Then::Answer(OK));
     let (node, calls, watch) = watching(&upstream);
     tell(&watch, "");
--- a/balancer/tests/crossing_upstreams.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -71,7 +71,7 @@
 /// Guards against a request on a connection to a process that is no more: the upstream is listed with a new start
 /// while an answer of the old process is under way.
 #[tokio::test(flavor = "local")]
-async fn a_connection_to_the_process_before_a_restart_is_not_kept() {
+async fn closes_connections_to_the_previous_incarnation() {
     let (upstreams, listener, mut place) = one().await;
     let asks = Rc::clone(&upstreams);
     let asked = spawn_local(async move { attempt(&asks, 1, LONG).await });
@@ -95,7 +95,7 @@
 /// Guards against half an answer passed on as a whole one, and against one that is waited for longer than there is
 /// time: an answer without a length ends with its connection's end, and a reset is no end.
 #[tokio::test(flavor = "local")]
-async fn an_answer_that_breaks_off_is_none() {
+async fn truncated_response_is_not_forwarded() {
     let no_length = "HTTP/1.1 200 OK\r\n\r\nhalf";
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n";
     let (short, long) = (Duration::from_millis(50), LONG);
@@ -133,7 +133,7 @@
 
 /// Guards against bytes that nobody asked for, on a connection at rest: it is not used any more.
 #[tokio::test(flavor = "local")]
-async fn bytes_on_a_connection_at_rest_end_it() {
+async fn unsolicited_bytes_close_an_idle_connection() {
     for late in [
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate",
         "HTTP/1.1 2",
@@ -161,7 +161,7 @@
 
 /// Guards against an answer that belongs to something else: it is there before its request has left whole.
 #[tokio::test(flavor = "local")]
-async fn an_answer_before_the_requests_last_byte_is_none() {
+async fn response_before_the_end_of_the_request_is_not_forwarded() {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener.set_recv_buffer_size(2048).unwrap();
     listener
@@ -218,7 +218,7 @@
 
 /// Guards against a request on a connection that comes up after its attempt was given up.
 #[tokio::test(flavor = "local")]
-async fn a_connection_that_comes_up_too_late_carries_nothing() {
+async fn connection_established_after_the_timeout_is_not_used() {
     // With a full backlog the system leaves further connections hanging until there is room.
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener
@@ -261,7 +261,7 @@
 /// Guards a client against another one's answer: an upstream may send a second answer some milliseconds late, and
 /// on a connection in use again by then nothing tells whose it is.
 #[test]
-fn a_late_second_answer_reaches_no_other_request() {
+fn late_second_response_reaches_no_other_request() {
     const LATE: Duration = Duration::from_millis(25);
     let (address, streams) = common::raw_peer();
     std::thread::spawn(move || {
@@ -291,7 +291,7 @@
 
 /// Guards what a further attempt says of the time: no more than is left to the client then.
 #[test]
-fn a_further_attempt_tells_the_time_that_is_left() {
+fn retry_carries_the_remaining_time() {
     let (address, streams) = common::raw_peer();
     let node = Setup::with(&[address, address]).start();
     let mut client = node.connect();
--- a/balancer/tests/crossing_server.rs
+++ b/balancer/tests/slow_clients.rs
@@ -92,7 +92,7 @@
 /// Guards against an answer cut short: a client that is slow to take it does not count as idle, neither to the limit
 /// for idle clients nor when the process is ending.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn an_answer_that_is_taken_slowly_is_not_cut_short() {
+async fn slowly_read_response_is_not_truncated() {
     for ends in [false, true] {
         let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (address, phase) = serve(upstream.local_addr().unwrap()).await;
@@ -131,7 +131,7 @@
 
 /// Guards against a place held for ever by one who takes nothing of its answer.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn a_client_that_never_takes_its_answer_is_let_go() {
+async fn closes_a_client_that_never_reads_its_response() {
     let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (address, _phase) = serve(upstream.local_addr().unwrap()).await;
     let mut client = TcpStream::connect(address).await.unwrap();
--- a/balancer/tests/failing_calls.rs
+++ b/balancer/tests/syscall_failures.rs
@@ -16,7 +16,7 @@
 /// Guards connections that wait in the listener's queue as the process ends, where `accept` fails just then: each is
 /// owed an answer once it works again.
 #[test]
-fn an_accept_that_fails_at_the_end_does_not_lose_what_waits() {
+fn failing_accept_during_shutdown_loses_no_waiting_client() {
     let upstream = Upstream::start(Then::Answer(OK));
     let mut node = Setup::with(&[upstream.address]).start();
     assert_eq!(node.connect().exchange(&look(5000)).status(), 200);
@@ -36,7 +36,7 @@
 
 /// Guards upstreams against being ejected because this machine has no descriptor for a connection to them.
 #[test]
-fn a_machine_without_descriptors_says_nothing_of_its_upstreams() {
+fn descriptor_exhaustion_ejects_no_upstream() {
     let upstreams = [
         Upstream::start(Then::AnswerAndClose(OK)),
         Upstream::start(Then::AnswerAndClose(OK)),
@@ -62,7 +62,7 @@
 /// Guards a reload against a configuration file that is half written, or cannot be read, as the signal comes: it is read
 /// again until it is whole.
 #[test]
-fn a_configuration_that_is_not_whole_yet_is_read_again() {
+fn rereads_a_partially_written_configuration() {
     let upstream = Upstream::start(Then::Answer(OK));
     let (discovery, calls) = discovery();
     let mut setup = Setup::with(&[upstream.address]);
@@ -123,7 +123,7 @@
 /// Guards requests against calls that fail for this machine's reasons, or for nobody's: no one of them loses a request
 /// or is put down to an upstream.
 #[test]
-fn calls_that_fail_at_times_lose_nothing() {
+fn intermittent_syscall_failures_lose_no_request() {
     let all = CONNECTIONS * REQUESTS_EACH;
     let (keeps, closes) = (Then::Answer(OK), Then::AnswerAndClose(OK));
     for (name, value, then, least) in [
--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstream_attempts.rs
@@ -70,7 +70,7 @@
 
 /// Guards the drain rule where an attempt was decided on before the news and has no connection yet.
 #[tokio::test(flavor = "local")]
-async fn an_attempt_that_waits_for_a_connection_heeds_a_drain() {
+async fn attempt_waiting_for_a_connection_is_not_sent_after_a_drain() {
     let (upstreams, listener, mut place) = upstreams(1).await;
     let held = Rc::clone(&upstreams);
     let first =
@@ -104,7 +104,7 @@
 /// Guards against taking out an upstream whose process lives: only a connection that ends without an
 /// answer is a reset. What can't be read may have run all the same.
 #[tokio::test(flavor = "local")]
-async fn an_unreadable_answer_is_an_error_and_a_missing_one_a_reset() {
+async fn unreadable_response_is_an_error_and_a_missing_one_a_reset() {
     let (upstreams, listener, _) = upstreams(8).await;
     let long = format!(
         "HTTP/1.1 200 OK\r\nX-Long: {}\r\n\r\n",
@@ -161,7 +161,7 @@
 
 /// Guards against the moment between an upstream's close and this process's look at it.
 #[tokio::test(flavor = "local")]
-async fn a_connection_that_has_just_been_closed_is_not_written_to() {
+async fn does_not_write_to_a_connection_closed_by_the_upstream() {
     let (upstreams, listener, _) = upstreams(8).await;
     for _ in 0..20 {
         let answer = answer_next(&listener);
@@ -186,7 +186,7 @@
 /// Guards against running out of descriptors: an idle connection makes room, and where there is none
 /// the wait ends as not sent, which says nothing of the upstream.
 #[tokio::test(flavor = "local")]
-async fn connections_stay_under_the_limit() {
+async fn open_connections_stay_within_the_limit() {
     let (upstreams, listener, place) = upstreams(1).await;
     let other = UpstreamId(8);
     upstreams.place(other, &place);
--- a/balancer/tests/connection.rs
+++ b/balancer/tests/upstream_connection.rs
@@ -9,7 +9,7 @@
 
 /// Guards the proof that a request never ran: it rests on knowing how long the request is on the wire.
 #[tokio::test(flavor = "local")]
-async fn the_length_on_the_wire_is_known_beforehand() {
+async fn wire_length_predicts_the_bytes_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = listener.local_addr().unwrap();
     for (method, body) in [("GET", ""), ("POST", ""), ("POST", "some words")] {
--- a/balancer/tests/wall_clock.rs
+++ b/balancer/tests/wall_clock_skew.rs
@@ -59,7 +59,7 @@
 /// Guards against a start that lies ahead of this balancer's clock and is taken for a new one with each list: the
 /// upstream would be cold for ever.
 #[test]
-fn a_start_ahead_of_the_wall_clock_is_one_start() {
+fn start_time_ahead_of_the_wall_clock_counts_once() {
     let (node, upstreams, _calls, watch) = start(1000);
     let boot_ms = wall_ms() + HOUR_MS;
     for rev in 2..12 {
@@ -75,7 +75,7 @@
 /// Guards against a start that looks an hour old by this balancer's clock and is one of just now: the upstream would
 /// get its whole share cold.
 #[test]
-fn a_start_behind_the_wall_clock_is_a_start() {
+fn start_time_behind_the_wall_clock_begins_slow_start() {
     let (node, upstreams, _calls, watch) = start(20_000);
     tell(&watch, &restarted(2, &upstreams, wall_ms() - HOUR_MS));
     node.round_trip();
@@ -85,7 +85,7 @@
 
 /// Guards starts that the wall clock dates well: just seen they are cold, and warm once their time is over.
 #[test]
-fn a_start_of_just_now_is_cold_for_its_time() {
+fn slow_start_lasts_for_its_configured_duration() {
     let (node, upstreams, _calls, watch) = start(2000);
     tell(&watch, &restarted(2, &upstreams, wall_ms()));
     node.round_trip();
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -6,7 +6,7 @@
 
 /// A thousand balancers, each with a fraction of a request's room: none may starve its tenants for good.
 #[test]
-fn a_balancer_that_sees_little_admits_what_its_tenants_send() {
+fn admits_all_requests_when_one_balancer_of_many_gets_little_traffic() {
     let mut bench = Bench::new(stated(1000, &[600.0, 500.0, 400.0]), &fleet(60));
     bench.run(ms(100));
     let mut refused = 0;
@@ -24,7 +24,7 @@
 
 /// Every tenant over its share: each still gets about its guarantee, the rest is refused on arrival.
 #[test]
-fn a_surging_tenant_does_not_take_another_ones_guarantee() {
+fn admits_guaranteed_requests_while_another_tenant_surges() {
     let mut bench = Bench::new(stated(1, &[20.0, 20.0]), &fleet(2));
     bench.run(ms(100));
     let (mut inside, mut out, mut open) = (0, 0, Vec::new());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_unknown_class_is_failed_and_an_unknown_tenant_served() {
+fn fails_unknown_class_and_serves_unknown_tenant() {
     let mut bench = Bench::new(stated(1, &[20.0]), &fleet(2));
     let id = bench.request(9, 0, ms(1000));
     assert_eq!(bench.answers.get(&id), Some(&"failed"));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn settings_that_permit_no_decision_name_the_figure() {
+fn settings_error_names_the_invalid_field() {
     let ok = || stated(1, &[1.0]);
     let error = |s: Settings| Balancer::new(s, 1).err().map(|e| e.to_string());
     assert_eq!(error(ok()), None);
@@ -131,7 +131,7 @@
 
 /// A new bucket starts full: a second of the guarantee passes at once, before anything is granted.
 #[test]
-fn a_new_bucket_starts_full() {
+fn new_token_bucket_starts_full() {
     let mut bench = Bench::new(stated(1, &[20.0]), &fleet(4));
     let sent = (0..40)
         .filter(|_| {
@@ -144,7 +144,7 @@
 
 /// A balancer without settings has nothing to decide by: it fails what it is given and lives.
 #[test]
-fn a_default_balancer_does_not_panic() {
+fn default_balancer_fails_requests_without_panicking() {
     let mut bench = Bench::new(stated(1, &[20.0]), &fleet(1));
     bench.balancer = Balancer::default();
     bench.run(ms(200));
@@ -154,7 +154,7 @@
 
 /// Everything is stuck: nothing is answered in time, so there is no room, and guarantees give way too.
 #[test]
-fn a_total_jam_cuts_the_guarantee() {
+fn sheds_guaranteed_requests_when_every_upstream_times_out() {
     let mut bench = Bench::new(stated(1, &[100.0]), &fleet(4));
     bench.traffic(200, ms(10), |_| Some(Outcome::Ok));
     let (mut open, mut sent) = (Vec::new(), 0);
@@ -182,7 +182,7 @@
 /// Another balancer is lost: this one carries three times as much at once, while the upstreams say that they are
 /// no busier than before. What they are believed to do must keep up with what they are seen to do.
 #[test]
-fn the_rate_follows_what_is_done_while_the_cores_are_no_busier() {
+fn service_rate_follows_completions_at_constant_utilization() {
     let (reports, report_fields) = (LoadReports::Inline, vec![LoadField::Utilization]);
     let mut bench = Bench::new(
         Settings {
@@ -236,7 +236,7 @@
 /// A thin balancer hears from each upstream about once a second: what all of them say at last is what it goes by,
 /// not a mean over fifty reports, which is several seconds of its traffic.
 #[test]
-fn one_report_of_each_upstream_tells_how_busy_they_are() {
+fn utilization_follows_the_latest_report_of_each_upstream() {
     let (reports, report_fields) = (LoadReports::Inline, vec![LoadField::Utilization]);
     let mut bench = Bench::new(
         Settings {
@@ -271,7 +271,7 @@
 
 /// What is given up at its deadline has no time left, its client may have: it is told a time to come back too.
 #[test]
-fn a_refusal_at_the_deadline_still_says_when_to_come_back() {
+fn rejection_at_the_deadline_has_a_retry_after() {
     let mut bench = Bench::new(stated(1, &[20.0]), &fleet(2));
     let id = bench.request(0, 0, ms(300));
     bench.run(ms(300));
--- a/tests/failures.rs
+++ b/tests/attempts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_second_copy_goes_out_when_the_first_is_overdue() {
+fn hedges_when_the_first_attempt_is_overdue() {
     let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(3));
     let id = bench.request(0, 0, ms(1000));
     bench.run(ms(300));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_effect_that_must_not_run_twice_gets_no_second_try_once_it_may_have_run() {
+fn does_not_retry_an_at_most_once_request_that_may_have_run() {
     let mut bench = Bench::new(one_class(Effect::AtMostOnce), &fleet(3));
     let id = bench.request(0, 0, ms(1000));
     bench.run(ms(600));
@@ -43,7 +43,7 @@
 
 /// An upstream that fails at once holds nothing and so looks the least loaded: it must be ejected, for a while.
 #[test]
-fn one_that_fails_at_once_is_ejected_and_comes_back() {
+fn ejects_an_upstream_that_fails_at_once_and_restores_it() {
     let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(4));
     let bad = UpstreamId(2);
     bench.traffic(100, ms(10), |u| {
@@ -67,7 +67,7 @@
 
 /// Connections that break now and then, everywhere, between answers: no process has died, so all stay in turn.
 #[test]
-fn single_broken_connections_eject_nobody() {
+fn isolated_connection_errors_eject_no_upstream() {
     for outcome in [Outcome::Reset, Outcome::ConnectFailed] {
         let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(4));
         for round in 0..50 {
@@ -95,7 +95,7 @@
 
 /// Three in a row by chance, at one that has just answered and goes on answering: its process has not died.
 #[test]
-fn a_run_of_broken_connections_between_answers_ejects_nobody() {
+fn consecutive_resets_between_responses_eject_no_upstream() {
     let tenants = vec![Tenant {
         quota_per_s: 1000.0,
     }];
@@ -135,7 +135,7 @@
 
 /// Takes connections and never answers.
 #[test]
-fn one_that_never_answers_is_passed_over() {
+fn avoids_an_upstream_that_never_responds() {
     let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(4));
     let silent = UpstreamId(3);
     bench.traffic(400, ms(10), |u| (u != silent).then_some(Outcome::Ok));
@@ -145,7 +145,7 @@
 
 /// When all seem ill, the fault is not theirs: with nothing better at hand requests still go out.
 #[test]
-fn all_ejected_is_no_empty_choice() {
+fn still_sends_requests_when_all_upstreams_are_ejected() {
     let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(4));
     bench.traffic(40, ms(10), |_| Some(Outcome::Reset));
     bench.run(ms(1500));
@@ -156,7 +156,7 @@
 
 /// Failures everywhere must not multiply the load: further attempts stay within the retry budget.
 #[test]
-fn no_retry_storm() {
+fn retries_stay_within_the_retry_budget() {
     let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(20));
     bench.traffic(500, ms(10), |_| Some(Outcome::Error));
     let (requests, attempts) = (
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_one_that_drains_or_is_gone() {
+fn sends_nothing_to_draining_or_removed_upstreams() {
     let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(3));
     bench.traffic(20, ms(5), |_| Some(Outcome::Ok));
     let (mut drains, before) = (
@@ -209,7 +209,7 @@
 
 /// An empty fleet: a refusal, at once, and service again as soon as there is one.
 #[test]
-fn none_ready_is_refused_and_a_newcomer_serves() {
+fn rejects_without_endpoints_and_serves_once_one_is_added() {
     let mut bench = Bench::new(one_class(Effect::AtMostOnce), &[]);
     let id = bench.request(0, 0, ms(1000));
     assert_eq!(bench.answers.get(&id), Some(&"refused"));
@@ -224,7 +224,7 @@
 
 /// The list service is down: calls repeat with growing waits, the list held stays in use.
 #[test]
-fn a_failing_list_service_is_asked_ever_more_seldom_and_the_old_list_stays() {
+fn failed_polls_back_off_and_keep_the_endpoint_list() {
     let settings = Settings {
         polls_endpoints: true,
         ..one_class(Effect::Idempotent)
@@ -248,7 +248,7 @@
 
 /// Reports full of nonsense neither panic nor poison what is known.
 #[test]
-fn bad_reports_are_passed_over() {
+fn ignores_invalid_load_reports_and_weights() {
     let mut s = one_class(Effect::Idempotent);
     s.load_reports = LoadReports::Inline;
     s.report_fields = vec![LoadField::Utilization, LoadField::Queue];
@@ -278,7 +278,7 @@
 
 /// Events for what is not known are passed over.
 #[test]
-fn strangers_are_passed_over() {
+fn ignores_events_for_unknown_ids() {
     let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(2));
     let (id, attempt, upstream, latency) = (RequestId(99), AttemptNo(3), UpstreamId(42), ms(1));
     let (outcome, report) = (Outcome::Ok, &[][..]);
@@ -315,7 +315,7 @@
 
 /// Silent for one class, well for the other: the class goes elsewhere, the other stays, and in time it is tried again.
 #[test]
-fn silence_for_one_class_moves_that_class_alone() {
+fn timeouts_of_one_class_move_only_that_class() {
     let mut set = one_class(Effect::AtMostOnce);
     set.classes.push(class(400, 1000, Effect::AtMostOnce));
     let mut bench = Bench::new(set, &fleet(4));
@@ -355,7 +355,7 @@
 /// Something drops idle connections unseen: silence meets sends after a pause only. Before the next such send the
 /// connections are closed; sends soon after another need no new one.
 #[test]
-fn idle_connections_that_go_silent_are_closed_before_use() {
+fn closes_idle_connections_before_use_when_they_go_silent() {
     let mut bench = Bench::new(one_class(Effect::AtMostOnce), &fleet(2));
     let mut closed: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
     let mut used: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
@@ -394,7 +394,7 @@
 
 /// One that turns a class away at once holds nothing and so looks the emptiest: it must not draw the class.
 #[test]
-fn one_that_turns_a_class_away_at_once_does_not_draw_it() {
+fn an_upstream_that_rejects_a_class_does_not_attract_it() {
     let mut set = one_class(Effect::AtMostOnce);
     set.classes.push(class(400, 1000, Effect::AtMostOnce));
     let mut bench = Bench::new(set, &fleet(4));
@@ -425,7 +425,7 @@
 
 /// One balancer alone: an old report says nothing of others, as there are none. A stale crowd must not turn it away.
 #[test]
-fn alone_it_goes_by_its_own_requests_not_by_old_reports() {
+fn single_balancer_ignores_stale_load_reports() {
     let mut set = one_class(Effect::Idempotent);
     (set.load_reports, set.report_fields) = (LoadReports::Inline, vec![LoadField::InFlight]);
     set.tenants = vec![Tenant {
@@ -455,7 +455,7 @@
 
 /// What is worth nothing after its aim is not waited for; what still earns then is.
 #[test]
-fn an_attempt_ends_with_its_worth() {
+fn attempt_timeout_ends_when_a_late_response_has_no_weight() {
     for (late_weight_share, ends) in [(0.0, Some(ms(392))), (0.5, None)] {
         let mut set = one_class(Effect::AtMostOnce);
         set.classes[0].late_weight_share = late_weight_share;
--- a/tests/growth.rs
+++ b/tests/bounded_state.rs
@@ -14,7 +14,7 @@
 
 /// A fleet replaced again and again: those gone leave, and turns keep going to those that are there.
 #[test]
-fn churn_leaves_no_trace_in_the_turns() {
+fn releases_state_of_replaced_upstreams() {
     let mut bench = Bench::new(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
     for round in 1..200u64 {
         let fleet: Vec<_> = (4 * round..4 * round + 4).map(endpoint).collect();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn ended_requests_are_released() {
+fn releases_state_of_completed_requests() {
     let mut bench = Bench::new(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
     bench.traffic(2000, ms(20), |_| Some(Outcome::Ok));
     bench.run(ms(2000));
@@ -47,7 +47,7 @@
 
 /// Everything timed out for a while, so that nothing was admitted any more: it must not stay so.
 #[test]
-fn a_balancer_that_refuses_all_comes_back() {
+fn admission_recovers_after_all_attempts_timed_out() {
     let mut s = settings();
     s.balancers = 500;
     s.tenants = vec![Tenant {
--- a/tests/list_lease.rs
+++ b/tests/endpoint_lease.rs
@@ -195,7 +195,7 @@
 /// Guards fleets of every size before a discovery that needs up to 8 s for a call of each balancer: whoever has no
 /// list in time sends nothing, and few have to wait for long.
 #[test]
-fn no_balancer_of_a_fleet_sends_by_a_list_that_a_silent_watch_left_behind() {
+fn no_balancer_sends_by_a_stale_list_after_silent_watches() {
     for balancers in [2, 5, 20, 40, 60, 300, 900] {
         for all in [SECOND, 5 * SECOND, 8 * SECOND] {
             let found = play(balancers, all);
@@ -213,7 +213,7 @@
 
 /// Guards the ways a lease ends and is renewed, one by one.
 #[test]
-fn a_lease_ends_by_silence_or_by_part_of_an_answer_and_a_list_renews_it() {
+fn lease_expires_on_each_watch_failure_and_an_update_renews_it() {
     let answered = |bench: &mut Bench| {
         let id = bench.request(0, 0, ms(1000));
         let attempted = bench.at(id, 0).is_some();
@@ -293,7 +293,7 @@
 
 /// Guards requests that are out as a lease ends: no further attempt is made.
 #[test]
-fn an_attempt_that_fails_after_the_lease_is_not_followed_by_another() {
+fn no_retry_after_the_lease_has_expired() {
     let mut bench = balancer(3, 0);
     bench.tell(Event::Watch(WatchEvent::Partial {
         since: Duration::ZERO,
--- a/tests/list_calls.rs
+++ b/tests/endpoint_polling.rs
@@ -58,7 +58,7 @@
 /// Guards the bound after failed calls: a change made right after one began, with discovery in reach from then on, is
 /// known within 6 s, whether calls are refused at once or given up, and however many have failed before.
 #[test]
-fn after_any_failed_call_a_change_is_known_in_time() {
+fn learns_of_a_change_in_time_after_failed_polls() {
     for balancers in [2, 5, 20, 30] {
         for poll_interval in [4_000, 8_000, 20_000, 60_000] {
             for call_lasts in [0, 1000, 3000, 3500] {
@@ -86,7 +86,7 @@
 
 /// Guards the bound after a watch that fell silent: 3 s until that is seen, then the wait, then the call.
 #[test]
-fn after_a_silent_watch_a_change_is_known_in_time() {
+fn learns_of_a_change_in_time_after_a_silent_watch() {
     const SILENCE: Duration = ms_const(3000);
     for balancers in [2, 5, 20, 30] {
         for poll_interval in [4_000, 8_000, 20_000, 60_000] {
@@ -114,7 +114,7 @@
 
 /// Guards the same of the largest fleets, where calls have to be spread as well: the wait alone is bounded there.
 #[test]
-fn the_largest_fleet_spreads_its_calls_and_still_asks_soon() {
+fn poll_delay_is_bounded_in_the_largest_fleet() {
     for index in 0..300 {
         let mut bench = balancer(300, index, 20_000);
         for _ in 0..5 {
@@ -133,7 +133,7 @@
 
 /// Guards sites with an agent of their own: it is asked at once, and again soon, as nobody else's call waits there.
 #[test]
-fn an_agent_of_its_own_is_asked_at_once() {
+fn polls_a_local_agent_at_once() {
     let set = Settings {
         has_local_agent: true,
         ..settings(300, 7, 20_000)
--- a/tests/rules.rs
+++ b/tests/invariants.rs
@@ -435,7 +435,7 @@
     #![proptest_config(ProptestConfig { cases: 192, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(20), ..ProptestConfig::default() })]
 
     #[test]
-    fn rules_hold_under_any_legal_events(
+    fn invariants_hold_for_any_legal_event_sequence(
         ops in prop::collection::vec(op(), 1..160),
         flags in any::<(bool, bool, bool)>(),
         max_attempts in 1u8..5,
--- a/tests/ejection.rs
+++ b/tests/outlier_detection.rs
@@ -73,7 +73,7 @@
 /// Most of what it is sent fails at once, whatever the class, and some is answered in between: each class alone meets
 /// few faults in a row there, all together enough.
 #[test]
-fn one_that_fails_most_of_all_classes_is_left_by_all_of_them() {
+fn ejects_for_all_classes_when_most_attempts_of_each_fail() {
     let (met, of_once) =
         thin_traffic_with_one_ill(|n| Some([Outcome::Error, Outcome::Ok][usize::from(n % 4 == 3)]));
     assert!(
@@ -85,7 +85,7 @@
 
 /// Silent for all classes: what one of them has met there the others need not meet too.
 #[test]
-fn one_that_is_silent_for_all_classes_is_left_by_all_of_them() {
+fn ejects_for_all_classes_when_all_attempts_time_out() {
     let (met, of_once) = thin_traffic_with_one_ill(|_| None);
     assert!(
         met <= 8,
@@ -97,7 +97,7 @@
 /// Four tell how much others hold there, the fifth has not been heard of for seconds. It is no emptier for that: all
 /// balancers would send it their turns.
 #[test]
-fn one_not_heard_of_is_not_taken_for_empty() {
+fn upstream_without_recent_reports_does_not_count_as_idle() {
     let mut set = one_class(Effect::Idempotent);
     (set.load_reports, set.report_fields, set.balancers) =
         (LoadReports::Inline, vec![LoadField::InFlight], 100);
@@ -130,7 +130,7 @@
 /// Thin traffic meets idle connections only, and one request in ten is long. Two long ones in a row are chance: no
 /// connection is closed for them, as each would cost a new one.
 #[test]
-fn a_few_long_requests_close_no_idle_connections() {
+fn occasional_long_requests_close_no_idle_connections() {
     let mut bench = Bench::new(one_class(Effect::AtMostOnce), &fleet(2));
     let mut closed = 0;
     for k in 0..400u64 {
@@ -153,7 +153,7 @@
 
 /// Whoever has answered others since is not stuck: the request is a long one, and a copy is as long anywhere.
 #[test]
-fn a_long_request_at_an_upstream_that_answers_others_gets_no_copy() {
+fn no_hedge_while_the_upstream_responds_to_other_requests() {
     let tenants = vec![Tenant {
         quota_per_s: 1000.0,
     }];
@@ -183,7 +183,7 @@
 /// All who send to an upstream try it again, each on its own: where sixteen share it, each leaves it alone for longer,
 /// so that together they are no load to one that needs a rest. One balancer alone is soon back.
 #[test]
-fn the_more_balancers_share_an_upstream_the_longer_each_leaves_it() {
+fn ejection_lasts_longer_when_more_balancers_share_an_upstream() {
     let tries = |balancers: u32| {
         let mut bench = Bench::new(
             Settings {
@@ -217,7 +217,7 @@
 /// All balancers restart together, and the list service handles their calls one after another: the first calls, and
 /// those made again after a failure, must not come in step. One balancer alone has nobody to wait for.
 #[test]
-fn the_calls_of_many_balancers_for_their_list_are_spread() {
+fn polls_of_many_balancers_are_spread() {
     let calls = |balancers: u32, index: u32| {
         let set = Settings {
             polls_endpoints: true,
@@ -270,7 +270,7 @@
 
 /// One that drains unlisted turns everything away: all classes leave it, not each after its own two tries.
 #[test]
-fn one_that_turns_all_classes_away_is_left_by_all_of_them() {
+fn ejects_for_all_classes_when_all_attempts_are_rejected() {
     let (met, _) = thin_traffic_with_one_ill(|_| Some(Outcome::Rejected));
     assert!(met <= 3, "{met} of 300 sent to one that turns all away");
 }
@@ -278,7 +278,7 @@
 /// Answers are spoilt on the way, one in ten from everybody: that must cost no upstream its turns; one that answers
 /// nothing but errors is still found out among them.
 #[test]
-fn errors_that_all_have_eject_nobody_and_the_one_that_has_only_errors_is_ejected() {
+fn ejects_the_upstream_with_only_errors_and_none_for_background_errors() {
     let fleet: Vec<_> = (1..=8).map(endpoint).collect();
     let classes = vec![class(400, 1000, Effect::Idempotent)];
     let mut bench = Bench::new(
@@ -326,7 +326,7 @@
 /// Where no second copies are allowed an attempt is given up when it is overdue, just before the tick that would
 /// have found it so: its silence counts all the same, and one that is silent for good is hardly sent to again.
 #[test]
-fn one_whose_attempts_are_given_up_as_overdue_is_ejected_and_then_on_trial() {
+fn ejects_an_upstream_whose_attempts_are_abandoned_as_overdue() {
     let effect = Effect::Deduplicated {
         group: DedupGroup::All,
         ttl: ms(5000),
--- a/tests/cold.rs
+++ b/tests/slow_start.rs
@@ -157,7 +157,7 @@
 /// Guards against a cold upstream pushed over by the sum of all, however many they are, also where half of them have
 /// just started themselves.
 #[test]
-fn no_size_of_fleet_pushes_a_cold_upstream_over() {
+fn fleets_of_any_size_stay_within_the_slow_start_budget() {
     for balancers in [2, 5, 20, 30, 300] {
         for (pace, restarts) in [(100, false), (100, true), (8, false), (8, true)] {
             for seed in 1..4 {
@@ -180,7 +180,7 @@
 /// Many balancers at once must not send a newcomer more than the stated multiple of what it can do in any window,
 /// though it is empty and the others are not.
 #[test]
-fn a_newcomer_is_not_pushed_over_by_all_balancers_together() {
+fn all_balancers_together_stay_within_a_new_upstreams_budget() {
     for (sparse, balancers) in [(false, 20), (true, 400)] {
         let mut set = varied_settings(true, sparse, true, 4);
         set.balancers = balancers;
--- a/tests/room.rs
+++ b/tests/spare_capacity.rs
@@ -49,7 +49,7 @@
 
 /// Part of the fleet is lost. Every balancer moving its load to those left at once is what fells them next.
 #[test]
-fn those_left_get_no_more_than_they_can_do_when_others_drop_out() {
+fn remaining_upstreams_are_not_overloaded_when_others_are_removed() {
     let mut bench = shared(&[1500.0]);
     assert!(
         play(&mut bench, 300, [0.65, 9.0]) > 280,
@@ -74,7 +74,7 @@
 
 /// Where little has been let in, C is little: what the upstreams say of idle cores opens W again all the same.
 #[test]
-fn cores_told_to_be_idle_open_w_after_little_was_let_in() {
+fn reported_idle_cores_raise_spare_capacity_after_low_admission() {
     let mut bench = shared(&[1500.0]);
     play(&mut bench, 150, [0.65, 9.0]);
     bench.run(ms(15_000));
@@ -100,7 +100,7 @@
 
 /// On-call staff go by what ended a request: each cause must be told from the others.
 #[test]
-fn a_final_answer_says_what_ended_the_request() {
+fn final_response_has_the_failure_reason() {
     let once = |fleet: &[Endpoint]| {
         let classes = vec![class(400, 1000, Effect::AtMostOnce)];
         let mut bench = Bench::new(
@@ -162,7 +162,7 @@
 /// Each of a hundred balancers has saved sends for each upstream: all at once, they would fell what is left of a
 /// fleet in the second that others drop out.
 #[test]
-fn what_was_saved_up_for_each_upstream_is_not_sent_all_at_once() {
+fn saved_send_budget_is_not_spent_at_once() {
     let mut bench = shared(&[1500.0]);
     play(&mut bench, 150, [0.65, 9.0]);
     bench.run(ms(2000));
@@ -179,7 +179,7 @@
 
 /// After a jam little is let in, so little is completed: that must not hold C down while cores are idle.
 #[test]
-fn c_grows_by_the_idle_cores_where_the_clock_holds_sends_back() {
+fn service_rate_grows_with_idle_cores_while_sends_are_paced() {
     let mut bench = shared(&[1500.0]);
     play(&mut bench, 150, [0.65, 9.0]);
     play(&mut bench, 150, [1.0, 40.0]);
@@ -195,7 +195,7 @@
 /// No upstream's size is known yet, and reports come late: what is stated would fill the cores, so that all
 /// balancers together fell the small ones in the seconds before the first of them tells.
 #[test]
-fn before_the_first_reports_no_more_is_sent_than_what_is_stated_leaves_spare() {
+fn sends_less_than_the_stated_rate_before_the_first_reports() {
     let (reports, report_fields) = (
         LoadReports::Inline,
         vec![LoadField::Utilization, LoadField::InFlight],
@@ -219,7 +219,7 @@
 
 /// Tries that come again at once make a balancer's subset larger, but not its part of what all of them can do.
 #[test]
-fn a_larger_subset_is_no_more_room() {
+fn larger_subset_does_not_raise_the_service_rate() {
     let (reports, report_fields) = (
         LoadReports::Inline,
         vec![LoadField::Utilization, LoadField::InFlight],
@@ -311,7 +311,7 @@
 /// Whoever comes first is not as good as the next: a repeat may be late already, and what it takes makes a repeat
 /// of a first try.
 #[test]
-fn in_a_shortage_first_tries_go_before_repeats() {
+fn prefers_first_attempts_over_retries_when_overloaded() {
     let round = [(0, false), (0, true), (0, true)];
     let [first, again, twice] = in_a_shortage(&[worth(1.0, 100)], round);
     assert!(
@@ -322,7 +322,7 @@
 
 /// What is worth ten times as much goes first, but the rest is not starved.
 #[test]
-fn in_a_shortage_the_worthier_class_goes_first() {
+fn prefers_the_class_with_higher_priority_weight_when_overloaded() {
     let round = [(0, false), (1, false), (1, false)];
     let [dear, cheap, other] = in_a_shortage(&[worth(10.0, 100), worth(1.0, 100)], round);
     assert!(
@@ -334,7 +334,7 @@
 
 /// What is worth three times as much and takes three times as long is worth no more: others could be served.
 #[test]
-fn in_a_shortage_a_heavy_class_counts_by_the_time_it_takes() {
+fn weighs_a_class_by_its_service_time_when_overloaded() {
     let round = [(0, false), (1, false), (1, false)];
     let [heavy, light, other] = in_a_shortage(&[worth(3.0, 150), worth(1.0, 50)], round);
     assert!(
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -25,7 +25,7 @@
 
 /// Guards against upstreams that run out of connections: 240 balancers, two requests a second each.
 #[test]
-fn a_thin_balancer_uses_few_and_all_together_use_all_alike() {
+fn low_traffic_uses_a_small_subset_and_all_subsets_cover_the_fleet_evenly() {
     let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
     let mut users: BTreeMap<UpstreamId, usize> = BTreeMap::new();
     for index in 0..BALANCERS {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_small_fleet_and_a_busy_balancer_use_all() {
+fn uses_all_upstreams_when_the_fleet_is_small_or_the_traffic_is_high() {
     let mut few = Bench::new(settings(5), &(1..=2).map(endpoint).collect::<Vec<_>>());
     assert_eq!(used(&mut few, 100).len(), 2);
     let busy = Settings {
@@ -60,7 +60,7 @@
 
 /// The subset outlives changes elsewhere; one lost is replaced, and those that left the list are forgotten.
 #[test]
-fn a_subset_is_stable_and_refilled() {
+fn subset_is_stable_and_replaces_removed_upstreams() {
     let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
     let mut bench = Bench::new(settings(17), &fleet);
     let before = used(&mut bench, 60);
@@ -96,7 +96,7 @@
 /// Traffic is uneven: a balancer that gets ten times its equal part would crowd an equal part of the upstreams
 /// while others idle. It takes more of them, keeps those it has, and lets go once the traffic has gone elsewhere.
 #[test]
-fn a_subset_grows_and_shrinks_with_what_a_balancer_really_gets() {
+fn subset_size_follows_the_traffic() {
     let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
     let mut bench = Bench::new(settings(17), &fleet);
     let thin = used(&mut bench, 60);
@@ -122,7 +122,7 @@
 /// What a heavy balancer is asked for counts, not what it manages to serve on too few; repeats do not: a jam
 /// multiplies them, and would spread itself. Where they are not marked, only what is admitted counts.
 #[test]
-fn first_tries_size_the_subset_and_repeats_do_not() {
+fn subset_size_ignores_retries() {
     let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
     let sent_to = |is_retry: bool, retries_marked: bool| {
         let mut bench = Bench::new(
@@ -162,7 +162,7 @@
 
 /// Without stated allowances one balancer alone still takes all, whatever it sees.
 #[test]
-fn a_balancer_alone_uses_all() {
+fn single_balancer_uses_all_upstreams() {
     let alone = Settings {
         balancers: 1,
         index: 0,
