--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,187 +1,147 @@
-//! Buckets, grants and refusals.
+//! Token buckets, admission and the final responses of requests that are not served.
 
 mod common;
-use common::*;
-use frostkeel_policy::*;
 
-/// A thousand balancers, each with a fraction of a request's room: none may starve its tenants for good.
+use common::{
+    CompletionQueue, FinalResponse, Harness, endpoints, ms, settings_with_quotas,
+    single_class_settings,
+};
+use frostkeel_policy::{
+    Action, Effect, Endpoint, FailureReason, Outcome, RequestId, Settings, Tenant,
+};
+
+/// Each of a thousand balancers has spare capacity for a fraction of a request: none may starve
+/// its tenants permanently.
 #[test]
 fn admits_all_requests_when_one_balancer_of_many_gets_little_traffic() {
-    let mut bench = Bench::new(stated(1000, &[600.0, 500.0, 400.0]), &fleet(60));
-    bench.run(ms(100));
-    let mut refused = 0;
+    let settings = settings_with_quotas(1000, &[600.0, 500.0, 400.0]);
+    let mut harness = Harness::new(settings, &endpoints(60));
+    harness.advance(ms(100));
     for k in 0..60 {
-        let id = bench.request(0, k % 3, ms(1000));
-        bench.run(ms(50));
-        if bench.at(id, 0).is_some() {
-            bench.ended(id, 0, Outcome::Ok);
-        }
-        refused += usize::from(bench.answers.get(&id) == Some(&"refused"));
-        bench.run(ms(450));
+        let id = harness.request_of(0, k % 3, ms(1000));
+        harness.advance(ms(50));
+        harness.serve_if_sent(id);
+        harness.advance(ms(450));
     }
-    assert_eq!(refused, 0, "two requests a second against room for all");
+    let rejected = harness.final_response_count(FinalResponse::Rejected);
+    assert_eq!(rejected, 0, "of 60 at two requests a second");
 }
 
-/// Every tenant over its share: each still gets about its guarantee, the rest is refused on arrival.
+/// One tenant sends far more than its quota, and none of its requests gets a response in time, so
+/// that nothing but the guarantees is left to admit by.
 #[test]
 fn admits_guaranteed_requests_while_another_tenant_surges() {
-    let mut bench = Bench::new(stated(1, &[20.0, 20.0]), &fleet(2));
-    bench.run(ms(100));
-    let (mut inside, mut out, mut open) = (0, 0, Vec::new());
+    const SURGING: u32 = 0;
+    const WITHIN_QUOTA: u32 = 1;
+    let settings = settings_with_quotas(1, &[20.0, 20.0]);
+    let mut harness = Harness::new(settings, &endpoints(2));
+    harness.advance(ms(100));
+    let (mut admitted, mut sent) = (0, 0);
+    let mut in_flight = CompletionQueue::default();
     for step in 0..400 {
-        // Nothing of the surge is answered in time: there is no room at all but the guarantee.
         for _ in 0..4 {
-            let id = bench.request(0, 0, ms(1000));
-            open.extend(bench.at(id, 0).map(|_| (bench.now, id)));
+            let id = harness.request_of(0, SURGING, ms(1000));
+            if harness.is_sent(id) {
+                in_flight.schedule(harness.now + ms(1000), id);
+            }
         }
-        while open
-            .first()
-            .is_some_and(|(at, _)| bench.now >= *at + ms(1000))
-        {
-            let id = open.remove(0).1;
-            (0..bench.sent[&id].len()).for_each(|k| bench.ended(id, k, Outcome::TimedOut));
+        while let Some(id) = in_flight.pop_due(harness.now) {
+            harness.time_out_attempts(id);
         }
         if step % 10 == 0 {
-            let id = bench.request(0, 1, ms(1000));
-            inside += usize::from(bench.at(id, 0).is_some());
-            out += 1;
-            if bench.at(id, 0).is_some() {
-                bench.ended(id, 0, Outcome::Ok);
-            }
+            let id = harness.request_of(0, WITHIN_QUOTA, ms(1000));
+            admitted += usize::from(harness.is_sent(id));
+            sent += 1;
+            harness.serve_if_sent(id);
         }
-        bench.run(ms(10));
+        harness.advance(ms(10));
     }
     assert!(
-        inside * 10 >= out * 9,
-        "{inside} of {out} inside the share were admitted"
+        admitted * 10 >= sent * 9,
+        "admitted {admitted} of {sent} requests within the quota"
     );
 }
 
 #[test]
 fn fails_unknown_class_and_serves_unknown_tenant() {
-    let mut bench = Bench::new(stated(1, &[20.0]), &fleet(2));
-    let id = bench.request(9, 0, ms(1000));
-    assert_eq!(bench.answers.get(&id), Some(&"failed"));
-    let id = bench.request(0, 77, ms(1000));
-    assert!(bench.at(id, 0).is_some());
+    let mut harness = Harness::new(settings_with_quotas(1, &[20.0]), &endpoints(2));
+    let id = harness.request_of(9, 0, ms(1000));
+    let response = harness.final_responses.get(&id);
+    assert_eq!(response, Some(&FinalResponse::Failed));
+    let id = harness.request_of(0, 77, ms(1000));
+    assert!(harness.is_sent(id));
 }
 
-/// A new bucket starts full: a second of the guarantee passes at once, before anything is granted.
+/// A second of the quota passes at once, before the first refill.
 #[test]
 fn new_token_bucket_starts_full() {
-    let mut bench = Bench::new(stated(1, &[20.0]), &fleet(4));
-    let sent = (0..40)
-        .filter(|_| {
-            let id = bench.request(0, 0, ms(1000));
-            bench.at(id, 0).is_some()
-        })
-        .count();
+    let mut harness = Harness::new(settings_with_quotas(1, &[20.0]), &endpoints(4));
+    let ids: Vec<RequestId> = (0..40).map(|_| harness.request()).collect();
+    let sent = ids.into_iter().filter(|id| harness.is_sent(*id)).count();
     assert_eq!(sent, 23);
 }
 
-/// Everything is stuck: nothing is answered in time, so there is no room, and guarantees give way too.
+/// No request gets a response in time, so there is no spare capacity and guarantees give way too.
 #[test]
 fn sheds_guaranteed_requests_when_every_upstream_times_out() {
-    let mut bench = Bench::new(stated(1, &[100.0]), &fleet(4));
-    bench.traffic(200, ms(10), |_| Some(Outcome::Ok));
-    let (mut open, mut sent) = (Vec::new(), 0);
+    let mut harness = Harness::new(settings_with_quotas(1, &[100.0]), &endpoints(4));
+    harness.run_traffic(200, ms(10), |_| Some(Outcome::Ok));
+    let mut in_flight = CompletionQueue::default();
+    let mut sent = 0;
     for step in 0..600 {
-        let id = bench.request(0, 0, ms(1000));
-        if bench.at(id, 0).is_some() {
-            open.push((bench.now, id));
+        let id = harness.request();
+        if harness.is_sent(id) {
+            in_flight.schedule(harness.now + ms(1000), id);
             sent += usize::from(step >= 200);
         }
-        bench.run(ms(10));
-        while open
-            .first()
-            .is_some_and(|(at, _)| bench.now >= *at + ms(1000))
-        {
-            let id = open.remove(0).1;
-            for k in 0..bench.sent[&id].len() {
-                bench.ended(id, k, Outcome::TimedOut);
-            }
+        harness.advance(ms(10));
+        while let Some(id) = in_flight.pop_due(harness.now) {
+            harness.time_out_attempts(id);
         }
     }
-    assert!(sent < 200, "{sent} of 400 sent into the jam");
-    assert!(sent > 0, "some go on, to see whether it has passed");
+    assert!(sent < 200, "{sent} of 400 sent while nothing responds");
+    assert!(sent > 0, "some are sent, to detect the recovery");
 }
 
-/// What is given up at its deadline has no time left, its client may have: it is told a time to come back too.
+/// A request that times out at its deadline has no time left, but its client may have: the
+/// rejection carries a `Retry-After`.
 #[test]
 fn rejection_at_the_deadline_has_a_retry_after() {
-    let mut bench = Bench::new(stated(1, &[20.0]), &fleet(2));
-    let id = bench.request(0, 0, ms(300));
-    bench.run(ms(300));
-    for attempt in 0..bench.sent[&id].len() {
-        bench.ended(id, attempt, Outcome::TimedOut);
-    }
-    let longest = Settings::default().max_retry_after;
-    let told = bench.actions.iter().find_map(|a| match a {
+    let mut harness = Harness::new(settings_with_quotas(1, &[20.0]), &endpoints(2));
+    let id = harness.request_of(0, 0, ms(300));
+    harness.advance(ms(300));
+    harness.time_out_attempts(id);
+    let retry_after = harness.actions.iter().find_map(|action| match action {
         Action::Reject { retry_after, .. } => *retry_after,
         _ => None,
     });
+    let range = ms(10)..=Settings::default().max_retry_after;
     assert!(
-        told.is_some_and(|t| t >= ms(10) && t <= longest),
-        "{told:?}"
+        retry_after.is_some_and(|time| range.contains(&time)),
+        "{retry_after:?}"
     );
 }
 
-/// Everything timed out for a while, so that nothing was admitted any more: it must not stay so.
-#[test]
-fn admission_recovers_after_all_attempts_timed_out() {
-    let mut bench = Bench::new(
-        stated(500, &[1000.0]),
-        &(1..=40).map(endpoint).collect::<Vec<_>>(),
-    );
-    let mut phase = |outcome: Outcome, latency: u64, rounds: usize| {
-        let (mut tried, mut served) = (0, 0);
-        for _ in 0..rounds {
-            let id = bench.request(0, 0, ms(1000));
-            bench.run(ms(latency));
-            let mut k = 0;
-            while bench.at(id, k).is_some() {
-                bench.ended(id, k, outcome);
-                tried += 1;
-                k += 1;
-            }
-            served += usize::from(bench.answers.get(&id) == Some(&"served"));
-            bench.run(ms(200));
-        }
-        (tried, served)
+fn at_most_once_harness(endpoints: &[Endpoint]) -> Harness {
+    let settings = Settings {
+        tenants: vec![Tenant { quota_per_s: 2.0 }],
+        ..single_class_settings(Effect::AtMostOnce)
     };
-    phase(Outcome::Ok, 50, 50);
-    phase(Outcome::TimedOut, 990, 60);
-    phase(Outcome::Ok, 50, 100);
-    let (_, served) = phase(Outcome::Ok, 50, 50);
-    assert!(served >= 40, "{served} of 50 served long after the jam");
+    let mut harness = Harness::new(settings, endpoints);
+    harness.advance(ms(100));
+    harness
 }
 
-/// On-call staff go by what ended a request: each cause must be told from the others.
+/// On-call staff go by what ended a request: each cause must be distinguishable from the others.
 #[test]
 fn final_response_has_the_failure_reason() {
-    let once = |fleet: &[Endpoint]| {
-        let classes = vec![class(400, 1000, Effect::AtMostOnce)];
-        let mut bench = Bench::new(
-            Settings {
-                classes,
-                ..stated(1, &[2.0])
-            },
-            fleet,
-        );
-        bench.run(ms(100));
-        bench
-    };
-    let mut empty = once(&[]);
-    let nobody = empty.request(0, 0, ms(1000));
-    assert_eq!(
-        empty.losses.get(&nobody),
-        Some(&FailureReason::NoHealthyUpstream)
-    );
-    assert_eq!(empty.request(9, 0, ms(1000)), RequestId(2));
-    assert_eq!(
-        empty.losses.get(&RequestId(2)),
-        Some(&FailureReason::UnknownClass)
-    );
+    let mut harness = at_most_once_harness(&[]);
+    let id = harness.request();
+    let reason = harness.failure_reasons.get(&id);
+    assert_eq!(reason, Some(&FailureReason::NoHealthyUpstream));
+    let id = harness.request_of(9, 0, ms(1000));
+    let reason = harness.failure_reasons.get(&id);
+    assert_eq!(reason, Some(&FailureReason::UnknownClass));
 
     for (outcome, reason) in [
         (Outcome::TimedOut, FailureReason::UpstreamUnresponsive),
@@ -189,25 +149,29 @@
         (Outcome::Error, FailureReason::UpstreamError),
         (Outcome::NotSent, FailureReason::NotSent),
     ] {
-        let mut bench = once(&fleet(1));
-        let id = bench.request(0, 0, ms(1000));
-        bench.run(ms(30));
-        bench.ended(id, 0, outcome);
-        assert_eq!(bench.losses.get(&id), Some(&reason), "{outcome:?}");
+        let mut harness = at_most_once_harness(&endpoints(1));
+        let id = harness.request();
+        harness.advance(ms(30));
+        harness.end_attempt(id, 0, outcome);
+        assert_eq!(
+            harness.failure_reasons.get(&id),
+            Some(&reason),
+            "{outcome:?}"
+        );
     }
 
-    let mut bench = once(&fleet(1));
-    let (slow, quick) = (bench.request(0, 0, ms(1000)), bench.request(0, 0, ms(1000)));
-    bench.run(ms(30));
-    bench.ended(quick, 0, Outcome::Ok);
-    bench.ended(slow, 0, Outcome::TimedOut);
+    let mut harness = at_most_once_harness(&endpoints(1));
+    let (slow, quick) = (harness.request(), harness.request());
+    harness.advance(ms(30));
+    harness.end_attempt(quick, 0, Outcome::Ok);
+    harness.end_attempt(slow, 0, Outcome::TimedOut);
     assert_eq!(
-        bench.losses.get(&slow),
+        harness.failure_reasons.get(&slow),
         Some(&FailureReason::Timeout),
-        "it has answered another meanwhile"
+        "the upstream has responded to another request meanwhile"
     );
-    let many: Vec<RequestId> = (0..40).map(|_| bench.request(0, 0, ms(1000))).collect();
-    let last = many.last().and_then(|id| bench.losses.get(id));
+    let ids: Vec<RequestId> = (0..40).map(|_| harness.request()).collect();
+    let last = ids.last().and_then(|id| harness.failure_reasons.get(id));
     assert!(
         matches!(
             last,
@@ -216,3 +180,34 @@
         "the bucket is empty: {last:?}"
     );
 }
+
+/// Sends requests one after another and ends each of their attempts after `latency_ms`; returns how
+/// many were served.
+fn run_phase(harness: &mut Harness, outcome: Outcome, latency_ms: u64, count: usize) -> usize {
+    let mut served = 0;
+    for _ in 0..count {
+        let id = harness.request();
+        harness.advance(ms(latency_ms));
+        let mut attempt = 0;
+        while harness.upstream_of(id, attempt).is_some() {
+            harness.end_attempt(id, attempt, outcome);
+            attempt += 1;
+        }
+        let response = harness.final_responses.get(&id);
+        served += usize::from(response == Some(&FinalResponse::Served));
+        harness.advance(ms(200));
+    }
+    served
+}
+
+/// After a time in which every attempt timed out nothing is admitted any more: it must not stay so.
+#[test]
+fn admission_recovers_after_all_attempts_timed_out() {
+    let settings = settings_with_quotas(500, &[1000.0]);
+    let mut harness = Harness::new(settings, &endpoints(40));
+    run_phase(&mut harness, Outcome::Ok, 50, 50);
+    run_phase(&mut harness, Outcome::TimedOut, 990, 60);
+    run_phase(&mut harness, Outcome::Ok, 50, 100);
+    let served = run_phase(&mut harness, Outcome::Ok, 50, 50);
+    assert!(served >= 40, "{served} of 50 served long after the outage");
+}
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,166 +1,171 @@
-//! Failures listed or not: what users would want of a balancer alone.
+//! Attempts of a request: hedging, retries, time-outs, and connections closed before use.
 
 mod common;
-use common::*;
-use frostkeel_policy::*;
+
+use common::{FinalResponse, Harness, endpoints, ms, settings_with_quotas, single_class_settings};
+use frostkeel_policy::{Action, AttemptNo, Effect, Outcome, RequestId, UpstreamId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[test]
 fn hedges_when_the_first_attempt_is_overdue() {
-    let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(3));
-    let id = bench.request(0, 0, ms(1000));
-    bench.run(ms(300));
-    let (first, second) = (
-        bench.at(id, 0).unwrap(),
-        bench.at(id, 1).expect("a second copy"),
-    );
-    assert_ne!(first, second);
-    bench.ended(id, 1, Outcome::Ok);
-    assert!(bench.actions.contains(&Action::Cancel {
+    let mut harness = Harness::new(single_class_settings(Effect::Idempotent), &endpoints(3));
+    let id = harness.request();
+    harness.advance(ms(300));
+    let first = harness.upstream_of(id, 0).expect("a first attempt");
+    let hedge = harness.upstream_of(id, 1).expect("a hedge");
+    assert_ne!(first, hedge);
+    harness.end_attempt(id, 1, Outcome::Ok);
+    let cancel = Action::Cancel {
         id,
-        attempt: AttemptNo(0)
-    }));
+        attempt: AttemptNo(0),
+    };
+    assert!(harness.actions.contains(&cancel));
 }
 
 #[test]
 fn does_not_retry_an_at_most_once_request_that_may_have_run() {
-    let mut bench = Bench::new(one_class(Effect::AtMostOnce), &fleet(3));
-    let id = bench.request(0, 0, ms(1000));
-    bench.run(ms(600));
-    assert_eq!(bench.at(id, 1), None, "no second copy");
-    bench.ended(id, 0, Outcome::Reset);
-    assert_eq!(bench.at(id, 1), None);
+    let mut harness = Harness::new(single_class_settings(Effect::AtMostOnce), &endpoints(3));
+    let id = harness.request();
+    harness.advance(ms(600));
+    assert_eq!(harness.upstream_of(id, 1), None, "no hedge");
+    harness.end_attempt(id, 0, Outcome::Reset);
+    assert_eq!(harness.upstream_of(id, 1), None, "no retry");
     assert_eq!(
-        bench.answers.get(&id),
-        Some(&"failed"),
-        "a refusal would promise that it is harmless to retry"
+        harness.final_responses.get(&id),
+        Some(&FinalResponse::Failed),
+        "a rejection would promise that a retry is harmless"
+    );
+    let id = harness.request();
+    harness.end_attempt(id, 0, Outcome::ConnectFailed);
+    assert!(
+        harness.upstream_of(id, 1).is_some(),
+        "a request that never ran may be retried"
     );
-    let id = bench.request(0, 0, ms(1000));
-    bench.ended(id, 0, Outcome::ConnectFailed);
-    assert!(bench.at(id, 1).is_some(), "what never ran may go elsewhere");
 }
 
-/// Failures everywhere must not multiply the load: further attempts stay within the retry budget.
+/// An upstream that has responded to others since is not stuck: the request is a long one, and
+/// would be as long anywhere.
 #[test]
-fn retries_stay_within_the_retry_budget() {
-    let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(20));
-    bench.traffic(500, ms(10), |_| Some(Outcome::Error));
-    let (requests, attempts) = (
-        bench.sent.len(),
-        bench.sent.values().map(Vec::len).sum::<usize>(),
-    );
-    let most = requests + requests / 10 + 11;
+fn no_hedge_while_the_upstream_responds_to_other_requests() {
+    let settings = settings_with_quotas(1, &[1000.0]);
+    let mut harness = Harness::new(settings, &endpoints(3));
+    let ids: Vec<RequestId> = (0..9).map(|_| harness.request()).collect();
+    harness.advance(ms(20));
+    let (long, others) = ids.split_first().expect("nine requests");
+    let upstream = harness.upstream_of(*long, 0);
     assert!(
-        attempts <= most,
-        "{attempts} attempts for {requests} requests"
+        others
+            .iter()
+            .any(|id| harness.upstream_of(*id, 0) == upstream),
+        "others went there too"
     );
+    for id in others {
+        harness.end_attempt(*id, 0, Outcome::Ok);
+    }
+    harness.advance(ms(300));
+    assert_eq!(harness.upstream_of(*long, 1), None, "no hedge");
 }
 
-/// Something drops idle connections unseen: silence meets sends after a pause only. Before the next such send the
-/// connections are closed; sends soon after another need no new one.
+/// Failures everywhere must not multiply the load.
 #[test]
-fn closes_idle_connections_before_use_when_they_go_silent() {
-    let mut bench = Bench::new(one_class(Effect::AtMostOnce), &fleet(2));
-    let mut closed: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
-    let mut used: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
-    let (mut lost, mut late_lost) = (0, 0);
-    for k in 0..300u64 {
-        let id = bench.request(0, 0, ms(600));
-        let Some(upstream) = bench.at(id, 0) else {
-            continue;
-        };
-        if bench
-            .actions
-            .contains(&Action::CloseIdleConnections { upstream })
-        {
-            closed.insert(upstream, bench.now);
-        }
-        let idle = used.get(&upstream).map_or(ms(0), |at| bench.now - *at);
-        let dead = idle > ms(900) && closed.get(&upstream) != Some(&bench.now);
-        bench.run(ms(if dead { 600 } else { 20 }));
-        bench.ended(id, 0, if dead { Outcome::TimedOut } else { Outcome::Ok });
-        used.insert(upstream, bench.now);
-        (lost, late_lost) = (
-            lost + u32::from(dead),
-            late_lost + u32::from(dead && k > 150),
-        );
-        bench.run(ms(if k % 6 == 0 { 2500 } else { 60 }));
-    }
-    assert!(
-        lost > 0 && !closed.is_empty(),
-        "the trouble was met and answered"
-    );
+fn retries_stay_within_the_retry_budget() {
+    let mut harness = Harness::new(single_class_settings(Effect::Idempotent), &endpoints(20));
+    harness.run_traffic(500, ms(10), |_| Some(Outcome::Error));
+    let requests = harness.attempts.len();
+    let attempts: usize = harness.attempts.values().map(Vec::len).sum();
+    let max_attempts = requests + requests / 10 + 11;
     assert!(
-        late_lost <= 12,
-        "{late_lost} of the last 50 after a pause still lost, {lost} in all"
+        attempts <= max_attempts,
+        "{attempts} attempts for {requests} requests"
     );
 }
 
-/// What is worth nothing after its aim is not waited for; what still earns then is.
+/// An attempt that has no weight after its latency objective is not waited for; one that still has
+/// some then is.
 #[test]
 fn attempt_timeout_ends_when_a_late_response_has_no_weight() {
-    for (late_weight_share, ends) in [(0.0, Some(ms(392))), (0.5, None)] {
-        let mut set = one_class(Effect::AtMostOnce);
-        set.classes[0].late_weight_share = late_weight_share;
-        let mut bench = Bench::new(set, &fleet(2));
-        bench.request(0, 0, ms(1000));
-        let Some(Action::Attempt { timeout, .. }) = bench.actions.last() else {
+    for (late_weight_share, expected) in [(0.0, Some(ms(392))), (0.5, None)] {
+        let mut settings = single_class_settings(Effect::AtMostOnce);
+        settings.classes[0].late_weight_share = late_weight_share;
+        let mut harness = Harness::new(settings, &endpoints(2));
+        harness.request();
+        let Some(Action::Attempt { timeout, .. }) = harness.actions.last() else {
             panic!("not sent")
         };
-        assert_eq!(*timeout, ends, "late priority_weight {late_weight_share}");
+        assert_eq!(*timeout, expected, "late weight share {late_weight_share}");
     }
 }
 
-/// Thin traffic meets idle connections only, and one request in ten is long. Two long ones in a row are chance: no
-/// connection is closed for them, as each would cost a new one.
+/// With low traffic every request uses an idle connection, and one in ten takes long. Two long ones
+/// in a row are chance: closing connections for them would cost a new one each.
 #[test]
 fn occasional_long_requests_close_no_idle_connections() {
-    let mut bench = Bench::new(one_class(Effect::AtMostOnce), &fleet(2));
+    let mut harness = Harness::new(single_class_settings(Effect::AtMostOnce), &endpoints(2));
     let mut closed = 0;
     for k in 0..400u64 {
-        let id = bench.request(0, 0, ms(1000));
-        closed += bench
-            .actions
-            .iter()
-            .filter(|a| matches!(a, Action::CloseIdleConnections { .. }))
+        let id = harness.request();
+        let actions = harness.actions.iter();
+        closed += actions
+            .filter(|action| matches!(action, Action::CloseIdleConnections { .. }))
             .count();
-        if bench.at(id, 0).is_none() {
+        if !harness.is_sent(id) {
             continue;
         }
-        let long = k % 20 >= 18;
-        bench.run(ms(if long { 390 } else { 100 }));
-        bench.ended(id, 0, if long { Outcome::TimedOut } else { Outcome::Ok });
-        bench.run(ms(900));
+        let is_long = k % 20 >= 18;
+        harness.advance(ms(if is_long { 390 } else { 100 }));
+        let outcome = if is_long {
+            Outcome::TimedOut
+        } else {
+            Outcome::Ok
+        };
+        harness.end_attempt(id, 0, outcome);
+        harness.advance(ms(900));
     }
-    assert_eq!(closed, 0, "closings of idle connections");
+    assert_eq!(closed, 0, "idle connections closed");
 }
 
-/// Whoever has answered others since is not stuck: the request is a long one, and a copy is as long anywhere.
+/// Something on the network drops idle connections without notice: requests on connections that
+/// were idle for long get no response. The connections are closed before the next such request;
+/// requests soon after another need no new connection.
 #[test]
-fn no_hedge_while_the_upstream_responds_to_other_requests() {
-    let tenants = vec![Tenant {
-        quota_per_s: 1000.0,
-    }];
-    let mut bench = Bench::new(
-        Settings {
-            tenants,
-            ..one_class(Effect::Idempotent)
-        },
-        &fleet(3),
+fn closes_idle_connections_before_use_when_they_go_silent() {
+    const DROPPED_AFTER: Duration = ms(900);
+    let mut harness = Harness::new(single_class_settings(Effect::AtMostOnce), &endpoints(2));
+    let mut closed_at: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
+    let mut last_used_at: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
+    let (mut lost, mut lost_late) = (0, 0);
+    for k in 0..300u64 {
+        let id = harness.request_of(0, 0, ms(600));
+        let Some(upstream) = harness.upstream_of(id, 0) else {
+            continue;
+        };
+        let close = Action::CloseIdleConnections { upstream };
+        if harness.actions.contains(&close) {
+            closed_at.insert(upstream, harness.now);
+        }
+        let last_used = last_used_at.get(&upstream);
+        let idle = last_used.map_or(Duration::ZERO, |time| harness.now - *time);
+        let is_new = closed_at.get(&upstream) == Some(&harness.now);
+        let is_lost = idle > DROPPED_AFTER && !is_new;
+        harness.advance(ms(if is_lost { 600 } else { 20 }));
+        let outcome = if is_lost {
+            Outcome::TimedOut
+        } else {
+            Outcome::Ok
+        };
+        harness.end_attempt(id, 0, outcome);
+        last_used_at.insert(upstream, harness.now);
+        lost += u32::from(is_lost);
+        lost_late += u32::from(is_lost && k > 150);
+        harness.advance(ms(if k % 6 == 0 { 2500 } else { 60 }));
+    }
+    assert!(
+        lost > 0 && !closed_at.is_empty(),
+        "requests were lost and connections closed"
     );
-    let ids: Vec<_> = (0..9).map(|_| bench.request(0, 0, ms(1000))).collect();
-    bench.run(ms(20));
-    let (long, others) = ids.split_first().unwrap();
     assert!(
-        others
-            .iter()
-            .any(|id| bench.at(*id, 0) == bench.at(*long, 0)),
-        "others went there too"
+        lost_late <= 12,
+        "{lost_late} of the last 50 after a pause still lost, {lost} in all"
     );
-    others
-        .iter()
-        .for_each(|id| bench.ended(*id, 0, Outcome::Ok));
-    bench.run(ms(300));
-    assert_eq!(bench.at(*long, 1), None, "a copy of what is only long");
 }
--- a/tests/bounded_state.rs
+++ b/tests/bounded_state.rs
@@ -1,46 +1,46 @@
-//! State stays bounded, and a balancer finds its way back from having admitted nothing.
+//! State stays bounded however long a balancer runs.
 
 mod common;
-use common::*;
-use frostkeel_policy::*;
+
+use common::{Harness, endpoint, endpoints, ms, settings_with_quotas};
+use frostkeel_policy::{Endpoint, Outcome, Settings, UpdateScope};
 
 fn settings() -> Settings {
-    Settings {
-        classes: vec![class(400, 1000, Effect::Idempotent)],
-        tenants: vec![Tenant { quota_per_s: 50.0 }],
-        ..Settings::default()
-    }
+    settings_with_quotas(1, &[50.0])
 }
 
-/// A fleet replaced again and again: those gone leave, and turns keep going to those that are there.
+/// All endpoints are replaced again and again; requests keep going to those that are listed.
 #[test]
 fn releases_state_of_replaced_upstreams() {
-    let mut bench = Bench::new(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
+    let mut harness = Harness::new(settings(), &endpoints(4));
     for round in 1..200u64 {
-        let fleet: Vec<_> = (4 * round..4 * round + 4).map(endpoint).collect();
-        bench.tell(Event::EndpointsUpdated {
-            scope: UpdateScope::Snapshot,
-            endpoints: &fleet,
-        });
-        bench.run(ms(200));
-        let id = bench.request(0, 0, ms(1000));
-        if let Some(upstream) = bench.at(id, 0) {
+        let listed: Vec<Endpoint> = (4 * round..4 * round + 4).map(endpoint).collect();
+        harness.update_endpoints(UpdateScope::Snapshot, &listed);
+        harness.advance(ms(200));
+        let id = harness.request();
+        if let Some(upstream) = harness.upstream_of(id, 0) {
             assert!(
-                fleet.iter().any(|l| l.id == upstream),
-                "{upstream:?} is gone"
+                listed.iter().any(|endpoint| endpoint.id == upstream),
+                "{upstream:?} is removed"
             );
-            bench.ended(id, 0, Outcome::Ok);
+            harness.end_attempt(id, 0, Outcome::Ok);
         }
     }
-    let held = bench.balancer.entries();
-    assert!(held <= 40, "{held} entries after a hundred fleets of four");
+    let entries = harness.balancer.entries();
+    assert!(
+        entries <= 40,
+        "{entries} entries after two hundred lists of four endpoints"
+    );
 }
 
 #[test]
 fn releases_state_of_completed_requests() {
-    let mut bench = Bench::new(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
-    bench.traffic(2000, ms(20), |_| Some(Outcome::Ok));
-    bench.run(ms(2000));
-    let held = bench.balancer.entries();
-    assert!(held <= 20, "{held} entries after two thousand requests");
+    let mut harness = Harness::new(settings(), &endpoints(4));
+    harness.run_traffic(2000, ms(20), |_| Some(Outcome::Ok));
+    harness.advance(ms(2000));
+    let entries = harness.balancer.entries();
+    assert!(
+        entries <= 20,
+        "{entries} entries after two thousand requests"
+    );
 }
--- a/tests/endpoint_polling.rs
+++ b/tests/endpoint_polling.rs
@@ -1,226 +1,227 @@
-//! When the list is asked for, in simulated time: how long a change can stay unknown however calls fail, for fleets of
-//! many sizes, and that calls do not come in step.
+//! When balancers poll for their endpoints, in simulated time: how long a change can stay unknown
+//! however polls fail, for fleets of many sizes, and that polls are spread over time.
 
 mod common;
 
-use common::*;
-use frostkeel_policy::*;
+use common::{Harness, endpoints, ms, single_class_settings};
+use frostkeel_policy::{Effect, Settings, UpdateScope};
 use std::time::Duration;
 
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD_WITHIN: Duration = ms_const(6000);
-/// An answered call takes this from its connection on.
-const CALL_TAKES: Duration = ms_const(1500);
+/// A change counts as notified this long after discovery had it and could be reached.
+const NOTIFIED_WITHIN: Duration = ms(6000);
+/// How long a poll takes that discovery answers.
+const POLL_DURATION: Duration = ms(1500);
+/// When a watch on which nothing arrives counts as broken.
+const SILENCE_TIMEOUT: Duration = ms(3000);
+const STEP: Duration = ms(5);
 
-const fn ms_const(t: u64) -> Duration {
-    Duration::from_millis(t)
+/// One balancer of a fleet.
+#[derive(Clone, Copy, Debug)]
+struct Member {
+    balancers: u32,
+    index: u32,
+    poll_interval: Duration,
 }
 
-fn settings(balancers: u32, index: u32, poll_interval: u64) -> Settings {
-    Settings {
-        polls_endpoints: true,
-        balancers,
-        index,
-        poll_interval: ms(poll_interval),
-        ..one_class(Effect::Idempotent)
+impl Member {
+    fn settings(self) -> Settings {
+        Settings {
+            polls_endpoints: true,
+            balancers: self.balancers,
+            index: self.index,
+            poll_interval: self.poll_interval,
+            ..single_class_settings(Effect::Idempotent)
+        }
     }
-}
 
-fn balancer(balancers: u32, index: u32, poll_interval: u64) -> Bench {
-    let set = settings(balancers, index, poll_interval);
-    let mut bench = Bench::new(set.clone(), &[]);
-    bench.balancer = Balancer::new(set, u64::from(index)).unwrap();
-    bench.timers.clear();
-    bench.list_calls.clear();
-    bench.tell(Event::EndpointsUpdated {
-        scope: UpdateScope::Cached,
-        endpoints: &fleet(4),
-    });
-    bench
+    fn harness(self) -> Harness {
+        Harness::with_seed(self.settings(), u64::from(self.index), &endpoints(4))
+    }
 }
 
-/// Runs until it calls.
-fn next_call(bench: &mut Bench) -> Duration {
-    let calls = bench.list_calls.len();
-    while bench.list_calls.len() == calls {
-        bench.run(ms(5));
+/// Up to four balancers of each of several fleets.
+fn members_of_fleets() -> Vec<Member> {
+    let mut members = Vec::new();
+    for balancers in [2, 5, 20, 30] {
+        for poll_interval in [4_000, 8_000, 20_000, 60_000].map(ms) {
+            members.extend((0..balancers.min(4)).map(|index| Member {
+                balancers,
+                index,
+                poll_interval,
+            }));
+        }
     }
-    *bench.list_calls.last().unwrap()
+    members
 }
 
-fn fail(bench: &mut Bench) {
-    bench.tell(Event::EndpointsUpdated {
-        scope: UpdateScope::Failed,
-        endpoints: &[],
-    });
+/// How long the balancer waits after a failed poll before it polls again.
+fn delay_after_failure(harness: &mut Harness) -> Duration {
+    harness.fail_poll();
+    let failed_at = harness.now;
+    harness.advance_to_next_poll(STEP) - failed_at
 }
 
-/// Guards the bound after failed calls: a change made right after one began, with discovery in reach from then on, is
-/// known within 6 s, whether calls are refused at once or given up, and however many have failed before.
+/// A change is made right after a poll has begun, with discovery in reach from then on: it is known
+/// in time whether the poll is rejected at once or given up, and however many have failed before.
 #[test]
 fn learns_of_a_change_in_time_after_failed_polls() {
-    for balancers in [2, 5, 20, 30] {
-        for poll_interval in [4_000, 8_000, 20_000, 60_000] {
-            for call_lasts in [0, 1000, 3000, 3500] {
-                for index in 0..balancers.min(4) {
-                    let mut bench = balancer(balancers, index, poll_interval);
-                    for failures in 0..12 {
-                        let began = next_call(&mut bench);
-                        bench.run(ms(call_lasts));
-                        fail(&mut bench);
-                        // The next one is answered.
-                        let known = next_call(&mut bench) + CALL_TAKES - began;
-                        assert!(
-                            known <= TOLD_WITHIN,
-                            "{balancers} balancers, asking every {poll_interval} ms, calls of {call_lasts} ms: \
-                             known after {known:?} ({failures} failures before)"
-                        );
-                        bench.run(ms(call_lasts));
-                        fail(&mut bench);
-                    }
-                }
+    for member in members_of_fleets() {
+        for failed_poll_duration in [0, 1000, 3000, 3500].map(ms) {
+            let mut harness = member.harness();
+            for failures in 0..12 {
+                let change_at = harness.advance_to_next_poll(STEP);
+                harness.advance(failed_poll_duration);
+                harness.fail_poll();
+                // The next poll is answered.
+                let known_at = harness.advance_to_next_poll(STEP) + POLL_DURATION;
+                let delay = known_at - change_at;
+                assert!(
+                    delay <= NOTIFIED_WITHIN,
+                    "{member:?}, polls of {failed_poll_duration:?}: known after {delay:?} \
+                     ({failures} failures before)"
+                );
+                harness.advance(failed_poll_duration);
+                harness.fail_poll();
             }
         }
     }
 }
 
-/// Guards the bound after a watch that fell silent: 3 s until that is seen, then the wait, then the call.
+/// The silence has to be noticed first, then the balancer waits, then it polls.
 #[test]
 fn learns_of_a_change_in_time_after_a_silent_watch() {
-    const SILENCE: Duration = ms_const(3000);
-    for balancers in [2, 5, 20, 30] {
-        for poll_interval in [4_000, 8_000, 20_000, 60_000] {
-            for index in 0..balancers.min(4) {
-                let mut bench = balancer(balancers, index, poll_interval);
-                for _ in 0..6 {
-                    next_call(&mut bench);
-                    bench.tell(Event::EndpointsUpdated {
-                        scope: UpdateScope::Snapshot,
-                        endpoints: &fleet(4),
-                    });
-                    bench.run(ms(7000));
-                    fail(&mut bench);
-                    let failed = bench.now;
-                    let known = SILENCE + (next_call(&mut bench) - failed) + CALL_TAKES;
-                    assert!(
-                        known <= TOLD_WITHIN,
-                        "{balancers}, {poll_interval}: known after {known:?}"
-                    );
-                }
-            }
+    for member in members_of_fleets() {
+        let mut harness = member.harness();
+        for _ in 0..6 {
+            harness.advance_to_next_poll(STEP);
+            harness.update_endpoints(UpdateScope::Snapshot, &endpoints(4));
+            harness.advance(ms(7000));
+            let delay = SILENCE_TIMEOUT + delay_after_failure(&mut harness) + POLL_DURATION;
+            assert!(
+                delay <= NOTIFIED_WITHIN,
+                "{member:?}: known after {delay:?}"
+            );
         }
     }
 }
 
-/// Guards the same of the largest fleets, where calls have to be spread as well: the wait alone is bounded there.
+/// In the largest fleets polls have to be spread as well: the delay alone is bounded there.
 #[test]
 fn poll_delay_is_bounded_in_the_largest_fleet() {
     for index in 0..300 {
-        let mut bench = balancer(300, index, 20_000);
+        let member = Member {
+            balancers: 300,
+            index,
+            poll_interval: ms(20_000),
+        };
+        let mut harness = member.harness();
         for _ in 0..5 {
-            next_call(&mut bench);
-            fail(&mut bench);
-            let failed = bench.now;
-            let wait = next_call(&mut bench) - failed;
+            harness.advance_to_next_poll(STEP);
+            let delay = delay_after_failure(&mut harness);
             assert!(
-                wait <= TOLD_WITHIN - CALL_TAKES,
-                "balancer {index} waits {wait:?}"
+                delay <= NOTIFIED_WITHIN - POLL_DURATION,
+                "balancer {index} waits {delay:?}"
             );
-            fail(&mut bench);
+            harness.fail_poll();
         }
     }
 }
 
-/// Guards sites with an agent of their own: it is asked at once, and again soon, as nobody else's call waits there.
+/// A site with local agents: no polls of other balancers wait there.
 #[test]
 fn polls_a_local_agent_at_once() {
-    let set = Settings {
+    let member = Member {
+        balancers: 300,
+        index: 7,
+        poll_interval: ms(20_000),
+    };
+    let settings = Settings {
         has_local_agent: true,
-        ..settings(300, 7, 20_000)
+        ..member.settings()
     };
-    let mut bench = Bench::new(set, &fleet(4));
-    assert!(next_call(&mut bench) <= ms(50));
+    let mut harness = Harness::new(settings, &endpoints(4));
+    assert!(harness.advance_to_next_poll(STEP) <= ms(50));
     for _ in 0..8 {
-        fail(&mut bench);
-        let failed = bench.now;
-        assert!(next_call(&mut bench) - failed <= ms(300));
+        assert!(delay_after_failure(&mut harness) <= ms(300));
     }
 }
 
-/// The list service is down: calls repeat with growing waits, the list held stays in use.
-#[test]
-fn failed_polls_back_off_and_keep_the_endpoint_list() {
-    let settings = Settings {
-        polls_endpoints: true,
-        ..one_class(Effect::Idempotent)
+/// When a balancer polls first, and how long after that poll has failed it polls again.
+struct PollTimes {
+    first: Duration,
+    retry_delay: Duration,
+}
+
+fn poll_times(balancers: u32, index: u32) -> PollTimes {
+    const STEP: Duration = ms(10);
+    let member = Member {
+        balancers,
+        index,
+        poll_interval: Settings::default().poll_interval,
     };
-    let mut bench = Bench::new(settings, &fleet(2));
-    for _ in 0..6000 {
-        let calls = bench.list_calls.len();
-        bench.run(ms(10));
-        if bench.list_calls.len() > calls {
-            bench.tell(Event::EndpointsUpdated {
-                scope: UpdateScope::Failed,
-                endpoints: &[],
-            });
-        }
+    let mut harness = member.harness();
+    if harness.polls.is_empty() {
+        harness.advance_to_next_poll(STEP);
+    }
+    let first = harness.polls[0];
+    // The poll has waited in discovery's queue.
+    harness.advance(ms(3000));
+    harness.fail_poll();
+    let failed_at = harness.now;
+    PollTimes {
+        first,
+        retry_delay: harness.advance_to_next_poll(STEP) - failed_at,
     }
-    let calls = bench.list_calls.len();
-    assert!((5..=30).contains(&calls), "{calls} calls in a minute");
-    let id = bench.request(0, 0, ms(1000));
-    assert!(bench.at(id, 0).is_some());
 }
 
-/// All balancers restart together, and the list service handles their calls one after another: the first calls, and
-/// those made again after a failure, must not come in step. One balancer alone has nobody to wait for.
+/// The most of these times that lie within one second.
+fn max_within_a_second(times: &[Duration]) -> usize {
+    let within = |start: &Duration| {
+        let window = *start..*start + ms(1000);
+        times.iter().filter(|time| window.contains(time)).count()
+    };
+    times.iter().map(within).max().unwrap_or(0)
+}
+
+/// All balancers restart together, and discovery handles their polls one after another: neither the
+/// first polls nor those after a failure may come at once.
 #[test]
 fn polls_of_many_balancers_are_spread() {
-    let calls = |balancers: u32, index: u32| {
-        let set = Settings {
-            polls_endpoints: true,
-            balancers,
-            index,
-            ..one_class(Effect::Idempotent)
-        };
-        let mut bench = Bench::new(set.clone(), &[]);
-        bench.balancer = Balancer::new(set, u64::from(index)).unwrap();
-        bench.timers.clear();
-        bench.tell(Event::EndpointsUpdated {
-            scope: UpdateScope::Cached,
-            endpoints: &fleet(4),
-        });
-        while bench.list_calls.is_empty() {
-            bench.run(ms(10));
-        }
-        // It has waited in turn for three seconds.
-        bench.run(ms(3000));
-        bench.tell(Event::EndpointsUpdated {
-            scope: UpdateScope::Failed,
-            endpoints: &[],
-        });
-        let failed = bench.now;
-        bench.list_calls.truncate(1);
-        while bench.list_calls.len() < 2 {
-            bench.run(ms(10));
-        }
-        (bench.list_calls[0], bench.list_calls[1] - failed)
-    };
-    let (first, again): (Vec<_>, Vec<_>) = (0..100).map(|index| calls(100, index)).unzip();
-    for calls in [first, again] {
-        let most = calls
-            .iter()
-            .map(|at| {
-                calls
-                    .iter()
-                    .filter(|c| **c >= *at && **c < *at + ms(1000))
-                    .count()
-            })
-            .max();
-        assert!(most < Some(45), "{most:?} of 100 calls within a second");
+    let times: Vec<PollTimes> = (0..100).map(|index| poll_times(100, index)).collect();
+    let first: Vec<Duration> = times.iter().map(|times| times.first).collect();
+    let retry_delays: Vec<Duration> = times.iter().map(|times| times.retry_delay).collect();
+    for times in [first, retry_delays] {
+        let max = max_within_a_second(&times);
+        assert!(max < 45, "{max} of 100 polls within a second");
         assert!(
-            calls.iter().all(|at| *at <= ms(5100)),
-            "and none much later than half of the time to ask in"
+            times.iter().all(|time| *time <= ms(5100)),
+            "none much later than half of the poll interval"
         );
     }
-    assert!(calls(1, 0).0 <= ms(200), "one alone asks at once");
+    let single = poll_times(1, 0);
+    assert!(
+        single.first <= ms(200),
+        "a single balancer has nobody to wait for"
+    );
+}
+
+/// Discovery is down: polls are retried with backoff, and the endpoints that are known stay in use.
+#[test]
+fn failed_polls_back_off_and_keep_the_endpoint_list() {
+    let settings = Settings {
+        polls_endpoints: true,
+        ..single_class_settings(Effect::Idempotent)
+    };
+    let mut harness = Harness::new(settings, &endpoints(2));
+    for _ in 0..6000 {
+        let polls = harness.polls.len();
+        harness.advance(ms(10));
+        if harness.polls.len() > polls {
+            harness.fail_poll();
+        }
+    }
+    let polls = harness.polls.len();
+    assert!((5..=30).contains(&polls), "{polls} polls in a minute");
+    let id = harness.request();
+    assert!(harness.is_sent(id));
 }
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -1,134 +1,103 @@
 //! What load reports tell of upstreams: late ones, missing ones and invalid ones.
 
 mod common;
-use common::*;
-use frostkeel_policy::*;
 
-/// A thin balancer hears from each upstream about once a second: what all of them say at last is what it goes by,
-/// not a mean over fifty reports, which is several seconds of its traffic.
+use common::{
+    FinalResponse, Harness, endpoint, endpoints, ms, settings_with_quotas, single_class_settings,
+    with_inline_reports,
+};
+use frostkeel_policy::{Effect, LoadField, Outcome, UpdateScope, UpstreamId};
+
+/// A balancer with little traffic gets a report of each upstream about once a second. It goes by
+/// the latest one of each, not by a mean over fifty reports, which is several seconds of its
+/// traffic.
 #[test]
 fn utilization_follows_the_latest_report_of_each_upstream() {
-    let (reports, report_fields) = (LoadReports::Inline, vec![LoadField::Utilization]);
-    let mut bench = Bench::new(
-        Settings {
-            load_reports: reports,
-            report_fields,
-            ..stated(100, &[1500.0])
-        },
-        &fleet(10),
-    );
-    let mut all_say = |busy: f32| {
+    let settings = settings_with_quotas(100, &[1500.0]);
+    let settings = with_inline_reports(settings, &[LoadField::Utilization]);
+    let mut harness = Harness::new(settings, &endpoints(10));
+    let mut utilization_when_all_report = |reported: f32| {
         for id in 1..=10 {
-            let (upstream, outcome, latency) = (UpstreamId(id), Outcome::Ok, ms(1));
-            bench.tell(Event::HealthCheckEnded {
-                upstream,
-                outcome,
-                latency,
-                report: &[busy],
-            });
-            bench.run(ms(70));
+            harness.report_load(UpstreamId(id), &[reported]);
+            harness.advance(ms(70));
         }
-        bench.balancer.status().utilization
+        harness.balancer.status().utilization
     };
     for _ in 0..10 {
-        all_say(0.3);
+        utilization_when_all_report(0.3);
     }
-    let surged = all_say(0.9);
+    let utilization = utilization_when_all_report(0.9);
     assert!(
-        (surged - 0.9).abs() < 0.01,
-        "believed {surged} where all say 0.9"
+        (utilization - 0.9).abs() < 0.01,
+        "{utilization} where all report 0.9"
     );
 }
 
-/// Reports full of nonsense neither panic nor poison what is known.
+/// Four of five upstreams report the requests that they have in flight; the fifth has not reported
+/// for seconds. If it counted as idle, all balancers would send it their requests.
 #[test]
-fn ignores_invalid_load_reports_and_weights() {
-    let mut s = one_class(Effect::Idempotent);
-    s.load_reports = LoadReports::Inline;
-    s.report_fields = vec![LoadField::Utilization, LoadField::Queue];
-    let mut bench = Bench::new(s, &fleet(2));
-    for bad in [f32::NAN, f32::INFINITY, f32::NEG_INFINITY, -3.0, 1e30] {
-        let (upstream, outcome, latency, report) =
-            (UpstreamId(1), Outcome::Ok, ms(1), &[bad, bad][..]);
-        bench.tell(Event::HealthCheckEnded {
-            upstream,
-            outcome,
-            latency,
-            report,
-        });
+fn upstream_without_recent_reports_does_not_count_as_idle() {
+    const LAST_REPORT_OF_ALL: usize = 100;
+    let settings = settings_with_quotas(100, &[5000.0]);
+    let settings = with_inline_reports(settings, &[LoadField::InFlight]);
+    let mut harness = Harness::new(settings, &endpoints(5));
+    for k in 0..600 {
+        let id = harness.request();
+        harness.advance(ms(20));
+        harness.serve_if_sent(id);
+        let reporting = if k < LAST_REPORT_OF_ALL { 5 } else { 4 };
+        for upstream in (1..=reporting).map(UpstreamId) {
+            harness.report_load(upstream, &[8.0]);
+        }
+        harness.advance(ms(30));
     }
-    let mut odd = [endpoint(1), endpoint(2)];
-    (odd[0].weight, odd[1].weight) = (f64::NAN, f64::INFINITY);
-    bench.tell(Event::EndpointsUpdated {
-        scope: UpdateScope::Snapshot,
-        endpoints: &odd,
-    });
-    bench.run(ms(10_000));
-    bench.traffic(200, ms(30), |_| Some(Outcome::Ok));
-    let served = bench.answers.values().filter(|a| **a == "served").count();
-    assert!(served > 180, "{served} of 200 served");
-    assert!(bench.attempts_at(UpstreamId(1)) > 20 && bench.attempts_at(UpstreamId(2)) > 20);
+    let attempts = harness.attempt_count(UpstreamId(5));
+    assert!(
+        (90..=150).contains(&attempts),
+        "{attempts} of 600 at one of five"
+    );
 }
 
-/// One balancer alone: an old report says nothing of others, as there are none. A stale crowd must not turn it away.
+/// A single balancer knows all requests in flight: an old report says nothing of others.
 #[test]
 fn single_balancer_ignores_stale_load_reports() {
-    let mut set = one_class(Effect::Idempotent);
-    (set.load_reports, set.report_fields) = (LoadReports::Inline, vec![LoadField::InFlight]);
-    set.tenants = vec![Tenant {
-        quota_per_s: 1000.0,
-    }];
-    let mut bench = Bench::new(set, &fleet(3));
+    let settings = settings_with_quotas(1, &[1000.0]);
+    let settings = with_inline_reports(settings, &[LoadField::InFlight]);
+    let mut harness = Harness::new(settings, &endpoints(3));
+    let reporting = UpstreamId(1);
     for k in 0..300 {
-        let id = bench.request(0, 0, ms(1000));
-        assert!(bench.at(id, 0).is_some(), "room for one");
-        bench.run(ms(5));
-        bench.ended(id, 0, Outcome::Ok);
-        let (upstream, outcome, latency) = (UpstreamId(1), Outcome::Ok, ms(1));
-        let report = [if k % 2 == 0 { 9.0 } else { 0.0 }];
-        bench.tell(Event::HealthCheckEnded {
-            upstream,
-            outcome,
-            latency,
-            report: &report,
-        });
+        let id = harness.request();
+        assert!(harness.is_sent(id), "there is spare capacity for one");
+        harness.advance(ms(5));
+        harness.end_attempt(id, 0, Outcome::Ok);
+        let in_flight = if k % 2 == 0 { 9.0 } else { 0.0 };
+        harness.report_load(reporting, &[in_flight]);
     }
-    let got = bench.attempts_at(UpstreamId(1));
+    let attempts = harness.attempt_count(reporting);
     assert!(
-        (85..=115).contains(&got),
-        "{got} of 300 at the one with old reports"
+        (85..=115).contains(&attempts),
+        "{attempts} of 300 at the upstream with old reports"
     );
 }
 
-/// Four tell how much others hold there, the fifth has not been heard of for seconds. It is no emptier for that: all
-/// balancers would send it their turns.
+/// Invalid values neither panic nor spoil what is known.
 #[test]
-fn upstream_without_recent_reports_does_not_count_as_idle() {
-    let mut set = one_class(Effect::Idempotent);
-    (set.load_reports, set.report_fields, set.balancers) =
-        (LoadReports::Inline, vec![LoadField::InFlight], 100);
-    set.tenants = vec![Tenant {
-        quota_per_s: 5000.0,
-    }];
-    let mut bench = Bench::new(set, &fleet(5));
-    for k in 0..600 {
-        let id = bench.request(0, 0, ms(1000));
-        bench.run(ms(20));
-        if bench.at(id, 0).is_some() {
-            bench.ended(id, 0, Outcome::Ok);
-        }
-        let quiet_from = 100;
-        for upstream in (1..=if k < quiet_from { 5 } else { 4 }).map(UpstreamId) {
-            let (outcome, latency, report) = (Outcome::Ok, ms(1), &[8.0][..]);
-            bench.tell(Event::HealthCheckEnded {
-                upstream,
-                outcome,
-                latency,
-                report,
-            });
-        }
-        bench.run(ms(30));
+fn ignores_invalid_load_reports_and_weights() {
+    let settings = single_class_settings(Effect::Idempotent);
+    let settings = with_inline_reports(settings, &[LoadField::Utilization, LoadField::Queue]);
+    let mut harness = Harness::new(settings, &endpoints(2));
+    for value in [f32::NAN, f32::INFINITY, f32::NEG_INFINITY, -3.0, 1e30] {
+        harness.report_load(UpstreamId(1), &[value, value]);
+    }
+    let mut listed = [endpoint(1), endpoint(2)];
+    listed[0].weight = f64::NAN;
+    listed[1].weight = f64::INFINITY;
+    harness.update_endpoints(UpdateScope::Snapshot, &listed);
+    harness.advance(ms(10_000));
+    harness.run_traffic(200, ms(30), |_| Some(Outcome::Ok));
+    let served = harness.final_response_count(FinalResponse::Served);
+    assert!(served > 180, "{served} of 200 served");
+    for upstream in [UpstreamId(1), UpstreamId(2)] {
+        assert!(harness.attempt_count(upstream) > 20, "{upstream:?}");
     }
-    let got = bench.attempts_at(UpstreamId(5));
-    assert!((90..=150).contains(&got), "{got} of 600 at one of five");
 }
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,253 +1,256 @@
-//! Who is left alone and who is not: ejection, doubt and trials.
+//! Which upstreams are ejected, for how long, and which are not.
+#![allow(clippy::expect_used, reason = "a step that fails fails the test")]
 
 mod common;
-use common::*;
-use frostkeel_policy::*;
+
+use common::{FinalResponse, Harness, endpoints, ms, settings_with_quotas, single_class_settings};
+use frostkeel_policy::{Action, DedupGroup, Effect, Outcome, RequestId, Settings, UpstreamId};
+use std::cell::Cell;
 use std::time::Duration;
 
-/// All who send to an upstream try it again, each on its own: where sixteen share it, each leaves it alone for longer,
-/// so that together they are no load to one that needs a rest. One balancer alone is soon back.
-#[test]
-fn ejection_lasts_longer_when_more_balancers_share_an_upstream() {
-    let tries = |balancers: u32| {
-        let mut bench = Bench::new(
-            Settings {
-                balancers,
-                ..one_class(Effect::Idempotent)
-            },
-            &fleet(4),
-        );
-        let bad = UpstreamId(2);
-        bench.traffic(60, ms(10), |u| {
-            Some(if u == bad {
-                Outcome::Error
-            } else {
-                Outcome::Ok
-            })
-        });
-        let before = bench.attempts_at(bad);
-        bench.traffic(300, ms(10), |u| {
-            Some(if u == bad {
-                Outcome::Error
-            } else {
-                Outcome::Ok
-            })
-        });
-        bench.attempts_at(bad) - before
-    };
-    assert!(tries(1) > 0, "one alone tries it within 3 s");
-    assert_eq!(tries(16), 0, "of sixteen, none so soon");
+fn idempotent_harness(endpoint_count: u64) -> Harness {
+    let settings = single_class_settings(Effect::Idempotent);
+    Harness::new(settings, &endpoints(endpoint_count))
 }
 
-/// Answers are spoilt on the way, one in ten from everybody: that must cost no upstream its turns; one that answers
-/// nothing but errors is still found out among them.
-#[test]
-fn ejects_the_upstream_with_only_errors_and_none_for_background_errors() {
-    let fleet: Vec<_> = (1..=8).map(endpoint).collect();
-    let classes = vec![class(400, 1000, Effect::Idempotent)];
-    let mut bench = Bench::new(
-        Settings {
-            classes,
-            ..Settings::default()
-        },
-        &fleet,
+/// All upstreams are in the rotation, none in slow start, none ejected.
+fn assert_all_in_rotation(harness: &Harness, upstreams: usize, context: &str) {
+    let status = harness.balancer.status();
+    assert_eq!(
+        (status.rotation_size, status.warming_up, status.ejected),
+        (upstreams, 0, 0),
+        "in rotation, in slow start, ejected {context}"
     );
-    let (mut chance, mut most_out) = (fastrand::Rng::with_seed(5), 0);
-    let mut play = |bench: &mut Bench, count: usize, bad: Option<u64>| {
-        for _ in 0..count {
-            let id = bench.request(0, 0, ms(1000));
-            let mut attempt = 0;
-            while let Some(upstream) = bench.at(id, attempt) {
-                bench.run(ms(3));
-                let spoilt = chance.f64() < 0.1 || bad == Some(upstream.0);
-                bench.ended(
-                    id,
-                    attempt,
-                    if spoilt { Outcome::Error } else { Outcome::Ok },
-                );
-                attempt += 1;
-            }
-            bench.run(ms(3));
-            most_out = most_out.max(bench.balancer.status().ejected);
-        }
-        std::mem::take(&mut most_out)
+}
+
+/// Attempts in 3 s at an upstream that fails each of them, among four.
+fn attempts_at_failing_upstream(balancers: u32) -> usize {
+    let settings = Settings {
+        balancers,
+        ..single_class_settings(Effect::Idempotent)
     };
+    let mut harness = Harness::new(settings, &endpoints(4));
+    let failing = UpstreamId(2);
+    let outcome_at = |upstream| {
+        Some(if upstream == failing {
+            Outcome::Error
+        } else {
+            Outcome::Ok
+        })
+    };
+    harness.run_traffic(60, ms(10), outcome_at);
+    let before = harness.attempt_count(failing);
+    harness.run_traffic(300, ms(10), outcome_at);
+    harness.attempt_count(failing) - before
+}
+
+/// Every balancer tries an ejected upstream again on its own. Where sixteen share it, each waits
+/// longer, so that together they are no load to an upstream that needs to recover.
+#[test]
+fn ejection_lasts_longer_when_more_balancers_share_an_upstream() {
+    let attempts = attempts_at_failing_upstream(1);
+    assert!(attempts > 0, "a single balancer tries it within 3 s");
     assert_eq!(
-        play(&mut bench, 3000, None),
+        attempts_at_failing_upstream(16),
         0,
-        "ejected at a time, of eight that are all sound"
+        "one of sixteen waits longer"
     );
-    assert!(play(&mut bench, 600, Some(3)) > 0);
-    let before = bench.attempts_at(UpstreamId(3));
-    play(&mut bench, 600, Some(3));
-    let sent = bench.attempts_at(UpstreamId(3)) - before;
+}
+
+/// Sends requests of which one in ten attempts fails anywhere, and every one at `failing`; returns
+/// the most upstreams that were ejected at a time.
+fn run_with_background_errors(
+    harness: &mut Harness,
+    rng: &mut fastrand::Rng,
+    count: usize,
+    failing: Option<UpstreamId>,
+) -> usize {
+    let mut max_ejected = 0;
+    for _ in 0..count {
+        let id = harness.request();
+        let mut attempt = 0;
+        while let Some(upstream) = harness.upstream_of(id, attempt) {
+            harness.advance(ms(3));
+            let fails = rng.f64() < 0.1 || failing == Some(upstream);
+            let outcome = if fails { Outcome::Error } else { Outcome::Ok };
+            harness.end_attempt(id, attempt, outcome);
+            attempt += 1;
+        }
+        harness.advance(ms(3));
+        max_ejected = max_ejected.max(harness.balancer.status().ejected);
+    }
+    max_ejected
+}
+
+/// Responses are lost on the network, one in ten from each upstream: that must eject none of them.
+/// One that gives nothing but errors is still found among them.
+#[test]
+fn ejects_the_upstream_with_only_errors_and_none_for_background_errors() {
+    let mut harness = idempotent_harness(8);
+    let mut rng = fastrand::Rng::with_seed(5);
+    let ejected = run_with_background_errors(&mut harness, &mut rng, 3000, None);
+    assert_eq!(ejected, 0, "ejected at a time, of eight healthy upstreams");
+    let failing = UpstreamId(3);
+    let ejected = run_with_background_errors(&mut harness, &mut rng, 600, Some(failing));
+    assert!(ejected > 0);
+    let before = harness.attempt_count(failing);
+    run_with_background_errors(&mut harness, &mut rng, 600, Some(failing));
+    let attempts = harness.attempt_count(failing) - before;
     assert!(
-        sent < 40,
-        "{sent} of some 700 attempts at the one that has only errors"
+        attempts < 40,
+        "{attempts} of some 700 attempts at the upstream that has only errors"
     );
 }
 
-/// Where no second copies are allowed an attempt is given up when it is overdue, just before the tick that would
-/// have found it so: its silence counts all the same, and one that is silent for good is hardly sent to again.
+/// The time-out of the attempt that the last event has led to.
+fn attempt_timeout(harness: &Harness, request: RequestId) -> Duration {
+    let mut timeouts = harness.actions.iter().filter_map(|action| match action {
+        Action::Attempt { id, timeout, .. } if *id == request => *timeout,
+        _ => None,
+    });
+    timeouts.next_back().expect("an attempt with a time-out")
+}
+
+/// Without hedging an attempt is abandoned when it is overdue, just before the tick that would have
+/// found it so. It counts as unresponsive all the same, and an upstream that never responds gets
+/// hardly any further attempts.
 #[test]
 fn ejects_an_upstream_whose_attempts_are_abandoned_as_overdue() {
     let effect = Effect::Deduplicated {
         group: DedupGroup::All,
         ttl: ms(5000),
     };
-    let mut bench = Bench::new(
-        Settings {
-            hedging: false,
-            ..one_class(effect)
-        },
-        &fleet(4),
-    );
-    let silent = UpstreamId(2);
-    let mut sent_to_silent = Vec::new();
+    let settings = Settings {
+        hedging: false,
+        ..single_class_settings(effect)
+    };
+    let mut harness = Harness::new(settings, &endpoints(4));
+    let unresponsive = UpstreamId(2);
+    let mut sent_at = Vec::new();
     for _ in 0..600 {
-        let id = bench.request(0, 0, ms(1000));
+        let id = harness.request();
         let mut attempt = 0;
-        while let Some(upstream) = bench.at(id, attempt) {
-            if upstream == silent {
-                sent_to_silent.push(bench.now);
-                let (waits, ends) = (timeout_of(&bench, id), bench.now);
-                bench.run(waits);
-                assert!(bench.now > ends, "it is given up after some time");
-                bench.ended(id, attempt, Outcome::TimedOut);
+        while let Some(upstream) = harness.upstream_of(id, attempt) {
+            if upstream == unresponsive {
+                sent_at.push(harness.now);
+                let timeout = attempt_timeout(&harness, id);
+                assert!(timeout > Duration::ZERO, "it is abandoned after some time");
+                harness.advance(timeout);
+                harness.end_attempt(id, attempt, Outcome::TimedOut);
             } else {
-                bench.ended(id, attempt, Outcome::Ok);
+                harness.end_attempt(id, attempt, Outcome::Ok);
             }
             attempt += 1;
         }
-        bench.run(ms(50));
+        harness.advance(ms(50));
     }
-    let early = sent_to_silent.iter().filter(|at| **at < ms(5000)).count();
-    assert!(early <= 4, "{early} attempts in 5 s at one that is silent");
+    let early = sent_at.iter().filter(|time| **time < ms(5000)).count();
     assert!(
-        sent_to_silent.len() <= 6,
-        "{} attempts in 30 s: {sent_to_silent:?}",
-        sent_to_silent.len()
+        early <= 4,
+        "{early} attempts in 5 s at an unresponsive upstream"
+    );
+    assert!(
+        sent_at.len() <= 6,
+        "{} attempts in 30 s: {sent_at:?}",
+        sent_at.len()
     );
 }
 
-/// The time-out of the attempt that the last event has led to.
-fn timeout_of(bench: &Bench, of: RequestId) -> Duration {
-    let mut timeouts = bench.actions.iter().filter_map(|action| match action {
-        Action::Attempt { id, timeout, .. } if *id == of => *timeout,
-        _ => None,
-    });
-    timeouts.next_back().expect("an attempt with a time-out")
-}
-
-/// An upstream that fails at once holds nothing and so looks the least loaded: it must be ejected, for a while.
+/// An upstream that fails at once has nothing in flight and so looks the least loaded: it must be
+/// ejected for a while.
 #[test]
 fn ejects_an_upstream_that_fails_at_once_and_restores_it() {
-    let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(4));
-    let bad = UpstreamId(2);
-    bench.traffic(100, ms(10), |u| {
-        Some(if u == bad {
+    let mut harness = idempotent_harness(4);
+    let failing = UpstreamId(2);
+    harness.run_traffic(100, ms(10), |upstream| {
+        Some(if upstream == failing {
             Outcome::Reset
         } else {
             Outcome::Ok
         })
     });
-    let early = bench.attempts_at(bad);
+    let before = harness.attempt_count(failing);
     assert!(
-        early <= 4,
-        "{early} attempts at one that breaks every connection"
+        before <= 4,
+        "{before} attempts at an upstream that resets every connection"
     );
-    bench.traffic(3000, ms(10), |_| Some(Outcome::Ok));
+    harness.run_traffic(3000, ms(10), |_| Some(Outcome::Ok));
     assert!(
-        bench.attempts_at(bad) > early + 50,
+        harness.attempt_count(failing) > before + 50,
         "it serves again after it has recovered"
     );
 }
 
-/// Connections that break now and then, everywhere, between answers: no process has died, so all stay in turn.
+/// Connections that fail now and then, at any upstream, between responses: no process has died.
 #[test]
 fn isolated_connection_errors_eject_no_upstream() {
     for outcome in [Outcome::Reset, Outcome::ConnectFailed] {
-        let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(4));
+        let mut harness = idempotent_harness(4);
         for round in 0..50 {
-            let count = std::cell::Cell::new(0);
-            let nth = |_| {
-                count.set(count.get() + 1);
-                Some(if count.get() == 1 {
+            let attempts = Cell::new(0);
+            let first_attempt_fails = |_| {
+                attempts.set(attempts.get() + 1);
+                Some(if attempts.get() == 1 {
                     outcome
                 } else {
                     Outcome::Ok
                 })
             };
-            bench.traffic(12, ms(10), nth);
-            let status = bench.balancer.status();
-            assert_eq!(
-                (status.rotation_size, status.warming_up, status.ejected),
-                (4, 0, 0),
-                "in turn, cold, ejected after {round} rounds of {outcome:?}"
-            );
+            harness.run_traffic(12, ms(10), first_attempt_fails);
+            let context = format!("after {round} rounds of {outcome:?}");
+            assert_all_in_rotation(&harness, 4, &context);
         }
-        let refused = bench.answers.values().filter(|a| **a != "served").count();
-        assert_eq!(refused, 0, "of 600 after {outcome:?}");
+        let responses = harness.final_responses.values();
+        let not_served = responses.filter(|response| **response != FinalResponse::Served);
+        assert_eq!(not_served.count(), 0, "of 600 after {outcome:?}");
     }
 }
 
-/// Three in a row by chance, at one that has just answered and goes on answering: its process has not died.
+/// Three resets in a row by chance, at an upstream that has just responded and goes on responding.
 #[test]
 fn consecutive_resets_between_responses_eject_no_upstream() {
-    let tenants = vec![Tenant {
-        quota_per_s: 1000.0,
-    }];
-    let mut bench = Bench::new(
-        Settings {
-            tenants,
-            ..one_class(Effect::Idempotent)
-        },
-        &fleet(2),
+    let settings = settings_with_quotas(1, &[1000.0]);
+    let mut harness = Harness::new(settings, &endpoints(2));
+    harness.run_traffic(20, ms(20), |_| Some(Outcome::Ok));
+    let ids: Vec<RequestId> = (0..12).map(|_| harness.request()).collect();
+    assert!(
+        ids.iter().all(|id| harness.is_sent(*id)),
+        "there is spare capacity for a dozen"
     );
-    bench.traffic(20, ms(20), |_| Some(Outcome::Ok));
-    let mut open: Vec<(RequestId, UpstreamId)> = Vec::new();
-    for _ in 0..12 {
-        let id = bench.request(0, 0, ms(1000));
-        open.push((id, bench.at(id, 0).expect("room for a dozen")));
+    harness.advance(ms(20));
+    let at_first = |id: &RequestId| harness.upstream_of(*id, 0) == Some(UpstreamId(1));
+    let (at_first, at_second): (Vec<RequestId>, Vec<_>) = ids.into_iter().partition(at_first);
+    assert!(at_first.len() > 4);
+    harness.end_attempt(at_first[0], 0, Outcome::Ok);
+    for id in &at_first[1..4] {
+        harness.end_attempt(*id, 0, Outcome::Reset);
     }
-    bench.run(ms(20));
-    let (of_one, others): (Vec<_>, Vec<_>) =
-        open.into_iter().partition(|(_, u)| *u == UpstreamId(1));
-    assert!(of_one.len() > 4);
-    bench.ended(of_one[0].0, 0, Outcome::Ok);
-    of_one[1..4]
-        .iter()
-        .for_each(|(id, _)| bench.ended(*id, 0, Outcome::Reset));
-    bench.run(ms(20));
-    of_one[4..]
-        .iter()
-        .chain(&others)
-        .for_each(|(id, _)| bench.ended(*id, 0, Outcome::Ok));
-    let status = bench.balancer.status();
-    assert_eq!(
-        (status.rotation_size, status.warming_up, status.ejected),
-        (2, 0, 0),
-        "in turn, cold, ejected"
-    );
+    harness.advance(ms(20));
+    for id in at_first[4..].iter().chain(&at_second) {
+        harness.end_attempt(*id, 0, Outcome::Ok);
+    }
+    assert_all_in_rotation(&harness, 2, "after three resets in a row");
 }
 
-/// Takes connections and never answers.
+/// It accepts connections and never responds.
 #[test]
 fn avoids_an_upstream_that_never_responds() {
-    let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(4));
-    let silent = UpstreamId(3);
-    bench.traffic(400, ms(10), |u| (u != silent).then_some(Outcome::Ok));
-    let got = bench.attempts_at(silent);
-    assert!(got * 8 < 400, "{got} of 400 went to it");
+    let mut harness = idempotent_harness(4);
+    let unresponsive = UpstreamId(3);
+    harness.run_traffic(400, ms(10), |upstream| {
+        (upstream != unresponsive).then_some(Outcome::Ok)
+    });
+    let attempts = harness.attempt_count(unresponsive);
+    assert!(attempts * 8 < 400, "{attempts} of 400 went to it");
 }
 
-/// When all seem ill, the fault is not theirs: with nothing better at hand requests still go out.
+/// When all upstreams seem unhealthy the fault is not theirs: requests are sent all the same.
 #[test]
 fn still_sends_requests_when_all_upstreams_are_ejected() {
-    let mut bench = Bench::new(one_class(Effect::Idempotent), &fleet(4));
-    bench.traffic(40, ms(10), |_| Some(Outcome::Reset));
-    bench.run(ms(1500));
-    let before = bench.sent.len();
-    bench.traffic(20, ms(50), |_| Some(Outcome::Ok));
-    assert!(bench.sent.len() > before, "something was tried");
+    let mut harness = idempotent_harness(4);
+    harness.run_traffic(40, ms(10), |_| Some(Outcome::Reset));
+    harness.advance(ms(1500));
+    let before = harness.attempts.len();
+    harness.run_traffic(20, ms(50), |_| Some(Outcome::Ok));
+    assert!(harness.attempts.len() > before, "some are sent");
 }
--- a/tests/outlier_detection_by_class.rs
+++ b/tests/outlier_detection_by_class.rs
@@ -1,171 +1,279 @@
 //! Upstreams that fail for one class of requests, or for all of them.
 
 mod common;
-use common::*;
-use frostkeel_policy::*;
 
-/// Silent for one class, well for the other: the class goes elsewhere, the other stays, and in time it is tried again.
-#[test]
-fn timeouts_of_one_class_move_only_that_class() {
-    let mut set = one_class(Effect::AtMostOnce);
-    set.classes.push(class(400, 1000, Effect::AtMostOnce));
-    let mut bench = Bench::new(set, &fleet(4));
-    let silent = UpstreamId(3);
-    let mut sent = [0; 2];
-    let mut round = |bench: &mut Bench, rounds: u64, ill: bool| {
-        let before = sent;
-        for k in 0..2 * rounds {
-            let class = (k / 3 % 2) as u16;
-            let id = bench.request(class, 0, ms(450));
-            let Some(upstream) = bench.at(id, 0) else {
-                continue;
-            };
-            sent[usize::from(class)] += usize::from(upstream == silent);
-            bench.run(ms(10));
-            if upstream == silent && class == 0 && ill {
-                bench.run(ms(440));
-                bench.ended(id, 0, Outcome::TimedOut);
-            } else {
-                bench.ended(id, 0, Outcome::Ok);
-            }
-            bench.run(ms(40));
-        }
-        [sent[0] - before[0], sent[1] - before[1]]
-    };
-    round(&mut bench, 50, false);
-    let [ill, well] = round(&mut bench, 400, true);
-    assert!(ill <= 20, "{ill} of 400 went where they get no answer");
-    assert!(
-        well >= 100,
-        "{well} of 400 of the class that is served there"
-    );
-    let [back, _] = round(&mut bench, 600, false);
-    assert!(back >= 60, "{back} of 600 after it has recovered");
+use common::{Harness, class, endpoints, ms};
+use frostkeel_policy::{Effect, Outcome, RequestId, Settings, UpstreamId};
+use std::time::Duration;
+
+const FAULTY: UpstreamId = UpstreamId(2);
+const REQUESTS: usize = 600;
+/// The request with which the fault begins.
+const FAULT_BEGINS: usize = 200;
+/// The request from which attempts at the faulty upstream are counted.
+const COUNTED_FROM: usize = 300;
+const SERVICE_TIME: Duration = ms(150);
+const FAULT_TIME: Duration = ms(20);
+/// When the test ends an attempt that gets no response.
+const TIMEOUT: Duration = ms(1170);
+const EFFECTS: [Effect; 4] = [
+    Effect::Idempotent,
+    Effect::Idempotent,
+    Effect::Idempotent,
+    Effect::AtMostOnce,
+];
+
+/// Attempts that were sent to the faulty upstream.
+#[derive(Clone, Copy, Default)]
+struct FaultyAttempts {
+    total: usize,
+    at_most_once: usize,
 }
 
-/// One that turns a class away at once holds nothing and so looks the emptiest: it must not draw the class.
-#[test]
-fn an_upstream_that_rejects_a_class_does_not_attract_it() {
-    let mut set = one_class(Effect::AtMostOnce);
-    set.classes.push(class(400, 1000, Effect::AtMostOnce));
-    let mut bench = Bench::new(set, &fleet(4));
-    let (closed, mut turned, mut served) = (UpstreamId(2), 0, 0);
-    for k in 0..600u64 {
-        let class = (k / 3 % 2) as u16;
-        let id = bench.request(class, 0, ms(900));
-        let mut attempt = 0;
-        while let Some(upstream) = bench.at(id, attempt) {
-            if upstream == closed && class == 0 {
-                turned += 1;
-                bench.ended(id, attempt, Outcome::Rejected);
-            } else {
-                served += usize::from(upstream == closed);
-                bench.run(ms(60));
-                bench.ended(id, attempt, Outcome::Ok);
-            }
-            attempt += 1;
-        }
-        bench.run(ms(10));
-    }
-    assert!(
-        turned <= 12,
-        "turned away {turned} times by one that takes none of the class"
-    );
-    assert!(served >= 60, "{served} of the other class served there");
+#[derive(Clone, Copy)]
+struct OpenAttempt {
+    id: RequestId,
+    attempt: usize,
+    sent_at: Duration,
+    at_most_once: bool,
 }
 
-/// Thin traffic of four classes, one of them unrepeatable: how often `ill` was sent to, and with what of that class,
-/// in the last of 40 s. `answer` is told how many attempts `ill` has had and says how this one ends.
-fn thin_traffic_with_one_ill(answer: impl Fn(usize) -> Option<Outcome>) -> (usize, usize) {
-    let effects = [
-        Effect::Idempotent,
-        Effect::Idempotent,
-        Effect::Idempotent,
-        Effect::AtMostOnce,
-    ];
-    let classes = effects.map(|e| class(1200, 3000, e)).to_vec();
-    let mut bench = Bench::new(
-        Settings {
+/// The outcome at the faulty upstream, given how many attempts it has had; `None` if it never
+/// responds.
+type OutcomeAtFaulty = fn(usize) -> Option<Outcome>;
+
+/// Low traffic of four classes, one of them at-most-once, with one faulty upstream of ten.
+struct LowTraffic {
+    harness: Harness,
+    open: Vec<OpenAttempt>,
+    fault_has_begun: bool,
+    outcome_at_faulty: OutcomeAtFaulty,
+    at_faulty: FaultyAttempts,
+}
+
+impl LowTraffic {
+    /// Runs the traffic; returns the counted attempts at the faulty upstream.
+    fn run(outcome_at_faulty: OutcomeAtFaulty) -> FaultyAttempts {
+        let classes = EFFECTS.map(|effect| class(1200, 3000, effect)).to_vec();
+        let settings = Settings {
             classes,
             ..Settings::default()
-        },
-        &fleet(10),
-    );
-    let (ill, mut out, mut before) = (UpstreamId(2), Vec::new(), (0, 0));
-    let (mut met, mut unsafe_met) = (0, 0);
-    for k in 0..600usize {
-        if k == 300 {
-            before = (met, unsafe_met);
+        };
+        let mut traffic = Self {
+            harness: Harness::new(settings, &endpoints(10)),
+            open: Vec::new(),
+            fault_has_begun: false,
+            outcome_at_faulty,
+            at_faulty: FaultyAttempts::default(),
+        };
+        let mut before = FaultyAttempts::default();
+        for k in 0..REQUESTS {
+            if k == COUNTED_FROM {
+                before = traffic.at_faulty;
+            }
+            traffic.fault_has_begun = k >= FAULT_BEGINS;
+            traffic.send_request(k * 7 / 3 % EFFECTS.len());
         }
-        let id = bench.request((k * 7 / 3 % 4) as u16, 0, ms(2500));
-        out.push((id, 0, bench.now, k * 7 / 3 % 4 == 3));
+        FaultyAttempts {
+            total: traffic.at_faulty.total - before.total,
+            at_most_once: traffic.at_faulty.at_most_once - before.at_most_once,
+        }
+    }
+
+    /// Sends a request and advances to the next one.
+    fn send_request(&mut self, class: usize) {
+        let id = self.harness.request_of(class as u16, 0, ms(2500));
+        self.open.push(OpenAttempt {
+            id,
+            attempt: 0,
+            sent_at: self.harness.now,
+            at_most_once: EFFECTS[class] == Effect::AtMostOnce,
+        });
         for _ in 0..7 {
-            bench.run(ms(10));
-            let mut still = Vec::new();
-            for (id, attempt, since, once) in std::mem::take(&mut out) {
-                // A second copy is looked after as the first is.
-                if attempt == 0 && bench.at(id, 1).is_some() && !bench.answers.contains_key(&id) {
-                    bench.ended(id, 1, Outcome::Ok);
-                    bench.ended(id, 0, Outcome::Cancelled);
-                    continue;
-                }
-                let Some(upstream) = bench.at(id, attempt) else {
-                    continue;
-                };
-                let bad = upstream == ill && k >= 200;
-                let ended = if bad { answer(met) } else { Some(Outcome::Ok) };
-                let due = since + ms(if bad { 20 } else { 150 });
-                match ended {
-                    Some(outcome) if bench.now >= due => {
-                        (met, unsafe_met) = (
-                            met + usize::from(bad),
-                            unsafe_met + usize::from(bad && once),
-                        );
-                        bench.ended(id, attempt, outcome);
-                        if outcome != Outcome::Ok && bench.at(id, attempt + 1).is_some() {
-                            still.push((id, attempt + 1, bench.now, once));
-                        }
-                    }
-                    None if bench.now >= since + ms(1170) => {
-                        (met, unsafe_met) = (met + 1, unsafe_met + usize::from(once));
-                        bench.ended(id, attempt, Outcome::TimedOut);
-                    }
-                    _ => still.push((id, attempt, since, once)),
-                }
-            }
-            out = still;
+            self.harness.advance(ms(10));
+            let open = std::mem::take(&mut self.open);
+            self.open = open
+                .into_iter()
+                .filter_map(|attempt| self.end_if_due(attempt))
+                .collect();
+        }
+    }
+
+    /// Ends the attempt if it is due; returns what of the request is still open.
+    fn end_if_due(&mut self, open: OpenAttempt) -> Option<OpenAttempt> {
+        let OpenAttempt { id, attempt, .. } = open;
+        let harness = &mut self.harness;
+        let is_hedged = attempt == 0 && harness.upstream_of(id, 1).is_some();
+        if is_hedged && !harness.final_responses.contains_key(&id) {
+            harness.end_attempt(id, 1, Outcome::Ok);
+            harness.end_attempt(id, 0, Outcome::Cancelled);
+            return None;
+        }
+        let upstream = harness.upstream_of(id, attempt)?;
+        if upstream == FAULTY && self.fault_has_begun {
+            return self.end_at_faulty_if_due(open);
+        }
+        if harness.now < open.sent_at + SERVICE_TIME {
+            return Some(open);
+        }
+        harness.end_attempt(id, attempt, Outcome::Ok);
+        None
+    }
+
+    fn end_at_faulty_if_due(&mut self, open: OpenAttempt) -> Option<OpenAttempt> {
+        let OpenAttempt { id, attempt, .. } = open;
+        let outcome = (self.outcome_at_faulty)(self.at_faulty.total);
+        let duration = outcome.map_or(TIMEOUT, |_| FAULT_TIME);
+        if self.harness.now < open.sent_at + duration {
+            return Some(open);
         }
+        self.at_faulty.total += 1;
+        self.at_faulty.at_most_once += usize::from(open.at_most_once);
+        let ended_with = outcome.unwrap_or(Outcome::TimedOut);
+        self.harness.end_attempt(id, attempt, ended_with);
+        let has_failed = outcome.is_some_and(|outcome| outcome != Outcome::Ok);
+        let is_retried = has_failed && self.harness.upstream_of(id, attempt + 1).is_some();
+        is_retried.then_some(OpenAttempt {
+            attempt: attempt + 1,
+            sent_at: self.harness.now,
+            ..open
+        })
     }
-    (met - before.0, unsafe_met - before.1)
 }
 
-/// Most of what it is sent fails at once, whatever the class, and some is answered in between: each class alone meets
-/// few faults in a row there, all together enough.
+/// What one class has met at an upstream the others need not meet as well: where each class alone
+/// sees few faults in a row, all of them together see enough.
 #[test]
-fn ejects_for_all_classes_when_most_attempts_of_each_fail() {
-    let (met, of_once) =
-        thin_traffic_with_one_ill(|n| Some([Outcome::Error, Outcome::Ok][usize::from(n % 4 == 3)]));
-    assert!(
-        met <= 15,
-        "{met} of 300 sent to one that fails three in four"
-    );
-    assert!(of_once <= 1, "{of_once} of them can't be repeated");
+fn ejects_for_all_classes_when_an_upstream_fails_for_all() {
+    struct Case {
+        name: &'static str,
+        outcome_at_faulty: OutcomeAtFaulty,
+        max_attempts: usize,
+        max_at_most_once: usize,
+    }
+    let cases = [
+        Case {
+            name: "three of four attempts fail at once",
+            outcome_at_faulty: |count| {
+                Some(if count % 4 == 3 {
+                    Outcome::Ok
+                } else {
+                    Outcome::Error
+                })
+            },
+            max_attempts: 15,
+            max_at_most_once: 1,
+        },
+        Case {
+            name: "no attempt gets a response",
+            outcome_at_faulty: |_| None,
+            max_attempts: 8,
+            max_at_most_once: 0,
+        },
+        Case {
+            name: "every attempt is rejected, as by an upstream that drains without an update",
+            outcome_at_faulty: |_| Some(Outcome::Rejected),
+            max_attempts: 3,
+            max_at_most_once: 3,
+        },
+    ];
+    for case in cases {
+        let FaultyAttempts {
+            total,
+            at_most_once,
+        } = LowTraffic::run(case.outcome_at_faulty);
+        let name = case.name;
+        assert!(total <= case.max_attempts, "{name}: {total} of 300 sent");
+        assert!(
+            at_most_once <= case.max_at_most_once,
+            "{name}: {at_most_once} at-most-once requests sent"
+        );
+    }
 }
 
-/// Silent for all classes: what one of them has met there the others need not meet too.
+fn two_class_harness() -> Harness {
+    let settings = Settings {
+        classes: vec![class(400, 1000, Effect::AtMostOnce); 2],
+        ..Settings::default()
+    };
+    Harness::new(settings, &endpoints(4))
+}
+
+/// Requests of each class that went to one upstream.
+type CountByClass = [usize; 2];
+
+/// Sends requests of both classes in turn; returns how many went to `upstream`, which gives no
+/// response to class 0 if `times_out`.
+fn run_two_classes(
+    harness: &mut Harness,
+    upstream: UpstreamId,
+    requests_per_class: u64,
+    times_out: bool,
+) -> CountByClass {
+    let mut sent = [0; 2];
+    for k in 0..2 * requests_per_class {
+        let class = (k / 3 % 2) as u16;
+        let id = harness.request_of(class, 0, ms(450));
+        let Some(sent_to) = harness.upstream_of(id, 0) else {
+            continue;
+        };
+        sent[usize::from(class)] += usize::from(sent_to == upstream);
+        harness.advance(ms(10));
+        if sent_to == upstream && class == 0 && times_out {
+            harness.advance(ms(440));
+            harness.end_attempt(id, 0, Outcome::TimedOut);
+        } else {
+            harness.end_attempt(id, 0, Outcome::Ok);
+        }
+        harness.advance(ms(40));
+    }
+    sent
+}
+
+/// An upstream gives no response to one class and serves the other: that class goes elsewhere, the
+/// other stays, and in time the upstream is tried again.
 #[test]
-fn ejects_for_all_classes_when_all_attempts_time_out() {
-    let (met, of_once) = thin_traffic_with_one_ill(|_| None);
+fn timeouts_of_one_class_move_only_that_class() {
+    let mut harness = two_class_harness();
+    let upstream = UpstreamId(3);
+    run_two_classes(&mut harness, upstream, 50, false);
+    let [unserved, served] = run_two_classes(&mut harness, upstream, 400, true);
+    assert!(unserved <= 20, "{unserved} of 400 that get no response");
     assert!(
-        met <= 8,
-        "{met} of 300 waited for an answer of one that gives none"
+        served >= 100,
+        "{served} of 400 of the class that is served there"
     );
-    assert_eq!(of_once, 0, "of them can't be repeated");
+    let [restored, _] = run_two_classes(&mut harness, upstream, 600, false);
+    assert!(restored >= 60, "{restored} of 600 after the recovery");
 }
 
-/// One that drains unlisted turns everything away: all classes leave it, not each after its own two tries.
+/// An upstream that rejects a class at once has nothing in flight and so looks the least loaded: it
+/// must not attract the class.
 #[test]
-fn ejects_for_all_classes_when_all_attempts_are_rejected() {
-    let (met, _) = thin_traffic_with_one_ill(|_| Some(Outcome::Rejected));
-    assert!(met <= 3, "{met} of 300 sent to one that turns all away");
+fn an_upstream_that_rejects_a_class_does_not_attract_it() {
+    let mut harness = two_class_harness();
+    let rejecting = UpstreamId(2);
+    let (mut rejected, mut served) = (0, 0);
+    for k in 0..600u64 {
+        let class = (k / 3 % 2) as u16;
+        let id = harness.request_of(class, 0, ms(900));
+        let mut attempt = 0;
+        while let Some(upstream) = harness.upstream_of(id, attempt) {
+            if upstream == rejecting && class == 0 {
+                rejected += 1;
+                harness.end_attempt(id, attempt, Outcome::Rejected);
+            } else {
+                served += usize::from(upstream == rejecting);
+                harness.advance(ms(60));
+                harness.end_attempt(id, attempt, Outcome::Ok);
+            }
+            attempt += 1;
+        }
+        harness.advance(ms(10));
+    }
+    assert!(
+        rejected <= 12,
+        "{rejected} attempts rejected by the upstream that takes none of the class"
+    );
+    assert!(served >= 60, "{served} of the other class served there");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,78 +1,77 @@
 //! Settings that permit no decision.
 
 mod common;
-use common::*;
-use frostkeel_policy::*;
+
+use common::{FinalResponse, Harness, class, endpoints, ms, settings_with_quotas};
+use frostkeel_policy::{Balancer, Effect, Settings, SettingsError};
+
+fn error_of(settings: Settings) -> Option<SettingsError> {
+    Balancer::new(settings, 1).err()
+}
 
 #[test]
 fn settings_error_names_the_invalid_field() {
-    let ok = || stated(1, &[1.0]);
-    let error = |s: Settings| Balancer::new(s, 1).err().map(|e| e.to_string());
-    assert_eq!(error(ok()), None);
+    let valid = || settings_with_quotas(1, &[1.0]);
+    assert_eq!(error_of(valid()), None);
     assert_eq!(
-        Balancer::new(Settings::default(), 1).err(),
+        error_of(Settings::default()),
         Some(SettingsError::NoClasses)
     );
-    assert_eq!(
-        Balancer::new(
-            Settings {
-                balancers: 0,
-                ..ok()
-            },
-            1
-        )
-        .err(),
-        Some(SettingsError::NoBalancers)
-    );
-    for (s, name) in [
+    let no_balancers = Settings {
+        balancers: 0,
+        ..valid()
+    };
+    assert_eq!(error_of(no_balancers), Some(SettingsError::NoBalancers));
+    for (settings, field) in [
         (
             Settings {
                 max_attempts: 0,
-                ..ok()
+                ..valid()
             },
             "max_attempts",
         ),
         (
             Settings {
                 slow_start_initial_share: f64::NAN,
-                ..ok()
+                ..valid()
             },
             "cold_from",
         ),
         (
             Settings {
                 overload_multiple: f64::INFINITY,
-                ..ok()
+                ..valid()
             },
             "fall_multiple",
         ),
         (
             Settings {
                 over_quota_weight_share: -1.0,
-                ..ok()
+                ..valid()
             },
             "over_share_worth",
         ),
-        (stated(1, &[f64::NAN]), "allowance_per_s"),
+        (settings_with_quotas(1, &[f64::NAN]), "allowance_per_s"),
         (
             Settings {
                 classes: vec![class(0, 5, Effect::Idempotent)],
-                ..ok()
+                ..valid()
             },
             "class aim",
         ),
     ] {
-        let text = error(s).expect(name);
-        assert!(text.contains(name), "{text} names {name}");
+        let error = error_of(settings).expect(field).to_string();
+        assert!(error.contains(field), "{error} names {field}");
     }
 }
 
-/// A balancer without settings has nothing to decide by: it fails what it is given and lives.
+/// A balancer without settings has nothing to decide by.
 #[test]
 fn default_balancer_fails_requests_without_panicking() {
-    let mut bench = Bench::new(stated(1, &[20.0]), &fleet(1));
-    bench.balancer = Balancer::default();
-    bench.run(ms(200));
-    let id = bench.request(0, 0, ms(1000));
-    assert_eq!(bench.answers.get(&id), Some(&"failed"));
+    let mut harness = Harness::new(settings_with_quotas(1, &[20.0]), &endpoints(1));
+    harness.balancer = Balancer::default();
+    harness.advance(ms(200));
+    let id = harness.request();
+    let response = harness.final_responses.get(&id);
+    assert_eq!(response, Some(&FinalResponse::Failed));
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,43 +1,49 @@
-//! Cold upstreams under the sum of what all balancers send: a simulated fleet of the real decision module, at several
-//! sizes. Beyond the budget of N requests in the stated window only 2 x root of N + 2 are put down to chance.
+//! Upstreams in slow start under the sum of what all balancers send: a simulated fleet of the real
+//! decision module, at several sizes.
 
 mod common;
 
-use common::*;
-use frostkeel_policy::*;
+use common::{Harness, SiteOptions, class, endpoint, endpoints, ms, settings_with_all_effects};
+use frostkeel_policy::{
+    Effect, Endpoint, Outcome, RequestId, Settings, Tenant, UpdateScope, UpstreamId,
+};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-const WARM: u64 = 10;
+const WARM_UPSTREAMS: u64 = 10;
+/// The load as a share of what the warm upstreams can serve.
 const LOAD: f64 = 0.7;
-/// When two upstreams start, when balancers do, and when the play ends.
-const STARTS: Duration = Duration::from_secs(3);
-const RESTART: Duration = Duration::from_secs(5);
-const ENDS: Duration = Duration::from_secs(14);
-const NEW: [u64; 2] = [98, 99];
+/// When new upstreams start.
+const UPSTREAM_START: Duration = Duration::from_secs(3);
+/// When half of the balancers restart.
+const BALANCER_RESTART: Duration = Duration::from_secs(5);
+const SIMULATION_END: Duration = Duration::from_secs(14);
+const NEW_UPSTREAMS: [u64; 2] = [98, 99];
 
-/// What one play is about.
-struct Play {
+/// A fleet of balancers in which two upstreams start.
+#[derive(Clone, Copy, Debug)]
+struct Scenario {
     balancers: u32,
     seed: u64,
-    /// Requests a second that a warm upstream can do.
-    pace: u64,
-    /// Whether half of the balancers start anew while the upstreams are cold.
-    restarts: bool,
+    /// Requests a second that a warm upstream can serve.
+    service_rate: u64,
+    /// Whether half of the balancers restart while the upstreams are in slow start.
+    balancers_restart: bool,
 }
 
-impl Play {
+impl Scenario {
     fn settings(&self) -> Settings {
-        let latency_objective = 5_000 / self.pace;
+        let latency_objective_ms = 5_000 / self.service_rate;
+        let class = class(
+            latency_objective_ms,
+            4 * latency_objective_ms,
+            Effect::Idempotent,
+        );
         Settings {
             balancers: self.balancers,
-            classes: vec![class(
-                latency_objective,
-                4 * latency_objective,
-                Effect::Idempotent,
-            )],
+            classes: vec![class],
             tenants: vec![Tenant {
-                quota_per_s: LOAD * (WARM * self.pace) as f64,
+                quota_per_s: self.arrival_rate(),
             }],
             slow_start_initial_share: 0.12,
             slow_start_duration: ms(23_000),
@@ -47,226 +53,342 @@
         }
     }
 
-    fn balancer(&self, index: u32, life: u64, list: &[Endpoint], now: Duration) -> Bench {
+    /// Requests a second at all balancers together.
+    fn arrival_rate(&self) -> f64 {
+        LOAD * (WARM_UPSTREAMS * self.service_rate) as f64
+    }
+
+    fn service_time(&self) -> Duration {
+        Duration::from_secs_f64(1.0 / self.service_rate as f64)
+    }
+
+    fn balancer(
+        &self,
+        index: usize,
+        incarnation: u64,
+        endpoints: &[Endpoint],
+        now: Duration,
+    ) -> Harness {
         let settings = Settings {
-            index,
+            index: index as u32,
             ..self.settings()
         };
-        let mut bench = Bench::new(settings.clone(), &[]);
-        bench.balancer =
-            Balancer::new(settings, self.seed << 32 | u64::from(index) << 8 | life).unwrap();
-        bench.timers.clear();
-        bench.now = now;
-        bench.tell(Event::EndpointsUpdated {
-            scope: UpdateScope::Cached,
-            endpoints: list,
-        });
-        bench
+        let seed = self.seed << 32 | (index as u64) << 8 | incarnation;
+        Harness::starting_at(now, settings, seed, endpoints)
     }
 
-    /// The most that a cold upstream got in a window over what the budget and chance allow, in requests.
-    fn excess(&self) -> f64 {
-        let old: Vec<Endpoint> = fleet(WARM);
-        let with_new = || {
-            let started = Some(STARTS);
-            old.iter()
-                .cloned()
-                .chain(NEW.map(|id| Endpoint {
-                    started,
-                    ..endpoint(id)
-                }))
-                .collect::<Vec<_>>()
-        };
-        let mut all: Vec<Bench> = (0..self.balancers)
-            .map(|k| self.balancer(k, 0, &old, Duration::ZERO))
-            .collect();
-        let rate = LOAD * (WARM * self.pace) as f64;
-        let takes = Duration::from_secs_f64(1.0 / self.pace as f64);
-        let (mut told, mut restarted) = (false, !self.restarts);
-        let mut out: BTreeSet<(Duration, usize, RequestId)> = BTreeSet::new();
-        let mut cold: Vec<(u64, Duration)> = Vec::new();
-        let mut chance = fastrand::Rng::with_seed(self.seed);
-        let mut now = Duration::ZERO;
-        while now < ENDS {
-            now += Duration::from_secs_f64(-(1.0 - chance.f64()).ln() / rate);
-            while let Some(&(at, k, id)) = out.first().filter(|(at, ..)| *at <= now) {
-                out.pop_first();
-                let bench = &mut all[k];
-                if bench.sent.contains_key(&id) {
-                    bench.run(at.saturating_sub(bench.now));
-                    bench.ended(id, 0, Outcome::Ok);
-                }
+    /// The requests that an upstream can get in the window after `sent_at` without an overload.
+    fn budget(&self, sent_at: Duration) -> f64 {
+        let settings = self.settings();
+        let age = (sent_at - UPSTREAM_START).as_secs_f64();
+        let progress = (age / settings.slow_start_duration.as_secs_f64()).min(1.0);
+        let initial_share = settings.slow_start_initial_share;
+        let capacity_share = initial_share + (1.0 - initial_share) * progress;
+        settings.overload_multiple
+            * self.service_rate as f64
+            * capacity_share
+            * settings.overload_window.as_secs_f64()
+    }
+}
+
+/// A request in flight at one of the balancers.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct InFlight {
+    due: Duration,
+    balancer: usize,
+    id: RequestId,
+}
+
+/// A request that went to an upstream in slow start.
+struct SentToNew {
+    upstream: u64,
+    sent_at: Duration,
+}
+
+struct Simulation {
+    scenario: Scenario,
+    now: Duration,
+    rng: fastrand::Rng,
+    balancers: Vec<Harness>,
+    in_flight: BTreeSet<InFlight>,
+    sent_to_new: Vec<SentToNew>,
+}
+
+impl Simulation {
+    fn new(scenario: Scenario) -> Self {
+        let listed = endpoints(WARM_UPSTREAMS);
+        let balancer = |index| scenario.balancer(index as usize, 0, &listed, Duration::ZERO);
+        Self {
+            scenario,
+            now: Duration::ZERO,
+            rng: fastrand::Rng::with_seed(scenario.seed),
+            balancers: (0..scenario.balancers).map(balancer).collect(),
+            in_flight: BTreeSet::new(),
+            sent_to_new: Vec::new(),
+        }
+    }
+
+    fn run(mut self) -> Self {
+        let mut upstreams_started = false;
+        let mut balancers_restarted = !self.scenario.balancers_restart;
+        while self.now < SIMULATION_END {
+            self.advance_to_next_arrival();
+            self.complete_due();
+            if !upstreams_started && self.now >= UPSTREAM_START {
+                upstreams_started = true;
+                self.announce_new_upstreams();
             }
-            if !told && now >= STARTS {
-                told = true;
-                for bench in &mut all {
-                    bench.run(now.saturating_sub(bench.now));
-                    bench.tell(Event::EndpointsUpdated {
-                        scope: UpdateScope::Snapshot,
-                        endpoints: &with_new(),
-                    });
-                }
+            if !balancers_restarted && self.now >= BALANCER_RESTART {
+                balancers_restarted = true;
+                self.restart_every_second_balancer();
             }
-            if !restarted && now >= RESTART {
-                restarted = true;
-                for k in (0..self.balancers).step_by(2) {
-                    all[k as usize] = self.balancer(k, 1, &with_new(), now);
-                    out.retain(|(_, of, _)| *of != k as usize);
-                }
+            self.send_request();
+        }
+        self
+    }
+
+    fn advance_to_next_arrival(&mut self) {
+        let gap = -(1.0 - self.rng.f64()).ln() / self.scenario.arrival_rate();
+        self.now += Duration::from_secs_f64(gap);
+    }
+
+    fn complete_due(&mut self) {
+        while let Some(&request) = self.in_flight.first() {
+            if request.due > self.now {
+                break;
             }
-            let k = chance.usize(..all.len());
-            let bench = &mut all[k];
-            bench.run(now.saturating_sub(bench.now));
-            let id = bench.request(0, 0, takes * 20);
-            let Some(upstream) = bench.at(id, 0) else {
-                continue;
-            };
-            if NEW.contains(&upstream.0) {
-                cold.push((upstream.0, now));
+            self.in_flight.pop_first();
+            let balancer = &mut self.balancers[request.balancer];
+            if balancer.attempts.contains_key(&request.id) {
+                balancer.advance_to(request.due);
+                balancer.end_attempt(request.id, 0, Outcome::Ok);
             }
-            out.insert((now + takes, k, id));
         }
-        let settings = self.settings();
-        let window = settings.overload_window;
-        let mut worst = f64::NEG_INFINITY;
-        for new in NEW {
-            let sends: Vec<Duration> = cold
-                .iter()
-                .filter(|(id, _)| *id == new)
-                .map(|(_, at)| *at)
-                .collect();
-            assert!(!sends.is_empty(), "it is warmed up by work");
-            for (k, from) in sends.iter().enumerate() {
-                let count = sends[k..]
-                    .iter()
-                    .take_while(|at| **at < *from + window)
-                    .count() as f64;
-                let age =
-                    (*from - STARTS).as_secs_f64() / settings.slow_start_duration.as_secs_f64();
-                let climb = settings.slow_start_initial_share
-                    + (1.0 - settings.slow_start_initial_share) * age.min(1.0);
-                let budget =
-                    settings.overload_multiple * self.pace as f64 * climb * window.as_secs_f64();
-                worst = worst.max(count - (budget + 2.0 * budget.sqrt() + 2.0));
+    }
+
+    fn endpoints_with_new() -> Vec<Endpoint> {
+        let new = NEW_UPSTREAMS.map(|id| Endpoint {
+            started: Some(UPSTREAM_START),
+            ..endpoint(id)
+        });
+        endpoints(WARM_UPSTREAMS).into_iter().chain(new).collect()
+    }
+
+    fn announce_new_upstreams(&mut self) {
+        let listed = Self::endpoints_with_new();
+        for balancer in &mut self.balancers {
+            balancer.advance_to(self.now);
+            balancer.update_endpoints(UpdateScope::Snapshot, &listed);
+        }
+    }
+
+    fn restart_every_second_balancer(&mut self) {
+        let listed = Self::endpoints_with_new();
+        for index in (0..self.balancers.len()).step_by(2) {
+            self.balancers[index] = self.scenario.balancer(index, 1, &listed, self.now);
+            self.in_flight.retain(|request| request.balancer != index);
+        }
+    }
+
+    fn send_request(&mut self) {
+        let service_time = self.scenario.service_time();
+        let index = self.rng.usize(..self.balancers.len());
+        let balancer = &mut self.balancers[index];
+        balancer.advance_to(self.now);
+        let id = balancer.request_of(0, 0, service_time * 20);
+        let Some(upstream) = balancer.upstream_of(id, 0) else {
+            return;
+        };
+        if NEW_UPSTREAMS.contains(&upstream.0) {
+            self.sent_to_new.push(SentToNew {
+                upstream: upstream.0,
+                sent_at: self.now,
+            });
+        }
+        self.in_flight.insert(InFlight {
+            due: self.now + service_time,
+            balancer: index,
+            id,
+        });
+    }
+
+    /// The most requests that a new upstream got in a window over its budget and the variation that
+    /// is put down to chance, 2 x root of N + 2 for a budget of N.
+    fn max_excess(&self) -> f64 {
+        let window = self.scenario.settings().overload_window;
+        let mut max = f64::NEG_INFINITY;
+        for upstream in NEW_UPSTREAMS {
+            let sent = self.sent_to_new.iter();
+            let sent = sent.filter(|sent| sent.upstream == upstream);
+            let times: Vec<Duration> = sent.map(|sent| sent.sent_at).collect();
+            assert!(!times.is_empty(), "requests warm it up");
+            for (k, sent_at) in times.iter().enumerate() {
+                let count = count_in_window(&times[k..], window);
+                let budget = self.scenario.budget(*sent_at);
+                max = max.max(count - (budget + 2.0 * budget.sqrt() + 2.0));
             }
         }
-        worst
+        max
     }
 }
 
-/// Guards against a cold upstream pushed over by the sum of all, however many they are, also where half of them have
-/// just started themselves.
+/// How many of the ascending times lie in the window that begins with the first one.
+fn count_in_window(times: &[Duration], window: Duration) -> f64 {
+    let in_window = times.iter().take_while(|time| **time < times[0] + window);
+    in_window.count() as f64
+}
+
+/// The sum of what all balancers send must not overload an upstream in slow start, also where half
+/// of them have just restarted themselves.
 #[test]
 fn fleets_of_any_size_stay_within_the_slow_start_budget() {
     for balancers in [2, 5, 20, 30, 300] {
-        for (pace, restarts) in [(100, false), (100, true), (8, false), (8, true)] {
+        for (service_rate, balancers_restart) in [(100, false), (100, true), (8, false), (8, true)]
+        {
             for seed in 1..4 {
-                let excess = Play {
+                let scenario = Scenario {
                     balancers,
                     seed,
-                    pace,
-                    restarts,
-                }
-                .excess();
-                assert!(
-                    excess <= 0.0,
-                    "{balancers} balancers, {pace} a second, restarts {restarts}, seed {seed}: {excess:.1} too many"
-                );
+                    service_rate,
+                    balancers_restart,
+                };
+                let excess = Simulation::new(scenario).run().max_excess();
+                assert!(excess <= 0.0, "{scenario:?}: {excess:.1} too many");
             }
         }
     }
 }
 
-/// Many balancers at once must not send a newcomer more than the stated multiple of what it can do in any window,
-/// though it is empty and the others are not.
-#[test]
-fn all_balancers_together_stay_within_a_new_upstreams_budget() {
-    for (sparse, balancers) in [(false, 20), (true, 400)] {
-        let mut set = varied_settings(true, sparse, true, 4);
-        set.balancers = balancers;
-        set.polls_endpoints = false;
-        (set.slow_start_initial_share, set.slow_start_duration) = (0.1, ms(20_000));
-        (set.overload_multiple, set.overload_window) = (3.0, ms(2000));
-        set.tenants = vec![Tenant { quota_per_s: 700.0 }];
-        let mut all: Vec<_> = (0..balancers)
-            .map(|_| Bench::new(set.clone(), &fleet(WARM)))
-            .collect();
-        for (k, b) in all.iter_mut().enumerate() {
-            let set = Settings {
-                index: k as u32,
-                ..set.clone()
-            };
-            b.balancer = Balancer::new(set, k as u64).unwrap();
-            b.timers.clear();
-            b.tell(Event::EndpointsUpdated {
-                scope: UpdateScope::Cached,
-                endpoints: &fleet(WARM),
-            });
+/// A new upstream among ten warm ones that can each serve a hundred requests a second.
+const NEW_UPSTREAM: UpstreamId = UpstreamId(99);
+const RATE_PER_S: u64 = 700;
+const SERVICE_TIME: Duration = ms(20);
+const OVERLOAD_WINDOW: Duration = ms(2000);
+
+fn all_effects_fleet(balancers: u32, large_fleet: bool) -> Vec<Harness> {
+    let settings = Settings {
+        balancers,
+        polls_endpoints: false,
+        slow_start_initial_share: 0.1,
+        slow_start_duration: ms(20_000),
+        overload_multiple: 3.0,
+        overload_window: OVERLOAD_WINDOW,
+        tenants: vec![Tenant {
+            quota_per_s: RATE_PER_S as f64,
+        }],
+        ..settings_with_all_effects(&SiteOptions {
+            large_fleet,
+            hedging: true,
+            cancellation: true,
+            max_attempts: 4,
+        })
+    };
+    let balancer = |index| {
+        let settings = Settings {
+            index,
+            ..settings.clone()
+        };
+        Harness::with_seed(settings, u64::from(index), &endpoints(WARM_UPSTREAMS))
+    };
+    (0..balancers).map(balancer).collect()
+}
+
+/// Advances all balancers; health checks report no load for the new upstream and some for others.
+fn advance_all(balancers: &mut [Harness], now: Duration) {
+    for balancer in balancers {
+        balancer.advance_to(now);
+        for upstream in std::mem::take(&mut balancer.health_checks) {
+            let in_flight = if upstream == NEW_UPSTREAM { 0.0 } else { 2.0 };
+            balancer.report_load(upstream, &[in_flight]);
         }
-        // Ten warm upstreams that can each do 100 a second, loaded to seven tenths; every answer takes 20 ms.
-        let (rate, new) = (700u64, UpstreamId(99));
-        let mut cold: Vec<Duration> = Vec::new();
-        let mut open: Vec<(usize, RequestId, usize, Duration)> = Vec::new();
-        for step in 0..(12_000 * rate / 1000) {
-            let now = Duration::from_micros(step * 1_000_000 / rate);
-            let k = (step as usize * 7919) % all.len();
-            for b in &mut all {
-                b.run(now.saturating_sub(b.now));
-                if step == 3 * rate {
-                    let mut newcomer = endpoint(99);
-                    newcomer.started = Some(now);
-                    b.tell(Event::EndpointsUpdated {
-                        scope: UpdateScope::Delta,
-                        endpoints: &[newcomer],
-                    });
-                }
-                for upstream in std::mem::take(&mut b.probes) {
-                    let held = if upstream == new { 0.0 } else { 2.0 };
-                    let (outcome, latency, report) = (Outcome::Ok, ms(1), &[held][..]);
-                    b.tell(Event::HealthCheckEnded {
-                        upstream,
-                        outcome,
-                        latency,
-                        report,
-                    });
-                }
+    }
+}
+
+/// A request whose attempts are ended one after another.
+struct OpenRequest {
+    balancer: usize,
+    id: RequestId,
+    ended_attempts: usize,
+    arrived_at: Duration,
+}
+
+impl OpenRequest {
+    /// Ends the attempts that are due and notes those at the new upstream; returns whether the
+    /// request goes on.
+    fn end_due_attempts(
+        &mut self,
+        balancers: &mut [Harness],
+        now: Duration,
+        sent_to_new: &mut Vec<Duration>,
+    ) -> bool {
+        let balancer = &mut balancers[self.balancer];
+        let next_attempt = |balancer: &Harness, attempt: usize| {
+            balancer.attempts.get(&self.id)?.get(attempt).copied()
+        };
+        while let Some(sent) = next_attempt(balancer, self.ended_attempts) {
+            if now < sent.sent_at + SERVICE_TIME {
+                return true;
             }
-            let b = &mut all[k];
-            let id = b.request(0, 0, ms(600));
-            open.push((k, id, 0, now));
-            open.retain_mut(|(k, id, seen, since)| {
-                let b = &mut all[*k];
-                while let Some((at, upstream)) = b.sent.get(id).and_then(|s| s.get(*seen)).copied()
-                {
-                    if now < at + ms(20) {
-                        return true;
-                    }
-                    if upstream == new {
-                        cold.push(at);
-                    }
-                    b.ended(*id, *seen, Outcome::Ok);
-                    *seen += 1;
-                }
-                now < *since + ms(100) && !b.answers.contains_key(id)
-            });
+            if sent.upstream == NEW_UPSTREAM {
+                sent_to_new.push(sent.sent_at);
+            }
+            balancer.end_attempt(self.id, self.ended_attempts, Outcome::Ok);
+            self.ended_attempts += 1;
         }
-        cold.sort();
-        assert!(
-            cold.len() > 10,
-            "the newcomer is warmed up by work: {}",
-            cold.len()
-        );
-        for (k, from) in cold.iter().enumerate() {
-            let window = cold[k..]
-                .iter()
-                .take_while(|at| **at < *from + ms(2000))
-                .count() as f64;
-            let age = from.saturating_sub(Duration::from_secs(3)).as_secs_f64();
-            let can = 100.0 * (0.1 + 0.9 * ((age + 1.0) / 20.0).min(1.0));
-            let budget = 3.0 * can * 2.0;
+        now < self.arrived_at + ms(100) && !balancer.final_responses.contains_key(&self.id)
+    }
+}
+
+/// Twelve seconds in which one upstream starts; returns when it got requests.
+fn run_with_new_upstream(mut balancers: Vec<Harness>) -> Vec<Duration> {
+    let mut sent_to_new: Vec<Duration> = Vec::new();
+    let mut open: Vec<OpenRequest> = Vec::new();
+    for step in 0..12 * RATE_PER_S {
+        let now = Duration::from_micros(step * 1_000_000 / RATE_PER_S);
+        if step == 3 * RATE_PER_S {
+            announce_new_upstream(&mut balancers, now);
+        }
+        advance_all(&mut balancers, now);
+        let balancer = (step as usize * 7919) % balancers.len();
+        open.push(OpenRequest {
+            balancer,
+            id: balancers[balancer].request_of(0, 0, ms(600)),
+            ended_attempts: 0,
+            arrived_at: now,
+        });
+        open.retain_mut(|request| request.end_due_attempts(&mut balancers, now, &mut sent_to_new));
+    }
+    sent_to_new.sort();
+    sent_to_new
+}
+
+fn announce_new_upstream(balancers: &mut [Harness], now: Duration) {
+    let new = Endpoint {
+        started: Some(now),
+        ..endpoint(NEW_UPSTREAM.0)
+    };
+    for balancer in balancers {
+        balancer.advance_to(now);
+        balancer.update_endpoints(UpdateScope::Delta, std::slice::from_ref(&new));
+    }
+}
+
+/// Many balancers together must not send a new upstream more than the stated multiple of what it
+/// can serve in any window, though it is idle and the others are not.
+#[test]
+fn all_balancers_together_stay_within_a_new_upstreams_budget() {
+    for (large_fleet, balancers) in [(false, 20), (true, 400)] {
+        let sent_to_new = run_with_new_upstream(all_effects_fleet(balancers, large_fleet));
+        let total = sent_to_new.len();
+        assert!(total > 10, "requests warm it up: {total}");
+        for (k, sent_at) in sent_to_new.iter().enumerate() {
+            let count = count_in_window(&sent_to_new[k..], OVERLOAD_WINDOW);
+            let age = sent_at.saturating_sub(UPSTREAM_START).as_secs_f64();
+            let capacity = 100.0 * (0.1 + 0.9 * ((age + 1.0) / 20.0).min(1.0));
+            let budget = 3.0 * capacity * 2.0;
             assert!(
-                window <= budget,
-                "{window} in two seconds from {from:?}, {budget} push it over"
+                count <= budget,
+                "{count} in two seconds from {sent_at:?}, more than {budget} overload it"
             );
         }
     }
--- a/tests/spare_capacity.rs
+++ b/tests/spare_capacity.rs
@@ -1,337 +1,349 @@
-//! The room that reports and the clock leave, and who gets it in a shortage.
+//! The service rate C and the spare capacity W, and which requests get it under overload.
 
 mod common;
-use common::*;
-use frostkeel_policy::*;
 
-/// A hundred balancers share ten upstreams, and each gets fifteen requests a second.
-fn shared(tenants: &[f64]) -> Bench {
-    let (reports, report_fields) = (
-        LoadReports::Inline,
-        vec![LoadField::Utilization, LoadField::InFlight],
-    );
-    Bench::new(
-        Settings {
-            load_reports: reports,
-            report_fields,
-            ..stated(100, tenants)
-        },
-        &fleet(10),
-    )
+use common::{
+    CompletionQueue, Harness, class, endpoint_in_state, endpoints, ms, settings_with_quotas,
+    with_inline_reports,
+};
+use frostkeel_policy::{
+    Availability, Class, ClassId, Effect, Endpoint, EndpointWeights, LoadField, Outcome, Settings,
+    TenantId, UpdateScope, UpstreamId,
+};
+use std::time::Duration;
+
+/// The load that an upstream reports.
+#[derive(Clone, Copy)]
+struct Load {
+    utilization: f32,
+    in_flight: f32,
+}
+
+impl Load {
+    const MODERATE: Self = Self::new(0.65, 9.0);
+
+    const fn new(utilization: f32, in_flight: f32) -> Self {
+        Self {
+            utilization,
+            in_flight,
+        }
+    }
+
+    /// The values in the order of the settings' report fields.
+    fn report(self) -> [f32; 2] {
+        [self.utilization, self.in_flight]
+    }
 }
 
-/// Fifteen requests a second, each answered after 100 ms with this load report; returns how many were sent.
-fn play(bench: &mut Bench, count: usize, load: [f32; 2]) -> usize {
-    let (mut open, mut sent) = (Vec::new(), 0);
+/// The settings of one of a hundred balancers that each get fifteen requests a second.
+fn shared_settings() -> Settings {
+    let settings = settings_with_quotas(100, &[1500.0]);
+    with_inline_reports(settings, &[LoadField::Utilization, LoadField::InFlight])
+}
+
+/// One of a hundred balancers that share ten upstreams.
+fn shared_harness() -> Harness {
+    Harness::new(shared_settings(), &endpoints(10))
+}
+
+/// Ends the requests that are due; the upstream of each reports this load.
+fn complete_due(harness: &mut Harness, in_flight: &mut CompletionQueue, load: Load) {
+    while let Some(id) = in_flight.pop_due(harness.now) {
+        let upstream = harness.attempts[&id][0].upstream;
+        harness.end_attempt(id, 0, Outcome::Ok);
+        harness.report_load(upstream, &load.report());
+    }
+}
+
+/// Sends fifteen requests a second, each served after 100 ms with this load report; returns how
+/// many were sent.
+fn run_load(harness: &mut Harness, count: usize, load: Load) -> usize {
+    let mut in_flight = CompletionQueue::default();
+    let mut sent = 0;
     for _ in 0..count {
-        let id = bench.request(0, 0, ms(1000));
-        if let Some(upstream) = bench.at(id, 0) {
+        let id = harness.request();
+        if harness.is_sent(id) {
             sent += 1;
-            open.push((bench.now + ms(100), id, upstream));
-        }
-        bench.run(ms(66));
-        while open.first().is_some_and(|o| bench.now >= o.0) {
-            let (_, id, upstream) = open.remove(0);
-            bench.ended(id, 0, Outcome::Ok);
-            let (outcome, latency) = (Outcome::Ok, ms(1));
-            bench.tell(Event::HealthCheckEnded {
-                upstream,
-                outcome,
-                latency,
-                report: &load,
-            });
+            in_flight.schedule(harness.now + ms(100), id);
         }
+        harness.advance(ms(66));
+        complete_due(harness, &mut in_flight, load);
+    }
+    while let Some(id) = in_flight.pop() {
+        harness.end_attempt(id, 0, Outcome::Ok);
     }
-    open.into_iter()
-        .for_each(|o| bench.ended(o.1, 0, Outcome::Ok));
     sent
 }
 
-/// Part of the fleet is lost. Every balancer moving its load to those left at once is what fells them next.
+/// Most of the upstreams are lost. If every balancer moved its load to the remaining ones at once,
+/// those would fail next.
 #[test]
 fn remaining_upstreams_are_not_overloaded_when_others_are_removed() {
-    let mut bench = shared(&[1500.0]);
+    let mut harness = shared_harness();
+    let sent = run_load(&mut harness, 300, Load::MODERATE);
+    assert!(sent > 280, "{sent} of 300 sent while all are listed");
+    let removed = |id| endpoint_in_state(id, Availability::Removed);
+    let removed: Vec<Endpoint> = (1..=6).map(removed).collect();
+    harness.update_endpoints(UpdateScope::Delta, &removed);
+    let sent = run_load(&mut harness, 45, Load::MODERATE);
     assert!(
-        play(&mut bench, 300, [0.65, 9.0]) > 280,
-        "all are sent while all are there"
-    );
-    let gone: Vec<_> = (1..=6)
-        .map(|id| Endpoint {
-            availability: Availability::Removed,
-            ..endpoint(id)
-        })
-        .collect();
-    bench.tell(Event::EndpointsUpdated {
-        scope: UpdateScope::Delta,
-        endpoints: &gone,
-    });
-    let left = play(&mut bench, 45, [0.65, 9.0]);
-    assert!(
-        (10..=30).contains(&left),
-        "{left} of 45 in 3 s to four of ten upstreams that did 18"
+        (10..=30).contains(&sent),
+        "{sent} of 45 in 3 s to four of ten upstreams that can serve 18"
     );
 }
 
-/// Where little has been let in, C is little: what the upstreams say of idle cores opens W again all the same.
+/// Where little has been admitted, C is low: reports of idle cores must raise W all the same.
 #[test]
 fn reported_idle_cores_raise_spare_capacity_after_low_admission() {
-    let mut bench = shared(&[1500.0]);
-    play(&mut bench, 150, [0.65, 9.0]);
-    bench.run(ms(15_000));
-    let mut all_say = |load: [f32; 2]| {
+    let mut harness = shared_harness();
+    run_load(&mut harness, 150, Load::MODERATE);
+    harness.advance(ms(15_000));
+    let mut spare_capacity_when_all_report = |load: Load| {
         for id in 1..=10 {
-            let (upstream, outcome, latency) = (UpstreamId(id), Outcome::Ok, ms(1));
-            bench.tell(Event::HealthCheckEnded {
-                upstream,
-                outcome,
-                latency,
-                report: &load,
-            });
+            harness.report_load(UpstreamId(id), &load.report());
         }
-        bench.run(ms(50));
-        bench.balancer.status().spare_capacity
+        harness.advance(ms(50));
+        harness.balancer.status().spare_capacity
     };
-    let (full, idle) = (all_say([0.9, 30.0]), all_say([0.1, 1.0]));
+    let when_full = spare_capacity_when_all_report(Load::new(0.9, 30.0));
+    let when_idle = spare_capacity_when_all_report(Load::new(0.1, 1.0));
+    assert!(
+        when_idle > when_full + 0.2,
+        "W is {when_idle} at a utilization of 0.1 and {when_full} at 0.9"
+    );
+}
+
+/// Another balancer is lost: this one gets three times as many requests at once, while the
+/// upstreams report the same utilization. The service rate must keep up with the completions.
+#[test]
+fn service_rate_follows_completions_at_constant_utilization() {
+    let settings = settings_with_quotas(2, &[200.0]);
+    let settings = with_inline_reports(settings, &[LoadField::Utilization]);
+    let mut harness = Harness::new(settings, &endpoints(4));
+    let mut in_flight = CompletionQueue::default();
+    let mut completions_per_s =
+        |harness: &mut Harness, half_seconds: u32, steps_per_request: u32| {
+            let mut completed = 0;
+            for step in 0..half_seconds * 125 {
+                if step % steps_per_request == 0 {
+                    let id = harness.request();
+                    if harness.is_sent(id) {
+                        in_flight.schedule(harness.now + ms(80), id);
+                    }
+                }
+                while let Some(id) = in_flight.pop_due(harness.now) {
+                    harness.end_attempt(id, 0, Outcome::Ok);
+                    completed += 1;
+                    harness.report_load(UpstreamId(1), &[0.65]);
+                }
+                harness.advance(ms(4));
+            }
+            f64::from(completed) / f64::from(half_seconds) * 2.0
+        };
+    let completed = completions_per_s(&mut harness, 16, 6);
+    let service_rate = harness.balancer.status().service_rate;
     assert!(
-        idle > full + 0.2,
-        "W is {idle} at a tenth of the cores in use, {full} with all"
+        (completed - 42.0).abs() < 3.0 && (service_rate - completed).abs() < 8.0,
+        "{completed} completed a second, a service rate of {service_rate}"
+    );
+    let completed = completions_per_s(&mut harness, 3, 2);
+    let service_rate = harness.balancer.status().service_rate;
+    assert!(completed > 100.0, "{completed} completed a second");
+    assert!(
+        service_rate > 0.6 * completed,
+        "a service rate of {service_rate} where {completed} are completed a second"
     );
 }
 
-/// Each of a hundred balancers has saved sends for each upstream: all at once, they would fell what is left of a
-/// fleet in the second that others drop out.
+/// Each of a hundred balancers has saved sends for each upstream. If it spent them at once, they
+/// would overload what is left of a fleet in the second in which the others fail.
 #[test]
 fn saved_send_budget_is_not_spent_at_once() {
-    let mut bench = shared(&[1500.0]);
-    play(&mut bench, 150, [0.65, 9.0]);
-    bench.run(ms(2000));
-    let sent = (0..40).filter(|_| {
-        let id = bench.request(0, 0, ms(1000));
-        bench.at(id, 0).is_some()
-    });
-    let sent = sent.count();
+    let mut harness = shared_harness();
+    run_load(&mut harness, 150, Load::MODERATE);
+    harness.advance(ms(2000));
+    let ids: Vec<_> = (0..40).map(|_| harness.request()).collect();
+    let sent = ids.into_iter().filter(|id| harness.is_sent(*id)).count();
     assert!(
         (2..=6).contains(&sent),
         "{sent} of 40 in an instant, where 15 a second are usual"
     );
 }
 
-/// After a jam little is let in, so little is completed: that must not hold C down while cores are idle.
+/// After an overload little is admitted, so little is completed: that must not keep C low while
+/// cores are idle.
 #[test]
 fn service_rate_grows_with_idle_cores_while_sends_are_paced() {
-    let mut bench = shared(&[1500.0]);
-    play(&mut bench, 150, [0.65, 9.0]);
-    play(&mut bench, 150, [1.0, 40.0]);
-    let jammed = play(&mut bench, 30, [0.35, 4.0]);
-    play(&mut bench, 60, [0.35, 4.0]);
-    let after = play(&mut bench, 30, [0.35, 4.0]);
+    const OVERLOADED: Load = Load::new(1.0, 40.0);
+    const RECOVERED: Load = Load::new(0.35, 4.0);
+    let mut harness = shared_harness();
+    run_load(&mut harness, 150, Load::MODERATE);
+    run_load(&mut harness, 150, OVERLOADED);
+    let at_first = run_load(&mut harness, 30, RECOVERED);
+    run_load(&mut harness, 60, RECOVERED);
+    let six_seconds_later = run_load(&mut harness, 30, RECOVERED);
     assert!(
-        jammed <= 5 && after >= 10,
-        "{jammed} of 30, then {after} of 30 six seconds later"
+        at_first <= 5 && six_seconds_later >= 10,
+        "{at_first} of 30, then {six_seconds_later} of 30 six seconds later"
     );
 }
 
-/// No upstream's size is known yet, and reports come late: what is stated would fill the cores, so that all
-/// balancers together fell the small ones in the seconds before the first of them tells.
+/// No upstream's size is known yet, and reports come late: the stated rate would fill the cores, so
+/// that all balancers together would overload the small ones before the first report of them.
 #[test]
 fn sends_less_than_the_stated_rate_before_the_first_reports() {
-    let (reports, report_fields) = (
-        LoadReports::Inline,
-        vec![LoadField::Utilization, LoadField::InFlight],
-    );
-    let weights = EndpointWeights::Off;
-    let mut bench = Bench::new(
-        Settings {
-            load_reports: reports,
-            report_fields,
-            endpoint_weights: weights,
-            ..stated(100, &[1500.0])
-        },
-        &fleet(10),
-    );
-    let sent = play(&mut bench, 45, [0.65, 9.0]);
+    let settings = Settings {
+        endpoint_weights: EndpointWeights::Off,
+        ..shared_settings()
+    };
+    let mut harness = Harness::new(settings, &endpoints(10));
+    let sent = run_load(&mut harness, 45, Load::MODERATE);
     assert!(
         (25..=34).contains(&sent),
         "{sent} of 45 in 3 s, where 45 are stated"
     );
 }
 
-/// Tries that come again at once make a balancer's subset larger, but not its part of what all of them can do.
+/// Retries at once make a balancer's subset larger, but not its share of what all upstreams can
+/// serve.
 #[test]
 fn larger_subset_does_not_raise_the_service_rate() {
-    let (reports, report_fields) = (
-        LoadReports::Inline,
-        vec![LoadField::Utilization, LoadField::InFlight],
-    );
-    let mut bench = Bench::new(
-        Settings {
-            load_reports: reports,
-            report_fields,
-            ..stated(100, &[1500.0])
-        },
-        &fleet(200),
-    );
-    play(&mut bench, 60, [0.65, 9.0]);
-    let (turns, rate) = (
-        bench.balancer.status().rotation_size,
-        bench.balancer.status().service_rate,
-    );
+    let mut harness = Harness::new(shared_settings(), &endpoints(200));
+    run_load(&mut harness, 60, Load::MODERATE);
+    let before = harness.balancer.status();
     for _ in 0..400 {
-        bench.request(0, 0, ms(1000));
-        bench.run(ms(5));
+        harness.request();
+        harness.advance(ms(5));
     }
-    let after = bench.balancer.status();
+    let after = harness.balancer.status();
     assert!(
-        after.rotation_size > turns,
-        "{} turns after {turns}",
-        after.rotation_size
+        after.rotation_size > before.rotation_size,
+        "{} upstreams after {}",
+        after.rotation_size,
+        before.rotation_size
     );
     assert!(
-        after.service_rate < 1.2 * rate,
-        "C is {} after {rate}",
-        after.service_rate
+        after.service_rate < 1.2 * before.service_rate,
+        "C is {} after {}",
+        after.service_rate,
+        before.service_rate
     );
 }
 
-/// What comes again and again in a shortage: the class, and whether it is a repeat.
-type Round = [(u16, bool); 3];
+/// A class of requests and the time that each of them takes.
+struct ServedClass {
+    class: Class,
+    service_time: Duration,
+}
 
-/// Three tries come for each that can be sent, as in a jam, in a fixed round; an answer takes so long, by class.
-/// Returns how many of each place in the round were sent.
-fn in_a_shortage(classes: &[(Class, u64)], round: Round) -> [usize; 3] {
-    let (reports, report_fields) = (
-        LoadReports::Inline,
-        vec![LoadField::Utilization, LoadField::InFlight],
-    );
-    let takes: Vec<_> = classes.iter().map(|(_, takes)| ms(*takes)).collect();
-    let classes = classes.iter().map(|(class, _)| class.clone()).collect();
+impl ServedClass {
+    fn new(priority_weight: f64, service_time_ms: u64) -> Self {
+        let class = Class {
+            priority_weight,
+            ..class(400, 1000, Effect::Idempotent)
+        };
+        Self {
+            class,
+            service_time: ms(service_time_ms),
+        }
+    }
+}
+
+/// One of the requests that come again and again under overload.
+#[derive(Clone, Copy)]
+struct Arrival {
+    class: u16,
+    is_retry: bool,
+}
+
+impl Arrival {
+    const fn first_attempt(class: u16) -> Self {
+        Self {
+            class,
+            is_retry: false,
+        }
+    }
+
+    const fn retry(class: u16) -> Self {
+        Self {
+            class,
+            is_retry: true,
+        }
+    }
+}
+
+/// One request of the first class for each two of the second.
+const ONE_TO_TWO: [Arrival; 3] = [
+    Arrival::first_attempt(0),
+    Arrival::first_attempt(1),
+    Arrival::first_attempt(1),
+];
+
+/// Three requests arrive for each that can be sent, in a fixed order; returns how many of each
+/// place in that order were sent.
+fn sent_under_overload(classes: &[ServedClass], arrivals: [Arrival; 3]) -> [usize; 3] {
+    const REPORTED: Load = Load::new(0.75, 12.0);
     let settings = Settings {
-        load_reports: reports,
-        report_fields,
-        classes,
-        ..stated(100, &[1500.0])
+        classes: classes.iter().map(|served| served.class.clone()).collect(),
+        ..shared_settings()
     };
-    let mut bench = Bench::new(settings, &fleet(10));
-    play(&mut bench, 150, [0.65, 9.0]);
-    let (mut open, mut sent) = (std::collections::BTreeSet::new(), [0; 3]);
+    let mut harness = Harness::new(settings, &endpoints(10));
+    run_load(&mut harness, 150, Load::MODERATE);
+    let mut in_flight = CompletionQueue::default();
+    let mut sent = [0; 3];
     for step in 0..600 {
-        let (class, is_retry) = round[step % 3];
-        let id = bench.try_of(class, 0, ms(1000), is_retry);
-        if bench.at(id, 0).is_some() {
+        let Arrival { class, is_retry } = arrivals[step % 3];
+        let id = harness.submit(ClassId(class), TenantId(0), ms(1000), is_retry);
+        if harness.is_sent(id) {
             sent[step % 3] += 1;
-            open.insert((bench.now + takes[usize::from(class)], id));
-        }
-        bench.run(ms(22));
-        while open.first().is_some_and(|(due, _)| bench.now >= *due) {
-            let id = open.pop_first().expect("one is due").1;
-            let (upstream, outcome, latency) = (bench.sent[&id][0].1, Outcome::Ok, ms(1));
-            bench.ended(id, 0, Outcome::Ok);
-            bench.tell(Event::HealthCheckEnded {
-                upstream,
-                outcome,
-                latency,
-                report: &[0.75, 12.0],
-            });
+            let service_time = classes[usize::from(class)].service_time;
+            in_flight.schedule(harness.now + service_time, id);
         }
+        harness.advance(ms(22));
+        complete_due(&mut harness, &mut in_flight, REPORTED);
     }
     sent
 }
 
-fn worth(priority_weight: f64, takes: u64) -> (Class, u64) {
-    (
-        Class {
-            priority_weight,
-            ..class(400, 1000, Effect::Idempotent)
-        },
-        takes,
-    )
-}
-
-/// Whoever comes first is not as good as the next: a repeat may be late already, and what it takes makes a repeat
-/// of a first try.
+/// First come, first served is not good enough: a retry may be late already, and spare capacity
+/// that it takes turns a first attempt into a retry.
 #[test]
 fn prefers_first_attempts_over_retries_when_overloaded() {
-    let round = [(0, false), (0, true), (0, true)];
-    let [first, again, twice] = in_a_shortage(&[worth(1.0, 100)], round);
+    let arrivals = [
+        Arrival::first_attempt(0),
+        Arrival::retry(0),
+        Arrival::retry(0),
+    ];
+    let [first, second, third] = sent_under_overload(&[ServedClass::new(1.0, 100)], arrivals);
     assert!(
-        first > 3 * (again + twice),
-        "{first} first tries, {again} and {twice} repeats"
+        first > 3 * (second + third),
+        "{first} first attempts, {second} and {third} retries"
     );
 }
 
-/// What is worth ten times as much goes first, but the rest is not starved.
+/// Requests of ten times the priority weight go first, but the others are not starved.
 #[test]
 fn prefers_the_class_with_higher_priority_weight_when_overloaded() {
-    let round = [(0, false), (1, false), (1, false)];
-    let [dear, cheap, other] = in_a_shortage(&[worth(10.0, 100), worth(1.0, 100)], round);
+    let classes = [ServedClass::new(10.0, 100), ServedClass::new(1.0, 100)];
+    let [high, low, other_low] = sent_under_overload(&classes, ONE_TO_TWO);
     assert!(
-        2 * dear > 3 * cheap.max(other),
-        "{dear} of the dear, {cheap} and {other} of the cheap"
+        2 * high > 3 * low.max(other_low),
+        "{high} of high, {low} and {other_low} of low priority weight"
     );
-    assert!(cheap + other > 20, "{cheap} and {other} of the cheap");
-}
-
-/// What is worth three times as much and takes three times as long is worth no more: others could be served.
-#[test]
-fn weighs_a_class_by_its_service_time_when_overloaded() {
-    let round = [(0, false), (1, false), (1, false)];
-    let [heavy, light, other] = in_a_shortage(&[worth(3.0, 150), worth(1.0, 50)], round);
     assert!(
-        heavy < 2 * (light + other),
-        "{heavy} of the heavy, {light} and {other} of the light"
+        low + other_low > 20,
+        "{low} and {other_low} of low priority weight"
     );
 }
 
-/// Another balancer is lost: this one carries three times as much at once, while the upstreams say that they are
-/// no busier than before. What they are believed to do must keep up with what they are seen to do.
+/// Requests of three times the priority weight that take three times as long have no advantage:
+/// others could be served in that time.
 #[test]
-fn service_rate_follows_completions_at_constant_utilization() {
-    let (reports, report_fields) = (LoadReports::Inline, vec![LoadField::Utilization]);
-    let mut bench = Bench::new(
-        Settings {
-            load_reports: reports,
-            report_fields,
-            ..stated(2, &[200.0])
-        },
-        &fleet(4),
-    );
-    let (mut open, mut done) = (std::collections::VecDeque::new(), 0);
-    let mut play = |bench: &mut Bench, halves: u32, every: u64| {
-        let before = done;
-        for step in 0..halves * 125 {
-            if u64::from(step) % every == 0 {
-                let id = bench.request(0, 0, ms(1000));
-                open.extend(bench.at(id, 0).map(|_| (bench.now, id)));
-            }
-            while open
-                .front()
-                .is_some_and(|(at, _)| bench.now >= *at + ms(80))
-            {
-                bench.ended(open.pop_front().unwrap().1, 0, Outcome::Ok);
-                done += 1;
-                let (upstream, outcome, latency) = (UpstreamId(1), Outcome::Ok, ms(1));
-                bench.tell(Event::HealthCheckEnded {
-                    upstream,
-                    outcome,
-                    latency,
-                    report: &[0.65],
-                });
-            }
-            bench.run(ms(4));
-        }
-        f64::from(done - before) / f64::from(halves) * 2.0
-    };
-    let before = play(&mut bench, 16, 6);
-    let steady = bench.balancer.status().service_rate;
-    assert!(
-        (before - 42.0).abs() < 3.0 && (steady - before).abs() < 8.0,
-        "{before} done, {steady} believed"
-    );
-    let after = play(&mut bench, 3, 2);
-    let followed = bench.balancer.status().service_rate;
-    assert!(after > 100.0, "{after} done a second");
+fn weighs_a_class_by_its_service_time_when_overloaded() {
+    let classes = [ServedClass::new(3.0, 150), ServedClass::new(1.0, 50)];
+    let [heavy, light, other_light] = sent_under_overload(&classes, ONE_TO_TWO);
     assert!(
-        followed > 0.6 * after,
-        "{followed} believed where {after} are done a second"
+        heavy < 2 * (light + other_light),
+        "{heavy} heavy, {light} and {other_light} light requests"
     );
 }
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,174 +1,169 @@
-//! Thin traffic keeps to a subset; together the balancers load every upstream alike.
+//! A balancer with little traffic keeps to a subset of the upstreams; all balancers together load
+//! every upstream alike.
 
 mod common;
-use common::*;
-use frostkeel_policy::*;
+
+use common::{Harness, endpoint, endpoint_in_state, endpoints, ms, settings_with_quotas};
+use frostkeel_policy::{
+    Availability, ClassId, Endpoint, Outcome, Settings, TenantId, UpdateScope, UpstreamId,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 const BALANCERS: u32 = 240;
 
+/// Settings of one balancer that gets two requests a second.
 fn settings(index: u32) -> Settings {
     Settings {
-        balancers: BALANCERS,
         index,
-        classes: vec![class(400, 1000, Effect::Idempotent)],
-        tenants: vec![Tenant { quota_per_s: 480.0 }],
-        ..Settings::default()
+        ..settings_with_quotas(BALANCERS, &[480.0])
     }
 }
 
-fn used(bench: &mut Bench, requests: usize) -> BTreeSet<UpstreamId> {
-    bench.sent.clear();
-    bench.traffic(requests, ms(500), |_| Some(Outcome::Ok));
-    bench.sent.values().flatten().map(|s| s.1).collect()
+/// Forty-eight endpoints whose ids are far apart.
+fn sparse_endpoints() -> Vec<Endpoint> {
+    (1..=48).map(|id| endpoint(id * 7919)).collect()
+}
+
+fn upstreams_used(harness: &Harness) -> BTreeSet<UpstreamId> {
+    let attempts = harness.attempts.values().flatten();
+    attempts.map(|sent| sent.upstream).collect()
+}
+
+/// The upstreams that get requests at two a second.
+fn upstreams_used_by(harness: &mut Harness, requests: usize) -> BTreeSet<UpstreamId> {
+    harness.attempts.clear();
+    harness.run_traffic(requests, ms(500), |_| Some(Outcome::Ok));
+    upstreams_used(harness)
 }
 
-/// Guards against upstreams that run out of connections: 240 balancers, two requests a second each.
+/// Upstreams must not run out of connections.
 #[test]
 fn low_traffic_uses_a_small_subset_and_all_subsets_cover_the_fleet_evenly() {
-    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
+    let listed = sparse_endpoints();
     let mut users: BTreeMap<UpstreamId, usize> = BTreeMap::new();
     for index in 0..BALANCERS {
-        let own = used(&mut Bench::new(settings(index), &fleet), 60);
+        let subset = upstreams_used_by(&mut Harness::new(settings(index), &listed), 60);
+        let size = subset.len();
         assert!(
-            (2..=10).contains(&own.len()),
-            "{} upstreams used by one",
-            own.len()
+            (2..=10).contains(&size),
+            "{size} upstreams used by balancer {index}"
         );
-        own.into_iter()
-            .for_each(|u| *users.entry(u).or_default() += 1);
+        for upstream in subset {
+            *users.entry(upstream).or_default() += 1;
+        }
     }
-    let (least, most) = (users.values().min().unwrap(), users.values().max().unwrap());
-    assert_eq!(users.len(), fleet.len(), "every upstream is used");
-    assert!(
-        *most * 2 <= *least * 3,
-        "used by {least} to {most} balancers"
-    );
+    assert_eq!(users.len(), listed.len(), "every upstream is used");
+    let min = users.values().min().expect("at least one upstream");
+    let max = users.values().max().expect("at least one upstream");
+    assert!(max * 2 <= min * 3, "used by {min} to {max} balancers");
 }
 
 #[test]
 fn uses_all_upstreams_when_the_fleet_is_small_or_the_traffic_is_high() {
-    let mut few = Bench::new(settings(5), &(1..=2).map(endpoint).collect::<Vec<_>>());
-    assert_eq!(used(&mut few, 100).len(), 2);
-    let busy = Settings {
+    let mut small_fleet = Harness::new(settings(5), &endpoints(2));
+    assert_eq!(upstreams_used_by(&mut small_fleet, 100).len(), 2);
+    let high_traffic = Settings {
         balancers: 4,
         ..settings(3)
     };
-    let mut busy = Bench::new(busy, &(1..=60).map(endpoint).collect::<Vec<_>>());
-    assert_eq!(used(&mut busy, 300).len(), 60);
+    let mut high_traffic = Harness::new(high_traffic, &endpoints(60));
+    assert_eq!(upstreams_used_by(&mut high_traffic, 300).len(), 60);
 }
 
-/// The subset outlives changes elsewhere; one lost is replaced, and those that left the list are forgotten.
+/// The subset outlives changes elsewhere; a removed upstream of it is replaced.
 #[test]
 fn subset_is_stable_and_replaces_removed_upstreams() {
-    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
-    let mut bench = Bench::new(settings(17), &fleet);
-    let before = used(&mut bench, 60);
-    let gone = |id: UpstreamId| Endpoint {
-        availability: Availability::Removed,
-        ..endpoint(id.0)
-    };
-    let (own, other): (Vec<_>, Vec<_>) = fleet
-        .iter()
-        .map(|l| l.id)
-        .partition(|id| before.contains(id));
-    for id in other.iter().take(20) {
-        bench.tell(Event::EndpointsUpdated {
-            scope: UpdateScope::Delta,
-            endpoints: &[gone(*id)],
-        });
-        bench.run(ms(50));
+    let listed = sparse_endpoints();
+    let mut harness = Harness::new(settings(17), &listed);
+    let before = upstreams_used_by(&mut harness, 60);
+    let removed = |id: UpstreamId| endpoint_in_state(id.0, Availability::Removed);
+    let ids = listed.iter().map(|endpoint| endpoint.id);
+    let (inside, outside): (Vec<_>, Vec<_>) = ids.partition(|id| before.contains(id));
+    for id in outside.iter().take(20) {
+        harness.update_endpoints(UpdateScope::Delta, &[removed(*id)]);
+        harness.advance(ms(50));
     }
     assert_eq!(
-        used(&mut bench, 60),
+        upstreams_used_by(&mut harness, 60),
         before,
-        "what happens elsewhere moves nothing"
+        "changes outside of the subset change nothing"
     );
-    bench.tell(Event::EndpointsUpdated {
-        scope: UpdateScope::Delta,
-        endpoints: &[gone(own[0]), gone(own[1])],
-    });
-    let after = used(&mut bench, 60);
+    let two_removed = [removed(inside[0]), removed(inside[1])];
+    harness.update_endpoints(UpdateScope::Delta, &two_removed);
+    let after = upstreams_used_by(&mut harness, 60);
     assert_eq!(after.len(), before.len());
     assert_eq!(after.intersection(&before).count(), before.len() - 2);
 }
 
-/// Traffic is uneven: a balancer that gets ten times its equal part would crowd an equal part of the upstreams
-/// while others idle. It takes more of them, keeps those it has, and lets go once the traffic has gone elsewhere.
+/// A balancer that gets ten times its equal share of the traffic would overload an equal share of
+/// the upstreams while others are idle. It uses more of them, keeps those that it has, and releases
+/// them once the traffic has moved on.
 #[test]
 fn subset_size_follows_the_traffic() {
-    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
-    let mut bench = Bench::new(settings(17), &fleet);
-    let thin = used(&mut bench, 60);
-    bench.traffic(200, ms(50), |_| Some(Outcome::Ok));
-    bench.sent.clear();
-    bench.traffic(200, ms(50), |_| Some(Outcome::Ok));
-    let busy: BTreeSet<_> = bench.sent.values().flatten().map(|s| s.1).collect();
+    let mut harness = Harness::new(settings(17), &sparse_endpoints());
+    let low_traffic = upstreams_used_by(&mut harness, 60);
+    harness.run_traffic(200, ms(50), |_| Some(Outcome::Ok));
+    harness.attempts.clear();
+    harness.run_traffic(200, ms(50), |_| Some(Outcome::Ok));
+    let high_traffic = upstreams_used(&harness);
     assert!(
-        (10..=24).contains(&busy.len()),
+        (10..=24).contains(&high_traffic.len()),
         "{} upstreams for 20 requests a second",
-        busy.len()
+        high_traffic.len()
     );
-    assert!(thin.is_subset(&busy), "its connections stay in use");
-    bench.traffic(30, ms(500), |_| Some(Outcome::Ok));
-    let after = used(&mut bench, 60);
     assert!(
-        after.len() <= 2 * thin.len(),
+        low_traffic.is_subset(&high_traffic),
+        "its connections stay in use"
+    );
+    harness.run_traffic(30, ms(500), |_| Some(Outcome::Ok));
+    let after = upstreams_used_by(&mut harness, 60);
+    assert!(
+        after.len() <= 2 * low_traffic.len(),
         "{} upstreams for 2 requests a second",
         after.len()
     );
 }
 
-/// What a heavy balancer is asked for counts, not what it manages to serve on too few; repeats do not: a jam
-/// multiplies them, and would spread itself. Where they are not marked, only what is admitted counts.
+/// The subset after 20 requests a second that never end.
+fn subset_size_under(is_retry: bool, retries_marked: bool) -> usize {
+    let settings = Settings {
+        retries_marked,
+        ..settings(17)
+    };
+    let mut harness = Harness::new(settings, &sparse_endpoints());
+    for _ in 0..160 {
+        harness.submit(ClassId(0), TenantId(0), ms(1000), is_retry);
+        harness.advance(ms(50));
+    }
+    harness.balancer.status().rotation_size
+}
+
+/// The demand at a balancer counts, not what it manages to serve on too few upstreams. Retries do
+/// not count: an overload multiplies them and would spread itself. Where they are not marked, only
+/// what is admitted counts.
 #[test]
 fn subset_size_ignores_retries() {
-    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
-    let sent_to = |is_retry: bool, retries_marked: bool| {
-        let mut bench = Bench::new(
-            Settings {
-                retries_marked,
-                ..settings(17)
-            },
-            &fleet,
-        );
-        for k in 0..160 {
-            let (id, class, tenant) = (RequestId(1000 + k), ClassId(0), TenantId(0));
-            let time_left = ms(1000);
-            bench.tell(Event::Request {
-                id,
-                class,
-                tenant,
-                time_left,
-                work_ms: None,
-                is_retry,
-            });
-            bench.run(ms(50));
-        }
-        bench.balancer.status().rotation_size
-    };
-    let first = sent_to(false, true);
+    let first_attempts = subset_size_under(false, true);
     assert!(
-        (10..=24).contains(&first),
-        "{first} for 20 first tries a second"
+        (10..=24).contains(&first_attempts),
+        "{first_attempts} for 20 first attempts a second"
     );
-    assert_eq!(sent_to(true, true), 2, "for 20 repeats a second");
+    assert_eq!(subset_size_under(true, true), 2, "for 20 retries a second");
     assert_eq!(
-        sent_to(false, false),
+        subset_size_under(false, false),
         2,
-        "for 20 a second that may be repeats, hardly any of them admitted"
+        "for 20 a second that may be retries, hardly any of them admitted"
     );
 }
 
-/// Without stated allowances one balancer alone still takes all, whatever it sees.
+/// Without stated quotas a single balancer uses all upstreams, whatever its traffic.
 #[test]
 fn single_balancer_uses_all_upstreams() {
-    let alone = Settings {
+    let settings = Settings {
         balancers: 1,
-        index: 0,
         tenants: Vec::new(),
         ..settings(0)
     };
-    let mut alone = Bench::new(alone, &(1..=40).map(endpoint).collect::<Vec<_>>());
-    assert_eq!(used(&mut alone, 200).len(), 40);
+    let mut harness = Harness::new(settings, &endpoints(40));
+    assert_eq!(upstreams_used_by(&mut harness, 200).len(), 40);
 }
