--- a/balancer/tests/client_connections.rs
+++ b/balancer/tests/client_connections.rs
@@ -2,69 +2,74 @@
 
 mod common;
 
-use common::*;
+use common::{Client, TestConfig, Upstream, at_most_once_request, idempotent_request};
 
-/// Guards against clients locked out by others that only keep their connections.
+/// A configuration in which few clients can be connected at a time.
+fn small_config(upstream: &Upstream) -> TestConfig {
+    let mut config = TestConfig::with_upstreams(&[upstream.address]);
+    config.max_sockets = 64;
+    config
+}
+
+/// Clients that only keep their connections must not lock out others.
 #[test]
 fn closes_the_longest_idle_client_at_the_connection_limit() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let mut setup = Setup::with(&[upstream.address]);
-    setup.sockets = 64;
-    let mut node = setup.start();
+    let upstream = Upstream::healthy();
+    let mut process = small_config(&upstream).start();
     let mut clients = Vec::new();
     for _ in 0..100 {
-        let mut client = node.connect();
-        assert_eq!(client.exchange(&look(5000)).status(), 200);
+        let mut client = process.connect();
+        assert_eq!(client.exchange(&idempotent_request(5000)).status(), 200);
         clients.push(client);
     }
     assert!(
-        clients[0].ends(),
-        "the longest idle was closed between requests"
+        clients[0].is_closed_without_data(),
+        "the longest idle one was closed between requests"
     );
-    assert!(node.runs());
+    assert!(process.is_running());
 }
 
-/// Guards against places taken by clients that begin a request and never end it.
+/// Clients that begin a request and never complete it must not lock out others.
 #[test]
 fn clients_with_unfinished_heads_do_not_block_others() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let mut setup = Setup::with(&[upstream.address]);
-    setup.sockets = 64;
-    let node = setup.start();
-    let mut slow = Vec::new();
+    let upstream = Upstream::healthy();
+    let process = small_config(&upstream).start();
+    let mut clients = Vec::new();
     for _ in 0..40 {
-        let mut client = node.connect();
+        let mut client = process.connect();
         client.write("POST /book HTTP/1.1\r\nHost: a");
-        slow.push(client);
+        clients.push(client);
     }
-    assert_eq!(node.connect().exchange(&look(8000)).status(), 200);
+    assert_eq!(process.status_of(&idempotent_request(8000)), 200);
 }
 
-/// Guards against peers that connect and send nothing, or stop in the middle: each gets an error or a close soon,
-/// however long it says that it would wait.
+/// A client that sends nothing, or stops within its request, soon gets an error or a close, however
+/// long it states that it would wait.
 #[test]
 fn closes_clients_that_never_complete_a_request() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let node = Setup::with(&[upstream.address]).start();
-    let body = book(60_000, "half").replace("Content-Length: 4", "Content-Length: 9");
-    let mut peers: Vec<Client> = Vec::new();
-    for text in [
+    let upstream = Upstream::healthy();
+    let process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let half_body = at_most_once_request(60_000, "half");
+    let half_body = half_body.replace("Content-Length: 4", "Content-Length: 9");
+    let texts = [
         "",
         "POST /book/day HT",
         "POST /book/day HTTP/1.1\r\nHost: app.svc\r\n",
-        &body,
-    ] {
-        let mut peer = node.connect();
-        peer.write(text);
-        peers.push(peer);
-    }
-    for (k, peer) in peers.iter_mut().enumerate() {
-        // Reading fails after `LONG`, a third of what the last one says that it would wait.
-        let answer = peer.answer();
-        let error = answer
+        &half_body,
+    ];
+    let connect = |text: &str| {
+        let mut client = process.connect();
+        client.write(text);
+        client
+    };
+    let mut clients: Vec<Client> = texts.into_iter().map(connect).collect();
+    for (k, client) in clients.iter_mut().enumerate() {
+        // Reading fails after `TIMEOUT`, a third of what the last client states.
+        let response = client.read_response();
+        let is_error = response
             .as_ref()
-            .is_none_or(|a| (400..500).contains(&a.status()));
-        assert!(error && peer.is_open_no_more(), "peer {k}: {answer:?}");
+            .is_none_or(|response| (400..500).contains(&response.status()));
+        assert!(is_error && client.is_closed(), "client {k}: {response:?}");
     }
-    assert!(upstream.seen().is_empty());
+    assert!(upstream.requests().is_empty());
 }
--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -1,28 +1,32 @@
-//! The configuration file: what it says, and what is wrong with it.
+//! Reading the configuration file, and errors in it.
 
 use frostkeel_balancer::config::{Config, RESERVED_SOCKETS};
 use frostkeel_membership::Place;
 
-const GOOD: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
+/// A valid configuration.
+const VALID: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"rev": 4, "targets": []},
     "settings": {"classes": [{"name": "a", "aim_ms": 200, "effect": "idempotent"}]}}"#;
 
 #[test]
 fn connection_limits_add_up_to_the_descriptor_limit() {
-    let config = Config::parse(GOOD).unwrap();
+    let config = Config::parse(VALID).unwrap();
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
-    let out = config.upstream_connections() + config.client_connections() + RESERVED_SOCKETS;
-    assert_eq!(out, 1024);
+    let total = config.upstream_connections() + config.client_connections() + RESERVED_SOCKETS;
+    assert_eq!(total, 1024);
     assert!(config.known.contains("targets"));
 }
 
 #[test]
 fn membership_is_off_by_default_and_invalid_membership_is_rejected() {
-    assert!(Config::parse(GOOD).unwrap().members.is_none());
-    let told = r#""peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:5", "127.0.0.1:6"],
+    assert!(Config::parse(VALID).unwrap().members.is_none());
+    let membership = r#""peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:5", "127.0.0.1:6"],
         "membership": {"fleet": "f", "page": "127.0.0.1:0"}, "settings": {"me": 1,"#;
-    let told = GOOD.replace(r#""settings": {"#, told);
-    let members = Config::parse(&told).unwrap().members.expect("named");
+    let with_membership = VALID.replace(r#""settings": {"#, membership);
+    let members = Config::parse(&with_membership)
+        .unwrap()
+        .members
+        .expect("membership is on");
     assert_eq!(
         (members.place, members.peers.len(), members.name.as_str()),
         (Place(1), 2, "n0")
@@ -38,7 +42,7 @@
         (r#""name": "n0""#, r#""name": "n 0""#, "no name"),
         (r#""fleet": "f""#, r#""fleets": "f""#, "fleets"),
     ] {
-        let error = Config::parse(&told.replace(from, to))
+        let error = Config::parse(&with_membership.replace(from, to))
             .unwrap_err()
             .to_string();
         assert!(error.contains(named), "{error}");
@@ -53,7 +57,7 @@
         ("1024", "20", "sockets"),
         ("idempotent", "maybe", "maybe"),
     ] {
-        let error = Config::parse(&GOOD.replace(from, to))
+        let error = Config::parse(&VALID.replace(from, to))
             .unwrap_err()
             .to_string();
         assert!(error.contains(named), "{error}");
--- a/balancer/tests/end_to_end.rs
+++ b/balancer/tests/end_to_end.rs
@@ -1,128 +1,157 @@
-//! The balancer as a process between small peers on loopback. Each test says what it guards against.
+//! Requests and responses through the balancer as a process, between small peers on loopback.
 
 mod common;
 
-use common::*;
+use common::{
+    Behavior, ERROR_RESPONSE, OK_RESPONSE, REST_TIME, TestConfig, Upstream, at_most_once_request,
+    unreachable_address, wait_until,
+};
 use std::time::{Duration, Instant};
 
-const TURNED_AWAY: &str = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+const REJECTED_UNPROCESSED: &str =
+    "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 const PLAIN_503: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
-const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
-const CUT_SHORT: &str = "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nhalf";
+const TRUNCATED_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nhalf";
+/// The statuses after which a client may take it that its request has run, or retry it.
+const SUCCESS_OR_RETRYABLE: [u16; 3] = [200, 429, 503];
 
-/// Guards the way through: what must go on unchanged does, and connections are reused on both sides.
 #[test]
 fn forwards_request_and_response_unchanged_and_reuses_connections() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let node = Setup::with(&[upstream.address]).start();
-    let mut client = node.connect();
+    const TIME_LEFT_MS: u64 = 5000;
+    let upstream = Upstream::healthy();
+    let process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let mut client = process.connect();
     for _ in 0..3 {
         // A connection that has just been used is left to rest for 30 ms.
-        std::thread::sleep(Duration::from_millis(40));
-        let answer = client.exchange(&book(5000, "a day"));
-        assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
-        assert_eq!(answer.header("x-own"), Some("kept"));
+        std::thread::sleep(REST_TIME);
+        let response = client.exchange(&at_most_once_request(TIME_LEFT_MS, "a day"));
+        assert_eq!((response.status(), &response.body[..]), (200, &b"done"[..]));
+        assert_eq!(response.header("x-own"), Some("kept"));
     }
-    let seen = upstream.seen();
-    assert_eq!((seen.len(), upstream.connections()), (3, 1));
-    assert_eq!(seen[0].line, "POST /book/day?n=1 HTTP/1.1");
-    assert_eq!(seen[0].header("x-correlation-id"), Some("9b1f03aa"));
-    assert_eq!(seen[0].body, b"a day");
-    let left: u64 = seen[0].header("x-time-left-ms").unwrap().parse().unwrap();
-    assert!(left > 0 && left <= 5000, "{left}");
+    let requests = upstream.requests();
+    assert_eq!((requests.len(), upstream.connection_count()), (3, 1));
+    let request = &requests[0];
+    assert_eq!(request.start_line, "POST /book/day?n=1 HTTP/1.1");
+    assert_eq!(request.header("x-correlation-id"), Some("9b1f03aa"));
+    assert_eq!(request.body, b"a day");
+    let time_left = request.header("x-time-left-ms").unwrap();
+    let time_left_ms: u64 = time_left.parse().unwrap();
+    assert!(
+        time_left_ms > 0 && time_left_ms <= TIME_LEFT_MS,
+        "{time_left_ms}"
+    );
 }
 
-/// Guards against an effect twice: what may have run is not sent again, nor refused as harmless to retry.
+/// A request that may have run is not sent again, nor rejected as if a retry were harmless.
 #[test]
 fn fails_an_at_most_once_request_that_may_have_run() {
-    for then in [
-        Then::Close,
-        Then::Answer(PLAIN_503),
-        Then::Answer(ERROR),
-        Then::AnswerAndClose(CUT_SHORT),
+    for behavior in [
+        Behavior::Close,
+        Behavior::Respond(PLAIN_503),
+        Behavior::Respond(ERROR_RESPONSE),
+        Behavior::RespondAndClose(TRUNCATED_RESPONSE),
     ] {
-        let upstreams = [Upstream::start(then), Upstream::start(then)];
-        let node = Setup::with(&[upstreams[0].address, upstreams[1].address]).start();
-        let answer = node.connect().exchange(&book(5000, "x"));
-        assert!(![200, 429, 503].contains(&answer.status()), "{answer:?}");
-        assert_eq!(upstreams.iter().map(|u| u.seen().len()).sum::<usize>(), 1);
+        let upstreams = [Upstream::start(behavior), Upstream::start(behavior)];
+        let addresses = upstreams.each_ref().map(|upstream| upstream.address);
+        let process = TestConfig::with_upstreams(&addresses).start();
+        let status = process.status_of(&at_most_once_request(5000, "x"));
+        assert!(
+            !SUCCESS_OR_RETRYABLE.contains(&status),
+            "{status} after {behavior:?}"
+        );
+        let attempts: usize = upstreams.iter().map(Upstream::request_count).sum();
+        assert_eq!(attempts, 1, "{behavior:?}");
     }
 }
 
-/// Guards the other side of that: what is proved not to have run goes to another upstream.
+/// The other side of that: a request that was proved not to have run goes to another upstream.
 #[test]
 fn retries_an_at_most_once_request_that_never_ran() {
-    let away = Upstream::start(Then::Answer(TURNED_AWAY));
-    let good = Upstream::start(Then::Answer(OK));
-    let node = Setup::with(&[away.address, nobody(), good.address]).start();
-    let mut client = node.connect();
+    let rejecting = Upstream::start(Behavior::Respond(REJECTED_UNPROCESSED));
+    let healthy = Upstream::healthy();
+    let addresses = [rejecting.address, unreachable_address(), healthy.address];
+    let process = TestConfig::with_upstreams(&addresses).start();
+    let mut client = process.connect();
     for _ in 0..6 {
-        assert_eq!(client.exchange(&book(5000, "x")).status(), 200);
+        let response = client.exchange(&at_most_once_request(5000, "x"));
+        assert_eq!(response.status(), 200);
     }
-    assert_eq!(good.seen().len(), 6);
+    assert_eq!(healthy.request_count(), 6);
 }
 
-/// Guards against a refusal held back or without a time: nobody can serve, so the client is told at once.
 #[test]
 fn rejects_with_retry_after_when_no_upstream_is_reachable() {
-    let node = Setup::with(&[nobody()]).start();
-    let answer = node.connect().exchange(&book(5000, "x"));
-    assert_eq!(answer.status(), 503);
-    let seconds: f64 = answer
-        .header("retry-after")
-        .expect("a time")
-        .parse()
-        .unwrap();
+    let process = TestConfig::with_upstreams(&[unreachable_address()]).start();
+    let response = process.connect().exchange(&at_most_once_request(5000, "x"));
+    assert_eq!(response.status(), 503);
+    let retry_after = response.header("retry-after").expect("a time");
+    let seconds: f64 = retry_after.parse().unwrap();
     assert!(seconds > 0.0 && seconds <= 1.0, "{seconds}");
 }
 
-/// Guards against stale connections: one that the upstream has closed while idle is not used for a request
-/// that could then not be told from one that ran.
+/// A connection that the upstream has closed while it was idle is not used: the request could then
+/// not be told from one that ran.
 #[test]
 fn connection_closed_while_idle_costs_no_request() {
-    let upstream = Upstream::start(Then::AnswerAndClose(OK));
-    let node = Setup::with(&[upstream.address]).start();
-    let mut client = node.connect();
+    let upstream = Upstream::start(Behavior::RespondAndClose(OK_RESPONSE));
+    let process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let mut client = process.connect();
     for n in 1..=4 {
-        assert_eq!(client.exchange(&book(5000, "x")).status(), 200);
-        until("the upstream has closed", || upstream.ended() == n);
+        let response = client.exchange(&at_most_once_request(5000, "x"));
+        assert_eq!(response.status(), 200);
+        wait_until("the upstream has closed its connection", || {
+            upstream.closed_connection_count() == n
+        });
         // Only a connection that has rested would be used again.
-        std::thread::sleep(Duration::from_millis(40));
+        std::thread::sleep(REST_TIME);
     }
-    assert_eq!((upstream.seen().len(), upstream.connections()), (4, 4));
+    assert_eq!(
+        (upstream.request_count(), upstream.connection_count()),
+        (4, 4)
+    );
 }
 
-/// Guards against work for nobody: a client that leaves takes its attempt along, connection and all.
 #[test]
 fn client_disconnect_closes_the_upstream_connection() {
-    let upstream = Upstream::start(Then::Mute);
-    let node = Setup::with(&[upstream.address]).start();
-    let mut client = node.connect();
-    client.write(&book(8000, "x"));
-    until("the upstream has it", || upstream.seen().len() == 1);
-    assert_eq!(upstream.ended(), 0);
-    let left = Instant::now();
+    let upstream = Upstream::start(Behavior::NeverRespond);
+    let process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let mut client = process.connect();
+    client.write(&at_most_once_request(8000, "x"));
+    wait_until("the upstream has the request", || {
+        upstream.request_count() == 1
+    });
+    assert_eq!(upstream.closed_connection_count(), 0);
+    let disconnected_at = Instant::now();
     drop(client);
-    until("its connection ends", || upstream.ended() == 1);
-    assert!(left.elapsed().as_secs() < 5, "not by the deadline");
+    wait_until("the upstream's connection is closed", || {
+        upstream.closed_connection_count() == 1
+    });
+    assert!(
+        disconnected_at.elapsed() < Duration::from_secs(5),
+        "by the disconnect, not by the deadline"
+    );
 }
 
-/// Guards against lost requests: a mute upstream still leaves the client its answer, within its time.
 #[test]
 fn answers_before_the_deadline_when_the_upstream_never_responds() {
-    let upstream = Upstream::start(Then::Mute);
-    let node = Setup::with(&[upstream.address]).start();
-    let answer = node.connect().exchange(&book(500, "x"));
-    assert!(![200, 429, 503].contains(&answer.status()), "{answer:?}");
-    until("the attempt's connection ends", || upstream.ended() == 1);
+    let upstream = Upstream::start(Behavior::NeverRespond);
+    let process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let status = process.status_of(&at_most_once_request(500, "x"));
+    assert!(!SUCCESS_OR_RETRYABLE.contains(&status), "{status}");
+    wait_until("the attempt's connection is closed", || {
+        upstream.closed_connection_count() == 1
+    });
 }
 
-/// Guards against crashes and needless attempts over what clients send.
+/// The longest body that the balancer forwards.
+const MAX_BODY: usize = 64 * 1024;
+
+/// None of them stops the balancer or reaches an upstream.
 #[test]
 fn rejects_invalid_requests_without_forwarding_them() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let mut node = Setup::with(&[upstream.address]).start();
-    let good = book(5000, "x");
+    let upstream = Upstream::healthy();
+    let mut process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let valid = at_most_once_request(5000, "x");
     for (from, to) in [
         ("/book/day", "/nothing"),
         ("/book/day", "/%ff%00"),
@@ -145,29 +174,24 @@
         ("Content-Length: 1", "Content-Length: one"),
         (" HTTP/1.1", ""),
     ] {
-        let text = good.replacen(from, to, 1);
-        assert_ne!(text, good);
-        let answer = node.connect().exchange(&text);
+        let invalid = valid.replacen(from, to, 1);
+        assert_ne!(invalid, valid);
+        let status = process.status_of(&invalid);
         assert!(
-            (400..500).contains(&answer.status()) && answer.status() != 429,
-            "{text:?}: {answer:?}"
+            (400..500).contains(&status) && status != 429,
+            "{invalid:?}: {status}"
         );
     }
-    let long = "y".repeat(64 * 1024 + 1);
-    let chunk = format!(
-        "Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{long}\r\n0\r\n\r\n",
-        long.len()
-    );
-    let answer = node
-        .connect()
-        .exchange(&good.replacen("Content-Length: 1\r\n\r\nx", &chunk, 1));
-    assert_eq!(answer.status(), 413);
-    node.connect().write("\u{1}\u{2} nonsense\r\n\r\n");
-    assert!(upstream.seen().is_empty());
-    // The largest that is allowed.
-    assert_eq!(
-        node.connect().exchange(&book(5000, &long[1..])).status(),
-        200
+    let too_long = "y".repeat(MAX_BODY + 1);
+    let chunked = format!(
+        "Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{too_long}\r\n0\r\n\r\n",
+        too_long.len()
     );
-    assert!(node.runs());
+    let invalid = valid.replacen("Content-Length: 1\r\n\r\nx", &chunked, 1);
+    assert_eq!(process.status_of(&invalid), 413);
+    process.connect().write("\u{1}\u{2} nonsense\r\n\r\n");
+    assert!(upstream.requests().is_empty());
+    let longest = at_most_once_request(5000, &too_long[1..]);
+    assert_eq!(process.status_of(&longest), 200);
+    assert!(process.is_running());
 }
--- a/balancer/tests/error_origin.rs
+++ b/balancer/tests/error_origin.rs
@@ -1,4 +1,4 @@
-//! Errors of system calls, each with whose it is.
+//! The classification of system call errors by their origin.
 
 use frostkeel_balancer::error_origin::ErrorOrigin::{self, Machine, Nobody, Peer};
 use frostkeel_balancer::error_origin::again_if_interrupted;
@@ -7,12 +7,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// Guards against an upstream that is ejected for what this machine ran out of, and against an accept that gives up
-/// what waits behind a connection that is no more.
+/// An upstream must not be ejected for what this machine ran out of, and an accept must not give up
+/// the connections that wait behind one that has been aborted.
 #[test]
 fn classifies_system_errors_by_origin() {
-    // Number, name, of a connection, of an accept.
-    let all = [
+    // Number, name, origin on a connection, origin of a failed accept.
+    let errors = [
         (1, "EPERM", Machine, Machine),
         (4, "EINTR", Nobody, Nobody),
         (11, "EAGAIN", Machine, Machine),
@@ -33,7 +33,7 @@
         (111, "ECONNREFUSED", Peer, Machine),
         (113, "EHOSTUNREACH", Peer, Nobody),
     ];
-    for (number, name, connection, accept) in all {
+    for (number, name, connection, accept) in errors {
         let error = io::Error::from_raw_os_error(number);
         assert_eq!(
             ErrorOrigin::of(&error),
@@ -49,31 +49,38 @@
 }
 
 #[derive(Default)]
-struct Wakes(AtomicUsize);
+struct WakeCounter(AtomicUsize);
 
-impl Wake for Wakes {
+impl Wake for WakeCounter {
     fn wake(self: Arc<Self>) {
         self.0.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// Guards against a signal that is taken for the end of a connection: the call is made again, nothing else is changed.
+/// A signal must not be taken for the end of a connection: the call is retried, and nothing else is
+/// changed.
 #[test]
 fn retries_an_interrupted_call() {
-    let wakes = Arc::new(Wakes::default());
+    let wakes = Arc::new(WakeCounter::default());
     let waker = Waker::from(Arc::clone(&wakes));
-    let cx = Context::from_waker(&waker);
+    let context = Context::from_waker(&waker);
     let failed = |number| Poll::Ready(Err::<usize, _>(io::Error::from_raw_os_error(number)));
-    assert!(again_if_interrupted(failed(4), &cx).is_pending(), "EINTR");
+    assert!(
+        again_if_interrupted(failed(4), &context).is_pending(),
+        "EINTR"
+    );
     assert_eq!(wakes.0.load(Ordering::SeqCst), 1, "it is polled again");
     assert!(
-        matches!(again_if_interrupted(failed(104), &cx), Poll::Ready(Err(_))),
+        matches!(
+            again_if_interrupted(failed(104), &context),
+            Poll::Ready(Err(_))
+        ),
         "ECONNRESET"
     );
     assert!(matches!(
-        again_if_interrupted(Poll::Ready(Ok(3)), &cx),
+        again_if_interrupted(Poll::Ready(Ok(3)), &context),
         Poll::Ready(Ok(3))
     ));
-    assert!(again_if_interrupted(Poll::<io::Result<usize>>::Pending, &cx).is_pending());
+    assert!(again_if_interrupted(Poll::<io::Result<usize>>::Pending, &context).is_pending());
     assert_eq!(wakes.0.load(Ordering::SeqCst), 1, "no further wake");
 }
--- a/balancer/tests/fleet_size.rs
+++ b/balancer/tests/fleet_size.rs
@@ -1,112 +1,105 @@
-//! What one balancer needs as its fleet grows sixteenfold: the same traffic, capacity and limits for each balancer, 900
-//! of them with 3,200 upstreams in place of 300 with 200, and a list that goes on changing.
+//! What one balancer uses as its fleet grows sixteenfold: the same traffic, capacity and limits for
+//! each balancer, 900 of them with 3,200 upstreams in place of 300 with 200, and a list that goes on
+//! changing.
 
 mod common;
 
-use common::*;
-use std::net::TcpStream;
+use common::{
+    TestConfig, Upstream, Watch, WatchingBalancer, endpoint_json, endpoint_list_json,
+    idempotent_request,
+};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
 /// Listeners behind all upstreams of a fleet.
 const LISTENERS: usize = 16;
-const PLAY: Duration = Duration::from_secs(6);
-const CHANGE_EVERY: Duration = Duration::from_millis(100);
-const REQUEST_EVERY: Duration = Duration::from_millis(20);
+const RUN_TIME: Duration = Duration::from_secs(6);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How much the processor time may grow. The operators' bound is one of the program as it is shipped
-/// (`cargo test --release -p frostkeel-balancer --test fleet_size`); without optimization its passes over the list weigh more.
-const CPU_GROWTH: f64 = if cfg!(debug_assertions) { 4.0 } else { 1.4 };
+/// How much the processor time may grow. The operators' bound holds for the program as it is
+/// shipped (`cargo test --release -p frostkeel-balancer --test fleet_size`); without optimization
+/// its passes over the list take longer.
+const MAX_CPU_GROWTH: f64 = if cfg!(debug_assertions) { 4.0 } else { 1.4 };
 
-/// What a play needed and did.
+/// What a balancer used and served in one run.
 #[derive(Debug)]
-struct Needs {
+struct Usage {
     cpu_s: f64,
-    peak_mb: f64,
+    peak_memory_mb: f64,
     descriptors: usize,
     connections: usize,
-    served: f64,
+    served_share: f64,
 }
 
-/// A drain, an end and a newcomer, in turn.
-fn changes(rev: u64, upstreams: &[Upstream]) -> String {
-    let at = upstreams[rev as usize % LISTENERS].address;
-    let (old, new) = (format!("s-{}", rev), format!("t-{rev}"));
-    list(
-        rev,
-        false,
-        &[entry(&old, at, "Terminating"), entry(&new, at, "Ready")],
-    )
+/// A list in which one upstream begins to drain and another one is added.
+fn update(revision: u64, upstreams: &[Upstream]) -> String {
+    let address = upstreams[revision as usize % LISTENERS].address;
+    let draining = endpoint_json(&format!("s-{revision}"), address, "Terminating");
+    let added = endpoint_json(&format!("t-{revision}"), address, "Ready");
+    endpoint_list_json(revision, false, &[draining, added])
 }
 
-fn go_on_changing(watch: &TcpStream, upstreams: &[Upstream], over: &AtomicBool) {
-    let mut rev = 2;
-    while !over.load(Ordering::SeqCst) {
-        tell(watch, &changes(rev, upstreams));
-        rev += 1;
-        std::thread::sleep(CHANGE_EVERY);
+fn send_updates(watch: &Watch, upstreams: &[Upstream], has_ended: &AtomicBool) {
+    let mut revision = 2;
+    while !has_ended.load(Ordering::SeqCst) {
+        watch.send(&update(revision, upstreams));
+        revision += 1;
+        std::thread::sleep(UPDATE_INTERVAL);
     }
 }
 
-/// Plays a fleet as one of its balancers sees it.
-fn play(balancers: usize, count: usize) -> Needs {
-    let upstreams: Vec<Upstream> = (0..LISTENERS)
-        .map(|_| Upstream::start(Then::Answer(OK)))
-        .collect();
-    let all: Vec<_> = (0..count)
+/// Runs one balancer of a fleet.
+fn run_balancer(balancers: usize, upstream_count: usize) -> Usage {
+    let upstreams: Vec<Upstream> = (0..LISTENERS).map(|_| Upstream::healthy()).collect();
+    let addresses: Vec<_> = (0..upstream_count)
         .map(|k| upstreams[k % LISTENERS].address)
         .collect();
-    let (discovery, calls) = discovery();
-    let mut setup = Setup::with(&all);
-    (setup.discovery, setup.asks, setup.balancers, setup.sockets) =
-        (discovery, true, balancers, 1024);
-    let node = setup.start();
-    let (_, watch) = calls.recv_timeout(LONG).expect("a watch");
-    let over = AtomicBool::new(false);
+    let mut config = TestConfig::with_upstreams(&addresses);
+    config.balancers = balancers;
+    config.max_sockets = 1024;
+    let balancer = WatchingBalancer::start_with(config);
+    let process = &balancer.process;
+    let has_ended = AtomicBool::new(false);
     let (mut served, mut sent, mut descriptors) = (0, 0, 0);
     std::thread::scope(|scope| {
-        scope.spawn(|| go_on_changing(&watch, &upstreams, &over));
-        let mut client = node.connect();
+        scope.spawn(|| send_updates(&balancer.watch, &upstreams, &has_ended));
+        let mut client = process.connect();
         let start = Instant::now();
-        while start.elapsed() < PLAY {
-            served += usize::from(client.exchange(&look(5000)).status() == 200);
+        while start.elapsed() < RUN_TIME {
+            let response = client.exchange(&idempotent_request(5000));
+            served += usize::from(response.status() == 200);
             sent += 1;
-            descriptors = descriptors.max(node.descriptors());
-            std::thread::sleep(REQUEST_EVERY);
+            descriptors = descriptors.max(process.open_descriptors());
+            std::thread::sleep(REQUEST_INTERVAL);
         }
-        over.store(true, Ordering::SeqCst);
+        has_ended.store(true, Ordering::SeqCst);
     });
-    Needs {
-        cpu_s: node.cpu_s(),
-        peak_mb: node.peak_mb(),
+    Usage {
+        cpu_s: process.cpu_s(),
+        peak_memory_mb: process.peak_memory_mb(),
         descriptors,
-        connections: upstreams.iter().map(Upstream::connections).sum(),
-        served: served as f64 / sent as f64,
+        connections: upstreams.iter().map(Upstream::connection_count).sum(),
+        served_share: served as f64 / sent as f64,
     }
 }
 
-/// Guards what a balancer needs against the size of its fleet, by the operators' bounds.
+/// The bounds are the operators'.
 #[test]
 fn resource_use_is_bounded_in_a_fleet_sixteen_times_as_large() {
-    let usual = play(300, 200);
-    let large = play(900, 3200);
-    let thousands = 3.2;
-    println!("{usual:?} {large:?}");
-    assert!(
-        large.cpu_s <= CPU_GROWTH * usual.cpu_s + 0.02 + 0.03 * thousands,
-        "{large:?}, {usual:?}"
-    );
-    assert!(
-        large.peak_mb <= 1.5 * usual.peak_mb + 8.0 + 4.0 * thousands,
-        "{large:?}, {usual:?}"
-    );
-    assert!(
-        large.descriptors <= 2 * usual.descriptors + 40,
-        "{large:?}, {usual:?}"
-    );
-    assert!(
-        large.connections <= usual.connections * 5 / 2 + 40,
-        "{large:?}, {usual:?}"
-    );
-    assert!(large.served >= 0.85 * usual.served, "{large:?}, {usual:?}");
+    const THOUSANDS_OF_UPSTREAMS: f64 = 3.2;
+    let usual = run_balancer(300, 200);
+    let large = run_balancer(900, 3200);
+    let context = format!("{large:?}, {usual:?}");
+    println!("{context}");
+    let max_cpu_s = MAX_CPU_GROWTH * usual.cpu_s + 0.02 + 0.03 * THOUSANDS_OF_UPSTREAMS;
+    assert!(large.cpu_s <= max_cpu_s, "{context}");
+    let max_memory_mb = 1.5 * usual.peak_memory_mb + 8.0 + 4.0 * THOUSANDS_OF_UPSTREAMS;
+    assert!(large.peak_memory_mb <= max_memory_mb, "{context}");
+    let max_descriptors = 2 * usual.descriptors + 40;
+    assert!(large.descriptors <= max_descriptors, "{context}");
+    let max_connections = usual.connections * 5 / 2 + 40;
+    assert!(large.connections <= max_connections, "{context}");
+    let min_served_share = 0.85 * usual.served_share;
+    assert!(large.served_share >= min_served_share, "{context}");
 }
--- a/balancer/tests/headers.rs
+++ b/balancer/tests/headers.rs
@@ -1,4 +1,4 @@
-//! Load reports and the headers that stay behind.
+//! Load reports, and headers that are not forwarded.
 
 use frostkeel_balancer::headers::{CORRELATION_ID, load_report, strip_hop_by_hop};
 use frostkeel_policy::LoadField;
@@ -11,11 +11,11 @@
         load_report("inflight=7,queue=2,util=0.61", &fields),
         Some(vec![2.0, 7.0])
     );
-    let half = load_report("depth=3, inflight=many", &fields).unwrap();
-    assert_eq!(half[0], 3.0);
-    assert!(half[1].is_nan());
-    for bad in ["", "queue", "queue=nan", "a=1", "=,=,=", "queue=inf"] {
-        assert_eq!(load_report(bad, &fields), None, "{bad}");
+    let partly_invalid = load_report("depth=3, inflight=many", &fields).unwrap();
+    assert_eq!(partly_invalid[0], 3.0);
+    assert!(partly_invalid[1].is_nan());
+    for invalid in ["", "queue", "queue=nan", "a=1", "=,=,=", "queue=inf"] {
+        assert_eq!(load_report(invalid, &fields), None, "{invalid}");
     }
 }
 
--- a/balancer/tests/process_lifecycle.rs
+++ b/balancer/tests/process_lifecycle.rs
@@ -2,106 +2,105 @@
 
 mod common;
 
-use common::*;
+use common::{
+    Behavior, Discovery, READINESS_REQUEST, TestConfig, Upstream, at_most_once_request,
+    endpoint_json, endpoint_list_json, wait_until,
+};
 use std::process::{Command, Stdio};
 
-/// Guards what was taken before the end: SIGTERM turns ready to 503, connections end with their next answer,
-/// what is still unanswered gets its final answer, and the process ends by itself.
+/// At SIGTERM the balancer is not ready any more, connections end with their next response, what is
+/// still unanswered gets its final response, and the process exits by itself.
 #[test]
 fn shutdown_answers_all_accepted_requests() {
-    let mute = Upstream::start(Then::Mute);
-    let mut setup = Setup::with(&[mute.address]);
-    setup.deadline_ms = 60_000;
-    let mut node = setup.start();
-    let (mut held, mut kept) = (node.connect(), node.connect());
-    let ready = "GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
-    assert_eq!(kept.exchange(ready).status(), 200);
-    held.write(&book(60_000, "x"));
-    until("the upstream has it", || mute.seen().len() == 1);
-    node.terminate();
-    let mut status = 200;
-    until("not ready any more", || {
-        let answer = node.connect().exchange(ready);
-        assert!(answer.status() == 200 || answer.header("connection") == Some("close"));
-        status = answer.status();
+    let upstream = Upstream::start(Behavior::NeverRespond);
+    let mut config = TestConfig::with_upstreams(&[upstream.address]);
+    config.deadline_ms = 60_000;
+    let mut process = config.start();
+    let (mut waiting, mut idle) = (process.connect(), process.connect());
+    assert_eq!(idle.exchange(READINESS_REQUEST).status(), 200);
+    waiting.write(&at_most_once_request(60_000, "x"));
+    wait_until("the upstream has the request", || {
+        upstream.request_count() == 1
+    });
+    process.terminate();
+    wait_until("the balancer is not ready any more", || {
+        let response = process.connect().exchange(READINESS_REQUEST);
+        let status = response.status();
+        assert!(status == 200 || response.header("connection") == Some("close"));
         status == 503
     });
-    let answer = held.answer().expect("an answer, not only an end");
+    let response = waiting.read_response().expect("a response before the end");
     assert!(
-        ![200, 429, 503].contains(&answer.status()),
-        "it may have run: {answer:?}"
+        ![200, 429, 503].contains(&response.status()),
+        "it may have run: {response:?}"
     );
-    assert!(kept.ends(), "idle connections end");
-    assert!(node.wait().success());
+    assert!(idle.is_closed_without_data(), "idle connections are closed");
+    assert!(process.wait_for_exit().success());
 }
 
-/// Guards the reload: SIGHUP ends nothing, and what discovery has to tell comes from its new address. A file
-/// that can't be read changes nothing.
+/// SIGHUP ends nothing, and updates come from discovery's new address. A file that can't be read
+/// changes nothing.
 #[test]
 fn reload_follows_discovery_to_its_new_address() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let ((before, calls), (after, calls_after)) = (discovery(), discovery());
-    let mut setup = Setup::with(&[]);
-    (setup.discovery, setup.asks) = (before, true);
-    let mut node = setup.start();
-    let mut client = node.connect();
-    let (_, watch) = calls.recv_timeout(LONG).unwrap();
-    tell(
-        &watch,
-        &list(5, true, &[entry("s-0", upstream.address, "Ready")]),
-    );
-    until("the list has come", || {
-        client.exchange(&book(5000, "x")).status() == 200
+    let upstream = Upstream::healthy();
+    let (discovery, moved_discovery) = (Discovery::start(), Discovery::start());
+    let mut config = TestConfig::with_upstreams(&[]);
+    config.discovery = discovery.address;
+    config.polls_endpoints = true;
+    let mut process = config.start();
+    let mut client = process.connect();
+    let request = at_most_once_request(5000, "x");
+    let watch = discovery.next_watch();
+    let ready = endpoint_json("s-0", upstream.address, "Ready");
+    watch.send(&endpoint_list_json(5, true, &[ready]));
+    wait_until("the list has arrived", || {
+        client.exchange(&request).status() == 200
     });
-    node.reload("{");
-    assert_eq!(client.exchange(&book(5000, "x")).status(), 200);
-    setup.discovery = after;
-    node.reload(&setup.text());
-    let (target, watch) = calls_after
-        .recv_timeout(LONG)
-        .expect("a watch at the new address");
+    process.reload("{");
+    assert_eq!(client.exchange(&request).status(), 200);
+    config.discovery = moved_discovery.address;
+    process.reload(&config.to_json());
+    let watch = moved_discovery.next_watch();
+    let target = &watch.target;
     assert!(
         target.contains("stream=1") && target.contains("index=5"),
         "{target}"
     );
-    tell(
-        &watch,
-        &list(6, false, &[entry("s-0", upstream.address, "Terminating")]),
-    );
-    until("the news has come", || {
-        client.exchange(&book(5000, "x")).status() == 503
+    let drain = endpoint_json("s-0", upstream.address, "Terminating");
+    watch.send(&endpoint_list_json(6, false, &[drain]));
+    wait_until("the update has arrived", || {
+        client.exchange(&request).status() == 503
     });
-    assert!(node.runs());
+    assert!(process.is_running());
+}
+
+fn balancer_command() -> Command {
+    Command::new(env!("CARGO_BIN_EXE_frostkeel-balancer"))
 }
 
-/// Guards against a balancer that starts half configured: it says what is wrong and ends.
+/// A balancer with an invalid configuration does not start.
 #[test]
 fn startup_error_names_the_invalid_setting() {
-    let path = std::env::temp_dir().join(format!(
-        "frostkeel-balancer-bad-{}.json",
-        std::process::id()
-    ));
-    let good = Setup::with(&[]).text();
+    let name = format!("frostkeel-balancer-bad-{}.json", std::process::id());
+    let path = std::env::temp_dir().join(name);
+    let valid = TestConfig::with_upstreams(&[]).to_json();
     for (from, to, named) in [
         ("idempotent", "perhaps", "perhaps"),
         ("\"seed\"", "\"seeds\"", "seed"),
         ("\"balancers\":1", "\"balancers\":0", "balancers"),
         ("{", "[", "frostkeel-balancer:"),
     ] {
-        std::fs::write(&path, good.replacen(from, to, 1)).unwrap();
-        let mut command = Command::new(env!("CARGO_BIN_EXE_frostkeel-balancer"));
-        let output = command
-            .env("NODE_CONFIG", &path)
-            .stderr(Stdio::piped())
-            .output()
-            .unwrap();
+        std::fs::write(&path, valid.replacen(from, to, 1)).unwrap();
+        let mut command = balancer_command();
+        command.env("NODE_CONFIG", &path).stderr(Stdio::piped());
+        let output = command.output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && error.contains(named), "{error}");
+        assert!(
+            !output.status.success() && error.contains(named),
+            "{error} names {named}"
+        );
     }
     std::fs::remove_file(&path).unwrap();
-    let output = Command::new(env!("CARGO_BIN_EXE_frostkeel-balancer"))
-        .env_remove("NODE_CONFIG")
-        .output()
-        .unwrap();
-    assert!(!output.status.success());
+    let without_config = balancer_command().env_remove("NODE_CONFIG").output();
+    assert!(!without_config.unwrap().status.success());
 }
--- a/balancer/tests/races_clients.rs
+++ b/balancer/tests/races_clients.rs
@@ -1,98 +1,119 @@
-//! Clients that leave, flood, or take their answers slowly, in the moment in which something else happens.
+//! Clients that disconnect, flood, or read their responses slowly, while something else happens.
 
 mod common;
 
-use common::*;
+use common::{
+    CORRELATION_ID, Client, ERROR_RESPONSE, RawPeer, TIMEOUT, TestConfig, Upstream,
+    at_most_once_request, idempotent_request, read_request, wait_until,
+};
 use std::collections::BTreeSet;
 use std::io::Write;
+use std::net::TcpStream;
 
-const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
-
-/// How a client goes away.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Closes,
-    Resets,
-    EndsItsSending,
+enum Disconnect {
+    Close,
+    Reset,
+    ShutdownWrite,
+}
+
+impl Disconnect {
+    /// Disconnects; returns the client if it goes on reading.
+    fn perform(self, client: Client) -> Option<Client> {
+        match self {
+            Self::Close => client.disconnect(),
+            Self::Reset => client.reset(),
+            Self::ShutdownWrite => {
+                client.shutdown_write();
+                return Some(client);
+            }
+        }
+        None
+    }
 }
 
-/// Guards against work for nobody: however a client leaves, and whatever of it waits unread behind its request, its
-/// attempt is called off at once and no further one begins.
+/// However a client disconnects, and whatever of it waits unread behind its request, its attempt is
+/// cancelled at once and no further one begins.
 #[test]
 fn cancels_the_attempt_when_the_client_disconnects() {
-    for leaves in [Leaves::Closes, Leaves::Resets, Leaves::EndsItsSending] {
-        for behind in [0, 1, 300, 40_000, 400_000] {
-            let (address, streams) = raw_peer();
-            let node = Setup::with(&[address, address]).start();
-            let mut client = node.connect();
-            client.write(&look(8000));
-            let upstream = streams.recv_timeout(LONG).expect("an attempt");
-            assert!(next_request(&upstream).is_some());
-            client.write_if_taken(&vec![b'x'; behind]);
-            node.round_trip();
-            match leaves {
-                Leaves::Closes => client.leave(),
-                Leaves::Resets => client.reset(),
-                Leaves::EndsItsSending => client.end_sending(),
-            }
-            upstream.set_read_timeout(Some(LONG)).unwrap();
+    for disconnect in [
+        Disconnect::Close,
+        Disconnect::Reset,
+        Disconnect::ShutdownWrite,
+    ] {
+        for extra_bytes in [0, 1, 300, 40_000, 400_000] {
+            let upstream = RawPeer::start();
+            let process = TestConfig::with_upstreams(&[upstream.address, upstream.address]).start();
+            let mut client = process.connect();
+            client.write(&idempotent_request(8000));
+            let mut attempt = upstream.next_requested();
+            client.write_nonblocking(&vec![b'x'; extra_bytes]);
+            process.round_trip();
+            let _reading = disconnect.perform(client);
+            attempt.set_read_timeout(Some(TIMEOUT)).unwrap();
             assert!(
-                next_request(&upstream).is_none(),
-                "{leaves:?} with {behind} bytes behind: not called off"
+                read_request(&attempt).is_none(),
+                "{disconnect:?} with {extra_bytes} bytes behind: not cancelled"
             );
-            // Had it been taken for an error of the upstream's, the next attempt would go out now.
-            let _ = (&upstream).write_all(ERROR.as_bytes());
-            node.round_trip();
-            let further = streams.try_iter().count();
+            // If it counted as an error of the upstream, the next attempt would be sent now.
+            let _ = attempt.write_all(ERROR_RESPONSE.as_bytes());
+            process.round_trip();
+            let further = upstream.connections.try_iter().count();
             assert_eq!(
                 further, 0,
-                "{leaves:?} with {behind} bytes behind: attempts after it had left"
+                "{disconnect:?} with {extra_bytes} bytes behind: attempts after the disconnect"
             );
         }
     }
 }
 
-/// Guards against an attempt for a client that left while it waited for a connection, where the site allows no
-/// attempt to be cancelled: nothing of it had left.
+/// Sends a request with this correlation id.
+fn send_identified(client: &mut Client, correlation_id: &str) {
+    client.write(&idempotent_request(8000).replace(CORRELATION_ID, correlation_id));
+}
+
+/// The site allows no attempt to be cancelled; one that still waits for a connection has not been
+/// sent, so it is dropped all the same.
 #[test]
 fn drops_an_attempt_waiting_for_a_connection_when_the_client_disconnects() {
-    let (address, streams) = raw_peer();
-    let mut setup = Setup::with(&[address]);
-    (setup.sockets, setup.cancellation) = (64, false);
-    let node = setup.start();
     // Of 64 descriptors 24 are reserved, and of the rest 18 are for upstreams.
-    let mut holders: Vec<Client> = (0..18).map(|_| node.connect()).collect();
-    for (k, client) in holders.iter_mut().enumerate() {
-        client.write(&look(8000).replace("77aa", &format!("held{k}")));
+    const MAX_SOCKETS: usize = 64;
+    const MAX_CONNECTIONS: usize = 18;
+    let upstream = RawPeer::start();
+    let mut config = TestConfig::with_upstreams(&[upstream.address]);
+    config.max_sockets = MAX_SOCKETS;
+    config.cancellation = false;
+    let process = config.start();
+    let mut clients: Vec<Client> = (0..MAX_CONNECTIONS).map(|_| process.connect()).collect();
+    for (k, client) in clients.iter_mut().enumerate() {
+        send_identified(client, &format!("held{k}"));
     }
-    let held: Vec<_> = (0..18)
-        .map(|_| streams.recv_timeout(LONG).expect("an attempt"))
+    let connections: Vec<TcpStream> = (0..MAX_CONNECTIONS)
+        .map(|_| upstream.next_connection())
         .collect();
-    // Each of them is in use by a request of its own: there is no place for another.
-    let requests = held
+    // Each of them is in use by a request of its own: there is no connection for another.
+    let ids: BTreeSet<String> = connections
         .iter()
-        .map(|stream| next_request(stream).expect("a request"));
-    let ids: BTreeSet<_> = requests
-        .map(|r| r.header("x-correlation-id").map(str::to_owned))
+        .map(|connection| {
+            let request = read_request(connection).expect("a request");
+            request.header("x-correlation-id").unwrap().to_owned()
+        })
         .collect();
-    assert_eq!(ids.len(), 18, "{ids:?}");
-    let mut leaver = node.connect();
-    leaver.write(&look(8000).replace("77aa", "left"));
-    node.round_trip();
-    leaver.leave();
-    node.round_trip();
-    let mut stayer = node.connect();
-    stayer.write(&look(8000).replace("77aa", "stays"));
-    node.round_trip();
-    for stream in held {
-        (&stream)
-            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-            .unwrap();
+    assert_eq!(ids.len(), MAX_CONNECTIONS, "{ids:?}");
+    let mut disconnecting = process.connect();
+    send_identified(&mut disconnecting, "left");
+    process.round_trip();
+    disconnecting.disconnect();
+    process.round_trip();
+    let mut waiting = process.connect();
+    send_identified(&mut waiting, "stays");
+    process.round_trip();
+    let closing = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+    for mut connection in connections {
+        connection.write_all(closing.as_bytes()).unwrap();
     }
-    let next = streams
-        .recv_timeout(LONG)
-        .expect("a connection that was waited for");
-    let request = next_request(&next).expect("a request");
+    let request = read_request(&upstream.next_connection()).expect("a request");
     assert_eq!(
         request.header("x-correlation-id"),
         Some("stays"),
@@ -100,48 +121,49 @@
     );
 }
 
-/// Guards against a reset that takes an answer with it: what came behind the request is read before the close.
+/// A connection that is closed with bytes unread is reset, which would discard the response: extra
+/// bytes are read before the close.
 #[test]
 fn response_is_complete_when_extra_bytes_follow_the_request() {
-    let (address, streams) = raw_peer();
-    let node = Setup::with(&[address]).start();
-    let mut client = Client::narrow(node.address);
-    client.write(&look(8000).replace("Host", "Connection: close\r\nHost"));
-    let upstream = streams.recv_timeout(LONG).expect("an attempt");
-    assert!(next_request(&upstream).is_some());
-    // The first of these may be read ahead with the request; the second is not, unless somebody takes care to.
+    const BODY_LENGTH: usize = 60_000;
+    let upstream = RawPeer::start();
+    let process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let mut client = Client::connect_with_small_buffer(process.address);
+    client.write(&idempotent_request(8000).replace("Host", "Connection: close\r\nHost"));
+    let mut attempt = upstream.next_requested();
+    // The first of these may be read with the request; the second is not, unless the balancer takes
+    // care to.
     for _ in 0..2 {
         client.write("GET /look HTTP/1.1\r\nHost");
-        node.round_trip();
+        process.round_trip();
     }
-    let body = "y".repeat(60_000);
+    let body = "y".repeat(BODY_LENGTH);
     write!(
-        &upstream,
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
+        attempt,
+        "HTTP/1.1 200 OK\r\nContent-Length: {BODY_LENGTH}\r\n\r\n{body}"
     )
     .unwrap();
-    until("the answer begins", || client.has_bytes());
-    node.round_trip();
-    let answer = client.answer().expect("the whole answer");
-    assert_eq!((answer.status(), answer.body.len()), (200, 60_000));
+    wait_until("the response begins", || client.has_unread_bytes());
+    process.round_trip();
+    let response = client.read_response().expect("the complete response");
+    assert_eq!((response.status(), response.body.len()), (200, BODY_LENGTH));
 }
 
-/// Guards the balancer against those who send what is no request, much of it or little: each gets an error or a
-/// close, none reaches an upstream, and a good request beside them is served.
+/// Each client that sends something else than a request, much of it or little, gets an error or a
+/// close; none of it reaches an upstream, and a valid request beside it is served.
 #[test]
 fn malformed_requests_get_an_error_and_do_not_affect_others() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let mut node = Setup::with(&[upstream.address]).start();
+    let upstream = Upstream::healthy();
+    let mut process = TestConfig::with_upstreams(&[upstream.address]).start();
     let long_head = format!(
         "GET /look HTTP/1.1\r\nX-Long: {}\r\n\r\n",
         "y".repeat(64 * 1024)
     );
-    let long_body = book(8000, &"y".repeat(200_000));
-    let endless =
-        book(8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked") + "fffff\r\n";
-    let endless = endless + &"y".repeat(150_000);
-    for (text, errors) in [
+    let long_body = at_most_once_request(8000, &"y".repeat(200_000));
+    let chunked =
+        at_most_once_request(8000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
+    let endless_chunk = chunked + "fffff\r\n" + &"y".repeat(150_000);
+    for (text, statuses) in [
         ("\0\0\0\0\r\n\r\n", 400..=400),
         ("GET\r\n\r\n", 400..=400),
         ("GET /look HTTP/7.0\r\n\r\n", 400..=505),
@@ -151,21 +173,20 @@
         ),
         (&long_head, 400..=431),
         (&long_body, 413..=413),
-        (&endless, 413..=413),
+        (&endless_chunk, 413..=413),
     ] {
-        let mut client = node.connect();
-        client.write_if_taken(text.as_bytes());
-        let answer = client
-            .answer()
-            .unwrap_or_else(|| panic!("an error for {:?}", &text[..text.len().min(60)]));
+        let shown = &text[..text.len().min(60)];
+        let mut client = process.connect();
+        client.write_nonblocking(text.as_bytes());
+        let response = client.read_response();
+        let response = response.unwrap_or_else(|| panic!("an error for {shown:?}"));
         assert!(
-            errors.contains(&answer.status()),
-            "{answer:?} for {:?}",
-            &text[..text.len().min(60)]
+            statuses.contains(&response.status()),
+            "{response:?} for {shown:?}"
         );
-        assert!(client.is_open_no_more());
+        assert!(client.is_closed(), "{shown:?}");
     }
-    assert!(upstream.seen().is_empty());
-    assert_eq!(node.connect().exchange(&look(5000)).status(), 200);
-    assert!(node.runs());
+    assert!(upstream.requests().is_empty());
+    assert_eq!(process.status_of(&idempotent_request(5000)), 200);
+    assert!(process.is_running());
 }
--- a/balancer/tests/races_shutdown.rs
+++ b/balancer/tests/races_shutdown.rs
@@ -1,76 +1,74 @@
-//! The graceful shutdown, crossed by what arrives in its moments.
+//! The graceful shutdown, in a race with connections, requests and signals.
 
 mod common;
 
-use common::*;
+use common::{
+    Behavior, Client, Discovery, LIVENESS_REQUEST, OK_RESPONSE, RawPeer, TestConfig, Upstream,
+    at_most_once_request, idempotent_request, wait_until,
+};
+use std::io::Write;
 use std::net::TcpStream;
 use std::time::Duration;
 
-const READY: &str = "GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
-
-/// Waits until a balancer that was told to end has begun to.
-fn until_draining(node: &Node) {
-    until("not ready any more", || {
-        node.connect().exchange(READY).status() == 503
-    });
-}
-
-/// Guards requests on connections that the system has accepted and the balancer has not yet: while all places are
-/// taken they wait in the listener's queue, and the listener is closed at the end.
+/// While all connections are in use, further ones wait in the listener's queue. The system has
+/// accepted them, and the listener is closed at the shutdown.
 #[test]
 fn shutdown_serves_requests_waiting_in_the_accept_queue() {
-    let mute = Upstream::start(Then::Mute);
-    let mut setup = Setup::with(&[mute.address]);
-    (setup.sockets, setup.deadline_ms) = (64, 3000);
-    let mut node = setup.start();
-    // Of 64 descriptors 24 are reserved, and 22 of the rest are for clients.
-    let mut holders: Vec<Client> = (0..22).map(|_| node.connect()).collect();
-    // Some send more behind their request, over which a connection would be reset at the process's end.
-    holders
-        .iter_mut()
-        .for_each(|client| client.write(&book(1500, "x")));
-    holders
-        .iter_mut()
-        .step_by(3)
-        .for_each(|client| client.write(&look(1500)));
-    until("all are in flight or waiting", || mute.seen().len() == 18);
-    let mut waiting: Vec<Client> = (0..4).map(|_| node.connect()).collect();
-    waiting
-        .iter_mut()
-        .for_each(|client| client.write(&book(8000, "x")));
-    node.terminate();
-    for (k, client) in holders.iter_mut().chain(&mut waiting).enumerate() {
-        let answer = client
-            .answer()
-            .unwrap_or_else(|| panic!("client {k} was closed upon without an answer"));
-        assert!(answer.status() >= 500, "{answer:?}");
+    // Of 64 descriptors 24 are reserved; 22 of the rest are for clients and 18 for upstreams.
+    const MAX_SOCKETS: usize = 64;
+    const MAX_CLIENTS: usize = 22;
+    const MAX_UPSTREAM_CONNECTIONS: usize = 18;
+    let upstream = Upstream::start(Behavior::NeverRespond);
+    let mut config = TestConfig::with_upstreams(&[upstream.address]);
+    config.max_sockets = MAX_SOCKETS;
+    config.deadline_ms = 3000;
+    let mut process = config.start();
+    let mut accepted: Vec<Client> = (0..MAX_CLIENTS).map(|_| process.connect()).collect();
+    for client in &mut accepted {
+        client.write(&at_most_once_request(1500, "x"));
+    }
+    // Some send more behind their request, for which a connection would be reset at the exit.
+    for client in accepted.iter_mut().step_by(3) {
+        client.write(&idempotent_request(1500));
     }
-    assert!(node.wait().success());
+    wait_until("all are in flight or waiting", || {
+        upstream.request_count() == MAX_UPSTREAM_CONNECTIONS
+    });
+    let mut waiting: Vec<Client> = (0..4).map(|_| process.connect()).collect();
+    for client in &mut waiting {
+        client.write(&at_most_once_request(8000, "x"));
+    }
+    process.terminate();
+    for (k, client) in accepted.iter_mut().chain(&mut waiting).enumerate() {
+        let response = client.read_response();
+        let response =
+            response.unwrap_or_else(|| panic!("client {k} was closed without a response"));
+        assert!(response.status() >= 500, "{response:?}");
+    }
+    assert!(process.wait_for_exit().success());
 }
 
-/// Guards a request that comes on a resting connection while the balancer is ending: it gets its answer, or the
-/// connection ends before anything of it has been sent on.
+/// A request arrives on an idle connection during the shutdown: it is served, or the connection
+/// ends before anything of it has been forwarded.
 #[test]
 fn shutdown_serves_or_never_forwards_requests_on_idle_connections() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let mut node = Setup::with(&[upstream.address]).start();
-    let mut clients: Vec<Client> = (0..12).map(|_| node.connect()).collect();
-    clients
-        .iter_mut()
-        .for_each(|client| assert_eq!(client.exchange(HEALTH).status(), 200));
-    node.terminate();
-    until_draining(&node);
-    // Each goes on as soon as the one before has its answer: some before the connections are closed, one or two in
-    // the instant of it, the rest after it.
+    let upstream = Upstream::healthy();
+    let mut process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let mut clients: Vec<Client> = (0..12).map(|_| process.connect()).collect();
+    for client in &mut clients {
+        assert_eq!(client.exchange(LIVENESS_REQUEST).status(), 200);
+    }
+    process.terminate();
+    process.wait_until_draining();
+    // Each sends as soon as the one before has its response: some before the connections are
+    // closed, one or two at the same time, the rest after that.
     let (mut served, mut closed) = (0, 0);
     for client in &mut clients {
-        client.write_if_taken(look(3000).as_bytes());
-        match client.answer() {
-            Some(answer) => {
-                assert_eq!(
-                    (answer.status(), answer.header("connection")),
-                    (200, Some("close"))
-                );
+        client.write_nonblocking(idempotent_request(3000).as_bytes());
+        match client.read_response() {
+            Some(response) => {
+                assert_eq!(response.status(), 200);
+                assert_eq!(response.header("connection"), Some("close"));
                 served += 1;
             }
             None => closed += 1,
@@ -79,79 +77,85 @@
     }
     assert!(
         served > 0 && closed > 0,
-        "{served} served, {closed} closed: nothing was crossed"
+        "{served} served, {closed} closed: there was no race"
+    );
+    assert_eq!(
+        upstream.request_count(),
+        served,
+        "forwarded without a response"
     );
-    assert_eq!(upstream.seen().len(), served, "sent on and not answered");
-    assert!(node.wait().success());
+    assert!(process.wait_for_exit().success());
 }
 
-/// Guards a request of which half has come when the balancer is told to end: where the rest comes in time it is
-/// answered, where it does not the process ends all the same.
+/// Half of a request has arrived at SIGTERM: it is served if the rest arrives in time, and the
+/// process exits if it does not.
 #[test]
 fn shutdown_serves_a_partial_request_once_it_is_complete() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let mut node = Setup::with(&[upstream.address]).start();
-    let text = book(3000, "a day");
-    let mut halves: Vec<(Client, usize)> = [20, text.len() - 3]
-        .into_iter()
-        .map(|cut| (node.connect(), cut))
-        .collect();
-    let mut never = node.connect();
-    for (client, cut) in &mut halves {
-        client.write(&text[..*cut]);
+    let upstream = Upstream::healthy();
+    let mut process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let text = at_most_once_request(3000, "a day");
+    let (head_part, all_but_three_bytes) = (&text[..20], &text[..text.len() - 3]);
+    let mut clients = [head_part, all_but_three_bytes].map(|part| (process.connect(), part));
+    let mut never_completes = process.connect();
+    for (client, part) in &mut clients {
+        client.write(part);
     }
-    never.write(&text[..20]);
-    node.round_trip();
-    node.terminate();
-    until_draining(&node);
-    for (client, cut) in &mut halves {
-        client.write(&text[*cut..]);
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+    never_completes.write(head_part);
+    process.round_trip();
+    process.terminate();
+    process.wait_until_draining();
+    for (client, part) in &mut clients {
+        client.write(&text[part.len()..]);
+        let response = client.read_response().expect("a response");
+        assert_eq!(response.status(), 200);
     }
-    assert!(node.wait().success());
-    assert!(never.answer().is_none());
-    assert_eq!(upstream.seen().len(), 2);
+    assert!(process.wait_for_exit().success());
+    assert!(never_completes.read_response().is_none());
+    assert_eq!(upstream.request_count(), 2);
 }
 
-/// Guards against a second signal that undoes the first, and against a list that is old because discovery moved
-/// after the end had begun.
+/// A second SIGTERM must not cut the shutdown short, and the endpoint list must not become stale
+/// because discovery moves after the shutdown has begun.
 #[test]
 fn shutdown_ignores_repeated_sigterm_and_applies_sighup() {
-    let (slow, streams) = raw_peer();
-    let ((before, calls), (after, calls_after)) = (discovery(), discovery());
-    let mut setup = Setup::with(&[slow]);
-    (setup.discovery, setup.asks, setup.deadline_ms) = (before, true, 3000);
-    let mut node = setup.start();
-    let (_, watch) = calls.recv_timeout(LONG).expect("a watch");
-    tell(&watch, "");
-    let mut client = node.connect();
-    client.write(&book(3000, "x"));
-    let upstream = streams.recv_timeout(LONG).expect("an attempt");
-    assert!(next_request(&upstream).is_some());
-    node.terminate();
-    until_draining(&node);
-    node.terminate();
-    setup.discovery = after;
-    node.reload(&setup.text());
-    let moved = calls_after.recv_timeout(Duration::from_secs(2));
-    assert!(moved.is_ok(), "no watch at the new address: {moved:?}");
-    std::io::Write::write_all(&mut (&upstream), OK.as_bytes()).unwrap();
-    assert_eq!(client.answer().expect("an answer").status(), 200);
-    assert!(node.wait().success());
+    let upstream = RawPeer::start();
+    let (discovery, moved_discovery) = (Discovery::start(), Discovery::start());
+    let mut config = TestConfig::with_upstreams(&[upstream.address]);
+    config.discovery = discovery.address;
+    config.polls_endpoints = true;
+    config.deadline_ms = 3000;
+    let mut process = config.start();
+    let watch = discovery.next_watch();
+    watch.send("");
+    let mut client = process.connect();
+    client.write(&at_most_once_request(3000, "x"));
+    let mut attempt = upstream.next_requested();
+    process.terminate();
+    process.wait_until_draining();
+    process.terminate();
+    config.discovery = moved_discovery.address;
+    process.reload(&config.to_json());
+    let watch = moved_discovery.watches.recv_timeout(Duration::from_secs(2));
+    assert!(watch.is_ok(), "no watch at the new address: {watch:?}");
+    attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
+    let response = client.read_response().expect("a response");
+    assert_eq!(response.status(), 200);
+    assert!(process.wait_for_exit().success());
 }
 
-/// Guards the first moments: a balancer told to end as soon as it serves answers what it took, with discovery down.
+/// A balancer gets SIGTERM as soon as it serves, with discovery down.
 #[test]
 fn shutdown_right_after_start_answers_accepted_requests() {
-    let mute = Upstream::start(Then::Mute);
-    let mut setup = Setup::with(&[mute.address]);
-    (setup.asks, setup.deadline_ms) = (true, 1000);
-    let mut node = setup.start();
-    let mut client = node.connect();
-    client.write(&book(1000, "x"));
-    node.terminate();
-    let answer = client.answer().expect("an answer");
-    assert!(answer.status() >= 500, "{answer:?}");
-    assert!(node.wait().success());
-    assert!(TcpStream::connect(node.address).is_err());
+    let upstream = Upstream::start(Behavior::NeverRespond);
+    let mut config = TestConfig::with_upstreams(&[upstream.address]);
+    config.polls_endpoints = true;
+    config.deadline_ms = 1000;
+    let mut process = config.start();
+    let mut client = process.connect();
+    client.write(&at_most_once_request(1000, "x"));
+    process.terminate();
+    let response = client.read_response().expect("a response");
+    assert!(response.status() >= 500, "{response:?}");
+    assert!(process.wait_for_exit().success());
+    assert!(TcpStream::connect(process.address).is_err());
 }
--- a/balancer/tests/races_simultaneous_events.rs
+++ b/balancer/tests/races_simultaneous_events.rs
@@ -1,177 +1,180 @@
-//! Two events in one instant: the balancer is stopped, both happen, and it goes on with both before it.
+//! Two events at the same time: the balancer is suspended, both happen, and it resumes with both
+//! before it.
+#![allow(clippy::expect_used, reason = "a step that fails fails the test")]
 
 mod common;
 
-use common::*;
+use common::{
+    BalancerProcess, Client, ERROR_RESPONSE, LIVENESS_REQUEST, OK_RESPONSE, RawPeer, TIMEOUT,
+    TestConfig, UNKNOWN_PATH_REQUEST, Upstream, WatchingBalancer, at_most_once_request,
+    endpoint_json, endpoint_list_json, idempotent_request, read_request,
+};
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
-use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
-
-/// A balancer before two upstreams at one address, whose connections the test reads and writes.
-fn before_two(deadline_ms: u64) -> (Node, Receiver<TcpStream>) {
-    let (address, streams) = raw_peer();
-    let mut setup = Setup::with(&[address, address]);
-    setup.deadline_ms = deadline_ms;
-    (setup.start(), streams)
+/// A balancer with two upstreams at one address, whose connections the test reads and writes.
+struct TwoUpstreams {
+    process: BalancerProcess,
+    upstream: RawPeer,
 }
 
-/// The next attempt, its request read.
-fn attempt(streams: &Receiver<TcpStream>) -> TcpStream {
-    let stream = streams.recv_timeout(LONG).expect("an attempt");
-    assert!(next_request(&stream).is_some());
-    stream
+impl TwoUpstreams {
+    fn start(deadline_ms: u64) -> Self {
+        let upstream = RawPeer::start();
+        let mut config = TestConfig::with_upstreams(&[upstream.address, upstream.address]);
+        config.deadline_ms = deadline_ms;
+        Self {
+            process: config.start(),
+            upstream,
+        }
+    }
 }
 
-/// Guards against a further attempt for a client that left as the one before failed.
 #[test]
 fn no_retry_when_the_client_disconnects_as_the_attempt_fails() {
-    for error in [ERROR, ""] {
-        let (node, streams) = before_two(8000);
-        let mut client = node.connect();
-        client.write(&look(8000));
-        let upstream = attempt(&streams);
-        node.stop();
-        // The failure is seen first, where it is seen by order of time.
-        (&upstream).write_all(error.as_bytes()).unwrap();
-        upstream.shutdown(Shutdown::Both).unwrap();
-        client.leave();
-        node.go_on();
-        node.round_trip();
-        assert!(
-            streams.try_recv().is_err(),
-            "a further attempt, after {error:?}"
-        );
+    for error in [ERROR_RESPONSE, ""] {
+        let TwoUpstreams { process, upstream } = TwoUpstreams::start(8000);
+        let mut client = process.connect();
+        client.write(&idempotent_request(8000));
+        let mut attempt = upstream.next_requested();
+        process.suspend();
+        // The failure is seen first, if events are seen in the order of time.
+        attempt.write_all(error.as_bytes()).unwrap();
+        attempt.shutdown(Shutdown::Both).unwrap();
+        client.disconnect();
+        process.resume();
+        process.round_trip();
+        let retry = upstream.connections.try_recv();
+        assert!(retry.is_err(), "a retry after {error:?}");
     }
 }
 
-/// Guards the balancer where a client leaves as its answer comes, and where many leave at once.
+/// Many clients disconnect at once, half of them as their responses arrive.
 #[test]
 fn clients_that_disconnect_as_responses_arrive_leave_no_work_behind() {
-    let (node, streams) = before_two(8000);
-    let mut clients: Vec<Client> = (0..40).map(|_| node.connect()).collect();
-    clients
-        .iter_mut()
-        .for_each(|client| client.write(&look(8000)));
-    let attempts: Vec<TcpStream> = (0..40).map(|_| attempt(&streams)).collect();
-    node.stop();
-    for stream in attempts.iter().step_by(2) {
-        (&mut &*stream).write_all(OK.as_bytes()).unwrap();
+    const CLIENTS: usize = 40;
+    let TwoUpstreams { process, upstream } = TwoUpstreams::start(8000);
+    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| process.connect()).collect();
+    for client in &mut clients {
+        client.write(&idempotent_request(8000));
     }
-    clients.into_iter().for_each(Client::leave);
-    node.go_on();
-    for stream in attempts.iter().skip(1).step_by(2) {
-        stream.set_read_timeout(Some(LONG)).unwrap();
+    let mut attempts: Vec<TcpStream> = (0..CLIENTS).map(|_| upstream.next_requested()).collect();
+    process.suspend();
+    for attempt in attempts.iter_mut().step_by(2) {
+        attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
+    }
+    for client in clients {
+        client.disconnect();
+    }
+    process.resume();
+    for attempt in attempts.iter().skip(1).step_by(2) {
+        attempt.set_read_timeout(Some(TIMEOUT)).unwrap();
         assert!(
-            next_request(stream).is_none(),
-            "an attempt goes on for nobody"
+            read_request(attempt).is_none(),
+            "an attempt goes on for a client that is gone"
         );
     }
-    let mut client = node.connect();
-    client.write(&look(8000));
-    let stream = attempt(&streams);
-    (&stream).write_all(OK.as_bytes()).unwrap();
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    let mut client = process.connect();
+    client.write(&idempotent_request(8000));
+    let mut attempt = upstream.next_requested();
+    attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
+    let response = client.read_response().expect("a response");
+    assert_eq!(response.status(), 200);
+}
+
+/// Reads the final response and sends another request on the connection: a second final response
+/// would be read in place of its own.
+fn read_only_response(client: &mut Client) -> u16 {
+    let status = client.read_response().expect("a response").status();
+    let next = client.exchange(UNKNOWN_PATH_REQUEST);
+    assert_eq!(next.status(), 404, "a second response: {next:?}");
+    status
 }
 
-/// Guards the one final answer: two copies answer in one instant, and the connection goes on as before.
 #[test]
 fn simultaneous_hedge_responses_give_one_final_response() {
-    let (node, streams) = before_two(1500);
-    let mut client = node.connect();
-    client.write(&look(1500));
-    let copies = [attempt(&streams), attempt(&streams)];
-    node.stop();
-    for stream in &copies {
-        (&mut &*stream).write_all(OK.as_bytes()).unwrap();
+    let TwoUpstreams { process, upstream } = TwoUpstreams::start(1500);
+    let mut client = process.connect();
+    client.write(&idempotent_request(1500));
+    let mut attempts = [upstream.next_requested(), upstream.next_requested()];
+    process.suspend();
+    for attempt in &mut attempts {
+        attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
     }
-    node.go_on();
-    assert_eq!(client.answer().expect("an answer").status(), 200);
-    // A second answer would be read in place of this one.
-    assert_eq!(
-        client
-            .exchange("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n")
-            .status(),
-        404
-    );
+    process.resume();
+    assert_eq!(read_only_response(&mut client), 200);
 }
 
-/// Guards the one final answer where the time is over as the last byte comes.
+/// The deadline passes as the last byte of the response arrives.
 #[test]
 fn response_at_the_deadline_gives_one_final_response() {
-    let (node, streams) = before_two(400);
-    let mut client = node.connect();
-    client.write(&book(400, "x"));
-    let upstream = attempt(&streams);
-    node.stop();
-    (&upstream).write_all(OK.as_bytes()).unwrap();
+    let TwoUpstreams { process, upstream } = TwoUpstreams::start(400);
+    let mut client = process.connect();
+    client.write(&at_most_once_request(400, "x"));
+    let mut attempt = upstream.next_requested();
+    process.suspend();
+    attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(500));
-    node.go_on();
-    let answer = client.answer().expect("an answer");
-    assert!([200, 502].contains(&answer.status()), "{answer:?}");
-    assert_eq!(
-        client
-            .exchange("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n")
-            .status(),
-        404
-    );
+    process.resume();
+    let status = read_only_response(&mut client);
+    assert!([200, 502].contains(&status), "{status}");
 }
 
-/// Guards a request that comes as its connection is due to be closed as idle.
+/// A request arrives as its connection is due to be closed for being idle.
 #[test]
 fn request_at_the_client_idle_timeout_is_served() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let node = Setup::with(&[upstream.address]).start();
-    let mut client = node.connect();
-    assert_eq!(client.exchange(HEALTH).status(), 200);
-    node.stop();
-    client.write(&look(8000));
+    let upstream = Upstream::healthy();
+    let process = TestConfig::with_upstreams(&[upstream.address]).start();
+    let mut client = process.connect();
+    assert_eq!(client.exchange(LIVENESS_REQUEST).status(), 200);
+    process.suspend();
+    client.write(&idempotent_request(8000));
     std::thread::sleep(Duration::from_millis(2700));
-    node.go_on();
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    process.resume();
+    let response = client.read_response().expect("a response");
+    assert_eq!(response.status(), 200);
 }
 
-/// Guards the drain rule where a drain is told as requests come: none of them goes there.
+/// A drain is notified as requests arrive: none of them goes there.
 #[test]
 fn drain_update_applies_to_requests_that_arrive_with_it() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let (node, _calls, watch) = watching(&upstream);
-    let mut client = node.connect();
-    assert_eq!(client.exchange(&look(8000)).status(), 200);
-    node.stop();
-    tell(
-        &watch,
-        &list(2, false, &[entry("s-0", upstream.address, "Terminating")]),
-    );
-    client.write(&look(8000));
-    node.go_on();
-    assert!(client.answer().is_some());
-    // The request may have been read before the list; any that comes after it may not go there.
-    let before = upstream.seen().len();
+    let upstream = Upstream::healthy();
+    let balancer = WatchingBalancer::start(&[upstream.address]);
+    let process = &balancer.process;
+    let mut client = process.connect();
+    assert_eq!(client.exchange(&idempotent_request(8000)).status(), 200);
+    process.suspend();
+    let drain = endpoint_json("s-0", upstream.address, "Terminating");
+    balancer.watch.send(&endpoint_list_json(2, false, &[drain]));
+    client.write(&idempotent_request(8000));
+    process.resume();
+    assert!(client.read_response().is_some());
+    // That request may have been read before the update; none that comes after it may go there.
+    let before = upstream.request_count();
     for _ in 0..3 {
-        assert_eq!(client.exchange(&look(8000)).status(), 503);
+        assert_eq!(client.exchange(&idempotent_request(8000)).status(), 503);
     }
-    assert_eq!(upstream.seen().len(), before);
+    assert_eq!(upstream.request_count(), before);
 }
 
-/// Guards against a list that is old: a watch that ends in place of telling is opened anew at once, and what a whole
-/// list does not name is gone, though it still answers.
+/// A list must not become stale: a watch that ends without an update is reopened at once, and an
+/// upstream that the next snapshot does not contain is removed, though it still responds.
 #[test]
 fn reopens_a_watch_that_ends_without_an_update() {
-    let upstream = Upstream::start(Then::Answer(OK));
-    let (node, calls, watch) = watching(&upstream);
-    tell(&watch, "");
-    node.round_trip();
-    drop(watch);
-    let (target, watch) = calls
-        .recv_timeout(Duration::from_secs(5))
-        .expect("another watch");
-    assert!(target.contains("index=1"), "{target}");
-    tell(&watch, &list(2, true, &[]));
-    until("it is gone", || {
-        node.connect().exchange(&look(8000)).status() == 503
-    });
-    assert!(upstream.seen().len() <= 1);
+    let upstream = Upstream::healthy();
+    let balancer = WatchingBalancer::start(&[upstream.address]);
+    let process = &balancer.process;
+    balancer.watch.send("");
+    process.round_trip();
+    drop(balancer.watch);
+    let watch = balancer
+        .discovery
+        .watches
+        .recv_timeout(Duration::from_secs(5));
+    let watch = watch.expect("another watch");
+    assert!(watch.target.contains("index=1"), "{watch:?}");
+    watch.send(&endpoint_list_json(2, true, &[]));
+    process.wait_for_status(&idempotent_request(8000), 503);
+    assert!(upstream.request_count() <= 1);
 }
--- a/balancer/tests/races_upstream_connections.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -1,318 +1,224 @@
-//! Connections to upstreams, crossed by restarts, late answers and answers that break off.
+//! Connections to upstreams, in a race with restarts, late responses and truncated responses.
+#![allow(clippy::unwrap_used, reason = "a step that fails fails the test")]
 
 mod common;
 
-use bytes::Bytes;
-use common::{LONG, Setup, look, next_request};
-use frostkeel_balancer::exchange::Outgoing;
-use frostkeel_balancer::upstream::{Ended, Place, Upstreams};
-use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
-use hyper::header::HeaderMap;
-use hyper::{Method, Uri};
-use socket2::{Domain, SockRef, Socket, Type};
-use std::cell::Cell;
+use common::{
+    EMPTY_RESPONSE, ERROR_RESPONSE, REST_TIME, RawPeer, TIMEOUT, TestConfig, TestPool, UPSTREAM,
+    attempt, idempotent_request, into_async, raw_listener, read_request, ready_endpoint,
+};
+use frostkeel_balancer::upstream::Upstreams;
+use frostkeel_policy::{Outcome, Settings};
+use socket2::SockRef;
 use std::io::Write;
-use std::rc::Rc;
-use std::time::{Duration, Instant as WallInstant};
+use std::net::TcpStream as BlockingStream;
+use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::task::spawn_local;
-use tokio::time::Instant;
+use tokio::net::TcpStream;
 
-const ID: UpstreamId = UpstreamId(7);
-const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-
-fn outgoing(body: usize) -> Outgoing {
-    Outgoing {
-        method: Method::POST,
-        target: Uri::from_static("/book"),
-        headers: HeaderMap::new(),
-        body: Bytes::from(vec![b'x'; body]),
-    }
-}
-
-/// One upstream, listed as ready, and where it listens.
-async fn one() -> (Rc<Upstreams>, TcpListener, Place) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let settings = Settings {
-        connect_timeout: LONG,
-        connection_idle_timeout: LONG,
-        ..Settings::default()
-    };
-    let upstreams = Rc::new(Upstreams::new(&settings, 8));
-    let endpoint = Some(listener.local_addr().unwrap());
-    let place = Place {
-        endpoint,
-        availability: Availability::Ready,
-        boot_ms: 5,
-    };
-    upstreams.place(ID, &place);
-    (upstreams, listener, place)
-}
-
-async fn attempt(upstreams: &Upstreams, body: usize, within: Duration) -> Ended {
-    upstreams
-        .attempt(
-            ID,
-            &outgoing(body),
-            Instant::now() + within,
-            &Cell::new(false),
-        )
-        .await
-}
-
-/// A connection of the balancer's, with the request on it read.
-async fn requested(listener: &TcpListener) -> TcpStream {
-    let (mut stream, _) = listener.accept().await.unwrap();
-    assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
-    stream
-}
-
-/// Guards against a request on a connection to a process that is no more: the upstream is listed with a new start
-/// while an answer of the old process is under way.
+/// The upstream is listed with a new start while a response of the old process is under way: its
+/// connection must not carry a further request.
 #[tokio::test(flavor = "local")]
 async fn closes_connections_to_the_previous_incarnation() {
-    let (upstreams, listener, mut place) = one().await;
-    let asks = Rc::clone(&upstreams);
-    let asked = spawn_local(async move { attempt(&asks, 1, LONG).await });
-    let mut stream = requested(&listener).await;
-    place.boot_ms = 6;
-    upstreams.place(ID, &place);
-    stream.write_all(OK).await.unwrap();
+    let mut pool = TestPool::start(8).await;
+    let in_flight = pool.spawn_attempt();
+    let mut stream = pool.accept_request().await;
+    pool.endpoint.boot_ms += 1;
+    pool.apply_endpoint();
+    stream.write_all(EMPTY_RESPONSE.as_bytes()).await.unwrap();
+    let outcome = in_flight.await.unwrap().outcome;
+    assert_eq!(outcome, Outcome::Ok, "requests in flight complete");
     assert_eq!(
-        asked.await.unwrap().outcome,
-        Outcome::Ok,
-        "what it has it finishes"
-    );
-    assert_eq!(
-        upstreams.open_connections(),
+        pool.upstreams.open_connections(),
         0,
-        "the connection to the old process is kept"
+        "the connection to the old process is retained"
     );
     assert_eq!(stream.read(&mut [0; 16]).await.unwrap(), 0);
 }
 
-/// Guards against half an answer passed on as a whole one, and against one that is waited for longer than there is
-/// time: an answer without a length ends with its connection's end, and a reset is no end.
+/// What an upstream does after the first part of its response.
+#[derive(Clone, Copy, Debug)]
+enum AfterPart {
+    Close,
+    Reset,
+    NeverContinue,
+}
+
+/// Writes part of a response; returns the connection if it stays open.
+async fn respond_in_part(pool: &TestPool, part: &str, then: AfterPart) -> Option<TcpStream> {
+    let mut stream = pool.accept_request().await;
+    stream.write_all(part.as_bytes()).await.unwrap();
+    let linger = match then {
+        AfterPart::NeverContinue => return Some(stream),
+        AfterPart::Close => None,
+        AfterPart::Reset => Some(Duration::ZERO),
+    };
+    // The bytes have to be there before the reset, which would overtake them.
+    tokio::task::yield_now().await;
+    SockRef::from(&stream).set_linger(linger).unwrap();
+    None
+}
+
+/// A truncated response must not pass for a complete one, nor be waited for longer than the time
+/// limit. One without a length ends with its connection; a reset does not complete it.
 #[tokio::test(flavor = "local")]
 async fn truncated_response_is_not_forwarded() {
     let no_length = "HTTP/1.1 200 OK\r\n\r\nhalf";
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n";
-    let (short, long) = (Duration::from_millis(50), LONG);
-    for (answer, closes, within, outcome) in [
-        (no_length, Some(false), long, Outcome::Ok),
-        (no_length, Some(true), long, Outcome::Error),
-        (no_length, None, short, Outcome::TimedOut),
-        (chunked, Some(false), long, Outcome::Error),
-        (chunked, Some(true), long, Outcome::Error),
-        (chunked, None, short, Outcome::TimedOut),
+    let (short, long) = (Duration::from_millis(50), TIMEOUT);
+    for (part, then, time_limit, outcome) in [
+        (no_length, AfterPart::Close, long, Outcome::Ok),
+        (no_length, AfterPart::Reset, long, Outcome::Error),
+        (
+            no_length,
+            AfterPart::NeverContinue,
+            short,
+            Outcome::TimedOut,
+        ),
+        (chunked, AfterPart::Close, long, Outcome::Error),
+        (chunked, AfterPart::Reset, long, Outcome::Error),
+        (chunked, AfterPart::NeverContinue, short, Outcome::TimedOut),
     ] {
-        let (upstreams, listener, _) = one().await;
-        let respond = async {
-            let mut stream = requested(&listener).await;
-            stream.write_all(answer.as_bytes()).await.unwrap();
-            match closes {
-                None => Some(stream),
-                Some(reset) => {
-                    let linger = reset.then_some(Duration::ZERO);
-                    // The bytes have to be there before the reset, which would overtake them.
-                    tokio::task::yield_now().await;
-                    SockRef::from(&stream).set_linger(linger).unwrap();
-                    None
-                }
-            }
-        };
-        let (ended, _open) = tokio::join!(attempt(&upstreams, 1, within), respond);
-        assert_eq!(
-            ended.outcome, outcome,
-            "{answer:?}, closed by a reset: {closes:?}"
-        );
+        let pool = TestPool::start(8).await;
+        let respond = respond_in_part(&pool, part, then);
+        let (ended, _open) = tokio::join!(pool.attempt(1, time_limit), respond);
+        assert_eq!(ended.outcome, outcome, "{part:?}, then {then:?}");
         assert_eq!(ended.served.is_some(), outcome == Outcome::Ok);
     }
 }
 
-/// Guards against bytes that nobody asked for, on a connection at rest: it is not used any more.
+/// Bytes that belong to no request: the connection must not be used any more.
 #[tokio::test(flavor = "local")]
 async fn unsolicited_bytes_close_an_idle_connection() {
-    for late in [
+    for unsolicited in [
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate",
         "HTTP/1.1 2",
         "\r\n",
     ] {
-        let (upstreams, listener, _) = one().await;
-        let respond = async {
-            let mut stream = requested(&listener).await;
-            stream.write_all(OK).await.unwrap();
-            stream
-        };
-        let (ended, mut stream) = tokio::join!(attempt(&upstreams, 1, LONG), respond);
+        let pool = TestPool::start(8).await;
+        let (ended, mut stream) = tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next());
         assert_eq!(ended.outcome, Outcome::Ok);
         // Only a connection that has rested would be used again.
-        tokio::time::sleep(Duration::from_millis(40)).await;
-        stream.write_all(late.as_bytes()).await.unwrap();
-        let respond = async { requested(&listener).await.write_all(OK).await.unwrap() };
-        let both = async { tokio::join!(attempt(&upstreams, 1, LONG), respond) };
-        let (ended, ()) = tokio::time::timeout(LONG, both)
-            .await
-            .expect("a new connection");
-        assert_eq!(ended.outcome, Outcome::Ok, "{late:?}");
+        tokio::time::sleep(REST_TIME).await;
+        stream.write_all(unsolicited.as_bytes()).await.unwrap();
+        let both = async { tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next()) };
+        let both = tokio::time::timeout(TIMEOUT, both).await;
+        let (ended, _) = both.expect("a new connection");
+        assert_eq!(ended.outcome, Outcome::Ok, "{unsolicited:?}");
     }
 }
 
-/// Guards against an answer that belongs to something else: it is there before its request has left whole.
+/// A response that is there before its request has been sent completely belongs to something else.
 #[tokio::test(flavor = "local")]
 async fn response_before_the_end_of_the_request_is_not_forwarded() {
-    let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    listener.set_recv_buffer_size(2048).unwrap();
-    listener
-        .bind(
-            &"127.0.0.1:0"
-                .parse::<std::net::SocketAddr>()
-                .unwrap()
-                .into(),
-        )
-        .unwrap();
-    listener.listen(8).unwrap();
-    listener.set_nonblocking(true).unwrap();
-    let listener = TcpListener::from_std(listener.into()).unwrap();
-    let settings = Settings {
-        connect_timeout: LONG,
-        connection_idle_timeout: LONG,
-        ..Settings::default()
+    const SMALL_BUFFER: usize = 2048;
+    const LARGE_BODY: usize = 8_000_000;
+    let configure = |listener: &socket2::Socket| {
+        listener.set_recv_buffer_size(SMALL_BUFFER).unwrap();
     };
-    let upstreams = Upstreams::new(&settings, 8);
-    let endpoint = Some(listener.local_addr().unwrap());
-    upstreams.place(
-        ID,
-        &Place {
-            endpoint,
-            availability: Availability::Ready,
-            boot_ms: 0,
-        },
-    );
-    for (answer, outcome) in [
-        (OK, Outcome::ConnectFailed),
-        (
-            &b"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"[..],
-            Outcome::Rejected,
-        ),
+    let pool = TestPool::on(into_async(raw_listener(configure, 8)), 8);
+    let rejected = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+    for (response, outcome) in [
+        (EMPTY_RESPONSE, Outcome::ConnectFailed),
+        (rejected, Outcome::Rejected),
     ] {
         let respond = async {
-            let (mut stream, _) = listener.accept().await.unwrap();
-            stream.write_all(answer).await.unwrap();
+            let (mut stream, _) = pool.listener.accept().await.unwrap();
+            stream.write_all(response.as_bytes()).await.unwrap();
             stream
         };
-        let (ended, _stream) = tokio::join!(attempt(&upstreams, 8_000_000, LONG), respond);
+        let (ended, _stream) = tokio::join!(pool.attempt(LARGE_BODY, TIMEOUT), respond);
         assert_eq!(ended.outcome, outcome);
         // The connection ends with the next turn of the loop: the rest of the request is in the way.
         let closed = async {
-            while upstreams.open_connections() > 0 {
-                tokio::task::yield_now().await
+            while pool.upstreams.open_connections() > 0 {
+                tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(LONG, closed)
-            .await
-            .expect("it is closed");
+        let closed = tokio::time::timeout(TIMEOUT, closed).await;
+        closed.expect("the connection is closed");
     }
 }
 
-/// Guards against a request on a connection that comes up after its attempt was given up.
+/// A connection that comes up after its attempt was given up must not carry the request.
 #[tokio::test(flavor = "local")]
 async fn connection_established_after_the_timeout_is_not_used() {
-    // With a full backlog the system leaves further connections hanging until there is room.
-    let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    listener
-        .bind(
-            &"127.0.0.1:0"
-                .parse::<std::net::SocketAddr>()
-                .unwrap()
-                .into(),
-        )
-        .unwrap();
-    listener.listen(0).unwrap();
+    // With a full backlog the system leaves further connections pending until there is space.
+    let listener = raw_listener(|_| (), 0);
     let address = listener.local_addr().unwrap().as_socket().unwrap();
-    let _fills = std::net::TcpStream::connect(address).unwrap();
+    let _fills_backlog = BlockingStream::connect(address).unwrap();
     let settings = Settings {
         connect_timeout: Duration::from_millis(200),
         ..Settings::default()
     };
     let upstreams = Upstreams::new(&settings, 8);
-    upstreams.place(
-        ID,
-        &Place {
-            endpoint: Some(address),
-            availability: Availability::Ready,
-            boot_ms: 0,
-        },
-    );
-    let ended = attempt(&upstreams, 1, Duration::from_millis(50)).await;
+    upstreams.place(UPSTREAM, &ready_endpoint(address));
+    let ended = attempt(&upstreams, UPSTREAM, 1, Duration::from_millis(50)).await;
     assert_eq!(
         ended.outcome,
         Outcome::NotSent,
         "given up before the connection counts as failed"
     );
-    assert_eq!(
-        attempt(&upstreams, 1, LONG).await.outcome,
-        Outcome::ConnectFailed
-    );
+    let ended = attempt(&upstreams, UPSTREAM, 1, TIMEOUT).await;
+    assert_eq!(ended.outcome, Outcome::ConnectFailed);
     assert_eq!(upstreams.open_connections(), 0);
 }
 
-/// Guards a client against another one's answer: an upstream may send a second answer some milliseconds late, and
-/// on a connection in use again by then nothing tells whose it is.
+/// How late an upstream may send a second response.
+const SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(25);
+
+/// Serves requests on a connection. A request that follows a response so soon that it would meet
+/// a second response to the one before gets that one.
+fn respond_twice(mut stream: BlockingStream) {
+    let mut responded_at: Option<Instant> = None;
+    while read_request(&stream).is_some() {
+        let meets_second = responded_at.is_some_and(|at| at.elapsed() < SECOND_RESPONSE_DELAY);
+        let body = if meets_second { "late" } else { "mine" };
+        responded_at = Some(Instant::now());
+        let head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
+        if write!(stream, "{head}{body}").is_err() {
+            return;
+        }
+    }
+}
+
+/// An upstream may send a second response some milliseconds late, and on a connection in use again
+/// by then nothing tells whose it is: it must not reach another client.
 #[test]
 fn late_second_response_reaches_no_other_request() {
-    const LATE: Duration = Duration::from_millis(25);
-    let (address, streams) = common::raw_peer();
+    let upstream = RawPeer::start();
+    let address = upstream.address;
     std::thread::spawn(move || {
-        for mut stream in streams {
-            std::thread::spawn(move || {
-                let mut answered: Option<WallInstant> = None;
-                while next_request(&stream).is_some() {
-                    // A further request so soon would meet the second answer to the one before.
-                    let crossed = answered.is_some_and(|at| at.elapsed() < LATE);
-                    let body = if crossed { "late" } else { "mine" };
-                    answered = Some(WallInstant::now());
-                    let head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
-                    if write!(stream, "{head}{body}").is_err() {
-                        return;
-                    }
-                }
-            });
+        for stream in upstream.connections {
+            std::thread::spawn(move || respond_twice(stream));
         }
     });
-    let node = Setup::with(&[address]).start();
-    let mut client = node.connect();
+    let process = TestConfig::with_upstreams(&[address]).start();
+    let mut client = process.connect();
     for _ in 0..20 {
-        let answer = client.exchange(&look(5000));
-        assert_eq!((answer.status(), &answer.body[..]), (200, &b"mine"[..]));
+        let response = client.exchange(&idempotent_request(5000));
+        assert_eq!((response.status(), &response.body[..]), (200, &b"mine"[..]));
     }
 }
 
-/// Guards what a further attempt says of the time: no more than is left to the client then.
+/// A retry states no more time than the client has left then.
 #[test]
 fn retry_carries_the_remaining_time() {
-    let (address, streams) = common::raw_peer();
-    let node = Setup::with(&[address, address]).start();
-    let mut client = node.connect();
-    let asked = WallInstant::now();
-    client.write(&look(3000));
-    let first = streams.recv_timeout(LONG).expect("an attempt");
-    assert!(next_request(&first).is_some());
+    const TIME_LEFT_MS: u64 = 3000;
+    let upstream = RawPeer::start();
+    let process = TestConfig::with_upstreams(&[upstream.address, upstream.address]).start();
+    let mut client = process.connect();
+    let requested_at = Instant::now();
+    client.write(&idempotent_request(TIME_LEFT_MS));
+    let mut first = upstream.next_requested();
     std::thread::sleep(Duration::from_millis(200));
-    let passed = asked.elapsed().as_millis() as u64;
-    (&first)
-        .write_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-        .unwrap();
-    let second = streams.recv_timeout(LONG).expect("a further attempt");
-    let told = next_request(&second).expect("a request");
-    let told: u64 = told
-        .header("x-time-left-ms")
-        .expect("a time")
-        .parse()
-        .unwrap();
+    let elapsed_ms = requested_at.elapsed().as_millis() as u64;
+    first.write_all(ERROR_RESPONSE.as_bytes()).unwrap();
+    let retry = read_request(&upstream.next_connection()).expect("a retry");
+    let stated = retry.header("x-time-left-ms").expect("a time");
+    let stated_ms: u64 = stated.parse().unwrap();
     assert!(
-        told + passed <= 3000,
-        "{told} ms told after {passed} of 3000"
+        stated_ms + elapsed_ms <= TIME_LEFT_MS,
+        "{stated_ms} ms stated after {elapsed_ms} of {TIME_LEFT_MS}"
     );
 }
--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -1,9 +1,10 @@
-//! A client's connection at its end, with the balancer in the test's own process, so that the clock and the sizes of
-//! the system's buffers are the test's.
+//! Clients that read their responses slowly or never, with the balancer in the test's own process,
+//! so that the clock and the sizes of the system's buffers are the test's.
+#![allow(clippy::unwrap_used, reason = "a step that fails fails the test")]
 
 mod common;
 
-use common::{look, nobody};
+use common::{idempotent_request, into_async, raw_listener, unreachable_address};
 use frostkeel_balancer::discovery::Discovery;
 use frostkeel_balancer::driver::Driver;
 use frostkeel_balancer::list::{Entry, ListUpdate};
@@ -23,9 +24,9 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-const BODY: usize = 60_000;
-/// Far less than an answer.
-const SMALL: usize = 2048;
+const BODY_LENGTH: usize = 60_000;
+/// Far less than a response.
+const SMALL_BUFFER: usize = 2048;
 
 fn site() -> Site {
     let class = Class {
@@ -45,118 +46,131 @@
     }
 }
 
-/// A server in this process that sends little at a time, before one upstream.
-async fn serve(upstream: SocketAddr) -> (SocketAddr, watch::Sender<Phase>) {
-    let site = site();
+/// A list of one ready endpoint.
+fn cached_list(address: SocketAddr) -> ListUpdate {
     let place = Place {
-        endpoint: Some(upstream),
+        endpoint: Some(address),
         availability: Availability::Ready,
         boot_ms: 0,
     };
-    let (id, zone, kind, cell) = (UpstreamId(1), ZoneId(0), KindId(0), CellId(0));
-    let entries = vec![Entry {
-        id,
-        zone,
-        kind,
-        cell,
+    let entry = Entry {
+        id: UpstreamId(1),
+        zone: ZoneId(0),
+        kind: KindId(0),
+        cell: CellId(0),
         weight: 1.0,
         place,
-    }];
-    let driver = Driver::start(
-        Balancer::new(site.settings.clone(), 7).unwrap(),
-        Tally::new(&site),
-        Upstreams::new(&site.settings, 8),
-        Discovery::new(nobody(), site.names.clone()),
-        ListUpdate {
-            scope: UpdateScope::Cached,
-            entries,
-        },
-    );
-    let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    // Connections take this over from their listener.
-    listener.set_send_buffer_size(SMALL).unwrap();
-    listener
-        .bind(&SockAddr::from(
-            "127.0.0.1:0".parse::<SocketAddr>().unwrap(),
-        ))
-        .unwrap();
-    listener.listen(8).unwrap();
-    listener.set_nonblocking(true).unwrap();
-    let listener = TcpListener::from_std(listener.into()).unwrap();
-    let address = listener.local_addr().unwrap();
-    let (phase, phases) = watch::channel(Phase::Serving);
-    spawn_local(Server::new(driver, &site, phases).run(listener, 8));
-    (address, phase)
+    };
+    ListUpdate {
+        scope: UpdateScope::Cached,
+        entries: vec![entry],
+    }
+}
+
+/// A server in this process, and one upstream that the test plays.
+struct TestServer {
+    address: SocketAddr,
+    phase: watch::Sender<Phase>,
+    upstream: TcpListener,
 }
 
-/// Guards against an answer cut short: a client that is slow to take it does not count as idle, neither to the limit
-/// for idle clients nor when the process is ending.
+impl TestServer {
+    /// A server that sends little at a time.
+    async fn start() -> Self {
+        let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let site = site();
+        let driver = Driver::start(
+            Balancer::new(site.settings.clone(), 7).unwrap(),
+            Tally::new(&site),
+            Upstreams::new(&site.settings, 8),
+            Discovery::new(unreachable_address(), site.names.clone()),
+            cached_list(upstream.local_addr().unwrap()),
+        );
+        // Connections inherit this from their listener.
+        let configure = |listener: &Socket| listener.set_send_buffer_size(SMALL_BUFFER).unwrap();
+        let listener = into_async(raw_listener(configure, 8));
+        let address = listener.local_addr().unwrap();
+        let (phase, phases) = watch::channel(Phase::Serving);
+        spawn_local(Server::new(driver, &site, phases).run(listener, 8));
+        Self {
+            address,
+            phase,
+            upstream,
+        }
+    }
+}
+
+/// Serves the request on a connection to the upstream.
+async fn respond(mut stream: TcpStream, headers: &str) -> TcpStream {
+    assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_LENGTH}\r\n{headers}\r\n");
+    let response = [head.as_bytes(), &[b'y'; BODY_LENGTH]].concat();
+    stream.write_all(&response).await.unwrap();
+    stream
+}
+
+fn connect_with_small_buffer(address: SocketAddr) -> TcpStream {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    socket.set_recv_buffer_size(SMALL_BUFFER).unwrap();
+    socket.connect(&SockAddr::from(address)).unwrap();
+    socket.set_nonblocking(true).unwrap();
+    TcpStream::from_std(socket.into()).unwrap()
+}
+
+/// A client that is slow to read its response does not count as idle, neither for the idle timeout
+/// nor at the shutdown.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn slowly_read_response_is_not_truncated() {
-    for ends in [false, true] {
-        let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (address, phase) = serve(upstream.local_addr().unwrap()).await;
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.set_recv_buffer_size(SMALL).unwrap();
-        socket.connect(&SockAddr::from(address)).unwrap();
-        socket.set_nonblocking(true).unwrap();
-        let mut client = TcpStream::from_std(socket.into()).unwrap();
-        client.write_all(look(50_000).as_bytes()).await.unwrap();
-        let (mut stream, _) = upstream.accept().await.unwrap();
-        assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY}\r\n\r\n");
-        stream
-            .write_all(&[head.as_bytes(), &[b'y'; BODY]].concat())
-            .await
-            .unwrap();
+    for shuts_down in [false, true] {
+        let server = TestServer::start().await;
+        let mut client = connect_with_small_buffer(server.address);
+        let request = idempotent_request(50_000);
+        client.write_all(request.as_bytes()).await.unwrap();
+        let (stream, _) = server.upstream.accept().await.unwrap();
+        let _stream = respond(stream, "").await;
         client.readable().await.unwrap();
-        if ends {
-            phase.send_replace(Phase::Closing);
+        if shuts_down {
+            server.phase.send_replace(Phase::Closing);
         }
-        // Nothing is taken for longer than a client may be idle.
+        // Nothing is read for longer than a client may be idle.
         tokio::time::sleep(Duration::from_secs(8)).await;
-        let mut taken = Vec::new();
-        let mut part = [0; 1000];
-        while taken.len() < BODY {
-            match client.read(&mut part).await {
-                Ok(n) if n > 0 => taken.extend_from_slice(&part[..n]),
+        let mut received = 0;
+        let mut buffer = [0; 1000];
+        while received < BODY_LENGTH {
+            match client.read(&mut buffer).await {
+                Ok(length) if length > 0 => received += length,
                 ended => panic!(
-                    "cut short after {} bytes, ending: {ends}: {ended:?}",
-                    taken.len()
+                    "truncated after {received} bytes, shutting down: {shuts_down}: {ended:?}"
                 ),
             }
         }
     }
 }
 
-/// Guards against a place held for ever by one who takes nothing of its answer.
+/// A client that reads nothing of its response must not occupy its connection permanently.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn closes_a_client_that_never_reads_its_response() {
-    let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (address, _phase) = serve(upstream.local_addr().unwrap()).await;
-    let mut client = TcpStream::connect(address).await.unwrap();
-    let mut answers = 0;
-    // As many answers as it takes to fill what the system holds.
+    let server = TestServer::start().await;
+    let mut client = TcpStream::connect(server.address).await.unwrap();
+    let request = idempotent_request(50_000);
+    let mut responses = 0;
+    // As many responses as it takes to fill the system's buffers.
     for _ in 0..40 {
-        if client.write_all(look(50_000).as_bytes()).await.is_err() {
+        if client.write_all(request.as_bytes()).await.is_err() {
             break;
         }
-        let accepted = tokio::time::timeout(Duration::from_secs(1), upstream.accept()).await;
-        let Ok(Ok((mut stream, _))) = accepted else {
+        let accept = server.upstream.accept();
+        let accepted = tokio::time::timeout(Duration::from_secs(1), accept).await;
+        let Ok(Ok((stream, _))) = accepted else {
             continue;
         };
-        assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
-        let head =
-            format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY}\r\nConnection: close\r\n\r\n");
-        stream
-            .write_all(&[head.as_bytes(), &[b'y'; BODY]].concat())
-            .await
-            .unwrap();
-        answers += 1;
+        respond(stream, "Connection: close\r\n").await;
+        responses += 1;
     }
-    assert!(answers > 0);
+    assert!(responses > 0);
     tokio::time::sleep(Duration::from_secs(60)).await;
     let mut rest = Vec::new();
-    let ended = tokio::time::timeout(Duration::from_secs(60), client.read_to_end(&mut rest)).await;
+    let read = client.read_to_end(&mut rest);
+    let ended = tokio::time::timeout(Duration::from_secs(60), read).await;
     assert!(ended.is_ok(), "the connection is still open");
 }
--- a/balancer/tests/upstream_connection.rs
+++ b/balancer/tests/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! What is known of a connection to an upstream.
+//! One connection to an upstream.
 
 use frostkeel_balancer::connection::{Connection, wire_length};
 use http_body_util::Full;
@@ -7,13 +7,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Guards the proof that a request never ran: it rests on knowing how long the request is on the wire.
+/// That a request never ran is proved by the bytes written: their number must be known in advance.
 #[tokio::test(flavor = "local")]
 async fn wire_length_predicts_the_bytes_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let peer = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     for (method, body) in [("GET", ""), ("POST", ""), ("POST", "some words")] {
-        let mut connection = Connection::open(peer, ()).await.unwrap();
+        let mut connection = Connection::open(address, ()).await.unwrap();
         let mut request = Request::builder()
             .method(method)
             .uri("/book/day?n=1")
@@ -25,17 +25,20 @@
         let length = wire_length(&request);
         let upstream = async {
             let (mut stream, _) = listener.accept().await.unwrap();
-            let mut read = vec![0; length as usize];
-            stream.read_exact(&mut read).await.unwrap();
+            let mut bytes = vec![0; length as usize];
+            stream.read_exact(&mut bytes).await.unwrap();
             stream
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 .await
                 .unwrap();
-            String::from_utf8(read).unwrap()
+            String::from_utf8(bytes).unwrap()
         };
-        let (answer, read) = tokio::join!(connection.send(request), upstream);
-        assert!(answer.unwrap().status().is_success());
-        assert!(read.ends_with(&format!("\r\n\r\n{body}")), "{read:?}");
+        let (response, received) = tokio::join!(connection.send(request), upstream);
+        assert!(response.unwrap().status().is_success());
+        assert!(
+            received.ends_with(&format!("\r\n\r\n{body}")),
+            "{received:?}"
+        );
         assert_eq!(connection.written(), length);
     }
 }
--- a/balancer/tests/wall_clock_skew.rs
+++ b/balancer/tests/wall_clock_skew.rs
@@ -1,97 +1,108 @@
-//! Starts of upstreams, which the list tells by the wall clock, where that clock is an hour off: this balancer's or the
-//! others' may have been stepped.
+//! Start times of upstreams, which the list states by the wall clock, where that clock is an hour
+//! off: this balancer's or the others' may have been stepped.
+#![allow(clippy::unwrap_used, reason = "a step that fails fails the test")]
 
 mod common;
 
-use common::*;
+use common::{
+    TestConfig, Upstream, WatchingBalancer, at_most_once_request, endpoint_json,
+    endpoint_list_json, started_endpoint_json,
+};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const HOUR_MS: u64 = 3_600_000;
-/// Requests of which the upstreams' shares are counted.
+/// Requests by which an upstream's share is measured.
 const REQUESTS: usize = 300;
-/// The share of one of two upstreams: at most while it is cold, and at the least once it is warm.
-const COLD_MOST: f64 = 0.15;
-const WARM_LEAST: f64 = 0.25;
+/// The largest share of one of two upstreams while it is in slow start.
+const MAX_SLOW_START_SHARE: f64 = 0.15;
+/// The smallest share of one of two upstreams after that.
+const MIN_WARM_SHARE: f64 = 0.25;
 
-fn wall_ms() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap()
-        .as_millis() as u64
+fn wall_clock_ms() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.unwrap().as_millis() as u64
 }
 
-/// A list of a version in which the second upstream has started at this time.
-fn restarted(rev: u64, upstreams: &[Upstream; 2], boot_ms: u64) -> String {
-    let old = entry("s-0", upstreams[0].address, "Ready");
-    list(
-        rev,
-        true,
-        &[
-            old,
-            started_entry("s-1", upstreams[1].address, "Ready", boot_ms),
-        ],
-    )
+/// A balancer with two upstreams, of which the second one restarts.
+struct RestartTest {
+    balancer: WatchingBalancer,
+    upstreams: [Upstream; 2],
 }
 
-/// The share of requests that the second upstream gets now.
-fn second_share(node: &Node, upstreams: &[Upstream; 2]) -> f64 {
-    let before = upstreams[1].seen().len();
-    let mut client = node.connect();
-    for _ in 0..REQUESTS {
-        assert_eq!(client.exchange(&book(5000, "x")).status(), 200);
+impl RestartTest {
+    fn start(slow_start_ms: u64) -> Self {
+        let upstreams = [Upstream::healthy(), Upstream::healthy()];
+        let addresses = upstreams.each_ref().map(|upstream| upstream.address);
+        let mut config = TestConfig::with_upstreams(&addresses);
+        config.slow_start_ms = slow_start_ms;
+        Self {
+            balancer: WatchingBalancer::start_with(config),
+            upstreams,
+        }
+    }
+
+    /// Sends a list in which the second upstream has started at this time.
+    fn send_list(&self, revision: u64, started_at_ms: u64) {
+        let [first, second] = self.upstreams.each_ref().map(|upstream| upstream.address);
+        let first = endpoint_json("s-0", first, "Ready");
+        let second = started_endpoint_json("s-1", second, "Ready", started_at_ms);
+        let list = endpoint_list_json(revision, true, &[first, second]);
+        self.balancer.watch.send(&list);
     }
-    (upstreams[1].seen().len() - before) as f64 / REQUESTS as f64
-}
 
-fn start(cold_ms: u64) -> (Node, [Upstream; 2], Calls, std::net::TcpStream) {
-    let upstreams = [
-        Upstream::start(Then::Answer(OK)),
-        Upstream::start(Then::Answer(OK)),
-    ];
-    let (discovery, calls) = discovery();
-    let mut setup = Setup::with(&[upstreams[0].address, upstreams[1].address]);
-    (setup.discovery, setup.asks, setup.cold_ms) = (discovery, true, cold_ms);
-    let node = setup.start();
-    let (_, watch) = calls.recv_timeout(LONG).expect("a watch");
-    (node, upstreams, calls, watch)
+    /// The share of requests that the second upstream gets now.
+    fn second_share(&self) -> f64 {
+        let before = self.upstreams[1].request_count();
+        let mut client = self.balancer.process.connect();
+        for _ in 0..REQUESTS {
+            let response = client.exchange(&at_most_once_request(5000, "x"));
+            assert_eq!(response.status(), 200);
+        }
+        (self.upstreams[1].request_count() - before) as f64 / REQUESTS as f64
+    }
 }
 
-/// Guards against a start that lies ahead of this balancer's clock and is taken for a new one with each list: the
-/// upstream would be cold for ever.
+/// A start time ahead of this balancer's clock must not count as a new start with each list: the
+/// upstream would be in slow start permanently.
 #[test]
 fn start_time_ahead_of_the_wall_clock_counts_once() {
-    let (node, upstreams, _calls, watch) = start(1000);
-    let boot_ms = wall_ms() + HOUR_MS;
-    for rev in 2..12 {
-        tell(&watch, &restarted(rev, &upstreams, boot_ms));
+    let test = RestartTest::start(1000);
+    let started_at_ms = wall_clock_ms() + HOUR_MS;
+    for revision in 2..12 {
+        test.send_list(revision, started_at_ms);
         std::thread::sleep(Duration::from_millis(200));
     }
-    tell(&watch, &restarted(12, &upstreams, boot_ms));
-    node.round_trip();
-    let share = second_share(&node, &upstreams);
-    assert!(share > WARM_LEAST, "warm for long, it gets {share}");
+    test.send_list(12, started_at_ms);
+    test.balancer.process.round_trip();
+    let share = test.second_share();
+    assert!(
+        share > MIN_WARM_SHARE,
+        "long after its start it gets {share}"
+    );
 }
 
-/// Guards against a start that looks an hour old by this balancer's clock and is one of just now: the upstream would
-/// get its whole share cold.
+/// A start that looks an hour old by this balancer's clock has just happened: the upstream must not
+/// get its full share at once.
 #[test]
 fn start_time_behind_the_wall_clock_begins_slow_start() {
-    let (node, upstreams, _calls, watch) = start(20_000);
-    tell(&watch, &restarted(2, &upstreams, wall_ms() - HOUR_MS));
-    node.round_trip();
-    let share = second_share(&node, &upstreams);
-    assert!(share < COLD_MOST, "just started, it gets {share}");
+    let test = RestartTest::start(20_000);
+    test.send_list(2, wall_clock_ms() - HOUR_MS);
+    test.balancer.process.round_trip();
+    let share = test.second_share();
+    assert!(share < MAX_SLOW_START_SHARE, "just started it gets {share}");
 }
 
-/// Guards starts that the wall clock dates well: just seen they are cold, and warm once their time is over.
 #[test]
 fn slow_start_lasts_for_its_configured_duration() {
-    let (node, upstreams, _calls, watch) = start(2000);
-    tell(&watch, &restarted(2, &upstreams, wall_ms()));
-    node.round_trip();
-    let share = second_share(&node, &upstreams);
-    assert!(share < COLD_MOST, "just started, it gets {share}");
+    let test = RestartTest::start(2000);
+    test.send_list(2, wall_clock_ms());
+    test.balancer.process.round_trip();
+    let share = test.second_share();
+    assert!(share < MAX_SLOW_START_SHARE, "just started it gets {share}");
     std::thread::sleep(Duration::from_millis(2500));
-    let share = second_share(&node, &upstreams);
-    assert!(share > WARM_LEAST, "warm, it gets {share}");
+    let share = test.second_share();
+    assert!(
+        share > MIN_WARM_SHARE,
+        "after its slow start it gets {share}"
+    );
 }
