--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small embedder for tests: it keeps what a balancer did for each request.
 #![allow(dead_code)]
 
-use lapisroute::*;
+use frostkeel_policy::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -9,12 +9,17 @@
     Duration::from_millis(t)
 }
 
-pub fn class(aim: u64, deadline: u64, effect: Effect) -> Class {
-    Class { aim: ms(aim), deadline: ms(deadline), effect, ..Class::default() }
+pub fn class(latency_objective: u64, deadline: u64, effect: Effect) -> Class {
+    Class {
+        latency_objective: ms(latency_objective),
+        deadline: ms(deadline),
+        effect,
+        ..Class::default()
+    }
 }
 
-pub fn listed(id: u64) -> Listed {
-    Listed {
+pub fn endpoint(id: u64) -> Endpoint {
+    Endpoint {
         id: UpstreamId(id),
         zone: ZoneId(0),
         kind: KindId(0),
@@ -26,13 +31,16 @@
 }
 
 /// So many warm upstreams.
-pub fn fleet(n: u64) -> Vec<Listed> {
-    (1..=n).map(listed).collect()
+pub fn fleet(n: u64) -> Vec<Endpoint> {
+    (1..=n).map(endpoint).collect()
 }
 
 /// One class of this effect.
 pub fn one_class(effect: Effect) -> Settings {
-    Settings { classes: vec![class(400, 1000, effect)], ..Settings::default() }
+    Settings {
+        classes: vec![class(400, 1000, effect)],
+        ..Settings::default()
+    }
 }
 
 /// So many balancers, and tenants with these allowances.
@@ -40,15 +48,29 @@
     Settings {
         balancers,
         classes: vec![class(400, 1000, Effect::Idempotent)],
-        tenants: allowances.iter().map(|a| Tenant { allowance_per_s: *a }).collect(),
+        tenants: allowances
+            .iter()
+            .map(|a| Tenant { quota_per_s: *a })
+            .collect(),
         ..Settings::default()
     }
 }
 
 /// Classes of every effect, with the options that change what may be done about them.
-pub fn varied_settings(hedging: bool, sparse: bool, cancelling: bool, max_attempts: u8) -> Settings {
-    let keyed = |group, ttl| Effect::Deduplicated { group, ttl: ms(ttl) };
-    let streamed = Class { streamed: true, ..class(300, 900, Effect::Idempotent) };
+pub fn varied_settings(
+    hedging: bool,
+    sparse: bool,
+    cancellation: bool,
+    max_attempts: u8,
+) -> Settings {
+    let keyed = |group, ttl| Effect::Deduplicated {
+        group,
+        ttl: ms(ttl),
+    };
+    let streamed = Class {
+        streamed: true,
+        ..class(300, 900, Effect::Idempotent)
+    };
     Settings {
         balancers: if sparse { 500 } else { 1 },
         classes: vec![
@@ -59,13 +81,19 @@
             class(150, 1500, keyed(DedupGroup::All, 60)),
             streamed,
         ],
-        tenants: [900.0, 2000.0, 0.0].map(|a| Tenant { allowance_per_s: a }).to_vec(),
-        ask_for_fleet: sparse,
+        tenants: [900.0, 2000.0, 0.0]
+            .map(|a| Tenant { quota_per_s: a })
+            .to_vec(),
+        polls_endpoints: sparse,
         hedging,
-        cancelling,
+        cancellation,
         max_attempts,
-        probing: sparse,
-        reports: if sparse { Reports::OnProbe } else { Reports::Inline },
+        health_checks: sparse,
+        load_reports: if sparse {
+            LoadReports::OnHealthCheck
+        } else {
+            LoadReports::Inline
+        },
         report_fields: vec![LoadField::InFlight],
         ..Settings::default()
     }
@@ -79,14 +107,14 @@
     pub timers: Vec<(Duration, TimerId)>,
     pub sent: BTreeMap<RequestId, Vec<(Duration, UpstreamId)>>,
     pub answers: BTreeMap<RequestId, &'static str>,
-    pub losses: BTreeMap<RequestId, Loss>,
+    pub losses: BTreeMap<RequestId, FailureReason>,
     pub probes: Vec<UpstreamId>,
     pub list_calls: Vec<Duration>,
     next: u32,
 }
 
 impl Bench {
-    pub fn new(settings: Settings, fleet: &[Listed]) -> Self {
+    pub fn new(settings: Settings, fleet: &[Endpoint]) -> Self {
         let mut bench = Self {
             balancer: Balancer::new(settings, 7).expect("settings permit decisions"),
             now: Duration::ZERO,
@@ -99,7 +127,10 @@
             list_calls: Vec::new(),
             next: 0,
         };
-        bench.tell(Event::Fleet { scope: FleetScope::Cached, listed: fleet });
+        bench.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Cached,
+            endpoints: fleet,
+        });
         bench
     }
 
@@ -111,16 +142,25 @@
             match action {
                 Action::Timer { after, timer } => self.timers.push((self.now + *after, *timer)),
                 Action::Attempt { id, upstream, .. } => {
-                    self.sent.entry(*id).or_default().push((self.now, *upstream));
+                    self.sent
+                        .entry(*id)
+                        .or_default()
+                        .push((self.now, *upstream));
                 }
-                Action::Refuse { id, why, .. } | Action::Fail { id, why } => {
-                    let how = if matches!(action, Action::Fail { .. }) { "failed" } else { "refused" };
+                Action::Reject { id, reason, .. } | Action::Fail { id, reason } => {
+                    let how = if matches!(action, Action::Fail { .. }) {
+                        "failed"
+                    } else {
+                        "refused"
+                    };
                     assert_eq!(self.answers.insert(*id, how), None);
-                    self.losses.insert(*id, *why);
+                    self.losses.insert(*id, *reason);
                 }
-                Action::Probe { upstream } => self.probes.push(*upstream),
-                Action::WatchFleet => self.list_calls.push(self.now),
-                Action::Cancel { .. } | Action::CloseIdle { .. } | Action::Log { .. } => {}
+                Action::HealthCheck { upstream } => self.probes.push(*upstream),
+                Action::WatchEndpoints => self.list_calls.push(self.now),
+                Action::Cancel { .. }
+                | Action::CloseIdleConnections { .. }
+                | Action::Log { .. } => {}
             }
         }
     }
@@ -147,11 +187,18 @@
     }
 
     /// A client's request, marked where it has tried this before.
-    pub fn try_of(&mut self, class: u16, tenant: u32, left: Duration, repeat: bool) -> RequestId {
+    pub fn try_of(&mut self, class: u16, tenant: u32, left: Duration, is_retry: bool) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
         let (class, tenant) = (ClassId(class), TenantId(tenant));
-        self.tell(Event::Request { id, class, tenant, time_left: left, work_ms: None, repeat });
+        self.tell(Event::Request {
+            id,
+            class,
+            tenant,
+            time_left: left,
+            work_ms: None,
+            is_retry,
+        });
         id
     }
 
@@ -178,7 +225,12 @@
     }
 
     /// One request after another, each answered after `latency` by those upstreams that `works` holds for.
-    pub fn traffic(&mut self, count: usize, gap: Duration, works: impl Fn(UpstreamId) -> Option<Outcome>) {
+    pub fn traffic(
+        &mut self,
+        count: usize,
+        gap: Duration,
+        works: impl Fn(UpstreamId) -> Option<Outcome>,
+    ) {
         for _ in 0..count {
             let id = self.request(0, 0, ms(1000));
             let mut attempt = 0;
@@ -193,6 +245,10 @@
     }
 
     pub fn attempts_at(&self, upstream: UpstreamId) -> usize {
-        self.sent.values().flatten().filter(|s| s.1 == upstream).count()
+        self.sent
+            .values()
+            .flatten()
+            .filter(|s| s.1 == upstream)
+            .count()
     }
 }
