--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,6 +1,6 @@
 //! What the platform tells a balancer at its start: the JSON file that `NODE_CONFIG` names.
 
-use frostkeel_membership::{Name, Place};
+use frostkeel_membership::{Name, PeerIndex};
 use frostkeel_settings::Site;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -41,7 +41,7 @@
     /// This balancer's name.
     pub name: Name,
     /// Its position among the peers.
-    pub place: Place,
+    pub place: PeerIndex,
     /// Where datagrams land.
     pub listen: SocketAddr,
     /// By position, where the others are reached, and where what they send comes from.
@@ -194,7 +194,7 @@
         Ok(Some(Members {
             fleet: raw.fleet.clone(),
             name: Name::new(&self.name).map_err(|e| wrong(e.to_string()))?,
-            place: Place(position.me),
+            place: PeerIndex(position.me),
             listen,
             peers: self.peers.clone(),
             page: raw.page,
--- a/balancer/src/members.rs
+++ b/balancer/src/members.rs
@@ -4,7 +4,7 @@
 
 use crate::config;
 use bytes::Bytes;
-use frostkeel_membership::{Config, Counters, Membership, Output, Phase, Place, Viewed};
+use frostkeel_membership::{Config, Counters, MemberRecord, Membership, Output, PeerIndex, Phase};
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::service::service_fn;
@@ -38,7 +38,7 @@
     machine: RefCell<Membership>,
     socket: UdpSocket,
     peers: Vec<SocketAddr>,
-    places: FxHashMap<SocketAddr, Place>,
+    places: FxHashMap<SocketAddr, PeerIndex>,
     fleet: String,
     start: Instant,
     /// The machine may be due sooner than it was.
@@ -83,10 +83,10 @@
             Config {
                 fleet: config.fleet.clone(),
                 name: config.name,
-                place: config.place,
-                places: config.peers.len() as u16,
-                boot,
-                members_most: config.members_most,
+                peer: config.place,
+                peer_count: config.peers.len() as u16,
+                incarnation: boot,
+                max_members: config.members_most,
                 forget_after: config.forget_after,
                 seed,
             },
@@ -118,7 +118,7 @@
             machine: RefCell::new(machine),
             socket,
             places: others
-                .map(|(place, address)| (*address, Place(place)))
+                .map(|(place, address)| (*address, PeerIndex(place)))
                 .collect(),
             peers: config.peers.clone(),
             fleet: config.fleet.clone(),
@@ -142,7 +142,7 @@
     async fn run(self: Rc<Self>) {
         self.carry_out();
         loop {
-            let due = self.machine.borrow().due();
+            let due = self.machine.borrow().next_timeout();
             let Some(due) = due else {
                 // It takes part no more, and only reads what would pile up.
                 if self.socket.readable().await.is_ok() {
@@ -162,8 +162,8 @@
             self.take_in();
             let now = self.start.elapsed();
             let mut machine = self.machine.borrow_mut();
-            if machine.due().is_some_and(|due| due <= now) {
-                machine.timeout(now);
+            if machine.next_timeout().is_some_and(|due| due <= now) {
+                machine.handle_timeout(now);
             }
             drop(machine);
             self.carry_out();
@@ -179,8 +179,10 @@
                     let (mut machine, now) = (self.machine.borrow_mut(), self.start.elapsed());
                     match self.places.get(&from) {
                         // Why one was dropped is counted there, and shown on the page.
-                        Some(place) => drop(machine.datagram(now, *place, &buffer[..length])),
-                        None => machine.unknown_sender(),
+                        Some(place) => {
+                            let _ = machine.handle_datagram(now, *place, &buffer[..length]);
+                        }
+                        None => machine.record_unknown_sender(),
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
@@ -193,7 +195,7 @@
     /// Sends what is to be sent, and writes down what has changed.
     fn carry_out(&self) {
         loop {
-            let output = self.machine.borrow_mut().output();
+            let output = self.machine.borrow_mut().poll_output();
             match output {
                 None => return,
                 Some(Output::Send { to, datagram }) => {
@@ -202,30 +204,34 @@
                         let _ = self.socket.try_send_to(&datagram, *address);
                     }
                 }
-                Some(Output::Changed(change)) => {
-                    let Viewed {
-                        id, standing, from, ..
-                    } = change.now;
-                    let from = from.map_or_else(|| "itself".to_owned(), |name| name.to_string());
+                Some(Output::ViewChanged(change)) => {
+                    let MemberRecord {
+                        id,
+                        state,
+                        reported_by,
+                        ..
+                    } = change.member;
+                    let from =
+                        reported_by.map_or_else(|| "itself".to_owned(), |name| name.to_string());
                     tracing::info!(
                         version = change.version,
                         name = %id.name,
-                        place = id.place.0,
-                        incarnation = id.boot,
-                        turn = id.turn,
-                        standing = %format!("{standing:?}").to_lowercase(),
+                        place = id.peer.0,
+                        incarnation = id.incarnation,
+                        turn = id.rejoin_count,
+                        standing = %state.as_str(),
                         from = %from,
                         "member"
                     );
                 }
-                Some(Output::Outbid(other)) => tracing::warn!(
-                    incarnation = other.boot,
+                Some(Output::Superseded(other)) => tracing::warn!(
+                    incarnation = other.incarnation,
                     "an earlier start had a later incarnation, a still later one is taken: was the clock set back?"
                 ),
                 Some(Output::Yielded(other)) => tracing::error!(
                     name = %other.name,
-                    place = other.place.0,
-                    incarnation = other.boot,
+                    place = other.peer.0,
+                    incarnation = other.incarnation,
                     "yielded: a later process has this name, this one takes part no more; give one of them another"
                 ),
             }
@@ -276,27 +282,28 @@
 
     fn page(&self) -> Vec<u8> {
         let (machine, now) = (self.machine.borrow(), self.start.elapsed());
-        let me = machine.me();
+        let me = machine.identity();
         let view = machine.view();
-        let row = |viewed: &'_ Viewed| (*viewed, now.saturating_sub(viewed.since).as_secs_f64());
-        let rows: Vec<(Viewed, f64)> = view.members().map(row).collect();
+        let row =
+            |viewed: &'_ MemberRecord| (*viewed, now.saturating_sub(viewed.since).as_secs_f64());
+        let rows: Vec<(MemberRecord, f64)> = view.members().map(row).collect();
         let members = rows.iter().map(|(viewed, since_s)| Row {
             name: viewed.id.name.as_str(),
-            place: viewed.id.place.0,
-            incarnation: viewed.id.boot,
-            turn: viewed.id.turn,
-            standing: viewed.standing,
+            place: viewed.id.peer.0,
+            incarnation: viewed.id.incarnation,
+            turn: viewed.id.rejoin_count,
+            standing: viewed.state,
             since_s: *since_s,
-            from: viewed.from.as_ref().map(|name| name.as_str()),
+            from: viewed.reported_by.as_ref().map(|name| name.as_str()),
         });
         let page = Page {
             fleet: &self.fleet,
             name: me.name.as_str(),
             phase: machine.phase(),
-            slowness: machine.health(),
+            slowness: machine.health_score(),
             version: view.version(),
             digest: format!("{:016x}", view.digest()),
-            there: view.there(),
+            there: view.live_count(),
             members: members.collect(),
             counters: machine.counters(),
         };
--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file: what it says, and what is wrong with it.
 
 use frostkeel_balancer::config::{Config, RESERVED_SOCKETS};
-use frostkeel_membership::Place;
+use frostkeel_membership::PeerIndex;
 
 const GOOD: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"rev": 4, "targets": []},
@@ -25,7 +25,7 @@
     let members = Config::parse(&told).unwrap().members.expect("named");
     assert_eq!(
         (members.place, members.peers.len(), members.name.as_str()),
-        (Place(1), 2, "n0")
+        (PeerIndex(1), 2, "n0")
     );
     for (from, to, named) in [
         (r#""me": 1"#, r#""me": 2"#, "settings.me is 2"),
--- a/lab/src/child.rs
+++ b/lab/src/child.rs
@@ -405,10 +405,10 @@
 fn saw(by: u32, said: &str) -> Option<What> {
     let number = |name| field(said, name).and_then(|n| n.parse::<u64>().ok());
     let standing = match field(said, "standing")? {
-        "present" => MemberState::Present,
+        "present" => MemberState::Alive,
         "suspect" => MemberState::Suspect,
         "left" => MemberState::Left,
-        "gone" => MemberState::Gone,
+        "gone" => MemberState::Dead,
         _ => return None,
     };
     let name = Name::new(field(said, "name")?).ok()?;
--- a/lab/src/presence.rs
+++ b/lab/src/presence.rs
@@ -267,20 +267,20 @@
         seen.version = version;
         let before = seen.there.remove(&name);
         seen.digest ^= before.map_or(0, |incarnation| digest(name, incarnation));
-        if standing.is_there() {
+        if standing.is_live() {
             seen.there.insert(name, incarnation);
             seen.digest ^= digest(name, incarnation);
         }
         self.count(by);
         match standing {
             MemberState::Suspect => self.figures.suspected += 1,
-            MemberState::Present => {}
-            MemberState::Left | MemberState::Gone => {
+            MemberState::Alive => {}
+            MemberState::Left | MemberState::Dead => {
                 self.ended(at, by, name, incarnation, standing)
             }
         }
         // A later life tells of the end of the one before as well.
-        if standing == MemberState::Present && before.is_some_and(|before| before < incarnation) {
+        if standing == MemberState::Alive && before.is_some_and(|before| before < incarnation) {
             self.known(at, by, name);
         }
     }
@@ -315,7 +315,7 @@
             return;
         }
         let asked = self.known(at, by, name).is_some_and(|death| death.asked);
-        self.figures.left_as_gone += usize::from(asked && standing == MemberState::Gone);
+        self.figures.left_as_gone += usize::from(asked && standing == MemberState::Dead);
     }
 
     fn differences(&self, most: u64) -> Vec<String> {
@@ -425,7 +425,7 @@
         let mut presence = Presence::default();
         for by in 0..3 {
             for (version, of) in (1..).zip([by, (by + 1) % 3, (by + 2) % 3]) {
-                presence.feed(1_000_000, &saw(by, of, 5, MemberState::Present, version));
+                presence.feed(1_000_000, &saw(by, of, 5, MemberState::Alive, version));
             }
         }
         then.into_iter()
@@ -438,8 +438,8 @@
     fn a_death_counts_from_the_kill_until_all_that_live_on_know() {
         let (figures, broken) = judged(vec![
             (10, became(2, Process::Killed)),
-            (13, saw(0, 2, 5, MemberState::Gone, 4)),
-            (15, saw(1, 2, 5, MemberState::Gone, 4)),
+            (13, saw(0, 2, 5, MemberState::Dead, 4)),
+            (15, saw(1, 2, 5, MemberState::Dead, 4)),
         ]);
         assert_eq!(
             (
@@ -455,24 +455,24 @@
 
     #[test]
     fn what_is_wrong_is_seen() {
-        let living = judged(vec![(10, saw(0, 2, 5, MemberState::Gone, 4))]);
+        let living = judged(vec![(10, saw(0, 2, 5, MemberState::Dead, 4))]);
         assert_eq!((living.0.false_gone, living.0.unequal, living.1), (1, 1, 1));
         assert_eq!(living.0.equal_since_s, None);
         let held = judged(vec![
             (9, became(2, Process::Held)),
-            (10, saw(0, 2, 5, MemberState::Gone, 4)),
+            (10, saw(0, 2, 5, MemberState::Dead, 4)),
         ]);
         assert_eq!((held.0.false_gone, held.0.false_gone_held), (0, 1));
         let skipped = judged(vec![(10, saw(0, 2, 5, MemberState::Suspect, 6))]);
         assert_eq!((skipped.0.suspected, skipped.1), (1, 1));
         let unknown = judged(vec![
             (10, became(2, Process::Killed)),
-            (13, saw(0, 2, 5, MemberState::Gone, 4)),
+            (13, saw(0, 2, 5, MemberState::Dead, 4)),
         ]);
         assert_eq!((unknown.0.kills, unknown.0.unknown), (1, 1));
         let leave = judged(vec![
             (10, became(2, Process::Asked)),
-            (13, saw(0, 2, 5, MemberState::Gone, 4)),
+            (13, saw(0, 2, 5, MemberState::Dead, 4)),
         ]);
         assert_eq!((leave.0.leaves, leave.0.left_as_gone), (1, 1));
     }
--- a/lab/src/simulated.rs
+++ b/lab/src/simulated.rs
@@ -4,7 +4,7 @@
 use crate::history::{Process, What};
 use crate::net::{Kept, Ways, copies};
 use crate::presence::{Figures, Presence};
-use frostkeel_membership::{Config, ConfigError, Membership, Name, Output, Place};
+use frostkeel_membership::{Config, ConfigError, Membership, Name, Output, PeerIndex};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -196,11 +196,11 @@
         let lives: Vec<_> = self
             .nodes
             .iter()
-            .filter_map(|node| Some(node.machine.as_ref()?.me()))
+            .filter_map(|node| Some(node.machine.as_ref()?.identity()))
             .collect();
         for member in all {
             if let Some(machine) = &mut self.nodes[member as usize].machine {
-                machine.remember(self.now, lives.iter().copied());
+                machine.restore(self.now, lives.iter().copied());
             }
             self.after(member);
         }
@@ -217,10 +217,10 @@
         let config = Config {
             fleet: "simulated".into(),
             name: node.name,
-            place: Place(member as u16),
-            places,
-            boot: EPOCH_MS + self.now.as_millis() as u64,
-            members_most: 2 * usize::from(places),
+            peer: PeerIndex(member as u16),
+            peer_count: places,
+            incarnation: EPOCH_MS + self.now.as_millis() as u64,
+            max_members: 2 * usize::from(places),
             forget_after: self
                 .experiment
                 .membership
@@ -241,25 +241,26 @@
     fn after(&mut self, member: u32) {
         loop {
             let node = &mut self.nodes[member as usize];
-            let Some(output) = node.machine.as_mut().and_then(Membership::output) else {
+            let Some(output) = node.machine.as_mut().and_then(Membership::poll_output) else {
                 break;
             };
             match output {
                 Output::Send { to, datagram } => self.send(member, u32::from(to.0), datagram),
-                Output::Changed(change) => self.note(&What::Saw {
+                Output::ViewChanged(change) => self.note(&What::Saw {
                     by: member,
-                    name: change.now.id.name,
-                    incarnation: change.now.id.boot + u64::from(change.now.id.turn),
-                    standing: change.now.standing,
+                    name: change.member.id.name,
+                    incarnation: change.member.id.incarnation
+                        + u64::from(change.member.id.rejoin_count),
+                    standing: change.member.state,
                     version: change.version,
                 }),
-                Output::Outbid(_) => {}
+                Output::Superseded(_) => {}
                 Output::Yielded(_) => self.note(&What::Yielded { by: member }),
             }
         }
         let node = &mut self.nodes[member as usize];
         let life = node.life;
-        if let Some(due) = node.machine.as_ref().and_then(Membership::due)
+        if let Some(due) = node.machine.as_ref().and_then(Membership::next_timeout)
             && !node.held
             && due < node.wakes
         {
@@ -300,7 +301,7 @@
         }
         if let Some(machine) = &mut node.machine {
             // What is dropped is counted there.
-            let _ = machine.datagram(self.now, Place(from as u16), &datagram);
+            let _ = machine.handle_datagram(self.now, PeerIndex(from as u16), &datagram);
             self.after(to);
         }
     }
@@ -312,8 +313,8 @@
         }
         node.wakes = Duration::MAX;
         if let Some(machine) = &mut node.machine {
-            if machine.due().is_some_and(|due| due <= self.now) {
-                machine.timeout(self.now);
+            if machine.next_timeout().is_some_and(|due| due <= self.now) {
+                machine.handle_timeout(self.now);
             }
             self.after(member);
         }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -17,6 +17,7 @@
 //!   by part, so that nobody goes without a piece of news for good.
 
 mod config;
+mod counters;
 mod health;
 mod hello;
 mod identity;
@@ -30,7 +31,8 @@
 mod wire;
 
 pub use config::{Config, ConfigError};
-pub use identity::{Identity, Name, NameError, Place};
-pub use machine::{Counters, Membership, Output, Phase};
-pub use view::{Change, MemberState, View, Viewed};
-pub use wire::{DATAGRAM_MOST, Dropped};
+pub use counters::Counters;
+pub use identity::{Identity, Name, NameError, PeerIndex};
+pub use machine::{Membership, Output, Phase};
+pub use view::{MemberRecord, MemberState, View, ViewChange};
+pub use wire::{DropReason, MAX_DATAGRAM_LEN};
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -1,14 +1,15 @@
 //! The state machine.
 
 use crate::config::{Config, ConfigError};
+use crate::counters::Counters;
 use crate::health::{Health, PAUSE};
 use crate::hello::Hello;
-use crate::identity::{Identity, Name, Place};
+use crate::identity::{Identity, Name, PeerIndex};
 use crate::io::Io;
 use crate::sync::{self, Follow, Part};
-use crate::view::{Change, MemberState, View, Viewed};
+use crate::view::{MemberRecord, MemberState, View, ViewChange};
 use crate::watch::{Want, Watch};
-use crate::wire::{self, Dropped, Own, Said};
+use crate::wire::{self, DropReason, Own, Said};
 use foca::{
     Foca, Member, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec, State, Timer,
 };
@@ -54,15 +55,15 @@
     /// Send a datagram to a place.
     Send {
         /// Where to.
-        to: Place,
+        to: PeerIndex,
         /// At most 256 bytes.
         datagram: Vec<u8>,
     },
     /// Know of a change of the view.
-    Changed(Change),
+    ViewChanged(ViewChange),
     /// Know that this process had a name for itself that was claimed by an earlier start of it, with a later incarnation:
     /// it has taken a still later one.
-    Outbid(Identity),
+    Superseded(Identity),
     /// Know that a later process claims its name: it has yielded, and takes part no more.
     Yielded(Identity),
 }
@@ -79,37 +80,6 @@
     Left,
 }
 
-/// What came and went, and what was dropped.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Counters {
-    /// Datagrams sent.
-    pub sent: u64,
-    /// Their bytes.
-    pub sent_bytes: u64,
-    /// Datagrams that came.
-    pub received: u64,
-    /// Their bytes.
-    pub received_bytes: u64,
-    /// Dropped: cannot be read.
-    pub broken: u64,
-    /// Dropped: another version.
-    pub other_version: u64,
-    /// Dropped: another fleet.
-    pub other_fleet: u64,
-    /// Dropped: sender's address unknown.
-    pub unknown_sender: u64,
-    /// Dropped: the sender is not at the place it says.
-    pub impostor: u64,
-    /// Dropped: tells of what cannot be.
-    pub beyond: u64,
-    /// Could be read, but not be meant in this state.
-    pub odd: u64,
-    /// Times that others doubted this process and it said that it is there.
-    pub refuted: u64,
-    /// Times that it ran late enough to doubt itself.
-    pub pauses: u64,
-}
-
 /// One that did not answer the watch.
 struct Doubt {
     id: Identity,
@@ -121,7 +91,7 @@
 
 /// One process's part in the membership.
 ///
-/// Times are the embedder's, on a clock that only goes forward. Before [`timeout`](Self::timeout) it hands in all datagrams
+/// Times are the embedder's, on a clock that only goes forward. Before [`handle_timeout`](Self::handle_timeout) it hands in all datagrams
 /// that have come: what was answered in time must not look late.
 pub struct Membership {
     config: Config,
@@ -176,27 +146,27 @@
 impl Membership {
     /// A process that joins from now on.
     pub fn new(config: Config, now: Duration) -> Result<Self, ConfigError> {
-        config.check()?;
+        config.validate()?;
         let Config {
             name,
-            place,
-            boot,
+            peer,
+            incarnation,
             seed,
             ..
         } = config;
         let me = Identity {
             name,
-            place,
-            boot,
-            turn: 0,
-            leaving: false,
+            peer,
+            incarnation,
+            rejoin_count: 0,
+            is_leaving: false,
         };
         let mut rng = StdRng::seed_from_u64(seed);
         let own_rng = StdRng::seed_from_u64(rng.random());
-        let set_for = usize::from(config.places);
+        let set_for = usize::from(config.peer_count);
         let mut membership = Self {
             foca: Foca::new(me, protocol(set_for, &config), rng, PostcardCodec),
-            io: Io::new(now, 4 * config.members_most + 64),
+            io: Io::new(now, 4 * config.max_members + 64),
             view: View::default(),
             health: Health::default(),
             watch: Watch::new(now, 0),
@@ -213,11 +183,11 @@
             config,
         };
         membership.watch = Watch::new(now, membership.rng.random());
-        membership.put(Viewed {
+        membership.put(MemberRecord {
             id: me,
-            standing: MemberState::Present,
+            state: MemberState::Alive,
             since: now,
-            from: None,
+            reported_by: None,
         });
         for _ in 1..FIRST_CALLS {
             membership.call();
@@ -227,21 +197,21 @@
 
     /// Takes lives for there without telling anybody: what is remembered from before the start. Those that are not there
     /// any more are found out in time.
-    pub fn remember(&mut self, now: Duration, lives: impl Iterator<Item = Identity>) {
+    pub fn restore(&mut self, now: Duration, lives: impl Iterator<Item = Identity>) {
         self.io.now = now;
-        let name = self.me().name;
+        let name = self.identity().name;
         let lives: Vec<_> = lives
             .filter(|id| id.name != name && self.possible(id).is_ok())
             .collect();
         let applied =
             self.foca
                 .apply_many(lives.into_iter().map(Member::alive), false, &mut self.io);
-        self.counters.odd += u64::from(applied.is_err());
+        self.counters.protocol_errors += u64::from(applied.is_err());
         self.settle(None);
     }
 
     /// Who this process is.
-    pub fn me(&self) -> Identity {
+    pub fn identity(&self) -> Identity {
         *self.foca.identity()
     }
 
@@ -256,7 +226,7 @@
     }
 
     /// How well it does itself: 0 is well, 4 the worst.
-    pub fn health(&self) -> u32 {
+    pub fn health_score(&self) -> u32 {
         self.health.score()
     }
 
@@ -266,12 +236,12 @@
     }
 
     /// What the embedder has to do next.
-    pub fn output(&mut self) -> Option<Output> {
+    pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`timeout`](Self::timeout) wants to be called; `None`: never again.
-    pub fn due(&self) -> Option<Duration> {
+    /// When [`handle_timeout`](Self::handle_timeout) wants to be called; `None`: never again.
+    pub fn next_timeout(&self) -> Option<Duration> {
         if self.phase != Phase::Member {
             return None;
         }
@@ -290,35 +260,33 @@
     }
 
     /// A datagram came from an address that is none of the peers'.
-    pub fn unknown_sender(&mut self) {
-        self.counters.unknown_sender += 1;
+    pub fn record_unknown_sender(&mut self) {
+        self.counters.record_dropped(DropReason::UnknownSender);
     }
 
     /// A datagram came from a place; says why where it is dropped.
-    pub fn datagram(&mut self, now: Duration, from: Place, datagram: &[u8]) -> Result<(), Dropped> {
-        self.counters.received += 1;
-        self.counters.received_bytes += datagram.len() as u64;
+    pub fn handle_datagram(
+        &mut self,
+        now: Duration,
+        from: PeerIndex,
+        datagram: &[u8],
+    ) -> Result<(), DropReason> {
+        self.counters.record_received(datagram);
         if self.phase != Phase::Member {
             return Ok(());
         }
         let taken = self.take(now, from, datagram);
-        match taken {
-            Ok(()) => {}
-            Err(Dropped::Broken) => self.counters.broken += 1,
-            Err(Dropped::Version) => self.counters.other_version += 1,
-            Err(Dropped::Fleet) => self.counters.other_fleet += 1,
-            Err(Dropped::UnknownSender) => self.counters.unknown_sender += 1,
-            Err(Dropped::Impostor) => self.counters.impostor += 1,
-            Err(Dropped::Beyond) => self.counters.beyond += 1,
+        if let Err(reason) = taken {
+            self.counters.record_dropped(reason);
         }
         taken
     }
 
-    fn take(&mut self, now: Duration, place: Place, datagram: &[u8]) -> Result<(), Dropped> {
+    fn take(&mut self, now: Duration, place: PeerIndex, datagram: &[u8]) -> Result<(), DropReason> {
         self.io.now = now;
         match wire::read(&self.config.fleet, datagram)? {
             Said::Own(Own::Check { nonce }) => {
-                let (from, digest) = (self.me(), self.view.digest());
+                let (from, digest) = (self.identity(), self.view.digest());
                 self.say(
                     place,
                     &Own::Checked {
@@ -347,17 +315,17 @@
                 }
             }
             Said::Own(Own::PassCheck { nonce, to }) => {
-                if to.0 < self.config.places && to != self.me().place {
+                if to.0 < self.config.peer_count && to != self.identity().peer {
                     self.say(to, &Own::CheckVia { nonce, back: place });
                 }
             }
             Said::Own(Own::CheckVia { nonce, back }) => {
-                let from = self.me();
+                let from = self.identity();
                 self.say(place, &Own::CheckedVia { nonce, back, from });
             }
             Said::Own(Own::CheckedVia { nonce, back, from }) => {
                 self.admit(place, &from)?;
-                if back.0 < self.config.places && back != self.me().place {
+                if back.0 < self.config.peer_count && back != self.identity().peer {
                     self.say(back, &Own::Passed { nonce, from });
                 }
             }
@@ -370,7 +338,7 @@
             Said::Own(Own::Compare { from, part, hashes }) => {
                 self.admit(place, &from)?;
                 if !part.is_sound() {
-                    return Err(Dropped::Beyond);
+                    return Err(DropReason::Implausible);
                 }
                 if self.hello.may_answer(now) && self.hears(&from) {
                     let own = part.hashes(self.view.hashes());
@@ -388,7 +356,7 @@
                     .iter()
                     .try_for_each(|member| self.possible(member.id()))?;
                 if back.is_some_and(|part| !part.is_sound()) {
-                    return Err(Dropped::Beyond);
+                    return Err(DropReason::Implausible);
                 }
                 if self.hears(&from) {
                     let doubted = self.take_news(&about);
@@ -397,11 +365,11 @@
                         let applied =
                             self.foca
                                 .apply_many(about.iter().cloned(), false, &mut self.io);
-                        self.counters.odd += u64::from(applied.is_err());
+                        self.counters.protocol_errors += u64::from(applied.is_err());
                         if doubted {
                             // Whoever says so hears at once that it is wrong; the others will.
                             let announced = self.foca.announce(from, &mut self.io);
-                            self.counters.odd += u64::from(announced.is_err());
+                            self.counters.protocol_errors += u64::from(announced.is_err());
                         }
                         self.settle(Some(from.name));
                         self.look_for_suspects_among(&about, from.name);
@@ -413,11 +381,11 @@
             }
             Said::Own(Own::Hello { from }) => {
                 self.admit(place, &from)?;
-                if from.name == self.me().name {
+                if from.name == self.identity().name {
                     self.claimed(from, true);
                 } else if self.hello.may_answer(now) {
                     let announced = self.foca.announce(from, &mut self.io);
-                    self.counters.odd += u64::from(announced.is_err());
+                    self.counters.protocol_errors += u64::from(announced.is_err());
                     self.settle(None);
                 }
             }
@@ -430,7 +398,7 @@
                 for member in &about {
                     self.possible(member.id())?;
                 }
-                let name = self.me().name;
+                let name = self.identity().name;
                 if from.name == name {
                     self.claimed(from, true);
                     return Ok(());
@@ -439,7 +407,7 @@
                 if self.phase == Phase::Member {
                     self.io.stretch = 1 + self.health.score();
                     let handled = self.foca.handle_data(payload, &mut self.io);
-                    self.counters.odd += u64::from(handled.is_err());
+                    self.counters.protocol_errors += u64::from(handled.is_err());
                     self.settle(Some(from.name));
                     self.look_for_suspects_among(&about, from.name);
                 }
@@ -450,10 +418,10 @@
 
     /// What others say of this process itself; whether they doubt it.
     fn take_news(&mut self, about: &[Member<Identity>]) -> bool {
-        let (name, mut doubted) = (self.me().name, false);
+        let (name, mut doubted) = (self.identity().name, false);
         for member in about.iter().filter(|member| member.id().name == name) {
-            if *member.id() == self.me() && member.state() == State::Suspect {
-                self.counters.refuted += 1;
+            if *member.id() == self.identity() && member.state() == State::Suspect {
+                self.counters.refutations += 1;
                 self.health.worse();
                 doubted = true;
             }
@@ -465,23 +433,23 @@
     /// Whether a sender counts as there. One that does not is told who is here, so that both learn how they stand.
     fn hears(&mut self, from: &Identity) -> bool {
         let known = self.view.get(&from.name);
-        let there = known.is_some_and(|viewed| viewed.id == *from && viewed.standing.is_there());
-        if !there && from.name != self.me().name && self.hello.may_answer(self.io.now) {
+        let there = known.is_some_and(|viewed| viewed.id == *from && viewed.state.is_live());
+        if !there && from.name != self.identity().name && self.hello.may_answer(self.io.now) {
             let announced = self.foca.announce(*from, &mut self.io);
-            self.counters.odd += u64::from(announced.is_err());
+            self.counters.protocol_errors += u64::from(announced.is_err());
             self.settle(None);
         }
         there
     }
 
-    fn compare(&mut self, to: Place, part: Part) {
-        let (from, hashes) = (self.me(), part.hashes(self.view.hashes()));
+    fn compare(&mut self, to: PeerIndex, part: Part) {
+        let (from, hashes) = (self.identity(), part.hashes(self.view.hashes()));
         self.say(to, &Own::Compare { from, part, hashes });
     }
 
     /// Tells what is known of a part, as far as it fits; what does not, at another time by chance.
-    fn tell(&mut self, to: Place, part: Part, back: Option<Part>) {
-        let me = self.me();
+    fn tell(&mut self, to: PeerIndex, part: Part, back: Option<Part>) {
+        let me = self.identity();
         let known = self
             .foca
             .iter_membership_state()
@@ -516,50 +484,50 @@
     }
 
     /// Whether a sender can be who it says.
-    fn admit(&self, place: Place, from: &Identity) -> Result<(), Dropped> {
-        if from.place != place {
-            return Err(Dropped::Impostor);
+    fn admit(&self, place: PeerIndex, from: &Identity) -> Result<(), DropReason> {
+        if from.peer != place {
+            return Err(DropReason::SenderMismatch);
         }
         self.possible(from)
     }
 
     /// Whether there can be such a member, and room for it.
-    fn possible(&self, id: &Identity) -> Result<(), Dropped> {
+    fn possible(&self, id: &Identity) -> Result<(), DropReason> {
         let known = self.view.get(&id.name).is_some();
-        let room = self.view.len() < self.config.members_most;
+        let room = self.view.len() < self.config.max_members;
         // By the clock of this process's start: it needs no later one, as a day is allowed for.
-        let in_time = id.boot
+        let in_time = id.incarnation
             <= self
                 .config
-                .boot
+                .incarnation
                 .saturating_add(AHEAD_MOST + self.io.now.as_millis() as u64);
-        if id.place.0 < self.config.places && (known || room) && in_time {
+        if id.peer.0 < self.config.peer_count && (known || room) && in_time {
             Ok(())
         } else {
-            Err(Dropped::Beyond)
+            Err(DropReason::Implausible)
         }
     }
 
     /// Somebody has this process's name, itself or by another's word.
     fn claimed(&mut self, other: Identity, itself: bool) {
-        let me = self.me();
-        if !other.wins(&me) {
+        let me = self.identity();
+        if !other.supersedes(&me) {
             // A living one learns from the answer who has the name.
-            if itself && me.wins(&other) && self.hello.may_answer(self.io.now) {
-                self.say(other.place, &Own::Hello { from: me });
+            if itself && me.supersedes(&other) && self.hello.may_answer(self.io.now) {
+                self.say(other.peer, &Own::Hello { from: me });
             }
             return;
         }
         if self.io.now < self.started + JOINING && self.outbids < OUTBIDS {
             self.outbids += 1;
             let next = Identity {
-                boot: other.boot + 1,
-                turn: 0,
+                incarnation: other.incarnation + 1,
+                rejoin_count: 0,
                 ..me
             };
             let changed = self.foca.change_identity(next, &mut self.io);
-            self.counters.odd += u64::from(changed.is_err());
-            self.outputs.push_back(Output::Outbid(other));
+            self.counters.protocol_errors += u64::from(changed.is_err());
+            self.outputs.push_back(Output::Superseded(other));
             self.settle(None);
         } else {
             self.phase = Phase::Yielded;
@@ -568,8 +536,10 @@
     }
 
     /// Does what has become due.
-    pub fn timeout(&mut self, now: Duration) {
-        let Some(due) = self.due() else { return };
+    pub fn handle_timeout(&mut self, now: Duration) {
+        let Some(due) = self.next_timeout() else {
+            return;
+        };
         self.io.now = now;
         let late = now.saturating_sub(due);
         self.health.ran(late);
@@ -597,7 +567,7 @@
                 continue;
             }
             let handled = self.foca.handle_timer(timer, &mut self.io);
-            self.counters.odd += u64::from(handled.is_err());
+            self.counters.protocol_errors += u64::from(handled.is_err());
             self.settle(None);
             if probed {
                 for (id, incarnation) in
@@ -621,34 +591,34 @@
     fn watch_next(&mut self, now: Duration) {
         match self.watch.timeout(now, &self.health) {
             Want::Choose => {
-                let me = self.me().name;
+                let me = self.identity().name;
                 if let Some(next) = self
                     .view
-                    .after(&me)
+                    .successor(&me)
                     .map(|viewed| viewed.id)
                     .filter(|id| id.name != me)
                 {
                     let nonce = self.watch.begin(next, now, &self.health);
-                    self.say(next.place, &Own::Check { nonce });
+                    self.say(next.peer, &Own::Check { nonce });
                 }
             }
             Want::Ask(target, nonce) => {
-                self.say(target.place, &Own::Check { nonce });
+                self.say(target.peer, &Own::Check { nonce });
                 // Only the way from here may be cut: another one asks as well.
-                let me = self.me().name;
+                let me = self.identity().name;
                 let others = self
                     .view
                     .members()
-                    .filter(|viewed| viewed.standing == MemberState::Present);
+                    .filter(|viewed| viewed.state == MemberState::Alive);
                 let others = others
                     .map(|viewed| viewed.id)
                     .filter(|id| id.name != me && id.name != target.name);
                 if let Some(other) = others.choose(&mut self.rng) {
                     self.say(
-                        other.place,
+                        other.peer,
                         &Own::PassCheck {
                             nonce,
-                            to: target.place,
+                            to: target.peer,
                         },
                     );
                 }
@@ -667,7 +637,7 @@
         let applied = self
             .foca
             .apply_many([suspect].into_iter(), true, &mut self.io);
-        self.counters.odd += u64::from(applied.is_err());
+        self.counters.protocol_errors += u64::from(applied.is_err());
         self.settle(None);
         self.look_for_suspects(None, |member| *member.id() == id);
         self.remember_doubt(id, incarnation, now);
@@ -678,7 +648,7 @@
             .doubts
             .iter()
             .any(|d| d.id == id && d.incarnation == incarnation);
-        if !doubted && self.doubts.len() < self.config.members_most {
+        if !doubted && self.doubts.len() < self.config.max_members {
             let due = now + suspicion(self.foca.num_members());
             self.doubts.push(Doubt {
                 id,
@@ -705,11 +675,11 @@
         for (id, incarnation) in due {
             let about = vec![Member::new(id, incarnation, State::Suspect)];
             let said = Own::Tell {
-                from: self.me(),
+                from: self.identity(),
                 back: None,
                 about,
             };
-            self.say(id.place, &said);
+            self.say(id.peer, &said);
         }
         for doubt in self
             .doubts
@@ -719,7 +689,7 @@
             if self.is_suspect(&doubt.id, doubt.incarnation) {
                 let down = Member::new(doubt.id, doubt.incarnation, State::Down);
                 let applied = self.foca.apply_many([down].into_iter(), true, &mut self.io);
-                self.counters.odd += u64::from(applied.is_err());
+                self.counters.protocol_errors += u64::from(applied.is_err());
                 self.settle(None);
             }
         }
@@ -736,25 +706,21 @@
 
     /// Calls a place at which nobody is present.
     fn call(&mut self) {
-        if self.view.there() >= usize::from(self.config.places) {
+        if self.view.live_count() >= usize::from(self.config.peer_count) {
             return;
         }
-        let mut taken = vec![false; usize::from(self.config.places)];
-        for viewed in self
-            .view
-            .members()
-            .filter(|viewed| viewed.standing.is_there())
-        {
-            if let Some(taken) = taken.get_mut(usize::from(viewed.id.place.0)) {
+        let mut taken = vec![false; usize::from(self.config.peer_count)];
+        for viewed in self.view.members().filter(|viewed| viewed.state.is_live()) {
+            if let Some(taken) = taken.get_mut(usize::from(viewed.id.peer.0)) {
                 *taken = true;
             }
         }
         let free = (0u16..)
             .zip(&taken)
             .filter(|(_, taken)| !**taken)
-            .map(|(place, _)| Place(place));
+            .map(|(place, _)| PeerIndex(place));
         if let Some(place) = free.choose(&mut self.rng) {
-            let from = self.me();
+            let from = self.identity();
             self.say(place, &Own::Hello { from });
         }
     }
@@ -766,24 +732,24 @@
         }
         self.io.now = now;
         let leaving = Identity {
-            leaving: true,
-            ..self.me()
+            is_leaving: true,
+            ..self.identity()
         };
         let mut done = self.foca.change_identity(leaving, &mut self.io);
         for _ in 1..FAREWELLS {
             done = done.and_then(|()| self.foca.gossip(&mut self.io));
         }
         done = done.and_then(|()| self.foca.leave_cluster(&mut self.io));
-        self.counters.odd += u64::from(done.is_err());
+        self.counters.protocol_errors += u64::from(done.is_err());
         self.settle(None);
         self.phase = Phase::Left;
     }
 
-    fn put(&mut self, viewed: Viewed) {
-        let there = self.view.there();
+    fn put(&mut self, viewed: MemberRecord) {
+        let there = self.view.live_count();
         if let Some(change) = self.view.put(viewed) {
-            self.outputs.push_back(Output::Changed(change));
-            if self.view.there() != there {
+            self.outputs.push_back(Output::ViewChanged(change));
+            if self.view.live_count() != there {
                 self.hello.again(self.io.now, &mut self.rng);
             }
         }
@@ -791,51 +757,51 @@
 
     /// Takes over what the protocol has sent and found.
     fn settle(&mut self, from: Option<Name>) {
-        let me = self.me();
+        let me = self.identity();
         let since = self.io.now;
         for note in std::mem::take(&mut self.io.notes) {
-            let (id, standing) = match note {
-                OwnedNotification::MemberUp(id) if id.leaving => (id, MemberState::Left),
-                OwnedNotification::MemberUp(id) => (id, MemberState::Present),
-                OwnedNotification::MemberDown(id) if id.leaving => (id, MemberState::Left),
-                OwnedNotification::MemberDown(id) => (id, MemberState::Gone),
-                OwnedNotification::Rename(_, now) if now.leaving => (now, MemberState::Left),
+            let (id, state) = match note {
+                OwnedNotification::MemberUp(id) if id.is_leaving => (id, MemberState::Left),
+                OwnedNotification::MemberUp(id) => (id, MemberState::Alive),
+                OwnedNotification::MemberDown(id) if id.is_leaving => (id, MemberState::Left),
+                OwnedNotification::MemberDown(id) => (id, MemberState::Dead),
+                OwnedNotification::Rename(_, now) if now.is_leaving => (now, MemberState::Left),
                 // No other note follows where the earlier life counted as there with the protocol: one that leaves
                 // does so until its end has come round.
                 OwnedNotification::Rename(_, now)
                     if self.foca.iter_members().any(|m| *m.id() == now) =>
                 {
-                    (now, MemberState::Present)
+                    (now, MemberState::Alive)
                 }
-                OwnedNotification::Rename(_, now) => (now, MemberState::Gone),
+                OwnedNotification::Rename(_, now) => (now, MemberState::Dead),
                 _ => continue,
             };
             if id.name != me.name {
-                self.put(Viewed {
+                self.put(MemberRecord {
                     id,
-                    standing,
+                    state,
                     since,
-                    from,
+                    reported_by: from,
                 });
             }
         }
         if self.view.get(&me.name).is_none_or(|viewed| viewed.id != me) {
-            let standing = if me.leaving {
+            let state = if me.is_leaving {
                 MemberState::Left
             } else {
-                MemberState::Present
+                MemberState::Alive
             };
-            self.put(Viewed {
+            self.put(MemberRecord {
                 id: me,
-                standing,
+                state,
                 since,
-                from,
+                reported_by: from,
             });
         }
         for (to, payload) in std::mem::take(&mut self.io.sends) {
             if to.name != me.name {
                 let datagram = wire::swim(&self.config.fleet, &payload);
-                self.send(to.place, datagram);
+                self.send(to.peer, datagram);
             }
         }
     }
@@ -845,7 +811,7 @@
         let suspect = |name: &Name| {
             self.view
                 .get(name)
-                .is_some_and(|viewed| viewed.standing == MemberState::Suspect)
+                .is_some_and(|viewed| viewed.state == MemberState::Suspect)
         };
         let of = about
             .iter()
@@ -867,21 +833,20 @@
     ) -> Vec<(Identity, u16)> {
         let (mut changed, mut suspects) = (Vec::new(), Vec::new());
         for member in self.foca.iter_members().filter(|member| of(member)) {
-            let standing = match member.state() {
+            let state = match member.state() {
                 State::Suspect => MemberState::Suspect,
-                _ if member.id().leaving => MemberState::Left,
-                _ => MemberState::Present,
+                _ if member.id().is_leaving => MemberState::Left,
+                _ => MemberState::Alive,
             };
             let known = self.view.get(&member.id().name);
-            if known.is_some_and(|viewed| viewed.standing.is_there() && viewed.standing != standing)
-            {
-                changed.push(Viewed {
+            if known.is_some_and(|viewed| viewed.state.is_live() && viewed.state != state) {
+                changed.push(MemberRecord {
                     id: *member.id(),
-                    standing,
+                    state,
                     since: self.io.now,
-                    from,
+                    reported_by: from,
                 });
-                if standing == MemberState::Suspect {
+                if state == MemberState::Suspect {
                     suspects.push((*member.id(), member.incarnation()));
                 }
             }
@@ -897,19 +862,18 @@
         let members = self.foca.num_members() + 1;
         if members * 5 < self.set_for * 4 || members * 4 > self.set_for * 5 {
             let set = self.foca.set_config(protocol(members, &self.config));
-            self.counters.odd += u64::from(set.is_err());
+            self.counters.protocol_errors += u64::from(set.is_err());
             self.set_for = members;
         }
     }
 
-    fn say(&mut self, to: Place, said: &Own) {
+    fn say(&mut self, to: PeerIndex, said: &Own) {
         let datagram = wire::own(&self.config.fleet, said);
         self.send(to, datagram);
     }
 
-    fn send(&mut self, to: Place, datagram: Vec<u8>) {
-        self.counters.sent += 1;
-        self.counters.sent_bytes += datagram.len() as u64;
+    fn send(&mut self, to: PeerIndex, datagram: Vec<u8>) {
+        self.counters.record_sent(&datagram);
         self.outputs.push_back(Output::Send { to, datagram });
     }
 }
--- a/membership/src/sync.rs
+++ b/membership/src/sync.rs
@@ -38,7 +38,7 @@
 /// The same for a life in each process; a digest of many is the exclusive or of theirs.
 pub fn hash(id: &Identity) -> u64 {
     let mut hasher = SipHasher13::new();
-    (id.name.as_str(), id.boot, id.turn).hash(&mut hasher);
+    (id.name.as_str(), id.incarnation, id.rejoin_count).hash(&mut hasher);
     hasher.finish()
 }
 
@@ -109,18 +109,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::identity::Place;
+    use crate::identity::PeerIndex;
     use rand::SeedableRng;
     use rand::rngs::StdRng;
 
-    fn life(n: u64, boot: u64) -> Identity {
+    fn life(n: u64, incarnation: u64) -> Identity {
         let name = Name::new(&format!("m{n}")).expect("a name");
         Identity {
             name,
-            place: Place(0),
-            boot,
-            turn: 0,
-            leaving: false,
+            peer: PeerIndex(0),
+            incarnation,
+            rejoin_count: 0,
+            is_leaving: false,
         }
     }
 
--- a/membership/src/tests.rs
+++ b/membership/src/tests.rs
@@ -17,10 +17,10 @@
 fn life(n: u16, boot: u64) -> Identity {
     Identity {
         name: name(n),
-        place: Place(n),
-        boot: BOOT + boot,
-        turn: 0,
-        leaving: false,
+        peer: PeerIndex(n),
+        incarnation: BOOT + boot,
+        rejoin_count: 0,
+        is_leaving: false,
     }
 }
 
@@ -28,10 +28,10 @@
     let config = Config {
         fleet: FLEET.into(),
         name: name(n),
-        place: Place(n),
-        places: 8,
-        boot: BOOT + boot,
-        members_most: 16,
+        peer: PeerIndex(n),
+        peer_count: 8,
+        incarnation: BOOT + boot,
+        max_members: 16,
         forget_after: Duration::from_secs(600),
         seed: 7 + u64::from(n),
     };
@@ -81,7 +81,7 @@
 fn news_in_any_order_end_in_the_same_view() {
     let (one, two) = (life(3, 1), life(3, 2));
     let left = |id| Identity {
-        leaving: true,
+        is_leaving: true,
         ..id
     };
     let news = |id, incarnation, state| Member::new(id, incarnation, state);
@@ -94,7 +94,7 @@
                 news(one, 1, State::Suspect),
                 news(one, 2, State::Alive),
             ],
-            (one, MemberState::Present),
+            (one, MemberState::Alive),
         ),
         (
             vec![
@@ -104,7 +104,7 @@
                 news(two, 0, State::Alive),
                 news(one, 9, State::Alive),
             ],
-            (two, MemberState::Present),
+            (two, MemberState::Alive),
         ),
         (
             vec![
@@ -124,7 +124,7 @@
                 news(two, 0, State::Down),
                 news(left(one), 0, State::Down),
             ],
-            (two, MemberState::Gone),
+            (two, MemberState::Dead),
         ),
     ];
     for (news, (id, standing)) in cases {
@@ -133,12 +133,12 @@
             // First it is known at all: of one that was never there, nobody is told that it is gone.
             let known = news[0].clone();
             for told in std::iter::once(&known).chain(&order).chain(&order[..2]) {
-                let datagram = gossip(life(1, 0), me.me(), std::slice::from_ref(told));
-                me.datagram(Duration::from_secs(1), Place(1), &datagram)
+                let datagram = gossip(life(1, 0), me.identity(), std::slice::from_ref(told));
+                me.handle_datagram(Duration::from_secs(1), PeerIndex(1), &datagram)
                     .expect("it can be read");
             }
             let seen = me.view().get(&name(3)).expect("known");
-            assert_eq!((seen.id, seen.standing), (id, standing), "after {order:?}");
+            assert_eq!((seen.id, seen.state), (id, standing), "after {order:?}");
         }
     }
 }
@@ -147,24 +147,24 @@
 fn versions_go_up_by_one_and_every_change_is_told() {
     let mut me = member(0, 0);
     for n in 1..6 {
-        let datagram = gossip(life(n, 0), me.me(), &[Member::alive(life(n + 1, 0))]);
-        me.datagram(Duration::from_secs(1), Place(n), &datagram)
+        let datagram = gossip(life(n, 0), me.identity(), &[Member::alive(life(n + 1, 0))]);
+        me.handle_datagram(Duration::from_secs(1), PeerIndex(n), &datagram)
             .expect("it can be read");
     }
     let mut versions = Vec::new();
-    while let Some(output) = me.output() {
-        if let Output::Changed(change) = output {
+    while let Some(output) = me.poll_output() {
+        if let Output::ViewChanged(change) = output {
             versions.push(change.version);
         }
     }
     assert_eq!(versions, (1..=7).collect::<Vec<u64>>());
-    assert_eq!((me.view().version(), me.view().there()), (7, 7));
+    assert_eq!((me.view().version(), me.view().live_count()), (7, 7));
 }
 
 #[test]
 fn what_is_not_meant_for_this_fleet_is_counted_and_dropped() {
     let mut me = member(0, 0);
-    let good = gossip(life(1, 0), me.me(), &[]);
+    let good = gossip(life(1, 0), me.identity(), &[]);
     let other_fleet = {
         let mut other = good.clone();
         other[2] = b'T';
@@ -173,43 +173,43 @@
     let other_version = [&[9], &good[1..]].concat();
     let mut flipped = good.clone();
     *flipped.last_mut().expect("bytes") ^= 1;
-    let beyond = gossip(life(1, 0), me.me(), &[Member::alive(life(9, 0))]);
-    let to_come = gossip(life(1, 1 << 40), me.me(), &[]);
-    let long = vec![1; DATAGRAM_MOST + 1];
+    let beyond = gossip(life(1, 0), me.identity(), &[Member::alive(life(9, 0))]);
+    let to_come = gossip(life(1, 1 << 40), me.identity(), &[]);
+    let long = vec![1; MAX_DATAGRAM_LEN + 1];
     for (datagram, place, why) in [
-        (&other_fleet, 1, Dropped::Fleet),
-        (&other_version, 1, Dropped::Version),
-        (&flipped, 1, Dropped::Broken),
-        (&long, 1, Dropped::Broken),
-        (&Vec::new(), 1, Dropped::Broken),
-        (&good, 2, Dropped::Impostor),
-        (&beyond, 1, Dropped::Beyond),
-        (&to_come, 1, Dropped::Beyond),
+        (&other_fleet, 1, DropReason::ForeignFleet),
+        (&other_version, 1, DropReason::UnsupportedVersion),
+        (&flipped, 1, DropReason::Malformed),
+        (&long, 1, DropReason::Malformed),
+        (&Vec::new(), 1, DropReason::Malformed),
+        (&good, 2, DropReason::SenderMismatch),
+        (&beyond, 1, DropReason::Implausible),
+        (&to_come, 1, DropReason::Implausible),
     ] {
         assert_eq!(
-            me.datagram(Duration::ZERO, Place(place), datagram),
+            me.handle_datagram(Duration::ZERO, PeerIndex(place), datagram),
             Err(why)
         );
     }
-    me.unknown_sender();
+    me.record_unknown_sender();
     let c = me.counters();
     let dropped = (
-        c.other_fleet,
-        c.other_version,
-        c.broken,
-        c.impostor,
-        c.beyond,
+        c.foreign_fleet,
+        c.unsupported_version,
+        c.malformed,
+        c.sender_mismatch,
+        c.implausible,
         c.unknown_sender,
     );
     assert_eq!(dropped, (1, 1, 3, 1, 2, 1));
     assert_eq!(me.view().len(), 1, "nobody has become known");
-    me.datagram(Duration::ZERO, Place(1), &good)
+    me.handle_datagram(Duration::ZERO, PeerIndex(1), &good)
         .expect("it can be read");
     assert_eq!(me.view().len(), 2);
 }
 
 fn outputs(me: &mut Membership) -> Vec<Output> {
-    std::iter::from_fn(|| me.output()).collect()
+    std::iter::from_fn(|| me.poll_output()).collect()
 }
 
 /// The later start has the name: the earlier one yields, says so, and is silent from then on.
@@ -217,19 +217,22 @@
 fn of_two_that_claim_a_name_the_later_one_has_it() {
     let mut earlier = member(0, 0);
     let later = Identity {
-        place: Place(5),
-        boot: BOOT + 60_000,
-        ..earlier.me()
+        peer: PeerIndex(5),
+        incarnation: BOOT + 60_000,
+        ..earlier.identity()
     };
-    let datagram = gossip(life(1, 0), earlier.me(), &[Member::alive(later)]);
+    let datagram = gossip(life(1, 0), earlier.identity(), &[Member::alive(later)]);
     earlier
-        .datagram(Duration::from_secs(60), Place(1), &datagram)
+        .handle_datagram(Duration::from_secs(60), PeerIndex(1), &datagram)
         .expect("it can be read");
     assert!(outputs(&mut earlier).contains(&Output::Yielded(later)));
-    assert_eq!((earlier.phase(), earlier.due()), (Phase::Yielded, None));
+    assert_eq!(
+        (earlier.phase(), earlier.next_timeout()),
+        (Phase::Yielded, None)
+    );
     let hello = wire::own(FLEET, &Own::Hello { from: life(1, 0) });
     earlier
-        .datagram(Duration::from_secs(61), Place(1), &hello)
+        .handle_datagram(Duration::from_secs(61), PeerIndex(1), &hello)
         .expect("it can be read");
     assert_eq!(outputs(&mut earlier), []);
 }
@@ -239,24 +242,24 @@
 fn a_restart_with_its_clock_set_back_takes_its_name_all_the_same() {
     let mut back = member(0, 0);
     let before = Identity {
-        boot: BOOT + 60_000,
-        ..back.me()
+        incarnation: BOOT + 60_000,
+        ..back.identity()
     };
-    let datagram = gossip(life(1, 0), back.me(), &[Member::alive(before)]);
-    back.datagram(Duration::from_millis(100), Place(1), &datagram)
+    let datagram = gossip(life(1, 0), back.identity(), &[Member::alive(before)]);
+    back.handle_datagram(Duration::from_millis(100), PeerIndex(1), &datagram)
         .expect("it can be read");
-    assert!(outputs(&mut back).contains(&Output::Outbid(before)));
+    assert!(outputs(&mut back).contains(&Output::Superseded(before)));
     assert_eq!(
-        (back.phase(), back.me().boot),
-        (Phase::Member, before.boot + 1)
+        (back.phase(), back.identity().incarnation),
+        (Phase::Member, before.incarnation + 1)
     );
     let claims = (2..9).map(|n| Identity {
-        boot: BOOT + n * 60_000,
-        ..back.me()
+        incarnation: BOOT + n * 60_000,
+        ..back.identity()
     });
     for claim in claims.collect::<Vec<_>>() {
-        let datagram = gossip(life(1, 0), back.me(), &[Member::alive(claim)]);
-        back.datagram(Duration::from_millis(200), Place(1), &datagram)
+        let datagram = gossip(life(1, 0), back.identity(), &[Member::alive(claim)]);
+        back.handle_datagram(Duration::from_millis(200), PeerIndex(1), &datagram)
             .expect("it can be read");
     }
     assert_eq!(back.phase(), Phase::Yielded, "the bidding ends");
@@ -278,8 +281,8 @@
         })
         .collect();
     let seeds = [
-        gossip(life(1, 0), me.me(), &about),
-        gossip(life(1, 0), me.me(), &about[..1]),
+        gossip(life(1, 0), me.identity(), &about),
+        gossip(life(1, 0), me.identity(), &about[..1]),
         wire::own(FLEET, &Own::Hello { from: life(1, 0) }),
         wire::own(
             FLEET,
@@ -320,16 +323,16 @@
         if round % 3 == 0 {
             wire::sign(FLEET, &mut datagram);
         }
-        let _ = me.datagram(now, Place(1), &datagram);
+        let _ = me.handle_datagram(now, PeerIndex(1), &datagram);
         if round % 1000 == 0 {
             now += Duration::from_millis(100);
-            if me.due().is_some_and(|due| due <= now) {
-                me.timeout(now);
+            if me.next_timeout().is_some_and(|due| due <= now) {
+                me.handle_timeout(now);
             }
         }
-        while let Some(output) = me.output() {
+        while let Some(output) = me.poll_output() {
             if let Output::Send { to, datagram } = output {
-                assert!(to.0 < 8 && datagram.len() <= DATAGRAM_MOST);
+                assert!(to.0 < 8 && datagram.len() <= MAX_DATAGRAM_LEN);
             }
         }
         if me.phase() != Phase::Member {
@@ -337,5 +340,5 @@
         }
         assert!(me.view().len() <= 17);
     }
-    assert!(me.counters().broken > 0);
+    assert!(me.counters().malformed > 0);
 }
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -15,48 +15,60 @@
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
     /// It is there.
-    Present,
+    #[serde(rename = "present")]
+    Alive,
     /// It did not answer somebody, and has not yet said that it is there.
     Suspect,
     /// It said that it leaves.
     Left,
     /// It has ended without a word, or cannot be reached by anybody.
-    Gone,
+    #[serde(rename = "gone")]
+    Dead,
 }
 
 impl MemberState {
     /// Whether it counts as there.
-    pub fn is_there(self) -> bool {
-        matches!(self, Self::Present | Self::Suspect)
+    pub fn is_live(self) -> bool {
+        matches!(self, Self::Alive | Self::Suspect)
+    }
+
+    /// The state as the log and the members page write it.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Alive => "present",
+            Self::Suspect => "suspect",
+            Self::Left => "left",
+            Self::Dead => "gone",
+        }
     }
 }
 
 /// What is known of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Viewed {
+pub struct MemberRecord {
     /// Who.
     pub id: Identity,
     /// How it stands.
-    pub standing: MemberState,
+    pub state: MemberState,
     /// Since when, on the embedder's clock.
     pub since: Duration,
     /// Whose datagram told; `None`: it was found out here.
-    pub from: Option<Name>,
+    pub reported_by: Option<Name>,
 }
 
 /// A change of the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Change {
+pub struct ViewChange {
     /// The view's version with it.
     pub version: u64,
     /// What is now known.
-    pub now: Viewed,
+    pub member: MemberRecord,
 }
 
 /// What is known of a member, and what comparing views needs of it.
 #[derive(Debug)]
 struct Entry {
-    viewed: Viewed,
+    viewed: MemberRecord,
     position: u32,
     hash: u64,
 }
@@ -66,9 +78,9 @@
 pub struct View {
     members: BTreeMap<Name, Entry>,
     version: u64,
-    there: usize,
+    live_count: usize,
     digest: u64,
-    changes: VecDeque<Change>,
+    changes: VecDeque<ViewChange>,
 }
 
 impl View {
@@ -78,7 +90,7 @@
     }
 
     /// All members that are remembered, in the order of their names.
-    pub fn members(&self) -> impl Iterator<Item = &Viewed> {
+    pub fn members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(|entry| &entry.viewed)
     }
 
@@ -92,7 +104,7 @@
         let there = self
             .members
             .values()
-            .filter(|entry| entry.viewed.standing.is_there());
+            .filter(|entry| entry.viewed.state.is_live());
         there.map(|entry| (entry.position, entry.hash))
     }
 
@@ -107,17 +119,17 @@
     }
 
     /// How many count as there, this process included.
-    pub fn there(&self) -> usize {
-        self.there
+    pub fn live_count(&self) -> usize {
+        self.live_count
     }
 
     /// What is known of one.
-    pub fn get(&self, name: &Name) -> Option<&Viewed> {
+    pub fn get(&self, name: &Name) -> Option<&MemberRecord> {
         self.members.get(name).map(|entry| &entry.viewed)
     }
 
     /// The latest changes, oldest first; older ones are forgotten.
-    pub fn changes(&self) -> impl Iterator<Item = &Change> {
+    pub fn changes(&self) -> impl Iterator<Item = &ViewChange> {
         self.changes.iter()
     }
 
@@ -127,7 +139,7 @@
     }
 
     /// The next one that is present after a name, in a ring of all names.
-    pub fn after(&self, name: &Name) -> Option<&Viewed> {
+    pub fn successor(&self, name: &Name) -> Option<&MemberRecord> {
         let later = self
             .members
             .range((Bound::Excluded(*name), Bound::Unbounded));
@@ -137,24 +149,24 @@
         later
             .chain(earlier)
             .map(|(_, entry)| &entry.viewed)
-            .find(|v| v.standing == MemberState::Present)
+            .find(|v| v.state == MemberState::Alive)
     }
 
     /// Takes in how one stands; whether that was news.
-    pub(crate) fn put(&mut self, now: Viewed) -> Option<Change> {
+    pub(crate) fn put(&mut self, now: MemberRecord) -> Option<ViewChange> {
         let before = self.members.get(&now.id.name).map(|entry| &entry.viewed);
-        if before.is_some_and(|before| before.id == now.id && before.standing == now.standing) {
+        if before.is_some_and(|before| before.id == now.id && before.state == now.state) {
             return None;
         }
         for viewed in [Some(&now), before]
             .into_iter()
             .flatten()
-            .filter(|viewed| viewed.standing.is_there())
+            .filter(|viewed| viewed.state.is_live())
         {
             self.digest ^= sync::hash(&viewed.id);
         }
-        self.there += usize::from(now.standing.is_there());
-        self.there -= usize::from(before.is_some_and(|before| before.standing.is_there()));
+        self.live_count += usize::from(now.state.is_live());
+        self.live_count -= usize::from(before.is_some_and(|before| before.state.is_live()));
         let (position, hash) = (sync::position(&now.id.name), sync::hash(&now.id));
         self.members.insert(
             now.id.name,
@@ -165,9 +177,9 @@
             },
         );
         self.version += 1;
-        let change = Change {
+        let change = ViewChange {
             version: self.version,
-            now,
+            member: now,
         };
         if self.changes.len() >= CHANGES_KEPT {
             self.changes.pop_front();
@@ -180,7 +192,7 @@
     pub(crate) fn forget(&mut self, id: &Identity) {
         if self
             .get(&id.name)
-            .is_some_and(|v| v.id == *id && !v.standing.is_there())
+            .is_some_and(|v| v.id == *id && !v.state.is_live())
         {
             self.members.remove(&id.name);
         }
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -1,12 +1,13 @@
 //! Datagrams: the fleet's name and a version in front, a checksum, and what is said.
 
-use crate::identity::{Identity, Place};
+use crate::identity::{Identity, PeerIndex};
 use crate::sync::{Part, WAYS};
 use foca::{Codec, Header, Member, PostcardCodec};
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// The most bytes of a datagram.
-pub const DATAGRAM_MOST: usize = 256;
+pub const MAX_DATAGRAM_LEN: usize = 256;
 /// The version of this form.
 const VERSION: u8 = 1;
 /// Bytes in front of what is said, besides the fleet's name: version, length of the name, checksum.
@@ -41,21 +42,21 @@
         /// To tell answers apart.
         nonce: u32,
         /// Whom.
-        to: Place,
+        to: PeerIndex,
     },
     /// Are you there? Somebody else wants to know.
     CheckVia {
         /// The check's.
         nonce: u32,
         /// Who.
-        back: Place,
+        back: PeerIndex,
     },
     /// Yes.
     CheckedVia {
         /// The check's.
         nonce: u32,
         /// Who wants to know.
-        back: Place,
+        back: PeerIndex,
         /// Who answers.
         from: Identity,
     },
@@ -100,25 +101,31 @@
 }
 
 /// Why a datagram was dropped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum DropReason {
     /// It is too long, too short, has a wrong checksum, or cannot be decoded.
-    Broken,
-    /// It is of another version.
-    Version,
-    /// It is of another fleet.
-    Fleet,
-    /// It came from an address that is none of the peers'.
+    #[error("the datagram is malformed")]
+    Malformed,
+    /// It has another version of the form.
+    #[error("the datagram has an unsupported version")]
+    UnsupportedVersion,
+    /// It belongs to another fleet.
+    #[error("the datagram belongs to another fleet")]
+    ForeignFleet,
+    /// Its source address is not one of the peers'.
+    #[error("the datagram's source is not a peer")]
     UnknownSender,
-    /// It says that it comes from another place than it does.
-    Impostor,
-    /// It tells of more members than are kept, of places that there are not, or of incarnations yet to come.
-    Beyond,
+    /// Its sender claims another peer index than its source address has.
+    #[error("the sender is not the peer that it claims to be")]
+    SenderMismatch,
+    /// It mentions more members than can be remembered, peers that do not exist, or incarnations from the future.
+    #[error("the datagram mentions a member that cannot exist")]
+    Implausible,
 }
 
 /// How many bytes of a payload fit.
 pub fn room(fleet: &str) -> usize {
-    DATAGRAM_MOST - FRONT - fleet.len() - 1
+    MAX_DATAGRAM_LEN - FRONT - fleet.len() - 1
 }
 
 fn framed(fleet: &str, kind: u8, payload: &[u8]) -> Vec<u8> {
@@ -160,38 +167,38 @@
 
 /// What one member takes of a datagram.
 pub fn size(member: &Member<Identity>) -> usize {
-    postcard::to_allocvec(member).map_or(DATAGRAM_MOST, |bytes| bytes.len())
+    postcard::to_allocvec(member).map_or(MAX_DATAGRAM_LEN, |bytes| bytes.len())
 }
 
 /// Reads a datagram.
-pub fn read<'a>(fleet: &str, datagram: &'a [u8]) -> Result<Said<'a>, Dropped> {
-    if datagram.len() > DATAGRAM_MOST {
-        return Err(Dropped::Broken);
+pub fn read<'a>(fleet: &str, datagram: &'a [u8]) -> Result<Said<'a>, DropReason> {
+    if datagram.len() > MAX_DATAGRAM_LEN {
+        return Err(DropReason::Malformed);
     }
-    let (&[version, length], rest) = datagram.split_first_chunk().ok_or(Dropped::Broken)?;
+    let (&[version, length], rest) = datagram.split_first_chunk().ok_or(DropReason::Malformed)?;
     if version != VERSION {
-        return Err(Dropped::Version);
+        return Err(DropReason::UnsupportedVersion);
     }
     let (name, rest) = rest
         .split_at_checked(length.into())
-        .ok_or(Dropped::Broken)?;
+        .ok_or(DropReason::Malformed)?;
     if name != fleet.as_bytes() {
-        return Err(Dropped::Fleet);
+        return Err(DropReason::ForeignFleet);
     }
-    let (sum, said) = rest.split_first_chunk().ok_or(Dropped::Broken)?;
+    let (sum, said) = rest.split_first_chunk().ok_or(DropReason::Malformed)?;
     let mut found = crc32fast::Hasher::new();
     found.update(name);
     found.update(said);
     if found.finalize().to_le_bytes() != *sum {
-        return Err(Dropped::Broken);
+        return Err(DropReason::Malformed);
     }
     match said.split_first() {
-        Some((&SWIM, payload)) => read_swim(payload).ok_or(Dropped::Broken),
+        Some((&SWIM, payload)) => read_swim(payload).ok_or(DropReason::Malformed),
         Some((_, payload)) => match postcard::take_from_bytes(payload) {
             Ok((said, [])) => Ok(Said::Own(said)),
-            _ => Err(Dropped::Broken),
+            _ => Err(DropReason::Malformed),
         },
-        None => Err(Dropped::Broken),
+        None => Err(DropReason::Malformed),
     }
 }
 
--- a/membership/tests/simulation/mod.rs
+++ b/membership/tests/simulation/mod.rs
@@ -5,7 +5,9 @@
 //! than 128 members, so that digests of smaller fleets are the same everywhere.
 
 use foca::{Codec, Header, Message, PostcardCodec};
-use frostkeel_membership::{Config, Dropped, Identity, Membership, Name, Output, Phase, Place, Standing};
+use frostkeel_membership::{
+    Config, DropReason, Identity, MemberState, Membership, Name, Output, PeerIndex, Phase,
+};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use siphasher::sip::SipHasher13;
@@ -28,7 +30,12 @@
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// A process starts at a place, with what the one before it there knew, if it is to remember it.
-    Start { place: u16, name: u16, boot_ms: u64, remembers: bool },
+    Start {
+        place: u16,
+        name: u16,
+        boot_ms: u64,
+        remembers: bool,
+    },
     /// The process at a place ends without a word.
     Kill(u16),
     /// The process at a place leaves.
@@ -44,15 +51,27 @@
     /// So many percent of all datagrams are lost.
     Loss(u32),
     /// A datagram arrives that nobody sent.
-    Inject { to: u16, from: u16, datagram: Vec<u8> },
+    Inject {
+        to: u16,
+        from: u16,
+        datagram: Vec<u8>,
+    },
     /// A datagram arrives from an unknown address.
     UnknownSender(u16),
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrival { to: u16, from: u16, send_number: u64, datagram: Vec<u8> },
-    Timeout { place: u16, generation: u32 },
+    Arrival {
+        to: u16,
+        from: u16,
+        send_number: u64,
+        datagram: Vec<u8>,
+    },
+    Timeout {
+        place: u16,
+        generation: u32,
+    },
     Fault(usize),
 }
 
@@ -141,8 +160,14 @@
 
     /// Runs until a time.
     pub fn run_until(&mut self, end: Duration) {
-        while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= end) {
-            let Some(Reverse((at, _, event))) = self.queue.pop() else { return };
+        while self
+            .queue
+            .peek()
+            .is_some_and(|Reverse((at, ..))| *at <= end)
+        {
+            let Some(Reverse((at, _, event))) = self.queue.pop() else {
+                return;
+            };
             self.now = at;
             match event {
                 Event::Arrival { .. } => self.deliver(event),
@@ -165,12 +190,18 @@
 
     fn push(&mut self, at: Duration, event: Event) {
         self.next_event_number += 1;
-        self.queue.push(Reverse((at, self.next_event_number, event)));
+        self.queue
+            .push(Reverse((at, self.next_event_number, event)));
     }
 
     fn apply(&mut self, fault: Fault) {
         match fault {
-            Fault::Start { place, name, boot_ms, remembers } => self.start(place, name, boot_ms, remembers),
+            Fault::Start {
+                place,
+                name,
+                boot_ms,
+                remembers,
+            } => self.start(place, name, boot_ms, remembers),
             Fault::Kill(place) => self.end(place),
             Fault::Leave(place) => {
                 let now = self.now;
@@ -194,11 +225,16 @@
             Fault::Heal { from, to } => drop(self.cut.remove(&(from, to))),
             Fault::Loss(percent) => self.loss_percent = percent,
             Fault::Inject { to, from, datagram } => {
-                self.deliver(Event::Arrival { to, from, send_number: u64::MAX, datagram });
+                self.deliver(Event::Arrival {
+                    to,
+                    from,
+                    send_number: u64::MAX,
+                    datagram,
+                });
             }
             Fault::UnknownSender(place) => {
                 if let Some(machine) = &mut self.processes[usize::from(place)].machine {
-                    machine.unknown_sender();
+                    machine.record_unknown_sender();
                 }
             }
         }
@@ -211,10 +247,10 @@
         let config = Config {
             fleet: FLEET.into(),
             name: member_name(name),
-            place: Place(place),
-            places,
-            boot: EPOCH_MS + boot_ms,
-            members_most: usize::from(places) + 4,
+            peer: PeerIndex(place),
+            peer_count: places,
+            incarnation: EPOCH_MS + boot_ms,
+            max_members: usize::from(places) + 4,
             forget_after: Duration::from_secs(60),
             seed: self.seed.wrapping_mul(1_000_003)
                 + u64::from(place) * 1_009
@@ -222,7 +258,7 @@
         };
         let mut machine = Membership::new(config, self.now).expect("a valid configuration");
         if remembers {
-            machine.remember(self.now, std::mem::take(&mut process.persisted).into_iter());
+            machine.restore(self.now, std::mem::take(&mut process.persisted).into_iter());
         }
         process.machine = Some(machine);
         self.carry_out(place);
@@ -231,7 +267,10 @@
     fn end(&mut self, place: u16) {
         let process = &mut self.processes[usize::from(place)];
         if let Some(machine) = process.machine.take() {
-            let present = machine.view().members().filter(|member| member.standing.is_there());
+            let present = machine
+                .view()
+                .members()
+                .filter(|member| member.state.is_live());
             process.persisted = present.map(|member| member.id).collect();
         }
         process.generation += 1;
@@ -240,14 +279,24 @@
     }
 
     fn deliver(&mut self, event: Event) {
-        let Event::Arrival { to, from, send_number, ref datagram } = event else { return };
+        let Event::Arrival {
+            to,
+            from,
+            send_number,
+            ref datagram,
+        } = event
+        else {
+            return;
+        };
         let (now, process) = (self.now, &mut self.processes[usize::from(to)]);
         if process.held {
             process.waiting.push(event);
             return;
         }
-        let Some(machine) = &mut process.machine else { return };
-        let result = machine.datagram(now, Place(from), datagram);
+        let Some(machine) = &mut process.machine else {
+            return;
+        };
+        let result = machine.handle_datagram(now, PeerIndex(from), datagram);
         let result = result.err().map_or(0, drop_position);
         if result != 0 {
             *self.drops.entry(result).or_default() += 1;
@@ -265,17 +314,34 @@
     }
 
     fn capture(&mut self, event: Event, outputs: &str) {
-        let Event::Arrival { to, from, send_number, datagram } = event else { return };
+        let Event::Arrival {
+            to,
+            from,
+            send_number,
+            datagram,
+        } = event
+        else {
+            return;
+        };
         let kind = kind_of(&datagram);
         let count = self.captured_per_kind.entry(kind.clone()).or_default();
         if *count >= CAPTURED_PER_KIND {
             return;
         }
         *count += 1;
-        let Some(machine) = &self.processes[usize::from(to)].machine else { return };
+        let Some(machine) = &self.processes[usize::from(to)].machine else {
+            return;
+        };
         let view = machine.view();
         let effect = format!("{outputs}, view {} {:016x}", view.version(), view.digest());
-        self.captured.push(Captured { kind, send_number, from, to, datagram, effect });
+        self.captured.push(Captured {
+            kind,
+            send_number,
+            from,
+            to,
+            datagram,
+            effect,
+        });
     }
 
     fn time_out(&mut self, place: u16, generation: u32) {
@@ -283,9 +349,11 @@
         if process.held || process.generation != generation {
             return;
         }
-        let Some(machine) = &mut process.machine else { return };
-        if machine.due().is_some_and(|due| due <= now) {
-            machine.timeout(now);
+        let Some(machine) = &mut process.machine else {
+            return;
+        };
+        if machine.next_timeout().is_some_and(|due| due <= now) {
+            machine.handle_timeout(now);
             self.carry_out(place);
         }
     }
@@ -293,7 +361,11 @@
     /// Records and carries out what a machine has put out, and sets its next timeout.
     fn carry_out(&mut self, place: u16) {
         let index = usize::from(place);
-        while let Some(output) = self.processes[index].machine.as_mut().and_then(Membership::output) {
+        while let Some(output) = self.processes[index]
+            .machine
+            .as_mut()
+            .and_then(Membership::poll_output)
+        {
             self.output_count += 1;
             self.record_output(place, &output);
             if let Output::Send { to, datagram } = output {
@@ -301,15 +373,33 @@
             }
         }
         let process = &self.processes[index];
-        let (generation, Some(machine)) = (process.generation, &process.machine) else { return };
-        let (due, health, phase) = (machine.due(), machine.health(), phase_position(machine.phase()));
+        let (generation, Some(machine)) = (process.generation, &process.machine) else {
+            return;
+        };
+        let (due, health, phase) = (
+            machine.next_timeout(),
+            machine.health_score(),
+            phase_position(machine.phase()),
+        );
         let counters = machine.counters();
-        self.record(&due.map_or(u64::MAX, |due| due.as_nanos() as u64).to_le_bytes());
+        self.record(
+            &due.map_or(u64::MAX, |due| due.as_nanos() as u64)
+                .to_le_bytes(),
+        );
         self.record(&[phase, health as u8]);
-        for count in [counters.sent, counters.sent_bytes, counters.received, counters.received_bytes] {
+        for count in [
+            counters.sent,
+            counters.sent_bytes,
+            counters.received,
+            counters.received_bytes,
+        ] {
             self.record(&count.to_le_bytes());
         }
-        for count in [counters.odd, counters.refuted, counters.pauses] {
+        for count in [
+            counters.protocol_errors,
+            counters.refutations,
+            counters.pauses,
+        ] {
             self.record(&count.to_le_bytes());
         }
         if let Some(due) = due {
@@ -328,7 +418,15 @@
         }
         let datagram = self.replacements.remove(&send_number).unwrap_or(datagram);
         let at = self.now + Duration::from_micros(delay_us);
-        self.push(at, Event::Arrival { to, from, send_number, datagram });
+        self.push(
+            at,
+            Event::Arrival {
+                to,
+                from,
+                send_number,
+                datagram,
+            },
+        );
     }
 
     fn record(&mut self, bytes: &[u8]) {
@@ -349,14 +447,20 @@
                 self.record(&[datagram.len() as u8]);
                 self.record(datagram);
             }
-            Output::Changed(change) => {
-                self.record(&[1, state_position(change.now.standing)]);
+            Output::ViewChanged(change) => {
+                self.record(&[1, state_position(change.member.state)]);
                 self.record(&change.version.to_le_bytes());
-                self.record_identity(&change.now.id);
-                self.record(&(change.now.since.as_nanos() as u64).to_le_bytes());
-                self.record(change.now.from.map_or_else(String::new, |name| name.to_string()).as_bytes());
+                self.record_identity(&change.member.id);
+                self.record(&(change.member.since.as_nanos() as u64).to_le_bytes());
+                self.record(
+                    change
+                        .member
+                        .reported_by
+                        .map_or_else(String::new, |name| name.to_string())
+                        .as_bytes(),
+                );
             }
-            Output::Outbid(id) => {
+            Output::Superseded(id) => {
                 self.superseded_count += 1;
                 self.record(&[2]);
                 self.record_identity(id);
@@ -375,12 +479,12 @@
     Name::new(&format!("member-{number:09}")).expect("a name")
 }
 
-fn state_position(state: Standing) -> u8 {
+fn state_position(state: MemberState) -> u8 {
     match state {
-        Standing::Present => 0,
-        Standing::Suspect => 1,
-        Standing::Left => 2,
-        Standing::Gone => 3,
+        MemberState::Alive => 0,
+        MemberState::Suspect => 1,
+        MemberState::Left => 2,
+        MemberState::Dead => 3,
     }
 }
 
@@ -393,14 +497,14 @@
 }
 
 /// The position of a reason among all, from 1.
-pub fn drop_position(reason: Dropped) -> u8 {
+pub fn drop_position(reason: DropReason) -> u8 {
     match reason {
-        Dropped::Broken => 1,
-        Dropped::Version => 2,
-        Dropped::Fleet => 3,
-        Dropped::UnknownSender => 4,
-        Dropped::Impostor => 5,
-        Dropped::Beyond => 6,
+        DropReason::Malformed => 1,
+        DropReason::UnsupportedVersion => 2,
+        DropReason::ForeignFleet => 3,
+        DropReason::UnknownSender => 4,
+        DropReason::SenderMismatch => 5,
+        DropReason::Implausible => 6,
     }
 }
 
--- a/membership/tests/wire_fixtures.rs
+++ b/membership/tests/wire_fixtures.rs
@@ -5,7 +5,7 @@
 
 mod simulation;
 
-use frostkeel_membership::{Identity, Place};
+use frostkeel_membership::{Identity, PeerIndex};
 use simulation::{Captured, EPOCH_MS, FLEET, Fault, Simulation, member_name};
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -40,7 +40,12 @@
 }
 
 fn start(place: u16, name: u16, boot_ms: u64, remembers: bool) -> Fault {
-    Fault::Start { place, name, boot_ms, remembers }
+    Fault::Start {
+        place,
+        name,
+        boot_ms,
+        remembers,
+    }
 }
 
 /// A datagram of the fleet with a correct checksum over whatever it says.
@@ -73,24 +78,39 @@
         signed(FLEET, &[1, 99]),
         signed(FLEET, &hello(2, &[1])),
         signed(FLEET, &hello(9, &[1])),
-        signed(FLEET, &hello(1, &[255, 255, 255, 255, 255, 255, 255, 255, 127])),
+        signed(
+            FLEET,
+            &hello(1, &[255, 255, 255, 255, 255, 255, 255, 255, 127]),
+        ),
     ]
 }
 
 /// A request to join by a process at a place, as it would send it itself.
 fn hello(to: u16, from: u16, name: u16, boot_ms: u64) -> Fault {
-    let (name, place) = (member_name(name), Place(from));
-    let id = Identity { name, place, boot: EPOCH_MS + boot_ms, turn: 0, leaving: false };
+    let (name, peer) = (member_name(name), PeerIndex(from));
+    let id = Identity {
+        name,
+        peer,
+        incarnation: EPOCH_MS + boot_ms,
+        rejoin_count: 0,
+        is_leaving: false,
+    };
     let id = postcard::to_allocvec(&id).expect("an identity fits");
-    Fault::Inject { to, from, datagram: signed(FLEET, &[&[1, 0], &id[..]].concat()) }
+    Fault::Inject {
+        to,
+        from,
+        datagram: signed(FLEET, &[&[1, 0], &id[..]].concat()),
+    }
 }
 
 /// More requests to join than are answered, over ten seconds, and more claims to a name than a process that has just
 /// started takes it back from.
 fn hello_storms() -> impl Iterator<Item = (Duration, Fault)> {
-    let at = |start, step_ms: u64, index: u64| seconds(start) + Duration::from_millis(step_ms * index);
+    let at =
+        |start, step_ms: u64, index: u64| seconds(start) + Duration::from_millis(step_ms * index);
     let requests = (0..1000).map(move |index| (at(125, 10, index), hello(6, 1, 9, 125_000)));
-    let claims = (0..6).map(move |index| (at(141, 50, index), hello(3, 1, 3, 200_000 + 1_000 * index)));
+    let claims =
+        (0..6).map(move |index| (at(141, 50, index), hello(3, 1, 3, 200_000 + 1_000 * index)));
     requests.chain(claims)
 }
 
@@ -98,19 +118,31 @@
 fn small_fleet_faults() -> Vec<(Duration, Fault)> {
     let mut faults: Vec<(Duration, Fault)> = (0..SMALL_FLEET - 1)
         .map(|place| {
-            (Duration::from_millis(130 * u64::from(place)), start(place, place, u64::from(place), false))
+            (
+                Duration::from_millis(130 * u64::from(place)),
+                start(place, place, u64::from(place), false),
+            )
         })
         .collect();
     for (index, datagram) in (0u64..).zip(invalid_datagrams()) {
         let at = seconds(6) + Duration::from_millis(10 * index);
-        faults.push((at, Fault::Inject { to: 0, from: 1, datagram }));
+        faults.push((
+            at,
+            Fault::Inject {
+                to: 0,
+                from: 1,
+                datagram,
+            },
+        ));
     }
     let way = |from, to| (Fault::Cut { from, to }, Fault::Heal { from, to });
     for (from, to) in [(1, 2), (2, 1), (4, 5)] {
         let (cut, heal) = way(from, to);
         faults.extend([(seconds(8), cut), (seconds(18), heal)]);
     }
-    let isolated = (0..SMALL_FLEET).filter(|other| *other != 3).flat_map(|other| [(3, other), (other, 3)]);
+    let isolated = (0..SMALL_FLEET)
+        .filter(|other| *other != 3)
+        .flat_map(|other| [(3, other), (other, 3)]);
     for (from, to) in isolated {
         let (cut, heal) = way(from, to);
         faults.extend([(seconds(40), cut), (seconds(52), heal)]);
@@ -153,7 +185,12 @@
 /// Many members that start at once, know nobody and lose a tenth of their datagrams; some are killed.
 fn large_fleet() -> Simulation {
     let mut faults: Vec<(Duration, Fault)> = (0..LARGE_FLEET)
-        .map(|place| (Duration::from_millis(5 * u64::from(place)), start(place, place, 0, false)))
+        .map(|place| {
+            (
+                Duration::from_millis(5 * u64::from(place)),
+                start(place, place, 0, false),
+            )
+        })
         .collect();
     faults.push((Duration::ZERO, Fault::Loss(10)));
     faults.extend((0..40).map(|place| (seconds(12), Fault::Kill(place))));
@@ -162,13 +199,21 @@
 
 /// Compares text with a committed file; a difference leaves the text beside the other test output.
 fn assert_matches_file(file: &str, actual: &str) {
-    let committed = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(file);
+    let committed = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(file);
     let expected = fs::read_to_string(&committed).unwrap_or_default();
     if actual != expected {
         let written = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
         fs::write(&written, actual).expect("the directory for test output can be written");
-        let difference = actual.lines().zip(expected.lines()).find(|(actual, expected)| actual != expected);
-        panic!("{file} differs from {}: first {difference:?}", written.display());
+        let difference = actual
+            .lines()
+            .zip(expected.lines())
+            .find(|(actual, expected)| actual != expected);
+        panic!(
+            "{file} differs from {}: first {difference:?}",
+            written.display()
+        );
     }
 }
 
@@ -185,8 +230,18 @@
 }
 
 fn line(captured: &Captured) -> String {
-    let Captured { kind, send_number, from, to, datagram, effect } = captured;
-    format!("{kind} {send_number} {from} {to} {} {effect}\n", hex(datagram))
+    let Captured {
+        kind,
+        send_number,
+        from,
+        to,
+        datagram,
+        effect,
+    } = captured;
+    format!(
+        "{kind} {send_number} {from} {to} {} {effect}\n",
+        hex(datagram)
+    )
 }
 
 #[test]
@@ -196,7 +251,11 @@
     let own = (0..OWN_MESSAGES).map(|position| format!("own-{position}"));
     let swim = SWIM_MESSAGES.iter().map(|kind| format!("swim-{kind}"));
     let kinds: BTreeSet<String> = own.chain(swim).collect();
-    let captured: BTreeSet<String> = simulation.captured.iter().map(|one| one.kind.clone()).collect();
+    let captured: BTreeSet<String> = simulation
+        .captured
+        .iter()
+        .map(|one| one.kind.clone())
+        .collect();
     assert_eq!(captured, kinds, "the scenario writes every kind");
     let lines: String = simulation.captured.iter().map(line).collect();
     assert_matches_file("datagrams.txt", &lines);
@@ -211,7 +270,9 @@
     for fixture in committed.lines() {
         let fields: Vec<&str> = fixture.split(' ').collect();
         let send_number = fields[1].parse().expect("a number");
-        simulation.replacements.insert(send_number, bytes(fields[4]));
+        simulation
+            .replacements
+            .insert(send_number, bytes(fields[4]));
     }
     simulation.run_until(SMALL_FLEET_END);
     assert!(simulation.replacements.is_empty(), "all were delivered");
@@ -233,17 +294,25 @@
                 .expect("writing to a string succeeds");
         }
         let reasons: Vec<u8> = simulation.drops.keys().copied().collect();
-        assert_eq!(reasons, [1, 2, 3, 5, 6], "each reason to drop a datagram occurs");
-        assert!(simulation.superseded_count > 0, "a restart with its clock set back takes its name");
+        assert_eq!(
+            reasons,
+            [1, 2, 3, 5, 6],
+            "each reason to drop a datagram occurs"
+        );
+        assert!(
+            simulation.superseded_count > 0,
+            "a restart with its clock set back takes its name"
+        );
         assert!(simulation.yielded_count > 0, "a process yields its name");
         let settled = simulation.machine(6).expect("it is still there");
-        assert!(settled.me().boot >= EPOCH_MS && settled.view().version() > 8);
+        assert!(settled.identity().incarnation >= EPOCH_MS && settled.view().version() > 8);
     }
     let mut simulation = large_fleet();
     for end in (3..=LARGE_FLEET_END.as_secs()).step_by(3) {
         simulation.run_until(seconds(end));
         let (count, digest) = (simulation.output_count, simulation.digest());
-        writeln!(digests, "large {end} {count} {digest:016x}").expect("writing to a string succeeds");
+        writeln!(digests, "large {end} {count} {digest:016x}")
+            .expect("writing to a string succeeds");
     }
     assert_matches_file("digests.txt", &digests);
 }
