--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -18,17 +18,15 @@
 
 mod config;
 mod counters;
+pub mod hash_tree;
 mod health;
 mod hello;
 mod identity;
 mod io;
 mod machine;
-mod sync;
-#[cfg(test)]
-mod tests;
 mod view;
 mod watch;
-mod wire;
+pub mod wire;
 
 pub use config::{Config, ConfigError};
 pub use counters::Counters;
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -2,14 +2,14 @@
 
 use crate::config::{Config, ConfigError};
 use crate::counters::Counters;
+use crate::hash_tree::{self, FollowUp, HashPrefix};
 use crate::health::{Health, PAUSE};
 use crate::hello::Hello;
 use crate::identity::{Identity, Name, PeerIndex};
 use crate::io::Io;
-use crate::sync::{self, Follow, Part};
 use crate::view::{MemberRecord, MemberState, View, ViewChange};
 use crate::watch::{Want, Watch};
-use crate::wire::{self, DropReason, Own, Said};
+use crate::wire::{self, Decoded, DropReason, Message};
 use foca::{
     Foca, Member, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec, State, Timer,
 };
@@ -31,7 +31,7 @@
 const SUSPICION_MORE: Duration = Duration::from_secs(1);
 /// News travel on by themselves so often, to so many, for as long as there are any.
 const GOSSIP: (Duration, usize) = (Duration::from_millis(200), 3);
-/// How often a random member is asked for a part of what it knows.
+/// How often a random member is asked for a prefix of what it knows.
 const ASK_EVERY: Duration = Duration::from_secs(10);
 /// For so long after its start a process may take a name that another start of it had, so many times.
 const JOINING: Duration = Duration::from_secs(5);
@@ -64,11 +64,11 @@
     /// Know that this process had a name for itself that was claimed by an earlier start of it, with a later incarnation:
     /// it has taken a still later one.
     Superseded(Identity),
-    /// Know that a later process claims its name: it has yielded, and takes part no more.
+    /// Know that a later process claims its name: it has yielded, and takes prefix no more.
     Yielded(Identity),
 }
 
-/// How this process takes part.
+/// How this process takes prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
@@ -89,7 +89,7 @@
     due: Duration,
 }
 
-/// One process's part in the membership.
+/// One process's prefix in the membership.
 ///
 /// Times are the embedder's, on a clock that only goes forward. Before [`handle_timeout`](Self::handle_timeout) it hands in all datagrams
 /// that have come: what was answered in time must not look late.
@@ -129,8 +129,8 @@
     protocol.max_transmissions = NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN);
     protocol.suspect_to_down_after = suspicion(members);
     protocol.remove_down_after = Some(config.forget_after);
-    protocol.max_packet_size =
-        NonZeroUsize::new(wire::room(&config.fleet)).unwrap_or(protocol.max_packet_size);
+    protocol.max_packet_size = NonZeroUsize::new(wire::payload_capacity(&config.fleet))
+        .unwrap_or(protocol.max_packet_size);
     protocol.notify_down_members = true;
     let periodic = |frequency, members| {
         NonZeroUsize::new(members).map(|num_members| PeriodicParams {
@@ -220,7 +220,7 @@
         &self.view
     }
 
-    /// How it takes part.
+    /// How it takes prefix.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -284,19 +284,19 @@
 
     fn take(&mut self, now: Duration, place: PeerIndex, datagram: &[u8]) -> Result<(), DropReason> {
         self.io.now = now;
-        match wire::read(&self.config.fleet, datagram)? {
-            Said::Own(Own::Check { nonce }) => {
+        match wire::decode(&self.config.fleet, datagram)? {
+            Decoded::Message(Message::Check { nonce }) => {
                 let (from, digest) = (self.identity(), self.view.digest());
                 self.say(
                     place,
-                    &Own::Checked {
+                    &Message::CheckAck {
                         nonce,
                         from,
                         digest,
                     },
                 );
             }
-            Said::Own(Own::Checked {
+            Decoded::Message(Message::CheckAck {
                 nonce,
                 from,
                 digest,
@@ -310,61 +310,88 @@
                         self.differ + 1
                     };
                     if self.differ >= DIFFER {
-                        self.compare(place, Part::default());
+                        self.compare(place, HashPrefix::default());
                     }
                 }
             }
-            Said::Own(Own::PassCheck { nonce, to }) => {
-                if to.0 < self.config.peer_count && to != self.identity().peer {
-                    self.say(to, &Own::CheckVia { nonce, back: place });
+            Decoded::Message(Message::IndirectCheckRequest { nonce, target }) => {
+                if target.0 < self.config.peer_count && target != self.identity().peer {
+                    self.say(
+                        target,
+                        &Message::IndirectCheck {
+                            nonce,
+                            requester: place,
+                        },
+                    );
                 }
             }
-            Said::Own(Own::CheckVia { nonce, back }) => {
+            Decoded::Message(Message::IndirectCheck { nonce, requester }) => {
                 let from = self.identity();
-                self.say(place, &Own::CheckedVia { nonce, back, from });
+                self.say(
+                    place,
+                    &Message::IndirectCheckAck {
+                        nonce,
+                        requester,
+                        from,
+                    },
+                );
             }
-            Said::Own(Own::CheckedVia { nonce, back, from }) => {
+            Decoded::Message(Message::IndirectCheckAck {
+                nonce,
+                requester,
+                from,
+            }) => {
                 self.admit(place, &from)?;
-                if back.0 < self.config.peer_count && back != self.identity().peer {
-                    self.say(back, &Own::Passed { nonce, from });
+                if requester.0 < self.config.peer_count && requester != self.identity().peer {
+                    self.say(requester, &Message::ForwardedCheckAck { nonce, from });
                 }
             }
-            Said::Own(Own::Passed { nonce, from }) => {
+            Decoded::Message(Message::ForwardedCheckAck { nonce, from }) => {
                 self.possible(&from)?;
                 if self.watch.answered(nonce, from.name) {
                     self.health.better();
                 }
             }
-            Said::Own(Own::Compare { from, part, hashes }) => {
+            Decoded::Message(Message::ViewHashes {
+                from,
+                prefix,
+                hashes,
+            }) => {
                 self.admit(place, &from)?;
-                if !part.is_sound() {
+                if !prefix.is_valid() {
                     return Err(DropReason::Implausible);
                 }
                 if self.hello.may_answer(now) && self.hears(&from) {
-                    let own = part.hashes(self.view.hashes());
-                    for follow in part.follow(&own, &hashes, self.view.positions(), &mut self.rng) {
+                    let own = prefix.child_hashes(self.view.hashed_live_members());
+                    for follow in
+                        prefix.follow_ups(&own, &hashes, self.view.positions(), &mut self.rng)
+                    {
                         match follow {
-                            Follow::Compare(part) => self.compare(place, part),
-                            Follow::Tell(part) => self.tell(place, part, Some(part)),
+                            FollowUp::SendHashes(prefix) => self.compare(place, prefix),
+                            FollowUp::SendMembers(prefix) => self.tell(place, prefix, Some(prefix)),
                         }
                     }
                 }
             }
-            Said::Own(Own::Tell { from, back, about }) => {
+            Decoded::Message(Message::ViewMembers {
+                from,
+                requested,
+                members,
+            }) => {
                 self.admit(place, &from)?;
-                about
+                members
                     .iter()
                     .try_for_each(|member| self.possible(member.id()))?;
-                if back.is_some_and(|part| !part.is_sound()) {
+                if requested.is_some_and(|prefix| !prefix.is_valid()) {
                     return Err(DropReason::Implausible);
                 }
                 if self.hears(&from) {
-                    let doubted = self.take_news(&about);
+                    let doubted = self.take_news(&members);
                     if self.phase == Phase::Member {
                         // No news: those travel by themselves. This makes up for those that went past here.
                         let applied =
                             self.foca
-                                .apply_many(about.iter().cloned(), false, &mut self.io);
+                                .apply_many(members.iter().cloned(), false, &mut self.io);
                         self.counters.protocol_errors += u64::from(applied.is_err());
                         if doubted {
                             // Whoever says so hears at once that it is wrong; the others will.
@@ -372,14 +399,14 @@
                             self.counters.protocol_errors += u64::from(announced.is_err());
                         }
                         self.settle(Some(from.name));
-                        self.look_for_suspects_among(&about, from.name);
-                        if let Some(part) = back.filter(|_| self.hello.may_answer(now)) {
-                            self.tell(place, part, None);
+                        self.look_for_suspects_among(&members, from.name);
+                        if let Some(prefix) = requested.filter(|_| self.hello.may_answer(now)) {
+                            self.tell(place, prefix, None);
                         }
                     }
                 }
             }
-            Said::Own(Own::Hello { from }) => {
+            Decoded::Message(Message::Join { from }) => {
                 self.admit(place, &from)?;
                 if from.name == self.identity().name {
                     self.claimed(from, true);
@@ -389,13 +416,13 @@
                     self.settle(None);
                 }
             }
-            Said::Swim {
+            Decoded::Swim {
                 payload,
                 from,
-                about,
+                updates,
             } => {
                 self.admit(place, &from)?;
-                for member in &about {
+                for member in &updates {
                     self.possible(member.id())?;
                 }
                 let name = self.identity().name;
@@ -403,13 +430,13 @@
                     self.claimed(from, true);
                     return Ok(());
                 }
-                self.take_news(&about);
+                self.take_news(&updates);
                 if self.phase == Phase::Member {
                     self.io.stretch = 1 + self.health.score();
                     let handled = self.foca.handle_data(payload, &mut self.io);
                     self.counters.protocol_errors += u64::from(handled.is_err());
                     self.settle(Some(from.name));
-                    self.look_for_suspects_among(&about, from.name);
+                    self.look_for_suspects_among(&updates, from.name);
                 }
             }
         }
@@ -442,43 +469,53 @@
         there
     }
 
-    fn compare(&mut self, to: PeerIndex, part: Part) {
-        let (from, hashes) = (self.identity(), part.hashes(self.view.hashes()));
-        self.say(to, &Own::Compare { from, part, hashes });
+    fn compare(&mut self, to: PeerIndex, prefix: HashPrefix) {
+        let (from, hashes) = (
+            self.identity(),
+            prefix.child_hashes(self.view.hashed_live_members()),
+        );
+        self.say(
+            to,
+            &Message::ViewHashes {
+                from,
+                prefix,
+                hashes,
+            },
+        );
     }
 
-    /// Tells what is known of a part, as far as it fits; what does not, at another time by chance.
-    fn tell(&mut self, to: PeerIndex, part: Part, back: Option<Part>) {
+    /// Tells what is known of a prefix, as far as it fits; what does not, at another time by chance.
+    fn tell(&mut self, to: PeerIndex, prefix: HashPrefix, requested: Option<HashPrefix>) {
         let me = self.identity();
         let known = self
             .foca
             .iter_membership_state()
             .filter(|member| member.id().name != me.name);
         let mut known: Vec<Member<Identity>> = known
-            .filter(|member| part.holds(sync::position(&member.id().name)))
+            .filter(|member| prefix.contains(hash_tree::name_position(&member.id().name)))
             .cloned()
             .collect();
-        if part.holds(sync::position(&me.name)) {
+        if prefix.contains(hash_tree::name_position(&me.name)) {
             known.push(Member::alive(me));
         }
         known.shuffle(&mut self.rng);
-        let (mut about, mut left) = (
+        let (mut members, mut left) = (
             Vec::new(),
-            wire::room(&self.config.fleet).saturating_sub(TELLING),
+            wire::payload_capacity(&self.config.fleet).saturating_sub(TELLING),
         );
         for member in known {
-            let Some(rest) = left.checked_sub(wire::size(&member)) else {
+            let Some(rest) = left.checked_sub(wire::encoded_len(&member)) else {
                 break;
             };
             left = rest;
-            about.push(member);
+            members.push(member);
         }
         self.say(
             to,
-            &Own::Tell {
+            &Message::ViewMembers {
                 from: me,
-                back,
-                about,
+                requested,
+                members,
             },
         );
     }
@@ -514,7 +551,7 @@
         if !other.supersedes(&me) {
             // A living one learns from the answer who has the name.
             if itself && me.supersedes(&other) && self.hello.may_answer(self.io.now) {
-                self.say(other.peer, &Own::Hello { from: me });
+                self.say(other.peer, &Message::Join { from: me });
             }
             return;
         }
@@ -599,11 +636,11 @@
                     .filter(|id| id.name != me)
                 {
                     let nonce = self.watch.begin(next, now, &self.health);
-                    self.say(next.peer, &Own::Check { nonce });
+                    self.say(next.peer, &Message::Check { nonce });
                 }
             }
             Want::Ask(target, nonce) => {
-                self.say(target.peer, &Own::Check { nonce });
+                self.say(target.peer, &Message::Check { nonce });
                 // Only the way from here may be cut: another one asks as well.
                 let me = self.identity().name;
                 let others = self
@@ -616,9 +653,9 @@
                 if let Some(other) = others.choose(&mut self.rng) {
                     self.say(
                         other.peer,
-                        &Own::PassCheck {
+                        &Message::IndirectCheckRequest {
                             nonce,
-                            to: target.peer,
+                            target: target.peer,
                         },
                     );
                 }
@@ -674,10 +711,10 @@
             .collect();
         for (id, incarnation) in due {
             let about = vec![Member::new(id, incarnation, State::Suspect)];
-            let said = Own::Tell {
+            let said = Message::ViewMembers {
                 from: self.identity(),
-                back: None,
-                about,
+                requested: None,
+                members: about,
             };
             self.say(id.peer, &said);
         }
@@ -721,7 +758,7 @@
             .map(|(place, _)| PeerIndex(place));
         if let Some(place) = free.choose(&mut self.rng) {
             let from = self.identity();
-            self.say(place, &Own::Hello { from });
+            self.say(place, &Message::Join { from });
         }
     }
 
@@ -747,7 +784,7 @@
 
     fn put(&mut self, viewed: MemberRecord) {
         let there = self.view.live_count();
-        if let Some(change) = self.view.put(viewed) {
+        if let Some(change) = self.view.record(viewed) {
             self.outputs.push_back(Output::ViewChanged(change));
             if self.view.live_count() != there {
                 self.hello.again(self.io.now, &mut self.rng);
@@ -800,7 +837,7 @@
         }
         for (to, payload) in std::mem::take(&mut self.io.sends) {
             if to.name != me.name {
-                let datagram = wire::swim(&self.config.fleet, &payload);
+                let datagram = wire::encode_swim(&self.config.fleet, &payload);
                 self.send(to.peer, datagram);
             }
         }
@@ -867,8 +904,8 @@
         }
     }
 
-    fn say(&mut self, to: PeerIndex, said: &Own) {
-        let datagram = wire::own(&self.config.fleet, said);
+    fn say(&mut self, to: PeerIndex, said: &Message) {
+        let datagram = wire::encode_message(&self.config.fleet, said);
         self.send(to, datagram);
     }
 
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,33 +1,33 @@
-//! The view: how each member stands, since when, and from whom that was heard.
+//! The view: the state of each member, since when, and which peer reported it.
 
+use crate::hash_tree::HashedMember;
 use crate::identity::{Identity, Name};
-use crate::sync;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound;
 use std::time::Duration;
 
-/// Changes that are kept to be shown.
-const CHANGES_KEPT: usize = 256;
+/// How many of the latest changes are retained for display.
+const MAX_RETAINED_CHANGES: usize = 256;
 
-/// How a member stands.
+/// The state of a member. Its serialized words are a published form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It is there.
+    /// It takes part.
     #[serde(rename = "present")]
     Alive,
-    /// It did not answer somebody, and has not yet said that it is there.
+    /// It did not respond to some member, and has not refuted the suspicion yet.
     Suspect,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
-    /// It has ended without a word, or cannot be reached by anybody.
+    /// It ended without an announcement, or no member reaches it.
     #[serde(rename = "gone")]
     Dead,
 }
 
 impl MemberState {
-    /// Whether it counts as there.
+    /// Whether a member in this state counts as a part of the fleet.
     pub fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
@@ -43,40 +43,39 @@
     }
 }
 
-/// What is known of a member.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+/// What is known about a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Who.
+    /// Its identity.
     pub id: Identity,
-    /// How it stands.
+    /// Its state.
     pub state: MemberState,
-    /// Since when, on the embedder's clock.
+    /// When that state was recorded, on the embedder's clock.
     pub since: Duration,
-    /// Whose datagram told; `None`: it was found out here.
+    /// The member whose datagram reported it; `None` if this process found it out itself.
     pub reported_by: Option<Name>,
 }
 
 /// A change of the view.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewChange {
-    /// The view's version with it.
+    /// The version of the view after the change.
     pub version: u64,
-    /// What is now known.
+    /// What is now known about the member.
     pub member: MemberRecord,
 }
 
-/// What is known of a member, and what comparing views needs of it.
+/// A member and its place in the hash tree.
 #[derive(Debug)]
 struct Entry {
-    viewed: MemberRecord,
-    position: u32,
-    hash: u64,
+    record: MemberRecord,
+    hashed: HashedMember,
 }
 
-/// How each member stands.
+/// The state of each member that is remembered, this process included.
 #[derive(Debug, Default)]
 pub struct View {
-    members: BTreeMap<Name, Entry>,
+    entries: BTreeMap<Name, Entry>,
     version: u64,
     live_count: usize,
     digest: u64,
@@ -84,117 +83,113 @@
 }
 
 impl View {
-    /// Goes up by one with each change, and never down.
+    /// The number of changes so far.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All members that are remembered, in the order of their names.
+    /// All remembered members, in the order of their names.
     pub fn members(&self) -> impl Iterator<Item = &MemberRecord> {
-        self.members.values().map(|entry| &entry.viewed)
-    }
-
-    /// The positions of all names.
-    pub(crate) fn positions(&self) -> impl Iterator<Item = u32> {
-        self.members.values().map(|entry| entry.position)
+        self.entries.values().map(|entry| &entry.record)
     }
 
-    /// The positions and hashes of who is there.
-    pub(crate) fn hashes(&self) -> impl Iterator<Item = (u32, u64)> {
-        let there = self
-            .members
-            .values()
-            .filter(|entry| entry.viewed.state.is_live());
-        there.map(|entry| (entry.position, entry.hash))
-    }
-
-    /// How many are remembered.
+    /// How many members are remembered.
     pub fn len(&self) -> usize {
-        self.members.len()
+        self.entries.len()
     }
 
-    /// Whether nobody is.
+    /// Whether no member is remembered.
     pub fn is_empty(&self) -> bool {
-        self.members.is_empty()
+        self.entries.is_empty()
     }
 
-    /// How many count as there, this process included.
+    /// How many members are live, this process included.
     pub fn live_count(&self) -> usize {
         self.live_count
     }
 
-    /// What is known of one.
+    /// What is known about a member.
     pub fn get(&self, name: &Name) -> Option<&MemberRecord> {
-        self.members.get(name).map(|entry| &entry.viewed)
+        self.entries.get(name).map(|entry| &entry.record)
     }
 
-    /// The latest changes, oldest first; older ones are forgotten.
+    /// The latest changes, oldest first.
     pub fn changes(&self) -> impl Iterator<Item = &ViewChange> {
         self.changes.iter()
     }
 
-    /// Equal for two views that hold the same lives for there, and different otherwise but for chance.
+    /// A digest of the live members: equal for equal sets of identities, and different otherwise except for collisions.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The next one that is present after a name, in a ring of all names.
+    /// The next member that is alive after a name, in the ring of all names.
     pub fn successor(&self, name: &Name) -> Option<&MemberRecord> {
         let later = self
-            .members
+            .entries
             .range((Bound::Excluded(*name), Bound::Unbounded));
         let earlier = self
-            .members
+            .entries
             .range((Bound::Unbounded, Bound::Excluded(*name)));
-        later
-            .chain(earlier)
-            .map(|(_, entry)| &entry.viewed)
-            .find(|v| v.state == MemberState::Alive)
+        let mut ring = later.chain(earlier).map(|(_, entry)| &entry.record);
+        ring.find(|record| record.state == MemberState::Alive)
+    }
+
+    /// The positions of all names in the hash tree.
+    pub(crate) fn positions(&self) -> impl Iterator<Item = u32> {
+        self.entries.values().map(|entry| entry.hashed.position)
     }
 
-    /// Takes in how one stands; whether that was news.
-    pub(crate) fn put(&mut self, now: MemberRecord) -> Option<ViewChange> {
-        let before = self.members.get(&now.id.name).map(|entry| &entry.viewed);
-        if before.is_some_and(|before| before.id == now.id && before.state == now.state) {
+    /// The live members' places in the hash tree.
+    pub(crate) fn hashed_live_members(&self) -> impl Iterator<Item = HashedMember> {
+        let live = self
+            .entries
+            .values()
+            .filter(|entry| entry.record.state.is_live());
+        live.map(|entry| entry.hashed)
+    }
+
+    /// Records the state of a member; `None` if nothing changed.
+    pub(crate) fn record(&mut self, record: MemberRecord) -> Option<ViewChange> {
+        let previous = self.entries.get(&record.id.name);
+        if previous
+            .is_some_and(|entry| entry.record.id == record.id && entry.record.state == record.state)
+        {
             return None;
         }
-        for viewed in [Some(&now), before]
-            .into_iter()
-            .flatten()
-            .filter(|viewed| viewed.state.is_live())
-        {
-            self.digest ^= sync::hash(&viewed.id);
+        let previous_hash = previous
+            .filter(|entry| entry.record.state.is_live())
+            .map(|entry| entry.hashed.hash);
+        if let Some(hash) = previous_hash {
+            self.digest ^= hash;
+            self.live_count -= 1;
+        }
+        let hashed = HashedMember::new(&record.id);
+        if record.state.is_live() {
+            self.digest ^= hashed.hash;
+            self.live_count += 1;
         }
-        self.live_count += usize::from(now.state.is_live());
-        self.live_count -= usize::from(before.is_some_and(|before| before.state.is_live()));
-        let (position, hash) = (sync::position(&now.id.name), sync::hash(&now.id));
-        self.members.insert(
-            now.id.name,
-            Entry {
-                viewed: now,
-                position,
-                hash,
-            },
-        );
+        self.entries
+            .insert(record.id.name, Entry { record, hashed });
+        Some(self.record_change(record))
+    }
+
+    fn record_change(&mut self, member: MemberRecord) -> ViewChange {
         self.version += 1;
-        let change = ViewChange {
-            version: self.version,
-            member: now,
-        };
-        if self.changes.len() >= CHANGES_KEPT {
+        let version = self.version;
+        let change = ViewChange { version, member };
+        if self.changes.len() >= MAX_RETAINED_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(change);
-        Some(change)
+        change
     }
 
-    /// Forgets one that is not there any more.
+    /// Forgets a member that left or died.
     pub(crate) fn forget(&mut self, id: &Identity) {
-        if self
-            .get(&id.name)
-            .is_some_and(|v| v.id == *id && !v.state.is_live())
-        {
-            self.members.remove(&id.name);
+        let known = self.get(&id.name);
+        if known.is_some_and(|record| record.id == *id && !record.state.is_live()) {
+            self.entries.remove(&id.name);
         }
     }
 }
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -1,103 +1,47 @@
-//! Datagrams: the fleet's name and a version in front, a checksum, and what is said.
+//! The form of datagrams: a version, the fleet's name, a checksum and a message.
+//!
+//! | bytes | content |
+//! | --- | --- |
+//! | 1 | version of this form |
+//! | 1 | length of the fleet's name |
+//! | 1 to 32 | the fleet's name |
+//! | 4 | CRC-32 of the fleet's name and all bytes after the checksum, little-endian |
+//! | 1 | 0: a payload of the SWIM protocol; otherwise a [`Message`] of this crate |
+//! | the rest | the payload or message, in postcard's form |
 
-use crate::identity::{Identity, PeerIndex};
-use crate::sync::{Part, WAYS};
+mod message;
+
+pub use message::Message;
+
+use crate::identity::Identity;
 use foca::{Codec, Header, Member, PostcardCodec};
-use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The most bytes of a datagram.
+/// The maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_LEN: usize = 256;
 /// The version of this form.
 const VERSION: u8 = 1;
-/// Bytes in front of what is said, besides the fleet's name: version, length of the name, checksum.
-const FRONT: usize = 1 + 1 + 4;
-/// What stands before the payload of the protocol itself.
-const SWIM: u8 = 0;
+const CHECKSUM_LEN: usize = 4;
+/// The version and the length of the fleet's name.
+const PREFIX_LEN: usize = 2;
+const SWIM_KIND: u8 = 0;
+const MESSAGE_KIND: u8 = 1;
+const KIND_LEN: usize = 1;
 
-/// What this crate adds to the protocol.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Own {
-    /// The sender has nobody's view at this place: whoever is there may announce itself.
-    Hello {
-        /// The sender.
-        from: Identity,
-    },
-    /// Are you there?
-    Check {
-        /// To tell answers apart.
-        nonce: u32,
-    },
-    /// Yes.
-    Checked {
-        /// The check's.
-        nonce: u32,
-        /// Who answers.
-        from: Identity,
-        /// The digest of its view.
-        digest: u64,
-    },
-    /// I hear nothing from there: ask it in my place.
-    PassCheck {
-        /// To tell answers apart.
-        nonce: u32,
-        /// Whom.
-        to: PeerIndex,
-    },
-    /// Are you there? Somebody else wants to know.
-    CheckVia {
-        /// The check's.
-        nonce: u32,
-        /// Who.
-        back: PeerIndex,
-    },
-    /// Yes.
-    CheckedVia {
-        /// The check's.
-        nonce: u32,
-        /// Who wants to know.
-        back: PeerIndex,
-        /// Who answers.
-        from: Identity,
-    },
-    /// It has answered me.
-    Passed {
-        /// The check's.
-        nonce: u32,
-        /// Who has.
-        from: Identity,
-    },
-    /// Our views differ: these are the hashes of a part of mine.
-    Compare {
-        /// The sender.
-        from: Identity,
-        /// Which part.
-        part: Part,
-        /// Of its parts, over who is there.
-        hashes: [u32; WAYS],
-    },
-    /// This is what I know of a part.
-    Tell {
-        /// The sender.
-        from: Identity,
-        /// The part that the other is to tell of in turn, if it is.
-        back: Option<Part>,
-        /// Who is in it, as far as it fits.
-        about: Vec<Member<Identity>>,
-    },
-}
-
-/// A datagram that can be read.
+/// A decoded datagram.
 #[derive(Debug)]
-pub enum Said<'a> {
-    /// The protocol's, with what it tells about whom.
+pub enum Decoded<'a> {
+    /// A payload of the SWIM protocol.
     Swim {
+        /// The whole payload.
         payload: &'a [u8],
+        /// Its sender.
         from: Identity,
-        about: Vec<Member<Identity>>,
+        /// The member updates that it carries.
+        updates: Vec<Member<Identity>>,
     },
-    /// One of this crate's.
-    Own(Own),
+    /// A message of this crate.
+    Message(Message),
 }
 
 /// Why a datagram was dropped.
@@ -123,97 +67,92 @@
     Implausible,
 }
 
-/// How many bytes of a payload fit.
-pub fn room(fleet: &str) -> usize {
-    MAX_DATAGRAM_LEN - FRONT - fleet.len() - 1
+/// How many bytes of payload fit into a datagram of a fleet.
+pub fn payload_capacity(fleet: &str) -> usize {
+    MAX_DATAGRAM_LEN - PREFIX_LEN - fleet.len() - CHECKSUM_LEN - KIND_LEN
 }
 
-fn framed(fleet: &str, kind: u8, payload: &[u8]) -> Vec<u8> {
-    let mut datagram = Vec::with_capacity(FRONT + fleet.len() + 1 + payload.len());
-    datagram.extend([VERSION, fleet.len() as u8]);
-    datagram.extend(fleet.as_bytes());
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(fleet.as_bytes());
-    sum.update(&[kind]);
-    sum.update(payload);
-    datagram.extend(sum.finalize().to_le_bytes());
-    datagram.push(kind);
-    datagram.extend(payload);
-    datagram
+/// Encodes a datagram with a payload of the SWIM protocol.
+pub fn encode_swim(fleet: &str, payload: &[u8]) -> Vec<u8> {
+    encode(fleet, SWIM_KIND, payload)
 }
 
-/// Makes the checksum of a datagram good, whatever else is wrong with it.
-#[cfg(test)]
-pub fn sign(fleet: &str, datagram: &mut [u8]) {
-    let said = FRONT + fleet.len();
-    if datagram.len() >= said {
-        let mut sum = crc32fast::Hasher::new();
-        sum.update(&datagram[2..said - 4]);
-        sum.update(&datagram[said..]);
-        datagram[said - 4..said].copy_from_slice(&sum.finalize().to_le_bytes());
-    }
+/// Encodes a datagram with a message of this crate.
+pub fn encode_message(fleet: &str, message: &Message) -> Vec<u8> {
+    let payload = postcard::to_allocvec(message).unwrap_or_default();
+    encode(fleet, MESSAGE_KIND, &payload)
 }
 
-/// A datagram of the protocol.
-pub fn swim(fleet: &str, payload: &[u8]) -> Vec<u8> {
-    framed(fleet, SWIM, payload)
+fn encode(fleet: &str, kind: u8, payload: &[u8]) -> Vec<u8> {
+    let body = [&[kind], payload].concat();
+    let mut datagram = Vec::with_capacity(PREFIX_LEN + fleet.len() + CHECKSUM_LEN + body.len());
+    datagram.extend([VERSION, fleet.len() as u8]);
+    datagram.extend(fleet.as_bytes());
+    datagram.extend(checksum(fleet.as_bytes(), &body));
+    datagram.extend(body);
+    datagram
 }
 
-/// A datagram of this crate's.
-pub fn own(fleet: &str, said: &Own) -> Vec<u8> {
-    let payload = postcard::to_allocvec(said).unwrap_or_default();
-    framed(fleet, SWIM + 1, &payload)
+fn checksum(fleet: &[u8], body: &[u8]) -> [u8; CHECKSUM_LEN] {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(fleet);
+    hasher.update(body);
+    hasher.finalize().to_le_bytes()
 }
 
-/// What one member takes of a datagram.
-pub fn size(member: &Member<Identity>) -> usize {
+/// The encoded length of a member update.
+pub(crate) fn encoded_len(member: &Member<Identity>) -> usize {
     postcard::to_allocvec(member).map_or(MAX_DATAGRAM_LEN, |bytes| bytes.len())
 }
 
-/// Reads a datagram.
-pub fn read<'a>(fleet: &str, datagram: &'a [u8]) -> Result<Said<'a>, DropReason> {
+/// Decodes a datagram of a fleet.
+pub fn decode<'a>(fleet: &str, datagram: &'a [u8]) -> Result<Decoded<'a>, DropReason> {
+    let body = checked_body(fleet, datagram)?;
+    let (&kind, payload) = body.split_first().ok_or(DropReason::Malformed)?;
+    if kind == SWIM_KIND {
+        return decode_swim(payload).ok_or(DropReason::Malformed);
+    }
+    match postcard::take_from_bytes(payload) {
+        Ok((message, [])) => Ok(Decoded::Message(message)),
+        _ => Err(DropReason::Malformed),
+    }
+}
+
+/// Checks everything in front of the body: length, version, fleet and checksum.
+fn checked_body<'a>(fleet: &str, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
     if datagram.len() > MAX_DATAGRAM_LEN {
         return Err(DropReason::Malformed);
     }
-    let (&[version, length], rest) = datagram.split_first_chunk().ok_or(DropReason::Malformed)?;
+    let prefix = datagram.split_first_chunk::<PREFIX_LEN>();
+    let (&[version, fleet_len], rest) = prefix.ok_or(DropReason::Malformed)?;
     if version != VERSION {
         return Err(DropReason::UnsupportedVersion);
     }
-    let (name, rest) = rest
-        .split_at_checked(length.into())
+    let (fleet_name, rest) = rest
+        .split_at_checked(fleet_len.into())
         .ok_or(DropReason::Malformed)?;
-    if name != fleet.as_bytes() {
+    if fleet_name != fleet.as_bytes() {
         return Err(DropReason::ForeignFleet);
     }
-    let (sum, said) = rest.split_first_chunk().ok_or(DropReason::Malformed)?;
-    let mut found = crc32fast::Hasher::new();
-    found.update(name);
-    found.update(said);
-    if found.finalize().to_le_bytes() != *sum {
+    let (expected, body) = rest.split_first_chunk().ok_or(DropReason::Malformed)?;
+    if checksum(fleet_name, body) != *expected {
         return Err(DropReason::Malformed);
     }
-    match said.split_first() {
-        Some((&SWIM, payload)) => read_swim(payload).ok_or(DropReason::Malformed),
-        Some((_, payload)) => match postcard::take_from_bytes(payload) {
-            Ok((said, [])) => Ok(Said::Own(said)),
-            _ => Err(DropReason::Malformed),
-        },
-        None => Err(DropReason::Malformed),
-    }
+    Ok(body)
 }
 
-fn read_swim(payload: &[u8]) -> Option<Said<'_>> {
+fn decode_swim(payload: &[u8]) -> Option<Decoded<'_>> {
     let mut rest = payload;
     let Header { src: from, .. } = PostcardCodec.decode_header(&mut rest).ok()?;
-    let mut about = Vec::new();
+    let mut updates = Vec::new();
     if let Some((count, mut members)) = rest.split_first_chunk() {
         for _ in 0..u16::from_be_bytes(*count) {
-            about.push(PostcardCodec.decode_member(&mut members).ok()?);
+            updates.push(PostcardCodec.decode_member(&mut members).ok()?);
         }
     }
-    Some(Said::Swim {
+    Some(Decoded::Swim {
         payload,
         from,
-        about,
+        updates,
     })
 }
--- /dev/null
+++ b/membership/tests/state_machine/name_conflicts.rs
@@ -0,0 +1,72 @@
+//! Conflicts over a name.
+
+use crate::support::{BASE_INCARNATION, FLEET, gossip, identity, member};
+use foca::Member;
+use frostkeel_membership::wire::{self, Message};
+use frostkeel_membership::{Identity, Membership, Output, PeerIndex, Phase};
+use std::time::Duration;
+
+fn outputs(membership: &mut Membership) -> Vec<Output> {
+    std::iter::from_fn(|| membership.poll_output()).collect()
+}
+
+/// Has another member report a claim to the receiver's name.
+fn report_claim(receiver: &mut Membership, now: Duration, claimant: Identity) {
+    let datagram = gossip(
+        identity(1, 0),
+        receiver.identity(),
+        &[Member::alive(claimant)],
+    );
+    receiver
+        .handle_datagram(now, PeerIndex(1), &datagram)
+        .expect("a valid datagram");
+}
+
+/// The earlier incarnation yields, reports that, and sends nothing from then on.
+#[test]
+fn the_later_incarnation_keeps_the_name_and_the_earlier_one_yields() {
+    let mut earlier = member(0);
+    let later = Identity {
+        peer: PeerIndex(5),
+        incarnation: BASE_INCARNATION + 60_000,
+        ..earlier.identity()
+    };
+    report_claim(&mut earlier, Duration::from_secs(60), later);
+    assert!(outputs(&mut earlier).contains(&Output::Yielded(later)));
+    assert_eq!(earlier.phase(), Phase::Yielded);
+    assert_eq!(earlier.next_timeout(), None);
+    let join = Message::Join {
+        from: identity(1, 0),
+    };
+    let datagram = wire::encode_message(FLEET, &join);
+    let received = earlier.handle_datagram(Duration::from_secs(61), PeerIndex(1), &datagram);
+    received.expect("a valid datagram");
+    assert_eq!(outputs(&mut earlier), []);
+}
+
+/// A clock that was set back must not make a restart look like the earlier start; but it may claim its name only so often.
+#[test]
+fn a_restart_with_a_clock_set_back_supersedes_its_earlier_incarnation() {
+    let mut restarted = member(0);
+    let previous = Identity {
+        incarnation: BASE_INCARNATION + 60_000,
+        ..restarted.identity()
+    };
+    report_claim(&mut restarted, Duration::from_millis(100), previous);
+    assert!(outputs(&mut restarted).contains(&Output::Superseded(previous)));
+    assert_eq!(restarted.phase(), Phase::Member);
+    assert_eq!(restarted.identity().incarnation, previous.incarnation + 1);
+    let own_id = restarted.identity();
+    for minutes in 2..9 {
+        let claimant = Identity {
+            incarnation: BASE_INCARNATION + minutes * 60_000,
+            ..own_id
+        };
+        report_claim(&mut restarted, Duration::from_millis(200), claimant);
+    }
+    assert_eq!(
+        restarted.phase(),
+        Phase::Yielded,
+        "the number of claims is limited"
+    );
+}
--- /dev/null
+++ b/membership/tests/state_machine/support.rs
@@ -0,0 +1,79 @@
+//! Members and datagrams for the tests of the state machine.
+
+use foca::{Codec, Header, Member, Message, PostcardCodec};
+use frostkeel_membership::{Config, Identity, Membership, Name, PeerIndex, wire};
+use std::time::Duration;
+
+/// The fleet's name.
+pub const FLEET: &str = "tests";
+/// The number of peers.
+pub const PEER_COUNT: u16 = 8;
+/// The maximum number of remembered members.
+pub const MAX_MEMBERS: usize = 16;
+/// The incarnation of the members under test.
+pub const BASE_INCARNATION: u64 = 1_700_000_000_000;
+
+/// The name of a member.
+pub fn name(number: u16) -> Name {
+    Name::new(&format!("m{number}")).expect("a name")
+}
+
+/// The identity of a member, so much later than the base.
+pub fn identity(number: u16, incarnation: u64) -> Identity {
+    Identity {
+        name: name(number),
+        peer: PeerIndex(number),
+        incarnation: BASE_INCARNATION + incarnation,
+        rejoin_count: 0,
+        is_leaving: false,
+    }
+}
+
+/// A state machine that has just started.
+pub fn member(number: u16) -> Membership {
+    let config = Config {
+        fleet: FLEET.into(),
+        name: name(number),
+        peer: PeerIndex(number),
+        peer_count: PEER_COUNT,
+        incarnation: BASE_INCARNATION,
+        max_members: MAX_MEMBERS,
+        forget_after: Duration::from_secs(600),
+        seed: 7 + u64::from(number),
+    };
+    Membership::new(config, Duration::ZERO).expect("a valid configuration")
+}
+
+/// A gossip datagram.
+pub fn gossip(from: Identity, to: Identity, updates: &[Member<Identity>]) -> Vec<u8> {
+    let mut payload = Vec::new();
+    let header = Header {
+        src: from,
+        src_incarnation: 0,
+        dst: to,
+        message: Message::Gossip,
+    };
+    PostcardCodec
+        .encode_header(&header, &mut payload)
+        .expect("the header fits");
+    payload.extend((updates.len() as u16).to_be_bytes());
+    for update in updates {
+        PostcardCodec
+            .encode_member(update, &mut payload)
+            .expect("the update fits");
+    }
+    wire::encode_swim(FLEET, &payload)
+}
+
+/// Corrects the checksum of a datagram, whatever else is wrong with it.
+pub fn correct_checksum(datagram: &mut [u8]) {
+    let checksum_at = 2 + FLEET.len();
+    let body_at = checksum_at + 4;
+    if datagram.len() < body_at {
+        return;
+    }
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&datagram[2..checksum_at]);
+    hasher.update(&datagram[body_at..]);
+    datagram[checksum_at..body_at].copy_from_slice(&hasher.finalize().to_le_bytes());
+}
