--- /dev/null
+++ b/membership/src/foca_runtime.rs
@@ -0,0 +1,147 @@
+//! The runtime that `foca` is given: it collects datagrams, timers and notifications.
+
+use crate::identity::Identity;
+use foca::{Notification, OwnedNotification, Timer};
+use std::cmp::{Ordering, Reverse};
+use std::collections::BinaryHeap;
+use std::time::Duration;
+
+/// A timer, ordered by its time and then by its submission.
+struct ScheduledTimer {
+    at: Duration,
+    sequence: u64,
+    timer: Timer<Identity>,
+}
+
+impl PartialEq for ScheduledTimer {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other) == Ordering::Equal
+    }
+}
+
+impl Eq for ScheduledTimer {}
+
+impl PartialOrd for ScheduledTimer {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl Ord for ScheduledTimer {
+    fn cmp(&self, other: &Self) -> Ordering {
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
+    }
+}
+
+/// A payload of the protocol and its receiver.
+pub(crate) struct OutgoingPayload {
+    pub(crate) to: Identity,
+    pub(crate) payload: Vec<u8>,
+}
+
+/// Collects what `foca` puts out, and keeps its timers.
+pub(crate) struct FocaRuntime {
+    payloads: Vec<OutgoingPayload>,
+    notifications: Vec<OwnedNotification<Identity>>,
+    timers: BinaryHeap<Reverse<ScheduledTimer>>,
+    next_sequence: u64,
+    max_timers: usize,
+    /// The time from which timers count.
+    now: Duration,
+    /// How many times as long probes take.
+    probe_stretch: u32,
+}
+
+impl FocaRuntime {
+    /// A runtime without timers, which will keep at most so many.
+    pub(crate) fn new(now: Duration, max_timers: usize) -> Self {
+        Self {
+            payloads: Vec::new(),
+            notifications: Vec::new(),
+            timers: BinaryHeap::new(),
+            next_sequence: 0,
+            max_timers,
+            now,
+            probe_stretch: 1,
+        }
+    }
+
+    /// Sets the time from which timers count.
+    pub(crate) fn set_now(&mut self, now: Duration) {
+        self.now = now;
+    }
+
+    /// The time from which timers count.
+    pub(crate) fn now(&self) -> Duration {
+        self.now
+    }
+
+    /// Sets how many times as long probes take.
+    pub(crate) fn set_probe_stretch(&mut self, factor: u32) {
+        self.probe_stretch = factor;
+    }
+
+    /// When the next timer is due.
+    pub(crate) fn next_timer_at(&self) -> Option<Duration> {
+        self.timers.peek().map(|Reverse(scheduled)| scheduled.at)
+    }
+
+    /// Removes the next timer, if it is due.
+    pub(crate) fn pop_due_timer(&mut self, now: Duration) -> Option<Timer<Identity>> {
+        if self.next_timer_at()? > now {
+            return None;
+        }
+        self.timers.pop().map(|Reverse(scheduled)| scheduled.timer)
+    }
+
+    /// Postpones the ends of all suspicions.
+    pub(crate) fn postpone_suspicion_timers(&mut self, by: Duration) {
+        let timers = std::mem::take(&mut self.timers).into_iter();
+        let postponed = timers.map(|Reverse(mut scheduled)| {
+            if matches!(scheduled.timer, Timer::ChangeSuspectToDown { .. }) {
+                scheduled.at += by;
+            }
+            Reverse(scheduled)
+        });
+        self.timers = postponed.collect();
+    }
+
+    /// Removes the collected payloads.
+    pub(crate) fn take_payloads(&mut self) -> Vec<OutgoingPayload> {
+        std::mem::take(&mut self.payloads)
+    }
+
+    /// Removes the collected notifications.
+    pub(crate) fn take_notifications(&mut self) -> Vec<OwnedNotification<Identity>> {
+        std::mem::take(&mut self.notifications)
+    }
+}
+
+impl foca::Runtime<Identity> for FocaRuntime {
+    fn notify(&mut self, notification: Notification<'_, Identity>) {
+        self.notifications.push(notification.to_owned());
+    }
+
+    fn send_to(&mut self, to: Identity, data: &[u8]) {
+        let payload = data.to_vec();
+        self.payloads.push(OutgoingPayload { to, payload });
+    }
+
+    fn submit_after(&mut self, timer: Timer<Identity>, after: Duration) {
+        // Only endless churn makes that many timers. Members whose timer is not kept are forgotten later, when their
+        // names come up again.
+        if self.timers.len() >= self.max_timers && matches!(timer, Timer::RemoveDown(_)) {
+            return;
+        }
+        let stretch = match timer {
+            Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => self.probe_stretch,
+            _ => 1,
+        };
+        self.next_sequence += 1;
+        self.timers.push(Reverse(ScheduledTimer {
+            at: self.now + after * stretch,
+            sequence: self.next_sequence,
+            timer,
+        }));
+    }
+}
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -18,11 +18,11 @@
 
 mod config;
 mod counters;
+mod foca_runtime;
 pub mod hash_tree;
-mod health;
 mod hello;
 mod identity;
-mod io;
+mod local_health;
 mod machine;
 mod view;
 mod watch;
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -2,11 +2,11 @@
 
 use crate::config::{Config, ConfigError};
 use crate::counters::Counters;
+use crate::foca_runtime::{FocaRuntime, OutgoingPayload};
 use crate::hash_tree::{self, FollowUp, HashPrefix};
-use crate::health::{Health, PAUSE};
 use crate::hello::Hello;
 use crate::identity::{Identity, Name, PeerIndex};
-use crate::io::Io;
+use crate::local_health::{LocalHealth, PAUSED_AFTER};
 use crate::view::{MemberRecord, MemberState, View, ViewChange};
 use crate::watch::{Want, Watch};
 use crate::wire::{self, Decoded, DropReason, Message};
@@ -96,10 +96,10 @@
 pub struct Membership {
     config: Config,
     foca: Foca<Identity, PostcardCodec, StdRng, NoCustomBroadcast>,
-    io: Io,
+    runtime: FocaRuntime,
     rng: StdRng,
     view: View,
-    health: Health,
+    health: LocalHealth,
     watch: Watch,
     hello: Hello,
     doubts: Vec<Doubt>,
@@ -166,9 +166,9 @@
         let set_for = usize::from(config.peer_count);
         let mut membership = Self {
             foca: Foca::new(me, protocol(set_for, &config), rng, PostcardCodec),
-            io: Io::new(now, 4 * config.max_members + 64),
+            runtime: FocaRuntime::new(now, 4 * config.max_members + 64),
             view: View::default(),
-            health: Health::default(),
+            health: LocalHealth::default(),
             watch: Watch::new(now, 0),
             hello: Hello::new(now),
             doubts: Vec::new(),
@@ -198,14 +198,16 @@
     /// Takes lives for there without telling anybody: what is remembered from before the start. Those that are not there
     /// any more are found out in time.
     pub fn restore(&mut self, now: Duration, lives: impl Iterator<Item = Identity>) {
-        self.io.now = now;
+        self.runtime.set_now(now);
         let name = self.identity().name;
         let lives: Vec<_> = lives
             .filter(|id| id.name != name && self.possible(id).is_ok())
             .collect();
-        let applied =
-            self.foca
-                .apply_many(lives.into_iter().map(Member::alive), false, &mut self.io);
+        let applied = self.foca.apply_many(
+            lives.into_iter().map(Member::alive),
+            false,
+            &mut self.runtime,
+        );
         self.counters.protocol_errors += u64::from(applied.is_err());
         self.settle(None);
     }
@@ -254,7 +256,7 @@
             Some(self.watch.due()),
             Some(self.hello.due()),
             doubts,
-            self.io.due(),
+            self.runtime.next_timer_at(),
         ];
         own.into_iter().flatten().min()
     }
@@ -283,7 +285,7 @@
     }
 
     fn take(&mut self, now: Duration, place: PeerIndex, datagram: &[u8]) -> Result<(), DropReason> {
-        self.io.now = now;
+        self.runtime.set_now(now);
         match wire::decode(&self.config.fleet, datagram)? {
             Decoded::Message(Message::Check { nonce }) => {
                 let (from, digest) = (self.identity(), self.view.digest());
@@ -303,7 +305,7 @@
             }) => {
                 self.admit(place, &from)?;
                 if self.watch.answered(nonce, from.name) {
-                    self.health.better();
+                    self.health.improve();
                     self.differ = if digest == self.view.digest() {
                         0
                     } else {
@@ -349,7 +351,7 @@
             Decoded::Message(Message::ForwardedCheckAck { nonce, from }) => {
                 self.possible(&from)?;
                 if self.watch.answered(nonce, from.name) {
-                    self.health.better();
+                    self.health.improve();
                 }
             }
             Decoded::Message(Message::ViewHashes {
@@ -391,11 +393,11 @@
                         // No news: those travel by themselves. This makes up for those that went past here.
                         let applied =
                             self.foca
-                                .apply_many(members.iter().cloned(), false, &mut self.io);
+                                .apply_many(members.iter().cloned(), false, &mut self.runtime);
                         self.counters.protocol_errors += u64::from(applied.is_err());
                         if doubted {
                             // Whoever says so hears at once that it is wrong; the others will.
-                            let announced = self.foca.announce(from, &mut self.io);
+                            let announced = self.foca.announce(from, &mut self.runtime);
                             self.counters.protocol_errors += u64::from(announced.is_err());
                         }
                         self.settle(Some(from.name));
@@ -411,7 +413,7 @@
                 if from.name == self.identity().name {
                     self.claimed(from, true);
                 } else if self.hello.may_answer(now) {
-                    let announced = self.foca.announce(from, &mut self.io);
+                    let announced = self.foca.announce(from, &mut self.runtime);
                     self.counters.protocol_errors += u64::from(announced.is_err());
                     self.settle(None);
                 }
@@ -432,8 +434,8 @@
                 }
                 self.take_news(&updates);
                 if self.phase == Phase::Member {
-                    self.io.stretch = 1 + self.health.score();
-                    let handled = self.foca.handle_data(payload, &mut self.io);
+                    self.runtime.set_probe_stretch(self.health.stretch_factor());
+                    let handled = self.foca.handle_data(payload, &mut self.runtime);
                     self.counters.protocol_errors += u64::from(handled.is_err());
                     self.settle(Some(from.name));
                     self.look_for_suspects_among(&updates, from.name);
@@ -449,7 +451,7 @@
         for member in about.iter().filter(|member| member.id().name == name) {
             if *member.id() == self.identity() && member.state() == State::Suspect {
                 self.counters.refutations += 1;
-                self.health.worse();
+                self.health.degrade();
                 doubted = true;
             }
             self.claimed(*member.id(), false);
@@ -461,8 +463,9 @@
     fn hears(&mut self, from: &Identity) -> bool {
         let known = self.view.get(&from.name);
         let there = known.is_some_and(|viewed| viewed.id == *from && viewed.state.is_live());
-        if !there && from.name != self.identity().name && self.hello.may_answer(self.io.now) {
-            let announced = self.foca.announce(*from, &mut self.io);
+        if !there && from.name != self.identity().name && self.hello.may_answer(self.runtime.now())
+        {
+            let announced = self.foca.announce(*from, &mut self.runtime);
             self.counters.protocol_errors += u64::from(announced.is_err());
             self.settle(None);
         }
@@ -537,7 +540,7 @@
             <= self
                 .config
                 .incarnation
-                .saturating_add(AHEAD_MOST + self.io.now.as_millis() as u64);
+                .saturating_add(AHEAD_MOST + self.runtime.now().as_millis() as u64);
         if id.peer.0 < self.config.peer_count && (known || room) && in_time {
             Ok(())
         } else {
@@ -550,19 +553,19 @@
         let me = self.identity();
         if !other.supersedes(&me) {
             // A living one learns from the answer who has the name.
-            if itself && me.supersedes(&other) && self.hello.may_answer(self.io.now) {
+            if itself && me.supersedes(&other) && self.hello.may_answer(self.runtime.now()) {
                 self.say(other.peer, &Message::Join { from: me });
             }
             return;
         }
-        if self.io.now < self.started + JOINING && self.outbids < OUTBIDS {
+        if self.runtime.now() < self.started + JOINING && self.outbids < OUTBIDS {
             self.outbids += 1;
             let next = Identity {
                 incarnation: other.incarnation + 1,
                 rejoin_count: 0,
                 ..me
             };
-            let changed = self.foca.change_identity(next, &mut self.io);
+            let changed = self.foca.change_identity(next, &mut self.runtime);
             self.counters.protocol_errors += u64::from(changed.is_err());
             self.outputs.push_back(Output::Superseded(other));
             self.settle(None);
@@ -577,17 +580,17 @@
         let Some(due) = self.next_timeout() else {
             return;
         };
-        self.io.now = now;
+        self.runtime.set_now(now);
         let late = now.saturating_sub(due);
-        self.health.ran(late);
-        if late > PAUSE {
+        self.health.record_lateness(late);
+        if late > PAUSED_AFTER {
             self.counters.pauses += 1;
-            self.io.put_off_judgements(late);
+            self.runtime.postpone_suspicion_timers(late);
             self.doubts.iter_mut().for_each(|doubt| doubt.due += late);
             self.watch.drop_check();
         }
-        while let Some(timer) = self.io.take_due(now) {
-            self.io.stretch = 1 + self.health.score();
+        while let Some(timer) = self.runtime.pop_due_timer(now) {
+            self.runtime.set_probe_stretch(self.health.stretch_factor());
             let probed = matches!(timer, Timer::ProbeRandomMember(_));
             if let Timer::RemoveDown(id) = &timer {
                 self.view.forget(id);
@@ -603,7 +606,7 @@
                 // it is down, and make it begin a new life for nothing.
                 continue;
             }
-            let handled = self.foca.handle_timer(timer, &mut self.io);
+            let handled = self.foca.handle_timer(timer, &mut self.runtime);
             self.counters.protocol_errors += u64::from(handled.is_err());
             self.settle(None);
             if probed {
@@ -673,7 +676,7 @@
         let suspect = Member::new(id, incarnation, State::Suspect);
         let applied = self
             .foca
-            .apply_many([suspect].into_iter(), true, &mut self.io);
+            .apply_many([suspect].into_iter(), true, &mut self.runtime);
         self.counters.protocol_errors += u64::from(applied.is_err());
         self.settle(None);
         self.look_for_suspects(None, |member| *member.id() == id);
@@ -725,7 +728,9 @@
         {
             if self.is_suspect(&doubt.id, doubt.incarnation) {
                 let down = Member::new(doubt.id, doubt.incarnation, State::Down);
-                let applied = self.foca.apply_many([down].into_iter(), true, &mut self.io);
+                let applied = self
+                    .foca
+                    .apply_many([down].into_iter(), true, &mut self.runtime);
                 self.counters.protocol_errors += u64::from(applied.is_err());
                 self.settle(None);
             }
@@ -767,16 +772,16 @@
         if self.phase != Phase::Member {
             return;
         }
-        self.io.now = now;
+        self.runtime.set_now(now);
         let leaving = Identity {
             is_leaving: true,
             ..self.identity()
         };
-        let mut done = self.foca.change_identity(leaving, &mut self.io);
+        let mut done = self.foca.change_identity(leaving, &mut self.runtime);
         for _ in 1..FAREWELLS {
-            done = done.and_then(|()| self.foca.gossip(&mut self.io));
+            done = done.and_then(|()| self.foca.gossip(&mut self.runtime));
         }
-        done = done.and_then(|()| self.foca.leave_cluster(&mut self.io));
+        done = done.and_then(|()| self.foca.leave_cluster(&mut self.runtime));
         self.counters.protocol_errors += u64::from(done.is_err());
         self.settle(None);
         self.phase = Phase::Left;
@@ -787,7 +792,7 @@
         if let Some(change) = self.view.record(viewed) {
             self.outputs.push_back(Output::ViewChanged(change));
             if self.view.live_count() != there {
-                self.hello.again(self.io.now, &mut self.rng);
+                self.hello.again(self.runtime.now(), &mut self.rng);
             }
         }
     }
@@ -795,8 +800,8 @@
     /// Takes over what the protocol has sent and found.
     fn settle(&mut self, from: Option<Name>) {
         let me = self.identity();
-        let since = self.io.now;
-        for note in std::mem::take(&mut self.io.notes) {
+        let since = self.runtime.now();
+        for note in self.runtime.take_notifications() {
             let (id, state) = match note {
                 OwnedNotification::MemberUp(id) if id.is_leaving => (id, MemberState::Left),
                 OwnedNotification::MemberUp(id) => (id, MemberState::Alive),
@@ -835,7 +840,7 @@
                 reported_by: from,
             });
         }
-        for (to, payload) in std::mem::take(&mut self.io.sends) {
+        for OutgoingPayload { to, payload } in self.runtime.take_payloads() {
             if to.name != me.name {
                 let datagram = wire::encode_swim(&self.config.fleet, &payload);
                 self.send(to.peer, datagram);
@@ -880,7 +885,7 @@
                 changed.push(MemberRecord {
                     id: *member.id(),
                     state,
-                    since: self.io.now,
+                    since: self.runtime.now(),
                     reported_by: from,
                 });
                 if state == MemberState::Suspect {
--- a/membership/src/watch.rs
+++ b/membership/src/watch.rs
@@ -1,7 +1,7 @@
 //! The watch over the next one: a check every period, repeated where no answer comes.
 
-use crate::health::Health;
 use crate::identity::{Identity, Name};
+use crate::local_health::LocalHealth;
 use std::time::Duration;
 
 /// Between the beginnings of two checks.
@@ -54,16 +54,16 @@
     }
 
     /// What it wants now that its time has come.
-    pub fn timeout(&mut self, now: Duration, health: &Health) -> Want {
+    pub fn timeout(&mut self, now: Duration, health: &LocalHealth) -> Want {
         match self.under.take() {
             None => {
-                self.next = now + health.stretched(PERIOD);
+                self.next = now + health.stretch(PERIOD);
                 Want::Choose
             }
             Some(under) if under.asked >= TRIES => Want::Doubt(under.target),
             Some(under) => {
                 let (target, nonce) = (under.target, under.nonce);
-                let until = now + health.stretched(ANSWER);
+                let until = now + health.stretch(ANSWER);
                 self.under = Some(Under {
                     asked: under.asked + 1,
                     until,
@@ -75,9 +75,9 @@
     }
 
     /// Begins a check of one; its number.
-    pub fn begin(&mut self, target: Identity, now: Duration, health: &Health) -> u32 {
+    pub fn begin(&mut self, target: Identity, now: Duration, health: &LocalHealth) -> u32 {
         self.nonce = self.nonce.wrapping_add(1);
-        let until = now + health.stretched(ANSWER);
+        let until = now + health.stretch(ANSWER);
         self.under = Some(Under {
             target,
             nonce: self.nonce,
