--- a/membership/fuzz/fuzz_targets/datagram.rs
+++ b/membership/fuzz/fuzz_targets/datagram.rs
@@ -1,5 +1,6 @@
-//! Any bytes at all as datagrams: the state machine neither panics nor keeps more than it may. The plain test
-//! `a_million_mutated_datagrams_do_no_harm` does the same with mutations that get past the checksum.
+//! Any bytes at all as datagrams: the state machine neither panics nor keeps more than it may. The
+//! plain test `a_million_mutated_datagrams_do_no_harm` does the same with mutations that get past
+//! the checksum.
 #![no_main]
 
 use frostkeel_membership::{Config, Membership, Name, Output, PeerIndex};
--- a/membership/src/counters.rs
+++ b/membership/src/counters.rs
@@ -3,7 +3,8 @@
 use crate::wire::DropReason;
 use serde::Serialize;
 
-/// Counters since the start. The serialized keys are a published form and differ from some field names.
+/// Counters since the start. The serialized keys are a published form and differ from some field
+/// names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Datagrams sent.
--- a/membership/src/foca_runtime.rs
+++ b/membership/src/foca_runtime.rs
@@ -71,11 +71,6 @@
         self.now = now;
     }
 
-    /// The time from which timers count.
-    pub(crate) fn now(&self) -> Duration {
-        self.now
-    }
-
     /// Sets how many times as long probes take.
     pub(crate) fn set_probe_stretch(&mut self, factor: u32) {
         self.probe_stretch = factor;
@@ -128,8 +123,8 @@
     }
 
     fn submit_after(&mut self, timer: Timer<Identity>, after: Duration) {
-        // Only endless churn makes that many timers. Members whose timer is not kept are forgotten later, when their
-        // names come up again.
+        // Only endless churn makes that many timers. Members whose timer is not kept are forgotten
+        // later, when their names come up again.
         if self.timers.len() >= self.max_timers && matches!(timer, Timer::RemoveDown(_)) {
             return;
         }
--- a/membership/src/hash_tree.rs
+++ b/membership/src/hash_tree.rs
@@ -1,8 +1,9 @@
-//! A tree of hashes over a view, by which two views that should be equal are compared in small datagrams.
+//! A tree of hashes over a view, by which two views that should be equal are compared in small
+//! datagrams.
 //!
-//! Each name has a position, the hash of its text. A [`HashPrefix`] is a node of the tree: all names whose position
-//! begins with it. Two processes exchange the hashes of the children of a node, descend where they differ, and send the
-//! members themselves once a node has few of them.
+//! Each name has a position, the hash of its text. A [`HashPrefix`] is a node of the tree: all
+//! names whose position begins with it. Two processes exchange the hashes of the children of a
+//! node, descend where they differ, and send the members themselves once a node has few of them.
 
 use crate::identity::{Identity, Name};
 use rand::RngExt;
@@ -19,7 +20,8 @@
 pub const MAX_DEPTH: u8 = 7;
 /// The members of a node with at most this many are sent as they are.
 pub const MAX_MEMBERS_SENT: usize = 8;
-/// How many differing children are followed up at a time; the others are left to later, random selections.
+/// How many differing children are followed up at a time; the others are left to later, random
+/// selections.
 const MAX_FOLLOW_UPS: usize = 4;
 
 /// Hashes of the children of a node.
@@ -51,7 +53,8 @@
     hasher.finish() as u32
 }
 
-/// The hash of an identity, which is the same in each process. The digest of a set is the exclusive or of its hashes.
+/// The hash of an identity, which is the same in each process. The digest of a set is the exclusive
+/// or of its hashes.
 pub fn identity_hash(id: &Identity) -> u64 {
     let mut hasher = SipHasher13::new();
     (id.name.as_str(), id.incarnation, id.rejoin_count).hash(&mut hasher);
@@ -111,7 +114,8 @@
         hashes
     }
 
-    /// How to reconcile the children whose hashes differ from the peer's; `positions` are those of all known names.
+    /// How to reconcile the children whose hashes differ from the peer's; `positions` are those of
+    /// all known names.
     pub fn follow_ups(
         self,
         own: &ChildHashes,
--- a/membership/src/identity.rs
+++ b/membership/src/identity.rs
@@ -88,7 +88,8 @@
     pub name: Name,
     /// Where it is reached.
     pub peer: PeerIndex,
-    /// Unix time of its start in milliseconds, or one more than the incarnation that its name had before.
+    /// Unix time of its start in milliseconds, or one more than the incarnation that its name had
+    /// before.
     pub incarnation: u64,
     /// How often it has rejoined, since its start, after others had declared it dead.
     pub rejoin_count: u16,
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,36 +1,41 @@
-//! Who is present: each process of a fleet keeps a view of all others, and the views agree again after failures.
+//! Group membership: each process of a fleet keeps a view of all others, and the views converge
+//! after failures.
 //!
-//! [`Membership`] is a state machine without input and output: it is fed with datagrams and time, and says what to send
-//! and what has changed. The protocol is SWIM with suspicion and indirect probes (Das, Gupta and Motivala, 2002), carried
-//! by `foca`. Added here are:
+//! [`Membership`] is a sans-IO state machine: it is fed with datagrams and time, and returns the
+//! datagrams to send and the changes of the view. The protocol is SWIM with suspicion and indirect
+//! probes (Das, Gupta and Motivala, 2002), carried by `foca`. This crate adds:
 //!
-//! - **A watch over one neighbour.** Chance alone leaves a process unprobed for several periods now and then. Each
-//!   process also checks the one after it, in the order of names, every period: a death is noticed within a period.
-//! - **Care for one's own slowness**, after Lifeguard (Dadgar, Phillips and Currey, 2018): who notices that it ran late,
-//!   or that others doubt it, gives others more time; time spent stopped counts against nobody.
-//! - **Names and incarnations.** A process is its name and the incarnation of its start, not an address. Of two that claim
-//!   one name the later one has it, and the earlier one yields and says so.
-//! - **Leaving** is told apart from being gone.
-//! - **Finding each other again.** Places of the configuration at which nobody is present are called at a bounded,
-//!   jittered rate, so that a process joins through whichever answers and halves of a partition find each other.
-//! - **Comparing.** Answers to the watch carry a digest of the view; where two differ for longer, they are compared part
-//!   by part, so that nobody goes without a piece of news for good.
+//! - **A neighbor monitor.** Random probing leaves a process unprobed for several periods now and
+//!   then. Each process also checks its successor, in the order of names, every period, so that a
+//!   failure is noticed within one period.
+//! - **Local health**, after Lifeguard (Dadgar, Phillips and Currey, 2018): a process that notices
+//!   that it ran late, or that others suspect it, gives others more time. Time during which it was
+//!   stopped counts against nobody.
+//! - **Names and incarnations.** A process is identified by its name and the incarnation of its
+//!   start, not by an address. Of two that claim one name the later incarnation keeps it; the
+//!   earlier one yields and reports that.
+//! - **Graceful leave**, which is distinguished from a failure.
+//! - **Join retries.** Peers at which no live member is known are contacted at a bounded, jittered
+//!   rate, so that a process joins through whichever peer responds and the halves of a partition
+//!   find each other.
+//! - **Anti-entropy.** Responses to the neighbor monitor carry a digest of the view. Where two
+//!   views keep differing, they are compared by a tree of hashes, so that no process misses an
+//!   update for good.
 
 mod config;
 mod counters;
 mod foca_runtime;
 pub mod hash_tree;
-mod hello;
 mod identity;
 mod local_health;
-mod machine;
+mod membership;
+mod swim;
 mod view;
-mod watch;
 pub mod wire;
 
 pub use config::{Config, ConfigError};
 pub use counters::Counters;
 pub use identity::{Identity, Name, NameError, PeerIndex};
-pub use machine::{Membership, Output, Phase};
+pub use membership::{Membership, Output, Phase};
 pub use view::{MemberRecord, MemberState, View, ViewChange};
 pub use wire::{DropReason, MAX_DATAGRAM_LEN};
--- a/membership/src/local_health.rs
+++ b/membership/src/local_health.rs
@@ -6,7 +6,8 @@
 const MAX_SCORE: u32 = 4;
 /// A timeout that runs later than this is a sign of slowness.
 const SLOW_AFTER: Duration = Duration::from_millis(250);
-/// A timeout that runs later than this means that the process was stopped: checks in progress prove nothing.
+/// A timeout that runs later than this means that the process was stopped: checks in progress prove
+/// nothing.
 pub(crate) const PAUSED_AFTER: Duration = Duration::from_millis(500);
 
 /// The local health score; 0 is healthy.
--- /dev/null
+++ b/membership/src/membership.rs
@@ -0,0 +1,271 @@
+//! The state machine: what a process does with datagrams and time.
+//!
+//! [`Membership`] owns the parts and the order in which they act. Each submodule holds one part's
+//! state or decisions.
+
+mod anti_entropy;
+mod join;
+mod name_conflict;
+mod neighbor_monitor;
+mod receive;
+mod suspicion;
+mod view_updates;
+
+use crate::config::{Config, ConfigError};
+use crate::counters::Counters;
+use crate::identity::{Identity, PeerIndex};
+use crate::local_health::{LocalHealth, PAUSED_AFTER};
+use crate::swim::Swim;
+use crate::view::{MemberRecord, MemberState, View, ViewChange};
+use crate::wire::{self, Message};
+use anti_entropy::AntiEntropy;
+use foca::{Member, Timer};
+use join::{JoinSchedule, ResponseLimiter};
+use name_conflict::NameClaim;
+use neighbor_monitor::NeighborMonitor;
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use serde::Serialize;
+use std::collections::VecDeque;
+use std::time::Duration;
+use suspicion::Suspicions;
+
+/// Peers that are contacted at the start: some at once, one more with the first timeout.
+const INITIAL_JOINS: usize = 3;
+
+/// What the embedder has to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Output {
+    /// Send a datagram to a peer.
+    Send {
+        /// The receiver.
+        to: PeerIndex,
+        /// At most [`MAX_DATAGRAM_LEN`](crate::MAX_DATAGRAM_LEN) bytes.
+        datagram: Vec<u8>,
+    },
+    /// Take note of a change of the view.
+    ViewChanged(ViewChange),
+    /// Take note that an earlier start of this process had a later incarnation, which is given
+    /// here: this process has taken a still later one.
+    Superseded(Identity),
+    /// Take note that a later process claims this process's name: this one has yielded, and takes
+    /// part no more.
+    Yielded(Identity),
+}
+
+/// How this process takes part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Phase {
+    /// It is a member.
+    Member,
+    /// Another process has its name.
+    Yielded,
+    /// It has left.
+    Left,
+}
+
+/// One process's part in the membership.
+///
+/// Times are the embedder's, on a monotonic clock. Before it calls
+/// [`handle_timeout`](Self::handle_timeout) it passes in all datagrams that have been received, so
+/// that a response that came in time does not look late.
+pub struct Membership {
+    config: Config,
+    swim: Swim,
+    rng: StdRng,
+    /// The time of the latest event.
+    now: Duration,
+    phase: Phase,
+    view: View,
+    health: LocalHealth,
+    name_claim: NameClaim,
+    neighbor_monitor: NeighborMonitor,
+    suspicions: Suspicions,
+    join_schedule: JoinSchedule,
+    response_limiter: ResponseLimiter,
+    anti_entropy: AntiEntropy,
+    counters: Counters,
+    outputs: VecDeque<Output>,
+}
+
+impl Membership {
+    /// A process that joins from now on.
+    pub fn new(config: Config, now: Duration) -> Result<Self, ConfigError> {
+        config.validate()?;
+        let own_id = Identity {
+            name: config.name,
+            peer: config.peer,
+            incarnation: config.incarnation,
+            rejoin_count: 0,
+            is_leaving: false,
+        };
+        let mut swim_rng = StdRng::seed_from_u64(config.seed);
+        let mut rng = StdRng::seed_from_u64(swim_rng.random());
+        let mut membership = Self {
+            swim: Swim::new(own_id, &config, now, swim_rng),
+            now,
+            phase: Phase::Member,
+            view: View::default(),
+            health: LocalHealth::default(),
+            name_claim: NameClaim::new(now),
+            neighbor_monitor: NeighborMonitor::new(now, rng.random()),
+            suspicions: Suspicions::new(config.max_members),
+            join_schedule: JoinSchedule::new(now),
+            response_limiter: ResponseLimiter::new(now),
+            anti_entropy: AntiEntropy::default(),
+            counters: Counters::default(),
+            outputs: VecDeque::new(),
+            rng,
+            config,
+        };
+        membership.record(MemberRecord {
+            id: own_id,
+            state: MemberState::Alive,
+            since: now,
+            reported_by: None,
+        });
+        for _ in 1..INITIAL_JOINS {
+            membership.contact_absent_peer();
+        }
+        Ok(membership)
+    }
+
+    /// Takes identities for alive without announcing them: those that were remembered from before
+    /// the start. Those that no longer live are detected in time.
+    pub fn restore(&mut self, now: Duration, ids: impl Iterator<Item = Identity>) {
+        self.set_now(now);
+        let own_name = self.identity().name;
+        let known = ids.filter(|id| id.name != own_name && self.is_plausible(id));
+        let updates: Vec<Member<Identity>> = known.map(Member::alive).collect();
+        self.swim.merge(updates);
+        self.apply_protocol_changes(None);
+    }
+
+    /// The identity of this process.
+    pub fn identity(&self) -> Identity {
+        self.swim.identity()
+    }
+
+    /// Its view.
+    pub fn view(&self) -> &View {
+        &self.view
+    }
+
+    /// How it takes part.
+    pub fn phase(&self) -> Phase {
+        self.phase
+    }
+
+    /// Its local health score: 0 is healthy, 4 the worst.
+    pub fn health_score(&self) -> u32 {
+        self.health.score()
+    }
+
+    /// Its counters.
+    pub fn counters(&self) -> Counters {
+        Counters {
+            protocol_errors: self.swim.error_count(),
+            ..self.counters
+        }
+    }
+
+    /// What the embedder has to do next.
+    pub fn poll_output(&mut self) -> Option<Output> {
+        self.outputs.pop_front()
+    }
+
+    /// When [`handle_timeout`](Self::handle_timeout) is to be called; `None` means never again.
+    pub fn next_timeout(&self) -> Option<Duration> {
+        if self.phase != Phase::Member {
+            return None;
+        }
+        let timeouts = [
+            Some(self.neighbor_monitor.next_timeout()),
+            Some(self.join_schedule.next_at()),
+            self.suspicions.next_timeout(),
+            self.swim.next_timer_at(),
+        ];
+        timeouts.into_iter().flatten().min()
+    }
+
+    /// Does everything that is due.
+    pub fn handle_timeout(&mut self, now: Duration) {
+        let Some(due_at) = self.next_timeout() else {
+            return;
+        };
+        self.set_now(now);
+        self.allow_for_lateness(now.saturating_sub(due_at));
+        self.handle_protocol_timers();
+        if self.neighbor_monitor.next_timeout() <= now {
+            self.monitor_neighbor();
+        }
+        if self.join_schedule.next_at() <= now {
+            self.contact_absent_peer();
+            self.join_schedule.record_contact(now, &mut self.rng);
+        }
+        self.notify_suspects();
+        self.expire_suspicions();
+        self.swim.adapt_to_fleet_size();
+    }
+
+    /// Leaves: announces that to the others, and sends nothing afterwards.
+    pub fn leave(&mut self, now: Duration) {
+        if self.phase != Phase::Member {
+            return;
+        }
+        self.set_now(now);
+        self.swim.leave();
+        self.apply_protocol_changes(None);
+        self.phase = Phase::Left;
+    }
+
+    fn set_now(&mut self, now: Duration) {
+        self.now = now;
+        self.swim.set_now(now);
+    }
+
+    /// After a pause nothing that was in progress proves a failure, and suspects get as much more
+    /// time.
+    fn allow_for_lateness(&mut self, lateness: Duration) {
+        self.health.record_lateness(lateness);
+        if lateness > PAUSED_AFTER {
+            self.counters.pauses += 1;
+            self.swim.postpone_suspicion_timers(lateness);
+            self.suspicions.postpone(lateness);
+            self.neighbor_monitor.abandon_check();
+        }
+    }
+
+    fn handle_protocol_timers(&mut self) {
+        while let Some(timer) = self.swim.pop_due_timer(self.now) {
+            self.swim.set_probe_stretch(self.health.stretch_factor());
+            self.handle_protocol_timer(timer);
+        }
+    }
+
+    fn handle_protocol_timer(&mut self, timer: Timer<Identity>) {
+        if let Timer::RemoveDown(id) = &timer {
+            self.view.forget(id);
+        }
+        if self.is_refuted_suspicion(&timer) {
+            return;
+        }
+        let is_probe = matches!(timer, Timer::ProbeRandomMember(_));
+        self.swim.handle_timer(timer);
+        self.apply_protocol_changes(None);
+        if is_probe {
+            self.track_new_suspects();
+        }
+    }
+
+    fn send_message(&mut self, to: PeerIndex, message: &Message) {
+        let datagram = wire::encode_message(&self.config.fleet, message);
+        self.send(to, datagram);
+    }
+
+    fn send(&mut self, to: PeerIndex, datagram: Vec<u8>) {
+        self.counters.record_sent(&datagram);
+        self.outputs.push_back(Output::Send { to, datagram });
+    }
+}
--- /dev/null
+++ b/membership/src/membership/anti_entropy.rs
@@ -0,0 +1,152 @@
+//! Anti-entropy: two members whose views keep differing compare them and exchange the members in
+//! which they differ.
+
+use super::{Membership, Phase};
+use crate::hash_tree::{self, ChildHashes, FollowUp, HashPrefix};
+use crate::identity::{Identity, PeerIndex};
+use crate::wire::{self, Message};
+use foca::Member;
+use rand::seq::SliceRandom;
+
+/// How many checks in a row find another view before the two are compared: most differences pass by
+/// themselves.
+const MIN_DIFFERENCES: u32 = 2;
+/// Bytes of a [`Message::ViewMembers`] besides the members, at most.
+const VIEW_MEMBERS_OVERHEAD: usize = 56;
+
+/// Decides when views are compared.
+#[derive(Debug, Default)]
+pub(super) struct AntiEntropy {
+    differences_in_a_row: u32,
+}
+
+impl AntiEntropy {
+    /// Records whether another member's view was equal; returns whether the two are to be compared.
+    pub(super) fn record_comparison(&mut self, is_equal: bool) -> bool {
+        self.differences_in_a_row = if is_equal {
+            0
+        } else {
+            self.differences_in_a_row + 1
+        };
+        self.differences_in_a_row >= MIN_DIFFERENCES
+    }
+}
+
+impl Membership {
+    /// Sends the hashes below a node of the hash tree.
+    pub(super) fn send_view_hashes(&mut self, to: PeerIndex, prefix: HashPrefix) {
+        let from = self.identity();
+        let hashes = prefix.child_hashes(self.view.hashed_live_members());
+        self.send_message(
+            to,
+            &Message::ViewHashes {
+                from,
+                prefix,
+                hashes,
+            },
+        );
+    }
+
+    /// Follows up the differences to a peer's hashes.
+    pub(super) fn on_view_hashes(
+        &mut self,
+        from: &Identity,
+        prefix: HashPrefix,
+        hashes: &ChildHashes,
+    ) {
+        if !self.response_limiter.allows(self.now) || !self.is_live_sender(from) {
+            return;
+        }
+        let own = prefix.child_hashes(self.view.hashed_live_members());
+        let positions = self.view.positions();
+        for follow_up in prefix.follow_ups(&own, hashes, positions, &mut self.rng) {
+            match follow_up {
+                FollowUp::SendHashes(child) => self.send_view_hashes(from.peer, child),
+                FollowUp::SendMembers(child) => {
+                    self.send_view_members(from.peer, child, Some(child));
+                }
+            }
+        }
+    }
+
+    /// Merges the members that a peer knows, and sends those that it requests.
+    pub(super) fn on_view_members(
+        &mut self,
+        from: Identity,
+        requested: Option<HashPrefix>,
+        members: &[Member<Identity>],
+    ) {
+        if !self.is_live_sender(&from) {
+            return;
+        }
+        let is_suspected = self.apply_updates_about_self(members);
+        if self.phase != Phase::Member {
+            return;
+        }
+        // Gossip disseminates updates; this makes up for those that it did not bring here.
+        self.swim.merge(members.iter().cloned());
+        if is_suspected {
+            // The refutation reaches the one who suspects this process at once, and the others by
+            // gossip.
+            self.swim.announce_to(from);
+        }
+        self.apply_protocol_changes(Some(from.name));
+        self.refresh_suspicions_among(members, from.name);
+        if let Some(prefix) = requested
+            && self.response_limiter.allows(self.now)
+        {
+            self.send_view_members(from.peer, prefix, None);
+        }
+    }
+
+    /// Sends known members below a node: a random selection of as many as fit.
+    fn send_view_members(
+        &mut self,
+        to: PeerIndex,
+        prefix: HashPrefix,
+        requested: Option<HashPrefix>,
+    ) {
+        let mut known = self.known_members(prefix);
+        known.shuffle(&mut self.rng);
+        let capacity =
+            wire::payload_capacity(&self.config.fleet).saturating_sub(VIEW_MEMBERS_OVERHEAD);
+        let message = Message::ViewMembers {
+            from: self.identity(),
+            requested,
+            members: members_that_fit(known, capacity),
+        };
+        self.send_message(to, &message);
+    }
+
+    /// The members below a node, this process included.
+    fn known_members(&self, prefix: HashPrefix) -> Vec<Member<Identity>> {
+        let own_id = self.identity();
+        let is_below = |id: &Identity| prefix.contains(hash_tree::name_position(&id.name));
+        let others = self
+            .swim
+            .all_members()
+            .filter(|member| member.id().name != own_id.name);
+        let mut known: Vec<_> = others
+            .filter(|member| is_below(member.id()))
+            .cloned()
+            .collect();
+        if is_below(&own_id) {
+            known.push(Member::alive(own_id));
+        }
+        known
+    }
+}
+
+/// The first members whose encoded lengths add up to at most a capacity.
+fn members_that_fit(members: Vec<Member<Identity>>, capacity: usize) -> Vec<Member<Identity>> {
+    let mut remaining = capacity;
+    let mut fitting = Vec::new();
+    for member in members {
+        let Some(rest) = remaining.checked_sub(wire::encoded_len(&member)) else {
+            break;
+        };
+        remaining = rest;
+        fitting.push(member);
+    }
+    fitting
+}
--- /dev/null
+++ b/membership/src/membership/neighbor_monitor.rs
@@ -0,0 +1,225 @@
+//! The neighbor monitor: checks the next member in the order of names every period, and suspects it
+//! if it does not acknowledge repeated checks.
+
+use super::Membership;
+use crate::hash_tree::HashPrefix;
+use crate::identity::{Identity, Name, PeerIndex};
+use crate::local_health::LocalHealth;
+use crate::view::MemberState;
+use crate::wire::Message;
+use rand::seq::IteratorRandom;
+use std::time::Duration;
+
+/// The interval between the beginnings of two checks.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// How long an acknowledgement may take before the check is repeated, or has failed.
+const ACK_TIMEOUT: Duration = Duration::from_millis(190);
+/// How often a check is sent before it has failed.
+const MAX_ATTEMPTS: u32 = 4;
+
+/// What the monitor does when its time has come.
+#[derive(Debug, PartialEq, Eq)]
+enum MonitorAction {
+    /// Begin a check of the present neighbor.
+    BeginCheck,
+    /// Send the check again, directly and through another member.
+    RepeatCheck { target: Identity, nonce: u32 },
+    /// Suspect the neighbor.
+    Suspect(Identity),
+}
+
+#[derive(Clone, Copy, Debug)]
+struct CheckInProgress {
+    target: Identity,
+    nonce: u32,
+    attempts: u32,
+    times_out_at: Duration,
+}
+
+/// The state of the neighbor monitor.
+#[derive(Debug)]
+pub(super) struct NeighborMonitor {
+    next_check_at: Duration,
+    current: Option<CheckInProgress>,
+    last_nonce: u32,
+}
+
+impl NeighborMonitor {
+    /// A monitor whose first check begins one interval from now.
+    pub(super) fn new(now: Duration, initial_nonce: u32) -> Self {
+        Self {
+            next_check_at: now + CHECK_INTERVAL,
+            current: None,
+            last_nonce: initial_nonce,
+        }
+    }
+
+    /// When the monitor acts next.
+    pub(super) fn next_timeout(&self) -> Duration {
+        self.current
+            .map_or(self.next_check_at, |check| check.times_out_at)
+    }
+
+    /// Abandons the current check, which proves nothing since this process was stopped.
+    pub(super) fn abandon_check(&mut self) {
+        self.current = None;
+    }
+
+    fn handle_timeout(&mut self, now: Duration, health: &LocalHealth) -> MonitorAction {
+        let Some(check) = self.current.take() else {
+            self.next_check_at = now + health.stretch(CHECK_INTERVAL);
+            return MonitorAction::BeginCheck;
+        };
+        if check.attempts >= MAX_ATTEMPTS {
+            return MonitorAction::Suspect(check.target);
+        }
+        self.current = Some(CheckInProgress {
+            attempts: check.attempts + 1,
+            times_out_at: now + health.stretch(ACK_TIMEOUT),
+            ..check
+        });
+        MonitorAction::RepeatCheck {
+            target: check.target,
+            nonce: check.nonce,
+        }
+    }
+
+    /// Begins a check and returns its nonce.
+    fn begin_check(&mut self, target: Identity, now: Duration, health: &LocalHealth) -> u32 {
+        self.last_nonce = self.last_nonce.wrapping_add(1);
+        self.current = Some(CheckInProgress {
+            target,
+            nonce: self.last_nonce,
+            attempts: 1,
+            times_out_at: now + health.stretch(ACK_TIMEOUT),
+        });
+        self.last_nonce
+    }
+
+    /// Ends the current check, if this is its acknowledgement; returns whether it is.
+    fn acknowledge(&mut self, nonce: u32, from: Name) -> bool {
+        let is_current =
+            |check: &mut CheckInProgress| check.nonce == nonce && check.target.name == from;
+        self.current.take_if(is_current).is_some()
+    }
+}
+
+impl Membership {
+    /// Does what the monitor has to do now.
+    pub(super) fn monitor_neighbor(&mut self) {
+        match self.neighbor_monitor.handle_timeout(self.now, &self.health) {
+            MonitorAction::BeginCheck => self.check_neighbor(),
+            MonitorAction::RepeatCheck { target, nonce } => self.repeat_check(&target, nonce),
+            MonitorAction::Suspect(neighbor) => self.suspect(neighbor),
+        }
+    }
+
+    fn check_neighbor(&mut self) {
+        let own_name = self.identity().name;
+        let neighbor = self.view.successor(&own_name).map(|member| member.id);
+        if let Some(neighbor) = neighbor.filter(|id| id.name != own_name) {
+            let nonce = self
+                .neighbor_monitor
+                .begin_check(neighbor, self.now, &self.health);
+            self.send_message(neighbor.peer, &Message::Check { nonce });
+        }
+    }
+
+    /// Sends the check again, and has another member check as well: only the link from here may be
+    /// down.
+    fn repeat_check(&mut self, target: &Identity, nonce: u32) {
+        self.send_message(target.peer, &Message::Check { nonce });
+        let own_name = self.identity().name;
+        let alive = self
+            .view
+            .members()
+            .filter(|member| member.state == MemberState::Alive);
+        let others = alive.map(|member| member.id);
+        let helpers = others.filter(|id| id.name != own_name && id.name != target.name);
+        if let Some(helper) = helpers.choose(&mut self.rng) {
+            let target = target.peer;
+            self.send_message(
+                helper.peer,
+                &Message::IndirectCheckRequest { nonce, target },
+            );
+        }
+    }
+
+    pub(super) fn on_check(&mut self, source: PeerIndex, nonce: u32) {
+        let from = self.identity();
+        let digest = self.view.digest();
+        self.send_message(
+            source,
+            &Message::CheckAck {
+                nonce,
+                from,
+                digest,
+            },
+        );
+    }
+
+    pub(super) fn on_check_ack(
+        &mut self,
+        source: PeerIndex,
+        nonce: u32,
+        from: &Identity,
+        digest: u64,
+    ) {
+        if !self.on_check_acknowledged(nonce, from) {
+            return;
+        }
+        let is_equal = digest == self.view.digest();
+        if self.anti_entropy.record_comparison(is_equal) {
+            self.send_view_hashes(source, HashPrefix::default());
+        }
+    }
+
+    /// Ends the current check, if this acknowledges it; returns whether it does.
+    pub(super) fn on_check_acknowledged(&mut self, nonce: u32, from: &Identity) -> bool {
+        let is_current = self.neighbor_monitor.acknowledge(nonce, from.name);
+        if is_current {
+            self.health.improve();
+        }
+        is_current
+    }
+
+    pub(super) fn on_indirect_check_request(
+        &mut self,
+        source: PeerIndex,
+        nonce: u32,
+        target: PeerIndex,
+    ) {
+        if self.is_other_peer(target) {
+            let requester = source;
+            self.send_message(target, &Message::IndirectCheck { nonce, requester });
+        }
+    }
+
+    pub(super) fn on_indirect_check(
+        &mut self,
+        source: PeerIndex,
+        nonce: u32,
+        requester: PeerIndex,
+    ) {
+        let from = self.identity();
+        self.send_message(
+            source,
+            &Message::IndirectCheckAck {
+                nonce,
+                requester,
+                from,
+            },
+        );
+    }
+
+    pub(super) fn on_indirect_check_ack(
+        &mut self,
+        nonce: u32,
+        requester: PeerIndex,
+        from: Identity,
+    ) {
+        if self.is_other_peer(requester) {
+            self.send_message(requester, &Message::ForwardedCheckAck { nonce, from });
+        }
+    }
+}
--- /dev/null
+++ b/membership/src/membership/receive.rs
@@ -0,0 +1,201 @@
+//! Receiving datagrams: which ones are dropped, and who handles which message.
+
+use super::name_conflict::ClaimSource;
+use super::{Membership, Phase};
+use crate::identity::{Identity, PeerIndex};
+use crate::wire::{self, Decoded, DropReason, Message};
+use foca::{Member, State};
+use std::time::Duration;
+
+/// How far ahead of this process's own clock an incarnation may be, in milliseconds.
+const MAX_INCARNATION_LEAD_MS: u64 = 86_400_000;
+
+impl Membership {
+    /// Counts a datagram whose source address is not one of the peers'.
+    pub fn record_unknown_sender(&mut self) {
+        self.counters.record_dropped(DropReason::UnknownSender);
+    }
+
+    /// Handles a datagram from a peer. An error says why it was dropped; it is counted as well.
+    pub fn handle_datagram(
+        &mut self,
+        now: Duration,
+        source: PeerIndex,
+        datagram: &[u8],
+    ) -> Result<(), DropReason> {
+        self.counters.record_received(datagram);
+        if self.phase != Phase::Member {
+            return Ok(());
+        }
+        self.set_now(now);
+        let result = self.receive(source, datagram);
+        if let Err(reason) = result {
+            self.counters.record_dropped(reason);
+        }
+        result
+    }
+
+    fn receive(&mut self, source: PeerIndex, datagram: &[u8]) -> Result<(), DropReason> {
+        match wire::decode(&self.config.fleet, datagram)? {
+            Decoded::Swim {
+                payload,
+                from,
+                updates,
+            } => {
+                self.check_sender(source, &from)?;
+                self.check_updates(&updates)?;
+                self.on_swim_payload(payload, from, &updates);
+                Ok(())
+            }
+            Decoded::Message(message) => self.on_message(source, message),
+        }
+    }
+
+    fn on_message(&mut self, source: PeerIndex, message: Message) -> Result<(), DropReason> {
+        match message {
+            Message::Check { nonce } => self.on_check(source, nonce),
+            Message::IndirectCheckRequest { nonce, target } => {
+                self.on_indirect_check_request(source, nonce, target);
+            }
+            Message::IndirectCheck { nonce, requester } => {
+                self.on_indirect_check(source, nonce, requester);
+            }
+            Message::Join { from } => {
+                self.check_sender(source, &from)?;
+                self.on_join(from);
+            }
+            Message::CheckAck {
+                nonce,
+                from,
+                digest,
+            } => {
+                self.check_sender(source, &from)?;
+                self.on_check_ack(source, nonce, &from, digest);
+            }
+            Message::IndirectCheckAck {
+                nonce,
+                requester,
+                from,
+            } => {
+                self.check_sender(source, &from)?;
+                self.on_indirect_check_ack(nonce, requester, from);
+            }
+            Message::ForwardedCheckAck { nonce, from } => {
+                self.check_plausible(&from)?;
+                self.on_check_acknowledged(nonce, &from);
+            }
+            Message::ViewHashes {
+                from,
+                prefix,
+                hashes,
+            } => {
+                self.check_sender(source, &from)?;
+                ensure_plausible(prefix.is_valid())?;
+                self.on_view_hashes(&from, prefix, &hashes);
+            }
+            Message::ViewMembers {
+                from,
+                requested,
+                members,
+            } => {
+                self.check_sender(source, &from)?;
+                self.check_updates(&members)?;
+                ensure_plausible(requested.is_none_or(|prefix| prefix.is_valid()))?;
+                self.on_view_members(from, requested, &members);
+            }
+        }
+        Ok(())
+    }
+
+    fn on_swim_payload(&mut self, payload: &[u8], from: Identity, updates: &[Member<Identity>]) {
+        if from.name == self.identity().name {
+            self.on_name_conflict(from, ClaimSource::Claimant);
+            return;
+        }
+        self.apply_updates_about_self(updates);
+        if self.phase != Phase::Member {
+            return;
+        }
+        self.swim.set_probe_stretch(self.health.stretch_factor());
+        self.swim.handle_payload(payload);
+        self.apply_protocol_changes(Some(from.name));
+        self.refresh_suspicions_among(updates, from.name);
+    }
+
+    /// Applies what others report of this process itself; returns whether they suspect it.
+    pub(super) fn apply_updates_about_self(&mut self, updates: &[Member<Identity>]) -> bool {
+        let own_name = self.identity().name;
+        let mut is_suspected = false;
+        for update in updates.iter().filter(|update| update.id().name == own_name) {
+            if *update.id() == self.identity() && update.state() == State::Suspect {
+                self.counters.refutations += 1;
+                self.health.degrade();
+                is_suspected = true;
+            }
+            self.on_name_conflict(*update.id(), ClaimSource::Report);
+        }
+        is_suspected
+    }
+
+    /// Whether a sender is live in the view. One that is not is sent an announcement, so that both
+    /// learn of each other.
+    pub(super) fn is_live_sender(&mut self, from: &Identity) -> bool {
+        let known = self.view.get(&from.name);
+        let is_live = known.is_some_and(|member| member.id == *from && member.state.is_live());
+        let is_own_name = from.name == self.identity().name;
+        if !is_live && !is_own_name && self.response_limiter.allows(self.now) {
+            self.swim.announce_to(*from);
+            self.apply_protocol_changes(None);
+        }
+        is_live
+    }
+
+    /// Checks that a sender can be who it claims to be.
+    fn check_sender(&self, source: PeerIndex, from: &Identity) -> Result<(), DropReason> {
+        if from.peer != source {
+            return Err(DropReason::SenderMismatch);
+        }
+        self.check_plausible(from)
+    }
+
+    fn check_updates(&self, updates: &[Member<Identity>]) -> Result<(), DropReason> {
+        let mut ids = updates.iter().map(Member::id);
+        ids.try_for_each(|id| self.check_plausible(id))
+    }
+
+    fn check_plausible(&self, id: &Identity) -> Result<(), DropReason> {
+        ensure_plausible(self.is_plausible(id))
+    }
+
+    /// Whether such a member can exist, and can be remembered.
+    pub(super) fn is_plausible(&self, id: &Identity) -> bool {
+        let is_known = self.view.get(&id.name).is_some();
+        let has_capacity = self.view.len() < self.config.max_members;
+        // The wall clock is only read at the start; the lead allows for a day of difference
+        // besides.
+        let elapsed_ms = self.now.as_millis() as u64;
+        let latest = self
+            .config
+            .incarnation
+            .saturating_add(MAX_INCARNATION_LEAD_MS + elapsed_ms);
+        self.is_peer(id.peer) && (is_known || has_capacity) && id.incarnation <= latest
+    }
+
+    /// Whether there is such a peer.
+    fn is_peer(&self, peer: PeerIndex) -> bool {
+        peer.0 < self.config.peer_count
+    }
+
+    /// Whether there is such a peer, and it is not this process.
+    pub(super) fn is_other_peer(&self, peer: PeerIndex) -> bool {
+        self.is_peer(peer) && peer != self.identity().peer
+    }
+}
+
+fn ensure_plausible(is_plausible: bool) -> Result<(), DropReason> {
+    if is_plausible {
+        Ok(())
+    } else {
+        Err(DropReason::Implausible)
+    }
+}
--- /dev/null
+++ b/membership/src/membership/suspicion.rs
@@ -0,0 +1,214 @@
+//! Suspicions: members that did not acknowledge a probe or check, until they refute that or are
+//! declared dead.
+
+use super::Membership;
+use crate::identity::{Identity, Name};
+use crate::swim::SuspectId;
+use crate::view::{MemberRecord, MemberState};
+use crate::wire::Message;
+use foca::{Member, State, Timer};
+use std::time::Duration;
+
+/// How often a suspect is notified of the suspicion, so that it can refute it as soon as it runs
+/// again.
+const NOTIFY_INTERVAL: Duration = Duration::from_millis(250);
+
+/// A suspicion that this process has raised itself.
+#[derive(Debug)]
+struct Suspicion {
+    suspect: SuspectId,
+    notify_at: Duration,
+    expires_at: Duration,
+}
+
+/// The suspicions that this process has raised itself.
+#[derive(Debug)]
+pub(super) struct Suspicions {
+    entries: Vec<Suspicion>,
+    max_entries: usize,
+}
+
+impl Suspicions {
+    /// None yet, and at most so many.
+    pub(super) fn new(max_entries: usize) -> Self {
+        Self {
+            entries: Vec::new(),
+            max_entries,
+        }
+    }
+
+    /// When the next suspect is to be notified or the next suspicion expires.
+    pub(super) fn next_timeout(&self) -> Option<Duration> {
+        let timeouts = self
+            .entries
+            .iter()
+            .map(|entry| entry.expires_at.min(entry.notify_at));
+        timeouts.min()
+    }
+
+    /// Postpones the ends of all suspicions.
+    pub(super) fn postpone(&mut self, by: Duration) {
+        for entry in &mut self.entries {
+            entry.expires_at += by;
+        }
+    }
+
+    fn add(&mut self, suspect: SuspectId, now: Duration, timeout: Duration) {
+        let is_known = self.entries.iter().any(|entry| entry.suspect == suspect);
+        if !is_known && self.entries.len() < self.max_entries {
+            self.entries.push(Suspicion {
+                suspect,
+                notify_at: now,
+                expires_at: now + timeout,
+            });
+        }
+    }
+
+    /// The suspects that are to be notified now; each is due again after an interval.
+    fn take_due_notifications(&mut self, now: Duration) -> Vec<SuspectId> {
+        let mut due = Vec::new();
+        for entry in self
+            .entries
+            .iter_mut()
+            .filter(|entry| entry.notify_at <= now)
+        {
+            entry.notify_at = now + NOTIFY_INTERVAL;
+            due.push(entry.suspect);
+        }
+        due
+    }
+
+    /// Removes the suspicions that have expired.
+    fn take_expired(&mut self, now: Duration) -> Vec<SuspectId> {
+        let expired = self.entries.extract_if(.., |entry| entry.expires_at <= now);
+        expired.map(|entry| entry.suspect).collect()
+    }
+}
+
+impl Membership {
+    /// Suspects a member that did not acknowledge a check, and tells the others.
+    pub(super) fn suspect(&mut self, id: Identity) {
+        let Some(member) = self.swim.active_members().find(|member| *member.id() == id) else {
+            return;
+        };
+        let suspect = SuspectId::of(member);
+        self.swim.disseminate(suspect.update(State::Suspect));
+        self.apply_protocol_changes(None);
+        self.refresh_suspicions(None, |member| *member.id() == id);
+        self.track(suspect);
+    }
+
+    /// Tracks the members that a random probe of the protocol has found suspect.
+    pub(super) fn track_new_suspects(&mut self) {
+        let suspects = self.refresh_suspicions(None, |member| member.state() == State::Suspect);
+        for suspect in suspects {
+            self.track(suspect);
+        }
+    }
+
+    fn track(&mut self, suspect: SuspectId) {
+        let timeout = self.swim.suspicion_timeout();
+        self.suspicions.add(suspect, self.now, timeout);
+    }
+
+    /// Notifies suspects of the suspicion: one that was only stopped can refute it at once.
+    pub(super) fn notify_suspects(&mut self) {
+        for suspect in self.suspicions.take_due_notifications(self.now) {
+            let notification = Message::ViewMembers {
+                from: self.identity(),
+                requested: None,
+                members: vec![suspect.update(State::Suspect)],
+            };
+            self.send_message(suspect.id.peer, &notification);
+        }
+    }
+
+    /// Declares suspects dead that have not refuted the suspicion in time.
+    pub(super) fn expire_suspicions(&mut self) {
+        for suspect in self.suspicions.take_expired(self.now) {
+            if self.swim.is_suspect(&suspect) {
+                self.swim.disseminate(suspect.update(State::Down));
+                self.apply_protocol_changes(None);
+            }
+        }
+    }
+
+    /// Whether a timer would end a suspicion that was refuted. The protocol would not change the
+    /// member's state, but tell it that it is dead, and make it rejoin for nothing.
+    pub(super) fn is_refuted_suspicion(&self, timer: &Timer<Identity>) -> bool {
+        let Timer::ChangeSuspectToDown {
+            member_id,
+            incarnation,
+            ..
+        } = timer
+        else {
+            return false;
+        };
+        let suspect = SuspectId {
+            id: *member_id,
+            refutation: *incarnation,
+        };
+        !self.swim.is_suspect(&suspect)
+    }
+
+    /// Updates the view's suspicions after a datagram with updates, where it can have changed them.
+    pub(super) fn refresh_suspicions_among(&mut self, updates: &[Member<Identity>], from: Name) {
+        let is_suspect = |name: &Name| {
+            let member = self.view.get(name);
+            member.is_some_and(|member| member.state == MemberState::Suspect)
+        };
+        let affected = updates
+            .iter()
+            .filter(|update| update.state() == State::Suspect || is_suspect(&update.id().name));
+        let mut names: Vec<Name> = affected.map(|update| update.id().name).collect();
+        names.extend(Some(from).filter(is_suspect));
+        if !names.is_empty() {
+            self.refresh_suspicions(Some(from), |member| names.contains(&member.id().name));
+        }
+    }
+
+    /// Copies from the protocol to the view which of the selected members are suspect, and which no
+    /// longer are; returns the new suspects. The protocol does not notify of such changes.
+    fn refresh_suspicions(
+        &mut self,
+        reported_by: Option<Name>,
+        is_selected: impl Fn(&Member<Identity>) -> bool,
+    ) -> Vec<SuspectId> {
+        let mut changes = Vec::new();
+        let mut suspects = Vec::new();
+        for member in self
+            .swim
+            .active_members()
+            .filter(|member| is_selected(member))
+        {
+            let state = active_state(member);
+            let known = self.view.get(&member.id().name);
+            if known.is_some_and(|known| known.state.is_live() && known.state != state) {
+                changes.push(MemberRecord {
+                    id: *member.id(),
+                    state,
+                    since: self.now,
+                    reported_by,
+                });
+                if state == MemberState::Suspect {
+                    suspects.push(SuspectId::of(member));
+                }
+            }
+        }
+        for record in changes {
+            self.record(record);
+        }
+        suspects
+    }
+}
+
+/// The state of a member that the protocol takes for active.
+fn active_state(member: &Member<Identity>) -> MemberState {
+    if member.state() == State::Suspect {
+        MemberState::Suspect
+    } else if member.id().is_leaving {
+        MemberState::Left
+    } else {
+        MemberState::Alive
+    }
+}
--- /dev/null
+++ b/membership/src/membership/view_updates.rs
@@ -0,0 +1,92 @@
+//! Updating the view, and sending what the protocol has put out.
+
+use super::{Membership, Output};
+use crate::identity::{Identity, Name};
+use crate::view::{MemberRecord, MemberState};
+use crate::wire;
+use foca::OwnedNotification;
+
+impl Membership {
+    /// Records a member's state in the view. Where the number of live members has changed, absent
+    /// peers are contacted sooner.
+    pub(super) fn record(&mut self, record: MemberRecord) {
+        let previous_live_count = self.view.live_count();
+        if let Some(change) = self.view.record(record) {
+            self.outputs.push_back(Output::ViewChanged(change));
+            if self.view.live_count() != previous_live_count {
+                self.join_schedule.reset(self.now, &mut self.rng);
+            }
+        }
+    }
+
+    /// Applies to the view what the protocol has found out, and sends its payloads.
+    pub(super) fn apply_protocol_changes(&mut self, reported_by: Option<Name>) {
+        let own_id = self.identity();
+        for notification in self.swim.take_notifications() {
+            if let Some((id, state)) = self.notified_state(&notification)
+                && id.name != own_id.name
+            {
+                self.record_now(id, state, reported_by);
+            }
+        }
+        if self
+            .view
+            .get(&own_id.name)
+            .is_none_or(|record| record.id != own_id)
+        {
+            let state = if own_id.is_leaving {
+                MemberState::Left
+            } else {
+                MemberState::Alive
+            };
+            self.record_now(own_id, state, reported_by);
+        }
+        self.send_protocol_payloads(own_id.name);
+    }
+
+    fn record_now(&mut self, id: Identity, state: MemberState, reported_by: Option<Name>) {
+        self.record(MemberRecord {
+            id,
+            state,
+            since: self.now,
+            reported_by,
+        });
+    }
+
+    /// The member and state that a notification is about, if it is about a member.
+    fn notified_state(
+        &self,
+        notification: &OwnedNotification<Identity>,
+    ) -> Option<(Identity, MemberState)> {
+        match *notification {
+            OwnedNotification::MemberUp(id) => Some((id, state_of(&id, MemberState::Alive))),
+            OwnedNotification::MemberDown(id) => Some((id, state_of(&id, MemberState::Dead))),
+            // No other notification follows if the earlier identity counted as active: one that
+            // leaves counts as active until its end has been disseminated.
+            OwnedNotification::Rename(_, id) if self.swim.is_active(&id) => {
+                Some((id, state_of(&id, MemberState::Alive)))
+            }
+            OwnedNotification::Rename(_, id) => Some((id, state_of(&id, MemberState::Dead))),
+            _ => None,
+        }
+    }
+
+    fn send_protocol_payloads(&mut self, own_name: Name) {
+        for outgoing in self.swim.take_payloads() {
+            if outgoing.to.name != own_name {
+                let datagram = wire::encode_swim(&self.config.fleet, &outgoing.payload);
+                self.send(outgoing.to.peer, datagram);
+            }
+        }
+    }
+}
+
+/// The state of a member that is not leaving; one that is counts as left, whether or not it still
+/// runs.
+fn state_of(id: &Identity, otherwise: MemberState) -> MemberState {
+    if id.is_leaving {
+        MemberState::Left
+    } else {
+        otherwise
+    }
+}
--- /dev/null
+++ b/membership/src/swim.rs
@@ -0,0 +1,279 @@
+//! The SWIM protocol, as `foca` implements it, with its parameters and its runtime.
+
+use crate::config::Config;
+use crate::foca_runtime::{FocaRuntime, OutgoingPayload};
+use crate::identity::Identity;
+use crate::wire;
+use foca::{
+    Foca, Member, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec, State, Timer,
+};
+use rand::rngs::StdRng;
+use std::num::{NonZeroU8, NonZeroUsize};
+use std::time::Duration;
+
+/// The interval between two random probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long the response to a probe may take before indirect probes are requested.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a suspect has to refute the suspicion, in a fleet of up to `SUSPICION_BASE_FLEET`
+/// members.
+const BASE_SUSPICION_TIMEOUT: Duration = Duration::from_secs(3);
+const SUSPICION_BASE_FLEET: f64 = 128.0;
+/// What is added for each tenfold size of the fleet, as updates take longer to reach all members.
+const SUSPICION_TIMEOUT_PER_DECADE: Duration = Duration::from_secs(1);
+/// Periodic gossip, for as long as there are updates to disseminate.
+const GOSSIP: Periodic = Periodic {
+    interval: Duration::from_millis(200),
+    member_count: 3,
+};
+/// Periodic requests for a random member's view.
+const ANNOUNCE: Periodic = Periodic {
+    interval: Duration::from_secs(10),
+    member_count: 1,
+};
+/// How often each member transmits an update, plus the binary logarithm of the fleet's size. With n
+/// transmissions by each member a share of e^-n of the members misses an update, until anti-entropy
+/// repairs that.
+const BASE_TRANSMISSIONS: u8 = 8;
+/// How many gossip rounds announce a leave.
+const LEAVE_ROUNDS: usize = 3;
+/// Timers that are kept for each member, and besides.
+const TIMERS_PER_MEMBER: usize = 4;
+const EXTRA_TIMERS: usize = 64;
+
+/// An activity of the protocol that repeats.
+struct Periodic {
+    interval: Duration,
+    member_count: usize,
+}
+
+impl Periodic {
+    fn params(&self) -> Option<PeriodicParams> {
+        let num_members = NonZeroUsize::new(self.member_count)?;
+        Some(PeriodicParams {
+            frequency: self.interval,
+            num_members,
+        })
+    }
+}
+
+/// A member at one number of its refutations; a suspicion ends when the member refutes it with a
+/// higher one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct SuspectId {
+    /// The member.
+    pub(crate) id: Identity,
+    /// SWIM's incarnation number, which counts refutations; not to be confused with the incarnation
+    /// of a start.
+    pub(crate) refutation: u16,
+}
+
+impl SuspectId {
+    /// The identity and refutation number of a member.
+    pub(crate) fn of(member: &Member<Identity>) -> Self {
+        Self {
+            id: *member.id(),
+            refutation: member.incarnation(),
+        }
+    }
+
+    /// The update that declares it suspect or dead.
+    pub(crate) fn update(&self, state: State) -> Member<Identity> {
+        Member::new(self.id, self.refutation, state)
+    }
+}
+
+/// The SWIM protocol of one process.
+pub(crate) struct Swim {
+    foca: Foca<Identity, PostcardCodec, StdRng, NoCustomBroadcast>,
+    runtime: FocaRuntime,
+    /// The fleet's size for which the parameters are set.
+    configured_size: usize,
+    forget_after: Duration,
+    max_payload_len: usize,
+    error_count: u64,
+}
+
+impl Swim {
+    /// The protocol for a process that knows nobody yet.
+    pub(crate) fn new(id: Identity, config: &Config, now: Duration, rng: StdRng) -> Self {
+        let configured_size = usize::from(config.peer_count);
+        let max_payload_len = wire::payload_capacity(&config.fleet);
+        let parameters = parameters(configured_size, config.forget_after, max_payload_len);
+        let max_timers = TIMERS_PER_MEMBER * config.max_members + EXTRA_TIMERS;
+        Self {
+            foca: Foca::new(id, parameters, rng, PostcardCodec),
+            runtime: FocaRuntime::new(now, max_timers),
+            configured_size,
+            forget_after: config.forget_after,
+            max_payload_len,
+            error_count: 0,
+        }
+    }
+
+    /// The identity of this process.
+    pub(crate) fn identity(&self) -> Identity {
+        *self.foca.identity()
+    }
+
+    /// How many payloads, timers and requests the protocol has rejected.
+    pub(crate) fn error_count(&self) -> u64 {
+        self.error_count
+    }
+
+    /// Sets the time from which timers count.
+    pub(crate) fn set_now(&mut self, now: Duration) {
+        self.runtime.set_now(now);
+    }
+
+    /// Sets how many times as long this process's probes take.
+    pub(crate) fn set_probe_stretch(&mut self, factor: u32) {
+        self.runtime.set_probe_stretch(factor);
+    }
+
+    /// When the next timer is due.
+    pub(crate) fn next_timer_at(&self) -> Option<Duration> {
+        self.runtime.next_timer_at()
+    }
+
+    /// Removes the next timer, if it is due.
+    pub(crate) fn pop_due_timer(&mut self, now: Duration) -> Option<Timer<Identity>> {
+        self.runtime.pop_due_timer(now)
+    }
+
+    /// Handles a timer.
+    pub(crate) fn handle_timer(&mut self, timer: Timer<Identity>) {
+        let result = self.foca.handle_timer(timer, &mut self.runtime);
+        self.count_error(result);
+    }
+
+    /// Handles a received payload.
+    pub(crate) fn handle_payload(&mut self, payload: &[u8]) {
+        let result = self.foca.handle_data(payload, &mut self.runtime);
+        self.count_error(result);
+    }
+
+    /// Merges updates without disseminating them further.
+    pub(crate) fn merge(&mut self, updates: impl IntoIterator<Item = Member<Identity>>) {
+        let result = self
+            .foca
+            .apply_many(updates.into_iter(), false, &mut self.runtime);
+        self.count_error(result);
+    }
+
+    /// Applies an update and disseminates it.
+    pub(crate) fn disseminate(&mut self, update: Member<Identity>) {
+        let result = self
+            .foca
+            .apply_many(std::iter::once(update), true, &mut self.runtime);
+        self.count_error(result);
+    }
+
+    /// Announces this process to a member, which responds with a part of its view.
+    pub(crate) fn announce_to(&mut self, id: Identity) {
+        let result = self.foca.announce(id, &mut self.runtime);
+        self.count_error(result);
+    }
+
+    /// Takes another identity and disseminates it.
+    pub(crate) fn change_identity(&mut self, id: Identity) {
+        let result = self.foca.change_identity(id, &mut self.runtime);
+        self.count_error(result);
+    }
+
+    /// Announces the leave to a few members, several times, and ends the protocol.
+    pub(crate) fn leave(&mut self) {
+        let leaving = Identity {
+            is_leaving: true,
+            ..self.identity()
+        };
+        let mut result = self.foca.change_identity(leaving, &mut self.runtime);
+        for _ in 1..LEAVE_ROUNDS {
+            result = result.and_then(|()| self.foca.gossip(&mut self.runtime));
+        }
+        let result = result.and_then(|()| self.foca.leave_cluster(&mut self.runtime));
+        self.count_error(result);
+    }
+
+    /// The members that the protocol takes for alive or suspect, this process excluded.
+    pub(crate) fn active_members(&self) -> impl Iterator<Item = &Member<Identity>> {
+        self.foca.iter_members()
+    }
+
+    /// All members that the protocol remembers, dead ones included.
+    pub(crate) fn all_members(&self) -> impl Iterator<Item = &Member<Identity>> {
+        self.foca.iter_membership_state()
+    }
+
+    /// Whether the protocol takes an identity for alive or suspect.
+    pub(crate) fn is_active(&self, id: &Identity) -> bool {
+        self.active_members().any(|member| member.id() == id)
+    }
+
+    /// Whether a member is still suspected, and has not refuted the suspicion since.
+    pub(crate) fn is_suspect(&self, suspect: &SuspectId) -> bool {
+        let mut active = self.active_members();
+        active.any(|member| member.state() == State::Suspect && SuspectId::of(member) == *suspect)
+    }
+
+    /// How long a suspect has to refute a suspicion, in a fleet of the present size.
+    pub(crate) fn suspicion_timeout(&self) -> Duration {
+        suspicion_timeout(self.foca.num_members())
+    }
+
+    /// Postpones the ends of all suspicions.
+    pub(crate) fn postpone_suspicion_timers(&mut self, by: Duration) {
+        self.runtime.postpone_suspicion_timers(by);
+    }
+
+    /// Sets the parameters anew once the fleet has shrunk by a fifth or grown by a quarter.
+    pub(crate) fn adapt_to_fleet_size(&mut self) {
+        let size = self.foca.num_members() + 1;
+        let has_shrunk = size * 5 < self.configured_size * 4;
+        let has_grown = size * 4 > self.configured_size * 5;
+        if has_shrunk || has_grown {
+            let parameters = parameters(size, self.forget_after, self.max_payload_len);
+            let result = self.foca.set_config(parameters);
+            self.count_error(result);
+            self.configured_size = size;
+        }
+    }
+
+    /// Removes the payloads that are to be sent.
+    pub(crate) fn take_payloads(&mut self) -> Vec<OutgoingPayload> {
+        self.runtime.take_payloads()
+    }
+
+    /// Removes the notifications of changes.
+    pub(crate) fn take_notifications(&mut self) -> Vec<OwnedNotification<Identity>> {
+        self.runtime.take_notifications()
+    }
+
+    fn count_error(&mut self, result: Result<(), foca::Error>) {
+        self.error_count += u64::from(result.is_err());
+    }
+}
+
+fn suspicion_timeout(member_count: usize) -> Duration {
+    let decades = (member_count as f64 / SUSPICION_BASE_FLEET)
+        .log10()
+        .max(0.0);
+    BASE_SUSPICION_TIMEOUT + SUSPICION_TIMEOUT_PER_DECADE.mul_f64(decades)
+}
+
+/// The protocol's parameters for a fleet of a size.
+fn parameters(size: usize, forget_after: Duration, max_payload_len: usize) -> foca::Config {
+    let mut parameters = foca::Config::simple();
+    parameters.probe_period = PROBE_INTERVAL;
+    parameters.probe_rtt = PROBE_TIMEOUT;
+    let transmissions = BASE_TRANSMISSIONS + size.max(1).ilog2() as u8;
+    parameters.max_transmissions = NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN);
+    parameters.suspect_to_down_after = suspicion_timeout(size);
+    parameters.remove_down_after = Some(forget_after);
+    let default_len = parameters.max_packet_size;
+    parameters.max_packet_size = NonZeroUsize::new(max_payload_len).unwrap_or(default_len);
+    parameters.notify_down_members = true;
+    parameters.periodic_gossip = GOSSIP.params();
+    parameters.periodic_announce = ANNOUNCE.params();
+    parameters
+}
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -118,7 +118,8 @@
         self.changes.iter()
     }
 
-    /// A digest of the live members: equal for equal sets of identities, and different otherwise except for collisions.
+    /// A digest of the live members: equal for equal sets of identities, and different otherwise
+    /// except for collisions.
     pub fn digest(&self) -> u64 {
         self.digest
     }
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -62,7 +62,8 @@
     /// Its sender claims another peer index than its source address has.
     #[error("the sender is not the peer that it claims to be")]
     SenderMismatch,
-    /// It mentions more members than can be remembered, peers that do not exist, or incarnations from the future.
+    /// It mentions more members than can be remembered, peers that do not exist, or incarnations
+    /// from the future.
     #[error("the datagram mentions a member that cannot exist")]
     Implausible,
 }
--- a/membership/src/wire/message.rs
+++ b/membership/src/wire/message.rs
@@ -66,7 +66,8 @@
         /// The hashes of its children, over the live members.
         hashes: ChildHashes,
     },
-    /// Members that the sender knows below a node of the hash tree, or a suspicion that a suspect may refute.
+    /// Members that the sender knows below a node of the hash tree, or a suspicion that a suspect
+    /// may refute.
     ViewMembers {
         /// The sender.
         from: Identity,
--- a/membership/tests/serialized_forms.rs
+++ b/membership/tests/serialized_forms.rs
@@ -1,10 +1,11 @@
-//! The words and keys that the members page and the log show. They are a published form: readers depend on them.
+//! The words and keys that the members page and the log show. They are a published form: readers
+//! depend on them.
 
 use frostkeel_membership::{Counters, MemberState, Phase};
 
 const COUNTERS: &str = concat!(
-    r#"{"sent":1,"sent_bytes":2,"received":3,"received_bytes":4,"broken":5,"other_version":6,"other_fleet":7,"#,
-    r#""unknown_sender":8,"impostor":9,"beyond":10,"odd":11,"refuted":12,"pauses":13}"#,
+    r#"{"sent":1,"sent_bytes":2,"received":3,"received_bytes":4,"broken":5,"other_version":6,"#,
+    r#""other_fleet":7,"unknown_sender":8,"impostor":9,"beyond":10,"odd":11,"refuted":12,"pauses":13}"#,
 );
 
 #[test]
--- a/membership/tests/simulation/mod.rs
+++ b/membership/tests/simulation/mod.rs
@@ -1,8 +1,9 @@
-//! A fleet of membership state machines in simulated time, with a log of everything that they put out.
+//! A fleet of membership state machines in simulated time, with a log of everything that they put
+//! out.
 //!
-//! All of it is deterministic: equal seeds give equal runs. Chance and time are integers here. The one
-//! floating-point function of the crate that may differ between processors (`log10`) is only reached with more
-//! than 128 members, so that digests of smaller fleets are the same everywhere.
+//! All of it is deterministic: equal seeds give equal runs. Chance and time are integers here. The
+//! one floating-point function of the crate that may differ between processors (`log10`) is only
+//! reached with more than 128 members, so that digests of smaller fleets are the same everywhere.
 
 use foca::{Codec, Header, Message, PostcardCodec};
 use frostkeel_membership::{
@@ -29,7 +30,8 @@
 /// What happens to the fleet from outside.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A process starts at a place, with what the one before it there knew, if it is to remember it.
+    /// A process starts at a place, with what the one before it there knew, if it is to remember
+    /// it.
     Start {
         place: u16,
         name: u16,
@@ -474,7 +476,8 @@
     }
 }
 
-/// The name of a member: as long as names can be, so that not all members of a comparison fit into a datagram.
+/// The name of a member: as long as names can be, so that not all members of a comparison fit into
+/// a datagram.
 pub fn member_name(number: u16) -> Name {
     Name::new(&format!("member-{number:09}")).expect("a name")
 }
@@ -508,8 +511,9 @@
     }
 }
 
-/// The kind of a datagram of [`FLEET`], from its bytes: version, length of the fleet's name, the name, a checksum of
-/// four bytes, 0 for the SWIM protocol or 1 for the crate's own messages, and the message.
+/// The kind of a datagram of [`FLEET`], from its bytes: version, length of the fleet's name, the
+/// name, a checksum of four bytes, 0 for the SWIM protocol or 1 for the crate's own messages, and
+/// the message.
 pub fn kind_of(datagram: &[u8]) -> String {
     let protocol = 2 + FLEET.len() + 4;
     let mut payload = &datagram[protocol + 1..];
--- a/membership/tests/state_machine/name_conflicts.rs
+++ b/membership/tests/state_machine/name_conflicts.rs
@@ -44,7 +44,8 @@
     assert_eq!(outputs(&mut earlier), []);
 }
 
-/// A clock that was set back must not make a restart look like the earlier start; but it may claim its name only so often.
+/// A clock that was set back must not make a restart look like the earlier start; but it may claim
+/// its name only so often.
 #[test]
 fn a_restart_with_a_clock_set_back_supersedes_its_earlier_incarnation() {
     let mut restarted = member(0);
--- a/membership/tests/state_machine/view.rs
+++ b/membership/tests/state_machine/view.rs
@@ -83,8 +83,9 @@
     ]
 }
 
-/// Guards that updates in any order, each received once or several times, end in the same view: the later incarnation
-/// wins, dead wins over alive within one incarnation, and an older update never undoes a leave.
+/// Guards that updates in any order, each received once or several times, end in the same view: the
+/// later incarnation wins, dead wins over alive within one incarnation, and an older update never
+/// undoes a leave.
 #[test]
 fn updates_in_any_order_converge_to_the_same_view() {
     for case in convergence_cases() {
--- a/membership/tests/wire_fixtures.rs
+++ b/membership/tests/wire_fixtures.rs
@@ -1,7 +1,9 @@
-//! Holds the bytes of every kind of datagram, what a receiver does about each, and everything that whole simulated
-//! fleets put out, against data that an earlier version of this crate has written (`tests/data/`).
+//! Holds the bytes of every kind of datagram, what a receiver does about each, and everything that
+//! whole simulated fleets put out, against data that an earlier version of this crate has written
+//! (`tests/data/`).
 //!
-//! Where a test fails, what this version writes lies in cargo's directory for test output, for comparison.
+//! Where a test fails, what this version writes lies in cargo's directory for test output, for
+//! comparison.
 
 mod simulation;
 
@@ -16,7 +18,8 @@
 const SMALL_FLEET: u16 = 8;
 const SMALL_FLEET_END: Duration = Duration::from_secs(160);
 const SMALL_FLEET_SEEDS: [u64; 3] = [1, 2, 3];
-/// Enough members for a part of the view to be compared part by part, and few enough for integer arithmetic.
+/// Enough members for a part of the view to be compared part by part, and few enough for integer
+/// arithmetic.
 const LARGE_FLEET: u16 = 120;
 const LARGE_FLEET_END: Duration = Duration::from_secs(24);
 const LARGE_FLEET_SEED: u64 = 4;
@@ -63,7 +66,8 @@
 /// Datagrams that are dropped, one or more for each reason.
 fn invalid_datagrams() -> Vec<Vec<u8>> {
     let check = [1, 1, 7];
-    // A hello of "m1" at place 1, another one at place 9, and one whose incarnation is far in the future.
+    // A hello of "m1" at place 1, another one at place 9, and one whose incarnation is far in the
+    // future.
     let hello = |place: u8, boot: &[u8]| [&[1, 0, 2, b'm', b'1', place], boot, &[0, 0]].concat();
     let mut flipped = signed(FLEET, &check);
     flipped[3] ^= 1;
@@ -103,8 +107,8 @@
     }
 }
 
-/// More requests to join than are answered, over ten seconds, and more claims to a name than a process that has just
-/// started takes it back from.
+/// More requests to join than are answered, over ten seconds, and more claims to a name than a
+/// process that has just started takes it back from.
 fn hello_storms() -> impl Iterator<Item = (Duration, Fault)> {
     let at =
         |start, step_ms: u64, index: u64| seconds(start) + Duration::from_millis(step_ms * index);
@@ -114,7 +118,8 @@
     requests.chain(claims)
 }
 
-/// Kills, restarts, leaves, conflicts of names, stops, cut links, loss and invalid datagrams among eight members.
+/// Kills, restarts, leaves, conflicts of names, stops, cut links, loss and invalid datagrams among
+/// eight members.
 fn small_fleet_faults() -> Vec<(Duration, Fault)> {
     let mut faults: Vec<(Duration, Fault)> = (0..SMALL_FLEET - 1)
         .map(|place| {
@@ -182,7 +187,8 @@
     Simulation::new(SMALL_FLEET, seed, small_fleet_faults())
 }
 
-/// Many members that start at once, know nobody and lose a tenth of their datagrams; some are killed.
+/// Many members that start at once, know nobody and lose a tenth of their datagrams; some are
+/// killed.
 fn large_fleet() -> Simulation {
     let mut faults: Vec<(Duration, Fault)> = (0..LARGE_FLEET)
         .map(|place| {
@@ -261,7 +267,8 @@
     assert_matches_file("datagrams.txt", &lines);
 }
 
-/// The committed datagrams are delivered in place of those written now, to receivers in the state that they had then.
+/// The committed datagrams are delivered in place of those written now, to receivers in the state
+/// that they had then.
 #[test]
 fn every_kind_of_committed_datagram_is_read_with_the_same_effect() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/datagrams.txt");
