--- /dev/null
+++ b/registry/tests/http_fixtures.rs
@@ -0,0 +1,170 @@
+//! The bytes of the service's responses against those that revision d26284e sent. See `data/README.md`.
+
+mod support;
+
+use std::fs;
+use std::path::Path;
+use std::time::{Duration, Instant};
+use support::{TestService, Watch, connect, data, exchange, mask_dates, new_folder};
+
+/// Every key that a configuration can have; leases do not end while the test runs.
+const TABLES: &str = "[limits]\ncalls = 8\nwatches = 2\nwrites = 8\nentries = 4\nchanges = 1000\n[leases]\nlapse_share = 0.5\ngrace_s = 3600.0\n";
+
+fn assert_same(name: &str, actual: &[u8], expected: &[u8]) {
+    let (shown_actual, shown_expected) = (actual.escape_ascii(), expected.escape_ascii());
+    assert!(actual == expected, "{name}\n  actual:   {shown_actual}\n  expected: {shown_expected}");
+}
+
+/// Compares with the committed file.
+fn assert_recorded(file: &str, actual: &[u8]) {
+    let expected = fs::read(data(file)).unwrap_or_else(|e| panic!("{file}: {e}"));
+    assert_same(file, actual, &expected);
+}
+
+fn step_names(folder: &Path) -> Vec<String> {
+    let files = fs::read_dir(folder).expect("the recorded requests");
+    let names = files.map(|file| file.expect("a file").file_name().into_string().expect("text"));
+    let mut steps: Vec<String> =
+        names.filter_map(|name| name.strip_suffix(".request").map(str::to_owned)).collect();
+    steps.sort();
+    steps
+}
+
+/// One service gets all recorded requests in their order, each on a connection of its own.
+#[test]
+fn each_recorded_request_gets_the_recorded_response() {
+    let service = TestService::start(&new_folder("http-responses"), TABLES);
+    let steps = step_names(&data("responses"));
+    assert_eq!(steps.len(), 77, "recorded requests");
+    for step in steps {
+        let request = fs::read(data("responses").join(format!("{step}.request"))).expect("a request");
+        let address = if step.contains("-read-") { service.read } else { service.write };
+        let response = mask_dates(&exchange(address, &request));
+        assert_recorded(&format!("responses/{step}.response"), &response);
+    }
+}
+
+const U1: &str = r#"{"endpoint":"10.0.0.1:80","boot_ms":100,"ttl_s":60,"az":"a","model":"m"}"#;
+const U2: &str = r#"{"endpoint":"10.0.0.2:80","boot_ms":200,"ttl_s":60,"az":"b","model":"m"}"#;
+
+fn expect_ok(response: &[u8]) {
+    assert!(response.starts_with(b"HTTP/1.1 200 OK\r\n"), "{}", response.escape_ascii());
+}
+
+/// Registers two endpoints, changes them and removes them, each after `seen` has run.
+fn change_endpoints(service: &TestService, mut seen: impl FnMut()) {
+    for (head, body) in [
+        ("PUT /upstreams/u1", U1),
+        ("PUT /upstreams/u2", U2),
+        ("POST /upstreams/u1/drain", ""),
+        ("PUT /upstreams/u2/weight", r#"{"capacity_hint":0.25}"#),
+        // Takes the endpoint of u2: two changes in one line.
+        ("PUT /upstreams/u0", r#"{"endpoint":"10.0.0.2:80","boot_ms":300,"ttl_s":60}"#),
+        ("DELETE /upstreams/u1", r#"{"boot_ms":100}"#),
+        ("PUT /upstreams/u1", U1),
+    ] {
+        expect_ok(&service.write(head, body));
+        seen();
+    }
+}
+
+#[test]
+fn a_watch_gets_the_recorded_lines() {
+    let service = TestService::start(&new_folder("http-watch"), TABLES);
+    let mut watch = Watch::open(&service, "stream=1&index=0");
+    watch.read_updates(1);
+    let mut updates = 1;
+    change_endpoints(&service, || {
+        updates += 1;
+        watch.read_updates(updates);
+    });
+    watch.read_empty_line();
+    assert_recorded("watch/from-empty.response", &watch.masked());
+    drop(watch);
+
+    for (name, query, updates) in [
+        ("without-index", "stream=1", 1),
+        ("from-older-revision", "stream=1&index=3", 1),
+        ("from-first-revision", "index=1&stream=1", 1),
+        ("from-later-revision", "stream=1&index=99", 1),
+        ("malformed-index", "stream=1&index=x", 1),
+        ("from-current-revision", "stream=1&index=8", 0),
+    ] {
+        let mut watch = Watch::open(&service, query);
+        watch.read_updates(updates);
+        watch.read_empty_line();
+        assert_recorded(&format!("watch/{name}.response"), &watch.masked());
+    }
+}
+
+#[test]
+fn a_watch_beyond_the_limit_gets_the_recorded_rejection() {
+    let service = TestService::start(&new_folder("http-watch-limit"), TABLES);
+    let mut watches = [0; 2].map(|_| Watch::open(&service, "stream=1&index=0"));
+    watches.iter_mut().for_each(|watch| watch.read_updates(1));
+    let request = "GET /registry/instances?stream=1&index=0";
+    let response = exchange(service.read, &support::request(request, ""));
+    assert_recorded("watch/beyond-limit.response", &mask_dates(&response));
+}
+
+#[test]
+fn a_watch_from_a_revision_that_is_not_retained_gets_the_whole_list() {
+    let tables = TABLES.replace("changes = 1000", "changes = 2");
+    let folder = new_folder("http-watch-compacted");
+    let service = TestService::start(&folder, &tables);
+    change_endpoints(&service, || {});
+    for (name, index) in [("compacted-revision", 5), ("retained-revision", 6)] {
+        let mut watch = Watch::open(&service, &format!("stream=1&index={index}"));
+        watch.read_updates(1);
+        assert_recorded(&format!("watch/{name}.response"), &watch.masked());
+    }
+    drop(service);
+    let service = TestService::start(&folder, &tables);
+    let mut watch = Watch::open(&service, "stream=1&index=7");
+    watch.read_updates(1);
+    assert_recorded("watch/from-before-restart.response", &watch.masked());
+}
+
+#[test]
+fn a_lease_that_ends_is_told_as_recorded() {
+    let tables = TABLES.replace("grace_s = 3600.0", "grace_s = 0");
+    let service = TestService::start(&new_folder("http-lease"), &tables);
+    let mut watch = Watch::open(&service, "stream=1&index=0");
+    watch.read_updates(1);
+    expect_ok(&service.write("PUT /upstreams/u1", &U1.replace("60", "1")));
+    watch.read_updates(3);
+    assert_recorded("watch/lease-ended.response", &watch.masked());
+}
+
+#[test]
+fn the_status_says_as_recorded_that_ended_leases_are_retained() {
+    let service = TestService::start(&new_folder("http-retained"), TABLES);
+    expect_ok(&service.write("PUT /upstreams/u1", &U1.replace("60", "1")));
+    let start = Instant::now();
+    loop {
+        // Another lease is written, and the figures with it; the revision stays.
+        for ttl_s in ["60", "61"] {
+            expect_ok(&service.write("PUT /upstreams/u2", &U2.replace("60", ttl_s)));
+        }
+        let status = service.write("GET /status", "");
+        if status.windows(12).any(|window| window == b"\"holds\":true") {
+            assert_recorded("retained-status.response", &mask_dates(&status));
+            break;
+        }
+        assert!(start.elapsed() < Duration::from_secs(30), "{}", status.escape_ascii());
+        std::thread::sleep(Duration::from_millis(50));
+    }
+}
+
+#[test]
+fn a_body_that_does_not_come_gets_the_recorded_response() {
+    use std::io::{Read, Write};
+    let service = TestService::start(&new_folder("http-body-timeout"), TABLES);
+    let mut stream = connect(service.write);
+    stream
+        .write_all(b"PUT /upstreams/u1 HTTP/1.1\r\nhost: registry\r\ncontent-length: 9\r\n\r\n{")
+        .expect("sent");
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).expect("closed by the service");
+    assert_recorded("body-timeout.response", &mask_dates(&response));
+}
--- /dev/null
+++ b/registry/tests/support/mod.rs
@@ -0,0 +1,237 @@
+//! Runs the list service inside the test process and talks to it over loopback as raw bytes.
+
+#![allow(dead_code, reason = "each test file uses its own part of it")]
+
+use frostkeel_registry::config::Config;
+use frostkeel_registry::service;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::sync::mpsc;
+use std::thread::JoinHandle;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tracing::field::{Field, Visit};
+use tracing::span::{Attributes, Id, Record};
+use tracing::{Event, Metadata, Subscriber};
+
+/// How long a test waits for bytes before it fails.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// What a chunk of a watch is that says that nothing has changed.
+const EMPTY_CHUNK: &[u8] = b"1\r\n\n\r\n";
+
+/// The addresses that a service says it is bound to.
+#[derive(Clone, Copy, Debug, Default)]
+struct Addresses {
+    read: Option<SocketAddr>,
+    write: Option<SocketAddr>,
+}
+
+impl Visit for Addresses {
+    fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
+        let address = format!("{value:?}").parse().ok();
+        match field.name() {
+            "read" => self.read = address,
+            "write" => self.write = address,
+            _ => {}
+        }
+    }
+}
+
+/// Reads the bound addresses from the service's first event, as ports are chosen by the system.
+struct AddressSubscriber(mpsc::Sender<Addresses>);
+
+impl Subscriber for AddressSubscriber {
+    fn enabled(&self, _: &Metadata<'_>) -> bool {
+        true
+    }
+
+    fn new_span(&self, _: &Attributes<'_>) -> Id {
+        Id::from_u64(1)
+    }
+
+    fn record(&self, _: &Id, _: &Record<'_>) {}
+
+    fn record_follows_from(&self, _: &Id, _: &Id) {}
+
+    fn event(&self, event: &Event<'_>) {
+        let mut addresses = Addresses::default();
+        event.record(&mut addresses);
+        if addresses.read.is_some() && addresses.write.is_some() {
+            // Only the first one is waited for.
+            let _ = self.0.send(addresses);
+        }
+    }
+
+    fn enter(&self, _: &Id) {}
+
+    fn exit(&self, _: &Id) {}
+}
+
+/// A running service; it ends, and its folder is free, when this is dropped.
+pub struct TestService {
+    pub read: SocketAddr,
+    pub write: SocketAddr,
+    stop: Option<oneshot::Sender<()>>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl TestService {
+    /// Starts a service on a folder; `tables` is the rest of its configuration.
+    pub fn start(folder: &Path, tables: &str) -> Self {
+        let text = format!(
+            "fleet = \"fixtures\"\nname = \"r0\"\nread = \"127.0.0.1:0\"\nwrite = \"127.0.0.1:0\"\nfolder = {folder:?}\n{tables}"
+        );
+        let config = Config::parse(&text).expect("a sound configuration");
+        let (sender, bound) = mpsc::channel();
+        let (stop, stopped) = oneshot::channel();
+        let thread = std::thread::spawn(move || {
+            let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+            let runtime = runtime.expect("a runtime");
+            tracing::subscriber::with_default(AddressSubscriber(sender), || {
+                runtime.block_on(async {
+                    tokio::select! {
+                        ended = service::run(config) => panic!("the service has ended: {ended:?}"),
+                        _ = stopped => {}
+                    }
+                });
+            });
+        });
+        let bound = bound.recv_timeout(READ_TIMEOUT).expect("the service is bound");
+        let (read, write) = (bound.read.expect("an address"), bound.write.expect("an address"));
+        Self { read, write, stop: Some(stop), thread: Some(thread) }
+    }
+
+    /// Sends a whole request to the writing side; its response.
+    pub fn write(&self, head: &str, body: &str) -> Vec<u8> {
+        exchange(self.write, &request(head, body))
+    }
+
+    /// Sends a whole request to the reading side; its response.
+    pub fn read(&self, head: &str) -> Vec<u8> {
+        exchange(self.read, &request(head, ""))
+    }
+}
+
+impl Drop for TestService {
+    fn drop(&mut self) {
+        if let Some(stop) = self.stop.take() {
+            let _ = stop.send(());
+        }
+        if let Some(thread) = self.thread.take() {
+            let ended = thread.join();
+            assert!(ended.is_ok() || std::thread::panicking(), "the service has panicked");
+        }
+    }
+}
+
+/// A request that closes its connection.
+pub fn request(head: &str, body: &str) -> Vec<u8> {
+    let length = body.len();
+    let head = format!("{head} HTTP/1.1\r\nhost: registry\r\nconnection: close\r\n");
+    format!("{head}content-length: {length}\r\n\r\n{body}").into_bytes()
+}
+
+pub fn connect(address: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(address).expect("the service listens");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a timeout");
+    stream
+}
+
+/// Sends bytes, and reads until the service closes the connection.
+pub fn exchange(address: SocketAddr, request: &[u8]) -> Vec<u8> {
+    let mut stream = connect(address);
+    stream.write_all(request).expect("sent");
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).expect("closed by the service");
+    response
+}
+
+/// Masks what differs from run to run: the value of each `date` header. Nothing else is changed.
+pub fn mask_dates(response: &[u8]) -> Vec<u8> {
+    const NAME: &[u8] = b"\r\ndate: ";
+    let mut masked = Vec::new();
+    let mut rest = response;
+    while let Some(at) = find(rest, NAME) {
+        let value = at + NAME.len();
+        let length = find(&rest[value..], b"\r\n").expect("a line ends");
+        masked.extend_from_slice(&rest[..value]);
+        masked.extend_from_slice(b"MASKED");
+        rest = &rest[value + length..];
+    }
+    masked.extend_from_slice(rest);
+    masked
+}
+
+fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes.windows(pattern.len()).position(|window| window == pattern)
+}
+
+/// A watch, and what has been read of it.
+pub struct Watch {
+    stream: TcpStream,
+    bytes: Vec<u8>,
+}
+
+impl Watch {
+    pub fn open(service: &TestService, query: &str) -> Self {
+        let mut stream = connect(service.read);
+        let request = format!("GET /registry/instances?{query} HTTP/1.1\r\nhost: registry\r\n\r\n");
+        stream.write_all(request.as_bytes()).expect("sent");
+        Self { stream, bytes: Vec::new() }
+    }
+
+    fn read_until(&mut self, enough: impl Fn(&[u8]) -> bool) {
+        let mut buffer = [0; 4096];
+        while !enough(&self.bytes) {
+            let count = self.stream.read(&mut buffer).expect("more of the watch");
+            assert!(count > 0, "the watch has ended: {}", String::from_utf8_lossy(&self.bytes));
+            self.bytes.extend_from_slice(&buffer[..count]);
+        }
+    }
+
+    /// Waits for the head and so many lines that carry endpoints.
+    pub fn read_updates(&mut self, count: usize) {
+        self.read_until(|bytes| {
+            let updates = bytes.windows(4).filter(|window| window == b"]}\n\r").count();
+            // The chunk's own end follows its line.
+            updates >= count && bytes.ends_with(b"\n\r\n")
+        });
+    }
+
+    /// Waits for the line that says that nothing has changed.
+    pub fn read_empty_line(&mut self) {
+        let before = count(&self.bytes, EMPTY_CHUNK);
+        self.read_until(|bytes| count(bytes, EMPTY_CHUNK) > before);
+    }
+
+    /// What was read, with dates masked and without the chunks that say that nothing has changed: how many there are
+    /// depends on how quickly the test runs.
+    pub fn masked(&self) -> Vec<u8> {
+        let mut rest = self.bytes.as_slice();
+        let mut kept = Vec::new();
+        while let Some(at) = find(rest, EMPTY_CHUNK) {
+            kept.extend_from_slice(&rest[..at]);
+            rest = &rest[at + EMPTY_CHUNK.len()..];
+        }
+        kept.extend_from_slice(rest);
+        mask_dates(&kept)
+    }
+}
+
+fn count(bytes: &[u8], pattern: &[u8]) -> usize {
+    bytes.windows(pattern.len()).filter(|window| *window == pattern).count()
+}
+
+/// An empty folder of a test's own.
+pub fn new_folder(name: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
+
+/// The committed data.
+pub fn data(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+}
--- /dev/null
+++ b/store/tests/fixtures.rs
@@ -0,0 +1,108 @@
+//! Opens folders that revision d26284e wrote, and compares them entry by entry. See `data/README.md`.
+
+use frostkeel_store::{Change, Kept, Owner, Store, StoreError};
+use std::fs;
+use std::path::{Path, PathBuf};
+
+const FOLDERS: [&str; 2] = ["closed", "killed"];
+
+fn data(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+}
+
+/// A copy of a recorded folder: opening one writes to it.
+fn copy(recorded: &str, test: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{recorded}"));
+    let _ = fs::remove_dir_all(&folder);
+    fs::create_dir_all(&folder).expect("a folder");
+    fs::copy(data(recorded).join("list.redb"), folder.join("list.redb")).expect("copied");
+    folder
+}
+
+fn owner() -> Owner {
+    Owner { fleet: "fixtures".into(), process: "r0".into() }
+}
+
+/// The recorded version and entries: a line `version N`, then a line `KEY<tab>VALUE` for each entry.
+fn recorded() -> Kept {
+    let text = fs::read_to_string(data("records.txt")).expect("the recorded entries");
+    let mut lines = text.lines();
+    let version = lines.next().and_then(|line| line.strip_prefix("version ")).expect("a version");
+    let entry = |line: &str| {
+        let (key, value) = line.split_once('\t').expect("a key and a value");
+        (key.to_owned(), value.as_bytes().to_vec())
+    };
+    Kept { version: version.parse().expect("a number"), records: lines.map(entry).collect() }
+}
+
+#[test]
+fn a_recorded_folder_has_the_recorded_entries() {
+    let recorded = recorded();
+    assert_eq!(recorded.records.len(), 10, "recorded entries");
+    for folder in FOLDERS {
+        let (_store, found) = Store::open(&copy(folder, "open"), &owner()).expect("opened");
+        assert_eq!(found.version, recorded.version, "{folder}");
+        assert_eq!(found.records.len(), recorded.records.len(), "{folder}");
+        for (found, recorded) in found.records.iter().zip(&recorded.records) {
+            let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+            assert_eq!((&found.0, text(&found.1)), (&recorded.0, text(&recorded.1)), "{folder}");
+        }
+        for removed in ["u06", "u09", "u11"] {
+            assert!(found.records.iter().all(|(key, _)| key != removed), "{folder}: {removed} was deleted");
+        }
+    }
+}
+
+#[test]
+fn a_recorded_folder_takes_further_commits() {
+    for folder in FOLDERS {
+        let copied = copy(folder, "commit");
+        let (mut store, mut expected) = Store::open(&copied, &owner()).expect("opened");
+        let changes = [Change::Put("u06".into(), b"{}".to_vec()), Change::Delete("u12".into())];
+        store.commit(expected.version + 1, &changes).expect("written");
+        drop(store);
+        expected.version += 1;
+        expected.records.retain(|(key, _)| key != "u12");
+        expected.records.push(("u06".into(), b"{}".to_vec()));
+        expected.records.sort();
+        let (_store, found) = Store::open(&copied, &owner()).expect("opened again");
+        assert_eq!(found, expected, "{folder}");
+    }
+}
+
+#[test]
+fn a_recorded_folder_belongs_to_its_owner() {
+    for folder in FOLDERS {
+        for (fleet, process) in [("fixtures", "r1"), ("other", "r0")] {
+            let other = Owner { fleet: fleet.into(), process: process.into() };
+            match Store::open(&copy(folder, "owner"), &other) {
+                Err(StoreError::Foreign { found, asked, .. }) => assert_eq!((found, asked), (owner(), other)),
+                opened => panic!("{folder}: {opened:?}"),
+            }
+        }
+    }
+}
+
+/// The messages are what an operator sees of a folder that cannot be used.
+#[test]
+fn a_folder_that_cannot_be_used_is_rejected_with_the_recorded_message() {
+    let message = |folder: &Path, owner: &Owner| {
+        let error = Store::open(folder, owner).expect_err("rejected").to_string();
+        let shown = folder.display().to_string();
+        error.replace(&shown, "FOLDER")
+    };
+    let folder = copy("closed", "messages");
+    let (store, _) = Store::open(&folder, &owner()).expect("opened");
+    let in_use = message(&folder, &owner());
+    drop(store);
+    let foreign = message(&folder, &Owner { fleet: "other".into(), process: "r1".into() });
+    let file = folder.join("file");
+    fs::write(&file, b"").expect("written");
+    let no_folder = message(&file, &owner());
+    let mut bytes = fs::read(folder.join("list.redb")).expect("read");
+    bytes[..64].fill(0xff);
+    fs::write(folder.join("list.redb"), &bytes).expect("written");
+    let damaged = message(&folder, &owner());
+    let messages = [in_use, foreign, no_folder, damaged].join("\n") + "\n";
+    assert_eq!(messages, fs::read_to_string(data("messages.txt")).expect("the recorded messages"));
+}
