--- a/frostkeel/src/registry.rs
+++ b/frostkeel/src/registry.rs
@@ -2,7 +2,8 @@
 
 use bytes::{Bytes, BytesMut};
 use clap::{Args, Subcommand};
-use frostkeel_registry::client::{Text, begin, call};
+use frostkeel_registry::client::{call, send_request};
+use frostkeel_registry::endpoint::EndpointUpdate;
 use frostkeel_registry::{config::Config, service};
 use http_body_util::BodyExt;
 use hyper::Method;
@@ -122,7 +123,7 @@
             return Ok(ExitCode::SUCCESS);
         }
         let target = "/registry/instances?stream=1&index=0";
-        let mut body = begin(command.read, Method::GET, target, String::new())
+        let mut body = send_request(command.read, Method::GET, target, String::new())
             .await?
             .into_body();
         let mut pending = BytesMut::new();
@@ -147,16 +148,20 @@
         println!("{}", String::from_utf8_lossy(text).trim());
         return Ok(());
     }
-    let list: Text = serde_json::from_slice(text)?;
+    let list: EndpointUpdate = serde_json::from_slice(text)?;
     println!(
         "version {}{}",
-        list.rev,
-        if list.all { ", the whole list" } else { "" }
+        list.revision,
+        if list.is_snapshot {
+            ", the whole list"
+        } else {
+            ""
+        }
     );
-    for t in &list.targets {
+    for t in &list.records {
         println!(
-            "  {:20} {:22} {:8} {:8} {:12?} weight {:<6} start {}",
-            t.uid, t.endpoint, t.az, t.model, t.state, t.capacity_hint, t.boot_ms
+            "  {:20} {:22} {:8} {:8} {} weight {:<6} start {}",
+            t.uid, t.address, t.zone, t.model, t.state, t.weight, t.boot_ms
         );
     }
     Ok(())
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -5,7 +5,7 @@
 use crate::link::{Links, Other};
 use crate::registrar::Registrar;
 use bytes::{Bytes, BytesMut};
-use frostkeel_registry::client::begin;
+use frostkeel_registry::client::send_request;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -227,7 +227,7 @@
             .uri()
             .path_and_query()
             .map_or("/", |target| target.as_str());
-        let answer = begin(real, Method::GET, target, String::new())
+        let answer = send_request(real, Method::GET, target, String::new())
             .await
             .map_err(|_| broken())?;
         let (parts, mut body) = answer.into_parts();
--- a/lab/src/watching.rs
+++ b/lab/src/watching.rs
@@ -9,8 +9,8 @@
 use crate::history::{History, Listed};
 use crate::registrar::Registrar;
 use bytes::BytesMut;
-use frostkeel_registry::client::{Text, begin, call};
-use frostkeel_registry::list::State;
+use frostkeel_registry::client::{call, send_request};
+use frostkeel_registry::endpoint::{EndpointState, EndpointUpdate};
 use http_body_util::BodyExt;
 use hyper::Method;
 use rand::{Rng, SeedableRng};
@@ -109,7 +109,7 @@
         while !self.over.load(Ordering::Relaxed) {
             let target = format!("/registry/instances?stream=1&index={rev}");
             let Some(address) = self.read() else { continue };
-            if let Ok(answer) = begin(address, Method::GET, &target, String::new()).await
+            if let Ok(answer) = send_request(address, Method::GET, &target, String::new()).await
                 && answer.status() == 200
             {
                 let (mut body, mut pending) = (answer.into_body(), BytesMut::new());
@@ -134,29 +134,29 @@
     }
 
     fn take(&self, number: u32, line: &[u8], rev: &mut u64, weights: &mut Weights) {
-        let Ok(text) = serde_json::from_slice::<Text>(line) else {
+        let Ok(text) = serde_json::from_slice::<EndpointUpdate>(line) else {
             return self.broke(format!("watcher {number}: a line that cannot be read"));
         };
         self.lines.fetch_add(1, Ordering::Relaxed);
-        if text.rev < *rev || (text.rev == *rev && !text.all) {
+        if text.revision < *rev || (text.revision == *rev && !text.is_snapshot) {
             self.broke(format!(
                 "watcher {number}: version {} after {rev}",
-                text.rev
+                text.revision
             ));
         }
-        *rev = text.rev;
-        if text.all {
+        *rev = text.revision;
+        if text.is_snapshot {
             weights.clear();
         }
         let now = self.now();
-        for target in text.targets {
-            if target.state == State::Gone {
+        for target in text.records {
+            if target.state == EndpointState::Removed {
                 weights.remove(&target.uid);
                 continue;
             }
-            let change = target.capacity_hint as u64;
+            let change = target.weight as u64;
             weights.insert(target.uid, change);
-            if !text.all
+            if !text.is_snapshot
                 && let (Some(sent), Some(reached)) = (
                     self.sent.get(change as usize),
                     self.reached.get(change as usize),
@@ -236,12 +236,12 @@
         )
         .await
         .ok()?;
-        let text: Text = serde_json::from_slice(&body).ok()?;
+        let text: EndpointUpdate = serde_json::from_slice(&body).ok()?;
         Some((
-            text.rev,
-            text.targets
+            text.revision,
+            text.records
                 .into_iter()
-                .map(|t| (t.uid, t.capacity_hint as u64))
+                .map(|t| (t.uid, t.weight as u64))
                 .collect(),
         ))
     }
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -1,12 +1,10 @@
-//! Calls over HTTP with their bounds, and the texts that a list service answers with.
+//! Calls over HTTP with their bounds.
 
-use crate::list::Record;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 use hyper_util::rt::TokioIo;
-use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -16,19 +14,8 @@
 const TAKES: Duration = Duration::from_secs(3);
 const MOST: usize = 64 << 20;
 
-/// A list, or what of it has changed.
-#[derive(Clone, Debug, Deserialize)]
-pub struct Text {
-    /// The version.
-    pub rev: u64,
-    /// Whether it is the whole list.
-    pub all: bool,
-    /// The entries.
-    pub targets: Vec<Record>,
-}
-
 /// Sends a call and waits for the head of its answer; an error names the address.
-pub async fn begin(
+pub async fn send_request(
     address: SocketAddr,
     method: Method,
     target: &str,
@@ -66,7 +53,7 @@
     target: &str,
     body: String,
 ) -> Result<(u16, Bytes), String> {
-    let response = begin(address, method, target, body).await?;
+    let response = send_request(address, method, target, body).await?;
     let status = response.status().as_u16();
     let body = timeout(TAKES, Limited::new(response.into_body(), MOST).collect()).await;
     let body = body.map_err(|_| format!("{address}: no whole answer in {TAKES:?}"))?;
--- a/registry/src/config.rs
+++ b/registry/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a list service, in TOML.
 
-use crate::list::Rules;
+use crate::list::RegistryPolicy;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -46,17 +46,17 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        let Rules {
-            entries_most,
-            changes_kept,
+        let RegistryPolicy {
+            max_endpoints,
+            max_retained_changes,
             ..
-        } = Rules::default();
+        } = RegistryPolicy::default();
         Self {
             calls: 64,
             watches: 4096,
             writes: 1024,
-            entries: entries_most,
-            changes: changes_kept,
+            entries: max_endpoints,
+            changes: max_retained_changes,
         }
     }
 }
@@ -73,9 +73,9 @@
 
 impl Default for Leases {
     fn default() -> Self {
-        let Rules {
+        let RegistryPolicy {
             lapse_share, grace, ..
-        } = Rules::default();
+        } = RegistryPolicy::default();
         Self {
             lapse_share,
             grace_s: grace.as_secs_f64(),
@@ -117,13 +117,13 @@
         Ok(config)
     }
 
-    pub(crate) fn rules(&self) -> Rules {
-        Rules {
-            entries_most: self.limits.entries,
-            changes_kept: self.limits.changes,
+    pub(crate) fn rules(&self) -> RegistryPolicy {
+        RegistryPolicy {
+            max_endpoints: self.limits.entries,
+            max_retained_changes: self.limits.changes,
             lapse_share: self.leases.lapse_share,
             grace: Duration::from_secs_f64(self.leases.grace_s),
-            ..Rules::default()
+            ..RegistryPolicy::default()
         }
     }
 }
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -1,7 +1,7 @@
 //! The two HTTP sides: reading, the published form to the letter; writing, JSON at an address of its own.
 
 use crate::config::Limits;
-use crate::list::{Command, Record, Refused, State};
+use crate::list::{Command, CommandError, EndpointRecord, EndpointState};
 use crate::metrics::Metrics;
 use crate::publish::Published;
 use crate::writer::{Job, WriteError};
@@ -70,12 +70,12 @@
 
 /// What a connection is allowed: it is cut when it takes too long, unless it is a watch, and when a watch does not read.
 #[derive(Default)]
-struct Leash {
+struct SlowReaderLimit {
     watches: AtomicBool,
     cut: Notify,
 }
 
-async fn connection<F, R>(stream: TcpStream, leash: Arc<Leash>, respond: F)
+async fn connection<F, R>(stream: TcpStream, limit: Arc<SlowReaderLimit>, respond: F)
 where
     F: Fn(Request<Incoming>) -> R,
     R: Future<Output = Response<Body>>,
@@ -91,14 +91,14 @@
         .header_read_timeout(SAYS_WITHIN);
     let too_long = async {
         sleep(TAKES_WITHIN).await;
-        if leash.watches.load(Ordering::Relaxed) {
+        if limit.watches.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
     };
     tokio::select! {
         // Who goes away, or says what is no HTTP, has told its reason itself.
         _ = builder.serve_connection(TokioIo::new(stream), service) => {}
-        () = leash.cut.notified() => {}
+        () = limit.cut.notified() => {}
         () = too_long => {}
     }
 }
@@ -142,10 +142,10 @@
             let Ok(slot) = Arc::clone(&self.connections).try_acquire_owned() else {
                 continue;
             };
-            let (reading, leash) = (Arc::clone(&self), Arc::new(Leash::default()));
+            let (reading, limit) = (Arc::clone(&self), Arc::new(SlowReaderLimit::default()));
             tokio::spawn(async move {
-                let held = Arc::clone(&leash);
-                connection(stream, leash, |request| {
+                let held = Arc::clone(&limit);
+                connection(stream, limit, |request| {
                     let (reading, held) = (Arc::clone(&reading), Arc::clone(&held));
                     async move { reading.respond(&request, &held) }
                 })
@@ -158,7 +158,7 @@
     fn respond(
         self: &Arc<Self>,
         request: &Request<Incoming>,
-        leash: &Arc<Leash>,
+        limit: &Arc<SlowReaderLimit>,
     ) -> Response<Body> {
         if request.uri().path() != "/registry/instances" {
             return error(StatusCode::NOT_FOUND, "the list is at /registry/instances");
@@ -174,7 +174,7 @@
         };
         if of("stream") == Some("1") {
             let since = of("index").and_then(|n| n.parse().ok()).filter(|n| *n > 0);
-            return self.watch(since, leash);
+            return self.watch(since, limit);
         }
         let Ok(_call) = self.calls.try_acquire() else {
             self.metrics.refused.inc();
@@ -188,7 +188,7 @@
         response
     }
 
-    fn watch(self: &Arc<Self>, since: Option<u64>, leash: &Arc<Leash>) -> Response<Body> {
+    fn watch(self: &Arc<Self>, since: Option<u64>, limit: &Arc<SlowReaderLimit>) -> Response<Body> {
         let slot = match Arc::clone(&self.watches).try_acquire_owned() {
             Ok(slot) => slot,
             Err(TryAcquireError::NoPermits | TryAcquireError::Closed) => {
@@ -196,14 +196,14 @@
                 return busy("too many watches at once");
             }
         };
-        leash.watches.store(true, Ordering::Relaxed);
+        limit.watches.store(true, Ordering::Relaxed);
         let (lines, body) = mpsc::channel(LINES_BEHIND);
-        let (reading, leash) = (Arc::clone(self), Arc::clone(leash));
+        let (reading, limit) = (Arc::clone(self), Arc::clone(limit));
         tokio::spawn(async move {
             reading.metrics.watches.inc();
             if !reading.follow(since, lines).await {
                 reading.metrics.cut.inc();
-                leash.cut.notify_one();
+                limit.cut.notify_one();
             }
             reading.metrics.watches.dec();
             drop(slot);
@@ -389,13 +389,15 @@
 
 fn status_of(error: &WriteError) -> StatusCode {
     match error {
-        WriteError::Refused(Refused::Version(_)) => StatusCode::PRECONDITION_FAILED,
-        WriteError::Refused(Refused::Unknown(_)) => StatusCode::NOT_FOUND,
-        WriteError::Refused(Refused::Replaced(_) | Refused::Taken(_)) => StatusCode::CONFLICT,
-        WriteError::Refused(Refused::Full(_)) | WriteError::NoRoom => {
+        WriteError::CommandError(CommandError::Version(_)) => StatusCode::PRECONDITION_FAILED,
+        WriteError::CommandError(CommandError::Unknown(_)) => StatusCode::NOT_FOUND,
+        WriteError::CommandError(CommandError::Replaced(_) | CommandError::Taken(_)) => {
+            StatusCode::CONFLICT
+        }
+        WriteError::CommandError(CommandError::Full(_)) | WriteError::NoRoom => {
             StatusCode::INSUFFICIENT_STORAGE
         }
-        WriteError::Refused(Refused::Bad(_)) => StatusCode::BAD_REQUEST,
+        WriteError::CommandError(CommandError::Bad(_)) => StatusCode::BAD_REQUEST,
         WriteError::Failed => StatusCode::INTERNAL_SERVER_ERROR,
     }
 }
@@ -430,15 +432,15 @@
                     format!("ttl_s of {ttl_s}: 1 to 3600 are possible"),
                 )
             })?;
-            let state = State::Ready;
-            let record = Record {
+            let state = EndpointState::Ready;
+            let record = EndpointRecord {
                 uid,
-                endpoint,
-                az,
+                address: endpoint,
+                zone: az,
                 model,
                 pod_group,
                 state,
-                capacity_hint,
+                weight: capacity_hint,
                 boot_ms,
             };
             Ok(Command::Register { record, lease })
--- a/registry/src/publish.rs
+++ b/registry/src/publish.rs
@@ -1,8 +1,7 @@
 //! The list as readers see it: what is durable, each text encoded once for all who need it.
 
-use crate::list::{List, News, Record};
+use crate::list::{EndpointRecord, EndpointRegistry, EndpointUpdate};
 use bytes::Bytes;
-use serde::Serialize;
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 use tokio::sync::watch;
@@ -10,15 +9,8 @@
 /// Encoded changes that are kept for readers who need the same ones.
 const TEXTS_KEPT: usize = 64;
 
-#[derive(Serialize)]
-struct Text<'a> {
-    rev: u64,
-    all: bool,
-    targets: &'a [&'a Record],
-}
-
 struct Inner {
-    list: List,
+    list: EndpointRegistry,
     whole: Option<(u64, Bytes)>,
     /// From which version, to which, and the line.
     changes: VecDeque<(u64, u64, Bytes)>,
@@ -30,19 +22,14 @@
     rev: watch::Sender<u64>,
 }
 
-fn encoded(news: &News<'_>) -> Bytes {
-    let text = Text {
-        rev: news.rev,
-        all: news.all,
-        targets: &news.records,
-    };
+fn encoded(update: &EndpointUpdate<&EndpointRecord>) -> Bytes {
     // A record has only texts and numbers: it can always be written.
-    Bytes::from(serde_json::to_vec(&text).unwrap_or_default())
+    Bytes::from(serde_json::to_vec(update).unwrap_or_default())
 }
 
 impl Published {
     /// A list as it was opened.
-    pub fn new(list: List) -> Self {
+    pub fn new(list: EndpointRegistry) -> Self {
         let rev = watch::Sender::new(list.rev());
         Self {
             inner: Mutex::new(Inner {
@@ -65,7 +52,7 @@
     }
 
     /// Shows changes that have become durable.
-    pub fn follow(&self, changes: Vec<(u64, Record)>) {
+    pub fn follow(&self, changes: Vec<(u64, EndpointRecord)>) {
         let rev = {
             let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
             inner.list.follow(changes);
@@ -91,8 +78,8 @@
         {
             return (rev, text.clone());
         }
-        let news = inner.list.since(since);
-        let (all, text) = (news.all, encoded(&news));
+        let update = inner.list.update_since(since);
+        let (all, text) = (update.is_snapshot, encoded(&update));
         match since {
             Some(since) if !all => {
                 if inner.changes.len() >= TEXTS_KEPT {
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -1,11 +1,12 @@
 //! A list service from its start to its end.
 
 use crate::config::Config;
+use crate::endpoint::PersistedEntry;
 use crate::http::{Reading, Writing};
-use crate::list::{List, Record};
+use crate::list::{EndpointRecord, EndpointRegistry};
 use crate::metrics::Metrics;
 use crate::publish::Published;
-use crate::writer::{KeptEntry, Writer};
+use crate::writer::Writer;
 use frostkeel_store::{Owner, Store, StoreError};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -52,17 +53,18 @@
         process: config.name.clone(),
     };
     let (store, kept) = tokio::task::block_in_place(|| Store::open(&config.folder, &owner))?;
-    let mut entries: Vec<(Record, Duration)> = Vec::new();
+    let mut entries: Vec<(EndpointRecord, Duration)> = Vec::new();
     for (uid, bytes) in &kept.records {
-        let entry: KeptEntry = serde_json::from_slice(bytes).map_err(|e| ServiceError::Entry {
-            uid: uid.clone(),
-            reason: e.to_string(),
-        })?;
-        entries.push((entry.record, Duration::from_millis(entry.lease_ms)));
+        let entry: PersistedEntry =
+            serde_json::from_slice(bytes).map_err(|e| ServiceError::Entry {
+                uid: uid.clone(),
+                reason: e.to_string(),
+            })?;
+        entries.push((entry.record, entry.lease_duration.unwrap_or_default()));
     }
     let count = entries.len();
     let list = || {
-        List::new(
+        EndpointRegistry::new(
             config.rules(),
             Duration::ZERO,
             kept.version,
--- a/registry/src/writer.rs
+++ b/registry/src/writer.rs
@@ -1,11 +1,11 @@
 //! The one who writes: commands in the order in which they come, one commit for all that came while the disk was busy, an
 //! answer only when what it says is durable and shown.
 
-use crate::list::{Command, List, Record, Refused};
+use crate::endpoint::PersistedEntry;
+use crate::list::{Command, CommandError, EndpointRecord, EndpointRegistry};
 use crate::metrics::Metrics;
 use crate::publish::Published;
 use frostkeel_store::{Change, Store, StoreError};
-use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::Duration;
 use thiserror::Error;
@@ -17,21 +17,12 @@
 /// How often leases are looked at.
 const TICK: Duration = Duration::from_millis(250);
 
-/// An entry as it is kept.
-#[derive(Deserialize, Serialize)]
-pub struct KeptEntry {
-    /// How it is shown.
-    pub record: Record,
-    /// How long its lease lasts: time left, and no date, as clocks are set.
-    pub lease_ms: u64,
-}
-
 /// Why a command was not carried out, or not yet.
 #[derive(Clone, Debug, Error)]
 pub enum WriteError {
     /// The list says no.
     #[error(transparent)]
-    Refused(#[from] Refused),
+    CommandError(#[from] CommandError),
     /// There is no room on the disk.
     #[error("no room on the disk: it is not durable; say it again later")]
     NoRoom,
@@ -52,7 +43,7 @@
 
 /// The one who writes.
 pub struct Writer {
-    pub list: List,
+    pub list: EndpointRegistry,
     pub store: Store,
     pub published: Arc<Published>,
     pub metrics: Arc<Metrics>,
@@ -78,9 +69,9 @@
                     }
                 },
                 _ = ticks.tick() => {
-                    let held = self.list.holds();
+                    let held = self.list.is_self_preserving();
                     self.list.tick(self.start.elapsed());
-                    match (held, self.list.holds()) {
+                    match (held, self.list.is_self_preserving()) {
                         (false, true) => tracing::warn!(
                             "holding entries whose leases have ended: too many at once, or just after a pause; is it the network?"
                         ),
@@ -89,7 +80,7 @@
                     }
                 }
             }
-            unwritten.extend(self.list.take_touched());
+            unwritten.extend(self.list.take_dirty());
             let written = self.commit(&mut unwritten).await;
             for (reply, answer) in answers {
                 let answer = match (&written, answer) {
@@ -117,7 +108,7 @@
         }
     }
 
-    fn apply(&mut self, job: Job, answers: &mut Vec<(Reply, Result<u64, Refused>)>) {
+    fn apply(&mut self, job: Job, answers: &mut Vec<(Reply, Result<u64, CommandError>)>) {
         let answer = self
             .list
             .apply(self.start.elapsed(), job.command, job.if_rev);
@@ -125,7 +116,7 @@
     }
 
     /// Makes changes durable, then shows them. What the disk has no room for waits.
-    async fn commit(&mut self, unwritten: &mut Vec<Touched>) -> Result<(), StoreError> {
+    async fn commit(&mut self, unwritten: &mut Vec<DirtyEntry>) -> Result<(), StoreError> {
         if unwritten.is_empty() {
             return Ok(());
         }
@@ -142,21 +133,23 @@
         self.metrics.version.set(rev as i64);
         self.metrics.ready.set(ready as i64);
         self.metrics.terminating.set(terminating as i64);
-        self.metrics.holds.set(i64::from(self.list.holds()));
+        self.metrics
+            .holds
+            .set(i64::from(self.list.is_self_preserving()));
         Ok(())
     }
 }
 
 type Reply = oneshot::Sender<Result<u64, WriteError>>;
-type Touched = (String, Option<(Record, Duration)>);
+type DirtyEntry = (String, Option<(EndpointRecord, Duration)>);
 
-fn change((uid, entry): &Touched) -> Change {
+fn change((uid, entry): &DirtyEntry) -> Change {
     match entry {
         None => Change::Delete(uid.clone()),
         Some((record, lease)) => {
-            let entry = KeptEntry {
+            let entry = PersistedEntry {
                 record: record.clone(),
-                lease_ms: lease.as_millis() as u64,
+                lease_duration: (!lease.is_zero()).then_some(*lease),
             };
             // A record has only texts and numbers: it can always be written.
             Change::Put(uid.clone(), serde_json::to_vec(&entry).unwrap_or_default())
--- a/registry/tests/http_fixtures.rs
+++ b/registry/tests/http_fixtures.rs
@@ -12,7 +12,10 @@
 
 fn assert_same(name: &str, actual: &[u8], expected: &[u8]) {
     let (shown_actual, shown_expected) = (actual.escape_ascii(), expected.escape_ascii());
-    assert!(actual == expected, "{name}\n  actual:   {shown_actual}\n  expected: {shown_expected}");
+    assert!(
+        actual == expected,
+        "{name}\n  actual:   {shown_actual}\n  expected: {shown_expected}"
+    );
 }
 
 /// Compares with the committed file.
@@ -23,9 +26,15 @@
 
 fn step_names(folder: &Path) -> Vec<String> {
     let files = fs::read_dir(folder).expect("the recorded requests");
-    let names = files.map(|file| file.expect("a file").file_name().into_string().expect("text"));
-    let mut steps: Vec<String> =
-        names.filter_map(|name| name.strip_suffix(".request").map(str::to_owned)).collect();
+    let names = files.map(|file| {
+        file.expect("a file")
+            .file_name()
+            .into_string()
+            .expect("text")
+    });
+    let mut steps: Vec<String> = names
+        .filter_map(|name| name.strip_suffix(".request").map(str::to_owned))
+        .collect();
     steps.sort();
     steps
 }
@@ -37,8 +46,13 @@
     let steps = step_names(&data("responses"));
     assert_eq!(steps.len(), 77, "recorded requests");
     for step in steps {
-        let request = fs::read(data("responses").join(format!("{step}.request"))).expect("a request");
-        let address = if step.contains("-read-") { service.read } else { service.write };
+        let request =
+            fs::read(data("responses").join(format!("{step}.request"))).expect("a request");
+        let address = if step.contains("-read-") {
+            service.read
+        } else {
+            service.write
+        };
         let response = mask_dates(&exchange(address, &request));
         assert_recorded(&format!("responses/{step}.response"), &response);
     }
@@ -48,7 +62,11 @@
 const U2: &str = r#"{"endpoint":"10.0.0.2:80","boot_ms":200,"ttl_s":60,"az":"b","model":"m"}"#;
 
 fn expect_ok(response: &[u8]) {
-    assert!(response.starts_with(b"HTTP/1.1 200 OK\r\n"), "{}", response.escape_ascii());
+    assert!(
+        response.starts_with(b"HTTP/1.1 200 OK\r\n"),
+        "{}",
+        response.escape_ascii()
+    );
 }
 
 /// Registers two endpoints, changes them and removes them, each after `seen` has run.
@@ -59,7 +77,10 @@
         ("POST /upstreams/u1/drain", ""),
         ("PUT /upstreams/u2/weight", r#"{"capacity_hint":0.25}"#),
         // Takes the endpoint of u2: two changes in one line.
-        ("PUT /upstreams/u0", r#"{"endpoint":"10.0.0.2:80","boot_ms":300,"ttl_s":60}"#),
+        (
+            "PUT /upstreams/u0",
+            r#"{"endpoint":"10.0.0.2:80","boot_ms":300,"ttl_s":60}"#,
+        ),
         ("DELETE /upstreams/u1", r#"{"boot_ms":100}"#),
         ("PUT /upstreams/u1", U1),
     ] {
@@ -151,7 +172,11 @@
             assert_recorded("retained-status.response", &mask_dates(&status));
             break;
         }
-        assert!(start.elapsed() < Duration::from_secs(30), "{}", status.escape_ascii());
+        assert!(
+            start.elapsed() < Duration::from_secs(30),
+            "{}",
+            status.escape_ascii()
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -165,6 +190,8 @@
         .write_all(b"PUT /upstreams/u1 HTTP/1.1\r\nhost: registry\r\ncontent-length: 9\r\n\r\n{")
         .expect("sent");
     let mut response = Vec::new();
-    stream.read_to_end(&mut response).expect("closed by the service");
+    stream
+        .read_to_end(&mut response)
+        .expect("closed by the service");
     assert_recorded("body-timeout.response", &mask_dates(&response));
 }
--- a/registry/tests/list.rs
+++ b/registry/tests/list.rs
@@ -1,21 +1,23 @@
 //! The list as a state machine: leases, drains, replacements, versions.
 
-use frostkeel_registry::list::*;
+use frostkeel_registry::list::{
+    Command, CommandError, EndpointRecord, EndpointRegistry, EndpointState, RegistryPolicy,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 const S: Duration = Duration::from_secs(1);
 
-fn record(n: u64, boot_ms: u64) -> Record {
-    Record {
+fn record(n: u64, boot_ms: u64) -> EndpointRecord {
+    EndpointRecord {
         uid: format!("u{n}"),
-        endpoint: format!("10.0.0.{n}:80"),
-        az: "a".into(),
+        address: format!("10.0.0.{n}:80"),
+        zone: "a".into(),
         model: "m".into(),
         pod_group: 0,
-        state: State::Ready,
-        capacity_hint: 1.0,
+        state: EndpointState::Ready,
+        weight: 1.0,
         boot_ms,
     }
 }
@@ -27,18 +29,18 @@
     }
 }
 
-fn list(count: u64) -> List {
-    let rules = Rules {
+fn list(count: u64) -> EndpointRegistry {
+    let rules = RegistryPolicy {
         grace: Duration::ZERO,
-        ..Rules::default()
+        ..RegistryPolicy::default()
     };
-    let mut list = List::new(rules, Duration::ZERO, 0, Vec::new());
+    let mut list = EndpointRegistry::new(rules, Duration::ZERO, 0, Vec::new());
     (1..=count).for_each(|n| drop(list.apply(Duration::ZERO, register(n, 1), None)));
     list
 }
 
-fn there(list: &List) -> Vec<&str> {
-    list.since(None)
+fn there(list: &EndpointRegistry) -> Vec<&str> {
+    list.update_since(None)
         .records
         .iter()
         .map(|r| r.uid.as_str())
@@ -64,7 +66,7 @@
     );
     assert_eq!(
         list.apply(S, Command::Drain { uid: "u1".into() }, Some(2)),
-        Err(Refused::Version(3))
+        Err(CommandError::Version(3))
     );
     assert_eq!(
         list.apply(S, register(1, 5), None),
@@ -73,16 +75,19 @@
     );
     assert_eq!(
         list.apply(S, register(1, 4), None),
-        Err(Refused::Replaced(5))
+        Err(CommandError::Replaced(5))
     );
     let renew = |boot_ms| Command::Renew {
         uid: "u1".into(),
         boot_ms,
     };
     assert_eq!(list.apply(S, renew(5), None), Ok(4));
-    assert_eq!(list.apply(S, renew(1), None), Err(Refused::Replaced(5)));
+    assert_eq!(
+        list.apply(S, renew(1), None),
+        Err(CommandError::Replaced(5))
+    );
     let mut same_place = record(3, 9);
-    same_place.endpoint = record(2, 1).endpoint;
+    same_place.address = record(2, 1).address;
     let moved = Command::Register {
         record: same_place.clone(),
         lease: S,
@@ -94,7 +99,10 @@
         record: same_place,
         lease: S,
     };
-    assert_eq!(list.apply(S, late, None), Err(Refused::Taken("u3".into())));
+    assert_eq!(
+        list.apply(S, late, None),
+        Err(CommandError::Taken("u3".into()))
+    );
     let gone = Command::Deregister {
         uid: "u9".into(),
         boot_ms: None,
@@ -105,7 +113,7 @@
 #[test]
 fn one_that_falls_silent_is_gone_and_many_at_once_are_held() {
     let mut list = list(10);
-    let renew = |list: &mut List, now, of: std::ops::RangeInclusive<u64>| {
+    let renew = |list: &mut EndpointRegistry, now, of: std::ops::RangeInclusive<u64>| {
         for n in of {
             let renewed = list.apply(
                 now,
@@ -121,17 +129,17 @@
     (1..=8).for_each(|k| list.tick(k * S));
     renew(&mut list, 8 * S, 2..=10);
     (9..=11).for_each(|k| list.tick(k * S));
-    assert_eq!((there(&list).len(), list.holds()), (9, false));
+    assert_eq!((there(&list).len(), list.is_self_preserving()), (9, false));
     (12..=20).for_each(|k| list.tick(k * S));
     assert_eq!(
-        (there(&list).len(), list.holds()),
+        (there(&list).len(), list.is_self_preserving()),
         (9, true),
         "nine of nine: likelier the service's own fault"
     );
     renew(&mut list, 20 * S, 3..=10);
     list.tick(21 * S);
     assert_eq!(
-        (there(&list).len(), list.holds()),
+        (there(&list).len(), list.is_self_preserving()),
         (8, false),
         "the others are back: that one is gone"
     );
@@ -139,15 +147,15 @@
 
 #[test]
 fn a_pause_of_its_own_ends_no_lease() {
-    let mut list = List::new(
-        Rules::default(),
+    let mut list = EndpointRegistry::new(
+        RegistryPolicy::default(),
         Duration::ZERO,
         7,
         vec![(record(1, 1), 10 * S), (record(2, 1), 10 * S)],
     );
     (1..=14).for_each(|k| list.tick(k * S));
     assert_eq!(
-        (there(&list).len(), list.holds()),
+        (there(&list).len(), list.is_self_preserving()),
         (2, true),
         "it has just come back"
     );
@@ -191,10 +199,10 @@
     /// starts from what was kept, all have the list; versions go up by one with each change.
     #[test]
     fn readers_that_follow_have_the_list(commands in proptest::collection::vec(command(), 1..60), kept in 1usize..20) {
-        let rules = Rules { changes_kept: kept, ..Rules::default() };
-        let mut list = List::new(rules.clone(), Duration::ZERO, 0, Vec::new());
-        let mut follower: BTreeMap<String, Record> = BTreeMap::new();
-        let mut disk: BTreeMap<String, (Record, Duration)> = BTreeMap::new();
+        let rules = RegistryPolicy { max_retained_changes: kept, ..RegistryPolicy::default() };
+        let mut list = EndpointRegistry::new(rules.clone(), Duration::ZERO, 0, Vec::new());
+        let mut follower: BTreeMap<String, EndpointRecord> = BTreeMap::new();
+        let mut disk: BTreeMap<String, (EndpointRecord, Duration)> = BTreeMap::new();
         let mut at = None;
         for (k, (command, reads)) in commands.into_iter().enumerate() {
             let before = list.rev();
@@ -202,29 +210,29 @@
             let done = list.apply(now, command, None);
             // One register can end another one's entry too.
             prop_assert!(done.is_err() || (before..=before + 2).contains(&list.rev()));
-            for (uid, record) in list.take_touched() {
+            for (uid, record) in list.take_dirty() {
                 match record {
                     Some(record) => drop(disk.insert(uid, record)),
                     None => drop(disk.remove(&uid)),
                 }
             }
             if reads {
-                let news = list.since(at);
-                if news.all {
+                let news = list.update_since(at);
+                if news.is_snapshot {
                     follower.clear();
                 }
                 for record in news.records {
                     match record.state {
-                        State::Gone => drop(follower.remove(&record.uid)),
+                        EndpointState::Removed => drop(follower.remove(&record.uid)),
                         _ => drop(follower.insert(record.uid.clone(), record.clone())),
                     }
                 }
-                at = Some(news.rev);
-                let whole: Vec<Record> = list.since(None).records.into_iter().cloned().collect();
+                at = Some(news.revision);
+                let whole: Vec<EndpointRecord> = list.update_since(None).records.into_iter().cloned().collect();
                 prop_assert_eq!(follower.values().cloned().collect::<Vec<_>>(), whole.clone());
-                let again = List::new(rules.clone(), now, list.rev(), disk.values().cloned().collect());
-                prop_assert_eq!(again.since(None).records.into_iter().cloned().collect::<Vec<_>>(), whole);
-                prop_assert!(again.since(Some(list.rev() + 1)).all, "from the future: the whole list");
+                let again = EndpointRegistry::new(rules.clone(), now, list.rev(), disk.values().cloned().collect());
+                prop_assert_eq!(again.update_since(None).records.into_iter().cloned().collect::<Vec<_>>(), whole);
+                prop_assert!(again.update_since(Some(list.rev() + 1)).is_snapshot, "from the future: the whole list");
             }
         }
     }
--- a/registry/tests/store_fixtures.rs
+++ b/registry/tests/store_fixtures.rs
@@ -12,7 +12,9 @@
 const TABLES: &str = "[leases]\ngrace_s = 3600\n";
 
 fn store_data(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../store/tests/data").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../store/tests/data")
+        .join(name)
 }
 
 fn assert_recorded(path: &Path, actual: &[u8]) {
@@ -26,7 +28,11 @@
 }
 
 fn expect_ok(response: &[u8]) {
-    assert!(response.starts_with(b"HTTP/1.1 200 OK\r\n"), "{}", response.escape_ascii());
+    assert!(
+        response.starts_with(b"HTTP/1.1 200 OK\r\n"),
+        "{}",
+        response.escape_ascii()
+    );
 }
 
 /// Leases of several lengths, endpoints that drain, that were given a weight, removed, registered anew and taken over.
@@ -47,8 +53,14 @@
         ("PUT /upstreams/u05/weight", r#"{"capacity_hint":1000000}"#),
         ("DELETE /upstreams/u06", ""),
         ("DELETE /upstreams/u07", r#"{"boot_ms":7000}"#),
-        ("PUT /upstreams/u07", r#"{"endpoint":"[::1]:7","boot_ms":7001,"ttl_s":7}"#),
-        ("PUT /upstreams/u08", r#"{"endpoint":"10.0.1.8:80","boot_ms":8001,"ttl_s":8}"#),
+        (
+            "PUT /upstreams/u07",
+            r#"{"endpoint":"[::1]:7","boot_ms":7001,"ttl_s":7}"#,
+        ),
+        (
+            "PUT /upstreams/u08",
+            r#"{"endpoint":"10.0.1.8:80","boot_ms":8001,"ttl_s":8}"#,
+        ),
         (
             "PUT /upstreams/later",
             r#"{"endpoint":"10.0.0.9:80","boot_ms":9001,"ttl_s":9,"az":"zône \"b\"","model":"m\\2"}"#,
@@ -67,7 +79,10 @@
 
 /// The version and each entry, as text.
 fn persisted(folder: &Path) -> Vec<u8> {
-    let owner = Owner { fleet: "fixtures".into(), process: "r0".into() };
+    let owner = Owner {
+        fleet: "fixtures".into(),
+        process: "r0".into(),
+    };
     let (_store, persisted) = Store::open(folder, &owner).expect("its own folder");
     let mut text = format!("version {}\n", persisted.version).into_bytes();
     for (key, value) in persisted.records {
@@ -103,8 +118,16 @@
         assert_recorded(&data("recovered/watch.response"), &watch.masked());
         for (name, head, body) in [
             ("renew", "POST /upstreams/u10/renew", r#"{"boot_ms":10000}"#),
-            ("renew-older-boot", "POST /upstreams/u08/renew", r#"{"boot_ms":8000}"#),
-            ("renew-removed", "POST /upstreams/u06/renew", r#"{"boot_ms":6000}"#),
+            (
+                "renew-older-boot",
+                "POST /upstreams/u08/renew",
+                r#"{"boot_ms":8000}"#,
+            ),
+            (
+                "renew-removed",
+                "POST /upstreams/u06/renew",
+                r#"{"boot_ms":6000}"#,
+            ),
             ("drain-again", "POST /upstreams/u02/drain", ""),
             ("delete", "DELETE /upstreams/u12", ""),
         ] {
@@ -134,5 +157,9 @@
         .filter_map(|entry| entry.split('"').next())
         .collect();
     assert_eq!(removed, ["u01", "u05"], "{told}");
-    assert!(started.elapsed() >= Duration::from_millis(1500), "{:?}", started.elapsed());
+    assert!(
+        started.elapsed() >= Duration::from_millis(1500),
+        "{:?}",
+        started.elapsed()
+    );
 }
--- a/registry/tests/support/mod.rs
+++ b/registry/tests/support/mod.rs
@@ -86,7 +86,10 @@
         let (sender, bound) = mpsc::channel();
         let (stop, stopped) = oneshot::channel();
         let thread = std::thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+            let runtime = tokio::runtime::Builder::new_multi_thread()
+                .worker_threads(2)
+                .enable_all()
+                .build();
             let runtime = runtime.expect("a runtime");
             tracing::subscriber::with_default(AddressSubscriber(sender), || {
                 runtime.block_on(async {
@@ -97,9 +100,19 @@
                 });
             });
         });
-        let bound = bound.recv_timeout(READ_TIMEOUT).expect("the service is bound");
-        let (read, write) = (bound.read.expect("an address"), bound.write.expect("an address"));
-        Self { read, write, stop: Some(stop), thread: Some(thread) }
+        let bound = bound
+            .recv_timeout(READ_TIMEOUT)
+            .expect("the service is bound");
+        let (read, write) = (
+            bound.read.expect("an address"),
+            bound.write.expect("an address"),
+        );
+        Self {
+            read,
+            write,
+            stop: Some(stop),
+            thread: Some(thread),
+        }
     }
 
     /// Sends a whole request to the writing side; its response.
@@ -120,7 +133,10 @@
         }
         if let Some(thread) = self.thread.take() {
             let ended = thread.join();
-            assert!(ended.is_ok() || std::thread::panicking(), "the service has panicked");
+            assert!(
+                ended.is_ok() || std::thread::panicking(),
+                "the service has panicked"
+            );
         }
     }
 }
@@ -134,7 +150,9 @@
 
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("the service listens");
-    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a timeout");
+    stream
+        .set_read_timeout(Some(READ_TIMEOUT))
+        .expect("a timeout");
     stream
 }
 
@@ -143,7 +161,9 @@
     let mut stream = connect(address);
     stream.write_all(request).expect("sent");
     let mut response = Vec::new();
-    stream.read_to_end(&mut response).expect("closed by the service");
+    stream
+        .read_to_end(&mut response)
+        .expect("closed by the service");
     response
 }
 
@@ -164,7 +184,9 @@
 }
 
 fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
-    bytes.windows(pattern.len()).position(|window| window == pattern)
+    bytes
+        .windows(pattern.len())
+        .position(|window| window == pattern)
 }
 
 /// A watch, and what has been read of it.
@@ -178,14 +200,21 @@
         let mut stream = connect(service.read);
         let request = format!("GET /registry/instances?{query} HTTP/1.1\r\nhost: registry\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("sent");
-        Self { stream, bytes: Vec::new() }
+        Self {
+            stream,
+            bytes: Vec::new(),
+        }
     }
 
     fn read_until(&mut self, enough: impl Fn(&[u8]) -> bool) {
         let mut buffer = [0; 4096];
         while !enough(&self.bytes) {
             let count = self.stream.read(&mut buffer).expect("more of the watch");
-            assert!(count > 0, "the watch has ended: {}", String::from_utf8_lossy(&self.bytes));
+            assert!(
+                count > 0,
+                "the watch has ended: {}",
+                String::from_utf8_lossy(&self.bytes)
+            );
             self.bytes.extend_from_slice(&buffer[..count]);
         }
     }
@@ -193,7 +222,10 @@
     /// Waits for the head and so many lines that carry endpoints.
     pub fn read_updates(&mut self, count: usize) {
         self.read_until(|bytes| {
-            let updates = bytes.windows(4).filter(|window| window == b"]}\n\r").count();
+            let updates = bytes
+                .windows(4)
+                .filter(|window| window == b"]}\n\r")
+                .count();
             // The chunk's own end follows its line.
             updates >= count && bytes.ends_with(b"\n\r\n")
         });
@@ -220,7 +252,10 @@
 }
 
 fn count(bytes: &[u8], pattern: &[u8]) -> usize {
-    bytes.windows(pattern.len()).filter(|window| *window == pattern).count()
+    bytes
+        .windows(pattern.len())
+        .filter(|window| *window == pattern)
+        .count()
 }
 
 /// An empty folder of a test's own.
@@ -233,5 +268,7 @@
 
 /// The committed data.
 pub fn data(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(name)
 }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -18,7 +18,7 @@
 const FORMAT: u64 = 1;
 const FILE: &str = "list.redb";
 const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
-const NUMBERS: TableDefinition<'_, &str, u64> = TableDefinition::new("numbers");
+const COUNTERS: TableDefinition<'_, &str, u64> = TableDefinition::new("numbers");
 const OWNERS: TableDefinition<'_, &str, &str> = TableDefinition::new("owners");
 
 /// Whose a store is.
@@ -100,7 +100,7 @@
 
 /// What was kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct Snapshot {
     /// The version.
     pub version: u64,
     /// The records, in the order of their keys.
@@ -117,7 +117,7 @@
 
 impl Store {
     /// Opens the store in a folder, or begins one there.
-    pub fn open(folder: &Path, owner: &Owner) -> Result<(Self, Kept), StoreError> {
+    pub fn open(folder: &Path, owner: &Owner) -> Result<(Self, Snapshot), StoreError> {
         let refused = |source| StoreError::Folder {
             path: folder.to_owned(),
             source,
@@ -132,7 +132,7 @@
             .open(&path);
         let file = file.map_err(refused)?;
         match redb::backends::FileBackend::new(file) {
-            Ok(backend) => Self::on(backend, path, owner),
+            Ok(backend) => Self::open_on_backend(backend, path, owner),
             Err(e) => Err(StoreError::Damaged {
                 path,
                 reason: e.to_string(),
@@ -141,11 +141,11 @@
     }
 
     /// Opens a store on any backend: what a test loses power with.
-    pub fn on(
+    pub fn open_on_backend(
         backend: impl StorageBackend,
         path: PathBuf,
         owner: &Owner,
-    ) -> Result<(Self, Kept), StoreError> {
+    ) -> Result<(Self, Snapshot), StoreError> {
         let damaged = |reason: String| StoreError::Damaged {
             path: path.clone(),
             reason,
@@ -227,7 +227,7 @@
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
         Err(e) => return Err(e.into()),
     };
-    let numbers = transaction.open_table(NUMBERS)?;
+    let numbers = transaction.open_table(COUNTERS)?;
     let text = |key| {
         Ok::<_, Failure>(
             owners
@@ -252,7 +252,7 @@
         let mut owners = transaction.open_table(OWNERS)?;
         owners.insert("fleet", owner.fleet.as_str())?;
         owners.insert("process", owner.process.as_str())?;
-        let mut numbers = transaction.open_table(NUMBERS)?;
+        let mut numbers = transaction.open_table(COUNTERS)?;
         numbers.insert("format", FORMAT)?;
         numbers.insert("version", 0)?;
         transaction.open_table(RECORDS)?;
@@ -261,10 +261,10 @@
     Ok(())
 }
 
-fn read(database: &Database) -> Result<Kept, Failure> {
+fn read(database: &Database) -> Result<Snapshot, Failure> {
     let transaction = database.begin_read()?;
     let version = transaction
-        .open_table(NUMBERS)?
+        .open_table(COUNTERS)?
         .get("version")?
         .map_or(0, |v| v.value());
     let mut records = Vec::new();
@@ -272,7 +272,7 @@
         let (key, value) = record?;
         records.push((key.value().to_owned(), value.value().to_vec()));
     }
-    Ok(Kept { version, records })
+    Ok(Snapshot { version, records })
 }
 
 fn write(database: &Database, version: u64, changes: &[Change]) -> Result<(), Failure> {
@@ -285,7 +285,7 @@
                 Change::Delete(key) => drop(records.remove(key.as_str())?),
             }
         }
-        let mut numbers = transaction.open_table(NUMBERS)?;
+        let mut numbers = transaction.open_table(COUNTERS)?;
         let before = numbers.get("version")?.map_or(0, |v| v.value());
         numbers.insert("version", version.max(before))?;
     }
@@ -315,7 +315,7 @@
     fn what_was_committed_is_there_after_a_restart() {
         let folder = folder("restart");
         let (mut store, kept) = Store::open(&folder, &owner("r0")).expect("new");
-        assert_eq!(kept, Kept::default());
+        assert_eq!(kept, Snapshot::default());
         store
             .commit(
                 3,
@@ -333,7 +333,7 @@
         let (_, kept) = Store::open(&folder, &owner("r0")).expect("its own");
         assert_eq!(
             kept,
-            Kept {
+            Snapshot {
                 version: 4,
                 records: vec![("b".into(), b"2".to_vec())]
             }
--- a/store/tests/fixtures.rs
+++ b/store/tests/fixtures.rs
@@ -1,13 +1,15 @@
 //! Opens folders that revision d26284e wrote, and compares them entry by entry. See `data/README.md`.
 
-use frostkeel_store::{Change, Kept, Owner, Store, StoreError};
+use frostkeel_store::{Change, Owner, Snapshot, Store, StoreError};
 use std::fs;
 use std::path::{Path, PathBuf};
 
 const FOLDERS: [&str; 2] = ["closed", "killed"];
 
 fn data(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(name)
 }
 
 /// A copy of a recorded folder: opening one writes to it.
@@ -20,19 +22,28 @@
 }
 
 fn owner() -> Owner {
-    Owner { fleet: "fixtures".into(), process: "r0".into() }
+    Owner {
+        fleet: "fixtures".into(),
+        process: "r0".into(),
+    }
 }
 
 /// The recorded version and entries: a line `version N`, then a line `KEY<tab>VALUE` for each entry.
-fn recorded() -> Kept {
+fn recorded() -> Snapshot {
     let text = fs::read_to_string(data("records.txt")).expect("the recorded entries");
     let mut lines = text.lines();
-    let version = lines.next().and_then(|line| line.strip_prefix("version ")).expect("a version");
+    let version = lines
+        .next()
+        .and_then(|line| line.strip_prefix("version "))
+        .expect("a version");
     let entry = |line: &str| {
         let (key, value) = line.split_once('\t').expect("a key and a value");
         (key.to_owned(), value.as_bytes().to_vec())
     };
-    Kept { version: version.parse().expect("a number"), records: lines.map(entry).collect() }
+    Snapshot {
+        version: version.parse().expect("a number"),
+        records: lines.map(entry).collect(),
+    }
 }
 
 #[test]
@@ -45,10 +56,17 @@
         assert_eq!(found.records.len(), recorded.records.len(), "{folder}");
         for (found, recorded) in found.records.iter().zip(&recorded.records) {
             let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-            assert_eq!((&found.0, text(&found.1)), (&recorded.0, text(&recorded.1)), "{folder}");
+            assert_eq!(
+                (&found.0, text(&found.1)),
+                (&recorded.0, text(&recorded.1)),
+                "{folder}"
+            );
         }
         for removed in ["u06", "u09", "u11"] {
-            assert!(found.records.iter().all(|(key, _)| key != removed), "{folder}: {removed} was deleted");
+            assert!(
+                found.records.iter().all(|(key, _)| key != removed),
+                "{folder}: {removed} was deleted"
+            );
         }
     }
 }
@@ -58,8 +76,13 @@
     for folder in FOLDERS {
         let copied = copy(folder, "commit");
         let (mut store, mut expected) = Store::open(&copied, &owner()).expect("opened");
-        let changes = [Change::Put("u06".into(), b"{}".to_vec()), Change::Delete("u12".into())];
-        store.commit(expected.version + 1, &changes).expect("written");
+        let changes = [
+            Change::Put("u06".into(), b"{}".to_vec()),
+            Change::Delete("u12".into()),
+        ];
+        store
+            .commit(expected.version + 1, &changes)
+            .expect("written");
         drop(store);
         expected.version += 1;
         expected.records.retain(|(key, _)| key != "u12");
@@ -74,9 +97,14 @@
 fn a_recorded_folder_belongs_to_its_owner() {
     for folder in FOLDERS {
         for (fleet, process) in [("fixtures", "r1"), ("other", "r0")] {
-            let other = Owner { fleet: fleet.into(), process: process.into() };
+            let other = Owner {
+                fleet: fleet.into(),
+                process: process.into(),
+            };
             match Store::open(&copy(folder, "owner"), &other) {
-                Err(StoreError::Foreign { found, asked, .. }) => assert_eq!((found, asked), (owner(), other)),
+                Err(StoreError::Foreign { found, asked, .. }) => {
+                    assert_eq!((found, asked), (owner(), other))
+                }
                 opened => panic!("{folder}: {opened:?}"),
             }
         }
@@ -87,7 +115,9 @@
 #[test]
 fn a_folder_that_cannot_be_used_is_rejected_with_the_recorded_message() {
     let message = |folder: &Path, owner: &Owner| {
-        let error = Store::open(folder, owner).expect_err("rejected").to_string();
+        let error = Store::open(folder, owner)
+            .expect_err("rejected")
+            .to_string();
         let shown = folder.display().to_string();
         error.replace(&shown, "FOLDER")
     };
@@ -95,7 +125,13 @@
     let (store, _) = Store::open(&folder, &owner()).expect("opened");
     let in_use = message(&folder, &owner());
     drop(store);
-    let foreign = message(&folder, &Owner { fleet: "other".into(), process: "r1".into() });
+    let foreign = message(
+        &folder,
+        &Owner {
+            fleet: "other".into(),
+            process: "r1".into(),
+        },
+    );
     let file = folder.join("file");
     fs::write(&file, b"").expect("written");
     let no_folder = message(&file, &owner());
@@ -104,5 +140,8 @@
     fs::write(folder.join("list.redb"), &bytes).expect("written");
     let damaged = message(&folder, &owner());
     let messages = [in_use, foreign, no_folder, damaged].join("\n") + "\n";
-    assert_eq!(messages, fs::read_to_string(data("messages.txt")).expect("the recorded messages"));
+    assert_eq!(
+        messages,
+        fs::read_to_string(data("messages.txt")).expect("the recorded messages")
+    );
 }
--- a/store/tests/power.rs
+++ b/store/tests/power.rs
@@ -2,7 +2,7 @@
 //! acknowledged must be there, nothing half, and no version twice.
 
 use fastrand::Rng;
-use frostkeel_store::{Change, Kept, Owner, Store};
+use frostkeel_store::{Change, Owner, Snapshot, Store};
 use redb::StorageBackend;
 use std::collections::BTreeMap;
 use std::io;
@@ -140,15 +140,15 @@
     }
 }
 
-fn open(disk: &Disk) -> Result<(Store, Kept), String> {
-    Store::on(disk.clone(), "disk".into(), &owner()).map_err(|e| e.to_string())
+fn open(disk: &Disk) -> Result<(Store, Snapshot), String> {
+    Store::open_on_backend(disk.clone(), "disk".into(), &owner()).map_err(|e| e.to_string())
 }
 
 /// A scripted run: the operations of the disk, and behind which of them each commit was acknowledged, with what then
 /// was to be there.
 struct Run {
     ops: Vec<Op>,
-    acknowledged: Vec<(usize, Kept)>,
+    acknowledged: Vec<(usize, Snapshot)>,
 }
 
 fn run(commits: u64, early: bool) -> Run {
@@ -176,7 +176,7 @@
         let at = if early { begun } else { disk.state().ops.len() };
         acknowledged.push((
             at,
-            Kept {
+            Snapshot {
                 version,
                 records: records.clone().into_iter().collect(),
             },
@@ -206,7 +206,7 @@
             .iter()
             .rposition(|(at, _)| *at <= cut)
             .unwrap_or(0);
-        let states: Vec<&Kept> = run.acknowledged[done..]
+        let states: Vec<&Snapshot> = run.acknowledged[done..]
             .iter()
             .take(2)
             .map(|(_, kept)| kept)
@@ -232,7 +232,13 @@
 }
 
 /// Power is lost once more while the store recovers.
-fn again(image: &[u8], recovered: &Disk, states: &[&Kept], rng: &mut Rng, wrong: &mut Vec<String>) {
+fn again(
+    image: &[u8],
+    recovered: &Disk,
+    states: &[&Snapshot],
+    rng: &mut Rng,
+    wrong: &mut Vec<String>,
+) {
     let ops = recovered.state().ops.clone();
     let Some(cut) = (!ops.is_empty()).then(|| rng.usize(0..ops.len())) else {
         return;
