--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -7,7 +7,7 @@
 use crate::metrics::Metrics;
 use crate::publish::Published;
 use crate::writer::Writer;
-use frostkeel_store::{Owner, Store, StoreError};
+use frostkeel_store::{Owner, Store, StoreError, StoredRecord};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -54,7 +54,11 @@
     };
     let (store, kept) = tokio::task::block_in_place(|| Store::open(&config.folder, &owner))?;
     let mut entries: Vec<(EndpointRecord, Duration)> = Vec::new();
-    for (uid, bytes) in &kept.records {
+    for StoredRecord {
+        key: uid,
+        value: bytes,
+    } in &kept.records
+    {
         let entry: PersistedEntry =
             serde_json::from_slice(bytes).map_err(|e| ServiceError::Entry {
                 uid: uid.clone(),
@@ -67,7 +71,7 @@
         EndpointRegistry::new(
             config.rules(),
             Duration::ZERO,
-            kept.version,
+            kept.revision,
             entries.clone(),
         )
     };
@@ -89,7 +93,7 @@
     tracing::info!(
         read = %shown(&read, config.read),
         write = %shown(&write, config.write),
-        version = kept.version,
+        version = kept.revision,
         entries = count,
         "serving"
     );
--- a/registry/src/writer.rs
+++ b/registry/src/writer.rs
@@ -86,7 +86,7 @@
                 let answer = match (&written, answer) {
                     (_, Err(refused)) => Err(refused.into()),
                     (Ok(()), Ok(rev)) => Ok(rev),
-                    (Err(StoreError::Full), _) => Err(WriteError::NoRoom),
+                    (Err(StoreError::DiskFull), _) => Err(WriteError::NoRoom),
                     (Err(_), _) => Err(WriteError::Failed),
                 };
                 let count = if answer.is_ok() {
@@ -100,7 +100,7 @@
             }
             match written {
                 Ok(()) => {}
-                Err(StoreError::Full) => {
+                Err(StoreError::DiskFull) => {
                     tracing::warn!("no room on the disk: writes are refused, reads go on")
                 }
                 Err(e) => return Err(e),
@@ -145,14 +145,17 @@
 
 fn change((uid, entry): &DirtyEntry) -> Change {
     match entry {
-        None => Change::Delete(uid.clone()),
+        None => Change::Delete { key: uid.clone() },
         Some((record, lease)) => {
             let entry = PersistedEntry {
                 record: record.clone(),
                 lease_duration: (!lease.is_zero()).then_some(*lease),
             };
             // A record has only texts and numbers: it can always be written.
-            Change::Put(uid.clone(), serde_json::to_vec(&entry).unwrap_or_default())
+            Change::Put {
+                key: uid.clone(),
+                value: serde_json::to_vec(&entry).unwrap_or_default(),
+            }
         }
     }
 }
--- a/registry/tests/store_fixtures.rs
+++ b/registry/tests/store_fixtures.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use frostkeel_store::{Owner, Store};
+use frostkeel_store::{Owner, Store, StoredRecord};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -84,8 +84,8 @@
         process: "r0".into(),
     };
     let (_store, persisted) = Store::open(folder, &owner).expect("its own folder");
-    let mut text = format!("version {}\n", persisted.version).into_bytes();
-    for (key, value) in persisted.records {
+    let mut text = format!("version {}\n", persisted.revision).into_bytes();
+    for StoredRecord { key, value } in persisted.records {
         text.extend_from_slice(format!("{key}\t").as_bytes());
         text.extend_from_slice(&value);
         text.push(b'\n');
--- a/store/tests/fixtures.rs
+++ b/store/tests/fixtures.rs
@@ -1,6 +1,9 @@
-//! Opens folders that revision d26284e wrote, and compares them entry by entry. See `data/README.md`.
+//! Opens folders that revision d26284e wrote, and compares them entry by entry. See
+//! `data/README.md`.
 
-use frostkeel_store::{Change, Owner, Snapshot, Store, StoreError};
+#![expect(clippy::expect_used, reason = "a test helper fails by panicking")]
+
+use frostkeel_store::{Change, Owner, Snapshot, Store, StoreError, StoredRecord};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -28,7 +31,8 @@
     }
 }
 
-/// The recorded version and entries: a line `version N`, then a line `KEY<tab>VALUE` for each entry.
+/// The recorded version and entries: a line `version N`, then a line `KEY<tab>VALUE` for each
+/// entry.
 fn recorded() -> Snapshot {
     let text = fs::read_to_string(data("records.txt")).expect("the recorded entries");
     let mut lines = text.lines();
@@ -38,10 +42,13 @@
         .expect("a version");
     let entry = |line: &str| {
         let (key, value) = line.split_once('\t').expect("a key and a value");
-        (key.to_owned(), value.as_bytes().to_vec())
+        StoredRecord {
+            key: key.to_owned(),
+            value: value.as_bytes().to_vec(),
+        }
     };
     Snapshot {
-        version: version.parse().expect("a number"),
+        revision: version.parse().expect("a number"),
         records: lines.map(entry).collect(),
     }
 }
@@ -52,19 +59,16 @@
     assert_eq!(recorded.records.len(), 10, "recorded entries");
     for folder in FOLDERS {
         let (_store, found) = Store::open(&copy(folder, "open"), &owner()).expect("opened");
-        assert_eq!(found.version, recorded.version, "{folder}");
+        assert_eq!(found.revision, recorded.revision, "{folder}");
         assert_eq!(found.records.len(), recorded.records.len(), "{folder}");
         for (found, recorded) in found.records.iter().zip(&recorded.records) {
             let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-            assert_eq!(
-                (&found.0, text(&found.1)),
-                (&recorded.0, text(&recorded.1)),
-                "{folder}"
-            );
+            assert_eq!(found.key, recorded.key, "{folder}");
+            assert_eq!(text(&found.value), text(&recorded.value), "{folder}");
         }
         for removed in ["u06", "u09", "u11"] {
             assert!(
-                found.records.iter().all(|(key, _)| key != removed),
+                found.records.iter().all(|record| record.key != removed),
                 "{folder}: {removed} was deleted"
             );
         }
@@ -77,17 +81,23 @@
         let copied = copy(folder, "commit");
         let (mut store, mut expected) = Store::open(&copied, &owner()).expect("opened");
         let changes = [
-            Change::Put("u06".into(), b"{}".to_vec()),
-            Change::Delete("u12".into()),
+            Change::Put {
+                key: "u06".into(),
+                value: b"{}".to_vec(),
+            },
+            Change::Delete { key: "u12".into() },
         ];
         store
-            .commit(expected.version + 1, &changes)
+            .commit(expected.revision + 1, &changes)
             .expect("written");
         drop(store);
-        expected.version += 1;
-        expected.records.retain(|(key, _)| key != "u12");
-        expected.records.push(("u06".into(), b"{}".to_vec()));
-        expected.records.sort();
+        expected.revision += 1;
+        expected.records.retain(|record| record.key != "u12");
+        expected.records.push(StoredRecord {
+            key: "u06".into(),
+            value: b"{}".to_vec(),
+        });
+        expected.records.sort_by(|a, b| a.key.cmp(&b.key));
         let (_store, found) = Store::open(&copied, &owner()).expect("opened again");
         assert_eq!(found, expected, "{folder}");
     }
@@ -102,9 +112,9 @@
                 process: process.into(),
             };
             match Store::open(&copy(folder, "owner"), &other) {
-                Err(StoreError::Foreign { found, asked, .. }) => {
-                    assert_eq!((found, asked), (owner(), other))
-                }
+                Err(StoreError::Foreign {
+                    found, expected, ..
+                }) => assert_eq!((found, expected), (owner(), other)),
                 opened => panic!("{folder}: {opened:?}"),
             }
         }
--- /dev/null
+++ b/store/tests/power_loss.rs
@@ -0,0 +1,405 @@
+//! Simulates a power loss at every write and sync of a scripted run, and loses the writes that were
+//! not synced in four ways. Every acknowledged commit must be there, none in part, and no other
+//! content.
+
+#![expect(clippy::expect_used, reason = "a test helper fails by panicking")]
+
+use fastrand::Rng;
+use frostkeel_store::{Change, Owner, Snapshot, Store, StoreError, StoredRecord};
+use redb::StorageBackend;
+use std::collections::BTreeMap;
+use std::io;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// The unit of a write that a disk writes as a whole.
+const SECTOR_SIZE: usize = 512;
+
+#[derive(Clone, Debug)]
+enum Operation {
+    Write { offset: u64, data: Vec<u8> },
+    SetLength(u64),
+    Sync,
+}
+
+#[derive(Debug, Default)]
+struct DiskState {
+    image: Vec<u8>,
+    operations: Vec<Operation>,
+}
+
+/// A disk in memory that records all operations.
+#[derive(Clone, Debug, Default)]
+struct RecordingDisk(Arc<Mutex<DiskState>>);
+
+impl RecordingDisk {
+    fn with_image(image: Vec<u8>) -> Self {
+        Self(Arc::new(Mutex::new(DiskState {
+            image,
+            operations: Vec::new(),
+        })))
+    }
+
+    fn state(&self) -> MutexGuard<'_, DiskState> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn operations(&self) -> Vec<Operation> {
+        self.state().operations.clone()
+    }
+
+    fn execute(&self, operation: Operation) {
+        let state = &mut *self.state();
+        execute(&mut state.image, &operation);
+        state.operations.push(operation);
+    }
+}
+
+fn execute(image: &mut Vec<u8>, operation: &Operation) {
+    match operation {
+        // If the file was not extended, what was written behind its end is lost.
+        Operation::Write { offset, data } => {
+            let offset = *offset as usize;
+            let (start, end) = (
+                image.len().min(offset),
+                image.len().min(offset + data.len()),
+            );
+            image[start..end].copy_from_slice(&data[..end - start]);
+        }
+        Operation::SetLength(length) => image.resize(*length as usize, 0),
+        Operation::Sync => {}
+    }
+}
+
+impl StorageBackend for RecordingDisk {
+    fn len(&self) -> Result<u64, io::Error> {
+        Ok(self.state().image.len() as u64)
+    }
+
+    fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), io::Error> {
+        let state = self.state();
+        let data = state
+            .image
+            .get(offset as usize..offset as usize + out.len());
+        out.copy_from_slice(data.ok_or(io::ErrorKind::UnexpectedEof)?);
+        Ok(())
+    }
+
+    fn set_len(&self, length: u64) -> Result<(), io::Error> {
+        self.execute(Operation::SetLength(length));
+        Ok(())
+    }
+
+    fn sync_data(&self) -> Result<(), io::Error> {
+        self.execute(Operation::Sync);
+        Ok(())
+    }
+
+    fn write(&self, offset: u64, data: &[u8]) -> Result<(), io::Error> {
+        self.execute(Operation::Write {
+            offset,
+            data: data.to_vec(),
+        });
+        Ok(())
+    }
+}
+
+/// How the writes that were not synced are lost.
+#[derive(Clone, Copy, Debug)]
+enum LossMode {
+    AllLost,
+    NoneLost,
+    /// Any of them is lost: a later one may be there without an earlier one.
+    Reordered,
+    /// Of each of them, any sectors are lost.
+    Torn,
+}
+
+const LOSS_MODES: [LossMode; 4] = [
+    LossMode::AllLost,
+    LossMode::NoneLost,
+    LossMode::Reordered,
+    LossMode::Torn,
+];
+
+/// The disk's image after a power loss.
+fn image_after_loss(
+    durable: &[u8],
+    unsynced: &[Operation],
+    mode: LossMode,
+    rng: &mut Rng,
+) -> Vec<u8> {
+    let mut image = durable.to_vec();
+    let mut operations: Vec<Operation> = unsynced.to_vec();
+    match mode {
+        LossMode::AllLost => operations.clear(),
+        LossMode::NoneLost => {}
+        // In whatever order they are written, a sector never ends with an older content than it
+        // had.
+        LossMode::Reordered => operations.retain(|_| rng.bool()),
+        LossMode::Torn => {
+            let sectors = operations.iter().flat_map(split_into_sectors);
+            operations = sectors.filter(|_| rng.bool()).collect();
+        }
+    }
+    operations
+        .iter()
+        .for_each(|operation| execute(&mut image, operation));
+    image
+}
+
+fn split_into_sectors(operation: &Operation) -> Vec<Operation> {
+    let Operation::Write { offset, data } = operation else {
+        return vec![operation.clone()];
+    };
+    let sectors = data
+        .chunks(SECTOR_SIZE)
+        .enumerate()
+        .map(|(index, sector)| Operation::Write {
+            offset: offset + (index * SECTOR_SIZE) as u64,
+            data: sector.to_vec(),
+        });
+    sectors.collect()
+}
+
+fn open(disk: &RecordingDisk) -> Result<(Store, Snapshot), StoreError> {
+    let owner = Owner {
+        fleet: "power".into(),
+        process: "r0".into(),
+    };
+    Store::open_on_backend(disk.clone(), "disk".into(), &owner)
+}
+
+/// When a run counts a commit as acknowledged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Acknowledgement {
+    AfterCommit,
+    /// A fault of the caller, which the checks must detect.
+    BeforeCommit,
+}
+
+/// Whether the disk honors a sync.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum SyncMode {
+    Honored,
+    /// A fault of the disk, which the checks must detect.
+    Ignored,
+}
+
+/// Whether power is lost once more while the store recovers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RecoveryLoss {
+    None,
+    Once,
+}
+
+/// A commit that was acknowledged, and the content after it.
+struct AcknowledgedCommit {
+    /// The number of operations of the disk before the acknowledgement.
+    operation_count: usize,
+    content: Snapshot,
+}
+
+/// A scripted run.
+struct Run {
+    operations: Vec<Operation>,
+    acknowledged: Vec<AcknowledgedCommit>,
+}
+
+fn random_changes(rng: &mut Rng) -> Vec<Change> {
+    let count = rng.usize(1..5);
+    let changes = (0..count).map(|_| {
+        let key = format!("u{}", rng.u32(0..40));
+        match rng.u8(0..4) {
+            0 => Change::Delete { key },
+            _ => {
+                let value = (0..rng.usize(20..400)).map(|_| rng.u8(..)).collect();
+                Change::Put { key, value }
+            }
+        }
+    });
+    changes.collect()
+}
+
+fn apply(records: &mut BTreeMap<String, Vec<u8>>, changes: &[Change]) {
+    for change in changes {
+        match change {
+            Change::Put { key, value } => drop(records.insert(key.clone(), value.clone())),
+            Change::Delete { key } => drop(records.remove(key)),
+        }
+    }
+}
+
+fn content(revision: u64, records: &BTreeMap<String, Vec<u8>>) -> Snapshot {
+    let records = records.iter();
+    let records = records.map(|(key, value)| StoredRecord {
+        key: key.clone(),
+        value: value.clone(),
+    });
+    Snapshot {
+        revision,
+        records: records.collect(),
+    }
+}
+
+fn run(commit_count: u64, acknowledgement: Acknowledgement) -> Run {
+    let (disk, mut rng) = (RecordingDisk::default(), Rng::with_seed(5));
+    let (mut store, initial) = open(&disk).expect("a new store");
+    let operation_count = disk.operations().len();
+    let mut acknowledged = vec![AcknowledgedCommit {
+        operation_count,
+        content: initial,
+    }];
+    let mut records: BTreeMap<String, Vec<u8>> = BTreeMap::new();
+    for revision in 1..=commit_count {
+        let changes = random_changes(&mut rng);
+        apply(&mut records, &changes);
+        let count_before = disk.operations().len();
+        store.commit(revision, &changes).expect("committed");
+        let operation_count = match acknowledgement {
+            Acknowledgement::AfterCommit => disk.operations().len(),
+            Acknowledgement::BeforeCommit => count_before,
+        };
+        let content = content(revision, &records);
+        acknowledged.push(AcknowledgedCommit {
+            operation_count,
+            content,
+        });
+    }
+    Run {
+        operations: disk.operations(),
+        acknowledged,
+    }
+}
+
+impl Run {
+    /// The contents that a store may have after a power loss: the last acknowledged one, and the
+    /// one after it.
+    fn permitted_contents(&self, operation_count: usize) -> Vec<&Snapshot> {
+        let is_acknowledged =
+            |commit: &AcknowledgedCommit| commit.operation_count <= operation_count;
+        let last = self
+            .acknowledged
+            .iter()
+            .rposition(is_acknowledged)
+            .unwrap_or(0);
+        self.acknowledged[last..]
+            .iter()
+            .take(2)
+            .map(|commit| &commit.content)
+            .collect()
+    }
+}
+
+/// What simulated power losses have shown.
+#[derive(Debug, Default)]
+struct Findings {
+    loss_count: usize,
+    violations: Vec<String>,
+}
+
+impl Findings {
+    /// Opens the store on a disk, and checks its content.
+    fn check(&mut self, disk: &RecordingDisk, permitted: &[&Snapshot], context: &str) {
+        match open(disk) {
+            Ok((_, found)) if permitted.contains(&&found) => {}
+            Ok((_, found)) => self.violations.push(format!(
+                "{context}: revision {} after {} was acknowledged",
+                found.revision, permitted[0].revision
+            )),
+            Err(e) => self.violations.push(format!("{context}: {e}")),
+        }
+    }
+}
+
+/// Loses power after every `step`th operation, in each mode.
+fn lose_power(run: &Run, step: usize, sync_mode: SyncMode, recovery: RecoveryLoss) -> Findings {
+    let (mut rng, mut findings) = (Rng::with_seed(9), Findings::default());
+    let (mut durable, mut synced) = (Vec::new(), 0);
+    for index in 0..run.operations.len() {
+        let is_sync = matches!(run.operations[index], Operation::Sync);
+        if is_sync && sync_mode == SyncMode::Honored {
+            run.operations[synced..index]
+                .iter()
+                .for_each(|operation| execute(&mut durable, operation));
+            synced = index;
+        }
+        if index < run.acknowledged[0].operation_count || index % step != 0 {
+            continue;
+        }
+        let permitted = run.permitted_contents(index);
+        for mode in LOSS_MODES {
+            findings.loss_count += 1;
+            let unsynced = &run.operations[synced..=index];
+            let image = image_after_loss(&durable, unsynced, mode, &mut rng);
+            let disk = RecordingDisk::with_image(image.clone());
+            findings.check(
+                &disk,
+                &permitted,
+                &format!("{mode:?} after operation {index}"),
+            );
+            if recovery == RecoveryLoss::Once {
+                lose_power_in_recovery(&image, &disk, &permitted, &mut rng, &mut findings);
+            }
+        }
+    }
+    findings
+}
+
+/// Loses power once more during the recovery of a store, whose operations are on the `recovered`
+/// disk.
+fn lose_power_in_recovery(
+    image: &[u8],
+    recovered: &RecordingDisk,
+    permitted: &[&Snapshot],
+    rng: &mut Rng,
+    findings: &mut Findings,
+) {
+    let operations = recovered.operations();
+    if operations.is_empty() {
+        return;
+    }
+    let index = rng.usize(0..operations.len());
+    let is_sync = |operation: &Operation| matches!(operation, Operation::Sync);
+    let synced = operations[..index].iter().rposition(is_sync).unwrap_or(0);
+    let mut durable = image.to_vec();
+    operations[..synced]
+        .iter()
+        .for_each(|operation| execute(&mut durable, operation));
+    let mode = LOSS_MODES[rng.usize(0..LOSS_MODES.len())];
+    let image = image_after_loss(&durable, &operations[synced..=index], mode, rng);
+    let disk = RecordingDisk::with_image(image);
+    findings.check(&disk, permitted, &format!("{mode:?} in the recovery"));
+}
+
+#[test]
+fn acknowledged_commits_survive_sampled_power_losses() {
+    let run = run(40, Acknowledgement::AfterCommit);
+    let findings = lose_power(&run, 7, SyncMode::Honored, RecoveryLoss::Once);
+    assert_eq!(findings.violations, Vec::<String>::new());
+    assert!(findings.loss_count > 100, "{}", findings.loss_count);
+}
+
+/// The checks must detect faults.
+#[test]
+fn ignored_syncs_and_early_acknowledgements_are_detected() {
+    let late_run = run(40, Acknowledgement::AfterCommit);
+    let ignored = lose_power(&late_run, 7, SyncMode::Ignored, RecoveryLoss::None);
+    assert!(!ignored.violations.is_empty(), "nothing was ever synced");
+    let early_run = run(40, Acknowledgement::BeforeCommit);
+    let early = lose_power(&early_run, 1, SyncMode::Honored, RecoveryLoss::None);
+    assert!(
+        !early.violations.is_empty(),
+        "acknowledged before it was written"
+    );
+}
+
+/// The long form, run by hand: every operation of at least 2,000.
+#[test]
+#[ignore = "takes minutes; cargo test --release -p frostkeel-store -- --ignored"]
+fn acknowledged_commits_survive_a_power_loss_at_every_operation() {
+    let run = run(400, Acknowledgement::AfterCommit);
+    assert!(run.operations.len() >= 2000, "{}", run.operations.len());
+    let findings = lose_power(&run, 1, SyncMode::Honored, RecoveryLoss::Once);
+    println!("{} operations, {findings:#?}", run.operations.len());
+    assert_eq!(findings.violations, Vec::<String>::new());
+}
