--- a/registry/src/command.rs
+++ b/registry/src/command.rs
@@ -1,104 +1,162 @@
-//! What the list holds, what can be asked of it, and why that is refused.
+//! The commands that change the endpoint list, and the reasons for which one is rejected.
 
 use crate::endpoint::EndpointRecord;
+use std::net::{AddrParseError, SocketAddr};
+use std::ops::RangeInclusive;
 use std::time::Duration;
 use thiserror::Error;
 
-/// The most bytes of a text in an entry.
-const TEXT_MOST: usize = 128;
+/// The maximum length of a text field of an endpoint, in bytes.
+const MAX_TEXT_LENGTH: usize = 128;
+/// The weights that an endpoint can have.
+const WEIGHT_RANGE: RangeInclusive<f64> = 0.0..=1e6;
+/// The durations that a lease can have.
+const LEASE_RANGE: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(3600);
 
-/// What is asked of the list.
+/// A command that changes the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// It is there, for as long as its lease is renewed.
+    /// Adds an endpoint, or replaces it. It stays on the list for as long as its lease is renewed.
     Register {
-        /// How it is to be shown; its state counts for nothing.
+        /// The endpoint. Its state is ignored.
         record: EndpointRecord,
-        /// How long its lease lasts.
-        lease: Duration,
+        /// The duration of its lease.
+        lease_duration: Duration,
     },
-    /// It is still there.
+    /// Renews the lease of an endpoint.
     Renew {
-        /// Who.
+        /// The endpoint's uid.
         uid: String,
-        /// In which life.
+        /// The start of the incarnation that renews.
         boot_ms: u64,
     },
-    /// It is to get nothing new.
+    /// Marks an endpoint as terminating, so that it gets no new requests.
     Drain {
-        /// Who.
+        /// The endpoint's uid.
         uid: String,
     },
-    /// It is no more.
+    /// Removes an endpoint.
     Deregister {
-        /// Who.
+        /// The endpoint's uid.
         uid: String,
-        /// In which life; `None`: in whichever it is.
+        /// The start of the incarnation to remove, or `None` for any.
         boot_ms: Option<u64>,
     },
-    /// Its weight.
-    Weight {
-        /// Who.
+    /// Sets the weight of an endpoint.
+    SetWeight {
+        /// The endpoint's uid.
         uid: String,
-        /// The weight.
-        capacity_hint: f64,
+        /// The new weight.
+        weight: f64,
     },
 }
 
-/// Why a command was not carried out.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
+/// Why a command was rejected.
+#[derive(Clone, Debug, PartialEq, Error)]
 pub enum CommandError {
-    /// The list has another version than the caller goes by.
-    #[error("the list is at version {0}: read it again")]
-    Version(u64),
-    /// There is no such entry.
-    #[error("no upstream {0:?} is on the list: register it")]
-    Unknown(String),
-    /// A later life of it is known.
-    #[error("a later start of it, boot_ms {0}, is on the list: this one has been replaced")]
-    Replaced(u64),
-    /// Another one is there.
-    #[error("the endpoint is that of {0:?}, which started later or at the same time")]
-    Taken(String),
-    /// There are too many.
-    #[error("the list is full with {0} entries")]
-    Full(usize),
-    /// It cannot be meant.
-    #[error("{0}")]
-    Bad(String),
+    /// The command holds for another revision of the list.
+    #[error("the list is at version {current}: read it again")]
+    RevisionMismatch {
+        /// The revision of the list.
+        current: u64,
+    },
+    /// The endpoint is not on the list.
+    #[error("no upstream {uid:?} is on the list: register it")]
+    UnknownEndpoint {
+        /// The uid that was asked for.
+        uid: String,
+    },
+    /// A later incarnation of the endpoint is known.
+    #[error("a later start of it, boot_ms {boot_ms}, is on the list: this one has been replaced")]
+    Superseded {
+        /// The start of the incarnation that is known.
+        boot_ms: u64,
+    },
+    /// The address belongs to another endpoint.
+    #[error("the endpoint is that of {uid:?}, which started later or at the same time")]
+    AddressInUse {
+        /// The uid of that endpoint.
+        uid: String,
+    },
+    /// The list has its maximum number of endpoints.
+    #[error("the list is full with {count} entries")]
+    RegistryFull {
+        /// The number of endpoints.
+        count: usize,
+    },
+    /// A field of the command has an invalid value.
+    #[error(transparent)]
+    Invalid(#[from] InvalidField),
+}
+
+/// A field of a command that has an invalid value.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum InvalidField {
+    /// A text is too long or contains control characters.
+    #[error("{field}: {MAX_TEXT_LENGTH} bytes without control characters at most")]
+    Text {
+        /// The key of the field.
+        field: &'static str,
+    },
+    /// The uid is empty.
+    #[error("uid is empty")]
+    EmptyUid,
+    /// The address is not an IP address with a port.
+    #[error("endpoint {address:?}: an address and a port are needed")]
+    Address {
+        /// The value.
+        address: String,
+        /// The reason.
+        source: AddrParseError,
+    },
+    /// The weight is out of range.
+    #[error("capacity_hint of {weight}: 0 to 1000000 are possible")]
+    Weight {
+        /// The value.
+        weight: f64,
+    },
+    /// The duration of the lease is out of range.
+    #[error("ttl_s of {duration:?}: 1 to 3600 s are possible")]
+    LeaseDuration {
+        /// The value.
+        duration: Duration,
+    },
+}
+
+pub(crate) fn validate_weight(weight: f64) -> Result<(), InvalidField> {
+    if WEIGHT_RANGE.contains(&weight) {
+        Ok(())
+    } else {
+        Err(InvalidField::Weight { weight })
+    }
 }
 
-pub(crate) fn weight(capacity_hint: f64) -> Result<(), CommandError> {
-    let fits = capacity_hint.is_finite() && (0.0..=1e6).contains(&capacity_hint);
-    if fits {
+pub(crate) fn validate_lease(duration: Duration) -> Result<(), InvalidField> {
+    if LEASE_RANGE.contains(&duration) {
         Ok(())
     } else {
-        Err(CommandError::Bad(format!(
-            "capacity_hint of {capacity_hint}: 0 to 1000000 are possible"
-        )))
+        Err(InvalidField::LeaseDuration { duration })
     }
 }
 
-pub(crate) fn sound(record: &EndpointRecord) -> Result<(), CommandError> {
-    for (name, text) in [
+pub(crate) fn validate_record(record: &EndpointRecord) -> Result<(), InvalidField> {
+    for (field, text) in [
         ("uid", &record.uid),
         ("az", &record.zone),
         ("model", &record.model),
     ] {
-        if text.len() > TEXT_MOST || text.chars().any(char::is_control) {
-            return Err(CommandError::Bad(format!(
-                "{name}: {TEXT_MOST} bytes without control characters at most"
-            )));
+        if text.len() > MAX_TEXT_LENGTH || text.chars().any(char::is_control) {
+            return Err(InvalidField::Text { field });
         }
     }
     if record.uid.is_empty() {
-        return Err(CommandError::Bad("uid is empty".into()));
+        return Err(InvalidField::EmptyUid);
     }
-    if record.address.parse::<std::net::SocketAddr>().is_err() {
-        return Err(CommandError::Bad(format!(
-            "endpoint {:?}: an address and a port are needed",
-            record.address
-        )));
+    if let Err(source) = record.address.parse::<SocketAddr>() {
+        return Err(InvalidField::Address {
+            address: record.address.clone(),
+            source,
+        });
     }
-    weight(record.weight)
+    validate_weight(record.weight)
 }
--- a/registry/src/config.rs
+++ b/registry/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a list service, in TOML.
 
-use crate::list::RegistryPolicy;
+use crate::endpoint_registry::RegistryPolicy;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -74,11 +74,13 @@
 impl Default for Leases {
     fn default() -> Self {
         let RegistryPolicy {
-            lapse_share, grace, ..
+            max_expired_share,
+            grace_period,
+            ..
         } = RegistryPolicy::default();
         Self {
-            lapse_share,
-            grace_s: grace.as_secs_f64(),
+            lapse_share: max_expired_share,
+            grace_s: grace_period.as_secs_f64(),
         }
     }
 }
@@ -121,8 +123,8 @@
         RegistryPolicy {
             max_endpoints: self.limits.entries,
             max_retained_changes: self.limits.changes,
-            lapse_share: self.leases.lapse_share,
-            grace: Duration::from_secs_f64(self.leases.grace_s),
+            max_expired_share: self.leases.lapse_share,
+            grace_period: Duration::from_secs_f64(self.leases.grace_s),
             ..RegistryPolicy::default()
         }
     }
--- a/registry/src/endpoint.rs
+++ b/registry/src/endpoint.rs
@@ -66,7 +66,8 @@
     }
 }
 
-/// The whole endpoint list, or what has changed of it: the response to a list request, and a line of a watch.
+/// The whole endpoint list, or what has changed of it: the response to a list request, and a line
+/// of a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointUpdate<R = EndpointRecord> {
     /// The revision of the list after this update.
@@ -80,12 +81,22 @@
     pub records: Vec<R>,
 }
 
+/// A change of one endpoint.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointChange {
+    /// The revision of the list after the change.
+    pub revision: u64,
+    /// The endpoint after the change.
+    pub record: EndpointRecord,
+}
+
 /// An entry as it is persisted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedEntry {
     /// The endpoint.
     pub record: EndpointRecord,
-    /// The duration of the endpoint's lease. The time of its expiry is not persisted, as the wall clock may be set.
+    /// The duration of the endpoint's lease. The time of its expiry is not persisted, as the wall
+    /// clock may be set.
     #[serde(rename = "lease_ms", with = "lease_ms")]
     pub lease_duration: Option<Duration>,
 }
--- /dev/null
+++ b/registry/src/endpoint_registry.rs
@@ -0,0 +1,429 @@
+//! The endpoint list as a state machine: commands and time in, changes out. It does no I/O and
+//! reads no clock.
+
+use crate::change_log::{ChangeLog, LoggedChange};
+use crate::command::{Command, CommandError, validate_lease, validate_record, validate_weight};
+use crate::endpoint::{
+    EndpointChange, EndpointRecord, EndpointState, EndpointUpdate, PersistedEntry,
+};
+use crate::lease::{Lease, SelfPreservation};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// The limits of the list, and when the expiry of leases is enforced.
+#[derive(Clone, Debug)]
+pub struct RegistryPolicy {
+    /// The maximum number of endpoints.
+    pub max_endpoints: usize,
+    /// The number of changes that are retained for watches to resume from.
+    pub max_retained_changes: usize,
+    /// The share of the leases that may expire together. If more do, none is enforced.
+    pub max_expired_share: f64,
+    /// The time after a start or a pause of the service in which no lease is enforced.
+    pub grace_period: Duration,
+    /// The time between two ticks from which on the service counts as paused.
+    pub pause_threshold: Duration,
+}
+
+impl Default for RegistryPolicy {
+    fn default() -> Self {
+        Self {
+            max_endpoints: 20_000,
+            max_retained_changes: 10_000,
+            max_expired_share: 0.2,
+            grace_period: Duration::from_secs(15),
+            pause_threshold: Duration::from_secs(2),
+        }
+    }
+}
+
+/// The number of endpoints by state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// Endpoints that accept requests.
+    pub ready: usize,
+    /// Endpoints that drain.
+    pub terminating: usize,
+}
+
+/// An entry that has to be persisted.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DirtyEntry {
+    /// The endpoint's uid.
+    pub uid: String,
+    /// The entry, or `None` if it has been removed.
+    pub entry: Option<PersistedEntry>,
+}
+
+#[derive(Clone, Debug)]
+struct Entry {
+    record: EndpointRecord,
+    /// The revision of the last change.
+    revision: u64,
+    lease: Option<Lease>,
+}
+
+/// The endpoint list. Removed entries stay in it for as long as their last change is retained.
+#[derive(Debug)]
+pub struct EndpointRegistry {
+    policy: RegistryPolicy,
+    entries: BTreeMap<String, Entry>,
+    changes: ChangeLog,
+    self_preservation: SelfPreservation,
+    /// The uids of the entries that have changed since they were last taken to be persisted.
+    dirty: BTreeSet<String>,
+}
+
+impl EndpointRegistry {
+    /// Restores a list from its persisted entries. Each lease begins anew, so that a restart ends
+    /// none.
+    pub fn restore(
+        policy: RegistryPolicy,
+        now: Duration,
+        revision: u64,
+        persisted: Vec<PersistedEntry>,
+    ) -> Self {
+        let restore_entry = |PersistedEntry {
+                                 record,
+                                 lease_duration,
+                             }| {
+            let lease = lease_duration.map(|duration| Lease::new(duration, now));
+            (
+                record.uid.clone(),
+                Entry {
+                    record,
+                    revision,
+                    lease,
+                },
+            )
+        };
+        Self {
+            entries: persisted.into_iter().map(restore_entry).collect(),
+            changes: ChangeLog::new(revision, policy.max_retained_changes),
+            self_preservation: SelfPreservation::new(&policy, now),
+            dirty: BTreeSet::new(),
+            policy,
+        }
+    }
+
+    /// The revision of the list, which goes up by one with each change.
+    pub fn revision(&self) -> u64 {
+        self.changes.revision()
+    }
+
+    /// Whether entries are retained whose leases have expired, as too many have at once.
+    pub fn is_self_preserving(&self) -> bool {
+        self.self_preservation.is_active()
+    }
+
+    /// The number of endpoints by state.
+    pub fn counts(&self) -> EndpointCounts {
+        let count = |state| {
+            self.entries
+                .values()
+                .filter(|entry| entry.record.state == state)
+                .count()
+        };
+        EndpointCounts {
+            ready: count(EndpointState::Ready),
+            terminating: count(EndpointState::Terminating),
+        }
+    }
+
+    /// The update that brings a reader from a revision to the current one. It is the whole list if
+    /// the reader has none, or if the changes since then are not retained.
+    pub fn update_since(&self, revision: Option<u64>) -> EndpointUpdate<&EndpointRecord> {
+        match revision.filter(|revision| self.changes.can_resume_from(*revision)) {
+            Some(revision) => self.delta_since(revision),
+            None => self.snapshot(),
+        }
+    }
+
+    fn delta_since(&self, revision: u64) -> EndpointUpdate<&EndpointRecord> {
+        let changed = self.changes.changes_after(revision);
+        let entries = changed.filter_map(|(_, uid)| self.entries.get(uid));
+        let mut records: Vec<&EndpointRecord> = entries.map(|entry| &entry.record).collect();
+        records.sort_by(|a, b| a.uid.cmp(&b.uid));
+        EndpointUpdate {
+            revision: self.revision(),
+            is_snapshot: false,
+            records,
+        }
+    }
+
+    fn snapshot(&self) -> EndpointUpdate<&EndpointRecord> {
+        let records = self.listed_records().collect();
+        EndpointUpdate {
+            revision: self.revision(),
+            is_snapshot: true,
+            records,
+        }
+    }
+
+    fn listed_records(&self) -> impl Iterator<Item = &EndpointRecord> {
+        self.entries
+            .values()
+            .map(|entry| &entry.record)
+            .filter(|record| !record.is_removed())
+    }
+
+    /// Takes the entries that have changed since the last call.
+    pub fn take_dirty(&mut self) -> Vec<DirtyEntry> {
+        let dirty = std::mem::take(&mut self.dirty);
+        let to_persist = |uid: String| {
+            let entry = self
+                .entries
+                .get(&uid)
+                .filter(|entry| !entry.record.is_removed());
+            let entry = entry.map(|entry| PersistedEntry {
+                record: entry.record.clone(),
+                lease_duration: entry.lease.map(|lease| lease.duration),
+            });
+            DirtyEntry { uid, entry }
+        };
+        dirty.into_iter().map(to_persist).collect()
+    }
+
+    /// The last change of each endpoint that has changed after a revision, in their order.
+    pub fn changes_after(&self, revision: u64) -> Vec<EndpointChange> {
+        let changed = self.changes.changes_after(revision);
+        let changes = changed.filter_map(|(revision, uid)| {
+            let record = self.entries.get(uid)?.record.clone();
+            Some(EndpointChange { revision, record })
+        });
+        changes.collect()
+    }
+
+    /// Applies the changes of the list that this one replicates.
+    pub fn replicate(&mut self, changes: Vec<EndpointChange>) {
+        for EndpointChange { revision, record } in changes {
+            let uid = record.uid.clone();
+            let new_entry = || Entry {
+                record: record.clone(),
+                revision: 0,
+                lease: None,
+            };
+            let entry = self.entries.entry(uid.clone()).or_insert_with(new_entry);
+            entry.record = record;
+            self.changes.replicate(&uid, entry.revision, revision);
+            entry.revision = revision;
+            self.compact();
+        }
+    }
+
+    /// Executes a command, if the list is at the expected revision. Returns the revision after it;
+    /// a command that changes nothing leaves the revision as it is.
+    pub fn apply(
+        &mut self,
+        now: Duration,
+        command: Command,
+        expected_revision: Option<u64>,
+    ) -> Result<u64, CommandError> {
+        let current = self.revision();
+        if expected_revision.is_some_and(|expected| expected != current) {
+            return Err(CommandError::RevisionMismatch { current });
+        }
+        match command {
+            Command::Register {
+                record,
+                lease_duration,
+            } => {
+                self.register(now, record, lease_duration)?;
+            }
+            Command::Renew { uid, boot_ms } => self.renew(now, &uid, boot_ms)?,
+            Command::Drain { uid } => self.drain(&uid)?,
+            Command::Deregister { uid, boot_ms } => self.deregister(&uid, boot_ms)?,
+            Command::SetWeight { uid, weight } => self.set_weight(&uid, weight)?,
+        }
+        Ok(self.revision())
+    }
+
+    /// Removes the endpoints whose leases have expired, unless self-preservation retains them.
+    pub fn tick(&mut self, now: Duration) {
+        self.self_preservation.on_tick(&self.policy, now);
+        let leases = self
+            .entries
+            .values()
+            .filter_map(|entry| Some((entry, entry.lease?)));
+        let lease_count = leases.clone().count();
+        let expired = leases.filter(|(_, lease)| lease.has_expired(now));
+        let expired: Vec<String> = expired.map(|(entry, _)| entry.record.uid.clone()).collect();
+        if self
+            .self_preservation
+            .permits_expiry(&self.policy, expired.len(), lease_count)
+        {
+            expired.iter().for_each(|uid| self.remove(uid));
+        }
+    }
+
+    fn renew(&mut self, now: Duration, uid: &str, boot_ms: u64) -> Result<(), CommandError> {
+        let entry = self.listed_entry(uid)?;
+        if entry.record.boot_ms != boot_ms {
+            return Err(CommandError::Superseded {
+                boot_ms: entry.record.boot_ms,
+            });
+        }
+        if let Some(lease) = &mut entry.lease {
+            lease.renew(now);
+        }
+        Ok(())
+    }
+
+    fn drain(&mut self, uid: &str) -> Result<(), CommandError> {
+        if self.listed_entry(uid)?.record.state == EndpointState::Ready {
+            self.change(uid, |record| record.state = EndpointState::Terminating);
+        }
+        Ok(())
+    }
+
+    /// An endpoint that is not on the list is as the caller wants it: that is no error.
+    fn deregister(&mut self, uid: &str, boot_ms: Option<u64>) -> Result<(), CommandError> {
+        let Ok(entry) = self.listed_entry(uid) else {
+            return Ok(());
+        };
+        let listed_boot_ms = entry.record.boot_ms;
+        if boot_ms.is_some_and(|boot_ms| boot_ms != listed_boot_ms) {
+            return Err(CommandError::Superseded {
+                boot_ms: listed_boot_ms,
+            });
+        }
+        self.remove(uid);
+        Ok(())
+    }
+
+    fn set_weight(&mut self, uid: &str, weight: f64) -> Result<(), CommandError> {
+        validate_weight(weight)?;
+        if self.listed_entry(uid)?.record.weight != weight {
+            self.change(uid, |record| record.weight = weight);
+        }
+        Ok(())
+    }
+
+    fn register(
+        &mut self,
+        now: Duration,
+        mut record: EndpointRecord,
+        lease_duration: Duration,
+    ) -> Result<(), CommandError> {
+        validate_record(&record)?;
+        validate_lease(lease_duration)?;
+        record.state = self.state_on_registration(&record)?;
+        let replaced_uid = self.address_holder_to_replace(&record)?;
+        if replaced_uid.is_none() {
+            self.check_capacity(&record.uid)?;
+        }
+        if let Some(uid) = replaced_uid {
+            self.remove(&uid);
+        }
+        self.upsert(record, Lease::new(lease_duration, now));
+        Ok(())
+    }
+
+    /// A new incarnation is ready. Another registration of the same one does not undo its drain.
+    fn state_on_registration(
+        &self,
+        record: &EndpointRecord,
+    ) -> Result<EndpointState, CommandError> {
+        let Some(known) = self.entries.get(&record.uid).map(|entry| &entry.record) else {
+            return Ok(EndpointState::Ready);
+        };
+        if known.boot_ms > record.boot_ms {
+            return Err(CommandError::Superseded {
+                boot_ms: known.boot_ms,
+            });
+        }
+        if known.boot_ms == record.boot_ms && !known.is_removed() {
+            return Ok(known.state);
+        }
+        Ok(EndpointState::Ready)
+    }
+
+    /// The uid of another endpoint with the same address, which the record replaces if it started
+    /// later.
+    fn address_holder_to_replace(
+        &self,
+        record: &EndpointRecord,
+    ) -> Result<Option<String>, CommandError> {
+        let mut others = self
+            .listed_records()
+            .filter(|other| other.uid != record.uid);
+        match others.find(|other| other.address == record.address) {
+            Some(other) if other.boot_ms >= record.boot_ms => Err(CommandError::AddressInUse {
+                uid: other.uid.clone(),
+            }),
+            other => Ok(other.map(|other| other.uid.clone())),
+        }
+    }
+
+    fn check_capacity(&self, uid: &str) -> Result<(), CommandError> {
+        let is_listed = self
+            .entries
+            .get(uid)
+            .is_some_and(|entry| !entry.record.is_removed());
+        let count = self.listed_records().count();
+        if !is_listed && count >= self.policy.max_endpoints {
+            return Err(CommandError::RegistryFull { count });
+        }
+        Ok(())
+    }
+
+    fn upsert(&mut self, record: EndpointRecord, lease: Lease) {
+        let uid = record.uid.clone();
+        let Some(entry) = self.entries.get_mut(&uid) else {
+            let entry = Entry {
+                record,
+                revision: 0,
+                lease: Some(lease),
+            };
+            self.entries.insert(uid.clone(), entry);
+            return self.change(&uid, |_| {});
+        };
+        let previous_lease = entry.lease.replace(lease);
+        if entry.record != record {
+            return self.change(&uid, |known| *known = record);
+        }
+        if previous_lease.is_none_or(|previous| previous.duration != lease.duration) {
+            self.dirty.insert(uid);
+        }
+    }
+
+    fn remove(&mut self, uid: &str) {
+        if let Some(entry) = self.entries.get_mut(uid) {
+            entry.lease = None;
+        }
+        self.change(uid, |record| record.state = EndpointState::Removed);
+    }
+
+    fn listed_entry(&mut self, uid: &str) -> Result<&mut Entry, CommandError> {
+        let entry = self
+            .entries
+            .get_mut(uid)
+            .filter(|entry| !entry.record.is_removed());
+        entry.ok_or_else(|| CommandError::UnknownEndpoint {
+            uid: uid.to_owned(),
+        })
+    }
+
+    /// Changes an entry under a new revision.
+    fn change(&mut self, uid: &str, edit: impl FnOnce(&mut EndpointRecord)) {
+        let Some(entry) = self.entries.get_mut(uid) else {
+            return;
+        };
+        edit(&mut entry.record);
+        entry.revision = self.changes.append(uid, entry.revision);
+        self.dirty.insert(uid.to_owned());
+        self.compact();
+    }
+
+    /// Drops the changes that are not retained, and the entries that were removed by them. A reader
+    /// at an older revision gets the whole list, which has no removed entries.
+    fn compact(&mut self) {
+        while let Some(LoggedChange { revision, uid }) = self.changes.compact_oldest() {
+            let is_obsolete =
+                |entry: &Entry| entry.record.is_removed() && entry.revision == revision;
+            if self.entries.get(&uid).is_some_and(is_obsolete) {
+                self.entries.remove(&uid);
+            }
+        }
+    }
+}
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -1,10 +1,12 @@
-//! The two HTTP sides: reading, the published form to the letter; writing, JSON at an address of its own.
+//! The two HTTP sides: reading, the published form to the letter; writing, JSON at an address of
+//! its own.
 
+use crate::command::{Command, CommandError};
 use crate::config::Limits;
-use crate::list::{Command, CommandError, EndpointRecord, EndpointState};
+use crate::endpoint::{EndpointRecord, EndpointState};
 use crate::metrics::Metrics;
-use crate::publish::Published;
-use crate::writer::{Job, WriteError};
+use crate::published_view::PublishedView;
+use crate::writer::{WriteError, WriteRequest};
 use bytes::{Bytes, BytesMut};
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, Limited, StreamBody};
@@ -68,7 +70,8 @@
     response
 }
 
-/// What a connection is allowed: it is cut when it takes too long, unless it is a watch, and when a watch does not read.
+/// What a connection is allowed: it is cut when it takes too long, unless it is a watch, and when a
+/// watch does not read.
 #[derive(Default)]
 struct SlowReaderLimit {
     watches: AtomicBool,
@@ -117,7 +120,7 @@
 
 /// The reading side.
 pub struct Reading {
-    published: Arc<Published>,
+    published: Arc<PublishedView>,
     metrics: Arc<Metrics>,
     calls: Arc<Semaphore>,
     watches: Arc<Semaphore>,
@@ -125,7 +128,7 @@
 }
 
 impl Reading {
-    pub fn new(published: Arc<Published>, metrics: Arc<Metrics>, limits: &Limits) -> Arc<Self> {
+    pub fn new(published: Arc<PublishedView>, metrics: Arc<Metrics>, limits: &Limits) -> Arc<Self> {
         Arc::new(Self {
             published,
             metrics,
@@ -177,11 +180,11 @@
             return self.watch(since, limit);
         }
         let Ok(_call) = self.calls.try_acquire() else {
-            self.metrics.refused.inc();
+            self.metrics.overloads.inc();
             return busy("too many calls at once");
         };
-        self.metrics.lists.inc();
-        let mut response = Response::new(full(self.published.text(None).1));
+        self.metrics.snapshots.inc();
+        let mut response = Response::new(full(self.published.update_since(None).json));
         response
             .headers_mut()
             .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -192,7 +195,7 @@
         let slot = match Arc::clone(&self.watches).try_acquire_owned() {
             Ok(slot) => slot,
             Err(TryAcquireError::NoPermits | TryAcquireError::Closed) => {
-                self.metrics.refused.inc();
+                self.metrics.overloads.inc();
                 return busy("too many watches at once");
             }
         };
@@ -202,7 +205,7 @@
         tokio::spawn(async move {
             reading.metrics.watches.inc();
             if !reading.follow(since, lines).await {
-                reading.metrics.cut.inc();
+                reading.metrics.slow_watches.inc();
                 limit.cut.notify_one();
             }
             reading.metrics.watches.dec();
@@ -215,11 +218,12 @@
     async fn follow(&self, mut since: Option<u64>, lines: mpsc::Sender<Line>) -> bool {
         let mut changes = self.published.subscribe();
         loop {
-            let (rev, text) = self.published.text(since);
+            let update = self.published.update_since(since);
+            let (rev, text) = (update.revision, update.json);
             let mut line = BytesMut::with_capacity(text.len() + 1);
             if since != Some(rev) {
                 line.extend_from_slice(&text);
-                self.metrics.lines.inc();
+                self.metrics.watch_updates.inc();
             }
             line.extend_from_slice(b"\n");
             if lines.is_closed() {
@@ -251,9 +255,9 @@
 
 /// The writing side, with status and metrics.
 pub struct Writing {
-    published: Arc<Published>,
+    published: Arc<PublishedView>,
     metrics: Arc<Metrics>,
-    jobs: mpsc::Sender<Job>,
+    jobs: mpsc::Sender<WriteRequest>,
     connections: Arc<Semaphore>,
     name: String,
 }
@@ -292,9 +296,9 @@
 
 impl Writing {
     pub fn new(
-        published: Arc<Published>,
+        published: Arc<PublishedView>,
         metrics: Arc<Metrics>,
-        jobs: mpsc::Sender<Job>,
+        jobs: mpsc::Sender<WriteRequest>,
         name: String,
     ) -> Arc<Self> {
         let connections = Arc::new(Semaphore::new(CONNECTIONS));
@@ -360,14 +364,14 @@
         let (reply, told) = oneshot::channel();
         if self
             .jobs
-            .try_send(Job {
+            .try_send(WriteRequest {
                 command,
-                if_rev,
+                expected_revision: if_rev,
                 reply,
             })
             .is_err()
         {
-            self.metrics.refused.inc();
+            self.metrics.overloads.inc();
             return busy("too many writes at once");
         }
         match told.await {
@@ -382,23 +386,25 @@
 
     fn status(&self) -> serde_json::Value {
         let m = &self.metrics;
-        json!({"name": self.name, "rev": self.published.rev(), "ready": m.ready.get(),
-            "terminating": m.terminating.get(), "holds": m.holds.get() == 1, "watches": m.watches.get()})
+        json!({"name": self.name, "rev": self.published.revision(), "ready": m.ready.get(),
+            "terminating": m.terminating.get(), "holds": m.self_preserving.get() == 1, "watches": m.watches.get()})
     }
 }
 
 fn status_of(error: &WriteError) -> StatusCode {
     match error {
-        WriteError::CommandError(CommandError::Version(_)) => StatusCode::PRECONDITION_FAILED,
-        WriteError::CommandError(CommandError::Unknown(_)) => StatusCode::NOT_FOUND,
-        WriteError::CommandError(CommandError::Replaced(_) | CommandError::Taken(_)) => {
-            StatusCode::CONFLICT
+        WriteError::Rejected(CommandError::RevisionMismatch { .. }) => {
+            StatusCode::PRECONDITION_FAILED
         }
-        WriteError::CommandError(CommandError::Full(_)) | WriteError::NoRoom => {
+        WriteError::Rejected(CommandError::UnknownEndpoint { .. }) => StatusCode::NOT_FOUND,
+        WriteError::Rejected(
+            CommandError::Superseded { .. } | CommandError::AddressInUse { .. },
+        ) => StatusCode::CONFLICT,
+        WriteError::Rejected(CommandError::RegistryFull { .. }) | WriteError::DiskFull => {
             StatusCode::INSUFFICIENT_STORAGE
         }
-        WriteError::CommandError(CommandError::Bad(_)) => StatusCode::BAD_REQUEST,
-        WriteError::Failed => StatusCode::INTERNAL_SERVER_ERROR,
+        WriteError::Rejected(CommandError::Invalid(_)) => StatusCode::BAD_REQUEST,
+        WriteError::DiskFailed => StatusCode::INTERNAL_SERVER_ERROR,
     }
 }
 
@@ -443,7 +449,10 @@
                 weight: capacity_hint,
                 boot_ms,
             };
-            Ok(Command::Register { record, lease })
+            Ok(Command::Register {
+                record,
+                lease_duration: lease,
+            })
         }
         (&Method::DELETE, "") => {
             let boot_ms = if body.is_empty() {
@@ -458,9 +467,9 @@
             boot_ms: read::<Life>(body)?.boot_ms,
         }),
         (&Method::POST, "drain") => Ok(Command::Drain { uid }),
-        (&Method::PUT, "weight") => Ok(Command::Weight {
+        (&Method::PUT, "weight") => Ok(Command::SetWeight {
             uid,
-            capacity_hint: read::<Weight>(body)?.capacity_hint,
+            weight: read::<Weight>(body)?.capacity_hint,
         }),
         _ => Err(none()),
     }
--- a/registry/src/metrics.rs
+++ b/registry/src/metrics.rs
@@ -1,68 +1,68 @@
-//! What is counted, as a page for Prometheus.
+//! The service's metrics, in the text format of Prometheus.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// What is counted.
+/// The service's metrics.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Whole lists that were sent.
-    pub lists: Counter,
-    /// Watches that are open.
+    /// Snapshots sent to list requests.
+    pub snapshots: Counter,
+    /// Open watches.
     pub watches: Gauge,
-    /// Lines of changes that were given to watches.
-    pub lines: Counter,
-    /// Watches that were cut, as they did not read.
-    pub cut: Counter,
-    /// Calls and watches answered with 503.
-    pub refused: Counter,
-    /// Writes that were carried out, or changed nothing.
+    /// Updates sent to watches.
+    pub watch_updates: Counter,
+    /// Watches that were closed as their clients did not read.
+    pub slow_watches: Counter,
+    /// Requests that were rejected with 503.
+    pub overloads: Counter,
+    /// Successful writes.
     pub writes: Counter,
-    /// Writes that were refused.
-    pub writes_refused: Counter,
+    /// Writes that were rejected.
+    pub writes_rejected: Counter,
     /// Commits to the disk.
     pub commits: Counter,
-    /// The list's version.
-    pub version: Gauge,
-    /// Entries that are ready.
+    /// The revision of the list.
+    pub revision: Gauge,
+    /// Endpoints that are ready.
     pub ready: Gauge,
-    /// Entries that are terminating.
+    /// Endpoints that are terminating.
     pub terminating: Gauge,
-    /// 1 while entries are held whose leases have ended.
-    pub holds: Gauge,
+    /// 1 while self-preservation retains endpoints with expired leases.
+    pub self_preserving: Gauge,
 }
 
 impl Metrics {
-    /// The page.
+    /// The page for Prometheus. Its names are part of the interface and must not change.
     pub fn page(&self) -> String {
         let mut registry = Registry::with_prefix("frostkeel_registry");
-        registry.register("lists", "Whole lists sent", self.lists.clone());
+        registry.register("lists", "Whole lists sent", self.snapshots.clone());
         registry.register("watches", "Watches open", self.watches.clone());
         registry.register(
             "lines",
             "Lines of changes given to watches",
-            self.lines.clone(),
+            self.watch_updates.clone(),
         );
         registry.register(
             "watches_cut",
             "Watches cut as they did not read",
-            self.cut.clone(),
+            self.slow_watches.clone(),
         );
         registry.register(
             "refused",
             "Calls and watches answered with 503",
-            self.refused.clone(),
+            self.overloads.clone(),
         );
         registry.register("writes", "Writes carried out", self.writes.clone());
         registry.register(
             "writes_refused",
             "Writes refused",
-            self.writes_refused.clone(),
+            self.writes_rejected.clone(),
         );
         registry.register("commits", "Commits to the disk", self.commits.clone());
-        registry.register("version", "Version of the list", self.version.clone());
+        registry.register("version", "Version of the list", self.revision.clone());
         registry.register("ready", "Entries ready", self.ready.clone());
         registry.register(
             "terminating",
@@ -72,7 +72,7 @@
         registry.register(
             "holds",
             "1 while lapsed entries are held",
-            self.holds.clone(),
+            self.self_preserving.clone(),
         );
         let mut page = String::new();
         // Writing to a string cannot fail.
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -2,10 +2,10 @@
 
 use crate::config::Config;
 use crate::endpoint::PersistedEntry;
+use crate::endpoint_registry::EndpointRegistry;
 use crate::http::{Reading, Writing};
-use crate::list::{EndpointRecord, EndpointRegistry};
 use crate::metrics::Metrics;
-use crate::publish::Published;
+use crate::published_view::PublishedView;
 use crate::writer::Writer;
 use frostkeel_store::{Owner, Store, StoreError, StoredRecord};
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
         process: config.name.clone(),
     };
     let (store, kept) = tokio::task::block_in_place(|| Store::open(&config.folder, &owner))?;
-    let mut entries: Vec<(EndpointRecord, Duration)> = Vec::new();
+    let mut entries: Vec<PersistedEntry> = Vec::new();
     for StoredRecord {
         key: uid,
         value: bytes,
@@ -64,18 +64,18 @@
                 uid: uid.clone(),
                 reason: e.to_string(),
             })?;
-        entries.push((entry.record, entry.lease_duration.unwrap_or_default()));
+        entries.push(entry);
     }
     let count = entries.len();
     let list = || {
-        EndpointRegistry::new(
+        EndpointRegistry::restore(
             config.rules(),
             Duration::ZERO,
             kept.revision,
             entries.clone(),
         )
     };
-    let published = Arc::new(Published::new(list()));
+    let published = Arc::new(PublishedView::new(list()));
     let metrics = Arc::new(Metrics::default());
     let bind = async |what, address| {
         let bound = TcpListener::bind(address).await;
@@ -99,11 +99,11 @@
     );
     let (jobs, waiting) = mpsc::channel(config.limits.writes);
     let writer = Writer {
-        list: list(),
+        registry: list(),
         store,
         published: Arc::clone(&published),
         metrics: Arc::clone(&metrics),
-        start: Instant::now(),
+        started_at: Instant::now(),
     };
     let reading = Reading::new(Arc::clone(&published), Arc::clone(&metrics), &config.limits);
     let writing = Writing::new(published, metrics, jobs, config.name.clone());
--- a/registry/src/writer.rs
+++ b/registry/src/writer.rs
@@ -1,10 +1,10 @@
-//! The one who writes: commands in the order in which they come, one commit for all that came while the disk was busy, an
-//! answer only when what it says is durable and shown.
+//! Executes writes one after the other. The writes that arrive while the disk is busy share one
+//! commit, and each is acknowledged once it is durable and published.
 
-use crate::endpoint::PersistedEntry;
-use crate::list::{Command, CommandError, EndpointRecord, EndpointRegistry};
+use crate::command::{Command, CommandError};
+use crate::endpoint_registry::{DirtyEntry, EndpointRegistry};
 use crate::metrics::Metrics;
-use crate::publish::Published;
+use crate::published_view::PublishedView;
 use frostkeel_store::{Change, Store, StoreError};
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,150 +12,174 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// Commands that go into one commit.
-const TOGETHER: usize = 512;
-/// How often leases are looked at.
-const TICK: Duration = Duration::from_millis(250);
+/// The maximum number of writes in one commit.
+const MAX_BATCH_SIZE: usize = 512;
+/// The interval in which leases are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a command was not carried out, or not yet.
+/// Why a write was not executed, or may not have been.
 #[derive(Clone, Debug, Error)]
 pub enum WriteError {
-    /// The list says no.
+    /// The command was rejected.
     #[error(transparent)]
-    CommandError(#[from] CommandError),
-    /// There is no room on the disk.
+    Rejected(#[from] CommandError),
+    /// The disk is full.
     #[error("no room on the disk: it is not durable; say it again later")]
-    NoRoom,
-    /// The disk has failed, and the service ends.
+    DiskFull,
+    /// The disk has failed, and the service stops.
     #[error("the disk has failed: nothing is known of what was written")]
-    Failed,
+    DiskFailed,
 }
 
-/// A command, and who waits for it.
-pub struct Job {
-    /// What is asked.
+/// A command, and who waits for its result.
+pub struct WriteRequest {
+    /// The command.
     pub command: Command,
-    /// The version that it holds for, if it does for one only.
-    pub if_rev: Option<u64>,
-    /// Gets the version then.
+    /// The revision of the list that the command holds for, if it is for one only.
+    pub expected_revision: Option<u64>,
+    /// Receives the revision after the write.
     pub reply: oneshot::Sender<Result<u64, WriteError>>,
 }
 
-/// The one who writes.
+/// The result of a command that was applied and is not durable yet.
+struct AppliedWrite {
+    result: Result<u64, CommandError>,
+    reply: oneshot::Sender<Result<u64, WriteError>>,
+}
+
+/// The owner of the endpoint list and its store.
 pub struct Writer {
-    pub list: EndpointRegistry,
+    pub registry: EndpointRegistry,
     pub store: Store,
-    pub published: Arc<Published>,
+    pub published: Arc<PublishedView>,
     pub metrics: Arc<Metrics>,
-    pub start: Instant,
+    /// The origin of the registry's time.
+    pub started_at: Instant,
 }
 
 impl Writer {
-    /// Writes until nobody is left to ask, or the disk has failed.
-    pub async fn run(mut self, mut jobs: mpsc::Receiver<Job>) -> Result<(), StoreError> {
-        let mut ticks = interval(TICK);
+    /// Runs until the request channel is closed or the disk has failed.
+    pub async fn run(
+        mut self,
+        mut requests: mpsc::Receiver<WriteRequest>,
+    ) -> Result<(), StoreError> {
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut unwritten = Vec::new();
+        let mut uncommitted = Vec::new();
         loop {
-            let mut answers = Vec::new();
+            let mut applied = Vec::new();
             tokio::select! {
-                job = jobs.recv() => match job {
+                request = requests.recv() => match request {
                     None => return Ok(()),
-                    Some(job) => {
-                        self.apply(job, &mut answers);
-                        while answers.len() < TOGETHER && let Ok(job) = jobs.try_recv() {
-                            self.apply(job, &mut answers);
-                        }
-                    }
+                    Some(request) => self.apply_batch(request, &mut requests, &mut applied),
                 },
-                _ = ticks.tick() => {
-                    let held = self.list.is_self_preserving();
-                    self.list.tick(self.start.elapsed());
-                    match (held, self.list.is_self_preserving()) {
-                        (false, true) => tracing::warn!(
-                            "holding entries whose leases have ended: too many at once, or just after a pause; is it the network?"
-                        ),
-                        (true, false) => tracing::info!("no entries are held any more"),
-                        _ => {}
-                    }
-                }
+                _ = ticks.tick() => self.expire_leases(),
             }
-            unwritten.extend(self.list.take_dirty());
-            let written = self.commit(&mut unwritten).await;
-            for (reply, answer) in answers {
-                let answer = match (&written, answer) {
-                    (_, Err(refused)) => Err(refused.into()),
-                    (Ok(()), Ok(rev)) => Ok(rev),
-                    (Err(StoreError::DiskFull), _) => Err(WriteError::NoRoom),
-                    (Err(_), _) => Err(WriteError::Failed),
-                };
-                let count = if answer.is_ok() {
-                    &self.metrics.writes
-                } else {
-                    &self.metrics.writes_refused
-                };
-                count.inc();
-                // Who does not wait any more does not need it.
-                let _ = reply.send(answer);
-            }
-            match written {
+            uncommitted.extend(self.registry.take_dirty());
+            let committed = self.commit(&mut uncommitted);
+            self.reply_to(applied, &committed);
+            match committed {
                 Ok(()) => {}
                 Err(StoreError::DiskFull) => {
-                    tracing::warn!("no room on the disk: writes are refused, reads go on")
+                    tracing::warn!("disk full: writes are rejected, reads continue");
                 }
                 Err(e) => return Err(e),
             }
         }
     }
 
-    fn apply(&mut self, job: Job, answers: &mut Vec<(Reply, Result<u64, CommandError>)>) {
-        let answer = self
-            .list
-            .apply(self.start.elapsed(), job.command, job.if_rev);
-        answers.push((job.reply, answer));
+    /// Applies a request and those that are waiting.
+    fn apply_batch(
+        &mut self,
+        first: WriteRequest,
+        requests: &mut mpsc::Receiver<WriteRequest>,
+        applied: &mut Vec<AppliedWrite>,
+    ) {
+        applied.push(self.apply(first));
+        while applied.len() < MAX_BATCH_SIZE
+            && let Ok(request) = requests.try_recv()
+        {
+            applied.push(self.apply(request));
+        }
+    }
+
+    fn apply(&mut self, request: WriteRequest) -> AppliedWrite {
+        let now = self.started_at.elapsed();
+        let result = self
+            .registry
+            .apply(now, request.command, request.expected_revision);
+        AppliedWrite {
+            result,
+            reply: request.reply,
+        }
+    }
+
+    fn expire_leases(&mut self) {
+        let was_self_preserving = self.registry.is_self_preserving();
+        self.registry.tick(self.started_at.elapsed());
+        match (was_self_preserving, self.registry.is_self_preserving()) {
+            (false, true) => tracing::warn!(
+                "self-preservation on, expired leases are retained: too many at once, or shortly after a pause; is it the network?"
+            ),
+            (true, false) => tracing::info!("self-preservation off"),
+            _ => {}
+        }
     }
 
-    /// Makes changes durable, then shows them. What the disk has no room for waits.
-    async fn commit(&mut self, unwritten: &mut Vec<DirtyEntry>) -> Result<(), StoreError> {
-        if unwritten.is_empty() {
+    /// Makes changes durable, then publishes them. They stay in `uncommitted` if the disk is full.
+    fn commit(&mut self, uncommitted: &mut Vec<DirtyEntry>) -> Result<(), StoreError> {
+        if uncommitted.is_empty() {
             return Ok(());
         }
-        let (rev, changes) = (
-            self.list.rev(),
-            unwritten.iter().map(change).collect::<Vec<_>>(),
-        );
-        tokio::task::block_in_place(|| self.store.commit(rev, &changes))?;
+        let revision = self.registry.revision();
+        let changes: Vec<Change> = uncommitted.iter().map(store_change).collect();
+        tokio::task::block_in_place(|| self.store.commit(revision, &changes))?;
         self.metrics.commits.inc();
-        unwritten.clear();
+        uncommitted.clear();
         self.published
-            .follow(self.list.changes_after(self.published.rev()));
-        let (ready, terminating) = self.list.counts();
-        self.metrics.version.set(rev as i64);
-        self.metrics.ready.set(ready as i64);
-        self.metrics.terminating.set(terminating as i64);
-        self.metrics
-            .holds
-            .set(i64::from(self.list.is_self_preserving()));
+            .apply(self.registry.changes_after(self.published.revision()));
+        self.update_gauges();
         Ok(())
     }
-}
 
-type Reply = oneshot::Sender<Result<u64, WriteError>>;
-type DirtyEntry = (String, Option<(EndpointRecord, Duration)>);
+    fn update_gauges(&self) {
+        let counts = self.registry.counts();
+        self.metrics.revision.set(self.registry.revision() as i64);
+        self.metrics.ready.set(counts.ready as i64);
+        self.metrics.terminating.set(counts.terminating as i64);
+        self.metrics
+            .self_preserving
+            .set(i64::from(self.registry.is_self_preserving()));
+    }
 
-fn change((uid, entry): &DirtyEntry) -> Change {
-    match entry {
-        None => Change::Delete { key: uid.clone() },
-        Some((record, lease)) => {
-            let entry = PersistedEntry {
-                record: record.clone(),
-                lease_duration: (!lease.is_zero()).then_some(*lease),
+    fn reply_to(&self, applied: Vec<AppliedWrite>, committed: &Result<(), StoreError>) {
+        for AppliedWrite { result, reply } in applied {
+            let result = match (committed, result) {
+                (_, Err(rejected)) => Err(rejected.into()),
+                (Ok(()), Ok(revision)) => Ok(revision),
+                (Err(StoreError::DiskFull), _) => Err(WriteError::DiskFull),
+                (Err(_), _) => Err(WriteError::DiskFailed),
             };
-            // A record has only texts and numbers: it can always be written.
-            Change::Put {
-                key: uid.clone(),
-                value: serde_json::to_vec(&entry).unwrap_or_default(),
-            }
+            let counter = if result.is_ok() {
+                &self.metrics.writes
+            } else {
+                &self.metrics.writes_rejected
+            };
+            counter.inc();
+            // The client may have disconnected.
+            let _ = reply.send(result);
         }
     }
 }
+
+fn store_change(dirty: &DirtyEntry) -> Change {
+    let key = dirty.uid.clone();
+    match &dirty.entry {
+        None => Change::Delete { key },
+        // An entry has only texts and numbers: its serialization cannot fail.
+        Some(entry) => Change::Put {
+            key,
+            value: serde_json::to_vec(entry).unwrap_or_default(),
+        },
+    }
+}
--- a/registry/tests/http_fixtures.rs
+++ b/registry/tests/http_fixtures.rs
@@ -1,4 +1,5 @@
-//! The bytes of the service's responses against those that revision d26284e sent. See `data/README.md`.
+//! The bytes of the service's responses against those that revision d26284e sent. See
+//! `data/README.md`.
 
 mod support;
 
--- a/registry/tests/store_fixtures.rs
+++ b/registry/tests/store_fixtures.rs
@@ -1,5 +1,5 @@
-//! What the service persists, and what it recovers, against a folder that revision d26284e wrote. The folder is that of
-//! the store's own tests: see `../store/tests/data/README.md`.
+//! What the service persists, and what it recovers, against a folder that revision d26284e wrote.
+//! The folder is that of the store's own tests: see `../store/tests/data/README.md`.
 
 mod support;
 
@@ -35,7 +35,8 @@
     );
 }
 
-/// Leases of several lengths, endpoints that drain, that were given a weight, removed, registered anew and taken over.
+/// Leases of several lengths, endpoints that drain, that were given a weight, removed, registered
+/// anew and taken over.
 fn write_endpoints(service: &TestService) {
     for n in 1..=12 {
         let ttl_s = ["10", "1.5", "3600", "90.125"][n % 4];
--- a/registry/tests/support/mod.rs
+++ b/registry/tests/support/mod.rs
@@ -237,8 +237,8 @@
         self.read_until(|bytes| count(bytes, EMPTY_CHUNK) > before);
     }
 
-    /// What was read, with dates masked and without the chunks that say that nothing has changed: how many there are
-    /// depends on how quickly the test runs.
+    /// What was read, with dates masked and without the chunks that say that nothing has changed:
+    /// how many there are depends on how quickly the test runs.
     pub fn masked(&self) -> Vec<u8> {
         let mut rest = self.bytes.as_slice();
         let mut kept = Vec::new();
