--- /dev/null
+++ b/settings/tests/every_key.rs
@@ -0,0 +1,272 @@
+//! A site's settings with every key that is read, compared field by field with what they mean.
+
+use lapisroute::{Class, DedupGroup, Effect, LoadField, Prices, Reports, Settings, Tenant, Weights, ZoneId};
+use lapisroute_settings::{Names, Site, load_field, ms, parse};
+use serde_json::{Value, json};
+use std::time::Duration;
+
+const EVERY_KEY: &str = include_str!("data/every-key.json");
+
+fn micros(value: u64) -> Duration {
+    Duration::from_micros(value)
+}
+
+fn owned(names: &[&str]) -> Vec<String> {
+    names.iter().map(|name| (*name).to_owned()).collect()
+}
+
+fn parsed(value: &Value) -> Site {
+    parse(&value.to_string()).expect("settings that can be read")
+}
+
+/// The settings with a single key, at the top or below a section.
+fn with_class(class: Value) -> Result<Class, String> {
+    let text = json!({ "classes": [class] }).to_string();
+    parse(&text).map(|site| site.settings.classes[0].clone()).map_err(|e| e.to_string())
+}
+
+#[test]
+fn every_key_sets_its_field() {
+    let site = parse(EVERY_KEY).expect("settings that can be read");
+    let expected = Settings {
+        balancers: 7,
+        index: 4,
+        zone: ZoneId(2),
+        classes: vec![
+            Class {
+                aim: micros(1_200_500),
+                aim_stretch: 0.25,
+                deadline: micros(2_750_000),
+                worth: 2.5,
+                late_worth: 0.125,
+                effect: Effect::Idempotent,
+                streamed: true,
+            },
+            Class {
+                aim: micros(800_000),
+                aim_stretch: 1.5,
+                deadline: micros(6_000_000),
+                worth: 10.0,
+                late_worth: 0.5,
+                effect: Effect::Deduplicated { group: DedupGroup::Zone, ttl: micros(12_000_750) },
+                streamed: true,
+            },
+        ],
+        tenants: vec![Tenant { allowance_per_s: 31.0 }, Tenant { allowance_per_s: 17.5 }],
+        over_share_worth: 0.35,
+        worth_by_work: true,
+        ask_for_fleet: true,
+        own_agent: false,
+        ask_every: micros(7_500_000),
+        drain_grace: micros(1_250_000),
+        cold_from: 0.12,
+        cold_time: micros(23_000_000),
+        fall_multiple: 2.25,
+        fall_time: micros(3_500_000),
+        max_attempts: 5,
+        hedging: false,
+        cancelling: false,
+        probing: true,
+        max_retry_after: micros(2_500_000),
+        repeats_marked: false,
+        connect_timeout: micros(325_500),
+        conn_idle: micros(5_000_000),
+        max_streams: 9,
+        tail_miss: Some(0.015),
+        cpu_per_request: Duration::from_nanos(12_500),
+        weights: Weights::Live,
+        reports: Reports::OnProbe,
+        report_fields: vec![
+            LoadField::InFlight,
+            LoadField::Queue,
+            LoadField::Utilization,
+            LoadField::ServiceMs,
+            LoadField::RequestRate,
+            LoadField::ErrorRate,
+            LoadField::Other,
+        ],
+        prices: Prices {
+            cross_zone: 0.02,
+            connection: 0.01,
+            handshake: 0.03,
+            late_fail: 0.04,
+            probe: 0.05,
+            waste: 0.06,
+        },
+    };
+    assert_eq!(site.settings, expected);
+    let names = Names {
+        classes: owned(&["status", "start"]),
+        tenants: owned(&["gyeonggi", "seoul"]),
+        zones: owned(&["north", "south", "west"]),
+        kinds: owned(&["std-2c", "wide-3c"]),
+    };
+    assert_eq!(site.names, names);
+}
+
+/// Pointers to all values that are no object: the keys, and the elements of lists.
+fn leaves(value: &Value, at: &str, found: &mut Vec<String>) {
+    match value {
+        Value::Object(map) => {
+            map.iter().for_each(|(key, value)| leaves(value, &format!("{at}/{key}"), found));
+        }
+        Value::Array(list) => {
+            list.iter().enumerate().for_each(|(k, value)| leaves(value, &format!("{at}/{k}"), found));
+        }
+        _ => found.push(at.to_owned()),
+    }
+}
+
+/// Guards the data of the test above: a key that is misspelt there, or has its default's value, would show nothing.
+#[test]
+fn removing_any_key_changes_the_result() {
+    let whole: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    let site = parsed(&whole);
+    let mut keys = Vec::new();
+    leaves(&whole, "", &mut keys);
+    assert_eq!(keys.len(), 66);
+    for key in keys {
+        let (parent, last) = key.rsplit_once('/').expect("a pointer");
+        let mut without = whole.clone();
+        match without.pointer_mut(parent).expect("its parent") {
+            Value::Object(map) => drop(map.remove(last).expect("the key")),
+            Value::Array(list) => drop(list.remove(last.parse().expect("a position"))),
+            other => panic!("{parent} is {other}"),
+        }
+        assert!(parse(&without.to_string()).ok() != Some(site.clone()), "{key} changes nothing");
+    }
+}
+
+#[test]
+fn missing_keys_take_the_defaults() {
+    let site = parse("{}").expect("settings that can be read");
+    // An absent `weight_kind` is the one key whose meaning is not the default of `Settings`.
+    let settings = Settings { weights: Weights::Off, ..Settings::default() };
+    assert_eq!(site, Site { settings, names: Names::default() });
+}
+
+#[test]
+fn class_without_keys_takes_the_defaults() {
+    let class = Class {
+        aim: micros(1_000_000),
+        aim_stretch: 0.0,
+        deadline: micros(3_000_000),
+        worth: 1.0,
+        late_worth: 0.0,
+        effect: Effect::AtMostOnce,
+        streamed: false,
+    };
+    assert_eq!(with_class(json!({})), Ok(class));
+    let site = parsed(&json!({ "classes": [{}], "parties": [{}] }));
+    assert_eq!(site.settings.tenants, [Tenant { allowance_per_s: 0.0 }]);
+    assert_eq!((site.names.classes, site.names.tenants), (owned(&[""]), owned(&[""])));
+}
+
+#[test]
+fn unknown_keys_are_ignored() {
+    let mut more: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    more["tick_ms"] = json!(5.0);
+    more["limits"]["peers"] = json!(true);
+    more["classes"][0]["colour"] = json!(["red"]);
+    assert_eq!(Some(parsed(&more)), parse(EVERY_KEY).ok());
+}
+
+#[test]
+fn reads_effects_and_deduplication_scopes() {
+    let deduplicated = |scope: &str| {
+        with_class(json!({ "effect": "deduplicated", "dedup_scope": scope, "key_ttl_ms": 1.5 }))
+    };
+    for (scope, group) in [("all", DedupGroup::All), ("zone", DedupGroup::Zone), ("cell", DedupGroup::Cell)] {
+        let effect = Effect::Deduplicated { group, ttl: micros(1_500) };
+        assert_eq!(deduplicated(scope).map(|class| class.effect), Ok(effect), "{scope}");
+    }
+    for (effect, expected) in [("idempotent", Effect::Idempotent), ("at_most_once", Effect::AtMostOnce)] {
+        let class = with_class(json!({ "effect": effect, "dedup_scope": "nonsense" }));
+        assert_eq!(class.map(|class| class.effect), Ok(expected), "{effect}: no scope is read");
+    }
+}
+
+#[test]
+fn reads_the_values_of_enumerated_keys() {
+    let set = |key: &str, value: &str| parsed(&json!({ key: value })).settings;
+    for (word, weights) in [
+        ("live", Weights::Live),
+        ("nominal", Weights::Size),
+        ("rough", Weights::Size),
+        ("off", Weights::Off),
+        ("new", Weights::Off),
+    ] {
+        assert_eq!(set("weight_kind", word).weights, weights, "{word}");
+    }
+    for (word, asks) in [("subscribe", true), ("automatic", false), ("new", false)] {
+        assert_eq!(set("discovery", word).ask_for_fleet, asks, "{word}");
+    }
+    for (word, by_work) in [("work", true), ("request", false), ("new", false)] {
+        assert_eq!(set("worth_by", word).worth_by_work, by_work, "{word}");
+    }
+    for (word, reports) in [
+        ("inline", Reports::Inline),
+        ("on_probe", Reports::OnProbe),
+        ("off", Reports::Off),
+        ("new", Reports::Off),
+    ] {
+        let site = parsed(&json!({ "telemetry": { "how": word } }));
+        assert_eq!(site.settings.reports, reports, "{word}");
+    }
+}
+
+#[test]
+fn load_report_fields_have_two_names() {
+    for (names, field) in [
+        (["concurrent", "inflight"], LoadField::InFlight),
+        (["depth", "queue"], LoadField::Queue),
+        (["load_share", "util"], LoadField::Utilization),
+        (["mean_ms", "latency_ms"], LoadField::ServiceMs),
+        (["tps", "qps"], LoadField::RequestRate),
+        (["err_ps", "eps"], LoadField::ErrorRate),
+        (["", "Concurrent"], LoadField::Other),
+    ] {
+        for name in names {
+            assert_eq!(load_field(name), field, "{name}");
+        }
+    }
+}
+
+#[test]
+fn clamps_attempts_and_reads_tail_miss_only_with_its_weight() {
+    let limit = |n: u32| parsed(&json!({ "limits": { "try_limit": n } })).settings.max_attempts;
+    assert_eq!((limit(0), limit(250), limit(251), limit(u32::MAX)), (0, 250, 250, 250));
+    let goal = |goal: Value| parsed(&json!({ "goal": goal })).settings.tail_miss;
+    assert_eq!(goal(json!({ "slow_end": 0.1, "tail_miss": 0.02 })), Some(0.02));
+    assert_eq!(goal(json!({ "slow_end": 0.0, "tail_miss": 0.02 })), None);
+    assert_eq!(goal(json!({ "tail_miss": 0.02 })), None);
+    assert_eq!(goal(json!({ "slow_end": 0.1 })), None);
+}
+
+#[test]
+fn converts_milliseconds_with_saturation() {
+    assert_eq!(ms(1.5), micros(1_500));
+    assert_eq!(ms(0.0004), Duration::from_nanos(400));
+    assert_eq!([ms(f64::NAN), ms(-1.0), ms(0.0), ms(f64::NEG_INFINITY)], [Duration::ZERO; 4]);
+    assert_eq!([ms(f64::INFINITY), ms(1e300)], [Duration::MAX; 2]);
+}
+
+/// What the message must name: how it says the rest is its own matter.
+#[test]
+fn rejects_invalid_settings_naming_key_and_value() {
+    for (text, named) in [
+        (r#"{"classes": [{"effect": "sometimes"}]}"#, &["effect", "\"sometimes\""][..]),
+        (r#"{"classes": [{"effect": "deduplicated"}]}"#, &["dedup_scope"]),
+        (r#"{"classes": [{"effect": "deduplicated", "dedup_scope": "rack"}]}"#, &["dedup_scope", "\"rack\""]),
+        (r#"{"balancers": "#, &["settings", "line 1 column 14"]),
+        (r#"{"balancers": -1}"#, &["settings", "`-1`", "line 1 column 16"]),
+        (r#"{"limits": {"max_streams": "many"}}"#, &["settings", "\"many\"", "line 1 column 33"]),
+        (r#"{"parties": {}}"#, &["settings", "a sequence", "line 1 column 12"]),
+        ("[1", &["settings", "line 1 column 2"]),
+    ] {
+        let message = parse(text).map(|_| ()).expect_err(text).to_string();
+        for word in named {
+            assert!(message.contains(word), "{text}: no {word} in {message}");
+        }
+    }
+}
