--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -136,7 +136,8 @@
         let raw: Raw<'_> = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
         let seed =
             u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
-        let mut site = frostkeel_settings::parse(raw.settings.get()).map_err(ConfigError)?;
+        let mut site = frostkeel_settings::parse(raw.settings.get())
+            .map_err(|error| ConfigError(error.to_string()))?;
         // Where lists are pushed, an agent of this balancer's own has them: on sockets they come over its watch.
         site.settings.has_local_agent = !site.settings.polls_endpoints;
         site.settings.polls_endpoints = true;
--- a/balancer/src/headers.rs
+++ b/balancer/src/headers.rs
@@ -59,7 +59,7 @@
 pub fn load_report(text: &str, fields: &[LoadField]) -> Option<Vec<f32>> {
     let mut values = vec![f32::NAN; fields.len()];
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-        let field = frostkeel_settings::load_field(name.trim());
+        let field = frostkeel_settings::parse_load_field(name.trim());
         let value = value.trim().parse().ok().filter(|v: &f32| v.is_finite());
         if let (Some(k), Some(value)) = (fields.iter().position(|f| *f == field), value) {
             values[k] = value;
--- /dev/null
+++ b/settings/src/document.rs
@@ -0,0 +1,165 @@
+//! The settings object as it is written. The keys are the platform's; each is bound here to a field with the term that
+//! the code uses.
+
+use serde::Deserialize;
+
+/// The whole object.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct SiteDocument {
+    pub(crate) balancers: Option<u32>,
+    #[serde(rename = "me")]
+    pub(crate) index: u32,
+    pub(crate) goal: GoalDocument,
+    #[serde(rename = "locality")]
+    pub(crate) zone: u8,
+    pub(crate) classes: Vec<ClassDocument>,
+    pub(crate) clients: ClientsDocument,
+    #[serde(rename = "parties")]
+    pub(crate) tenants: Vec<TenantDocument>,
+    pub(crate) discovery: Option<String>,
+    #[serde(rename = "failure_domains")]
+    pub(crate) zones: Vec<String>,
+    pub(crate) guarantees: GuaranteesDocument,
+    pub(crate) limits: LimitsDocument,
+    #[serde(rename = "over_share_worth")]
+    pub(crate) over_quota_weight_share: Option<f64>,
+    pub(crate) prices: PricesDocument,
+    #[serde(rename = "skus")]
+    pub(crate) kinds: Vec<String>,
+    #[serde(rename = "telemetry")]
+    pub(crate) load_reports: LoadReportsDocument,
+    #[serde(rename = "weight_kind")]
+    pub(crate) endpoint_weights: Option<String>,
+    #[serde(rename = "worth_by")]
+    pub(crate) weight_by: Option<String>,
+}
+
+/// An element of `classes`.
+#[derive(Deserialize)]
+#[serde(default)]
+pub(crate) struct ClassDocument {
+    pub(crate) name: String,
+    #[serde(rename = "aim_ms")]
+    pub(crate) latency_objective_ms: f64,
+    #[serde(rename = "aim_stretch")]
+    pub(crate) objective_work_multiple: f64,
+    #[serde(rename = "hard_limit_ms")]
+    pub(crate) deadline_ms: f64,
+    #[serde(rename = "worth")]
+    pub(crate) priority_weight: f64,
+    #[serde(rename = "late_worth")]
+    pub(crate) late_weight_share: f64,
+    pub(crate) effect: String,
+    #[serde(rename = "dedup_scope")]
+    pub(crate) dedup_group: Option<String>,
+    #[serde(rename = "key_ttl_ms")]
+    pub(crate) dedup_ttl_ms: f64,
+    pub(crate) streamed: bool,
+}
+
+impl Default for ClassDocument {
+    fn default() -> Self {
+        Self {
+            name: String::new(),
+            latency_objective_ms: 1000.0,
+            objective_work_multiple: 0.0,
+            deadline_ms: 3000.0,
+            priority_weight: 1.0,
+            late_weight_share: 0.0,
+            effect: AT_MOST_ONCE.to_owned(),
+            dedup_group: None,
+            dedup_ttl_ms: 0.0,
+            streamed: false,
+        }
+    }
+}
+
+/// The value of `effect` for a class whose requests must never run twice.
+pub(crate) const AT_MOST_ONCE: &str = "at_most_once";
+
+/// An element of `parties`.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct TenantDocument {
+    pub(crate) name: String,
+    #[serde(rename = "allowance_per_s")]
+    pub(crate) quota_per_s: f64,
+}
+
+/// What the site permits.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct LimitsDocument {
+    #[serde(rename = "cancelling")]
+    pub(crate) cancellation: Option<bool>,
+    #[serde(rename = "conn_idle_ms")]
+    pub(crate) connection_idle_timeout_ms: Option<f64>,
+    pub(crate) connect_timeout_ms: Option<f64>,
+    pub(crate) cpu_us_per_request: f64,
+    pub(crate) max_streams: Option<u32>,
+    #[serde(rename = "try_limit")]
+    pub(crate) max_attempts: Option<u32>,
+    pub(crate) max_retry_after_ms: Option<f64>,
+    #[serde(rename = "may_probe")]
+    pub(crate) health_checks: Option<bool>,
+    #[serde(rename = "second_copies")]
+    pub(crate) hedging: Option<bool>,
+}
+
+/// The numbers of the platform's rules.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct GuaranteesDocument {
+    #[serde(rename = "ask_every_ms")]
+    pub(crate) poll_interval_ms: Option<f64>,
+    #[serde(rename = "cold_from")]
+    pub(crate) slow_start_initial_share: Option<f64>,
+    #[serde(rename = "cold_ms")]
+    pub(crate) slow_start_duration_ms: Option<f64>,
+    pub(crate) drain_grace_ms: Option<f64>,
+    #[serde(rename = "fall_multiple")]
+    pub(crate) overload_multiple: Option<f64>,
+    #[serde(rename = "overload_for_ms")]
+    pub(crate) overload_window_ms: Option<f64>,
+}
+
+/// What acts cost.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct PricesDocument {
+    pub(crate) connection: f64,
+    pub(crate) cross_zone: f64,
+    pub(crate) handshake: f64,
+    #[serde(rename = "late_fail")]
+    pub(crate) late_failure: f64,
+    #[serde(rename = "probe")]
+    pub(crate) health_check: f64,
+    pub(crate) waste: f64,
+}
+
+/// The weights of the parts of the site's goal, as far as they are used.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct GoalDocument {
+    #[serde(rename = "slow_end")]
+    pub(crate) tail_weight: Option<f64>,
+    pub(crate) tail_miss: Option<f64>,
+}
+
+/// What clients do.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct ClientsDocument {
+    #[serde(rename = "marks_retry")]
+    pub(crate) retries_marked: Option<bool>,
+}
+
+/// Where load reports come from, and what is in them.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct LoadReportsDocument {
+    #[serde(rename = "how")]
+    pub(crate) source: Option<String>,
+    pub(crate) fields: Vec<String>,
+}
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -1,10 +1,12 @@
 //! A site's settings with every key that is read, compared field by field with what they mean.
 
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
 use frostkeel_policy::{
     Class, DedupGroup, Effect, EndpointWeights, LoadField, LoadReports, Prices, Settings, Tenant,
     ZoneId,
 };
-use frostkeel_settings::{Names, Site, load_field, ms, parse};
+use frostkeel_settings::{Names, Site, duration_from_ms, parse, parse_load_field};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -19,10 +21,10 @@
 }
 
 fn parsed(value: &Value) -> Site {
-    parse(&value.to_string()).expect("settings that can be read")
+    parse(&value.to_string()).expect("valid settings")
 }
 
-/// The settings with a single key, at the top or below a section.
+/// The class that settings with this one class object have.
 fn with_class(class: Value) -> Result<Class, String> {
     let text = json!({ "classes": [class] }).to_string();
     parse(&text)
@@ -30,36 +32,38 @@
         .map_err(|e| e.to_string())
 }
 
-#[test]
-fn every_key_sets_its_field() {
-    let site = parse(EVERY_KEY).expect("settings that can be read");
-    let expected = Settings {
+fn expected_classes() -> Vec<Class> {
+    vec![
+        Class {
+            latency_objective: micros(1_200_500),
+            objective_work_multiple: 0.25,
+            deadline: micros(2_750_000),
+            priority_weight: 2.5,
+            late_weight_share: 0.125,
+            effect: Effect::Idempotent,
+            streamed: true,
+        },
+        Class {
+            latency_objective: micros(800_000),
+            objective_work_multiple: 1.5,
+            deadline: micros(6_000_000),
+            priority_weight: 10.0,
+            late_weight_share: 0.5,
+            effect: Effect::Deduplicated {
+                group: DedupGroup::Zone,
+                ttl: micros(12_000_750),
+            },
+            streamed: true,
+        },
+    ]
+}
+
+fn expected_settings() -> Settings {
+    Settings {
         balancers: 7,
         index: 4,
         zone: ZoneId(2),
-        classes: vec![
-            Class {
-                latency_objective: micros(1_200_500),
-                objective_work_multiple: 0.25,
-                deadline: micros(2_750_000),
-                priority_weight: 2.5,
-                late_weight_share: 0.125,
-                effect: Effect::Idempotent,
-                streamed: true,
-            },
-            Class {
-                latency_objective: micros(800_000),
-                objective_work_multiple: 1.5,
-                deadline: micros(6_000_000),
-                priority_weight: 10.0,
-                late_weight_share: 0.5,
-                effect: Effect::Deduplicated {
-                    group: DedupGroup::Zone,
-                    ttl: micros(12_000_750),
-                },
-                streamed: true,
-            },
-        ],
+        classes: expected_classes(),
         tenants: vec![Tenant { quota_per_s: 31.0 }, Tenant { quota_per_s: 17.5 }],
         over_quota_weight_share: 0.35,
         weight_by_work: true,
@@ -101,8 +105,13 @@
             health_check: 0.05,
             waste: 0.06,
         },
-    };
-    assert_eq!(site.settings, expected);
+    }
+}
+
+#[test]
+fn every_key_sets_its_field() {
+    let site = parse(EVERY_KEY).expect("valid settings");
+    assert_eq!(site.settings, expected_settings());
     let names = Names {
         classes: owned(&["status", "start"]),
         tenants: owned(&["gyeonggi", "seoul"]),
@@ -112,7 +121,7 @@
     assert_eq!(site.names, names);
 }
 
-/// Pointers to all values that are no object: the keys, and the elements of lists.
+/// JSON pointers to all scalar values: those of keys and those in lists.
 fn leaves(value: &Value, at: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
@@ -128,7 +137,7 @@
     }
 }
 
-/// Guards the data of the test above: a key that is misspelt there, or has its default's value, would show nothing.
+/// Guards the data of the test above: a key that is misspelt there, or that has its default value, would not be noticed.
 #[test]
 fn removing_any_key_changes_the_result() {
     let whole: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
@@ -153,7 +162,7 @@
 
 #[test]
 fn missing_keys_take_the_defaults() {
-    let site = parse("{}").expect("settings that can be read");
+    let site = parse("{}").expect("valid settings");
     // An absent `weight_kind` is the one key whose meaning is not the default of `Settings`.
     let settings = Settings {
         endpoint_weights: EndpointWeights::Off,
@@ -271,7 +280,7 @@
         (["", "Concurrent"], LoadField::Other),
     ] {
         for name in names {
-            assert_eq!(load_field(name), field, "{name}");
+            assert_eq!(parse_load_field(name), field, "{name}");
         }
     }
 }
@@ -299,30 +308,38 @@
 
 #[test]
 fn converts_milliseconds_with_saturation() {
-    assert_eq!(ms(1.5), micros(1_500));
-    assert_eq!(ms(0.0004), Duration::from_nanos(400));
+    assert_eq!(duration_from_ms(1.5), micros(1_500));
+    assert_eq!(duration_from_ms(0.0004), Duration::from_nanos(400));
     assert_eq!(
-        [ms(f64::NAN), ms(-1.0), ms(0.0), ms(f64::NEG_INFINITY)],
+        [
+            duration_from_ms(f64::NAN),
+            duration_from_ms(-1.0),
+            duration_from_ms(0.0),
+            duration_from_ms(f64::NEG_INFINITY)
+        ],
         [Duration::ZERO; 4]
     );
-    assert_eq!([ms(f64::INFINITY), ms(1e300)], [Duration::MAX; 2]);
+    assert_eq!(
+        [duration_from_ms(f64::INFINITY), duration_from_ms(1e300)],
+        [Duration::MAX; 2]
+    );
 }
 
-/// What the message must name: how it says the rest is its own matter.
+/// Checks what the message must name, not its whole text.
 #[test]
 fn rejects_invalid_settings_naming_key_and_value() {
     for (text, named) in [
         (
             r#"{"classes": [{"effect": "sometimes"}]}"#,
-            &["effect", "\"sometimes\""][..],
+            &["classes[0].effect", "\"sometimes\""][..],
         ),
         (
-            r#"{"classes": [{"effect": "deduplicated"}]}"#,
-            &["dedup_scope"],
+            r#"{"classes": [{}, {"effect": "deduplicated"}]}"#,
+            &["classes[1].dedup_scope", "missing"],
         ),
         (
             r#"{"classes": [{"effect": "deduplicated", "dedup_scope": "rack"}]}"#,
-            &["dedup_scope", "\"rack\""],
+            &["classes[0].dedup_scope", "\"rack\""],
         ),
         (r#"{"balancers": "#, &["settings", "line 1 column 14"]),
         (
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -41,7 +41,9 @@
                 return Ok(());
             }
             Record::PowerOn { seed, settings } => {
-                let settings = frostkeel_settings::parse(settings).map_err(wrong)?.settings;
+                let settings = frostkeel_settings::parse(settings)
+                    .map_err(|e| wrong(e.to_string()))?
+                    .settings;
                 let balancer = Balancer::new(settings, *seed).map_err(|e| wrong(e.to_string()))?;
                 self.instances.insert(instance, balancer);
                 self.pending.retain(|(owner, _)| *owner != instance);
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -4,7 +4,7 @@
     Action, AttemptNo, Availability, CellId, ClassId, Endpoint, KindId, Outcome, RequestId,
     TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
 };
-use frostkeel_settings::ms;
+use frostkeel_settings::duration_from_ms;
 use std::time::Duration;
 
 /// What is wrong with a batch, and at which byte of it (the length field included).
@@ -125,7 +125,7 @@
         Ok(f64::from_be_bytes(self.array(what)?))
     }
     fn time(&mut self, what: &str) -> Result<Duration, WireError> {
-        Ok(ms(self.f64(what)?))
+        Ok(duration_from_ms(self.f64(what)?))
     }
 
     fn upstream(&mut self) -> Result<UpstreamId, WireError> {
@@ -189,7 +189,9 @@
             }
         };
         let weight = f64::from(self.f32("weight")?);
-        let started = Some(self.f64("start time")?).filter(|t| *t > 0.0).map(ms);
+        let started = Some(self.f64("start time")?)
+            .filter(|t| *t > 0.0)
+            .map(duration_from_ms);
         Ok(Endpoint {
             id,
             zone,
