--- /dev/null
+++ b/simulator-adapter/src/encoder.rs
@@ -0,0 +1,136 @@
+//! Actions to the bytes of a reply.
+
+use crate::protocol::{ActionCode, LENGTH_BYTES};
+use frostkeel_policy::{Action, UpstreamId};
+use std::time::Duration;
+
+/// What asks discovery for changes; 0 would end them.
+const WATCH_ON: u8 = 1;
+/// Stands for a time that is absent.
+const NO_TIME_MS: f64 = 0.0;
+
+/// A reply: its length, then actions one after the other.
+#[derive(Debug, Default)]
+pub struct ReplyEncoder {
+    bytes: Vec<u8>,
+}
+
+impl ReplyEncoder {
+    /// Starts a reply, with room for its length. The memory of the one before is used again.
+    pub fn begin(&mut self) {
+        self.bytes.clear();
+        self.bytes.extend([0; LENGTH_BYTES]);
+    }
+
+    /// Adds an action of an instance.
+    pub fn push(&mut self, instance: u32, action: &Action) {
+        let mut fields = ActionEncoder {
+            bytes: &mut self.bytes,
+            instance,
+        };
+        fields.encode(action);
+    }
+
+    /// Fills in the length and returns the whole reply.
+    pub fn finish(&mut self) -> &[u8] {
+        let length = (self.bytes.len() - LENGTH_BYTES) as u32;
+        self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+        &self.bytes
+    }
+}
+
+/// Writes the fields of one action.
+struct ActionEncoder<'a> {
+    bytes: &'a mut Vec<u8>,
+    instance: u32,
+}
+
+impl ActionEncoder<'_> {
+    fn encode(&mut self, action: &Action) {
+        match action {
+            Action::Attempt {
+                id,
+                upstream,
+                timeout,
+            } => {
+                self.header(ActionCode::Attempt);
+                self.u32(id.0);
+                self.upstream(*upstream);
+                self.optional_time(*timeout);
+            }
+            Action::Cancel { id, attempt } => {
+                self.header(ActionCode::Cancel);
+                self.u32(id.0);
+                self.bytes.push(attempt.0);
+            }
+            Action::Reject {
+                id, retry_after, ..
+            } => {
+                self.header(ActionCode::Reject);
+                self.u32(id.0);
+                self.optional_time(*retry_after);
+            }
+            Action::Fail { id, .. } => {
+                self.header(ActionCode::Fail);
+                self.u32(id.0);
+            }
+            Action::Timer { after, timer } => {
+                self.header(ActionCode::Timer);
+                self.time(*after);
+                self.u32(timer.0);
+            }
+            Action::WatchEndpoints => {
+                self.header(ActionCode::WatchEndpoints);
+                self.bytes.push(WATCH_ON);
+            }
+            Action::CloseIdleConnections { upstream } => {
+                self.header(ActionCode::CloseIdleConnections);
+                self.upstream(*upstream);
+            }
+            Action::HealthCheck { upstream } => {
+                self.header(ActionCode::HealthCheck);
+                self.upstream(*upstream);
+            }
+            Action::Log { line } => {
+                self.header(ActionCode::Log);
+                self.text(line);
+            }
+        }
+    }
+
+    fn header(&mut self, code: ActionCode) {
+        self.bytes.push(code as u8);
+        self.u32(self.instance);
+    }
+
+    fn u32(&mut self, value: u32) {
+        self.bytes.extend(value.to_be_bytes());
+    }
+
+    fn f64(&mut self, value: f64) {
+        self.bytes.extend(value.to_be_bytes());
+    }
+
+    fn time(&mut self, time: Duration) {
+        self.f64(time.as_secs_f64() * 1e3);
+    }
+
+    fn optional_time(&mut self, time: Option<Duration>) {
+        match time {
+            Some(time) => self.time(time),
+            None => self.f64(NO_TIME_MS),
+        }
+    }
+
+    /// The low six bytes of the id: an address and a port.
+    fn upstream(&mut self, upstream: UpstreamId) {
+        self.bytes.extend(&upstream.0.to_be_bytes()[2..]);
+    }
+
+    /// A text after its length; cut off at the longest that the length field can state.
+    fn text(&mut self, text: &str) {
+        let length = u16::try_from(text.len()).unwrap_or(u16::MAX);
+        self.bytes.extend(length.to_be_bytes());
+        self.bytes.extend(&text.as_bytes()[..usize::from(length)]);
+    }
+}
--- /dev/null
+++ b/simulator-adapter/src/host.rs
@@ -0,0 +1,179 @@
+//! The instances of a process, their endpoint lists, and the actions that wait for the reply.
+
+use crate::error::{BatchError, BatchFault};
+use crate::protocol::{InstanceEvent, LocatedRecord, Record};
+use frostkeel_policy::{Action, Balancer, Endpoint, Event, UpdateScope};
+use std::collections::HashMap;
+use std::time::Duration;
+
+/// An action and the instance that wants it.
+#[derive(Debug)]
+pub struct InstanceAction {
+    /// The instance.
+    pub instance: u32,
+    /// What it wants done.
+    pub action: Action,
+}
+
+/// All instances of the process.
+#[derive(Default)]
+pub struct Host {
+    instances: HashMap<u32, Balancer>,
+    endpoint_lists: HashMap<u32, Vec<Endpoint>>,
+    /// What one event has caused; kept for its memory.
+    actions: Vec<Action>,
+    /// What the instances want done in reply to this batch, in order.
+    pending: Vec<InstanceAction>,
+}
+
+impl Host {
+    /// Applies one record at the batch's time, and keeps the resulting actions for the reply.
+    pub fn apply(&mut self, now: Duration, located: LocatedRecord) -> Result<(), BatchError> {
+        let LocatedRecord { offset, record } = located;
+        self.apply_record(now, record)
+            .map_err(|fault| BatchError { offset, fault })
+    }
+
+    /// The actions since the last call, in order.
+    pub fn take_actions(&mut self) -> impl Iterator<Item = InstanceAction> {
+        self.pending.drain(..)
+    }
+
+    fn apply_record(&mut self, now: Duration, record: Record) -> Result<(), BatchFault> {
+        match record {
+            Record::EndpointList { number, endpoints } => {
+                self.endpoint_lists.insert(number, endpoints);
+                Ok(())
+            }
+            Record::Start {
+                instance,
+                seed,
+                settings,
+            } => self.start(instance, seed, &settings),
+            Record::Stop { instance } => {
+                self.stop(instance);
+                Ok(())
+            }
+            Record::PeerMessage { instance } => running(&mut self.instances, instance).map(|_| ()),
+            Record::Event { instance, event } => self.handle_event(now, instance, &event),
+        }
+    }
+
+    fn handle_event(
+        &mut self,
+        now: Duration,
+        instance: u32,
+        event: &InstanceEvent,
+    ) -> Result<(), BatchFault> {
+        let event = policy_event(event, &self.endpoint_lists)?;
+        let balancer = running(&mut self.instances, instance)?;
+        self.actions.clear();
+        balancer.handle(now, event, &mut self.actions);
+        let actions = self.actions.drain(..);
+        self.pending
+            .extend(actions.map(|action| InstanceAction { instance, action }));
+        Ok(())
+    }
+
+    fn start(&mut self, instance: u32, seed: u64, settings: &str) -> Result<(), BatchFault> {
+        let site = frostkeel_settings::parse(settings)?;
+        let balancer = Balancer::new(site.settings, seed)?;
+        self.instances.insert(instance, balancer);
+        self.discard_pending(instance);
+        Ok(())
+    }
+
+    fn stop(&mut self, instance: u32) {
+        self.instances.remove(&instance);
+        self.discard_pending(instance);
+    }
+
+    /// Drops the actions of an incarnation that has ended: the next one may start in the same batch, and they must not
+    /// count as its own.
+    fn discard_pending(&mut self, instance: u32) {
+        self.pending.retain(|pending| pending.instance != instance);
+    }
+}
+
+fn running(
+    instances: &mut HashMap<u32, Balancer>,
+    instance: u32,
+) -> Result<&mut Balancer, BatchFault> {
+    instances
+        .get_mut(&instance)
+        .ok_or(BatchFault::UnknownInstance { instance })
+}
+
+/// The event in the policy's terms.
+fn policy_event<'a>(
+    event: &'a InstanceEvent,
+    lists: &'a HashMap<u32, Vec<Endpoint>>,
+) -> Result<Event<'a>, BatchFault> {
+    Ok(match event {
+        InstanceEvent::EndpointsUpdated { scope, list_number } => {
+            endpoint_update(lists, *scope, *list_number)?
+        }
+        InstanceEvent::Request {
+            id,
+            class,
+            tenant,
+            time_left,
+            work_ms,
+            is_retry,
+        } => Event::Request {
+            id: *id,
+            class: *class,
+            tenant: *tenant,
+            time_left: *time_left,
+            work_ms: *work_ms,
+            is_retry: *is_retry,
+        },
+        InstanceEvent::StreamStarted {
+            id,
+            attempt,
+            latency,
+        } => Event::StreamStarted {
+            id: *id,
+            attempt: *attempt,
+            latency: *latency,
+        },
+        InstanceEvent::AttemptEnded {
+            id,
+            attempt,
+            finished,
+            result,
+        } => Event::AttemptEnded {
+            id: *id,
+            attempt: *attempt,
+            upstream: result.upstream,
+            outcome: result.outcome,
+            latency: result.latency,
+            finished: *finished,
+            report: &result.load_report,
+        },
+        InstanceEvent::HealthCheckEnded { result } => Event::HealthCheckEnded {
+            upstream: result.upstream,
+            outcome: result.outcome,
+            latency: result.latency,
+            report: &result.load_report,
+        },
+        InstanceEvent::ClientDisconnected { id } => Event::ClientDisconnected { id: *id },
+        InstanceEvent::Timer { timer } => Event::Timer { timer: *timer },
+    })
+}
+
+/// The event for an endpoint update; one that has failed has no entries, whatever list it names.
+fn endpoint_update(
+    lists: &HashMap<u32, Vec<Endpoint>>,
+    scope: UpdateScope,
+    number: u32,
+) -> Result<Event<'_>, BatchFault> {
+    let endpoints = match scope {
+        UpdateScope::Failed => &[],
+        _ => lists
+            .get(&number)
+            .ok_or(BatchFault::UnknownList { number })?
+            .as_slice(),
+    };
+    Ok(Event::EndpointsUpdated { scope, endpoints })
+}
--- /dev/null
+++ b/simulator-adapter/src/session.rs
@@ -0,0 +1,68 @@
+//! A session with the simulator: batches in, one reply for each.
+
+use crate::decoder::decode_batch;
+use crate::encoder::ReplyEncoder;
+use crate::error::SessionError;
+use crate::host::Host;
+use crate::protocol::{CLOCK_BYTES, LENGTH_BYTES, MAX_FRAME_BYTES};
+use std::io::{Read, Write};
+
+/// Answers batches until the input ends between two frames.
+pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), SessionError> {
+    let mut host = Host::default();
+    let mut reply = ReplyEncoder::default();
+    let mut frame = Vec::new();
+    while read_frame(&mut input, &mut frame)? {
+        let batch = decode_batch(&frame)?;
+        for record in batch.records {
+            host.apply(batch.clock, record)?;
+        }
+        reply.begin();
+        for pending in host.take_actions() {
+            reply.push(pending.instance, &pending.action);
+        }
+        output
+            .write_all(reply.finish())
+            .map_err(SessionError::Write)?;
+        output.flush().map_err(SessionError::Write)?;
+    }
+    Ok(())
+}
+
+/// Reads one frame into `frame`; `false` if the input ended before it.
+fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, SessionError> {
+    frame.clear();
+    let received = read_up_to(input, LENGTH_BYTES, frame)?;
+    if received == 0 {
+        return Ok(false);
+    }
+    let Ok(length) = <[u8; LENGTH_BYTES]>::try_from(&frame[..]) else {
+        return Err(SessionError::TruncatedFrame {
+            received,
+            expected: LENGTH_BYTES,
+        });
+    };
+    let length = u32::from_be_bytes(length) as usize;
+    if !(CLOCK_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+        return Err(SessionError::InvalidFrameLength { length });
+    }
+    read_up_to(input, length, frame)?;
+    let (received, expected) = (frame.len(), LENGTH_BYTES + length);
+    if received < expected {
+        return Err(SessionError::TruncatedFrame { received, expected });
+    }
+    Ok(true)
+}
+
+/// Appends up to `limit` bytes to `frame`: fewer only if the input ends. Returns how many.
+fn read_up_to(
+    input: &mut impl Read,
+    limit: usize,
+    frame: &mut Vec<u8>,
+) -> Result<usize, SessionError> {
+    input
+        .by_ref()
+        .take(limit as u64)
+        .read_to_end(frame)
+        .map_err(SessionError::Read)
+}
--- /dev/null
+++ b/simulator-adapter/tests/codec.rs
@@ -0,0 +1,318 @@
+//! Single records and actions, compared with bytes that an earlier version read and wrote.
+
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
+mod common;
+
+use common::{NamedBytes, frame, parse_named_hex};
+use frostkeel_policy::{
+    Action, AttemptNo, Availability, CellId, ClassId, Endpoint, FailureReason, KindId, Outcome,
+    RequestId, TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
+};
+use frostkeel_simulator_adapter::decoder::decode_batch;
+use frostkeel_simulator_adapter::encoder::ReplyEncoder;
+use frostkeel_simulator_adapter::error::BatchFault;
+use frostkeel_simulator_adapter::protocol::{
+    ActionCode, EventCode, InstanceEvent, Record, UpstreamResult,
+};
+use std::time::Duration;
+
+const INSTANCE: u32 = 3;
+const REQUEST: RequestId = RequestId(0x5d3a_91c4);
+const OTHER_REQUEST: RequestId = RequestId(0x0e6f_2b19);
+/// Where the first record of a frame begins.
+const FIRST_RECORD: usize = 12;
+
+/// The upstream at 10.18.74.`host`, port 11203.
+fn upstream(host: u8) -> UpstreamId {
+    UpstreamId(0x0a12_4a00_2bc3 | u64::from(host) << 16)
+}
+
+fn micros(value: u64) -> Duration {
+    Duration::from_micros(value)
+}
+
+fn of_instance(event: InstanceEvent) -> Record {
+    Record::Event {
+        instance: INSTANCE,
+        event,
+    }
+}
+
+fn result(outcome: Outcome, latency_us: u64, load_report: &[f32]) -> UpstreamResult {
+    UpstreamResult {
+        upstream: upstream(7),
+        outcome,
+        latency: micros(latency_us),
+        load_report: load_report.to_vec(),
+    }
+}
+
+fn attempt_ended(outcome: Outcome, finished: bool, load_report: &[f32]) -> Record {
+    of_instance(InstanceEvent::AttemptEnded {
+        id: REQUEST,
+        attempt: AttemptNo(1),
+        finished,
+        result: result(outcome, 4_500, load_report),
+    })
+}
+
+fn endpoints_updated(scope: UpdateScope) -> Record {
+    of_instance(InstanceEvent::EndpointsUpdated {
+        scope,
+        list_number: 15,
+    })
+}
+
+fn endpoints() -> Vec<Endpoint> {
+    vec![
+        Endpoint {
+            id: upstream(7),
+            zone: ZoneId(1),
+            kind: KindId(258),
+            cell: CellId(772),
+            availability: Availability::Removed,
+            weight: 1.5,
+            started: None,
+        },
+        Endpoint {
+            id: upstream(8),
+            zone: ZoneId(2),
+            kind: KindId(3),
+            cell: CellId(4),
+            availability: Availability::Ready,
+            weight: 0.25,
+            started: Some(micros(6_103_500)),
+        },
+        Endpoint {
+            id: upstream(9),
+            zone: ZoneId(255),
+            kind: KindId(65535),
+            cell: CellId(65535),
+            availability: Availability::Draining,
+            weight: -2.0,
+            started: None,
+        },
+    ]
+}
+
+/// The records of `records.hex` up to those of requests, in its order.
+fn lifecycle_and_upstream_records() -> Vec<Record> {
+    vec![
+        Record::PeerMessage { instance: INSTANCE },
+        of_instance(InstanceEvent::ClientDisconnected { id: OTHER_REQUEST }),
+        of_instance(InstanceEvent::StreamStarted {
+            id: REQUEST,
+            attempt: AttemptNo(2),
+            latency: micros(9_250),
+        }),
+        Record::EndpointList {
+            number: 15,
+            endpoints: endpoints(),
+        },
+        Record::EndpointList {
+            number: 0,
+            endpoints: Vec::new(),
+        },
+        Record::Start {
+            instance: INSTANCE,
+            seed: 0x0102_0304_0506_0708,
+            settings: r#"{"classes": [{"name": "a"}]}"#.to_owned(),
+        },
+        of_instance(InstanceEvent::Timer {
+            timer: TimerId(0x4d),
+        }),
+        of_instance(InstanceEvent::HealthCheckEnded {
+            result: result(Outcome::Ok, 1_400, &[0.62, 7.0]),
+        }),
+        Record::Event {
+            instance: u32::MAX,
+            event: InstanceEvent::HealthCheckEnded {
+                result: result(Outcome::Reset, 2_500, &[]),
+            },
+        },
+        Record::Stop { instance: INSTANCE },
+        endpoints_updated(UpdateScope::Failed),
+        endpoints_updated(UpdateScope::Snapshot),
+        endpoints_updated(UpdateScope::Cached),
+        endpoints_updated(UpdateScope::Delta),
+        attempt_ended(Outcome::Ok, true, &[0.62, 7.0]),
+        attempt_ended(Outcome::Error, false, &[]),
+        attempt_ended(Outcome::Rejected, true, &[]),
+        attempt_ended(Outcome::TimedOut, false, &[1.0]),
+        attempt_ended(Outcome::ConnectFailed, false, &[]),
+        attempt_ended(Outcome::Reset, true, &[]),
+        attempt_ended(Outcome::Cancelled, false, &[]),
+        attempt_ended(Outcome::NotSent, false, &[]),
+    ]
+}
+
+/// The records of `records.hex` with requests, in its order: with a work hint, without one, marked as a retry, and with
+/// hints that say nothing.
+fn request_records() -> Vec<Record> {
+    let time_left = micros(240_000);
+    let request = |id, class, tenant| (RequestId(id), ClassId(class), TenantId(tenant));
+    let hint = Some(12.0);
+    [
+        (request(REQUEST.0, 2, 3), time_left, hint, false),
+        (request(1, 0, 0), time_left, None, false),
+        (request(2, 65535, u32::MAX), time_left, hint, true),
+        (request(2, 0, 0), time_left, None, false),
+        (request(2, 0, 0), Duration::ZERO, None, true),
+    ]
+    .map(|((id, class, tenant), time_left, work_ms, is_retry)| {
+        of_instance(InstanceEvent::Request {
+            id,
+            class,
+            tenant,
+            time_left,
+            work_ms,
+            is_retry,
+        })
+    })
+    .into()
+}
+
+fn concatenated(lines: &[NamedBytes]) -> Vec<u8> {
+    lines.iter().flat_map(|line| line.bytes.clone()).collect()
+}
+
+#[test]
+fn decodes_each_record_kind() {
+    let lines = parse_named_hex(include_str!("data/records.hex"));
+    let mut expected = lifecycle_and_upstream_records();
+    expected.extend(request_records());
+    assert_eq!(lines.len(), expected.len());
+    for (line, record) in lines.iter().zip(&expected) {
+        let name = line.name;
+        let batch = decode_batch(&frame(1001.5, &line.bytes));
+        let mut batch = batch.unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert_eq!(batch.clock, micros(1_001_500));
+        let located = batch.records.pop().expect("a record");
+        assert_eq!(
+            (located.offset, &located.record),
+            (FIRST_RECORD, record),
+            "{name}"
+        );
+        assert!(batch.records.is_empty(), "{name}: one record");
+    }
+    let batch =
+        decode_batch(&frame(0.0, &concatenated(&lines))).expect("one batch with all of them");
+    let records: Vec<Record> = batch
+        .records
+        .into_iter()
+        .map(|located| located.record)
+        .collect();
+    assert_eq!(records, expected);
+}
+
+/// The actions of `actions.hex` in its order, each with its instance.
+fn actions() -> Vec<(u32, Action)> {
+    let id = OTHER_REQUEST;
+    let attempt = |id, host, timeout| Action::Attempt {
+        id,
+        upstream: upstream(host),
+        timeout,
+    };
+    let reject = |retry_after| Action::Reject {
+        id,
+        retry_after,
+        reason: FailureReason::NoSpareCapacity,
+    };
+    let cancel = Action::Cancel {
+        id: REQUEST,
+        attempt: AttemptNo(2),
+    };
+    let timer = Action::Timer {
+        after: micros(500_000),
+        timer: TimerId(0x4d),
+    };
+    let fail = Action::Fail {
+        id,
+        reason: FailureReason::Timeout,
+    };
+    let upstream = upstream(7);
+    let line = "two servers known".to_owned();
+    vec![
+        (INSTANCE, attempt(REQUEST, 7, Some(micros(80_000)))),
+        (INSTANCE, attempt(RequestId(1), 8, None)),
+        (u32::MAX, attempt(RequestId(2), 9, Some(micros(1)))),
+        (INSTANCE, cancel),
+        (INSTANCE, reject(Some(micros(250_000)))),
+        (INSTANCE, reject(None)),
+        (INSTANCE, fail),
+        (INSTANCE, timer),
+        (INSTANCE, Action::WatchEndpoints),
+        (INSTANCE, Action::CloseIdleConnections { upstream }),
+        (INSTANCE, Action::HealthCheck { upstream }),
+        (5, Action::Log { line }),
+    ]
+}
+
+/// The reply with one action, without its length field.
+fn encoded(instance: u32, action: &Action) -> Vec<u8> {
+    let mut reply = ReplyEncoder::default();
+    reply.begin();
+    reply.push(instance, action);
+    let bytes = reply.finish();
+    let (length, action) = bytes.split_first_chunk().expect("a length field");
+    assert_eq!(u32::from_be_bytes(*length) as usize, action.len());
+    action.to_vec()
+}
+
+#[test]
+fn encodes_each_action_kind() {
+    let lines = parse_named_hex(include_str!("data/actions.hex"));
+    let actions = actions();
+    assert_eq!(lines.len(), actions.len());
+    let mut reply = ReplyEncoder::default();
+    reply.begin();
+    reply.push(INSTANCE, &Action::WatchEndpoints);
+    // A second start drops what the first reply held.
+    reply.begin();
+    for (line, (instance, action)) in lines.iter().zip(&actions) {
+        assert_eq!(encoded(*instance, action), line.bytes, "{}", line.name);
+        reply.push(*instance, action);
+    }
+    let all = concatenated(&lines);
+    let length = (all.len() as u32).to_be_bytes();
+    assert_eq!(reply.finish(), [&length[..], &all].concat());
+}
+
+#[test]
+fn truncates_log_lines_at_the_length_field_limit() {
+    let line = "x".repeat(70_000);
+    let bytes = encoded(1, &Action::Log { line });
+    assert_eq!(bytes[..7], [69, 0, 0, 0, 1, 0xff, 0xff]);
+    assert_eq!(bytes.len(), 7 + 65_535);
+}
+
+#[test]
+fn event_codes_have_the_numbers_of_the_wire() {
+    let known = (0..=u8::MAX).filter_map(|number| Some((number, EventCode::from_wire(number)?)));
+    let mut count = 0;
+    for (number, code) in known {
+        assert_eq!(code as u8, number, "{code:?}");
+        count += 1;
+    }
+    assert_eq!(count, 11);
+    assert_eq!(ActionCode::Attempt as u8, 72);
+}
+
+#[test]
+fn decoding_errors_have_their_fault_and_byte() {
+    let error = decode_batch(&frame(0.0, &[8, 0, 0])).expect_err("a cut record");
+    assert_eq!(error.offset, FIRST_RECORD + 1);
+    assert!(matches!(
+        error.fault,
+        BatchFault::Truncated {
+            field: "instance",
+            needed: 4,
+            available: 2
+        }
+    ));
+    let mut longer = frame(0.0, &[]);
+    longer.push(0);
+    let error = decode_batch(&longer).expect_err("a wrong length");
+    assert_eq!(error.to_string(), "byte 0: length 8 for 9 bytes");
+}
