--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -33,6 +33,9 @@
 mod upstream;
 pub mod watching;
 
+pub use clients::{Arrival, schedule};
+pub use config::{Told, config};
 pub use error::LabError;
-pub use play::{LabItself, Options, Played, Progress, play};
+pub use play::{LabItself, Members, Options, Played, Progress, play};
+pub use stage::{DrawnFault, drawn_faults};
 pub use upstream::Row;
--- a/lab/src/stage.rs
+++ b/lab/src/stage.rs
@@ -11,6 +11,7 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
@@ -34,6 +35,38 @@
     clients: bool,
 }
 
+/// A fault as it happens in a play, with whom it meets.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DrawnFault {
+    /// When, from the start of the load.
+    pub at: Duration,
+    /// In words.
+    pub text: String,
+    /// Seconds until it ends, where it lasts.
+    pub lasts: Option<f64>,
+    /// By number, the balancers of its target, then those at the other ends.
+    pub balancers: [Vec<u32>; 2],
+    /// The same of upstreams.
+    pub upstreams: [Vec<u32>; 2],
+}
+
+/// Every fault of an experiment as it happens on a seed, in the order of time.
+pub fn drawn_faults(experiment: &Experiment, seed: u64) -> Vec<DrawnFault> {
+    let drawn = |(k, fault): (u64, Fault)| {
+        let mut draw = ChaCha8Rng::seed_from_u64(seed ^ (k + 1) << 40);
+        let target = met(experiment, &fault.target, &mut draw);
+        let with = fault.with.as_ref().map_or_else(Met::default, |with| met(experiment, with, &mut draw));
+        DrawnFault {
+            at: fault.at,
+            text: words(&fault),
+            lasts: lasts(&fault.act),
+            balancers: [target.balancers, with.balancers],
+            upstreams: [target.upstreams, with.upstreams],
+        }
+    };
+    occurrences(experiment).into_iter().map(drawn).collect()
+}
+
 /// A link, and whose it is.
 type Owned = (u32, Other, Arc<Link>);
 
@@ -106,24 +139,7 @@
     }
 
     fn met(&self, target: &Target, draw: &mut ChaCha8Rng) -> Met {
-        let mut some = |share: f64, of: u32| {
-            let mut all: Vec<u32> = (0..of).collect();
-            all.shuffle(draw);
-            all.truncate((share * f64::from(of)).round() as usize);
-            all
-        };
-        let fleet = &self.experiment.fleet;
-        match target {
-            Target::Balancer(n) => Met { balancers: vec![*n], ..Met::default() },
-            Target::Upstream(n) => Met { upstreams: vec![*n], ..Met::default() },
-            Target::Range(first, last) => Met { balancers: (*first..=*last).collect(), ..Met::default() },
-            // Whom it does not mean is said by the fault's target.
-            Target::Others => Met::default(),
-            Target::Balancers(share) => Met { balancers: some(*share, fleet.balancers), ..Met::default() },
-            Target::Upstreams(share) => Met { upstreams: some(*share, fleet.upstreams), ..Met::default() },
-            Target::Discovery => Met { discovery: true, ..Met::default() },
-            Target::Clients => Met { clients: true, ..Met::default() },
-        }
+        met(&self.experiment, target, draw)
     }
 
     /// The links between whom a fault meets and those of `with`, or all others; clients' only where they are named.
@@ -237,6 +253,27 @@
     format!("{whom}: {what}")
 }
 
+fn met(experiment: &Experiment, target: &Target, draw: &mut ChaCha8Rng) -> Met {
+    let mut some = |share: f64, of: u32| {
+        let mut all: Vec<u32> = (0..of).collect();
+        all.shuffle(draw);
+        all.truncate((share * f64::from(of)).round() as usize);
+        all
+    };
+    let fleet = &experiment.fleet;
+    match target {
+        Target::Balancer(n) => Met { balancers: vec![*n], ..Met::default() },
+        Target::Upstream(n) => Met { upstreams: vec![*n], ..Met::default() },
+        Target::Range(first, last) => Met { balancers: (*first..=*last).collect(), ..Met::default() },
+        // Whom it does not mean is said by the fault's target.
+        Target::Others => Met::default(),
+        Target::Balancers(share) => Met { balancers: some(*share, fleet.balancers), ..Met::default() },
+        Target::Upstreams(share) => Met { upstreams: some(*share, fleet.upstreams), ..Met::default() },
+        Target::Discovery => Met { discovery: true, ..Met::default() },
+        Target::Clients => Met { clients: true, ..Met::default() },
+    }
+}
+
 fn of_balancers(target: &Target) -> bool {
     matches!(target, Target::Balancer(_) | Target::Balancers(_) | Target::Range(..) | Target::Others)
 }
