--- a/node/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -6,12 +6,12 @@
 use crate::list::{ListReader, ListUpdate, ReadList, WatchLine, WatchLines};
 use crate::rate_limited::RateLimitedWarning;
 use bytes::Bytes;
+use frostkeel_policy::UpdateScope;
+use frostkeel_settings::Names;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
-use lapisroute::FleetScope;
-use lapisroute_settings::Names;
 use std::cell::{Cell, RefCell};
 use std::error::Error;
 use std::fmt;
@@ -50,7 +50,7 @@
 
 /// What has come of a watch, or of the call for one. The moments are those of the monotonic clock.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WatchEvent {
+pub enum DiscoveryEvent {
     /// A list, changes, or that the watch is over.
     Update(ListUpdate),
     /// Nothing has come since then, and the watch or the call is given up.
@@ -91,7 +91,9 @@
 
 /// Whether a call failed by this machine's fault, which says nothing of discovery.
 fn is_machines_own(failure: &Failure) -> bool {
-    failure.downcast_ref::<io::Error>().is_some_and(|e| ErrorOrigin::of(e) != ErrorOrigin::Peer)
+    failure
+        .downcast_ref::<io::Error>()
+        .is_some_and(|e| ErrorOrigin::of(e) != ErrorOrigin::Peer)
 }
 
 /// How far the lines of a watch have come.
@@ -105,7 +107,11 @@
 impl Progress {
     /// The answer has begun, and its first line is still to come.
     fn answered(at: Instant) -> Self {
-        Self { last_line: at, last_byte: at, line_began: None }
+        Self {
+            last_line: at,
+            last_byte: at,
+            line_began: None,
+        }
     }
 
     fn line_ended(&mut self) {
@@ -150,23 +156,37 @@
     /// Reads a list and takes its version for the one in hand.
     fn take(&self, text: &[u8]) -> Result<ReadList, Failure> {
         let list = self.reader.read(text)?;
-        if let Some(why) = &list.unreadable {
-            self.warnings.warn(|| format!("unreadable list entry: {why}"));
+        if let Some(reason) = &list.unreadable {
+            self.warnings
+                .warn(|| format!("unreadable list entry: {reason}"));
         }
         if !list.all && list.rev < self.rev.get() {
-            return Err(format!("changes of version {}, older than {}", list.rev, self.rev.get()).into());
+            return Err(format!(
+                "changes of version {}, older than {}",
+                list.rev,
+                self.rev.get()
+            )
+            .into());
         }
         if !list.all && list.nameless > 0 {
             return Err("a change of an upstream that is not named".into());
         }
         self.rev.set(list.rev);
-        tracing::info!(rev = list.rev, whole = list.all, entries = list.entries.len(), "list taken in");
+        tracing::info!(
+            rev = list.rev,
+            whole = list.all,
+            entries = list.entries.len(),
+            "list taken in"
+        );
         Ok(list)
     }
 
-    /// The list from the configuration, as [`FleetScope::Cached`].
+    /// The list from the configuration, as [`UpdateScope::Cached`].
     pub fn known(&self, text: &str) -> ListUpdate {
-        let mut update = ListUpdate { scope: FleetScope::Cached, entries: Vec::new() };
+        let mut update = ListUpdate {
+            scope: UpdateScope::Cached,
+            entries: Vec::new(),
+        };
         if !text.is_empty() {
             match self.take(text.as_bytes()) {
                 Ok(list) => update.entries = list.entries,
@@ -196,7 +216,7 @@
 
     /// Watches the list until the watch ends, and tells what comes; the last word is that it has failed. A watch that
     /// another has taken the place of says nothing more, though its task may still run.
-    pub async fn watch(&self, number: u64, mut tell: impl FnMut(WatchEvent)) {
+    pub async fn watch(&self, number: u64, mut tell: impl FnMut(DiscoveryEvent)) {
         let mut tell = |event| {
             if self.watches.get() == number {
                 tell(event);
@@ -211,32 +231,37 @@
             Ok(()) => tracing::info!(watch = number, "watch ended by discovery"),
             Err(e) => tracing::warn!(watch = number, "watch failed: {e}"),
         }
-        tell(WatchEvent::Update(ListUpdate::failed()));
+        tell(DiscoveryEvent::Update(ListUpdate::failed()));
     }
 
-    async fn follow(&self, number: u64, tell: &mut impl FnMut(WatchEvent)) -> Result<(), Failure> {
+    async fn follow(
+        &self,
+        number: u64,
+        tell: &mut impl FnMut(DiscoveryEvent),
+    ) -> Result<(), Failure> {
         let rev = self.rev.get();
         tracing::info!(watch = number, address = %self.address.get(), rev, "list call begins");
         let (began, first_byte) = (Instant::now(), FirstByte::default());
         let answer = match timeout(CALL_TIMEOUT, self.ask(rev, &first_byte)).await {
             Ok(answer) => answer,
             Err(_) => {
-                tell(WatchEvent::Silent(began));
+                tell(DiscoveryEvent::Silent(began));
                 Err(Unanswered.into())
             }
         };
         match (&answer, first_byte.at()) {
-            (Err(e), _) if e.is::<Refused>() => tell(WatchEvent::Refused(began)),
+            (Err(e), _) if e.is::<Refused>() => tell(DiscoveryEvent::Refused(began)),
             // Whatever has come of an answer was written there.
-            (_, Some(since)) => tell(WatchEvent::Partial(since)),
+            (_, Some(since)) => tell(DiscoveryEvent::Partial(since)),
             (Err(e), None) if !e.is::<Unanswered>() && !is_machines_own(e) => {
-                tell(WatchEvent::Unreachable(began));
+                tell(DiscoveryEvent::Unreachable(began));
             }
             _ => (),
         }
         let (_connection, body) = answer?;
         tracing::info!(watch = number, "list call answered");
-        self.follow_lines(number, body, Progress::answered(Instant::now()), tell).await
+        self.follow_lines(number, body, Progress::answered(Instant::now()), tell)
+            .await
     }
 
     /// Reads the lines of a watch until it ends.
@@ -245,30 +270,37 @@
         number: u64,
         mut body: Incoming,
         mut progress: Progress,
-        tell: &mut impl FnMut(WatchEvent),
+        tell: &mut impl FnMut(DiscoveryEvent),
     ) -> Result<(), Failure> {
         let (mut lines, mut answered) = (WatchLines::default(), false);
         loop {
             let frame = match timeout_at(progress.read_until(), body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(ended) => {
-                    tell(WatchEvent::Ended);
+                    tell(DiscoveryEvent::Ended);
                     return ended.transpose().map(|_| ()).map_err(Failure::from);
                 }
                 Err(elapsed) => {
                     if progress.is_silent() {
-                        tell(WatchEvent::Silent(progress.last_line));
+                        tell(DiscoveryEvent::Silent(progress.last_line));
                     }
                     return Err(elapsed.into());
                 }
             };
-            let Ok(data) = frame.into_data() else { continue };
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
             progress.last_byte = Instant::now();
             lines.push(&data);
-            tracing::debug!(watch = number, bytes = data.len(), rev = self.rev.get(), "discovery sent");
+            tracing::debug!(
+                watch = number,
+                bytes = data.len(),
+                rev = self.rev.get(),
+                "discovery sent"
+            );
             while self.watches.get() == number {
                 let line = self.next_line(&mut lines).inspect_err(|_| {
-                    tell(WatchEvent::Partial(progress.last_byte));
+                    tell(DiscoveryEvent::Partial(progress.last_byte));
                 })?;
                 let Some(line) = line else { break };
                 progress.line_ended();
@@ -276,11 +308,11 @@
                 let first = (!answered).then(ListUpdate::unchanged);
                 answered = true;
                 if let Some(update) = line.or(first) {
-                    tell(WatchEvent::Update(update));
+                    tell(DiscoveryEvent::Update(update));
                 }
             }
             if lines.has_begun() && progress.line_begins() {
-                tell(WatchEvent::Partial(progress.last_byte));
+                tell(DiscoveryEvent::Partial(progress.last_byte));
             }
         }
     }
@@ -288,24 +320,40 @@
     /// The next line of a watch, with what it tells of the list. One that can't be read may have told of a drain, so
     /// the whole list is asked for then.
     fn next_line(&self, lines: &mut WatchLines) -> Result<Option<Option<ListUpdate>>, Failure> {
-        let read = lines.next_line().map_err(Failure::from).and_then(|line| match line {
-            None => Ok(None),
-            Some(WatchLine::Heartbeat) => Ok(Some(None)),
-            Some(WatchLine::List(text)) => self.take(&text).map(|list| {
-                let scope = if list.all { FleetScope::Full } else { FleetScope::Changes };
-                Some(Some(ListUpdate { scope, entries: list.entries }))
-            }),
-        });
+        let read = lines
+            .next_line()
+            .map_err(Failure::from)
+            .and_then(|line| match line {
+                None => Ok(None),
+                Some(WatchLine::Heartbeat) => Ok(Some(None)),
+                Some(WatchLine::List(text)) => self.take(&text).map(|list| {
+                    let scope = if list.all {
+                        UpdateScope::Snapshot
+                    } else {
+                        UpdateScope::Delta
+                    };
+                    Some(Some(ListUpdate {
+                        scope,
+                        entries: list.entries,
+                    }))
+                }),
+            });
         read.inspect_err(|_| self.rev.set(0))
     }
 
     /// Calls for a watch on what is newer than a version; `first_byte` learns when its answer begins.
-    async fn ask(&self, rev: u64, first_byte: &FirstByte) -> Result<(Connection, Incoming), Failure> {
+    async fn ask(
+        &self,
+        rev: u64,
+        first_byte: &FirstByte,
+    ) -> Result<(Connection, Incoming), Failure> {
         let address = self.address.get();
         let opened = Connection::open_timed(address, (), first_byte.clone());
         let mut connection = timeout(CONNECT_TIMEOUT, opened).await??;
         let request = Request::get(format!("/registry/instances?stream=1&index={rev}"));
-        let request = request.header(HOST, address.to_string()).body(Full::<Bytes>::default())?;
+        let request = request
+            .header(HOST, address.to_string())
+            .body(Full::<Bytes>::default())?;
         let response = connection.send(request).await?;
         if response.status() != StatusCode::OK {
             return Err(Refused(response.status()).into());
--- a/node/src/server.rs
+++ b/balancer/src/server.rs
@@ -6,6 +6,7 @@
 use crate::rate_limited::RateLimitedWarning;
 use crate::request::{READ_TIMEOUT, Rejected, RequestReader, plain, response_of};
 use bytes::Bytes;
+use frostkeel_settings::Site;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -13,7 +14,6 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use lapisroute_settings::Site;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -143,7 +143,8 @@
             if permits.available_permits() == 0 {
                 self.close_longest_idle();
             }
-            if let Ok(Ok(permit)) = timeout(PERMIT_RETRY, Arc::clone(permits).acquire_owned()).await {
+            if let Ok(Ok(permit)) = timeout(PERMIT_RETRY, Arc::clone(permits).acquire_owned()).await
+            {
                 return permit;
             }
         }
@@ -261,16 +262,20 @@
             "/health/ready" if draining() => plain(StatusCode::SERVICE_UNAVAILABLE, "draining"),
             "/health/ready" | "/health/live" => plain(StatusCode::OK, "ok"),
             _ => match self.requests.read(request).await {
-                Ok(_) if client.state.has_left() => plain(StatusCode::BAD_REQUEST, "the client has left"),
+                Ok(_) if client.state.has_left() => {
+                    plain(StatusCode::BAD_REQUEST, "the client has left")
+                }
                 Ok(asked) => {
                     client.state.set_answering(true);
                     response_of(self.driver.ask(asked).answer().await)
                 }
-                Err(Rejected(status, why)) => plain(status, why),
+                Err(Rejected(status, reason)) => plain(status, reason),
             },
         };
         if draining() || client.state.is_flooded() {
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
@@ -289,7 +294,10 @@
 
     /// Whether an answer has left so lately that a reset of the connection could overtake it.
     fn has_just_been_answered(&self) -> bool {
-        let since = self.idle_since.get().filter(|_| self.known.get() || self.state.head_since().is_some());
+        let since = self
+            .idle_since
+            .get()
+            .filter(|_| self.known.get() || self.state.head_since().is_some());
         since.is_some_and(|since| since.elapsed() < LINGER_AFTER)
     }
 
--- a/lab/tests/load_digest.rs
+++ b/lab/tests/load_digest.rs
@@ -13,8 +13,9 @@
 
 /// FNV-1a, 64 bits.
 fn digest(text: &str) -> u64 {
-    text.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 fn experiments() -> Vec<(String, Experiment)> {
@@ -26,7 +27,11 @@
         .into_iter()
         .map(|file| {
             let text = std::fs::read_to_string(&file).expect("an experiment");
-            let name = file.file_stem().expect("a name").to_string_lossy().into_owned();
+            let name = file
+                .file_stem()
+                .expect("a name")
+                .to_string_lossy()
+                .into_owned();
             (name, Experiment::parse(&text).expect("a valid experiment"))
         })
         .collect()
@@ -36,7 +41,12 @@
     let (mut text, arrivals) = (String::new(), schedule(experiment, seed));
     for a in &arrivals {
         let at = (a.at * 1e6).round() as u64;
-        writeln!(text, "{at} {} {} {} {} {}", a.class, a.tenant, a.key, a.heeds, a.chance).expect("written");
+        writeln!(
+            text,
+            "{at} {} {} {} {} {}",
+            a.class, a.tenant, a.key, a.heeds, a.chance
+        )
+        .expect("written");
     }
     (arrivals.len(), digest(&text))
 }
@@ -45,7 +55,12 @@
     let (mut text, faults) = (String::new(), drawn_faults(experiment, seed));
     for f in &faults {
         let at = f.at.as_micros();
-        writeln!(text, "{at} {} {:?} {:?} {:?}", f.text, f.lasts, f.balancers, f.upstreams).expect("written");
+        writeln!(
+            text,
+            "{at} {} {:?} {:?} {:?}",
+            f.text, f.lasts, f.balancers, f.upstreams
+        )
+        .expect("written");
     }
     (faults.len(), digest(&text))
 }
@@ -62,7 +77,9 @@
             starts,
             known: "{\"rev\":1,\"all\":true,\"targets\":[]}".into(),
             discovery,
-            peers: experiment.membership.map(|_| vec!["127.0.0.1:1".into(), "127.0.0.1:2".into()]),
+            peers: experiment
+                .membership
+                .map(|_| vec!["127.0.0.1:1".into(), "127.0.0.1:2".into()]),
         };
         writeln!(text, "{}", config(told)).expect("written");
     }
@@ -95,7 +112,11 @@
             .expect("written");
         }
     }
-    compare("load_digests.txt", &actual, include_str!("data/load_digests.txt"));
+    compare(
+        "load_digests.txt",
+        &actual,
+        include_str!("data/load_digests.txt"),
+    );
 }
 
 #[test]
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -6,7 +6,7 @@
 use frostkeel_lab::presence;
 use frostkeel_lab::simulated::Simulated;
 use frostkeel_lab::{LabItself, Members, Played, report};
-use frostkeel_membership::{Name, Standing};
+use frostkeel_membership::{MemberState, Name};
 use std::path::Path;
 
 fn name(text: &str) -> Name {
@@ -16,22 +16,59 @@
 /// Every kind of event, with every value of each of its enumerations.
 fn events() -> Vec<Event> {
     let mut all = vec![
-        What::Wanted { request: 3, class: 1 },
-        What::Asked { id: 24, request: 3, again: 0, class: 1, tenant: 2, balancer: 0 },
-        What::Answered { id: 24, status: 200 },
-        What::Arrived { id: 24, upstream: 4 },
+        What::Wanted {
+            request: 3,
+            class: 1,
+        },
+        What::Asked {
+            id: 24,
+            request: 3,
+            again: 0,
+            class: 1,
+            tenant: 2,
+            balancer: 0,
+        },
+        What::Answered {
+            id: 24,
+            status: 200,
+        },
+        What::Arrived {
+            id: 24,
+            upstream: 4,
+        },
         What::Called { balancer: 1 },
-        What::Load { upstream: 4, holds: 7, util: 0.5 },
+        What::Load {
+            upstream: 4,
+            holds: 7,
+            util: 0.5,
+        },
         What::Unlinked { balancer: 1 },
         What::Yielded { by: 1 },
-        What::Fault { text: "u1: killed, back after 2s".into(), lasts: Some(2.0) },
-        What::Fault { text: "b1: asked to leave, started again".into(), lasts: None },
+        What::Fault {
+            text: "u1: killed, back after 2s".into(),
+            lasts: Some(2.0),
+        },
+        What::Fault {
+            text: "b1: asked to leave, started again".into(),
+            lasts: None,
+        },
     ];
-    all.extend([Lost::NoConnection, Lost::Broken, Lost::GaveUp].map(|how| What::Unanswered { id: 25, how }));
+    all.extend(
+        [Lost::NoConnection, Lost::Broken, Lost::GaveUp]
+            .map(|how| What::Unanswered { id: 25, how }),
+    );
     let replies = [Reply::Served, Reply::TurnedAway];
-    all.extend(replies.map(|reply| What::Replied { id: 24, upstream: 4, reply }));
+    all.extend(replies.map(|reply| What::Replied {
+        id: 24,
+        upstream: 4,
+        reply,
+    }));
     let listed = [Listed::Ready, Listed::Terminating, Listed::Gone];
-    all.extend(listed.map(|listed| What::Told { balancer: 1, upstream: 4, listed }));
+    all.extend(listed.map(|listed| What::Told {
+        balancer: 1,
+        upstream: 4,
+        listed,
+    }));
     let lifecycle = [
         Process::Ready,
         Process::Killed,
@@ -46,10 +83,21 @@
         Process::Ill,
         Process::Well,
     ];
-    all.extend(lifecycle.map(|became| What::Balancer { balancer: 1, became }));
-    all.extend(lifecycle.map(|became| What::Upstream { upstream: 4, became }));
+    all.extend(lifecycle.map(|became| What::Balancer {
+        balancer: 1,
+        became,
+    }));
+    all.extend(lifecycle.map(|became| What::Upstream {
+        upstream: 4,
+        became,
+    }));
     all.extend(lifecycle.map(|became| What::Registry { became }));
-    let states = [Standing::Present, Standing::Suspect, Standing::Left, Standing::Gone];
+    let states = [
+        MemberState::Present,
+        MemberState::Suspect,
+        MemberState::Left,
+        MemberState::Gone,
+    ];
     all.extend(states.map(|standing| What::Saw {
         by: 0,
         name: name("b1"),
@@ -57,11 +105,23 @@
         standing,
         version: 9,
     }));
-    (0..).zip(all).map(|(k, what)| Event { at: 250_000 * k, what }).collect()
+    (0..)
+        .zip(all)
+        .map(|(k, what)| Event {
+            at: 250_000 * k,
+            what,
+        })
+        .collect()
 }
 
 fn counts(asked: u32) -> Counts {
-    Counts { asked, in_time: asked - 4, late: 2, refused: 1, failed: 1 }
+    Counts {
+        asked,
+        in_time: asked - 4,
+        late: 2,
+        refused: 1,
+        failed: 1,
+    }
 }
 
 fn breaches() -> Vec<Broken> {
@@ -75,7 +135,14 @@
         Rule::Present,
         Rule::Sound,
     ];
-    (0..).zip(rules).map(|(at, rule)| Broken { rule, at, text: "b1: Crashed at 0.001 s".into() }).collect()
+    (0..)
+        .zip(rules)
+        .map(|(at, rule)| Broken {
+            rule,
+            at,
+            text: "b1: Crashed at 0.001 s".into(),
+        })
+        .collect()
 }
 
 fn membership_figures() -> presence::Figures {
@@ -98,7 +165,12 @@
 }
 
 fn outcome() -> Played {
-    let second = |asked| Second { counts: counts(asked), p50_ms: 120.5, p99_ms: 850.25, util: 0.375 };
+    let second = |asked| Second {
+        counts: counts(asked),
+        p50_ms: 120.5,
+        p99_ms: 850.25,
+        util: 0.375,
+    };
     Played {
         experiment: "forms & <signs>".into(),
         seed: 7,
@@ -117,13 +189,26 @@
             p90_ms: 400.25,
             p99_ms: 900.125,
             calls_most: 2,
-            classes: vec![ClassCounts { class: "station-status".into(), counts: counts(40) }],
+            classes: vec![ClassCounts {
+                class: "station-status".into(),
+                counts: counts(40),
+            }],
             seconds: (10..20).map(second).collect(),
         },
         memory_mb: 12.5,
         balancer_cores: (0.125, 0.25),
-        members: Some(Members { figures: membership_figures(), datagrams: 10.5, bytes: 900.25 }),
-        lab: LabItself { late_p50_ms: 0.5, late_p99_ms: 1.5, late_max_ms: 2.5, cores: 0.75, dropped: 0 },
+        members: Some(Members {
+            figures: membership_figures(),
+            datagrams: 10.5,
+            bytes: 900.25,
+        }),
+        lab: LabItself {
+            late_p50_ms: 0.5,
+            late_p99_ms: 1.5,
+            late_max_ms: 2.5,
+            cores: 0.75,
+            dropped: 0,
+        },
         events: events(),
     }
 }
@@ -144,8 +229,16 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let page = report::write(&outcome(), &folder).expect("written");
     let read = |name: &str| std::fs::read_to_string(folder.join(name)).expect("a file");
-    compare("forms-events.jsonl", &read("events.jsonl"), include_str!("data/events.jsonl"));
-    compare("forms-result.json", &read("result.json"), include_str!("data/result.json"));
+    compare(
+        "forms-events.jsonl",
+        &read("events.jsonl"),
+        include_str!("data/events.jsonl"),
+    );
+    compare(
+        "forms-result.json",
+        &read("result.json"),
+        include_str!("data/result.json"),
+    );
     let page = std::fs::read_to_string(page).expect("a page");
     compare("forms-report.html", &page, include_str!("data/report.html"));
 }
