--- a/lab/src/child.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -1,14 +1,14 @@
 //! The balancers of a play: the real program, started, watched and ended as children.
 
-use crate::clients::Front;
-use crate::config::{Told, config};
+use crate::balancers::balancer_config::{Told, config};
 use crate::error::LabError;
 use crate::experiment::Experiment;
-use crate::figures;
-use crate::guard::Guard;
 use crate::history::{History, Process, What};
-use crate::peers::Peers;
-use crate::process::{self, field};
+use crate::links::peer_links::Peers;
+use crate::measurements::figures;
+use crate::processes::child::{self, field};
+use crate::processes::guard::Guard;
+use crate::standins::clients::Front;
 use frostkeel_membership::{MemberState, Name};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
@@ -206,7 +206,7 @@
         command
             .env("NODE_CONFIG", &path)
             .env("NODE_NAME", self.name(number));
-        let child = process::start(&mut command, &log, move |line| {
+        let child = child::start(&mut command, &log, move |line| {
             balancers.heard(number, line);
             if let Some(address) = field(line, "listen").and_then(|a| a.parse::<SocketAddr>().ok())
                 && let Some(tell) = tell.take()
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment/mod.rs
@@ -1,6 +1,9 @@
 //! Experiment files: what is played, read from TOML and refused with line and reason where it cannot be meant.
 
-pub use crate::fault::{Act, Fault, Target, Way};
+pub(crate) mod faults;
+mod parsing;
+
+pub use crate::experiment::faults::{Act, Fault, Target, Way};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
--- a/lab/src/reading.rs
+++ b/lab/src/experiment/parsing.rs
@@ -1,10 +1,10 @@
 //! How an experiment is read from its file.
 
+use crate::experiment::faults::{self, RawFault};
 use crate::experiment::{
     BALANCERS_MOST, Class, Effect, Expect, Experiment, Fleet, ListService, Load, Model, Peers,
     Refused, Registry, SECONDS_MOST, Tenant, UPSTREAMS_MOST,
 };
-use crate::fault::{self, RawFault};
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
@@ -221,7 +221,7 @@
         for fault in raw.fault {
             let span = fault.span();
             let real = (raw.membership.is_some(), raw.registry.is_some());
-            let fault = fault::read(fault.into_inner(), &fleet, length, real);
+            let fault = faults::read(fault.into_inner(), &fleet, length, real);
             faults.push(fault.map_err(|reason| refused(span.start, reason))?);
         }
         faults.sort_by_key(|f| f.at);
@@ -249,7 +249,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::fault::{Act, Target};
+    use crate::experiment::faults::{Act, Target};
 
     const GOOD: &str = "name = \"x\"\nseconds = 5.0\n[fleet]\nbalancers = 2\nupstreams = 4\n\
                         [[fault]]\nat_s = 1\nkind = \"kill\"\ntarget = \"u1\"\nfor_s = 2\n";
--- a/lab/src/stage.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -1,12 +1,12 @@
 //! The faults of a play: whom they meet, and what is done to them when they are due.
 
-use crate::child::Balancers;
-use crate::discovery::Discovery;
+use crate::balancers::balancer_process::Balancers;
 use crate::experiment::{Act, Experiment, Fault, Target, Way};
 use crate::history::{History, What};
-use crate::link::{Link, Links, Other};
-use crate::peers::Peers;
-use crate::upstream::Upstreams;
+use crate::links::connections::{Link, Links, Other};
+use crate::links::peer_links::Peers;
+use crate::standins::discovery::Discovery;
+use crate::standins::upstreams::Upstreams;
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
--- /dev/null
+++ b/lab/src/faults/mod.rs
@@ -0,0 +1,3 @@
+//! Fault injection.
+
+pub(crate) mod fault_injector;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -3,39 +3,31 @@
 //! One lab process holds what surrounds the balancers: clients, upstreams and the list service, as stand-ins that
 //! speak the published protocol on loopback addresses. The balancers are the real program, started as children. A
 //! play follows an [`Experiment`](experiment::Experiment), keeps the whole [`history`], judges it by the
-//! [`check`]s and writes a [`report`].
+//! [`checks`] and writes a [`reports`].
 //!
-//! Upstreams are modelled by a pure state machine, [`machine::Machine`]; the load and every draw come from one seed.
+//! Upstreams are modelled by a pure state machine, [`standins::upstream_model::Machine`]; the load and every draw come from one seed.
 
-pub mod check;
-mod child;
-mod clients;
-mod config;
-mod discovery;
+mod balancers;
+pub mod checks;
 mod error;
 pub mod experiment;
-mod fault;
-pub mod figures;
-pub mod guard;
+mod faults;
 pub mod history;
-mod link;
-pub mod machine;
-mod net;
-mod peers;
-mod play;
-pub mod presence;
-mod process;
-mod reading;
-mod registrar;
-pub mod report;
-pub mod simulated;
-mod stage;
-mod upstream;
-pub mod watching;
+mod links;
+pub mod measurements;
+pub mod processes;
+pub mod reports;
+pub mod runs;
+pub mod standins;
 
-pub use clients::{Arrival, schedule};
-pub use config::{Told, config};
+pub use balancers::balancer_config::{Told, config};
+pub use checks::{balancer_rules as check, membership_checks as presence};
 pub use error::LabError;
-pub use play::{LabItself, Members, Options, Played, Progress, play};
-pub use stage::{DrawnFault, drawn_faults};
-pub use upstream::Row;
+pub use faults::fault_injector::{DrawnFault, drawn_faults};
+pub use measurements::figures;
+pub use processes::guard;
+pub use reports::page as report;
+pub use runs::experiment_run::{LabItself, Members, Options, Played, Progress, play};
+pub use runs::{registry_run as watching, simulation as simulated};
+pub use standins::clients::{Arrival, schedule};
+pub use standins::upstreams::Row;
--- a/lab/src/peers.rs
+++ b/lab/src/links/peer_links.rs
@@ -2,8 +2,8 @@
 //! address of its own, and what goes between them meets the faults of the way.
 
 use crate::experiment::Way;
-use crate::net::{Kept, Ways, copies};
-use crate::upstream::pair_address;
+use crate::links::datagrams::{Kept, Ways, copies};
+use crate::standins::upstreams::pair_address;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io;
--- a/lab/src/figures.rs
+++ b/lab/src/measurements/figures.rs
@@ -1,8 +1,8 @@
 //! The figures of a play, counted over its whole history.
 
-use crate::clients::TRIES_BITS;
 use crate::experiment::Experiment;
 use crate::history::{Event, Lost, TryId, What};
+use crate::standins::clients::TRIES_BITS;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::HashMap;
--- /dev/null
+++ b/lab/src/measurements/mod.rs
@@ -0,0 +1,3 @@
+//! What is measured over a whole run.
+
+pub mod figures;
--- /dev/null
+++ b/lab/src/processes/mod.rs
@@ -0,0 +1,4 @@
+//! Child processes.
+
+pub(crate) mod child;
+pub mod guard;
--- /dev/null
+++ b/lab/src/reports/mod.rs
@@ -0,0 +1,3 @@
+//! Reports of runs.
+
+pub mod page;
--- a/lab/src/report.rs
+++ b/lab/src/reports/page.rs
@@ -1,8 +1,8 @@
 //! The report of a play: its events as JSON lines, one result in JSON, and one page that holds its own plots.
 
 use crate::history::{Event, What};
-use crate::play::Played;
-use crate::simulated::Simulated;
+use crate::runs::experiment_run::Played;
+use crate::runs::simulation::Simulated;
 use plotters::prelude::*;
 use std::fmt::Write as _;
 use std::io::{self, BufWriter, Write};
@@ -101,7 +101,7 @@
     }
     page.push_str("</table>");
     let faults: Vec<Band<'_>> = played.events.iter().filter_map(fault).collect();
-    let seconds = |of: &dyn Fn(&crate::figures::Second) -> f64| -> Vec<(f64, f64)> {
+    let seconds = |of: &dyn Fn(&crate::measurements::figures::Second) -> f64| -> Vec<(f64, f64)> {
         f.seconds
             .iter()
             .enumerate()
--- a/lab/src/play.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -1,20 +1,20 @@
 //! One play of an experiment, from the first process to the last.
 
-use crate::check::{self, Broken, Rule};
-use crate::child::{Balancers, Round};
-use crate::clients::{Clients, Front, schedule};
-use crate::discovery::Discovery;
+use crate::balancers::balancer_process::{Balancers, Round};
+use crate::checks::balancer_rules::{self, Broken, Rule};
+use crate::checks::membership_checks::{self, Presence};
 use crate::error::LabError;
 use crate::experiment::{Act, Experiment, Fault};
-use crate::figures::{self, Figures};
-use crate::guard::Guard;
+use crate::faults::fault_injector::Stage;
 use crate::history::{Event, History};
-use crate::link::Links;
-use crate::peers::Peers;
-use crate::presence::{self, Presence};
-use crate::registrar::Registrar;
-use crate::stage::Stage;
-use crate::upstream::{Row, Upstreams, pair_address};
+use crate::links::connections::Links;
+use crate::links::peer_links::Peers;
+use crate::measurements::figures::{self, Figures};
+use crate::processes::guard::Guard;
+use crate::standins::clients::{Clients, Front, schedule};
+use crate::standins::discovery::Discovery;
+use crate::standins::registration::Registrar;
+use crate::standins::upstreams::{Row, Upstreams, pair_address};
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -82,7 +82,7 @@
 pub struct Members {
     /// How soon deaths were known, and what was wrongly taken for one.
     #[serde(flatten)]
-    pub figures: presence::Figures,
+    pub figures: membership_checks::Figures,
     /// Datagrams that each sent in a second.
     pub datagrams: f64,
     /// Bytes that each sent in a second.
@@ -315,7 +315,7 @@
     };
     let mut missed = Vec::new();
     if let Some(members) = &members {
-        missed = presence::missed(&experiment, &members.figures);
+        missed = membership_checks::missed(&experiment, &members.figures);
     }
     if figures.served < experiment.expect.served {
         missed.push(format!(
@@ -341,7 +341,7 @@
         cut_short,
         void,
         broken: {
-            let mut broken = check::broken(&experiment, &events);
+            let mut broken = balancer_rules::broken(&experiment, &events);
             if experiment.expect.none_taken_for_gone {
                 broken.extend(wrong.drain(..).map(|(at, text)| Broken {
                     rule: Rule::Present,
--- a/lab/src/watching.rs
+++ b/lab/src/runs/registry_run.rs
@@ -5,9 +5,9 @@
 //! ends with the list; what was acknowledged is there at the end; a read after an acknowledgement is at least as new.
 
 use crate::error::LabError;
-use crate::guard::Guard;
 use crate::history::{History, Listed};
-use crate::registrar::Registrar;
+use crate::processes::guard::Guard;
+use crate::standins::registration::Registrar;
 use bytes::BytesMut;
 use frostkeel_registry::client::{Text, begin, call};
 use frostkeel_registry::list::State;
--- a/lab/src/simulated.rs
+++ b/lab/src/runs/simulation.rs
@@ -1,9 +1,9 @@
 //! Membership in simulated time: the state machines alone, with the faults that an experiment has for balancers.
 
+use crate::checks::membership_checks::{Figures, Presence};
 use crate::experiment::{Act, Experiment, Target, Way};
 use crate::history::{Process, What};
-use crate::net::{Kept, Ways, copies};
-use crate::presence::{Figures, Presence};
+use crate::links::datagrams::{Kept, Ways, copies};
 use frostkeel_membership::{Config, ConfigError, Membership, Name, Output, Place};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/lab/src/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -2,9 +2,9 @@
 //! its retries. What is late to send is not made up for by sending less: a request's time counts from when it was due.
 
 use crate::experiment::{Effect, Experiment};
-use crate::figures::times;
 use crate::history::{History, Lost, TryId, What};
-use crate::link::{Link, Links, Other};
+use crate::links::connections::{Link, Links, Other};
+use crate::measurements::figures::times;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
--- a/lab/src/discovery.rs
+++ b/lab/src/standins/discovery.rs
@@ -2,8 +2,8 @@
 //! of its own.
 
 use crate::history::{History, Listed, What};
-use crate::link::{Links, Other};
-use crate::registrar::Registrar;
+use crate::links::connections::{Links, Other};
+use crate::standins::registration::Registrar;
 use bytes::{Bytes, BytesMut};
 use frostkeel_registry::client::begin;
 use http_body_util::combinators::BoxBody;
--- a/lab/src/registrar.rs
+++ b/lab/src/standins/registration.rs
@@ -1,9 +1,9 @@
 //! A real list service in a play: the process, and the stand-in upstreams that register with it and renew.
 
 use crate::error::LabError;
-use crate::guard::Guard;
 use crate::history::{History, Listed, Process, What};
-use crate::process::{self, field};
+use crate::processes::child::{self, field};
+use crate::processes::guard::Guard;
 use frostkeel_registry::client::call;
 use hyper::Method;
 use rustix::process::{Pid, Signal, kill_process};
@@ -114,7 +114,7 @@
         command
             .args(["--log", "info", "registry", "--config"])
             .arg(&config);
-        let child = process::start(&mut command, &log, move |line| {
+        let child = child::start(&mut command, &log, move |line| {
             let address =
                 |name| field(line, name).and_then(|value| value.parse::<SocketAddr>().ok());
             if let (Some(read), Some(write)) = (address("read"), address("write"))
--- a/lab/src/upstream.rs
+++ b/lab/src/standins/upstreams.rs
@@ -1,10 +1,10 @@
 //! The stand-ins of upstreams: sockets round a [`Machine`] each, at an address of its own for each balancer.
 
-use crate::discovery::Discovery;
 use crate::experiment::Experiment;
 use crate::history::{History, Listed, Process, Reply, What};
-use crate::link::{Io, Links, Other};
-use crate::machine::{Machine, Report, Turned};
+use crate::links::connections::{Io, Links, Other};
+use crate::standins::discovery::Discovery;
+use crate::standins::upstream_model::{Machine, Report, Turned};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
