--- a/node/src/driver.rs
+++ b/balancer/src/driver.rs
@@ -5,7 +5,7 @@
 //! is never entered twice; tasks only ever add to the queue.
 
 use crate::clock::Clock;
-use crate::discovery::{Discovery, WatchEvent};
+use crate::discovery::{Discovery, DiscoveryEvent};
 use crate::headers::CORRELATION_ID;
 use crate::in_flight::{Answer, Asked, Attempt, Held};
 use crate::list::ListUpdate;
@@ -13,9 +13,9 @@
 use crate::starts::Starts;
 use crate::tally::Tally;
 use crate::upstream::{Ended, Upstreams};
-use lapisroute::{
-    Action, AttemptNo, Balancer, Event, FleetScope, ListEvent, Listed, Loss, Outcome, RequestId, TimerId,
-    UpstreamId,
+use frostkeel_policy::{
+    Action, AttemptNo, Balancer, Endpoint, Event, FailureReason, Outcome, RequestId, TimerId,
+    UpdateScope, UpstreamId, WatchEvent,
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::{Cell, RefCell};
@@ -32,11 +32,11 @@
 
 /// What is told to the module next.
 enum Queued {
-    Watch(WatchEvent),
+    Watch(DiscoveryEvent),
     Moved,
     Asked(RequestId),
     AttemptEnded(RequestId, AttemptNo, Ended),
-    ProbeEnded(UpstreamId, Duration, Ended),
+    HealthCheckEnded(UpstreamId, Duration, Ended),
     Gone(RequestId),
     Timer(TimerId),
 }
@@ -71,7 +71,13 @@
         discovery: Discovery,
         known: ListUpdate,
     ) -> Rc<Self> {
-        let core = Core { balancer, requests: FxHashMap::default(), actions: Vec::new(), next_id: 0, tally };
+        let core = Core {
+            balancer,
+            requests: FxHashMap::default(),
+            actions: Vec::new(),
+            next_id: 0,
+            tally,
+        };
         let driver = Rc::new(Self {
             clock: Clock::start(),
             core: RefCell::new(core),
@@ -86,7 +92,7 @@
         spawn_local(async move { sweeper.upstreams.sweep().await });
         let teller = Rc::clone(&driver);
         spawn_local(async move { teller.tell_standing().await });
-        driver.happened(Queued::Watch(WatchEvent::Update(known)));
+        driver.happened(Queued::Watch(DiscoveryEvent::Update(known)));
         driver
     }
 
@@ -100,7 +106,12 @@
             let id = RequestId(core.next_id);
             core.next_id = core.next_id.wrapping_add(1);
             let (came, reply) = (Instant::now(), Some(reply));
-            let held = Held { asked: Rc::new(asked), came, reply, attempts: Vec::new() };
+            let held = Held {
+                asked: Rc::new(asked),
+                came,
+                reply,
+                attempts: Vec::new(),
+            };
             core.requests.insert(id, held);
             id
         };
@@ -126,7 +137,10 @@
         let driver = Rc::clone(self);
         let number = self.discovery.begin_watch();
         let watch = spawn_local(async move {
-            driver.discovery.watch(number, |event| driver.happened(Queued::Watch(event))).await;
+            driver
+                .discovery
+                .watch(number, |event| driver.happened(Queued::Watch(event)))
+                .await;
         });
         self.discovery.watched_by(watch.abort_handle());
     }
@@ -136,8 +150,8 @@
         loop {
             sleep(STANDING_EVERY).await;
             let core = &mut *self.core.borrow_mut();
-            let standing = core.balancer.standing();
-            tracing::info!(held = core.requests.len(), tally = %core.tally, ?standing);
+            let status = core.balancer.status();
+            tracing::info!(held = core.requests.len(), tally = %core.tally, ?status);
             core.tally.clear();
         }
     }
@@ -169,11 +183,14 @@
         match event {
             Queued::Watch(event) => self.watch_event(core, now, event, &mut actions),
             Queued::Moved => {
-                core.balancer.handle(now, Event::List(ListEvent::Moved), &mut actions);
+                core.balancer
+                    .handle(now, Event::Watch(WatchEvent::Moved), &mut actions);
                 self.hold_sends(core);
             }
             Queued::Asked(id) => {
-                let Some(held) = core.requests.get(&id) else { return };
+                let Some(held) = core.requests.get(&id) else {
+                    return;
+                };
                 let asked = &held.asked;
                 core.tally.asked(asked.class);
                 let event = Event::Request {
@@ -182,7 +199,7 @@
                     tenant: asked.tenant,
                     time_left: asked.deadline.saturating_duration_since(Instant::now()),
                     work_ms: asked.work_ms,
-                    repeat: asked.repeat,
+                    is_retry: asked.is_retry,
                 };
                 let (class, tenant) = (asked.class.0, asked.tenant.0);
                 let left = asked.deadline.saturating_duration_since(Instant::now());
@@ -193,22 +210,32 @@
                     class,
                     tenant,
                     ?left,
-                    repeat = asked.repeat,
+                    is_retry = asked.is_retry,
                     "asked"
                 );
                 core.balancer.handle(now, event, &mut actions);
             }
             Queued::AttemptEnded(id, no, ended) => {
-                let Some(held) = core.requests.get_mut(&id) else { return };
+                let Some(held) = core.requests.get_mut(&id) else {
+                    return;
+                };
                 // One event for each: a cancelled attempt may have ended by itself just before.
-                let Some(attempt) = held.attempts.get_mut(usize::from(no.0)).filter(|a| a.out) else {
+                let Some(attempt) = held.attempts.get_mut(usize::from(no.0)).filter(|a| a.out)
+                else {
                     return;
                 };
                 attempt.out = false;
                 core.tally.attempt(held.asked.class, ended.outcome);
                 let (upstream, latency) = (attempt.upstream, attempt.sent.elapsed());
                 let (outcome, report) = (ended.outcome, &ended.report);
-                tracing::debug!(id = id.0, no = no.0, upstream = upstream.0, ?latency, ?outcome, ?report);
+                tracing::debug!(
+                    id = id.0,
+                    no = no.0,
+                    upstream = upstream.0,
+                    ?latency,
+                    ?outcome,
+                    ?report
+                );
                 // A second copy's answer comes to a request that is over: it is dropped.
                 if let Some(served) = ended.served
                     && let Some(reply) = held.reply.take()
@@ -230,21 +257,30 @@
                 core.balancer.handle(now, event, &mut actions);
                 self.forget_if_over(core, id);
             }
-            Queued::ProbeEnded(upstream, latency, ended) => {
-                let event =
-                    Event::ProbeEnded { upstream, outcome: ended.outcome, latency, report: &ended.report };
+            Queued::HealthCheckEnded(upstream, latency, ended) => {
+                let event = Event::HealthCheckEnded {
+                    upstream,
+                    outcome: ended.outcome,
+                    latency,
+                    report: &ended.report,
+                };
                 core.balancer.handle(now, event, &mut actions);
             }
             Queued::Gone(id) => {
-                let Some(held) = core.requests.get_mut(&id) else { return };
+                let Some(held) = core.requests.get_mut(&id) else {
+                    return;
+                };
                 if held.reply.take().is_some() {
                     tracing::debug!(id = id.0, "client has left");
                     core.tally.gone(held.asked.class);
-                    core.balancer.handle(now, Event::RequestGone { id }, &mut actions);
+                    core.balancer
+                        .handle(now, Event::ClientDisconnected { id }, &mut actions);
                 }
                 self.forget_if_over(core, id);
             }
-            Queued::Timer(timer) => core.balancer.handle(now, Event::Timer { timer }, &mut actions),
+            Queued::Timer(timer) => core
+                .balancer
+                .handle(now, Event::Timer { timer }, &mut actions),
         }
         for action in actions.drain(..) {
             self.carry_out(core, action);
@@ -253,72 +289,104 @@
     }
 
     /// Tells the module what has come of a watch, and the connections for how long its list is sent by.
-    fn watch_event(&self, core: &mut Core, now: Duration, event: WatchEvent, actions: &mut Vec<Action>) {
-        let listed;
+    fn watch_event(
+        &self,
+        core: &mut Core,
+        now: Duration,
+        event: DiscoveryEvent,
+        actions: &mut Vec<Action>,
+    ) {
+        let endpoints;
         let event = match event {
-            WatchEvent::Update(update) => {
-                listed = self.fleet(&update);
-                Event::Fleet { scope: update.scope, listed: &listed }
-            }
-            WatchEvent::Silent(since) => Event::List(ListEvent::Silent { since: self.clock.at(since) }),
-            WatchEvent::Ended => Event::List(ListEvent::Ended),
-            WatchEvent::Partial(since) => Event::List(ListEvent::Partial { since: self.clock.at(since) }),
-            WatchEvent::Refused(called) => Event::List(ListEvent::Refused { called: self.clock.at(called) }),
-            WatchEvent::Unreachable(called) => {
-                Event::List(ListEvent::Unreachable { called: self.clock.at(called) })
+            DiscoveryEvent::Update(update) => {
+                endpoints = self.fleet(&update);
+                Event::EndpointsUpdated {
+                    scope: update.scope,
+                    endpoints: &endpoints,
+                }
             }
+            DiscoveryEvent::Silent(since) => Event::Watch(WatchEvent::Silent {
+                since: self.clock.at(since),
+            }),
+            DiscoveryEvent::Ended => Event::Watch(WatchEvent::Ended),
+            DiscoveryEvent::Partial(since) => Event::Watch(WatchEvent::Partial {
+                since: self.clock.at(since),
+            }),
+            DiscoveryEvent::Refused(called) => Event::Watch(WatchEvent::Rejected {
+                requested_at: self.clock.at(called),
+            }),
+            DiscoveryEvent::Unreachable(called) => Event::Watch(WatchEvent::Unreachable {
+                requested_at: self.clock.at(called),
+            }),
         };
         core.balancer.handle(now, event, actions);
         self.hold_sends(core);
     }
 
     fn hold_sends(&self, core: &Core) {
-        let held = core.balancer.sends_held();
-        self.upstreams.hold_sends(held.map(|h| self.clock.instant(h.from)..self.clock.instant(h.until)));
+        let held = core.balancer.send_pause();
+        self.upstreams
+            .hold_sends(held.map(|h| self.clock.instant(h.from)..self.clock.instant(h.until)));
     }
 
     /// Applies update to the connections and words them for the module.
-    fn fleet(&self, update: &ListUpdate) -> Vec<Listed> {
+    fn fleet(&self, update: &ListUpdate) -> Vec<Endpoint> {
         let starts = &mut *self.starts.borrow_mut();
         let (now, first) = (self.clock.now(), starts.is_empty());
-        if matches!(update.scope, FleetScope::Full | FleetScope::Cached) {
+        if matches!(update.scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             let ids: FxHashSet<UpstreamId> = update.entries.iter().map(|e| e.id).collect();
             self.upstreams.keep_only(|id| ids.contains(&id));
             starts.keep_only(&ids);
         }
-        let listed = update.entries.iter().map(|entry| {
+        let endpoints = update.entries.iter().map(|entry| {
             self.upstreams.place(entry.id, &entry.place);
-            Listed {
+            Endpoint {
                 id: entry.id,
                 zone: entry.zone,
                 kind: entry.kind,
                 cell: entry.cell,
                 availability: entry.place.availability,
                 weight: entry.weight,
-                started: starts.seen(entry, now, self.clock.at_unix_ms(entry.place.boot_ms), first),
+                started: starts.seen(
+                    entry,
+                    now,
+                    self.clock.at_unix_ms(entry.place.boot_ms),
+                    first,
+                ),
             }
         });
-        listed.collect()
+        endpoints.collect()
     }
 
     fn carry_out(self: &Rc<Self>, core: &mut Core, action: Action) {
         match action {
-            Action::Attempt { id, upstream, timeout } => self.attempt(core, id, upstream, timeout),
+            Action::Attempt {
+                id,
+                upstream,
+                timeout,
+            } => self.attempt(core, id, upstream, timeout),
             Action::Cancel { id, attempt } => {
-                let out = core.requests.get(&id).and_then(|held| held.attempts.get(usize::from(attempt.0)));
+                let out = core
+                    .requests
+                    .get(&id)
+                    .and_then(|held| held.attempts.get(usize::from(attempt.0)));
                 if let Some(out) = out.filter(|a| a.out) {
                     out.task.abort();
                     let cancelled = Queued::AttemptEnded(id, attempt, Outcome::Cancelled.into());
                     self.queue.borrow_mut().push_back(cancelled);
                 }
             }
-            Action::Refuse { id, retry_after, why } => {
-                tracing::debug!(id = id.0, ?retry_after, ?why, "refused");
-                self.answer(core, id, Answer::Refused(retry_after), why);
+            Action::Reject {
+                id,
+                retry_after,
+                reason,
+            } => {
+                tracing::debug!(id = id.0, ?retry_after, ?reason, "refused");
+                self.answer(core, id, Answer::Refused(retry_after), reason);
             }
-            Action::Fail { id, why } => {
-                tracing::debug!(id = id.0, ?why, "failed");
-                self.answer(core, id, Answer::Failed, why);
+            Action::Fail { id, reason } => {
+                tracing::debug!(id = id.0, ?reason, "failed");
+                self.answer(core, id, Answer::Failed, reason);
             }
             Action::Timer { after, timer } => {
                 let driver = Rc::clone(self);
@@ -327,13 +395,13 @@
                     driver.happened(Queued::Timer(timer));
                 });
             }
-            Action::WatchFleet => self.watch(),
-            Action::CloseIdle { upstream } => self.upstreams.close_idle(upstream),
-            Action::Probe { upstream } => {
+            Action::WatchEndpoints => self.watch(),
+            Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
+            Action::HealthCheck { upstream } => {
                 let (driver, sent) = (Rc::clone(self), Instant::now());
                 spawn_local(async move {
                     let ended = driver.upstreams.probe(upstream).await;
-                    driver.happened(Queued::ProbeEnded(upstream, sent.elapsed(), ended));
+                    driver.happened(Queued::HealthCheckEnded(upstream, sent.elapsed(), ended));
                 });
             }
             Action::Log { line } => tracing::info!("{line}"),
@@ -347,7 +415,9 @@
         upstream: UpstreamId,
         timeout: Option<Duration>,
     ) {
-        let Some(held) = core.requests.get_mut(&id) else { return };
+        let Some(held) = core.requests.get_mut(&id) else {
+            return;
+        };
         let (sent, no) = (Instant::now(), AttemptNo(held.attempts.len() as u8));
         let give_up = timeout.map_or(held.asked.deadline, |t| held.asked.deadline.min(sent + t));
         let (driver, asked) = (Rc::clone(self), Rc::clone(&held.asked));
@@ -365,15 +435,21 @@
             };
             driver.happened(Queued::AttemptEnded(id, no, ended));
         });
-        held.attempts.push(Attempt { upstream, sent, task: task.abort_handle(), begun, out: true });
+        held.attempts.push(Attempt {
+            upstream,
+            sent,
+            task: task.abort_handle(),
+            begun,
+            out: true,
+        });
     }
 
     /// Gives a request its final answer, which is not an upstream's.
-    fn answer(&self, core: &mut Core, id: RequestId, answer: Answer, why: Loss) {
+    fn answer(&self, core: &mut Core, id: RequestId, answer: Answer, reason: FailureReason) {
         if let Some(held) = core.requests.get_mut(&id)
             && let Some(reply) = held.reply.take()
         {
-            core.tally.lost(held.asked.class, why);
+            core.tally.lost(held.asked.class, reason);
             let _ = reply.send(answer);
         }
         self.forget_if_over(core, id);
@@ -382,8 +458,15 @@
     /// Lets go of a request that has its answer and no attempt out. Attempts that have not begun are dropped, also
     /// where the site allows none to be cancelled: nobody waits for them, and nothing of them has left.
     fn forget_if_over(&self, core: &mut Core, id: RequestId) {
-        let Some(held) = core.requests.get(&id).filter(|held| held.reply.is_none()) else { return };
-        for (no, attempt) in held.attempts.iter().enumerate().filter(|(_, a)| a.out && !a.begun.get()) {
+        let Some(held) = core.requests.get(&id).filter(|held| held.reply.is_none()) else {
+            return;
+        };
+        for (no, attempt) in held
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, a)| a.out && !a.begun.get())
+        {
             attempt.task.abort();
             let dropped = Queued::AttemptEnded(id, AttemptNo(no as u8), Outcome::NotSent.into());
             self.queue.borrow_mut().push_back(dropped);
--- a/node/tests/wire_fixtures.rs
+++ b/balancer/tests/wire_fixtures.rs
@@ -15,8 +15,8 @@
 mod common;
 
 use common::*;
-use lapisroute::{Availability, Reports, Settings, UpstreamId};
-use maplehook::upstream::{Place, Upstreams};
+use frostkeel_balancer::upstream::{Place, Upstreams};
+use frostkeel_policy::{Availability, LoadReports, Settings, UpstreamId};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -47,7 +47,10 @@
 
 impl Transcript {
     fn new(name: &'static str) -> Self {
-        Self { name, text: String::new() }
+        Self {
+            name,
+            text: String::new(),
+        }
     }
 
     /// Adds bytes under a heading.
@@ -64,14 +67,23 @@
 
     /// Compares all of it with the committed file.
     fn check(self) {
-        let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data/wire").join(self.name);
+        let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+            .join("tests/data/wire")
+            .join(self.name);
         if std::env::var_os("WIRE_FIXTURES").is_some_and(|value| value == "write") {
             std::fs::write(&path, &self.text).unwrap();
             panic!("{} is written, and nothing was compared", self.name);
         }
-        let committed = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        let committed =
+            std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
         for (n, (now, then)) in self.text.lines().zip(committed.lines()).enumerate() {
-            assert_eq!(now, then, "{} line {}: now, and as committed", self.name, n + 1);
+            assert_eq!(
+                now,
+                then,
+                "{} line {}: now, and as committed",
+                self.name,
+                n + 1
+            );
         }
         assert_eq!(self.text, committed, "{}", self.name);
     }
@@ -79,11 +91,16 @@
 
 /// Masks what varies from run to run; see the head of this file.
 fn masked(bytes: &[u8]) -> Vec<u8> {
-    let head = bytes.windows(4).position(|w| w == b"\r\n\r\n").map_or(bytes.len(), |at| at + 4);
+    let head = bytes
+        .windows(4)
+        .position(|w| w == b"\r\n\r\n")
+        .map_or(bytes.len(), |at| at + 4);
     let mut shown = Vec::new();
     for line in bytes[..head].split_inclusive(|byte| *byte == b'\n') {
         let text = String::from_utf8(line.to_vec()).expect("a head in ASCII");
-        let value = text.split_once(": ").map(|(name, value)| (name, value.trim_end_matches("\r\n")));
+        let value = text
+            .split_once(": ")
+            .map(|(name, value)| (name, value.trim_end_matches("\r\n")));
         let value = value.and_then(|(name, value)| Some((name, masked_value(name, value)?)));
         match value {
             Some((name, value)) => write!(shown, "{name}: {value}\r\n").unwrap(),
@@ -103,7 +120,9 @@
             Some("<ms>".to_owned())
         }
         "retry-after" => Some(value.replace(|c: char| c.is_ascii_digit(), "#")),
-        "host" => value.starts_with("127.0.0.1:").then(|| "127.0.0.1:<port>".to_owned()),
+        "host" => value
+            .starts_with("127.0.0.1:")
+            .then(|| "127.0.0.1:<port>".to_owned()),
         _ => None,
     }
 }
@@ -138,7 +157,10 @@
     /// `response` may be empty: none is given. The connection is closed after one that has no length.
     fn start(response: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (address, received) = (listener.local_addr().unwrap(), Arc::<Mutex<Vec<_>>>::default());
+        let (address, received) = (
+            listener.local_addr().unwrap(),
+            Arc::<Mutex<Vec<_>>>::default(),
+        );
         let kept = Arc::clone(&received);
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -195,7 +217,11 @@
         if further.is_empty() {
             return b"the connection is closed";
         }
-        assert!(further.starts_with(b"HTTP/1.1 200 OK\r\n"), "{:?}", further.escape_ascii().to_string());
+        assert!(
+            further.starts_with(b"HTTP/1.1 200 OK\r\n"),
+            "{:?}",
+            further.escape_ascii().to_string()
+        );
         b"the connection is kept"
     }
 }
@@ -229,9 +255,10 @@
     let every_header = "Cookie: user=7f\r\nX-Repeat: 1\r\nX-Weight-Hint: 1500\r\nAccept: */*\r\nTE: trailers\r\n\
         Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nProxy-Authorization: none\r\n\
         Proxy-Connection: keep-alive\r\nUpgrade: h2c\r\nExpect: nothing\r\nX-Twice: a\r\nX-Twice: b\r\n";
-    let in_chunks = post("/book/day", "", "")
-        .replace("Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n")
-        + "3\r\none\r\n4\r\n two\r\n0\r\n\r\n";
+    let in_chunks = post("/book/day", "", "").replace(
+        "Content-Length: 0\r\n\r\n",
+        "Transfer-Encoding: chunked\r\n\r\n",
+    ) + "3\r\none\r\n4\r\n two\r\n0\r\n\r\n";
     let keyed = post("/keyed/a", "Idempotency-Key: \"k-1\"\r\n", "x");
     let old = look(TIME_LEFT_MS).replace("HTTP/1.1", "HTTP/1.0");
     let old_kept = old.replace("Host", "Connection: keep-alive\r\nHost");
@@ -247,11 +274,19 @@
         ("GET of HTTP/1.0, kept", &old_kept),
         ("POST", &post("/book/day?n=1", "", "a day")),
         ("POST with an empty body", &post("/book", "", "")),
-        ("POST with every header", &post("/book/day?n=1&m=%20", every_header, "a day")),
+        (
+            "POST with every header",
+            &post("/book/day?n=1&m=%20", every_header, "a day"),
+        ),
         ("POST in chunks", &in_chunks),
         ("POST with an idempotency key", &keyed),
     ] {
-        exchange(&mut transcript, case, request, &Recorder::start(WITH_LENGTH));
+        exchange(
+            &mut transcript,
+            case,
+            request,
+            &Recorder::start(WITH_LENGTH),
+        );
     }
     transcript.check();
 }
@@ -265,8 +300,16 @@
         ("up to the close", UNTIL_CLOSE),
         ("empty", EMPTY),
     ] {
-        transcript.add(&format!("{case}: the upstream answers"), response.as_bytes());
-        exchange(&mut transcript, case, &look(TIME_LEFT_MS), &Recorder::start(response));
+        transcript.add(
+            &format!("{case}: the upstream answers"),
+            response.as_bytes(),
+        );
+        exchange(
+            &mut transcript,
+            case,
+            &look(TIME_LEFT_MS),
+            &Recorder::start(response),
+        );
     }
     transcript.check();
 }
@@ -275,12 +318,33 @@
 fn rejections_and_failures_are_as_committed() {
     let mut transcript = Transcript::new("rejections_and_failures.txt");
     for (case, response) in [("an error", ERROR), ("rejected unprocessed", REJECTED)] {
-        transcript.add(&format!("{case}: the upstream answers"), response.as_bytes());
-        exchange(&mut transcript, case, &book(TIME_LEFT_MS, "x"), &Recorder::start(response));
+        transcript.add(
+            &format!("{case}: the upstream answers"),
+            response.as_bytes(),
+        );
+        exchange(
+            &mut transcript,
+            case,
+            &book(TIME_LEFT_MS, "x"),
+            &Recorder::start(response),
+        );
     }
-    let unreachable = Recorder { address: nobody(), received: Arc::default() };
-    exchange(&mut transcript, "no upstream listens", &book(TIME_LEFT_MS, "x"), &unreachable);
-    exchange(&mut transcript, "no response", &book(400, "x"), &Recorder::start(""));
+    let unreachable = Recorder {
+        address: nobody(),
+        received: Arc::default(),
+    };
+    exchange(
+        &mut transcript,
+        "no upstream listens",
+        &book(TIME_LEFT_MS, "x"),
+        &unreachable,
+    );
+    exchange(
+        &mut transcript,
+        "no response",
+        &book(400, "x"),
+        &Recorder::start(""),
+    );
     transcript.check();
 }
 
@@ -301,13 +365,33 @@
         ("no account", "X-Account: acme\r\n", ""),
         ("no time left", "X-Time-Left-Ms: 5000\r\n", ""),
         ("unreadable time left", ": 5000", ": soon"),
-        ("unreadable weight hint", "Host", "X-Weight-Hint: heavy\r\nHost"),
-        ("body too long, by its length", "Content-Length: 1\r\n\r\nx", "Content-Length: 99999999\r\n\r\n"),
-        ("body does not come", "Content-Length: 1\r\n\r\nx", "Content-Length: 9\r\n\r\nx"),
-        ("unreadable length", "Content-Length: 1", "Content-Length: one"),
+        (
+            "unreadable weight hint",
+            "Host",
+            "X-Weight-Hint: heavy\r\nHost",
+        ),
+        (
+            "body too long, by its length",
+            "Content-Length: 1\r\n\r\nx",
+            "Content-Length: 99999999\r\n\r\n",
+        ),
+        (
+            "body does not come",
+            "Content-Length: 1\r\n\r\nx",
+            "Content-Length: 9\r\n\r\nx",
+        ),
+        (
+            "unreadable length",
+            "Content-Length: 1",
+            "Content-Length: one",
+        ),
         ("no version", " HTTP/1.1", ""),
         ("unknown version", "HTTP/1.1", "HTTP/7.0"),
-        ("broken chunk", "Content-Length: 1\r\n\r\nx", "Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
+        (
+            "broken chunk",
+            "Content-Length: 1\r\n\r\nx",
+            "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+        ),
         (
             "expects to go on",
             "Content-Length: 1\r\n\r\nx",
@@ -323,7 +407,10 @@
     let mut client = RawClient::connect(node.address);
     client.send(long.as_bytes());
     client.send("y".repeat(MAX_BODY + 1).as_bytes());
-    transcript.add_received("body too long, in chunks: the client receives", &client.response());
+    transcript.add_received(
+        "body too long, in chunks: the client receives",
+        &client.response(),
+    );
     let mut client = RawClient::connect(node.address);
     client.send(format!("GET /look HTTP/1.1\r\nX-Long: {}\r\n", "y".repeat(40_000)).as_bytes());
     transcript.add_received("head too long: the client receives", &client.response());
@@ -398,7 +485,10 @@
     client.send(&[b'x'; 100_000]);
     node.round_trip();
     (&upstream).write_all(WITH_LENGTH.as_bytes()).unwrap();
-    transcript.add_received("100,000 bytes behind a request: the client receives", &client.response());
+    transcript.add_received(
+        "100,000 bytes behind a request: the client receives",
+        &client.response(),
+    );
     transcript.add_received("then the client receives", &client.response());
     transcript.check();
 }
@@ -414,20 +504,38 @@
     let call = calls.recv_timeout(LONG).expect("a call");
     transcript.add_received("discovery receives", &read_raw(&mut BufReader::new(&call)));
     let line = list(7, true, &[entry("s-0", upstream.address, "Ready")]);
-    (&call).write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    (&call)
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
     tell(&call, &line);
     (&call).write_all(b"0\r\n\r\n").unwrap();
     let further = calls.recv_timeout(LONG).expect("a further call");
-    transcript.add_received("discovery receives next", &read_raw(&mut BufReader::new(&further)));
+    transcript.add_received(
+        "discovery receives next",
+        &read_raw(&mut BufReader::new(&further)),
+    );
     transcript.check();
 }
 
 /// What an upstream receives as a health check.
-async fn health_check(reports: Reports) -> Vec<u8> {
+async fn health_check(load_reports: LoadReports) -> Vec<u8> {
     let upstream = Recorder::start(WITH_LENGTH);
-    let upstreams = Upstreams::new(&Settings { reports, ..Settings::default() }, 8);
+    let upstreams = Upstreams::new(
+        &Settings {
+            load_reports,
+            ..Settings::default()
+        },
+        8,
+    );
     let (endpoint, id) = (Some(upstream.address), UpstreamId(7));
-    upstreams.place(id, &Place { endpoint, availability: Availability::Ready, boot_ms: 0 });
+    upstreams.place(
+        id,
+        &Place {
+            endpoint,
+            availability: Availability::Ready,
+            boot_ms: 0,
+        },
+    );
     let ended = upstreams.probe(id).await;
     assert!(ended.served.is_some(), "{ended:?}");
     upstream.received().concat()
@@ -436,8 +544,13 @@
 #[tokio::test(flavor = "local")]
 async fn health_checks_are_as_committed() {
     let mut transcript = Transcript::new("health_checks.txt");
-    transcript.add_received("without load reports: the upstream receives", &health_check(Reports::Off).await);
-    transcript
-        .add_received("with load reports: the upstream receives", &health_check(Reports::OnProbe).await);
+    transcript.add_received(
+        "without load reports: the upstream receives",
+        &health_check(LoadReports::Off).await,
+    );
+    transcript.add_received(
+        "with load reports: the upstream receives",
+        &health_check(LoadReports::OnHealthCheck).await,
+    );
     transcript.check();
 }
