--- a/balancer/src/client_stream.rs
+++ b/balancer/src/client_stream.rs
@@ -3,7 +3,7 @@
 //! The server reads only what it needs for the request in hand. Bytes that wait behind that request would hide the
 //! end of the connection, so whoever watches the connection reads ahead, up to a bound, and learns of the end at once.
 
-use crate::error_origin::again_if_interrupted;
+use crate::error_origin::retry_if_interrupted;
 use bytes::{Buf, BytesMut};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -153,7 +153,7 @@
             }
             let mut space = [0; READ_SIZE];
             let mut read = ReadBuf::new(&mut space);
-            match again_if_interrupted(Pin::new(&mut self.reader).poll_read(cx, &mut read), cx) {
+            match retry_if_interrupted(Pin::new(&mut self.reader).poll_read(cx, &mut read), cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Err(e)) => self.shared.end(Err(e.kind())),
                 Poll::Ready(Ok(())) if read.filled().is_empty() => self.shared.end(Ok(())),
@@ -241,7 +241,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.writer).poll_write(cx, buf);
-        self.note_write(again_if_interrupted(poll, cx))
+        self.note_write(retry_if_interrupted(poll, cx))
     }
 
     fn poll_write_vectored(
@@ -250,7 +250,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.writer).poll_write_vectored(cx, bufs);
-        self.note_write(again_if_interrupted(poll, cx))
+        self.note_write(retry_if_interrupted(poll, cx))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/balancer/src/connection.rs
+++ b/balancer/src/connection.rs
@@ -1,6 +1,6 @@
 //! One client-side connection: it knows how much of a request the kernel has taken.
 
-use crate::error_origin::again_if_interrupted;
+use crate::error_origin::retry_if_interrupted;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -62,7 +62,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let poll = again_if_interrupted(Pin::new(&mut self.stream).poll_read(cx, buf), cx);
+        let poll = retry_if_interrupted(Pin::new(&mut self.stream).poll_read(cx, buf), cx);
         if buf.filled().len() > before {
             self.first_byte.note();
         }
@@ -77,7 +77,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.count(again_if_interrupted(poll, cx))
+        self.count(retry_if_interrupted(poll, cx))
     }
 
     fn poll_write_vectored(
@@ -86,7 +86,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.count(again_if_interrupted(poll, cx))
+        self.count(retry_if_interrupted(poll, cx))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -2,9 +2,11 @@
 //! whole list.
 
 use crate::connection::{Connection, FirstByte};
+use crate::endpoint_list::{
+    EndpointList, EndpointListReader, EndpointUpdate, WatchLine, WatchLines,
+};
 use crate::error_origin::ErrorOrigin;
-use crate::list::{ListReader, ListUpdate, ReadList, WatchLine, WatchLines};
-use crate::rate_limited::RateLimitedWarning;
+use crate::rate_limited_log::RateLimitedLog;
 use bytes::Bytes;
 use frostkeel_policy::UpdateScope;
 use frostkeel_settings::Names;
@@ -23,7 +25,7 @@
 
 /// A watch has a line to say every 2 s. Without one for this long it is dead, whatever its connection looks like; the
 /// rest of the 6 s after which what it missed counts as told is for opening another.
-pub const SILENCE_MOST: Duration = Duration::from_millis(3000);
+pub const MAX_SILENCE: Duration = Duration::from_millis(3000);
 /// A line that has begun and does not go on for this long has broken off: the list is called for anew while what it
 /// told may still be learned within the grace of a drain.
 const STALL_MOST: Duration = Duration::from_millis(500);
@@ -37,13 +39,13 @@
 /// Where discovery is, and how far this balancer has followed it.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    reader: ListReader,
+    reader: EndpointListReader,
     /// The version of the list in hand; 0: none.
     rev: Cell<u64>,
     watch: RefCell<Option<AbortHandle>>,
     /// Number of the watch in force.
     watches: Cell<u64>,
-    warnings: RateLimitedWarning,
+    warnings: RateLimitedLog,
 }
 
 type Failure = Box<dyn Error + Send + Sync>;
@@ -52,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
     /// A list, changes, or that the watch is over.
-    Update(ListUpdate),
+    Update(EndpointUpdate),
     /// Nothing has come since then, and the watch or the call is given up.
     Silent(Instant),
     /// Discovery has ended the watch.
@@ -129,7 +131,7 @@
     /// When the watch is given up, should nothing come.
     fn read_until(&self) -> Instant {
         match self.line_began {
-            None => self.last_line + SILENCE_MOST,
+            None => self.last_line + MAX_SILENCE,
             Some(began) => (self.last_byte + STALL_MOST).min(began + LINE_MOST),
         }
     }
@@ -145,16 +147,16 @@
     pub fn new(address: SocketAddr, names: Names) -> Self {
         Self {
             address: Cell::new(address),
-            reader: ListReader::new(names),
+            reader: EndpointListReader::new(names),
             rev: Cell::new(0),
             watch: RefCell::default(),
             watches: Cell::new(0),
-            warnings: RateLimitedWarning::default(),
+            warnings: RateLimitedLog::default(),
         }
     }
 
     /// Reads a list and takes its version for the one in hand.
-    fn take(&self, text: &[u8]) -> Result<ReadList, Failure> {
+    fn take(&self, text: &[u8]) -> Result<EndpointList, Failure> {
         let list = self.reader.read(text)?;
         if let Some(reason) = &list.unreadable {
             self.warnings
@@ -182,8 +184,8 @@
     }
 
     /// The list from the configuration, as [`UpdateScope::Cached`].
-    pub fn known(&self, text: &str) -> ListUpdate {
-        let mut update = ListUpdate {
+    pub fn known(&self, text: &str) -> EndpointUpdate {
+        let mut update = EndpointUpdate {
             scope: UpdateScope::Cached,
             entries: Vec::new(),
         };
@@ -231,7 +233,7 @@
             Ok(()) => tracing::info!(watch = number, "watch ended by discovery"),
             Err(e) => tracing::warn!(watch = number, "watch failed: {e}"),
         }
-        tell(DiscoveryEvent::Update(ListUpdate::failed()));
+        tell(DiscoveryEvent::Update(EndpointUpdate::failed()));
     }
 
     async fn follow(
@@ -305,7 +307,7 @@
                 let Some(line) = line else { break };
                 progress.line_ended();
                 // A heartbeat in place of a first list says that nothing has changed.
-                let first = (!answered).then(ListUpdate::unchanged);
+                let first = (!answered).then(EndpointUpdate::unchanged);
                 answered = true;
                 if let Some(update) = line.or(first) {
                     tell(DiscoveryEvent::Update(update));
@@ -319,7 +321,7 @@
 
     /// The next line of a watch, with what it tells of the list. One that can't be read may have told of a drain, so
     /// the whole list is asked for then.
-    fn next_line(&self, lines: &mut WatchLines) -> Result<Option<Option<ListUpdate>>, Failure> {
+    fn next_line(&self, lines: &mut WatchLines) -> Result<Option<Option<EndpointUpdate>>, Failure> {
         let read = lines
             .next_line()
             .map_err(Failure::from)
@@ -332,7 +334,7 @@
                     } else {
                         UpdateScope::Delta
                     };
-                    Some(Some(ListUpdate {
+                    Some(Some(EndpointUpdate {
                         scope,
                         entries: list.entries,
                     }))
--- a/balancer/src/list.rs
+++ b/balancer/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The list of upstreams as discovery words it: whole lists, changes, and the lines of a watch.
 
-use crate::upstream::Place;
+use crate::upstream::EndpointState;
 use bytes::{Bytes, BytesMut};
 use frostkeel_policy::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
 use frostkeel_settings::Names;
@@ -9,11 +9,11 @@
 use std::fmt;
 
 /// The longest line, and the longest list: more is no list.
-pub const LIST_MOST: usize = 8 * 1024 * 1024;
+pub const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
 /// An upstream as listed, for the library and for the connections.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// Its id, made of its uid alone: the same at every balancer, and wherever it listens.
     pub id: UpstreamId,
     /// Its zone.
@@ -25,19 +25,19 @@
     /// Its weight.
     pub weight: f64,
     /// Where it is, and how it stands.
-    pub place: Place,
+    pub place: EndpointState,
 }
 
 /// What a call or a watch has told of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListUpdate {
+pub struct EndpointUpdate {
     /// How complete it is.
     pub scope: UpdateScope,
     /// The entries.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
 }
 
-impl ListUpdate {
+impl EndpointUpdate {
     /// That nothing has changed.
     pub fn unchanged() -> Self {
         Self {
@@ -57,13 +57,13 @@
 
 /// A list's text, read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReadList {
+pub struct EndpointList {
     /// Its version.
     pub rev: u64,
     /// It is the whole list, not changes.
     pub all: bool,
     /// The entries; one that names its upstream and is unreadable otherwise wants nothing new until it can be read.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
     /// Entries that do not even name their upstream.
     pub nameless: usize,
     /// What was wrong with the first unreadable entry.
@@ -72,7 +72,7 @@
 
 /// Why a text is no list.
 #[derive(Debug)]
-pub enum ListError {
+pub enum EndpointListError {
     /// It is no JSON of a list's form.
     Json(serde_json::Error),
     /// A line ended, or another began, inside a list.
@@ -81,7 +81,7 @@
     Endless,
 }
 
-impl fmt::Display for ListError {
+impl fmt::Display for EndpointListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Json(e) => write!(f, "no list: {e}"),
@@ -91,7 +91,7 @@
     }
 }
 
-impl std::error::Error for ListError {}
+impl std::error::Error for EndpointListError {}
 
 #[derive(Deserialize)]
 struct RawList<'a> {
@@ -136,20 +136,20 @@
 }
 
 /// Reads lists with the names of a site's zones and kinds.
-pub struct ListReader {
+pub struct EndpointListReader {
     names: Names,
 }
 
-impl ListReader {
+impl EndpointListReader {
     /// A reader; `names` turn zones and kinds into numbers.
     pub fn new(names: Names) -> Self {
         Self { names }
     }
 
     /// Reads a list's text.
-    pub fn read(&self, text: &[u8]) -> Result<ReadList, ListError> {
-        let list: RawList<'_> = serde_json::from_slice(text).map_err(ListError::Json)?;
-        let mut read = ReadList {
+    pub fn read(&self, text: &[u8]) -> Result<EndpointList, EndpointListError> {
+        let list: RawList<'_> = serde_json::from_slice(text).map_err(EndpointListError::Json)?;
+        let mut read = EndpointList {
             rev: list.rev,
             all: list.all,
             entries: Vec::new(),
@@ -182,7 +182,7 @@
         Ok(read)
     }
 
-    fn entry(&self, uid: &str, text: &str) -> Result<Entry, String> {
+    fn entry(&self, uid: &str, text: &str) -> Result<EndpointEntry, String> {
         let raw: RawEntry<'_> = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let availability = match raw.state.as_str() {
             "Ready" => Availability::Ready,
@@ -197,13 +197,13 @@
             return Err("no address".to_owned());
         }
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        Ok(Entry {
+        Ok(EndpointEntry {
             id: stable_id(uid),
             zone: ZoneId(position(&self.names.zones, &raw.az).map_or(u8::MAX, |z| z as u8)),
             kind: KindId(position(&self.names.kinds, &raw.model).map_or(u16::MAX, |k| k as u16)),
             cell: CellId(raw.pod_group),
             weight: raw.capacity_hint,
-            place: Place {
+            place: EndpointState {
                 endpoint,
                 availability,
                 boot_ms: raw.boot_ms.max(0.0) as u64,
@@ -213,14 +213,14 @@
 }
 
 /// What can't be read may have been a drain: it is taken for one.
-fn unreadable_entry(uid: &str) -> Entry {
-    Entry {
+fn unreadable_entry(uid: &str) -> EndpointEntry {
+    EndpointEntry {
         id: stable_id(uid),
         zone: ZoneId(u8::MAX),
         kind: KindId(u16::MAX),
         cell: CellId(0),
         weight: 1.0,
-        place: Place {
+        place: EndpointState {
             endpoint: None,
             availability: Availability::Draining,
             boot_ms: 0,
@@ -265,7 +265,7 @@
     }
 
     /// The next line that is whole.
-    pub fn next_line(&mut self) -> Result<Option<WatchLine>, ListError> {
+    pub fn next_line(&mut self) -> Result<Option<WatchLine>, EndpointListError> {
         while let Some(&byte) = self.pending.get(self.scanned) {
             self.scanned += 1;
             if byte == b'\n' {
@@ -277,8 +277,8 @@
             self.filled |= !byte.is_ascii_whitespace();
             self.scan(byte);
         }
-        if self.pending.len() > LIST_MOST {
-            Err(ListError::Endless)
+        if self.pending.len() > MAX_LIST_BYTES {
+            Err(EndpointListError::Endless)
         } else {
             Ok(None)
         }
@@ -300,7 +300,7 @@
     }
 
     /// A line has ended: it was empty, or it ends a list, or the list goes on.
-    fn line_end(&mut self) -> Result<Option<WatchLine>, ListError> {
+    fn line_end(&mut self) -> Result<Option<WatchLine>, EndpointListError> {
         let filled = std::mem::take(&mut self.filled);
         self.lines += 1;
         if self.depth == 0 && !self.in_string {
@@ -319,7 +319,7 @@
         // No list has an empty line in it, nor does one go on that is wrong already.
         let wrong = || serde_json::from_slice::<&RawValue>(&self.pending[..self.scanned]);
         if !filled || self.in_string || (self.lines == 1 && wrong().is_err_and(|e| !e.is_eof())) {
-            return Err(ListError::Broken);
+            return Err(EndpointListError::Broken);
         }
         Ok(None)
     }
--- a/balancer/src/error_origin.rs
+++ b/balancer/src/error_origin.rs
@@ -63,7 +63,7 @@
 
 /// A read or write that a signal has interrupted is made again when the task is next polled: it has done nothing, and
 /// says nothing of the connection.
-pub fn again_if_interrupted<T>(poll: Poll<io::Result<T>>, cx: &Context<'_>) -> Poll<io::Result<T>> {
+pub fn retry_if_interrupted<T>(poll: Poll<io::Result<T>>, cx: &Context<'_>) -> Poll<io::Result<T>> {
     match poll {
         Poll::Ready(Err(e)) if e.kind() == io::ErrorKind::Interrupted => {
             cx.waker().wake_by_ref();
--- a/balancer/src/driver.rs
+++ b/balancer/src/event_loop.rs
@@ -6,13 +6,13 @@
 
 use crate::clock::Clock;
 use crate::discovery::{Discovery, DiscoveryEvent};
+use crate::endpoint_list::EndpointUpdate;
 use crate::headers::CORRELATION_ID;
-use crate::in_flight::{Answer, Asked, Attempt, Held};
-use crate::list::ListUpdate;
-use crate::pending::Pending;
-use crate::starts::Starts;
-use crate::tally::Tally;
-use crate::upstream::{Ended, Upstreams};
+use crate::in_flight::{Attempt, ClientRequest, FinalResponse, InFlightRequest};
+use crate::incarnations::Incarnations;
+use crate::pending_response::PendingResponse;
+use crate::request_counters::RequestCounters;
+use crate::upstream::{AttemptResult, Upstreams};
 use frostkeel_policy::{
     Action, AttemptNo, Balancer, Endpoint, Event, FailureReason, Outcome, RequestId, TimerId,
     UpdateScope, UpstreamId, WatchEvent,
@@ -28,77 +28,77 @@
 use tokio::time::{Instant, sleep};
 
 /// How often the log says how the balancer stands.
-const STANDING_EVERY: Duration = Duration::from_secs(5);
+const STATUS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What is told to the module next.
-enum Queued {
-    Watch(DiscoveryEvent),
-    Moved,
-    Asked(RequestId),
-    AttemptEnded(RequestId, AttemptNo, Ended),
-    HealthCheckEnded(UpstreamId, Duration, Ended),
-    Gone(RequestId),
-    Timer(TimerId),
+enum QueuedEvent {
+    Discovery(DiscoveryEvent),
+    DiscoveryMoved,
+    RequestReceived(RequestId),
+    AttemptEnded(RequestId, AttemptNo, AttemptResult),
+    HealthCheckEnded(UpstreamId, Duration, AttemptResult),
+    ClientDisconnected(RequestId),
+    TimerDue(TimerId),
 }
 
 struct Core {
     balancer: Balancer,
-    requests: FxHashMap<RequestId, Held>,
+    requests: FxHashMap<RequestId, InFlightRequest>,
     actions: Vec<Action>,
     next_id: u32,
-    tally: Tally,
+    counters: RequestCounters,
 }
 
-/// The driver of one `Balancer`.
-pub struct Driver {
+/// The event_loop of one `Balancer`.
+pub struct EventLoop {
     clock: Clock,
     core: RefCell<Core>,
-    queue: RefCell<VecDeque<Queued>>,
-    playing: Cell<bool>,
+    queue: RefCell<VecDeque<QueuedEvent>>,
+    is_processing: Cell<bool>,
     upstreams: Upstreams,
-    starts: RefCell<Starts>,
+    incarnations: RefCell<Incarnations>,
     discovery: Discovery,
     /// Set when what is held has to end.
     force_close: watch::Sender<bool>,
 }
 
-impl Driver {
-    /// A driver with the list of upstreams known before the start, and an empty tally of its classes.
+impl EventLoop {
+    /// A event_loop with the list of upstreams known before the start, and an empty counters of its classes.
     pub fn start(
         balancer: Balancer,
-        tally: Tally,
+        counters: RequestCounters,
         upstreams: Upstreams,
         discovery: Discovery,
-        known: ListUpdate,
+        known: EndpointUpdate,
     ) -> Rc<Self> {
         let core = Core {
             balancer,
             requests: FxHashMap::default(),
             actions: Vec::new(),
             next_id: 0,
-            tally,
+            counters,
         };
-        let driver = Rc::new(Self {
+        let event_loop = Rc::new(Self {
             clock: Clock::start(),
             core: RefCell::new(core),
             queue: RefCell::default(),
-            playing: Cell::new(false),
+            is_processing: Cell::new(false),
             upstreams,
-            starts: RefCell::default(),
+            incarnations: RefCell::default(),
             discovery,
             force_close: watch::Sender::new(false),
         });
-        let sweeper = Rc::clone(&driver);
-        spawn_local(async move { sweeper.upstreams.sweep().await });
-        let teller = Rc::clone(&driver);
-        spawn_local(async move { teller.tell_standing().await });
-        driver.happened(Queued::Watch(DiscoveryEvent::Update(known)));
-        driver
+        let sweeper = Rc::clone(&event_loop);
+        spawn_local(async move { sweeper.upstreams.close_expired_periodically().await });
+        let teller = Rc::clone(&event_loop);
+        spawn_local(async move { teller.log_status_periodically().await });
+        event_loop.enqueue(QueuedEvent::Discovery(DiscoveryEvent::Update(known)));
+        event_loop
     }
 
     /// Hands a request to the module. Its final answer comes from what is returned; when that is dropped
     /// before, the client has gone.
-    pub fn ask(self: &Rc<Self>, asked: Asked) -> Pending {
+    pub fn submit(self: &Rc<Self>, asked: ClientRequest) -> PendingResponse {
         let (reply, answer) = oneshot::channel();
         let id = {
             let core = &mut *self.core.borrow_mut();
@@ -106,7 +106,7 @@
             let id = RequestId(core.next_id);
             core.next_id = core.next_id.wrapping_add(1);
             let (came, reply) = (Instant::now(), Some(reply));
-            let held = Held {
+            let held = InFlightRequest {
                 asked: Rc::new(asked),
                 came,
                 reply,
@@ -115,44 +115,46 @@
             core.requests.insert(id, held);
             id
         };
-        self.happened(Queued::Asked(id));
-        Pending::new(Rc::clone(self), id, answer)
+        self.enqueue(QueuedEvent::RequestReceived(id));
+        PendingResponse::new(Rc::clone(self), id, answer)
     }
 
     /// The client of a request that is owed its answer has gone.
-    pub(crate) fn client_has_left(self: &Rc<Self>, id: RequestId) {
-        self.happened(Queued::Gone(id));
+    pub(crate) fn client_disconnected(self: &Rc<Self>, id: RequestId) {
+        self.enqueue(QueuedEvent::ClientDisconnected(id));
     }
 
     /// Discovery has moved: a watch goes on there.
-    pub fn discovery_at(self: &Rc<Self>, address: SocketAddr) {
+    pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.move_to(address) {
-            self.happened(Queued::Moved);
+            self.enqueue(QueuedEvent::DiscoveryMoved);
             self.watch();
         }
     }
 
     /// Watches discovery, in place of the watch before.
     fn watch(self: &Rc<Self>) {
-        let driver = Rc::clone(self);
+        let event_loop = Rc::clone(self);
         let number = self.discovery.begin_watch();
         let watch = spawn_local(async move {
-            driver
+            event_loop
                 .discovery
-                .watch(number, |event| driver.happened(Queued::Watch(event)))
+                .watch(number, |event| {
+                    event_loop.enqueue(QueuedEvent::Discovery(event))
+                })
                 .await;
         });
         self.discovery.watched_by(watch.abort_handle());
     }
 
     /// Logs how the balancer stands, again and again.
-    async fn tell_standing(&self) {
+    async fn log_status_periodically(&self) {
         loop {
-            sleep(STANDING_EVERY).await;
+            sleep(STATUS_INTERVAL).await;
             let core = &mut *self.core.borrow_mut();
             let status = core.balancer.status();
-            tracing::info!(held = core.requests.len(), tally = %core.tally, ?status);
-            core.tally.clear();
+            tracing::info!(held = core.requests.len(), counters = %core.counters, ?status);
+            core.counters.reset();
         }
     }
 
@@ -163,36 +165,36 @@
     }
 
     /// Takes in what has happened and does what follows from it.
-    fn happened(self: &Rc<Self>, event: Queued) {
+    fn enqueue(self: &Rc<Self>, event: QueuedEvent) {
         self.queue.borrow_mut().push_back(event);
-        if self.playing.replace(true) {
+        if self.is_processing.replace(true) {
             return;
         }
         loop {
             let next = self.queue.borrow_mut().pop_front();
             let Some(next) = next else { break };
-            self.play(&mut self.core.borrow_mut(), next);
+            self.process_event(&mut self.core.borrow_mut(), next);
         }
-        self.playing.set(false);
+        self.is_processing.set(false);
     }
 
     /// Plays one event into the module and carries out its actions.
-    fn play(self: &Rc<Self>, core: &mut Core, event: Queued) {
+    fn process_event(self: &Rc<Self>, core: &mut Core, event: QueuedEvent) {
         let now = self.clock.now();
         let mut actions = std::mem::take(&mut core.actions);
         match event {
-            Queued::Watch(event) => self.watch_event(core, now, event, &mut actions),
-            Queued::Moved => {
+            QueuedEvent::Discovery(event) => self.watch_event(core, now, event, &mut actions),
+            QueuedEvent::DiscoveryMoved => {
                 core.balancer
                     .handle(now, Event::Watch(WatchEvent::Moved), &mut actions);
-                self.hold_sends(core);
+                self.pause_sends(core);
             }
-            Queued::Asked(id) => {
+            QueuedEvent::RequestReceived(id) => {
                 let Some(held) = core.requests.get(&id) else {
                     return;
                 };
                 let asked = &held.asked;
-                core.tally.asked(asked.class);
+                core.counters.count_received(asked.class);
                 let event = Event::Request {
                     id,
                     class: asked.class,
@@ -215,7 +217,7 @@
                 );
                 core.balancer.handle(now, event, &mut actions);
             }
-            Queued::AttemptEnded(id, no, ended) => {
+            QueuedEvent::AttemptEnded(id, no, ended) => {
                 let Some(held) = core.requests.get_mut(&id) else {
                     return;
                 };
@@ -225,7 +227,7 @@
                     return;
                 };
                 attempt.out = false;
-                core.tally.attempt(held.asked.class, ended.outcome);
+                core.counters.count_attempt(held.asked.class, ended.outcome);
                 let (upstream, latency) = (attempt.upstream, attempt.sent.elapsed());
                 let (outcome, report) = (ended.outcome, &ended.report);
                 tracing::debug!(
@@ -240,9 +242,10 @@
                 if let Some(served) = ended.served
                     && let Some(reply) = held.reply.take()
                 {
-                    core.tally.served(held.asked.class, held.came.elapsed());
+                    core.counters
+                        .count_forwarded(held.asked.class, held.came.elapsed());
                     // Where the client has just gone, nobody waits for it.
-                    let _ = reply.send(Answer::Served(served));
+                    let _ = reply.send(FinalResponse::Forwarded(served));
                 }
                 let finished = held.reply.is_none();
                 let event = Event::AttemptEnded {
@@ -255,9 +258,9 @@
                     report: &ended.report,
                 };
                 core.balancer.handle(now, event, &mut actions);
-                self.forget_if_over(core, id);
+                self.release(core, id);
             }
-            Queued::HealthCheckEnded(upstream, latency, ended) => {
+            QueuedEvent::HealthCheckEnded(upstream, latency, ended) => {
                 let event = Event::HealthCheckEnded {
                     upstream,
                     outcome: ended.outcome,
@@ -266,24 +269,25 @@
                 };
                 core.balancer.handle(now, event, &mut actions);
             }
-            Queued::Gone(id) => {
+            QueuedEvent::ClientDisconnected(id) => {
                 let Some(held) = core.requests.get_mut(&id) else {
                     return;
                 };
                 if held.reply.take().is_some() {
                     tracing::debug!(id = id.0, "client has left");
-                    core.tally.gone(held.asked.class);
+                    core.counters.count_client_disconnected(held.asked.class);
                     core.balancer
                         .handle(now, Event::ClientDisconnected { id }, &mut actions);
                 }
-                self.forget_if_over(core, id);
+                self.release(core, id);
+            }
+            QueuedEvent::TimerDue(timer) => {
+                core.balancer
+                    .handle(now, Event::Timer { timer }, &mut actions)
             }
-            Queued::Timer(timer) => core
-                .balancer
-                .handle(now, Event::Timer { timer }, &mut actions),
         }
         for action in actions.drain(..) {
-            self.carry_out(core, action);
+            self.perform(core, action);
         }
         core.actions = actions;
     }
@@ -299,7 +303,7 @@
         let endpoints;
         let event = match event {
             DiscoveryEvent::Update(update) => {
-                endpoints = self.fleet(&update);
+                endpoints = self.apply_update(&update);
                 Event::EndpointsUpdated {
                     scope: update.scope,
                     endpoints: &endpoints,
@@ -320,26 +324,26 @@
             }),
         };
         core.balancer.handle(now, event, actions);
-        self.hold_sends(core);
+        self.pause_sends(core);
     }
 
-    fn hold_sends(&self, core: &Core) {
+    fn pause_sends(&self, core: &Core) {
         let held = core.balancer.send_pause();
         self.upstreams
-            .hold_sends(held.map(|h| self.clock.instant(h.from)..self.clock.instant(h.until)));
+            .pause_sends(held.map(|h| self.clock.instant(h.from)..self.clock.instant(h.until)));
     }
 
     /// Applies update to the connections and words them for the module.
-    fn fleet(&self, update: &ListUpdate) -> Vec<Endpoint> {
-        let starts = &mut *self.starts.borrow_mut();
-        let (now, first) = (self.clock.now(), starts.is_empty());
+    fn apply_update(&self, update: &EndpointUpdate) -> Vec<Endpoint> {
+        let incarnations = &mut *self.incarnations.borrow_mut();
+        let (now, first) = (self.clock.now(), incarnations.is_empty());
         if matches!(update.scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             let ids: FxHashSet<UpstreamId> = update.entries.iter().map(|e| e.id).collect();
-            self.upstreams.keep_only(|id| ids.contains(&id));
-            starts.keep_only(&ids);
+            self.upstreams.retain_listed(|id| ids.contains(&id));
+            incarnations.retain_listed(&ids);
         }
         let endpoints = update.entries.iter().map(|entry| {
-            self.upstreams.place(entry.id, &entry.place);
+            self.upstreams.apply_endpoint(entry.id, &entry.place);
             Endpoint {
                 id: entry.id,
                 zone: entry.zone,
@@ -347,7 +351,7 @@
                 cell: entry.cell,
                 availability: entry.place.availability,
                 weight: entry.weight,
-                started: starts.seen(
+                started: incarnations.observe(
                     entry,
                     now,
                     self.clock.at_unix_ms(entry.place.boot_ms),
@@ -358,7 +362,7 @@
         endpoints.collect()
     }
 
-    fn carry_out(self: &Rc<Self>, core: &mut Core, action: Action) {
+    fn perform(self: &Rc<Self>, core: &mut Core, action: Action) {
         match action {
             Action::Attempt {
                 id,
@@ -372,7 +376,8 @@
                     .and_then(|held| held.attempts.get(usize::from(attempt.0)));
                 if let Some(out) = out.filter(|a| a.out) {
                     out.task.abort();
-                    let cancelled = Queued::AttemptEnded(id, attempt, Outcome::Cancelled.into());
+                    let cancelled =
+                        QueuedEvent::AttemptEnded(id, attempt, Outcome::Cancelled.into());
                     self.queue.borrow_mut().push_back(cancelled);
                 }
             }
@@ -382,26 +387,30 @@
                 reason,
             } => {
                 tracing::debug!(id = id.0, ?retry_after, ?reason, "refused");
-                self.answer(core, id, Answer::Refused(retry_after), reason);
+                self.answer(core, id, FinalResponse::Rejected(retry_after), reason);
             }
             Action::Fail { id, reason } => {
                 tracing::debug!(id = id.0, ?reason, "failed");
-                self.answer(core, id, Answer::Failed, reason);
+                self.answer(core, id, FinalResponse::Failed, reason);
             }
             Action::Timer { after, timer } => {
-                let driver = Rc::clone(self);
+                let event_loop = Rc::clone(self);
                 spawn_local(async move {
                     sleep(after).await;
-                    driver.happened(Queued::Timer(timer));
+                    event_loop.enqueue(QueuedEvent::TimerDue(timer));
                 });
             }
             Action::WatchEndpoints => self.watch(),
             Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
             Action::HealthCheck { upstream } => {
-                let (driver, sent) = (Rc::clone(self), Instant::now());
+                let (event_loop, sent) = (Rc::clone(self), Instant::now());
                 spawn_local(async move {
-                    let ended = driver.upstreams.probe(upstream).await;
-                    driver.happened(Queued::HealthCheckEnded(upstream, sent.elapsed(), ended));
+                    let ended = event_loop.upstreams.health_check(upstream).await;
+                    event_loop.enqueue(QueuedEvent::HealthCheckEnded(
+                        upstream,
+                        sent.elapsed(),
+                        ended,
+                    ));
                 });
             }
             Action::Log { line } => tracing::info!("{line}"),
@@ -420,7 +429,7 @@
         };
         let (sent, no) = (Instant::now(), AttemptNo(held.attempts.len() as u8));
         let give_up = timeout.map_or(held.asked.deadline, |t| held.asked.deadline.min(sent + t));
-        let (driver, asked) = (Rc::clone(self), Rc::clone(&held.asked));
+        let (event_loop, asked) = (Rc::clone(self), Rc::clone(&held.asked));
         let mut force_close = self.force_close.subscribe();
         let begun = Rc::new(Cell::new(false));
         let begins = Rc::clone(&begun);
@@ -429,11 +438,11 @@
                 Outcome::NotSent.into()
             } else {
                 tokio::select! {
-                    ended = driver.upstreams.attempt(upstream, &asked.outgoing, give_up, &begins) => ended,
+                    ended = event_loop.upstreams.attempt(upstream, &asked.outgoing, give_up, &begins) => ended,
                     _ = force_close.wait_for(|cut| *cut) => Outcome::TimedOut.into(),
                 }
             };
-            driver.happened(Queued::AttemptEnded(id, no, ended));
+            event_loop.enqueue(QueuedEvent::AttemptEnded(id, no, ended));
         });
         held.attempts.push(Attempt {
             upstream,
@@ -445,19 +454,19 @@
     }
 
     /// Gives a request its final answer, which is not an upstream's.
-    fn answer(&self, core: &mut Core, id: RequestId, answer: Answer, reason: FailureReason) {
+    fn answer(&self, core: &mut Core, id: RequestId, answer: FinalResponse, reason: FailureReason) {
         if let Some(held) = core.requests.get_mut(&id)
             && let Some(reply) = held.reply.take()
         {
-            core.tally.lost(held.asked.class, reason);
+            core.counters.count_failed(held.asked.class, reason);
             let _ = reply.send(answer);
         }
-        self.forget_if_over(core, id);
+        self.release(core, id);
     }
 
     /// Lets go of a request that has its answer and no attempt out. Attempts that have not begun are dropped, also
     /// where the site allows none to be cancelled: nobody waits for them, and nothing of them has left.
-    fn forget_if_over(&self, core: &mut Core, id: RequestId) {
+    fn release(&self, core: &mut Core, id: RequestId) {
         let Some(held) = core.requests.get(&id).filter(|held| held.reply.is_none()) else {
             return;
         };
@@ -468,10 +477,11 @@
             .filter(|(_, a)| a.out && !a.begun.get())
         {
             attempt.task.abort();
-            let dropped = Queued::AttemptEnded(id, AttemptNo(no as u8), Outcome::NotSent.into());
+            let dropped =
+                QueuedEvent::AttemptEnded(id, AttemptNo(no as u8), Outcome::NotSent.into());
             self.queue.borrow_mut().push_back(dropped);
         }
-        let over = |held: &Held| held.attempts.iter().all(|a| !a.out);
+        let over = |held: &InFlightRequest| held.attempts.iter().all(|a| !a.out);
         if core.requests.get(&id).is_some_and(over) {
             core.requests.remove(&id);
         }
--- a/balancer/src/exchange.rs
+++ b/balancer/src/exchange.rs
@@ -13,7 +13,7 @@
 const BODY_MOST: usize = 64 * 1024;
 
 /// A request as it is passed on.
-pub struct Outgoing {
+pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -24,7 +24,7 @@
     pub body: Bytes,
 }
 
-impl Outgoing {
+impl ForwardedRequest {
     /// The request of one attempt, which says how long the balancer will wait.
     pub fn request(&self, left: Duration) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
@@ -43,7 +43,7 @@
 /// Why an exchange has no answer.
 pub enum ExchangeError {
     /// The connection ended without one.
-    Ended(hyper::Error),
+    ConnectionEnded(hyper::Error),
     /// The upstream answered, with something that can't be read.
     Unreadable(Box<dyn Error + Send + Sync>),
 }
@@ -57,7 +57,7 @@
         if e.is_parse() {
             ExchangeError::Unreadable(e.into())
         } else {
-            ExchangeError::Ended(e)
+            ExchangeError::ConnectionEnded(e)
         }
     })?;
     let (parts, body) = response.into_parts();
--- a/balancer/src/pool.rs
+++ b/balancer/src/idle_pool.rs
@@ -58,16 +58,16 @@
 }
 
 /// The bound on connections open to all upstreams together.
-pub struct OpenLimit {
+pub struct ConnectionLimit {
     most: usize,
     open: Cell<usize>,
     freed: Notify,
 }
 
 /// A permit for one of them, given back when its descriptor is closed.
-pub struct OpenPermit(Rc<OpenLimit>);
+pub struct ConnectionPermit(Rc<ConnectionLimit>);
 
-impl OpenLimit {
+impl ConnectionLimit {
     /// At most `most` at a time.
     pub fn new(most: usize) -> Rc<Self> {
         Rc::new(Self {
@@ -88,17 +88,17 @@
     }
 
     /// A permit for one more, as soon as there is one; `make_room` is asked to close an idle one until then.
-    pub async fn permit(self: &Rc<Self>, make_room: impl Fn()) -> OpenPermit {
+    pub async fn permit(self: &Rc<Self>, make_room: impl Fn()) -> ConnectionPermit {
         while self.is_full() {
             make_room();
             self.freed.notified().await;
         }
         self.open.set(self.open.get() + 1);
-        OpenPermit(Rc::clone(self))
+        ConnectionPermit(Rc::clone(self))
     }
 }
 
-impl Drop for OpenPermit {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
         self.0.freed.notify_one();
--- a/balancer/src/in_flight.rs
+++ b/balancer/src/in_flight.rs
@@ -1,7 +1,7 @@
 //! Requests in flight: what was asked, the attempts that are out, the answer that is owed.
 
-use crate::exchange::Outgoing;
-use crate::upstream::Served;
+use crate::exchange::ForwardedRequest;
+use crate::upstream::UpstreamResponse;
 use frostkeel_policy::{ClassId, TenantId, UpstreamId};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,17 +12,17 @@
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum FinalResponse {
     /// An upstream's.
-    Served(Served),
+    Forwarded(UpstreamResponse),
     /// Trying again is harmless, after some time if one is given.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     /// Nothing is promised.
     Failed,
 }
 
 /// A request for the module to decide on.
-pub struct Asked {
+pub struct ClientRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -34,7 +34,7 @@
     /// The client says that it has tried this before.
     pub is_retry: bool,
     /// What is passed on.
-    pub outgoing: Outgoing,
+    pub outgoing: ForwardedRequest,
 }
 
 /// One attempt of it.
@@ -48,10 +48,10 @@
 }
 
 /// A request that is owed its answer, or has attempts out.
-pub(crate) struct Held {
-    pub(crate) asked: Rc<Asked>,
+pub(crate) struct InFlightRequest {
+    pub(crate) asked: Rc<ClientRequest>,
     pub(crate) came: Instant,
     /// Taken with the final answer.
-    pub(crate) reply: Option<oneshot::Sender<Answer>>,
+    pub(crate) reply: Option<oneshot::Sender<FinalResponse>>,
     pub(crate) attempts: Vec<Attempt>,
 }
--- a/balancer/src/starts.rs
+++ b/balancer/src/incarnations.rs
@@ -3,7 +3,7 @@
 //! The list dates a start by the wall clock, and the wall clocks of two machines may be far apart. What decides is when
 //! a start is first seen. The wall clock only says how long ago it was where that fits what a list takes to come.
 
-use crate::list::Entry;
+use crate::endpoint_list::EndpointEntry;
 use frostkeel_policy::{Availability, UpstreamId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
@@ -20,9 +20,9 @@
 
 /// The latest start of each upstream that is listed.
 #[derive(Default)]
-pub struct Starts(FxHashMap<UpstreamId, Start>);
+pub struct Incarnations(FxHashMap<UpstreamId, Start>);
 
-impl Starts {
+impl Incarnations {
     /// Whether no list has been seen yet.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -30,9 +30,9 @@
 
     /// When an upstream started that is listed now; `None`: long ago. `dated` is that start by the wall clock, and
     /// `first` says that it is in the first list of all, which tells of starts of any age.
-    pub fn seen(
+    pub fn observe(
         &mut self,
-        entry: &Entry,
+        entry: &EndpointEntry,
         now: Duration,
         dated: Option<Duration>,
         first: bool,
@@ -60,7 +60,7 @@
     }
 
     /// Forgets all that are not listed any more.
-    pub fn keep_only(&mut self, endpoints: &FxHashSet<UpstreamId>) {
+    pub fn retain_listed(&mut self, endpoints: &FxHashSet<UpstreamId>) {
         self.0.retain(|id, _| endpoints.contains(id));
     }
 }
--- a/balancer/src/pending.rs
+++ b/balancer/src/pending_response.rs
@@ -1,46 +1,46 @@
 //! A request that is owed its final answer.
 
-use crate::driver::Driver;
-use crate::in_flight::Answer;
+use crate::event_loop::EventLoop;
+use crate::in_flight::FinalResponse;
 use frostkeel_policy::RequestId;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
 /// A request that is owed its final answer; dropped before, its client has gone.
-pub struct Pending {
-    driver: Rc<Driver>,
+pub struct PendingResponse {
+    event_loop: Rc<EventLoop>,
     id: RequestId,
-    answer: Option<oneshot::Receiver<Answer>>,
+    answer: Option<oneshot::Receiver<FinalResponse>>,
 }
 
-impl Pending {
+impl PendingResponse {
     pub(crate) fn new(
-        driver: Rc<Driver>,
+        event_loop: Rc<EventLoop>,
         id: RequestId,
-        answer: oneshot::Receiver<Answer>,
+        answer: oneshot::Receiver<FinalResponse>,
     ) -> Self {
         Self {
-            driver,
+            event_loop,
             id,
             answer: Some(answer),
         }
     }
 
     /// The final answer.
-    pub async fn answer(mut self) -> Answer {
+    pub async fn response(mut self) -> FinalResponse {
         let Some(answer) = &mut self.answer else {
-            return Answer::Failed;
+            return FinalResponse::Failed;
         };
         let answer = answer.await;
         self.answer = None;
-        answer.unwrap_or(Answer::Failed)
+        answer.unwrap_or(FinalResponse::Failed)
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
         if self.answer.take().is_some() {
-            self.driver.client_has_left(self.id);
+            self.event_loop.client_disconnected(self.id);
         }
     }
 }
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -2,10 +2,10 @@
 
 use crate::config::Config;
 use crate::discovery::Discovery;
-use crate::driver::Driver;
+use crate::event_loop::EventLoop;
 use crate::members::Members;
+use crate::request_counters::RequestCounters;
 use crate::server::{Phase, Server};
-use crate::tally::Tally;
 use crate::upstream::Upstreams;
 use frostkeel_policy::Balancer;
 use std::error::Error;
@@ -56,24 +56,24 @@
         "what the settings say of the list"
     );
     tracing::info!(listen = %listener.local_addr()?, upstreams = known.entries.len(), "serving");
-    let tally = Tally::new(&config.site);
-    let driver = Driver::start(balancer, tally, upstreams, discovery, known);
+    let counters = RequestCounters::new(&config.site);
+    let event_loop = EventLoop::start(balancer, counters, upstreams, discovery, known);
     let (phase, phases) = watch::channel(Phase::Serving);
-    let server = Server::new(driver.clone(), &config.site, phases);
+    let server = Server::new(event_loop.clone(), &config.site, phases);
     let mut accepting = spawn_local(server.run(listener, config.client_connections()));
 
     tokio::select! {
         _ = term.recv() => (),
-        () = reload_on(&mut hangup, &driver) => (),
+        () = reload_on(&mut hangup, &event_loop) => (),
     }
     tracing::info!("draining");
     if let Some(members) = &members {
         members.leave();
     }
     tokio::select! {
-        () = drain(&config, &driver, &phase, &mut accepting) => (),
+        () = drain(&config, &event_loop, &phase, &mut accepting) => (),
         // Discovery may move while what is held is still being answered.
-        () = reload_on(&mut hangup, &driver) => (),
+        () = reload_on(&mut hangup, &event_loop) => (),
     }
     Ok(())
 }
@@ -81,7 +81,7 @@
 /// The graceful shutdown: ends connections with their answers, then all of them, then what is still held.
 async fn drain(
     config: &Config,
-    driver: &Rc<Driver>,
+    event_loop: &Rc<EventLoop>,
     phase: &watch::Sender<Phase>,
     accepting: &mut JoinHandle<()>,
 ) {
@@ -97,19 +97,19 @@
     let longest = deadlines.max().unwrap_or_default().min(KILL_DEADLINE_MOST);
     let rest = (longest + KILL_AFTER_DEADLINE).saturating_sub(ACCEPT_AFTER_TERM + LAST_ANSWERS);
     if timeout(rest, &mut *accepting).await.is_err() {
-        driver.force_close();
+        event_loop.force_close();
         let _ = timeout(LAST_ANSWERS, accepting).await;
     }
 }
 
 /// Reloads at each signal, for as long as it is polled.
-async fn reload_on(hangup: &mut Signal, driver: &Rc<Driver>) {
+async fn reload_on(hangup: &mut Signal, event_loop: &Rc<EventLoop>) {
     while hangup.recv().await.is_some() {
-        let mut reload = pin!(reload(driver));
+        let mut reload = pin!(reload(event_loop));
         // A further signal begins anew: the file may have been replaced since it was read.
         while tokio::select! { () = &mut reload => false, again = hangup.recv() => again.is_some() }
         {
-            reload.set(self::reload(driver));
+            reload.set(self::reload(event_loop));
         }
     }
     std::future::pending().await
@@ -117,12 +117,12 @@
 
 /// Takes in the configuration file anew: discovery may have moved. The rest of it holds for a process's life. A file
 /// that cannot be read, or is half written, is read again for a while.
-async fn reload(driver: &Rc<Driver>) {
+async fn reload(event_loop: &Rc<EventLoop>) {
     for read in 0..RELOAD_TRIES {
         match Config::from_env() {
             Ok(config) => {
                 tracing::info!(discovery = %config.discovery, "reloaded");
-                driver.discovery_at(config.discovery);
+                event_loop.set_discovery_address(config.discovery);
                 return;
             }
             Err(e) if read == 0 => tracing::warn!("not reloaded, and read again for a while: {e}"),
--- a/balancer/src/rate_limited.rs
+++ b/balancer/src/rate_limited_log.rs
@@ -7,12 +7,12 @@
 
 /// Lets one line a second pass and counts the others.
 #[derive(Default)]
-pub struct RateLimitedWarning {
+pub struct RateLimitedLog {
     last: Cell<Option<Instant>>,
     skipped: Cell<u64>,
 }
 
-impl RateLimitedWarning {
+impl RateLimitedLog {
     /// A warning, unless one has passed within the second.
     pub fn warn(&self, what: impl FnOnce() -> String) {
         let now = Instant::now();
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -1,10 +1,10 @@
 //! What clients ask: reads a request for the module, and words its final answer.
 
-use crate::exchange::Outgoing;
+use crate::exchange::ForwardedRequest;
 use crate::headers::{
     self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT,
 };
-use crate::in_flight::{Answer, Asked};
+use crate::in_flight::{ClientRequest, FinalResponse};
 use bytes::Bytes;
 use frostkeel_policy::{ClassId, Effect, TenantId};
 use frostkeel_settings::Site;
@@ -53,7 +53,7 @@
     }
 
     /// Reads a request, its body included.
-    pub async fn read(&self, request: Request<Incoming>) -> Result<Asked, Rejected> {
+    pub async fn read(&self, request: Request<Incoming>) -> Result<ClientRequest, Rejected> {
         let came = Instant::now();
         let (parts, body) = request.into_parts();
         let mut headers = parts.headers;
@@ -69,14 +69,14 @@
             .path_and_query()
             .map(|p| Uri::from(p.clone()))
             .unwrap_or_default();
-        let outgoing = Outgoing {
+        let outgoing = ForwardedRequest {
             method: parts.method,
             target,
             headers,
             body,
         };
         let deadline = came + left.saturating_sub(ON_THE_WAY);
-        Ok(Asked {
+        Ok(ClientRequest {
             class,
             tenant,
             deadline,
@@ -183,14 +183,14 @@
 }
 
 /// The response that carries a final answer.
-pub fn response_of(answer: Answer) -> Response<Full<Bytes>> {
+pub fn response_of(answer: FinalResponse) -> Response<Full<Bytes>> {
     match answer {
-        Answer::Served(served) => {
+        FinalResponse::Forwarded(served) => {
             let mut response = Response::new(Full::new(served.body));
             *response.headers_mut() = served.headers;
             response
         }
-        Answer::Refused(retry_after) => {
+        FinalResponse::Rejected(retry_after) => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
             let value = retry_after.and_then(|t| format!("{:.3}", t.as_secs_f64()).parse().ok());
             if let Some(value) = value {
@@ -198,6 +198,6 @@
             }
             response
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
+        FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
--- a/balancer/src/tally.rs
+++ b/balancer/src/request_counters.rs
@@ -28,9 +28,9 @@
 
 /// What became of the requests of each class; shown, only what is not nil:
 /// `pay: asked 9, in-time 6, room 2, silent 1, attempts 7, unanswered 1`.
-pub struct Tally(Vec<Class>);
+pub struct RequestCounters(Vec<Class>);
 
-impl Tally {
+impl RequestCounters {
     /// An empty one for the classes of a site.
     pub fn new(site: &Site) -> Self {
         let classes = site.names.classes.iter().zip(&site.settings.classes);
@@ -43,19 +43,19 @@
     }
 
     /// Begins anew.
-    pub fn clear(&mut self) {
+    pub fn reset(&mut self) {
         self.0
             .iter_mut()
             .for_each(|class| class.counts = Counts::default());
     }
 
     /// A request has come.
-    pub fn asked(&mut self, class: ClassId) {
+    pub fn count_received(&mut self, class: ClassId) {
         self.count(class, |c| c.asked += 1);
     }
 
     /// A request has an upstream's answer, so long after it came.
-    pub fn served(&mut self, class: ClassId, after: Duration) {
+    pub fn count_forwarded(&mut self, class: ClassId, after: Duration) {
         let Some(class) = self.0.get_mut(usize::from(class.0)) else {
             return;
         };
@@ -67,17 +67,17 @@
     }
 
     /// A client has gone away from a request.
-    pub fn gone(&mut self, class: ClassId) {
+    pub fn count_client_disconnected(&mut self, class: ClassId) {
         self.count(class, |c| c.gone += 1);
     }
 
     /// A request was refused or has failed.
-    pub fn lost(&mut self, class: ClassId, reason: FailureReason) {
+    pub fn count_failed(&mut self, class: ClassId, reason: FailureReason) {
         self.count(class, |c| c.lost[reason as usize] += 1);
     }
 
     /// An attempt has ended.
-    pub fn attempt(&mut self, class: ClassId, outcome: Outcome) {
+    pub fn count_attempt(&mut self, class: ClassId, outcome: Outcome) {
         self.count(class, |c| {
             c.attempts += 1;
             c.unanswered += u32::from(outcome != Outcome::Ok);
@@ -91,7 +91,7 @@
     }
 }
 
-impl fmt::Display for Tally {
+impl fmt::Display for RequestCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut apart = "";
         for Class { name, counts, .. } in self
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -1,9 +1,9 @@
 //! The clients' side: accepts connections, and looks after each from its first byte to its close.
 
 use crate::client_stream::{self, ClientState, ClientWatch};
-use crate::driver::Driver;
 use crate::error_origin::ErrorOrigin;
-use crate::rate_limited::RateLimitedWarning;
+use crate::event_loop::EventLoop;
+use crate::rate_limited_log::RateLimitedLog;
 use crate::request::{READ_TIMEOUT, Rejected, RequestReader, plain, response_of};
 use bytes::Bytes;
 use frostkeel_settings::Site;
@@ -58,12 +58,12 @@
 
 /// What clients reach.
 pub struct Server {
-    driver: Rc<Driver>,
+    event_loop: Rc<EventLoop>,
     requests: RequestReader,
     phase: watch::Receiver<Phase>,
     clients: RefCell<FxHashMap<u64, Rc<Client>>>,
     next_client: Cell<u64>,
-    accept_warnings: RateLimitedWarning,
+    accept_warnings: RateLimitedLog,
 }
 
 /// A client's connection.
@@ -80,15 +80,15 @@
 }
 
 impl Server {
-    /// A server that hands requests to `driver`.
-    pub fn new(driver: Rc<Driver>, site: &Site, phase: watch::Receiver<Phase>) -> Rc<Self> {
+    /// A server that hands requests to `event_loop`.
+    pub fn new(event_loop: Rc<EventLoop>, site: &Site, phase: watch::Receiver<Phase>) -> Rc<Self> {
         Rc::new(Self {
-            driver,
+            event_loop,
             requests: RequestReader::new(site),
             phase,
             clients: RefCell::default(),
             next_client: Cell::new(0),
-            accept_warnings: RateLimitedWarning::default(),
+            accept_warnings: RateLimitedLog::default(),
         })
     }
 
@@ -267,7 +267,7 @@
                 }
                 Ok(asked) => {
                     client.state.set_answering(true);
-                    response_of(self.driver.ask(asked).answer().await)
+                    response_of(self.event_loop.submit(asked).response().await)
                 }
                 Err(Rejected(status, reason)) => plain(status, reason),
             },
--- a/balancer/src/upstream.rs
+++ b/balancer/src/upstream.rs
@@ -5,10 +5,10 @@
 
 use crate::connection::{Connection, wire_length};
 use crate::error_origin::ErrorOrigin;
-use crate::exchange::{ExchangeError, Outgoing, exchange};
+use crate::exchange::{ExchangeError, ForwardedRequest, exchange};
 use crate::headers::{self, CORRELATION_ID, LOAD, UNPROCESSED};
-use crate::pool::{IdlePool, OpenLimit};
-use crate::rate_limited::RateLimitedWarning;
+use crate::idle_pool::{ConnectionLimit, IdlePool};
+use crate::rate_limited_log::RateLimitedLog;
 use bytes::Bytes;
 use frostkeel_policy::{Availability, LoadField, LoadReports, Outcome, Settings, UpstreamId};
 use http_body_util::Full;
@@ -33,7 +33,7 @@
 
 /// An upstream's 200 answer.
 #[derive(Debug)]
-pub struct Served {
+pub struct UpstreamResponse {
     /// Its end-to-end headers.
     pub headers: HeaderMap,
     /// Its body.
@@ -42,16 +42,16 @@
 
 /// How an attempt or a probe ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The answer, with [`Outcome::Ok`].
-    pub served: Option<Served>,
+    pub served: Option<UpstreamResponse>,
     /// A load report, in the order of the settings; empty if none came.
     pub report: Vec<f32>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -63,7 +63,7 @@
 
 /// An entry of the list, as far as connections go.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct EndpointState {
     /// Where it listens; `None` if the list did not say so in a readable way.
     pub endpoint: Option<SocketAddr>,
     /// Whether it takes requests.
@@ -97,8 +97,8 @@
     }
 
     /// Keeps a connection for reuse where it still leads to the process that is listed, which wants requests.
-    fn put_back(&self, used: Used) {
-        let Used {
+    fn put_back(&self, used: CheckedOutConnection) {
+        let CheckedOutConnection {
             connection,
             boot_ms,
             ..
@@ -111,7 +111,7 @@
 }
 
 /// A connection in use.
-struct Used {
+struct CheckedOutConnection {
     connection: Connection,
     /// It has carried a request before.
     reused: bool,
@@ -119,47 +119,47 @@
     boot_ms: u64,
 }
 
-/// All upstreams known.
+/// All upstreams upstreams.
 pub struct Upstreams {
-    known: RefCell<FxHashMap<UpstreamId, Rc<Upstream>>>,
-    open: Rc<OpenLimit>,
+    upstreams: RefCell<FxHashMap<UpstreamId, Rc<Upstream>>>,
+    open: Rc<ConnectionLimit>,
     connect_timeout: Duration,
     idle_most: Duration,
     reports: LoadReports,
     report_fields: Vec<LoadField>,
     /// When nothing new may be sent, as the list may be out of date.
     send_pause: RefCell<Option<Range<Instant>>>,
-    report_warnings: RateLimitedWarning,
-    answer_warnings: RateLimitedWarning,
+    report_warnings: RateLimitedLog,
+    answer_warnings: RateLimitedLog,
 }
 
 impl Upstreams {
     /// None yet; at most `most_open` connections will be open to them together.
     pub fn new(settings: &Settings, most_open: usize) -> Self {
         Self {
-            known: RefCell::default(),
-            open: OpenLimit::new(most_open),
+            upstreams: RefCell::default(),
+            open: ConnectionLimit::new(most_open),
             connect_timeout: settings.connect_timeout,
             idle_most: settings.connection_idle_timeout.mul_f64(IDLE_SHARE),
             reports: settings.load_reports,
             report_fields: settings.report_fields.clone(),
             send_pause: RefCell::default(),
-            report_warnings: RateLimitedWarning::default(),
-            answer_warnings: RateLimitedWarning::default(),
+            report_warnings: RateLimitedLog::default(),
+            answer_warnings: RateLimitedLog::default(),
         }
     }
 
     /// Takes in what the list says of one.
-    pub fn place(&self, id: UpstreamId, place: &Place) {
-        let mut known = self.known.borrow_mut();
+    pub fn apply_endpoint(&self, id: UpstreamId, place: &EndpointState) {
+        let mut upstreams = self.upstreams.borrow_mut();
         if place.availability == Availability::Removed {
-            if let Some(upstream) = known.remove(&id) {
+            if let Some(upstream) = upstreams.remove(&id) {
                 tracing::debug!(upstream = id.0, "upstream is gone");
                 upstream.retire();
             }
             return;
         }
-        let upstream = known
+        let upstream = upstreams
             .entry(id)
             .or_insert_with(|| Rc::new(Upstream::new(place.boot_ms)));
         let moved = place.endpoint.is_some() && upstream.endpoint.get() != place.endpoint;
@@ -180,8 +180,8 @@
     }
 
     /// Forgets all upstreams that `is_listed` denies: they are removed.
-    pub fn keep_only(&self, is_listed: impl Fn(UpstreamId) -> bool) {
-        self.known.borrow_mut().retain(|id, upstream| {
+    pub fn retain_listed(&self, is_listed: impl Fn(UpstreamId) -> bool) {
+        self.upstreams.borrow_mut().retain(|id, upstream| {
             let stays = is_listed(*id);
             if !stays {
                 tracing::debug!(upstream = id.0, "upstream is no longer listed");
@@ -193,27 +193,27 @@
 
     /// Closes the idle connections to one.
     pub fn close_idle(&self, id: UpstreamId) {
-        if let Some(upstream) = self.known.borrow().get(&id) {
+        if let Some(upstream) = self.upstreams.borrow().get(&id) {
             upstream.idle.clear();
         }
     }
 
     /// Closes what has been idle for long, again and again.
-    pub async fn sweep(&self) {
+    pub async fn close_expired_periodically(&self) {
         loop {
             tokio::time::sleep(SWEEP_EVERY).await;
-            for upstream in self.known.borrow().values() {
+            for upstream in self.upstreams.borrow().values() {
                 upstream.idle.sweep(self.idle_most);
             }
         }
     }
 
     /// Begins no attempt in this span.
-    pub fn hold_sends(&self, span: Option<Range<Instant>>) {
+    pub fn pause_sends(&self, span: Option<Range<Instant>>) {
         self.send_pause.replace(span);
     }
 
-    fn holds_sends(&self, now: Instant) -> bool {
+    fn is_paused(&self, now: Instant) -> bool {
         self.send_pause
             .borrow()
             .as_ref()
@@ -226,18 +226,22 @@
     }
 
     fn close_an_idle_one(&self) {
-        let known = self.known.borrow();
-        known
+        let upstreams = self.upstreams.borrow();
+        upstreams
             .values()
             .find_map(|upstream| upstream.idle.take_oldest());
     }
 
     /// A connection in use before, or else a new one.
-    async fn connection(&self, upstream: &Upstream, give_up: Instant) -> Result<Used, Outcome> {
+    async fn connection(
+        &self,
+        upstream: &Upstream,
+        give_up: Instant,
+    ) -> Result<CheckedOutConnection, Outcome> {
         let boot_ms = upstream.boot_ms.get();
         while let Some(mut connection) = upstream.idle.take_rested(self.idle_most) {
             if timeout_at(give_up, connection.is_usable()).await == Ok(true) {
-                return Ok(Used {
+                return Ok(CheckedOutConnection {
                     connection,
                     reused: true,
                     boot_ms,
@@ -249,7 +253,7 @@
         {
             sleep_until(rested.min(give_up)).await;
             if timeout_at(give_up, connection.is_usable()).await == Ok(true) {
-                return Ok(Used {
+                return Ok(CheckedOutConnection {
                     connection,
                     reused: true,
                     boot_ms,
@@ -257,7 +261,7 @@
             }
         }
         let connection = self.connect(upstream, give_up).await?;
-        Ok(Used {
+        Ok(CheckedOutConnection {
             connection,
             reused: false,
             boot_ms,
@@ -294,11 +298,11 @@
     pub async fn attempt(
         &self,
         id: UpstreamId,
-        outgoing: &Outgoing,
+        outgoing: &ForwardedRequest,
         give_up: Instant,
         begun: &Cell<bool>,
-    ) -> Ended {
-        let upstream = self.known.borrow().get(&id).map(Rc::clone);
+    ) -> AttemptResult {
+        let upstream = self.upstreams.borrow().get(&id).map(Rc::clone);
         let Some(upstream) = upstream else {
             return Outcome::NotSent.into();
         };
@@ -314,7 +318,7 @@
             let now = Instant::now();
             let left = give_up.saturating_duration_since(now);
             // The moment of writing: it may have begun to drain while the connection was made.
-            if !upstream.ready.get() || left.is_zero() || self.holds_sends(now) {
+            if !upstream.ready.get() || left.is_zero() || self.is_paused(now) {
                 upstream.put_back(used);
                 return Outcome::NotSent.into();
             }
@@ -342,10 +346,10 @@
         &self,
         id: UpstreamId,
         upstream: &Upstream,
-        mut used: Used,
+        mut used: CheckedOutConnection,
         request: Request<Full<Bytes>>,
         give_up: Instant,
-    ) -> Option<Ended> {
+    ) -> Option<AttemptResult> {
         let connection = &mut used.connection;
         let (before, length) = (connection.written(), wire_length(&request));
         let exchanged = timeout_at(give_up, exchange(connection, request)).await;
@@ -372,8 +376,10 @@
                 Outcome::Error.into()
             }
             // It had ended unseen while idle.
-            Ok(Err(ExchangeError::Ended(_))) if used.reused && written == 0 => return None,
-            Ok(Err(ExchangeError::Ended(e))) => {
+            Ok(Err(ExchangeError::ConnectionEnded(_))) if used.reused && written == 0 => {
+                return None;
+            }
+            Ok(Err(ExchangeError::ConnectionEnded(e))) => {
                 tracing::debug!(upstream = id.0, written, length, "broken: {e}");
                 if whole {
                     Outcome::Reset
@@ -392,7 +398,7 @@
     }
 
     /// Asks an upstream how it is.
-    pub async fn probe(&self, id: UpstreamId) -> Ended {
+    pub async fn health_check(&self, id: UpstreamId) -> AttemptResult {
         let target = Uri::from_static(if self.reports == LoadReports::Off {
             "/health/live"
         } else {
@@ -400,7 +406,7 @@
         });
         let mut headers = HeaderMap::with_capacity(3);
         headers.insert(HOST, HeaderValue::from_static("upstream"));
-        let outgoing = Outgoing {
+        let outgoing = ForwardedRequest {
             method: Method::GET,
             target,
             headers,
@@ -423,7 +429,7 @@
         ended
     }
 
-    fn answered(&self, response: Response<Bytes>) -> Ended {
+    fn answered(&self, response: Response<Bytes>) -> AttemptResult {
         let (parts, body) = response.into_parts();
         let mut headers = parts.headers;
         let load = headers
@@ -441,8 +447,8 @@
             _ => Outcome::Error,
         };
         headers::strip_hop_by_hop(&mut headers);
-        let served = (outcome == Outcome::Ok).then_some(Served { headers, body });
-        Ended {
+        let served = (outcome == Outcome::Ok).then_some(UpstreamResponse { headers, body });
+        AttemptResult {
             outcome,
             served,
             report,
--- a/balancer/tests/crossing_server.rs
+++ b/balancer/tests/crossing_server.rs
@@ -5,11 +5,11 @@
 
 use common::{look, nobody};
 use frostkeel_balancer::discovery::Discovery;
-use frostkeel_balancer::driver::Driver;
-use frostkeel_balancer::list::{Entry, ListUpdate};
+use frostkeel_balancer::endpoint_list::{EndpointEntry, EndpointUpdate};
+use frostkeel_balancer::event_loop::EventLoop;
+use frostkeel_balancer::request_counters::RequestCounters;
 use frostkeel_balancer::server::{Phase, Server};
-use frostkeel_balancer::tally::Tally;
-use frostkeel_balancer::upstream::{Place, Upstreams};
+use frostkeel_balancer::upstream::{EndpointState, Upstreams};
 use frostkeel_policy::{
     Availability, Balancer, CellId, Class, Effect, KindId, Settings, UpdateScope, UpstreamId,
     ZoneId,
@@ -48,13 +48,13 @@
 /// A server in this process that sends little at a time, before one upstream.
 async fn serve(upstream: SocketAddr) -> (SocketAddr, watch::Sender<Phase>) {
     let site = site();
-    let place = Place {
+    let place = EndpointState {
         endpoint: Some(upstream),
         availability: Availability::Ready,
         boot_ms: 0,
     };
     let (id, zone, kind, cell) = (UpstreamId(1), ZoneId(0), KindId(0), CellId(0));
-    let entries = vec![Entry {
+    let entries = vec![EndpointEntry {
         id,
         zone,
         kind,
@@ -62,12 +62,12 @@
         weight: 1.0,
         place,
     }];
-    let driver = Driver::start(
+    let driver = EventLoop::start(
         Balancer::new(site.settings.clone(), 7).unwrap(),
-        Tally::new(&site),
+        RequestCounters::new(&site),
         Upstreams::new(&site.settings, 8),
         Discovery::new(nobody(), site.names.clone()),
-        ListUpdate {
+        EndpointUpdate {
             scope: UpdateScope::Cached,
             entries,
         },
--- a/balancer/tests/crossing_upstreams.rs
+++ b/balancer/tests/crossing_upstreams.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use common::{LONG, Setup, look, next_request};
-use frostkeel_balancer::exchange::Outgoing;
-use frostkeel_balancer::upstream::{Ended, Place, Upstreams};
+use frostkeel_balancer::exchange::ForwardedRequest;
+use frostkeel_balancer::upstream::{AttemptResult, EndpointState, Upstreams};
 use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -22,8 +22,8 @@
 const ID: UpstreamId = UpstreamId(7);
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-fn outgoing(body: usize) -> Outgoing {
-    Outgoing {
+fn outgoing(body: usize) -> ForwardedRequest {
+    ForwardedRequest {
         method: Method::POST,
         target: Uri::from_static("/book"),
         headers: HeaderMap::new(),
@@ -32,7 +32,7 @@
 }
 
 /// One upstream, listed as ready, and where it listens.
-async fn one() -> (Rc<Upstreams>, TcpListener, Place) {
+async fn one() -> (Rc<Upstreams>, TcpListener, EndpointState) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let settings = Settings {
         connect_timeout: LONG,
@@ -41,16 +41,16 @@
     };
     let upstreams = Rc::new(Upstreams::new(&settings, 8));
     let endpoint = Some(listener.local_addr().unwrap());
-    let place = Place {
+    let place = EndpointState {
         endpoint,
         availability: Availability::Ready,
         boot_ms: 5,
     };
-    upstreams.place(ID, &place);
+    upstreams.apply_endpoint(ID, &place);
     (upstreams, listener, place)
 }
 
-async fn attempt(upstreams: &Upstreams, body: usize, within: Duration) -> Ended {
+async fn attempt(upstreams: &Upstreams, body: usize, within: Duration) -> AttemptResult {
     upstreams
         .attempt(
             ID,
@@ -77,7 +77,7 @@
     let asked = spawn_local(async move { attempt(&asks, 1, LONG).await });
     let mut stream = requested(&listener).await;
     place.boot_ms = 6;
-    upstreams.place(ID, &place);
+    upstreams.apply_endpoint(ID, &place);
     stream.write_all(OK).await.unwrap();
     assert_eq!(
         asked.await.unwrap().outcome,
@@ -182,9 +182,9 @@
     };
     let upstreams = Upstreams::new(&settings, 8);
     let endpoint = Some(listener.local_addr().unwrap());
-    upstreams.place(
+    upstreams.apply_endpoint(
         ID,
-        &Place {
+        &EndpointState {
             endpoint,
             availability: Availability::Ready,
             boot_ms: 0,
@@ -237,9 +237,9 @@
         ..Settings::default()
     };
     let upstreams = Upstreams::new(&settings, 8);
-    upstreams.place(
+    upstreams.apply_endpoint(
         ID,
-        &Place {
+        &EndpointState {
             endpoint: Some(address),
             availability: Availability::Ready,
             boot_ms: 0,
--- a/balancer/tests/error_origin.rs
+++ b/balancer/tests/error_origin.rs
@@ -1,7 +1,7 @@
 //! Errors of system calls, each with whose it is.
 
 use frostkeel_balancer::error_origin::ErrorOrigin::{self, Machine, Nobody, Peer};
-use frostkeel_balancer::error_origin::again_if_interrupted;
+use frostkeel_balancer::error_origin::retry_if_interrupted;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -64,16 +64,16 @@
     let waker = Waker::from(Arc::clone(&wakes));
     let cx = Context::from_waker(&waker);
     let failed = |number| Poll::Ready(Err::<usize, _>(io::Error::from_raw_os_error(number)));
-    assert!(again_if_interrupted(failed(4), &cx).is_pending(), "EINTR");
+    assert!(retry_if_interrupted(failed(4), &cx).is_pending(), "EINTR");
     assert_eq!(wakes.0.load(Ordering::SeqCst), 1, "it is polled again");
     assert!(
-        matches!(again_if_interrupted(failed(104), &cx), Poll::Ready(Err(_))),
+        matches!(retry_if_interrupted(failed(104), &cx), Poll::Ready(Err(_))),
         "ECONNRESET"
     );
     assert!(matches!(
-        again_if_interrupted(Poll::Ready(Ok(3)), &cx),
+        retry_if_interrupted(Poll::Ready(Ok(3)), &cx),
         Poll::Ready(Ok(3))
     ));
-    assert!(again_if_interrupted(Poll::<io::Result<usize>>::Pending, &cx).is_pending());
+    assert!(retry_if_interrupted(Poll::<io::Result<usize>>::Pending, &cx).is_pending());
     assert_eq!(wakes.0.load(Ordering::SeqCst), 1, "no further wake");
 }
--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstreams.rs
@@ -1,8 +1,8 @@
 //! Attempts at upstreams on real sockets.
 
 use bytes::Bytes;
-use frostkeel_balancer::exchange::Outgoing;
-use frostkeel_balancer::upstream::{Ended, Place, Upstreams};
+use frostkeel_balancer::exchange::ForwardedRequest;
+use frostkeel_balancer::upstream::{AttemptResult, EndpointState, Upstreams};
 use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -19,8 +19,8 @@
 /// Longer than a connection rests after an answer.
 const RESTED: Duration = Duration::from_millis(40);
 
-fn outgoing() -> Outgoing {
-    Outgoing {
+fn outgoing() -> ForwardedRequest {
+    ForwardedRequest {
         method: Method::POST,
         target: Uri::from_static("/book"),
         headers: HeaderMap::new(),
@@ -28,7 +28,7 @@
     }
 }
 
-async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, Place) {
+async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, EndpointState) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let settings = Settings {
         connect_timeout: LONG,
@@ -37,12 +37,12 @@
     };
     let upstreams = Rc::new(Upstreams::new(&settings, most_open));
     let endpoint = Some(listener.local_addr().unwrap());
-    let place = Place {
+    let place = EndpointState {
         endpoint,
         availability: Availability::Ready,
         boot_ms: 0,
     };
-    upstreams.place(ID, &place);
+    upstreams.apply_endpoint(ID, &place);
     (upstreams, listener, place)
 }
 
@@ -60,9 +60,9 @@
 async fn attempt(
     upstreams: &Upstreams,
     id: UpstreamId,
-    outgoing: &Outgoing,
+    outgoing: &ForwardedRequest,
     give_up: Instant,
-) -> Ended {
+) -> AttemptResult {
     upstreams
         .attempt(id, outgoing, give_up, &Cell::new(false))
         .await
@@ -83,7 +83,7 @@
         spawn_local(async move { attempt(&waits, ID, &outgoing(), Instant::now() + LONG).await });
     tokio::task::yield_now().await;
     place.availability = Availability::Draining;
-    upstreams.place(ID, &place);
+    upstreams.apply_endpoint(ID, &place);
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         .await
@@ -189,7 +189,7 @@
 async fn connections_stay_under_the_limit() {
     let (upstreams, listener, place) = upstreams(1).await;
     let other = UpstreamId(8);
-    upstreams.place(other, &place);
+    upstreams.apply_endpoint(other, &place);
     for id in [ID, other] {
         let answer = answer_next(&listener);
         let request = outgoing();
--- a/balancer/tests/wire_fixtures.rs
+++ b/balancer/tests/wire_fixtures.rs
@@ -15,7 +15,7 @@
 mod common;
 
 use common::*;
-use frostkeel_balancer::upstream::{Place, Upstreams};
+use frostkeel_balancer::upstream::{EndpointState, Upstreams};
 use frostkeel_policy::{Availability, LoadReports, Settings, UpstreamId};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -528,15 +528,15 @@
         8,
     );
     let (endpoint, id) = (Some(upstream.address), UpstreamId(7));
-    upstreams.place(
+    upstreams.apply_endpoint(
         id,
-        &Place {
+        &EndpointState {
             endpoint,
             availability: Availability::Ready,
             boot_ms: 0,
         },
     );
-    let ended = upstreams.probe(id).await;
+    let ended = upstreams.health_check(id).await;
     assert!(ended.served.is_some(), "{ended:?}");
     upstream.received().concat()
 }
