--- a/balancer/src/clock.rs
+++ b/balancer/src/clock.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// How far the module's clock has gone at the start: upstreams may have started before this balancer.
-const BEFORE_START: Duration = Duration::from_secs(3600);
+/// The clock's reading at the start of the process: upstreams may have started before this balancer.
+const START_OFFSET: Duration = Duration::from_secs(3600);
 
-/// A clock that only goes forward, from an hour before the start.
+/// A monotonic clock that reads one hour at the start of the process.
 pub struct Clock {
     start: Instant,
     /// Unix time of the start.
@@ -27,23 +27,23 @@
 
     /// The time now.
     pub fn now(&self) -> Duration {
-        BEFORE_START + self.start.elapsed()
+        START_OFFSET + self.start.elapsed()
     }
 
-    /// A moment of the system's monotonic clock on this one.
+    /// The reading at a moment of the system's monotonic clock.
     pub fn at(&self, instant: Instant) -> Duration {
-        BEFORE_START + instant.saturating_duration_since(self.start)
+        START_OFFSET + instant.saturating_duration_since(self.start)
     }
 
-    /// The moment of the system's monotonic clock at a time on this one.
+    /// The moment of the system's monotonic clock at a reading.
     pub fn instant(&self, at: Duration) -> Instant {
-        self.start + at.saturating_sub(BEFORE_START)
+        self.start + at.saturating_sub(START_OFFSET)
     }
 
-    /// A Unix time on this clock, by the wall clock at the start; the same one always comes out the same, and may lie
-    /// ahead. `None`: long ago.
+    /// The reading at a Unix time, by the wall clock at the start of the process. The same Unix time always gives the
+    /// same reading, which may lie ahead. `None`: before the clock's zero.
     pub fn at_unix_ms(&self, ms: u64) -> Option<Duration> {
-        let at = (Duration::from_millis(ms) + BEFORE_START).checked_sub(self.start_unix)?;
+        let at = (Duration::from_millis(ms) + START_OFFSET).checked_sub(self.start_unix)?;
         (!at.is_zero()).then_some(at)
     }
 }
--- a/balancer/src/connection.rs
+++ b/balancer/src/connection.rs
@@ -1,4 +1,4 @@
-//! One client-side connection: it knows how much of a request the kernel has taken.
+//! One HTTP connection to an upstream or to discovery: it counts how much of a request the kernel has taken.
 
 use crate::error_origin::retry_if_interrupted;
 use bytes::Bytes;
@@ -19,14 +19,14 @@
 use tokio::time::Instant;
 
 /// Size of a connection's buffer, the longest head: peers must not fill this machine's memory.
-const BUFFER: usize = 32 * 1024;
+const MAX_HEAD: usize = 32 * 1024;
 
-/// When the first byte came on a connection, for whoever opened it.
+/// When the first byte was received on a connection, for the task that opened it.
 #[derive(Clone, Default)]
 pub struct FirstByte(Rc<Cell<Option<Instant>>>);
 
 impl FirstByte {
-    /// When it came, if it has.
+    /// When it was received, if it was.
     pub fn at(&self) -> Option<Instant> {
         self.0.get()
     }
@@ -38,15 +38,15 @@
     }
 }
 
-/// A stream that counts what was written to it, and gives `slot` back when its descriptor is closed.
-struct Counted<S> {
+/// A stream that counts the bytes written to it, and drops `permit` when its descriptor is closed.
+struct CountingStream<S> {
     stream: TcpStream,
     written: Rc<Cell<u64>>,
     first_byte: FirstByte,
-    _slot: S,
+    _permit: S,
 }
 
-impl<S> Counted<S> {
+impl<S> CountingStream<S> {
     fn count(&self, poll: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = &poll {
             self.written.set(self.written.get() + *n as u64);
@@ -55,7 +55,7 @@
     }
 }
 
-impl<S: Unpin> AsyncRead for Counted<S> {
+impl<S: Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -70,7 +70,7 @@
     }
 }
 
-impl<S: Unpin> AsyncWrite for Counted<S> {
+impl<S: Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -102,7 +102,7 @@
     }
 }
 
-/// An open connection. Dropping it closes it, whatever is still out on it.
+/// An open connection. Dropping it closes it, whatever is in flight on it.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
@@ -111,32 +111,32 @@
 }
 
 impl Connection {
-    /// Opens one; `slot` is held until its descriptor is closed.
-    pub async fn open<S: Unpin + 'static>(peer: SocketAddr, slot: S) -> io::Result<Self> {
-        Self::open_timed(peer, slot, FirstByte::default()).await
+    /// Opens a connection; `permit` is held until its descriptor is closed.
+    pub async fn open<S: Unpin + 'static>(peer: SocketAddr, permit: S) -> io::Result<Self> {
+        Self::open_timed(peer, permit, FirstByte::default()).await
     }
 
-    /// The same; `first_byte` learns when the first byte comes on it.
+    /// Opens a connection; `first_byte` notes when the first byte is received on it.
     pub async fn open_timed<S: Unpin + 'static>(
         peer: SocketAddr,
-        slot: S,
+        permit: S,
         first_byte: FirstByte,
     ) -> io::Result<Self> {
         let stream = TcpStream::connect(peer).await?;
         stream.set_nodelay(true)?;
         let written = Rc::new(Cell::new(0));
-        let io = TokioIo::new(Counted {
+        let io = TokioIo::new(CountingStream {
             stream,
             written: Rc::clone(&written),
             first_byte,
-            _slot: slot,
+            _permit: permit,
         });
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER)
+            .max_buf_size(MAX_HEAD)
             .handshake(io)
             .await
             .map_err(io::Error::other)?;
-        // How it ends shows at the sender.
+        // How it ends is seen at the sender.
         let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(Self {
             sender,
@@ -146,7 +146,7 @@
         })
     }
 
-    /// Whom it leads to.
+    /// The address of the peer.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
@@ -156,17 +156,17 @@
         self.sender.is_closed()
     }
 
-    /// Waits until it can take a request; `false` if it has ended instead.
+    /// Waits until it accepts a request; `false` if it has ended instead.
     pub async fn is_usable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Bytes that the kernel has taken so far.
+    /// How many bytes the kernel has taken so far.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -181,7 +181,7 @@
     }
 }
 
-/// The bytes that hyper makes of a request which states its own length: line, headers, body.
+/// The bytes that hyper writes for a request which states its own length: line, headers, body.
 pub fn wire_length(request: &Request<Full<Bytes>>) -> u64 {
     use hyper::body::Body;
     let path = request
--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -159,8 +159,9 @@
     fn take(&self, text: &[u8]) -> Result<EndpointList, Failure> {
         let list = self.reader.read(text)?;
         if let Some(reason) = &list.unreadable {
-            self.warnings
-                .warn(|| format!("unreadable list entry: {reason}"));
+            self.warnings.warn(
+                |suppressed| tracing::warn!(suppressed, error = %reason, "endpoint unreadable"),
+            );
         }
         if !list.all && list.rev < self.rev.get() {
             return Err(format!(
--- a/balancer/src/error_origin.rs
+++ b/balancer/src/error_origin.rs
@@ -1,9 +1,9 @@
-//! Whose an error of a system call is: this machine's, the peer's, or nobody's.
+//! Where an error of a system call originates: in this machine, at the peer, or in neither.
 
 use std::io;
 use std::task::{Context, Poll};
 
-/// Numbers of Linux, for which `std` has no kind of its own or one that says too little.
+/// Error numbers of Linux, for which `std` has no kind of its own or one that is too coarse.
 mod errno {
     pub const EPERM: i32 = 1;
     pub const EINTR: i32 = 4;
@@ -26,43 +26,43 @@
     pub const EHOSTUNREACH: i32 = 113;
 }
 
-/// Whose an error is.
+/// Where an error originates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorOrigin {
-    /// This machine's: descriptors, memory, buffers, ports, routes or permissions. It says nothing of a peer.
-    Machine,
-    /// The peer's, or its way here.
+    /// In this machine: descriptors, memory, buffers, ports, routes or permissions. It says nothing of a peer.
+    Local,
+    /// At the peer, or on the network path to it.
     Peer,
-    /// Nobody's: the call can be made again at once.
-    Nobody,
+    /// In neither: the call can be retried at once.
+    Transient,
 }
 
 impl ErrorOrigin {
-    /// Of an error of `connect`, `read` or `write`.
+    /// The origin of an error of `connect`, `read` or `write`.
     pub fn of(error: &io::Error) -> Self {
         use errno::*;
         match error.raw_os_error() {
-            Some(EMFILE | ENFILE | ENOMEM | ENOBUFS | EAGAIN | EPERM | EACCES) => Self::Machine,
-            Some(EADDRNOTAVAIL | EADDRINUSE | ENETDOWN | ENETUNREACH) => Self::Machine,
-            Some(EINTR) => Self::Nobody,
+            Some(EMFILE | ENFILE | ENOMEM | ENOBUFS | EAGAIN | EPERM | EACCES) => Self::Local,
+            Some(EADDRNOTAVAIL | EADDRINUSE | ENETDOWN | ENETUNREACH) => Self::Local,
+            Some(EINTR) => Self::Transient,
             _ => Self::Peer,
         }
     }
 
-    /// Of an error of `accept`, which passes on errors of the connection that it would have returned: they are that
-    /// one's, and the next may be waiting behind it.
+    /// The origin of an error of `accept`, which also returns errors of the connection that it would have accepted:
+    /// those concern that connection alone, and the next one may be waiting.
     pub fn of_accept(error: &io::Error) -> Self {
         use errno::*;
         match error.raw_os_error() {
-            Some(EINTR | ECONNABORTED | EPROTO | ENOPROTOOPT | EOPNOTSUPP) => Self::Nobody,
-            Some(ENETDOWN | ENETUNREACH | ENONET | EHOSTDOWN | EHOSTUNREACH) => Self::Nobody,
-            _ => Self::Machine,
+            Some(EINTR | ECONNABORTED | EPROTO | ENOPROTOOPT | EOPNOTSUPP) => Self::Transient,
+            Some(ENETDOWN | ENETUNREACH | ENONET | EHOSTDOWN | EHOSTUNREACH) => Self::Transient,
+            _ => Self::Local,
         }
     }
 }
 
-/// A read or write that a signal has interrupted is made again when the task is next polled: it has done nothing, and
-/// says nothing of the connection.
+/// Retries a read or write that a signal has interrupted when the task is next polled: it has done nothing, and says
+/// nothing of the connection.
 pub fn retry_if_interrupted<T>(poll: Poll<io::Result<T>>, cx: &Context<'_>) -> Poll<io::Result<T>> {
     match poll {
         Poll::Ready(Err(e)) if e.kind() == io::ErrorKind::Interrupted => {
--- a/balancer/src/headers.rs
+++ b/balancer/src/headers.rs
@@ -1,4 +1,4 @@
-//! Names and forms of headers, and which of them stay behind when a message is passed on.
+//! Names and forms of headers, and which of them are not forwarded.
 
 use frostkeel_policy::LoadField;
 use hyper::header::{
@@ -6,28 +6,28 @@
     TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// A request's own id, new with each try.
+/// The id of a request, new with each of a client's retries.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 /// The tenant.
-pub const ACCOUNT: HeaderName = HeaderName::from_static("x-account");
+pub const TENANT: HeaderName = HeaderName::from_static("x-account");
 /// How long the sender still waits, in whole milliseconds.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
 /// Marks a client's retry.
-pub const REPEAT: HeaderName = HeaderName::from_static("x-repeat");
-/// A guess at the work, in microseconds.
-pub const WEIGHT_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
-/// Marks a keyed request.
+pub const RETRY: HeaderName = HeaderName::from_static("x-repeat");
+/// The expected work, in microseconds.
+pub const WORK_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
+/// The key by which upstreams recognise a request that they have seen.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Set to 1: the request was turned away unseen.
+/// Set to 1: the upstream rejected the request without processing it.
 pub const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 /// A load report.
-pub const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
+pub const LOAD_REPORT: HeaderName = HeaderName::from_static("x-backend-load");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const EXPECT: HeaderName = HeaderName::from_static("expect");
 
-/// Takes out what speaks of one connection or of framing only.
+/// Removes the headers that concern one connection, or framing.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -54,8 +54,8 @@
     }
 }
 
-/// Reads a load report, `name=value,name=value`, as the values of `fields`. A value that is missing or no
-/// number is NaN, which the library passes over; `None` if there is none at all.
+/// Reads a load report, `name=value,name=value`, as the values of `fields`. A value that is missing or no number is
+/// NaN, which the decision module ignores; `None` if there is no value at all.
 pub fn load_report(text: &str, fields: &[LoadField]) -> Option<Vec<f32>> {
     let mut values = vec![f32::NAN; fields.len()];
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
--- a/balancer/src/rate_limited_log.rs
+++ b/balancer/src/rate_limited_log.rs
@@ -1,26 +1,31 @@
-//! Log lines about what peers send, at a bounded rate: a peer can repeat itself faster than a log can grow.
+//! Warnings about what peers send, at a bounded rate: a peer can send faster than a log should grow.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-const EVERY: Duration = Duration::from_secs(1);
+/// At most one warning in this time.
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lets one line a second pass and counts the others.
+/// Lets one warning a second pass and counts the others.
 #[derive(Default)]
 pub struct RateLimitedLog {
     last: Cell<Option<Instant>>,
-    skipped: Cell<u64>,
+    suppressed: Cell<u64>,
 }
 
 impl RateLimitedLog {
-    /// A warning, unless one has passed within the second.
-    pub fn warn(&self, what: impl FnOnce() -> String) {
+    /// Calls `write` with the number of warnings suppressed before, unless one was written within the last second.
+    pub fn warn(&self, write: impl FnOnce(u64)) {
         let now = Instant::now();
-        if self.last.get().is_some_and(|last| now - last < EVERY) {
-            self.skipped.set(self.skipped.get() + 1);
+        if self
+            .last
+            .get()
+            .is_some_and(|last| now - last < MIN_INTERVAL)
+        {
+            self.suppressed.set(self.suppressed.get() + 1);
             return;
         }
         self.last.set(Some(now));
-        tracing::warn!(skipped = self.skipped.replace(0), "{}", what());
+        write(self.suppressed.replace(0));
     }
 }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -1,9 +1,7 @@
 //! What clients ask: reads a request for the module, and words its final answer.
 
 use crate::exchange::ForwardedRequest;
-use crate::headers::{
-    self, ACCOUNT, CORRELATION_ID, IDEMPOTENCY_KEY, REPEAT, TIME_LEFT, WEIGHT_HINT,
-};
+use crate::headers::{self, CORRELATION_ID, IDEMPOTENCY_KEY, RETRY, TENANT, TIME_LEFT, WORK_HINT};
 use crate::in_flight::{ClientRequest, FinalResponse};
 use bytes::Bytes;
 use frostkeel_policy::{ClassId, Effect, TenantId};
@@ -61,7 +59,7 @@
         let tenant = self.tenant(&headers)?;
         let left = time_left(&headers)?;
         let work_ms = work_hint(&headers)?;
-        let is_retry = headers.get(REPEAT).is_some_and(|v| v.as_bytes() == b"1");
+        let is_retry = headers.get(RETRY).is_some_and(|v| v.as_bytes() == b"1");
         let body = read_body(body, came + left.min(READ_TIMEOUT)).await?;
         headers::strip_hop_by_hop(&mut headers);
         let target = parts
@@ -121,7 +119,7 @@
     }
 
     fn tenant(&self, headers: &HeaderMap) -> Result<TenantId, Rejected> {
-        match text(headers, &ACCOUNT).map(|name| self.tenants.get(name)) {
+        match text(headers, &TENANT).map(|name| self.tenants.get(name)) {
             Some(Some(tenant)) => Ok(*tenant),
             _ if self.tenants.is_empty() => Ok(TenantId(0)),
             _ => Err(Rejected(StatusCode::FORBIDDEN, "unknown account")),
@@ -140,7 +138,7 @@
 
 /// Expected work in milliseconds, where the client says so.
 fn work_hint(headers: &HeaderMap) -> Result<Option<f64>, Rejected> {
-    let Some(hint) = headers.get(WEIGHT_HINT) else {
+    let Some(hint) = headers.get(WORK_HINT) else {
         return Ok(None);
     };
     match hint
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -121,8 +121,9 @@
 
     /// Pauses after an accept that failed by this machine's fault; the next may work where it was nobody's.
     async fn accept_failed(&self, e: io::Error) {
-        self.accept_warnings.warn(|| format!("accept: {e}"));
-        if ErrorOrigin::of_accept(&e) == ErrorOrigin::Machine {
+        self.accept_warnings
+            .warn(|suppressed| tracing::warn!(suppressed, error = %e, "accept failed"));
+        if ErrorOrigin::of_accept(&e) == ErrorOrigin::Local {
             sleep(ACCEPT_PAUSE).await;
         }
     }
--- a/balancer/src/upstream.rs
+++ b/balancer/src/upstream.rs
@@ -6,7 +6,7 @@
 use crate::connection::{Connection, wire_length};
 use crate::error_origin::ErrorOrigin;
 use crate::exchange::{ExchangeError, ForwardedRequest, exchange};
-use crate::headers::{self, CORRELATION_ID, LOAD, UNPROCESSED};
+use crate::headers::{self, CORRELATION_ID, LOAD_REPORT, UNPROCESSED};
 use crate::idle_pool::{ConnectionLimit, IdlePool};
 use crate::rate_limited_log::RateLimitedLog;
 use bytes::Bytes;
@@ -358,8 +358,9 @@
         Some(match exchanged {
             // An upstream starts with the last byte: this is an answer to something else, perhaps an earlier request.
             Ok(Ok(response)) if !whole && response.status() == StatusCode::OK => {
-                self.answer_warnings
-                    .warn(|| format!("upstream {} answered before it was asked", id.0));
+                self.answer_warnings.warn(|suppressed| {
+                    tracing::warn!(suppressed, upstream = id.0, "response before request")
+                });
                 Outcome::ConnectFailed.into()
             }
             Ok(Ok(response)) => {
@@ -372,7 +373,7 @@
             // Its process lives and has answered, so that this is no broken connection.
             Ok(Err(ExchangeError::Unreadable(e))) => {
                 self.answer_warnings
-                    .warn(|| format!("unreadable answer of upstream {}: {e}", id.0));
+                    .warn(|suppressed| tracing::warn!(suppressed, upstream = id.0, error = %e, "response unreadable"));
                 Outcome::Error.into()
             }
             // It had ended unseen while idle.
@@ -433,7 +434,7 @@
         let (parts, body) = response.into_parts();
         let mut headers = parts.headers;
         let load = headers
-            .remove(LOAD)
+            .remove(LOAD_REPORT)
             .filter(|_| self.reports == LoadReports::Inline);
         let report = load.map_or_else(Vec::new, |load| self.read_report(load.as_bytes()));
         let unprocessed = headers
@@ -462,7 +463,7 @@
         read.unwrap_or_else(|| {
             let shown = || String::from_utf8_lossy(&text[..text.len().min(80)]).into_owned();
             self.report_warnings
-                .warn(|| format!("unreadable load report {:?}", shown()));
+                .warn(|suppressed| tracing::warn!(suppressed, report = ?shown(), "load report unreadable"));
             Vec::new()
         })
     }
--- a/balancer/tests/error_origin.rs
+++ b/balancer/tests/error_origin.rs
@@ -1,6 +1,6 @@
 //! Errors of system calls, each with whose it is.
 
-use frostkeel_balancer::error_origin::ErrorOrigin::{self, Machine, Nobody, Peer};
+use frostkeel_balancer::error_origin::ErrorOrigin::{self, Local, Peer, Transient};
 use frostkeel_balancer::error_origin::retry_if_interrupted;
 use std::io;
 use std::sync::Arc;
@@ -13,25 +13,25 @@
 fn an_error_is_put_down_to_whom_it_is() {
     // Number, name, of a connection, of an accept.
     let all = [
-        (1, "EPERM", Machine, Machine),
-        (4, "EINTR", Nobody, Nobody),
-        (11, "EAGAIN", Machine, Machine),
-        (12, "ENOMEM", Machine, Machine),
-        (13, "EACCES", Machine, Machine),
-        (23, "ENFILE", Machine, Machine),
-        (24, "EMFILE", Machine, Machine),
-        (32, "EPIPE", Peer, Machine),
-        (71, "EPROTO", Peer, Nobody),
-        (98, "EADDRINUSE", Machine, Machine),
-        (99, "EADDRNOTAVAIL", Machine, Machine),
-        (100, "ENETDOWN", Machine, Nobody),
-        (101, "ENETUNREACH", Machine, Nobody),
-        (103, "ECONNABORTED", Peer, Nobody),
-        (104, "ECONNRESET", Peer, Machine),
-        (105, "ENOBUFS", Machine, Machine),
-        (110, "ETIMEDOUT", Peer, Machine),
-        (111, "ECONNREFUSED", Peer, Machine),
-        (113, "EHOSTUNREACH", Peer, Nobody),
+        (1, "EPERM", Local, Local),
+        (4, "EINTR", Transient, Transient),
+        (11, "EAGAIN", Local, Local),
+        (12, "ENOMEM", Local, Local),
+        (13, "EACCES", Local, Local),
+        (23, "ENFILE", Local, Local),
+        (24, "EMFILE", Local, Local),
+        (32, "EPIPE", Peer, Local),
+        (71, "EPROTO", Peer, Transient),
+        (98, "EADDRINUSE", Local, Local),
+        (99, "EADDRNOTAVAIL", Local, Local),
+        (100, "ENETDOWN", Local, Transient),
+        (101, "ENETUNREACH", Local, Transient),
+        (103, "ECONNABORTED", Peer, Transient),
+        (104, "ECONNRESET", Peer, Local),
+        (105, "ENOBUFS", Local, Local),
+        (110, "ETIMEDOUT", Peer, Local),
+        (111, "ECONNREFUSED", Peer, Local),
+        (113, "EHOSTUNREACH", Peer, Transient),
     ];
     for (number, name, connection, accept) in all {
         let error = io::Error::from_raw_os_error(number);
