--- a/node/src/starts.rs
+++ b/balancer/src/starts.rs
@@ -4,7 +4,7 @@
 //! a start is first seen. The wall clock only says how long ago it was where that fits what a list takes to come.
 
 use crate::list::Entry;
-use lapisroute::{Availability, UpstreamId};
+use frostkeel_policy::{Availability, UpstreamId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
 
@@ -37,12 +37,16 @@
         dated: Option<Duration>,
         first: bool,
     ) -> Option<Duration> {
-        if entry.place.availability == Availability::Gone {
+        if entry.place.availability == Availability::Removed {
             self.0.remove(&entry.id);
             return None;
         }
         let boot_ms = entry.place.boot_ms;
-        if let Some(start) = self.0.get(&entry.id).filter(|start| start.boot_ms == boot_ms) {
+        if let Some(start) = self
+            .0
+            .get(&entry.id)
+            .filter(|start| start.boot_ms == boot_ms)
+        {
             return start.at;
         }
         let at = match dated {
@@ -56,7 +60,7 @@
     }
 
     /// Forgets all that are not listed any more.
-    pub fn keep_only(&mut self, listed: &FxHashSet<UpstreamId>) {
-        self.0.retain(|id, _| listed.contains(id));
+    pub fn keep_only(&mut self, endpoints: &FxHashSet<UpstreamId>) {
+        self.0.retain(|id, _| endpoints.contains(id));
     }
 }
