--- a/balancer/tests/tally.rs
+++ b/balancer/tests/tally.rs
@@ -23,8 +23,7 @@
     tally.attempt(pay, Outcome::Ok);
     tally.attempt(pay, Outcome::TimedOut);
     tally.gone(ClassId(9));
-    let shown =
-        "pay: asked 4, in-time 1, after-objective 1, no-spare-capacity 1, upstream-unresponsive 1, attempts 2, unanswered 1";
+    let shown = "pay: asked 4, in-time 1, after-objective 1, no-spare-capacity 1, upstream-unresponsive 1, attempts 2, unanswered 1";
     assert_eq!(tally.to_string(), shown);
     tally.clear();
     assert_eq!(tally.to_string(), "");
--- a/tests/action_digest.rs
+++ b/tests/action_digest.rs
@@ -19,7 +19,11 @@
 const FULL_EVENTS: u64 = 34_000;
 const SHORT_EVENTS: u64 = 6_000;
 /// Digests of actions of the short sequences, by settings.
-const SHORT_DIGESTS: [u64; 3] = [0x3cdf_f75c_26cc_fcac, 0x6192_2002_5a35_63a3, 0x7176_c9c9_8df4_80b9];
+const SHORT_DIGESTS: [u64; 3] = [
+    0x3cdf_f75c_26cc_fcac,
+    0x6192_2002_5a35_63a3,
+    0x7176_c9c9_8df4_80b9,
+];
 
 /// Kinds of actions; the health check is asked for by no revision yet.
 const ACTION_KINDS: usize = 9;
@@ -28,10 +32,11 @@
 
 /// The crate's names, translated to and from the generator's.
 mod adapter {
-    use lapisroute::{
-        Action, AttemptNo, Availability, Balancer, CellId, Class, ClassId, DedupGroup, Effect, Event,
-        FleetScope, KindId, ListEvent, Listed, LoadField, Loss, Outcome, Prices, Reports, RequestId,
-        Settings, Tenant, TenantId, TimerId, UpstreamId, Weights, ZoneId,
+    use frostkeel_policy::{
+        Action, AttemptNo, Availability, Balancer, CellId, Class, ClassId, DedupGroup, Effect,
+        Endpoint, EndpointWeights, Event, FailureReason, KindId, LoadField, LoadReports, Outcome,
+        Prices, RequestId, Settings, Tenant, TenantId, TimerId, UpdateScope, UpstreamId,
+        WatchEvent, ZoneId,
     };
     use std::time::Duration;
 
@@ -93,14 +98,35 @@
 
     /// An action; reasons by their position.
     pub enum Output {
-        Attempt { id: u32, upstream: u64, timeout: Option<Duration> },
-        Cancel { id: u32, attempt: u8 },
-        Reject { id: u32, retry_after: Option<Duration>, reason: usize },
-        Fail { id: u32, reason: usize },
-        Timer { after: Duration, number: u32 },
+        Attempt {
+            id: u32,
+            upstream: u64,
+            timeout: Option<Duration>,
+        },
+        Cancel {
+            id: u32,
+            attempt: u8,
+        },
+        Reject {
+            id: u32,
+            retry_after: Option<Duration>,
+            reason: usize,
+        },
+        Fail {
+            id: u32,
+            reason: usize,
+        },
+        Timer {
+            after: Duration,
+            number: u32,
+        },
         Watch,
-        CloseIdle { upstream: u64 },
-        HealthCheck { upstream: u64 },
+        CloseIdle {
+            upstream: u64,
+        },
+        HealthCheck {
+            upstream: u64,
+        },
         Log,
     }
 
@@ -137,10 +163,18 @@
             let settings = settings(number);
             let site = Site {
                 classes: settings.classes.len(),
-                streamed: settings.classes.iter().map(|class| class.streamed).collect(),
-                deadlines: settings.classes.iter().map(|class| class.deadline).collect(),
+                streamed: settings
+                    .classes
+                    .iter()
+                    .map(|class| class.streamed)
+                    .collect(),
+                deadlines: settings
+                    .classes
+                    .iter()
+                    .map(|class| class.deadline)
+                    .collect(),
                 tenants: settings.tenants.len() as u32,
-                load_report_size: if settings.reports == Reports::Off {
+                load_report_size: if settings.load_reports == LoadReports::Off {
                     0
                 } else {
                     settings.report_fields.len()
@@ -149,56 +183,92 @@
                     .report_fields
                     .iter()
                     .position(|field| *field == LoadField::Utilization),
-                polls: settings.ask_for_fleet,
-                local_agent: settings.own_agent,
+                polls: settings.polls_endpoints,
+                local_agent: settings.has_local_agent,
             };
             let balancer = Balancer::new(settings, seed).expect("settings permit decisions");
-            (Self { balancer, actions: Vec::new() }, site)
+            (
+                Self {
+                    balancer,
+                    actions: Vec::new(),
+                },
+                site,
+            )
         }
 
         pub fn play(&mut self, now: Duration, input: &Input) -> Vec<Output> {
             self.actions.clear();
-            let listed: Vec<Listed>;
+            let endpoints: Vec<Endpoint>;
             let event = match input {
                 Input::Endpoints { scope, entries } => {
-                    let scopes =
-                        [FleetScope::Changes, FleetScope::Full, FleetScope::Cached, FleetScope::Failed];
-                    listed = entries.iter().map(endpoint).collect();
-                    Event::Fleet { scope: scopes[*scope], listed: &listed }
+                    let scopes = [
+                        UpdateScope::Delta,
+                        UpdateScope::Snapshot,
+                        UpdateScope::Cached,
+                        UpdateScope::Failed,
+                    ];
+                    endpoints = entries.iter().map(endpoint).collect();
+                    Event::EndpointsUpdated {
+                        scope: scopes[*scope],
+                        endpoints: &endpoints,
+                    }
                 }
-                Input::Watch { kind, since } => Event::List(watch_event(*kind, *since)),
-                Input::Request { id, class, tenant, left, work_ms, again } => Event::Request {
+                Input::Watch { kind, since } => Event::Watch(watch_event(*kind, *since)),
+                Input::Request {
+                    id,
+                    class,
+                    tenant,
+                    left,
+                    work_ms,
+                    again,
+                } => Event::Request {
                     id: RequestId(*id),
                     class: ClassId(*class),
                     tenant: TenantId(*tenant),
                     time_left: *left,
                     work_ms: *work_ms,
-                    repeat: *again,
+                    is_retry: *again,
                 },
-                Input::StreamStarted { id, attempt, latency } => Event::StreamStarted {
+                Input::StreamStarted {
+                    id,
+                    attempt,
+                    latency,
+                } => Event::StreamStarted {
                     id: RequestId(*id),
                     attempt: AttemptNo(*attempt),
                     latency: *latency,
                 },
-                Input::AttemptEnded { id, attempt, upstream, outcome, latency, finished, report } => {
-                    Event::AttemptEnded {
-                        id: RequestId(*id),
-                        attempt: AttemptNo(*attempt),
-                        upstream: UpstreamId(*upstream),
-                        outcome: OUTCOMES[*outcome],
-                        latency: *latency,
-                        finished: *finished,
-                        report,
-                    }
-                }
-                Input::Disconnected { id } => Event::RequestGone { id: RequestId(*id) },
-                Input::HealthCheckEnded { upstream, outcome, report } => Event::ProbeEnded {
+                Input::AttemptEnded {
+                    id,
+                    attempt,
+                    upstream,
+                    outcome,
+                    latency,
+                    finished,
+                    report,
+                } => Event::AttemptEnded {
+                    id: RequestId(*id),
+                    attempt: AttemptNo(*attempt),
+                    upstream: UpstreamId(*upstream),
+                    outcome: OUTCOMES[*outcome],
+                    latency: *latency,
+                    finished: *finished,
+                    report,
+                },
+                Input::Disconnected { id } => Event::ClientDisconnected { id: RequestId(*id) },
+                Input::HealthCheckEnded {
+                    upstream,
+                    outcome,
+                    report,
+                } => Event::HealthCheckEnded {
                     upstream: UpstreamId(*upstream),
                     outcome: OUTCOMES[*outcome],
                     latency: Duration::from_millis(5),
                     report,
                 },
-                Input::Timer { number } => Event::Timer { timer: TimerId(*number) },
+                Input::Timer { number } => Event::Timer {
+                    timer: TimerId(*number),
+                },
             };
             self.balancer.handle(now, event, &mut self.actions);
             self.actions.iter().map(output).collect()
@@ -206,76 +276,139 @@
 
         /// What the balancer says of itself: figures as bits, counts, and the span in which nothing is sent.
         pub fn status(&self) -> Vec<u64> {
-            let status = self.balancer.standing();
-            let pause = self.balancer.sends_held();
-            let mut words: Vec<u64> = [status.room, status.rate, status.busy, status.latency, status.demand]
-                .map(f64::to_bits)
-                .to_vec();
+            let status = self.balancer.status();
+            let pause = self.balancer.send_pause();
+            let mut words: Vec<u64> = [
+                status.spare_capacity,
+                status.service_rate,
+                status.utilization,
+                status.mean_latency_s,
+                status.demand_per_s,
+            ]
+            .map(f64::to_bits)
+            .to_vec();
             words.push(u64::from(status.in_flight));
-            words.extend([status.turns.0, status.turns.1, status.turns.2].map(|count| count as u64));
-            words.extend(pause.iter().flat_map(|p| [p.from.as_nanos() as u64, p.until.as_nanos() as u64]));
+            words.extend(
+                [status.rotation_size, status.warming_up, status.ejected].map(|count| count as u64),
+            );
+            words.extend(
+                pause
+                    .iter()
+                    .flat_map(|p| [p.from.as_nanos() as u64, p.until.as_nanos() as u64]),
+            );
             words.push(self.balancer.entries() as u64);
             words
         }
     }
 
-    fn endpoint(entry: &Entry) -> Listed {
-        Listed {
+    fn endpoint(entry: &Entry) -> Endpoint {
+        Endpoint {
             id: UpstreamId(entry.id),
             zone: ZoneId(entry.zone),
             kind: KindId(0),
             cell: CellId(entry.cell),
-            availability: [Availability::Ready, Availability::Draining, Availability::Gone]
-                [usize::from(entry.availability)],
+            availability: [
+                Availability::Ready,
+                Availability::Draining,
+                Availability::Removed,
+            ][usize::from(entry.availability)],
             weight: entry.weight,
             started: entry.started,
         }
     }
 
-    fn watch_event(kind: usize, since: Duration) -> ListEvent {
+    fn watch_event(kind: usize, since: Duration) -> WatchEvent {
         match kind {
-            0 => ListEvent::Silent { since },
-            1 => ListEvent::Ended,
-            2 => ListEvent::Partial { since },
-            3 => ListEvent::Refused { called: since },
-            4 => ListEvent::Unreachable { called: since },
-            _ => ListEvent::Moved,
+            0 => WatchEvent::Silent { since },
+            1 => WatchEvent::Ended,
+            2 => WatchEvent::Partial { since },
+            3 => WatchEvent::Rejected {
+                requested_at: since,
+            },
+            4 => WatchEvent::Unreachable {
+                requested_at: since,
+            },
+            _ => WatchEvent::Moved,
         }
     }
 
-    fn position(reason: Loss) -> usize {
-        Loss::ALL.iter().position(|other| *other == reason).expect("each reason is among all of them")
+    fn position(reason: FailureReason) -> usize {
+        FailureReason::ALL
+            .iter()
+            .position(|other| *other == reason)
+            .expect("each reason is among all of them")
     }
 
     fn output(action: &Action) -> Output {
         match action {
-            Action::Attempt { id, upstream, timeout } => {
-                Output::Attempt { id: id.0, upstream: upstream.0, timeout: *timeout }
-            }
-            Action::Cancel { id, attempt } => Output::Cancel { id: id.0, attempt: attempt.0 },
-            Action::Refuse { id, retry_after, why } => {
-                Output::Reject { id: id.0, retry_after: *retry_after, reason: position(*why) }
-            }
-            Action::Fail { id, why } => Output::Fail { id: id.0, reason: position(*why) },
-            Action::Timer { after, timer } => Output::Timer { after: *after, number: timer.0 },
-            Action::WatchFleet => Output::Watch,
-            Action::CloseIdle { upstream } => Output::CloseIdle { upstream: upstream.0 },
-            Action::Probe { upstream } => Output::HealthCheck { upstream: upstream.0 },
+            Action::Attempt {
+                id,
+                upstream,
+                timeout,
+            } => Output::Attempt {
+                id: id.0,
+                upstream: upstream.0,
+                timeout: *timeout,
+            },
+            Action::Cancel { id, attempt } => Output::Cancel {
+                id: id.0,
+                attempt: attempt.0,
+            },
+            Action::Reject {
+                id,
+                retry_after,
+                reason,
+            } => Output::Reject {
+                id: id.0,
+                retry_after: *retry_after,
+                reason: position(*reason),
+            },
+            Action::Fail { id, reason } => Output::Fail {
+                id: id.0,
+                reason: position(*reason),
+            },
+            Action::Timer { after, timer } => Output::Timer {
+                after: *after,
+                number: timer.0,
+            },
+            Action::WatchEndpoints => Output::Watch,
+            Action::CloseIdleConnections { upstream } => Output::CloseIdle {
+                upstream: upstream.0,
+            },
+            Action::HealthCheck { upstream } => Output::HealthCheck {
+                upstream: upstream.0,
+            },
             Action::Log { .. } => Output::Log,
         }
     }
 
     fn class(objective_ms: u64, deadline_ms: u64, effect: Effect) -> Class {
-        let (aim, deadline) = (Duration::from_millis(objective_ms), Duration::from_millis(deadline_ms));
-        Class { aim, deadline, effect, ..Class::default() }
+        let (latency_objective, deadline) = (
+            Duration::from_millis(objective_ms),
+            Duration::from_millis(deadline_ms),
+        );
+        Class {
+            latency_objective,
+            deadline,
+            effect,
+            ..Class::default()
+        }
     }
 
     fn keyed(group: DedupGroup, ttl_ms: u64) -> Effect {
-        Effect::Deduplicated { group, ttl: Duration::from_millis(ttl_ms) }
+        Effect::Deduplicated {
+            group,
+            ttl: Duration::from_millis(ttl_ms),
+        }
     }
 
     fn tenants(quotas: &[f64]) -> Vec<Tenant> {
-        quotas.iter().map(|quota| Tenant { allowance_per_s: *quota }).collect()
+        quotas
+            .iter()
+            .map(|quota| Tenant {
+                quota_per_s: *quota,
+            })
+            .collect()
     }
 
     /// Three settings that differ in all that decisions go by.
@@ -289,7 +422,10 @@
 
     /// A large fleet, polled for its list, with inline load reports.
     fn polled_by_many() -> Settings {
-        let streamed = Class { streamed: true, ..class(300, 900, Effect::Idempotent) };
+        let streamed = Class {
+            streamed: true,
+            ..class(300, 900, Effect::Idempotent)
+        };
         Settings {
             balancers: 40,
             index: 7,
@@ -297,21 +433,35 @@
             classes: vec![
                 class(200, 600, Effect::Idempotent),
                 class(300, 1200, Effect::AtMostOnce),
-                Class { worth: 4.0, ..class(150, 1500, keyed(DedupGroup::Cell, 700)) },
+                Class {
+                    priority_weight: 4.0,
+                    ..class(150, 1500, keyed(DedupGroup::Cell, 700))
+                },
                 class(250, 1500, keyed(DedupGroup::Zone, 360)),
-                Class { worth: 0.3, late_worth: 0.5, ..class(150, 1500, keyed(DedupGroup::All, 600)) },
+                Class {
+                    priority_weight: 0.3,
+                    late_weight_share: 0.5,
+                    ..class(150, 1500, keyed(DedupGroup::All, 600))
+                },
                 streamed,
             ],
             tenants: tenants(&[500.0, 700.0, 0.0, 90.0]),
-            ask_for_fleet: true,
+            polls_endpoints: true,
             hedging: true,
-            cancelling: true,
+            cancellation: true,
             max_attempts: 3,
             drain_grace: Duration::from_millis(1000),
-            reports: Reports::Inline,
-            report_fields: vec![LoadField::InFlight, LoadField::Utilization, LoadField::Queue],
-            weights: Weights::Size,
-            prices: Prices { cross_zone: 0.02, ..Prices::default() },
+            load_reports: LoadReports::Inline,
+            report_fields: vec![
+                LoadField::InFlight,
+                LoadField::Utilization,
+                LoadField::Queue,
+            ],
+            endpoint_weights: EndpointWeights::Size,
+            prices: Prices {
+                cross_zone: 0.02,
+                ..Prices::default()
+            },
             ..Settings::default()
         }
     }
@@ -323,44 +473,60 @@
             index: 2,
             classes: vec![
                 class(200, 800, Effect::Idempotent),
-                Class { worth: 2.0, aim_stretch: 2.0, ..class(400, 1500, Effect::AtMostOnce) },
+                Class {
+                    priority_weight: 2.0,
+                    objective_work_multiple: 2.0,
+                    ..class(400, 1500, Effect::AtMostOnce)
+                },
                 class(250, 1200, keyed(DedupGroup::All, 900)),
             ],
-            worth_by_work: true,
-            ask_for_fleet: true,
-            own_agent: true,
-            ask_every: Duration::from_secs(6),
+            weight_by_work: true,
+            polls_endpoints: true,
+            has_local_agent: true,
+            poll_interval: Duration::from_secs(6),
             hedging: false,
-            cancelling: false,
-            repeats_marked: false,
+            cancellation: false,
+            retries_marked: false,
             max_attempts: 2,
-            reports: Reports::OnProbe,
-            probing: true,
+            load_reports: LoadReports::OnHealthCheck,
+            health_checks: true,
             report_fields: vec![LoadField::Queue, LoadField::ErrorRate, LoadField::InFlight],
-            weights: Weights::Live,
-            prices: Prices { cross_zone: 0.2, ..Prices::default() },
+            endpoint_weights: EndpointWeights::Live,
+            prices: Prices {
+                cross_zone: 0.2,
+                ..Prices::default()
+            },
             ..Settings::default()
         }
     }
 
     /// One of two balancers whose list is pushed, without weights, with reports of every field.
     fn pushed() -> Settings {
-        let streamed = Class { streamed: true, ..class(300, 900, Effect::Idempotent) };
+        let streamed = Class {
+            streamed: true,
+            ..class(300, 900, Effect::Idempotent)
+        };
         Settings {
             balancers: 2,
             index: 1,
             classes: vec![
-                Class { late_worth: 0.2, ..class(100, 500, Effect::Idempotent) },
-                Class { worth: 3.0, ..class(300, 900, keyed(DedupGroup::Zone, 500)) },
+                Class {
+                    late_weight_share: 0.2,
+                    ..class(100, 500, Effect::Idempotent)
+                },
+                Class {
+                    priority_weight: 3.0,
+                    ..class(300, 900, keyed(DedupGroup::Zone, 500))
+                },
                 streamed,
             ],
             tenants: tenants(&[120.0, 60.0]),
-            over_share_worth: 0.4,
+            over_quota_weight_share: 0.4,
             max_attempts: 4,
-            cold_from: 0.1,
-            cold_time: Duration::from_secs(4),
-            fall_multiple: 2.0,
-            reports: Reports::Inline,
+            slow_start_initial_share: 0.1,
+            slow_start_duration: Duration::from_secs(4),
+            overload_multiple: 2.0,
+            load_reports: LoadReports::Inline,
             report_fields: vec![
                 LoadField::Utilization,
                 LoadField::ServiceMs,
@@ -368,7 +534,7 @@
                 LoadField::RequestRate,
                 LoadField::Other,
             ],
-            weights: Weights::Off,
+            endpoint_weights: EndpointWeights::Off,
             ..Settings::default()
         }
     }
@@ -547,7 +713,14 @@
         }
         let entries = model.entries();
         model.play("cached", Input::Endpoints { scope: 2, entries });
-        for first in [Due::Arrival, Due::Behavior, Due::Load, Due::List, Due::HealthCheck, Due::Stall] {
+        for first in [
+            Due::Arrival,
+            Due::Behavior,
+            Due::Load,
+            Due::List,
+            Due::HealthCheck,
+            Due::Stall,
+        ] {
             model.after(ms(1), first);
         }
         model
@@ -565,12 +738,23 @@
             started,
         };
         let speed = (entry.weight * 1000.0) as u64 * self.rng.u64(80..120) / 100;
-        self.servers.insert(id, Server { entry, behavior: Behavior::Normal, speed, in_flight: 0 });
+        self.servers.insert(
+            id,
+            Server {
+                entry,
+                behavior: Behavior::Normal,
+                speed,
+                in_flight: 0,
+            },
+        );
         id
     }
 
     fn entries(&self) -> Vec<adapter::Entry> {
-        self.servers.values().map(|server| server.entry.clone()).collect()
+        self.servers
+            .values()
+            .map(|server| server.entry.clone())
+            .collect()
     }
 
     fn after(&mut self, span: Duration, due: Due) {
@@ -591,7 +775,10 @@
             self.carry_out(output);
         }
         if self.events.is_multiple_of(20) {
-            self.player.status().into_iter().for_each(|word| self.status.word(word));
+            self.player
+                .status()
+                .into_iter()
+                .for_each(|word| self.status.word(word));
         }
     }
 
@@ -599,7 +786,11 @@
         let digest = &mut self.actions;
         digest.duration(Some(self.now));
         let kind = match output {
-            Output::Attempt { id, upstream, timeout } => {
+            Output::Attempt {
+                id,
+                upstream,
+                timeout,
+            } => {
                 digest.word(u64::from(*id));
                 digest.word(*upstream);
                 digest.duration(*timeout);
@@ -610,7 +801,11 @@
                 digest.word(u64::from(*attempt));
                 1
             }
-            Output::Reject { id, retry_after, reason } => {
+            Output::Reject {
+                id,
+                retry_after,
+                reason,
+            } => {
                 digest.word(u64::from(*id));
                 digest.duration(*retry_after);
                 digest.word(*reason as u64);
@@ -645,14 +840,28 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Attempt { id, upstream, timeout } => self.send(id, upstream, timeout),
+            Output::Attempt {
+                id,
+                upstream,
+                timeout,
+            } => self.send(id, upstream, timeout),
             Output::Cancel { id, attempt } => {
                 let span = ms(self.rng.u64(0..3));
-                self.after(span, Due::End { id, attempt, outcome: CANCELLED });
+                self.after(
+                    span,
+                    Due::End {
+                        id,
+                        attempt,
+                        outcome: CANCELLED,
+                    },
+                );
             }
             Output::Reject { id, .. } | Output::Fail { id, .. } => {
                 if let Some(request) = self.requests.get_mut(&id) {
-                    assert!(!request.is_answered && !request.is_gone, "two final answers");
+                    assert!(
+                        !request.is_answered && !request.is_gone,
+                        "two final answers"
+                    );
                     request.is_answered = true;
                     self.forget(id);
                 }
@@ -669,17 +878,39 @@
 
     /// Sends an attempt to the model's upstream and schedules its end.
     fn send(&mut self, id: u32, upstream: u64, timeout: Option<Duration>) {
-        let request = self.requests.get_mut(&id).expect("a request that was given");
+        let request = self
+            .requests
+            .get_mut(&id)
+            .expect("a request that was given");
         let attempt = request.sends.len() as u8;
-        request.sends.push(SentAttempt { upstream, at: self.now, is_out: true });
+        request.sends.push(SentAttempt {
+            upstream,
+            at: self.now,
+            is_out: true,
+        });
         let (class, left) = (request.class, request.deadline.saturating_sub(self.now));
         let limit = timeout.map_or(left, |timeout| timeout.min(left));
-        self.after(limit, Due::End { id, attempt, outcome: TIMED_OUT });
-        let server = self.servers.get_mut(&upstream).expect("an upstream that was listed");
+        self.after(
+            limit,
+            Due::End {
+                id,
+                attempt,
+                outcome: TIMED_OUT,
+            },
+        );
+        let server = self
+            .servers
+            .get_mut(&upstream)
+            .expect("an upstream that was listed");
         server.in_flight += 1;
         let work = (20_000 + 15_000 * class as u64) * self.rng.u64(30..170) / 100;
-        let work = if self.rng.u8(0..40) == 0 { work * 8 } else { work };
-        let service = Duration::from_micros(work * (4 + server.in_flight) / 4 * 1000 / server.speed);
+        let work = if self.rng.u8(0..40) == 0 {
+            work * 8
+        } else {
+            work
+        };
+        let service =
+            Duration::from_micros(work * (4 + server.in_flight) / 4 * 1000 / server.speed);
         let chance = self.rng.u8(0..100);
         let (span, outcome) = match server.behavior {
             _ if chance == 99 => (ms(0), NOT_SENT),
@@ -694,15 +925,30 @@
         };
         if self.site.streamed[class] && outcome == OK {
             self.after(span / 2, Due::StreamStart { id, attempt });
-            self.after(span * 3, Due::End { id, attempt, outcome });
+            self.after(
+                span * 3,
+                Due::End {
+                    id,
+                    attempt,
+                    outcome,
+                },
+            );
         } else {
-            self.after(span, Due::End { id, attempt, outcome });
+            self.after(
+                span,
+                Due::End {
+                    id,
+                    attempt,
+                    outcome,
+                },
+            );
         }
     }
 
     /// Drops a request that has ended and has no attempt out.
     fn forget(&mut self, id: u32) {
-        let is_over = |r: &Request| (r.is_answered || r.is_gone) && r.sends.iter().all(|send| !send.is_out);
+        let is_over =
+            |r: &Request| (r.is_answered || r.is_gone) && r.sends.iter().all(|send| !send.is_out);
         if self.requests.get(&id).is_some_and(is_over) {
             self.requests.remove(&id);
         }
@@ -713,7 +959,10 @@
         if size == 0 || self.rng.u8(0..6) == 0 {
             return Vec::new();
         }
-        let in_flight = self.servers.get(&upstream).map_or(0, |server| server.in_flight) as f32;
+        let in_flight = self
+            .servers
+            .get(&upstream)
+            .map_or(0, |server| server.in_flight) as f32;
         let noise = self.rng.f32();
         let values = [in_flight + 3.0 * noise, 2.0 * noise];
         let mut report: Vec<f32> = (0..size).map(|field| values[field % 2]).collect();
@@ -733,7 +982,11 @@
     fn arrive(&mut self) {
         let gap = Duration::from_nanos(self.rng.u64(1..2 * self.gap));
         self.after(gap, Due::Arrival);
-        let class = if self.rng.u16(0..300) == 0 { 99 } else { self.rng.usize(0..self.site.classes) };
+        let class = if self.rng.u16(0..300) == 0 {
+            99
+        } else {
+            self.rng.usize(0..self.site.classes)
+        };
         // One more than there are: an unknown tenant shares the last one's bucket.
         let tenant = self.rng.u32(0..self.site.tenants + 1);
         self.next_request += 1;
@@ -755,11 +1008,23 @@
         }
         let work_ms = [None, Some(12.5), Some(f64::NAN)][self.rng.usize(0..3)];
         let again = self.rng.u8(0..5) == 0;
-        self.play("request", Input::Request { id, class: class as u16, tenant, left, work_ms, again });
+        self.play(
+            "request",
+            Input::Request {
+                id,
+                class: class as u16,
+                tenant,
+                left,
+                work_ms,
+                again,
+            },
+        );
     }
 
     fn end(&mut self, id: u32, attempt: u8, outcome: usize) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let send = &mut request.sends[usize::from(attempt)];
         if !send.is_out || (outcome == TIMED_OUT && request.is_streaming) {
             return;
@@ -773,27 +1038,58 @@
         if let Some(server) = self.servers.get_mut(&upstream) {
             server.in_flight -= 1;
         }
-        let report = if outcome <= REJECTED { self.report(upstream) } else { Vec::new() };
-        let name =
-            ["ok", "error", "rejected", "timed out", "connect failed", "reset", "cancelled", "not sent"];
-        let input = Input::AttemptEnded { id, attempt, upstream, outcome, latency, finished, report };
+        let report = if outcome <= REJECTED {
+            self.report(upstream)
+        } else {
+            Vec::new()
+        };
+        let name = [
+            "ok",
+            "error",
+            "rejected",
+            "timed out",
+            "connect failed",
+            "reset",
+            "cancelled",
+            "not sent",
+        ];
+        let input = Input::AttemptEnded {
+            id,
+            attempt,
+            upstream,
+            outcome,
+            latency,
+            finished,
+            report,
+        };
         self.play(name[outcome], input);
         self.forget(id);
     }
 
     fn start_stream(&mut self, id: u32, attempt: u8) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let send = &request.sends[usize::from(attempt)];
         if !send.is_out || request.is_answered || request.is_gone || request.is_streaming {
             return;
         }
         request.is_streaming = true;
         let latency = self.now - send.at;
-        self.play("stream", Input::StreamStarted { id, attempt, latency });
+        self.play(
+            "stream",
+            Input::StreamStarted {
+                id,
+                attempt,
+                latency,
+            },
+        );
     }
 
     fn disconnect(&mut self, id: u32) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if request.is_answered {
             return;
         }
@@ -810,14 +1106,22 @@
         match self.rng.u8(0..12) {
             0 | 1 => {
                 let zone = self.rng.u8(0..3);
-                let servers = self.servers.values_mut().filter(|server| server.entry.zone == zone);
+                let servers = self
+                    .servers
+                    .values_mut()
+                    .filter(|server| server.entry.zone == zone);
                 servers.for_each(|server| server.behavior = behavior);
             }
             2 => {
-                self.servers.values_mut().for_each(|server| server.behavior = behavior);
+                self.servers
+                    .values_mut()
+                    .for_each(|server| server.behavior = behavior);
                 mean_ms = 4000;
             }
-            3..6 => self.servers.values_mut().for_each(|server| server.behavior = Behavior::Normal),
+            3..6 => self
+                .servers
+                .values_mut()
+                .for_each(|server| server.behavior = Behavior::Normal),
             _ => {
                 let id = all[self.rng.usize(0..all.len())];
                 self.servers.get_mut(&id).expect("one of them").behavior = behavior;
@@ -857,10 +1161,16 @@
             3..5 => {
                 // A restart: well again, and just started.
                 self.servers.get_mut(&id).expect("one of them").behavior = Behavior::Normal;
-                self.tell_of_change(id, |entry, now| (entry.availability, entry.started) = (0, Some(now)));
+                self.tell_of_change(id, |entry, now| {
+                    (entry.availability, entry.started) = (0, Some(now))
+                });
             }
             5 if ids.len() < 80 => {
-                let started = if self.rng.bool() { Some(self.now) } else { None };
+                let started = if self.rng.bool() {
+                    Some(self.now)
+                } else {
+                    None
+                };
                 let id = self.add_server(started);
                 self.tell_of_change(id, |_, _| ());
             }
@@ -885,7 +1195,13 @@
             }
             14..17 => self.break_watch(),
             // A heartbeat.
-            _ => self.play("delta", Input::Endpoints { scope: 0, entries: Vec::new() }),
+            _ => self.play(
+                "delta",
+                Input::Endpoints {
+                    scope: 0,
+                    entries: Vec::new(),
+                },
+            ),
         }
     }
 
@@ -899,13 +1215,23 @@
 
     fn break_watch(&mut self) {
         let kind = [0, 1, 5, 2][self.rng.usize(0..4)];
-        let back = if self.site.local_agent { ms(20) } else { ms(3000) };
+        let back = if self.site.local_agent {
+            ms(20)
+        } else {
+            ms(3000)
+        };
         let since = self.now.saturating_sub(back);
         if kind != 2 || self.site.local_agent {
             self.play("watch event", Input::Watch { kind, since });
         }
         self.is_watching = false;
-        self.play("failed", Input::Endpoints { scope: 3, entries: Vec::new() });
+        self.play(
+            "failed",
+            Input::Endpoints {
+                scope: 3,
+                entries: Vec::new(),
+            },
+        );
     }
 
     fn answer_call(&mut self, called: Duration) {
@@ -916,19 +1242,43 @@
                 self.play("snapshot", Input::Endpoints { scope: 1, entries });
                 return;
             }
-            Discovery::Rejecting => self.play("watch event", Input::Watch { kind: 3, since: called }),
-            Discovery::Unreachable => self.play("watch event", Input::Watch { kind: 4, since: called }),
+            Discovery::Rejecting => self.play(
+                "watch event",
+                Input::Watch {
+                    kind: 3,
+                    since: called,
+                },
+            ),
+            Discovery::Unreachable => self.play(
+                "watch event",
+                Input::Watch {
+                    kind: 4,
+                    since: called,
+                },
+            ),
             Discovery::Breaking => {
                 let since = self.now;
                 self.play("watch event", Input::Watch { kind: 2, since });
                 self.now += ms(40);
             }
             Discovery::Mute => {
-                self.play("watch event", Input::Watch { kind: 0, since: called });
+                self.play(
+                    "watch event",
+                    Input::Watch {
+                        kind: 0,
+                        since: called,
+                    },
+                );
                 return;
             }
         }
-        self.play("failed", Input::Endpoints { scope: 3, entries: Vec::new() });
+        self.play(
+            "failed",
+            Input::Endpoints {
+                scope: 3,
+                entries: Vec::new(),
+            },
+        );
     }
 
     fn end_health_check(&mut self) {
@@ -937,7 +1287,14 @@
         let ids: Vec<u64> = self.servers.keys().copied().chain([999_999]).collect();
         let upstream = ids[self.rng.usize(0..ids.len())];
         let (outcome, report) = (self.rng.usize(0..8), self.report(upstream));
-        self.play("health check", Input::HealthCheckEnded { upstream, outcome, report });
+        self.play(
+            "health check",
+            Input::HealthCheckEnded {
+                upstream,
+                outcome,
+                report,
+            },
+        );
     }
 
     fn step(&mut self) {
@@ -946,7 +1303,11 @@
         match due {
             Due::Arrival => self.arrive(),
             Due::Timer(number) => self.play("timer", Input::Timer { number }),
-            Due::End { id, attempt, outcome } => self.end(id, attempt, outcome),
+            Due::End {
+                id,
+                attempt,
+                outcome,
+            } => self.end(id, attempt, outcome),
             Due::StreamStart { id, attempt } => self.start_stream(id, attempt),
             Due::Disconnect { id } => self.disconnect(id),
             Due::Behavior => self.change_behavior(),
@@ -981,18 +1342,33 @@
         model.step();
     }
     let (actions, status) = (model.actions.0, model.status.0);
-    Summary { actions, status, kinds: model.kinds, reasons: model.reasons, inputs: model.inputs }
+    Summary {
+        actions,
+        status,
+        kinds: model.kinds,
+        reasons: model.reasons,
+        inputs: model.inputs,
+    }
 }
 
 /// That the sequences together are rich: else a digest would say little.
 fn assert_rich(summaries: &[Summary]) {
     for kind in (0..ACTION_KINDS).filter(|kind| *kind != HEALTH_CHECK) {
-        assert!(summaries.iter().any(|s| s.kinds[kind] > 0), "no action of kind {kind}: {summaries:?}");
+        assert!(
+            summaries.iter().any(|s| s.kinds[kind] > 0),
+            "no action of kind {kind}: {summaries:?}"
+        );
     }
     for reason in 0..REASONS {
-        assert!(summaries.iter().any(|s| s.reasons[reason] > 0), "no reason {reason}: {summaries:?}");
+        assert!(
+            summaries.iter().any(|s| s.reasons[reason] > 0),
+            "no reason {reason}: {summaries:?}"
+        );
     }
-    let inputs: BTreeSet<&str> = summaries.iter().flat_map(|s| s.inputs.keys().copied()).collect();
+    let inputs: BTreeSet<&str> = summaries
+        .iter()
+        .flat_map(|s| s.inputs.keys().copied())
+        .collect();
     assert_eq!(inputs.len(), 19, "{inputs:?}");
 }
 
@@ -1009,7 +1385,10 @@
 
 #[test]
 fn short_sequences_give_the_recorded_actions() {
-    let digests: Vec<u64> = run_all(SHORT_EVENTS).iter().map(|summary| summary.actions).collect();
+    let digests: Vec<u64> = run_all(SHORT_EVENTS)
+        .iter()
+        .map(|summary| summary.actions)
+        .collect();
     assert_eq!(digests, SHORT_DIGESTS, "{digests:#018x?}");
 }
 
