--- a/src/lib.rs
+++ b/src/lib.rs
@@ -69,9 +69,9 @@
 
 mod interface;
 mod policy;
+mod random;
 mod settings;
 mod state;
-mod stats;
 
 pub use interface::*;
 pub use policy::{Balancer, SendPause};
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -5,8 +5,8 @@
     TICK, bound,
 };
 use crate::interface::{Action, FailureReason, RequestId};
+use crate::random::Random;
 use crate::state::{Request, Upstream};
-use crate::stats::Chance;
 use std::time::Duration;
 
 /// Share of the admitted under which a class does not set how long queues may be.
@@ -147,7 +147,7 @@
         // No sooner than an attempt takes, however little of this try is left: the client may have another.
         let least = Duration::from_secs_f64(self.latency().max(TICK));
         let longest = self.set.max_retry_after.min(least.max(left / 2));
-        let retry_after = longest.mul_f64(0.5 + 0.5 * Chance::with_seed(u64::from(id.0)).f64());
+        let retry_after = longest.mul_f64(0.5 + 0.5 * Random::with_seed(u64::from(id.0)).f64());
         self.out.push(Action::Reject {
             id,
             retry_after: Some(retry_after),
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -2,8 +2,8 @@
 
 use super::{BUDGET, Balancer, EJECTED_MOST};
 use crate::interface::{Action, Availability, Endpoint, EndpointWeights, UpdateScope};
+use crate::random::Random;
 use crate::state::{Health, Upstream};
-use crate::stats::Chance;
 use std::collections::VecDeque;
 
 /// Subsets that each upstream is in at the least.
@@ -225,7 +225,7 @@
         self.choose_at = until.fold(f64::INFINITY, f64::min);
         if !all {
             order.sort_by_cached_key(|j| {
-                Chance::with_seed(self.ring[*j].id.0 ^ (round as u64) << 48).u64(..)
+                Random::with_seed(self.ring[*j].id.0 ^ (round as u64) << 48).u64(..)
             });
             order.rotate_left(place % n.max(1));
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -17,8 +17,8 @@
     Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, Settings, SettingsError,
     StatusSnapshot, TimerId, UpstreamId,
 };
+use crate::random::Random;
 use crate::state::{Bucket, Learned, Request, Upstream};
-use crate::stats::Chance;
 pub use lease::SendPause;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
@@ -82,7 +82,7 @@
     now: Duration, // of the event in hand
     at: f64,       // the same in seconds
     out: Vec<Action>,
-    rng: Chance,
+    rng: Random,
     ring: Vec<Upstream>, // all that are endpoints
     index: FxHashMap<UpstreamId, usize>,
     turns: Vec<usize>,      // the subset, in this balancer's own order
@@ -172,7 +172,7 @@
             saved: 1.0,
             subset,
             subset_least: subset,
-            rng: Chance::with_seed(seed),
+            rng: Random::with_seed(seed),
             buckets: buckets.collect(),
             classes: classes.collect(),
             // Where the list says nothing of their sizes the small ones would be full first.
--- a/src/stats.rs
+++ b/src/random.rs
@@ -1,30 +1,31 @@
-//! Running statistics and seeded chance; no decisions.
+//! Seeded random numbers.
 
 use std::ops::{Deref, DerefMut};
 
-/// Random numbers from a seed alone.
-pub(crate) struct Chance(fastrand::Rng);
+/// A random number generator whose numbers follow from its seed alone.
+pub(crate) struct Random(fastrand::Rng);
 
-impl Chance {
+impl Random {
     pub(crate) fn with_seed(seed: u64) -> Self {
         Self(fastrand::Rng::with_seed(seed))
     }
 }
 
-impl Default for Chance {
+impl Default for Random {
     fn default() -> Self {
         Self::with_seed(0)
     }
 }
 
-impl Deref for Chance {
+impl Deref for Random {
     type Target = fastrand::Rng;
+
     fn deref(&self) -> &fastrand::Rng {
         &self.0
     }
 }
 
-impl DerefMut for Chance {
+impl DerefMut for Random {
     fn deref_mut(&mut self) -> &mut fastrand::Rng {
         &mut self.0
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -10,10 +10,6 @@
         "src/policy/admission.rs",
         include_str!("../src/policy/admission.rs"),
     ),
-    (
-        "src/policy/turns.rs",
-        include_str!("../src/policy/turns.rs"),
-    ),
     (
         "src/policy/attempts.rs",
         include_str!("../src/policy/attempts.rs"),
@@ -27,6 +23,10 @@
         include_str!("../src/policy/lease.rs"),
     ),
     ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
+    (
+        "src/policy/turns.rs",
+        include_str!("../src/policy/turns.rs"),
+    ),
 ];
 
 /// What of a file's text goes over the limits.
