--- a/balancer/src/driver.rs
+++ b/balancer/src/driver.rs
@@ -404,7 +404,7 @@
                     driver.happened(Queued::HealthCheckEnded(upstream, sent.elapsed(), ended));
                 });
             }
-            Action::Log { line } => tracing::info!("{line}"),
+            Action::Log(event) => tracing::info!("{event}"),
         }
     }
 
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -422,8 +422,9 @@
             head(reply, 74, instance);
             put_upstream(reply, *upstream);
         }
-        Action::Log { line } => {
+        Action::Log(event) => {
             head(reply, 69, instance);
+            let line = event.to_string();
             let line = &line.as_bytes()[..line.len().min(usize::from(u16::MAX))];
             reply.extend((line.len() as u16).to_be_bytes());
             reply.extend(line);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -2,6 +2,7 @@
 //!
 //! All times are [`Duration`]s on one monotonic clock of the embedder's choice.
 
+pub use crate::log_event::{LogEvent, StalenessCause};
 pub use crate::settings::*;
 use std::time::Duration;
 
@@ -57,7 +58,7 @@
     pub cell: CellId,
     /// Whether it accepts requests.
     pub availability: Availability,
-    /// Its weight; see [`Settings::weights`].
+    /// Its weight; see [`Settings::endpoint_weights`].
     pub weight: f64,
     /// When its process last started, if that was not long ago.
     pub started: Option<Duration>,
@@ -329,11 +330,8 @@
         /// Which.
         upstream: UpstreamId,
     },
-    /// A log line for the operators.
-    Log {
-        /// Its text.
-        line: String,
-    },
+    /// Write a line to the operators' log.
+    Log(LogEvent),
 }
 
 /// The state that a balancer's decisions are based on, for the log.
@@ -358,3 +356,12 @@
     /// Upstreams of the rotation that are ejected.
     pub ejected: usize,
 }
+
+/// A span in which no new attempt may be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SendPause {
+    /// Its start.
+    pub from: Duration,
+    /// Its end, unless the endpoint list is confirmed before.
+    pub until: Duration,
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -68,13 +68,14 @@
 //! deadline. `Balancer` gives each request exactly one final answer on these terms.
 
 mod interface;
+mod log_event;
 mod policy;
 mod random;
 mod settings;
 mod state;
 
 pub use interface::*;
-pub use policy::{Balancer, SendPause};
+pub use policy::Balancer;
 
 /// README's embedding example, kept honest by the tests.
 #[doc = include_str!("../README.md")]
--- /dev/null
+++ b/src/log_event.rs
@@ -0,0 +1,56 @@
+//! What a balancer has to say in the log.
+
+use std::fmt;
+
+/// A line for the operators' log; its text is what it displays as.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LogEvent {
+    /// Discovery has confirmed the endpoint list again, after a pause of sends.
+    EndpointsConfirmed {
+        /// How long nothing new was sent, in seconds.
+        paused_for_s: f64,
+        /// Why.
+        cause: StalenessCause,
+    },
+}
+
+impl fmt::Display for LogEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::EndpointsConfirmed {
+                paused_for_s,
+                cause,
+            } => write!(
+                f,
+                "list confirmed again: sends were held for {paused_for_s:.2} s, as {cause}"
+            ),
+        }
+    }
+}
+
+/// Why the endpoint list may be out of date.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StalenessCause {
+    /// A watch, or a poll for one, fell silent.
+    WatchSilent,
+    /// Discovery ended the watch.
+    WatchEnded,
+    /// Discovery rejects polls.
+    PollsRejected,
+    /// Discovery has moved to another address.
+    DiscoveryMoved,
+    /// A response arrived in part.
+    PartialResponse,
+}
+
+impl fmt::Display for StalenessCause {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::WatchSilent => "discovery was silent",
+            Self::WatchEnded => "discovery ended the watch",
+            Self::PollsRejected => "discovery turned calls away",
+            Self::DiscoveryMoved => "discovery moved",
+            Self::PartialResponse => "an answer broke off",
+        })
+    }
+}
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -57,7 +57,7 @@
         let tenant = tenant.min(self.buckets.len() - 1);
         let bucket = &mut self.buckets[tenant];
         bucket.arrivals += 1.0;
-        if self.list_is_stale() {
+        if self.lease.is_expired(self.at) {
             self.refuse(id, left, FailureReason::StaleEndpoints);
             return;
         }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -94,7 +94,7 @@
             || at + 0.5 * self.classes[r.class].latency >= r.worth_until
             || self.retries < cost
             || self.ring.is_empty()
-            || self.list_is_stale()
+            || self.lease.is_expired(self.at)
         {
             return false;
         }
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -78,13 +78,13 @@
         };
         // An answer broke off: nothing may be sent by the list in hand soon, and this befell nobody else.
         let soon = WAIT_LEAST * f64::from(1u32 << self.ask_failures.min(4));
-        let wait = if self.list_is_partial() {
+        let wait = if self.lease.has_partial_response() {
             wait.min(soon)
         } else {
             wait
         };
         // Turning calls away costs a crowded service time as well: none is repeated soon, and none late.
-        let wait = if self.list_calls_are_refused() {
+        let wait = if self.lease.polls_are_rejected() {
             wait.min(crowd.max(REFUSED_WAIT))
         } else {
             wait
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -9,17 +9,17 @@
 mod admission;
 mod attempts;
 mod doubt;
-mod lease;
+mod endpoint_lease;
 mod list;
 mod turns;
 
 use crate::interface::{
-    Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, Settings, SettingsError,
-    StatusSnapshot, TimerId, UpstreamId,
+    Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, SendPause, Settings,
+    SettingsError, StatusSnapshot, TimerId, UpstreamId, WatchEvent,
 };
 use crate::random::Random;
 use crate::state::{Bucket, Learned, Request, Upstream};
-pub use lease::SendPause;
+use endpoint_lease::EndpointLease;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -122,7 +122,7 @@
     asked_at: f64,
     ask_failures: u32,
     list_coming: bool, // part of an answer is here, and its end may follow
-    lease: lease::ListLease,
+    lease: EndpointLease,
 }
 
 impl Balancer {
@@ -182,6 +182,7 @@
                 each
             },
             flow: each,
+            lease: EndpointLease::new(set.drain_grace, set.has_local_agent),
             set,
             retries: RETRY_SAVED,
             ..Self::default()
@@ -215,6 +216,12 @@
         }
     }
 
+    /// When no new attempt may be sent, unless the endpoint list is confirmed before; `None`: it is
+    /// confirmed. An embedder looks here again just before it writes an attempt.
+    pub fn send_pause(&self) -> Option<SendPause> {
+        self.lease.send_pause()
+    }
+
     /// Takes in one event and adds what is to be done about it.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.out, actions);
@@ -231,7 +238,7 @@
         }
         match event {
             Event::EndpointsUpdated { scope, endpoints } => self.fleet(scope, endpoints),
-            Event::Watch(event) => self.list_event(event),
+            Event::Watch(event) => self.on_watch_event(event),
             Event::Request {
                 id,
                 class,
@@ -279,6 +286,20 @@
         std::mem::swap(&mut self.out, actions);
     }
 
+    /// Takes in what happened to the endpoint watch or a poll.
+    fn on_watch_event(&mut self, event: WatchEvent) {
+        self.lease.on_watch_event(event, self.at);
+        if matches!(event, WatchEvent::Partial { .. }) {
+            self.list_coming = true;
+        }
+    }
+
+    /// Discovery has confirmed the endpoint list.
+    fn renew_lease(&mut self) {
+        let log_event = self.lease.renew(self.at);
+        self.out.extend(log_event.map(Action::Log));
+    }
+
     /// The tick: W and the grants, then the fleet's weights, overdue attempts and discovery.
     fn tick(&mut self) {
         let (at, tau) = (self.at, (self.at - self.last_tick).clamp(0.0, 1.0));
--- a/tests/action_digest.rs
+++ b/tests/action_digest.rs
@@ -378,7 +378,7 @@
             Action::HealthCheck { upstream } => Output::HealthCheck {
                 upstream: upstream.0,
             },
-            Action::Log { .. } => Output::Log,
+            Action::Log(_) => Output::Log,
         }
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -158,9 +158,7 @@
                 }
                 Action::HealthCheck { upstream } => self.probes.push(*upstream),
                 Action::WatchEndpoints => self.list_calls.push(self.now),
-                Action::Cancel { .. }
-                | Action::CloseIdleConnections { .. }
-                | Action::Log { .. } => {}
+                Action::Cancel { .. } | Action::CloseIdleConnections { .. } | Action::Log(_) => {}
             }
         }
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -19,8 +19,8 @@
         include_str!("../src/policy/doubt.rs"),
     ),
     (
-        "src/policy/lease.rs",
-        include_str!("../src/policy/lease.rs"),
+        "src/policy/endpoint_lease.rs",
+        include_str!("../src/policy/endpoint_lease.rs"),
     ),
     ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
     (
--- /dev/null
+++ b/tests/log_events.rs
@@ -0,0 +1,23 @@
+//! The texts of the decision module's log lines: operators and the simulator's wire get them byte for byte.
+
+use frostkeel_policy::{LogEvent, StalenessCause};
+
+#[test]
+fn a_confirmed_endpoint_list_says_how_long_sends_were_paused_and_why() {
+    for (cause, text) in [
+        (StalenessCause::WatchSilent, "discovery was silent"),
+        (StalenessCause::WatchEnded, "discovery ended the watch"),
+        (StalenessCause::PollsRejected, "discovery turned calls away"),
+        (StalenessCause::DiscoveryMoved, "discovery moved"),
+        (StalenessCause::PartialResponse, "an answer broke off"),
+    ] {
+        let event = LogEvent::EndpointsConfirmed {
+            paused_for_s: 1.256,
+            cause,
+        };
+        assert_eq!(
+            event.to_string(),
+            format!("list confirmed again: sends were held for 1.26 s, as {text}")
+        );
+    }
+}
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -135,7 +135,7 @@
                 self.probes.push(upstream);
             }
             Action::WatchEndpoints => assert!(self.set.polls_endpoints),
-            Action::Log { .. } | Action::CloseIdleConnections { .. } => {}
+            Action::Log(_) | Action::CloseIdleConnections { .. } => {}
             Action::Cancel { id, attempt } => {
                 assert!(self.set.cancellation);
                 assert!(
