--- /dev/null
+++ b/src/policy/endpoint_polling.rs
@@ -0,0 +1,183 @@
+//! When discovery is polled for the endpoint list: at the start, where no response comes, and with a
+//! jittered backoff after failures.
+
+use crate::interface::Settings;
+use crate::random::Random;
+
+/// Seconds of discovery's time left to each balancer's poll: it serves one after another, and a poll that
+/// has waited for too long fails and is repeated.
+const POLL_SERVICE_S: f64 = 0.05;
+/// Share of the poll interval over which the polls of all balancers are spread at most.
+const MAX_SPREAD_SHARE: f64 = 0.5;
+/// Seconds after which a change counts as notified, whatever happened to the polls for it. Of these: what
+/// an answered poll takes from its connection on, and what it takes to see that a watch has gone silent.
+const NOTIFIED_WITHIN_S: f64 = 6.0;
+const POLL_DURATION_S: f64 = 1.5;
+const WATCH_SILENCE_S: f64 = 3.0;
+/// Longest wait after a poll that was rejected at once, where few balancers poll.
+const MAX_REJECTED_BACKOFF_S: f64 = 2.0;
+/// Shortest backoff, and the longest over which many balancers spread their polls.
+const MIN_BACKOFF_S: f64 = 0.25;
+const MAX_CROWD_SPREAD_S: f64 = 3.0;
+/// Longest doubling backoff, as a share of the poll interval; it starts at a sixteenth of that.
+const MAX_BACKOFF_SHARE: f64 = 0.8;
+const MAX_DOUBLINGS: u32 = 4;
+/// Seconds after which an unanswered poll is given up for another; a local agent answers at once.
+const MIN_POLL_TIMEOUT_S: f64 = 4.0;
+const LOCAL_AGENT_POLL_TIMEOUT_S: f64 = 1.0;
+
+/// Who is polled.
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+enum PollTarget {
+    /// Nobody: the list is pushed.
+    #[default]
+    Nobody,
+    /// Discovery, together with all other balancers.
+    Discovery,
+    /// An agent of this balancer's own.
+    LocalAgent,
+}
+
+impl PollTarget {
+    fn new(settings: &Settings) -> Self {
+        match (settings.polls_endpoints, settings.has_local_agent) {
+            (false, _) => Self::Nobody,
+            (true, false) => Self::Discovery,
+            (true, true) => Self::LocalAgent,
+        }
+    }
+}
+
+/// What the lease knows of the failure that a backoff follows.
+pub(super) struct PollFailure {
+    /// A response broke off.
+    pub(super) was_partial: bool,
+    /// Discovery rejects polls at once.
+    pub(super) was_rejected: bool,
+}
+
+/// The polls for the endpoint list of one balancer.
+#[derive(Default)]
+pub(super) struct EndpointPolling {
+    target: PollTarget,
+    interval_s: f64,
+    /// Seconds over which the polls of all balancers are spread, should all need their list at once.
+    spread_s: f64,
+    is_watching: bool,
+    /// Part of a response is here, and its end may follow.
+    is_receiving: bool,
+    next_poll_at_s: f64,
+    last_poll_at_s: f64,
+    consecutive_failures: u32,
+}
+
+impl EndpointPolling {
+    pub(super) fn new(settings: &Settings) -> Self {
+        let interval_s = settings.poll_interval.as_secs_f64();
+        let balancers = if settings.has_local_agent {
+            0.0
+        } else {
+            f64::from(settings.balancers)
+        };
+        Self {
+            target: PollTarget::new(settings),
+            interval_s,
+            spread_s: (POLL_SERVICE_S * balancers).min(MAX_SPREAD_SHARE * interval_s),
+            is_watching: false,
+            is_receiving: false,
+            next_poll_at_s: 0.0,
+            last_poll_at_s: 0.0,
+            consecutive_failures: 0,
+        }
+    }
+
+    /// The balancer's life begins: the first polls of many are spread.
+    pub(super) fn start(&mut self, now_s: f64, random: &mut Random) {
+        self.next_poll_at_s = now_s + self.spread_s * random.f64();
+    }
+
+    /// Whether to poll now; if so, the poll counts as made.
+    pub(super) fn poll_if_due(&mut self, now_s: f64, random: &mut Random) -> bool {
+        let is_answered = self.is_watching || self.is_receiving;
+        if self.target == PollTarget::Nobody || is_answered || now_s < self.next_poll_at_s {
+            return false;
+        }
+        // An unanswered poll is repeated well before silence counts as having been notified.
+        let timeout_s = self.interval_s * (0.4 + 0.2 * random.f64());
+        let timeout_s = if self.target == PollTarget::LocalAgent {
+            LOCAL_AGENT_POLL_TIMEOUT_S
+        } else {
+            timeout_s.max(MIN_POLL_TIMEOUT_S)
+        };
+        (self.last_poll_at_s, self.next_poll_at_s) = (now_s, now_s + timeout_s);
+        true
+    }
+
+    /// Part of a response has arrived: no poll beside it.
+    pub(super) fn on_partial_response(&mut self) {
+        self.is_receiving = true;
+    }
+
+    /// An update has arrived, or a failure: either ends a response that was arriving.
+    pub(super) fn on_response_end(&mut self) {
+        self.is_receiving = false;
+    }
+
+    /// Discovery has sent an update: there is a watch.
+    pub(super) fn on_update(&mut self) {
+        (self.is_watching, self.consecutive_failures) = (true, 0);
+    }
+
+    /// A poll failed, or the watch ended: the next poll comes after a backoff.
+    pub(super) fn on_failure(&mut self, failure: &PollFailure, now_s: f64, random: &mut Random) {
+        let backoff_s = self.backoff_s(failure, now_s);
+        self.consecutive_failures += 1;
+        self.is_watching = false;
+        self.next_poll_at_s = now_s + backoff_s * (0.1 + 0.9 * random.f64());
+    }
+
+    /// Doubling backoff, as all must not meet a discovery that was down at once; but none so long that a
+    /// change made meanwhile is known later than it counts as notified.
+    fn backoff_s(&self, failure: &PollFailure, now_s: f64) -> f64 {
+        let crowd_s = self.spread_s.min(MAX_CROWD_SPREAD_S);
+        let backoff_s = if self.target == PollTarget::LocalAgent {
+            MIN_BACKOFF_S
+        } else {
+            self.doubled_s(self.interval_s * MAX_BACKOFF_SHARE / 16.0)
+                .max(crowd_s)
+                .min(self.time_left_s(crowd_s, now_s))
+        };
+        // Nothing may be sent by the list in hand soon, and no other balancer is affected.
+        let backoff_s = if failure.was_partial {
+            backoff_s.min(self.doubled_s(MIN_BACKOFF_S))
+        } else {
+            backoff_s
+        };
+        // Rejecting polls costs an overloaded discovery time as well: none is repeated soon, and none late.
+        if failure.was_rejected {
+            backoff_s.min(crowd_s.max(MAX_REJECTED_BACKOFF_S))
+        } else {
+            backoff_s
+        }
+    }
+
+    fn doubled_s(&self, first_s: f64) -> f64 {
+        first_s * f64::from(1u32 << self.consecutive_failures.min(MAX_DOUBLINGS))
+    }
+
+    /// Time left for a backoff, if the next poll is answered.
+    fn time_left_s(&self, crowd_s: f64, now_s: f64) -> f64 {
+        let spent_s = if self.is_watching {
+            WATCH_SILENCE_S
+        } else {
+            now_s - self.last_poll_at_s
+        };
+        // The largest fleets keep their spread: few of them would reach a discovery that all poll at once.
+        let least_s = if crowd_s < MAX_CROWD_SPREAD_S {
+            MIN_BACKOFF_S
+        } else {
+            MAX_CROWD_SPREAD_S
+        };
+        (NOTIFIED_WITHIN_S - POLL_DURATION_S - spent_s).max(least_s)
+    }
+}
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -1,5 +1,6 @@
 //! The list of upstreams: asking for it, taking it in, and the subset that takes turns.
 
+use super::endpoint_polling::PollFailure;
 use super::{BUDGET, Balancer, EJECTED_MOST};
 use crate::interface::{Action, Availability, Endpoint, EndpointWeights, UpdateScope};
 use crate::random::Random;
@@ -8,100 +9,19 @@
 
 /// Subsets that each upstream is in at the least.
 const SUBSETS_EACH: usize = 4;
-/// Seconds of the list service left to each balancer's call: it serves one after another, and a call that has
-/// waited for too long fails and is made again.
-const CALL_EACH: f64 = 0.05;
-/// Seconds after which a change counts as told, however the calls for it went. Of these: what an answered
-/// call takes from its connection on, and what it takes to see that a watch has fallen silent.
-const TOLD_WITHIN: f64 = 6.0;
-const CALL_TAKES: f64 = 1.5;
-const SILENCE: f64 = 3.0;
-/// The longest wait after a call that was turned away at once, where few balancers call.
-const REFUSED_WAIT: f64 = 2.0;
-/// The shortest wait before a further call, and the longest over which many balancers spread theirs.
-const WAIT_LEAST: f64 = 0.25;
-const CROWD_MOST: f64 = 3.0;
-/// Seconds after which a call that nothing has answered is given up for another; the agent answers at once.
-const CALL_MOST: f64 = 4.0;
-const AGENT_CALL_MOST: f64 = 1.0;
-
 impl Balancer {
-    /// Seconds over which the calls of all balancers are spread, should all need their list at once.
-    pub(super) fn calls_over(&self) -> f64 {
-        let all = if self.set.has_local_agent {
-            0.0
-        } else {
-            CALL_EACH * f64::from(self.set.balancers)
-        };
-        all.min(0.5 * self.set.poll_interval.as_secs_f64())
-    }
-
-    /// Asks for the list where that is due.
-    pub(super) fn ask_for_list(&mut self) {
-        let called = self.watching || self.list_coming;
-        if !self.set.polls_endpoints || called || self.at < self.ask_at {
-            return;
-        }
-        // An unanswered call is asked again well before silence counts as having been told.
-        let again = self.set.poll_interval.as_secs_f64() * (0.4 + 0.2 * self.rng.f64());
-        let again = if self.set.has_local_agent {
-            AGENT_CALL_MOST
-        } else {
-            again.max(CALL_MOST)
-        };
-        (self.asked_at, self.ask_at) = (self.at, self.at + again);
-        self.out.push(Action::WatchEndpoints);
-    }
-
-    /// A call failed, or the watch ended: doubling, jittered waits, as a list service that was down must not
-    /// meet all at once; but none so long that a change made meanwhile is known later than it counts as told.
-    fn list_failed(&mut self) {
-        let longest = self.set.poll_interval.as_secs_f64() * 0.8;
-        let doubling = (longest / 16.0) * f64::from(1u32 << self.ask_failures.min(4));
-        let spent = if self.watching {
-            SILENCE
-        } else {
-            self.at - self.asked_at
-        };
-        let crowd = self.calls_over().min(CROWD_MOST);
-        // The largest fleets keep their spread: a service that all ask at once is in reach of few of them.
-        let least = if crowd < CROWD_MOST {
-            WAIT_LEAST
-        } else {
-            CROWD_MOST
-        };
-        let left = (TOLD_WITHIN - CALL_TAKES - spent).max(least);
-        let wait = if self.set.has_local_agent {
-            WAIT_LEAST
-        } else {
-            doubling.max(crowd).min(left)
-        };
-        // An answer broke off: nothing may be sent by the list in hand soon, and this befell nobody else.
-        let soon = WAIT_LEAST * f64::from(1u32 << self.ask_failures.min(4));
-        let wait = if self.lease.has_partial_response() {
-            wait.min(soon)
-        } else {
-            wait
-        };
-        // Turning calls away costs a crowded service time as well: none is repeated soon, and none late.
-        let wait = if self.lease.polls_are_rejected() {
-            wait.min(crowd.max(REFUSED_WAIT))
-        } else {
-            wait
-        };
-        self.ask_failures += 1;
-        self.watching = false;
-        self.ask_at = self.at + wait * (0.1 + 0.9 * self.rng.f64());
-    }
-
     pub(super) fn fleet(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
-        self.list_coming = false;
+        self.polling.on_response_end();
         if scope == UpdateScope::Failed {
-            self.list_failed();
+            let failure = PollFailure {
+                was_partial: self.lease.has_partial_response(),
+                was_rejected: self.lease.polls_are_rejected(),
+            };
+            self.polling.on_failure(&failure, self.at, &mut self.rng);
             return;
         }
         if scope != UpdateScope::Cached {
-            (self.watching, self.ask_failures) = (true, 0);
+            self.polling.on_update();
         }
         self.renew_lease();
         let mut changed = scope != UpdateScope::Delta;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -10,6 +10,7 @@
 mod attempts;
 mod doubt;
 mod endpoint_lease;
+mod endpoint_polling;
 mod list;
 mod turns;
 
@@ -20,6 +21,7 @@
 use crate::random::Random;
 use crate::state::{Bucket, Learned, Request, Upstream};
 use endpoint_lease::EndpointLease;
+use endpoint_polling::EndpointPolling;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -117,11 +119,7 @@
     retries: f64,
     ticking: bool,
     last_tick: f64,
-    watching: bool,
-    ask_at: f64,
-    asked_at: f64,
-    ask_failures: u32,
-    list_coming: bool, // part of an answer is here, and its end may follow
+    polling: EndpointPolling,
     lease: EndpointLease,
 }
 
@@ -182,6 +180,7 @@
                 each
             },
             flow: each,
+            polling: EndpointPolling::new(&set),
             lease: EndpointLease::new(set.drain_grace, set.has_local_agent),
             set,
             retries: RETRY_SAVED,
@@ -229,7 +228,7 @@
         (self.now, self.at) = (now, at);
         if !std::mem::replace(&mut self.ticking, true) {
             self.last_tick = at;
-            self.ask_at = at + self.calls_over() * self.rng.f64();
+            self.polling.start(at, &mut self.rng);
             let after = Duration::from_secs_f64(TICK * self.rng.f64());
             self.out.push(Action::Timer {
                 after,
@@ -290,7 +289,7 @@
     fn on_watch_event(&mut self, event: WatchEvent) {
         self.lease.on_watch_event(event, self.at);
         if matches!(event, WatchEvent::Partial { .. }) {
-            self.list_coming = true;
+            self.polling.on_partial_response();
         }
     }
 
@@ -320,7 +319,9 @@
         self.weigh(tau);
         self.grant(tau);
         self.look_for_overdue();
-        self.ask_for_list();
+        if self.polling.poll_if_due(at, &mut self.rng) {
+            self.out.push(Action::WatchEndpoints);
+        }
         self.out.push(Action::Timer {
             after: Duration::from_secs_f64(TICK),
             timer: TICK_TIMER,
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 7] = [
+const FILES: [(&str, &str); 8] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -22,6 +22,10 @@
         "src/policy/endpoint_lease.rs",
         include_str!("../src/policy/endpoint_lease.rs"),
     ),
+    (
+        "src/policy/endpoint_polling.rs",
+        include_str!("../src/policy/endpoint_polling.rs"),
+    ),
     ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
     (
         "src/policy/turns.rs",
