--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -14,17 +14,13 @@
             return;
         };
         let u = &mut self.ring[turn];
-        let mut idle = if u.in_flight > 0 || u.used_at <= 0.0 {
-            0.0
-        } else {
-            self.at - u.used_at
-        };
-        if idle > self.reap && self.at < self.reap_until && self.silent[1] > 2.0 * self.silent[0] {
+        let mut idle = u.connections.idle_s(self.at, u.in_flight);
+        if self.idle_connections.is_suspect(idle, self.at) {
             self.out
                 .push(Action::CloseIdleConnections { upstream: u.id });
             idle = 0.0;
         }
-        u.used_at = self.at;
+        u.connections.record(self.at);
         u.in_flight += 1;
         u.budget = (u.budget - 1.0).max(0.0);
         self.saved -= 1.0;
--- a/src/policy/doubt.rs
+++ b/src/policy/doubt.rs
@@ -23,12 +23,6 @@
 /// Seconds over which a class's latency is averaged where answers are few, and weight of one where not.
 const LATENCY_OVER: f64 = 3.0;
 const LATENCY_NEWEST: f64 = 0.02;
-/// A connection idle for this long may have been dropped unseen; seconds for which that is held.
-const IDLE: f64 = 0.3;
-const REAP_KEPT: f64 = 15.0;
-/// Weight of the newest in the shares that show it: two long requests in a row are chance.
-const SILENT_NEWEST: f64 = 0.05;
-
 impl Balancer {
     /// What one outcome tells of its upstream, its class and the fleet.
     pub(super) fn learn(
@@ -64,20 +58,8 @@
             learned.at = self.at;
             learned.latency += newest * (latency - learned.latency);
         }
-        // Silence on idle connections, not on those in use, is laid to the way there: something drops them
-        // unseen. They are closed before use. Harm where that is wrong: a handshake a use, for a while.
-        let silent = &mut self.silent;
         if ok || slow {
-            let share = &mut silent[usize::from(idle > IDLE)];
-            *share += SILENT_NEWEST * (f64::from(u8::from(slow)) - *share);
-        }
-        if slow && idle > IDLE && silent[1] > 0.3 && silent[1] > 2.0 * silent[0] {
-            let before = if self.at < self.reap_until {
-                self.reap
-            } else {
-                f64::INFINITY
-            };
-            (self.reap, self.reap_until) = (before.min(idle / 2.0).max(IDLE), self.at + REAP_KEPT);
+            self.idle_connections.record(idle, slow, self.at);
         }
         let common = self.common_errors(id);
         let out = self
@@ -91,7 +73,7 @@
             return;
         };
         let u = &mut self.ring[j];
-        u.used_at = self.at;
+        u.connections.record(self.at);
         u.in_flight = u.in_flight.saturating_sub(1);
         u.overdue = u.overdue.saturating_sub(u32::from(overdue));
         if ok || slow {
--- /dev/null
+++ b/src/policy/idle_connections.rs
@@ -0,0 +1,78 @@
+//! Idle connections that the network drops unseen: where requests are lost on them, and not on those in
+//! use, they are closed before they are used again.
+
+/// Seconds after which an idle connection may have been dropped, and for which that is believed.
+const MIN_IDLE_S: f64 = 0.3;
+const MAX_IDLE_VALID_S: f64 = 15.0;
+/// Weight of the newest attempt in the shares of unanswered ones: two long requests in a row are chance.
+const NEWEST_WEIGHT: f64 = 0.05;
+/// Share of unanswered attempts on idle connections from which on they are suspected, and how many times
+/// the share on connections in use it has to be.
+const MIN_UNANSWERED_SHARE: f64 = 0.3;
+const UNANSWERED_RATIO: f64 = 2.0;
+
+/// When the connections to one upstream were last used.
+#[derive(Default)]
+pub(crate) struct ConnectionUse {
+    /// Something was sent or came back; zero: never.
+    last_used_at_s: f64,
+}
+
+impl ConnectionUse {
+    pub(super) fn record(&mut self, now_s: f64) {
+        self.last_used_at_s = now_s;
+    }
+
+    /// How long its connections have been idle.
+    pub(super) fn idle_s(&self, now_s: f64, in_flight: u32) -> f64 {
+        if in_flight > 0 || self.last_used_at_s <= 0.0 {
+            0.0
+        } else {
+            now_s - self.last_used_at_s
+        }
+    }
+}
+
+/// What is known of idle connections. A wrong belief costs a handshake a use, for a while.
+#[derive(Default)]
+pub(super) struct IdleConnections {
+    /// Share of attempts never answered, on connections in use and on idle ones.
+    unanswered_in_use: f64,
+    unanswered_idle: f64,
+    /// Idle time after which a connection may be dead, and until when that is believed.
+    max_idle_s: f64,
+    max_idle_valid_until_s: f64,
+}
+
+impl IdleConnections {
+    /// Whether a connection that was idle for so long has to be closed in place of used.
+    pub(super) fn is_suspect(&self, idle_s: f64, now_s: f64) -> bool {
+        idle_s > self.max_idle_s && now_s < self.max_idle_valid_until_s && self.are_lost_when_idle()
+    }
+
+    /// An attempt on a connection that was idle for so long was answered, or never.
+    pub(super) fn record(&mut self, idle_s: f64, was_unanswered: bool, now_s: f64) {
+        let was_idle = idle_s > MIN_IDLE_S;
+        let share = if was_idle {
+            &mut self.unanswered_idle
+        } else {
+            &mut self.unanswered_in_use
+        };
+        *share += NEWEST_WEIGHT * (f64::from(u8::from(was_unanswered)) - *share);
+        let is_suspect = self.unanswered_idle > MIN_UNANSWERED_SHARE && self.are_lost_when_idle();
+        if was_unanswered && was_idle && is_suspect {
+            let is_valid = now_s < self.max_idle_valid_until_s;
+            let before_s = if is_valid {
+                self.max_idle_s
+            } else {
+                f64::INFINITY
+            };
+            self.max_idle_s = before_s.min(idle_s / 2.0).max(MIN_IDLE_S);
+            self.max_idle_valid_until_s = now_s + MAX_IDLE_VALID_S;
+        }
+    }
+
+    fn are_lost_when_idle(&self) -> bool {
+        self.unanswered_idle > UNANSWERED_RATIO * self.unanswered_in_use
+    }
+}
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -11,6 +11,7 @@
 mod doubt;
 mod endpoint_lease;
 mod endpoint_polling;
+mod idle_connections;
 mod list;
 mod turns;
 
@@ -22,6 +23,8 @@
 use crate::state::{Bucket, Learned, Request, Upstream};
 use endpoint_lease::EndpointLease;
 use endpoint_polling::EndpointPolling;
+pub(crate) use idle_connections::ConnectionUse;
+use idle_connections::IdleConnections;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -95,9 +98,7 @@
     sigma: usize,           // the counter of the round robin
     ahead: VecDeque<usize>, // the turns after it
     requests: FxHashMap<RequestId, Request>,
-    silent: [f64; 2], // share of attempts never answered, on connections in use and on idle ones
-    reap: f64,        // idle time after which a connection may be dead
-    reap_until: f64,
+    idle_connections: IdleConnections,
     due: BTreeSet<(Duration, RequestId, u8)>, // when attempts out become overdue
     buckets: Vec<Bucket>,
     classes: Vec<Learned>,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,7 @@
 //! What a balancer keeps: plain data, filled and read by the files of `policy`. Times are seconds; no decisions.
 
 use crate::interface::{CellId, UpstreamId, ZoneId};
+use crate::policy::ConnectionUse;
 
 /// An upstream as one balancer sees it.
 #[derive(Default)]
@@ -31,10 +32,10 @@
     pub(crate) ejections: u32,
     pub(crate) ejected_until: f64,
     pub(crate) health: Vec<Health>, // by class
-    pub(crate) used_at: f64,        // something was sent or came back last
-    pub(crate) capacity: f64,       // share of a full-size upstream's work it can do now
-    pub(crate) weight: f64,         // turns it gets each round of the ring
-    pub(crate) credit: f64,         // turns earned and not taken
+    pub(crate) connections: ConnectionUse,
+    pub(crate) capacity: f64, // share of a full-size upstream's work it can do now
+    pub(crate) weight: f64,   // turns it gets each round of the ring
+    pub(crate) credit: f64,   // turns earned and not taken
 }
 
 /// What one class has met at one upstream.
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 8] = [
+const FILES: [(&str, &str); 9] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -26,6 +26,10 @@
         "src/policy/endpoint_polling.rs",
         include_str!("../src/policy/endpoint_polling.rs"),
     ),
+    (
+        "src/policy/idle_connections.rs",
+        include_str!("../src/policy/idle_connections.rs"),
+    ),
     ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
     (
         "src/policy/turns.rs",
