--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,17 +2,15 @@
 
 use super::{
     BUCKET, BUCKET_LEAST, BUSY_KEPT, Balancer, RATE_KEPT, RATE_OVER, RETRY_SAVED, RETRY_SHARE,
-    TICK, bound,
+    TICK_S, bound,
 };
 use crate::interface::{Action, FailureReason, RequestId};
 use crate::random::Random;
 use crate::state::{Request, Upstream};
 use std::time::Duration;
 
-/// Share of the admitted under which a class does not set how long queues may be.
-const SHARE_LEAST: f64 = 0.02;
 /// Share of the aim that work may spend in the fleet on average before room is gone; past it, many miss.
-const ROOM: f64 = 0.4;
+pub(super) const QUEUE_OBJECTIVE_SHARE: f64 = 0.4;
 /// The same where reports tell how busy the cores are, so that latency need only guard.
 const ROOM_TOLD: f64 = 0.55;
 /// Seconds and requests over which demand V_i is counted at least: a tick sees too few to go by.
@@ -21,8 +19,6 @@
 /// Guarantees grow with the middle tenant's demand and this much more, up to so many equal parts.
 const PART_SPARE: f64 = 1.3;
 const PART_MOST: f64 = 4.0;
-/// Seconds after which what was last heard of a class or by probes fades, over as long again.
-const HEARD: f64 = 5.0;
 /// Part of a guarantee lost for each part of what is held that is too much: for demand over it, inside.
 const CUT: (f64, f64) = (20.0, 2.0);
 const CUT_FROM: f64 = 0.25;
@@ -47,7 +43,7 @@
         left: Duration,
         is_retry: bool,
     ) {
-        if class >= self.classes.len() {
+        if class >= self.set.classes.len() {
             self.out.push(Action::Fail {
                 id,
                 reason: FailureReason::UnknownClass,
@@ -74,10 +70,7 @@
             );
             return;
         }
-        let worthy = (0..self.classes.len())
-            .map(|k| self.value(k))
-            .fold(1e-9, f64::max);
-        let light = KEPT_FOR_WORTH * (1.0 - self.value(class) / worthy);
+        let light = KEPT_FOR_WORTH * (1.0 - self.classes.relative_value(class));
         let kept = (self.saved_most - 1.0) * if is_retry { KEPT_FROM_REPEATS } else { light };
         let short = self.busy > 0.0 && self.saved < 1.0 + kept;
         let turn = if short { None } else { self.next_turn(class) };
@@ -105,9 +98,7 @@
         self.buckets[tenant].tokens -= 1.0;
         self.wanted += f64::from(u8::from(!self.set.retries_marked));
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
-        for (k, learned) in self.classes.iter_mut().enumerate() {
-            learned.share += 0.01 * (f64::from(u8::from(k == class)) - learned.share);
-        }
+        self.classes.record_admission(class);
         let deadline = self.at + left.as_secs_f64();
         let c = &self.set.classes[class];
         let lasts = c.late_weight_share > 0.0 || c.objective_work_multiple > 0.0 || c.streamed;
@@ -130,22 +121,11 @@
         self.send(id, turn);
     }
 
-    /// What a class earns for the room it takes: a heavy request is worth less than its worth says, as others
-    /// could be served in its place.
-    pub(super) fn value(&self, class: usize) -> f64 {
-        let priority_weight = self.set.classes[class].priority_weight;
-        if self.set.weight_by_work {
-            priority_weight
-        } else {
-            priority_weight / self.classes[class].latency.max(TICK)
-        }
-    }
-
     /// A refusal always tells when to come back. The moment is spread by the request's own number, so that
     /// those refused together do not return together.
     pub(super) fn refuse(&mut self, id: RequestId, left: Duration, reason: FailureReason) {
         // No sooner than an attempt takes, however little of this try is left: the client may have another.
-        let least = Duration::from_secs_f64(self.latency().max(TICK));
+        let least = Duration::from_secs_f64(self.classes.mean_latency_s().max(TICK_S));
         let longest = self.set.max_retry_after.min(least.max(left / 2));
         let retry_after = longest.mul_f64(0.5 + 0.5 * Random::with_seed(u64::from(id.0)).f64());
         self.out.push(Action::Reject {
@@ -158,25 +138,7 @@
     /// W = sum of (tau C_j + (Q_j - q_j)) in this balancer's own share, then u_i for each tenant.
     pub(super) fn grant(&mut self, tau: f64) {
         let at = self.at;
-        // What nothing new is heard of fades: else W under nil admits nothing that could tell otherwise.
-        for (c, l) in self
-            .set
-            .classes
-            .iter()
-            .zip(&mut self.classes)
-            .filter(|(_, l)| at > l.at + HEARD)
-        {
-            l.latency -= (tau / HEARD).min(1.0)
-                * (l.latency - 0.5 * ROOM * c.latency_objective.as_secs_f64()).max(0.0);
-        }
-        // Queues are shared by all classes: the one whose answers come closest to its aim sets how much they
-        // may grow, or by how much they are too long.
-        let classes = self
-            .set
-            .classes
-            .iter()
-            .zip(&self.classes)
-            .filter(|(_, l)| l.share > SHARE_LEAST);
+        self.classes.fade(tau, at);
         // What each upstream said last counts alike, however few of them answer this balancer in a second.
         let told = |u: &&Upstream| u.busy_at > 0.0 && at - u.busy_at < BUSY_KEPT;
         let telling = self.in_turn().filter(told);
@@ -196,11 +158,13 @@
             self.load = self.busy.max(self.load + newest * (self.busy - self.load));
         }
         let telling = self.busy > 0.0;
-        let part = if telling { ROOM_TOLD } else { ROOM };
-        let slack = classes
-            .map(|(c, l)| part * c.latency_objective.as_secs_f64() - l.latency)
-            .fold(f64::INFINITY, f64::min);
-        let mut within = (self.latency() + slack).max(0.0);
+        let part = if telling {
+            ROOM_TOLD
+        } else {
+            QUEUE_OBJECTIVE_SHARE
+        };
+        let slack = self.classes.queue_slack_s(part);
+        let mut within = (self.classes.mean_latency_s() + slack).max(0.0);
         let weights: f64 = self.in_turn().map(|u| u.weight).sum::<f64>().max(1e-9);
         self.rate_now += (tau / RATE_OVER).min(1.0) * (self.done / tau.max(1e-6) - self.rate_now);
         self.done = 0.0;
@@ -218,7 +182,7 @@
             // Nor is it under what they do now, if that keeps them no busier.
             self.rate =
                 (self.rate + (tau / RATE_OVER).min(1.0) * (able - self.rate)).max(seen.min(able));
-            within = within.min(self.latency());
+            within = within.min(self.classes.mean_latency_s());
         } else {
             let over = if slack < 0.0 { RATE_OVER } else { RATE_KEPT };
             self.rate = (self.rate + (tau / over).min(1.0) * (seen - self.rate)).max(seen);
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,6 +1,6 @@
 //! The attempts of a request: sends, further ones, second copies, and the final answer.
 
-use super::{Balancer, DOUBT, OVERDUE_BY};
+use super::{Balancer, DOUBT};
 use crate::interface::{Action, AttemptNo, DedupGroup, Effect, FailureReason, Outcome, RequestId};
 use crate::state::{Attempt, Request, Upstream};
 use std::time::Duration;
@@ -25,9 +25,7 @@
         u.budget = (u.budget - 1.0).max(0.0);
         self.saved -= 1.0;
         let class = &self.set.classes[r.class];
-        let overdue = self.classes[r.class]
-            .usual
-            .min(OVERDUE_BY * class.latency_objective.as_secs_f64());
+        let overdue = self.classes.overdue_after_s(r.class);
         // Where no second copy may run beside the first, what may be repeated is given up when overdue.
         let last = r.attempts.len() + 1 >= usize::from(self.set.max_attempts);
         let repeatable = class.effect != Effect::AtMostOnce && !class.streamed;
@@ -87,7 +85,7 @@
             || r.streaming
             || r.attempts.len() >= usize::from(self.set.max_attempts)
             || at + 1e-3 >= r.deadline
-            || at + 0.5 * self.classes[r.class].latency >= r.worth_until
+            || at + 0.5 * self.classes.latency_s(r.class) >= r.worth_until
             || self.retries < cost
             || self.ring.is_empty()
             || self.lease.is_expired(self.at)
--- /dev/null
+++ b/src/policy/class_statistics.rs
@@ -0,0 +1,193 @@
+//! What is usual for each class of requests: latency, its upper quantile, share of the admitted.
+
+use super::TICK_S;
+use super::admission::QUEUE_OBJECTIVE_SHARE;
+use crate::interface::{Class, Settings};
+
+/// Seconds over which a class's latency is averaged where responses are few, and the least and the most
+/// that the newest one weighs.
+const LATENCY_MEMORY_S: f64 = 3.0;
+const MIN_NEWEST_WEIGHT: f64 = 0.02;
+const MAX_NEWEST_WEIGHT: f64 = 0.2;
+/// A latency counts for this multiple of the objective at the most.
+const MAX_LATENCY_MULTIPLE: f64 = 2.0;
+/// What an attempt given up counts for, in the time it was waited for: it would have taken longer.
+const TIMEOUT_LATENCY_MULTIPLE: f64 = 1.5;
+/// Quantile of the latencies after which an attempt is overdue, and by what part an answer moves it.
+const OVERDUE_QUANTILE: f64 = 0.95;
+const QUANTILE_STEP: f64 = 0.05;
+/// The quantile is no less than two ticks, as overdue attempts are looked for on each.
+const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
+/// An attempt is overdue at this share of the objective at the latest, so that a hedge still has time.
+const OVERDUE_OBJECTIVE_SHARE: f64 = 0.6;
+/// Share of the objective that a class's latency is taken for before its first answer.
+const INITIAL_LATENCY_SHARE: f64 = 0.3;
+/// Weight of the newest request in the classes' shares of the admitted.
+const SHARE_NEWEST_WEIGHT: f64 = 0.01;
+/// Share of the admitted under which a class does not set how long queues may be.
+const MIN_SHARE: f64 = 0.02;
+/// Seconds after which the latency of a class without answers fades, over as long again ...
+const LATENCY_VALID_S: f64 = 5.0;
+/// ... down to this share of its objective.
+const FADED_LATENCY_SHARE: f64 = 0.5 * QUEUE_OBJECTIVE_SHARE;
+/// The shortest time that a request is taken to need.
+const MIN_LATENCY_S: f64 = TICK_S;
+
+/// How an attempt that tells of latency ended.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum LatencySample {
+    /// It was answered after its latency.
+    Answered,
+    /// It was given up then, overdue.
+    GivenUp,
+}
+
+/// One class.
+struct ClassRecord {
+    objective_s: f64,
+    priority_weight: f64,
+    mean_latency_s: f64,
+    last_sample_at_s: f64,
+    /// The quantile [`OVERDUE_QUANTILE`] of the latencies.
+    usual_latency_s: f64,
+    /// Of the admitted requests.
+    share: f64,
+}
+
+/// All classes, as in the settings.
+#[derive(Default)]
+pub(super) struct ClassStatistics {
+    classes: Vec<ClassRecord>,
+    /// Priority weights are in proportion to the work already.
+    weight_by_work: bool,
+}
+
+impl ClassStatistics {
+    pub(super) fn new(settings: &Settings) -> Self {
+        let record = |class: &Class| {
+            let objective_s = class.latency_objective.as_secs_f64();
+            ClassRecord {
+                objective_s,
+                priority_weight: class.priority_weight,
+                mean_latency_s: objective_s * INITIAL_LATENCY_SHARE,
+                last_sample_at_s: 0.0,
+                usual_latency_s: objective_s * OVERDUE_OBJECTIVE_SHARE,
+                share: 1.0,
+            }
+        };
+        Self {
+            classes: settings.classes.iter().map(record).collect(),
+            weight_by_work: settings.weight_by_work,
+        }
+    }
+
+    /// Mean latency of an attempt, over the classes as they are admitted.
+    pub(super) fn mean_latency_s(&self) -> f64 {
+        let shares: f64 = self.classes.iter().map(|class| class.share).sum();
+        let weighted = self
+            .classes
+            .iter()
+            .map(|class| class.mean_latency_s * class.share);
+        weighted.sum::<f64>() / shares.max(1e-9)
+    }
+
+    pub(super) fn latency_s(&self, class: usize) -> f64 {
+        self.classes[class].mean_latency_s
+    }
+
+    /// How long after its send an attempt is overdue.
+    pub(super) fn overdue_after_s(&self, class: usize) -> f64 {
+        let class = &self.classes[class];
+        class
+            .usual_latency_s
+            .min(OVERDUE_OBJECTIVE_SHARE * class.objective_s)
+    }
+
+    /// What a class earns for the capacity it takes, as a share of what the best one earns: a heavy request
+    /// is worth less than its priority weight says, as others could be served in its place.
+    pub(super) fn relative_value(&self, class: usize) -> f64 {
+        let best = self
+            .classes
+            .iter()
+            .map(|class| self.value(class))
+            .fold(1e-9, f64::max);
+        self.value(&self.classes[class]) / best
+    }
+
+    fn value(&self, class: &ClassRecord) -> f64 {
+        if self.weight_by_work {
+            class.priority_weight
+        } else {
+            class.priority_weight / class.mean_latency_s.max(MIN_LATENCY_S)
+        }
+    }
+
+    /// By how much queues may still grow, in seconds of latency, or (negative) are too long. All classes
+    /// share them: the class whose latency comes closest to its objective decides.
+    pub(super) fn queue_slack_s(&self, objective_share: f64) -> f64 {
+        let counted = self.classes.iter().filter(|class| class.share > MIN_SHARE);
+        let slack_s =
+            |class: &ClassRecord| objective_share * class.objective_s - class.mean_latency_s;
+        counted.map(slack_s).fold(f64::INFINITY, f64::min)
+    }
+
+    /// A request of the class was admitted.
+    pub(super) fn record_admission(&mut self, class: usize) {
+        for (k, record) in self.classes.iter_mut().enumerate() {
+            let newest = f64::from(u8::from(k == class));
+            record.share += SHARE_NEWEST_WEIGHT * (newest - record.share);
+        }
+    }
+
+    /// Takes in a latency. Returns it as a multiple of the mean before.
+    pub(super) fn record_latency(
+        &mut self,
+        class: usize,
+        sample: LatencySample,
+        latency_s: f64,
+        now_s: f64,
+    ) -> f64 {
+        let record = &mut self.classes[class];
+        let ratio = latency_s / record.mean_latency_s.max(1e-6);
+        let counted_s = match sample {
+            LatencySample::Answered => {
+                record.update_quantile(latency_s);
+                latency_s
+            }
+            LatencySample::GivenUp => TIMEOUT_LATENCY_MULTIPLE * latency_s,
+        };
+        record.update_mean(counted_s, now_s);
+        ratio
+    }
+
+    /// Lets the latency of classes fade that nothing new is heard of: else no spare capacity would admit
+    /// nothing that could show otherwise.
+    pub(super) fn fade(&mut self, elapsed_s: f64, now_s: f64) {
+        let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
+        for class in self.classes.iter_mut().filter(stale) {
+            let excess_s = class.mean_latency_s - FADED_LATENCY_SHARE * class.objective_s;
+            class.mean_latency_s -= (elapsed_s / LATENCY_VALID_S).min(1.0) * excess_s.max(0.0);
+        }
+    }
+}
+
+impl ClassRecord {
+    fn update_quantile(&mut self, latency_s: f64) {
+        let is_above = latency_s > self.usual_latency_s;
+        self.usual_latency_s *= if is_above {
+            1.0 + QUANTILE_STEP * OVERDUE_QUANTILE
+        } else {
+            1.0 - QUANTILE_STEP * (1.0 - OVERDUE_QUANTILE)
+        };
+        self.usual_latency_s = self.usual_latency_s.clamp(MIN_QUANTILE_S, self.objective_s);
+    }
+
+    fn update_mean(&mut self, latency_s: f64, now_s: f64) {
+        let latency_s = latency_s.min(MAX_LATENCY_MULTIPLE * self.objective_s);
+        let since_s = now_s - self.last_sample_at_s;
+        let newest_weight =
+            (since_s / LATENCY_MEMORY_S).clamp(MIN_NEWEST_WEIGHT, MAX_NEWEST_WEIGHT);
+        self.last_sample_at_s = now_s;
+        self.mean_latency_s += newest_weight * (latency_s - self.mean_latency_s);
+    }
+}
--- a/src/policy/doubt.rs
+++ b/src/policy/doubt.rs
@@ -1,16 +1,15 @@
 //! What outcomes and load reports tell of an upstream: its health, doubt of it, ejection.
 
+use super::class_statistics::LatencySample;
 use super::{
     Balancer, DOUBT, DOUBT_BREAK, DOUBT_LEFT, DOUBT_MOST, DOUBTED, EJECT, EJECT_MOST, EJECTED_MOST,
-    OVERDUE_HELD, TICK,
+    OVERDUE_HELD,
 };
 use crate::interface::{LoadField, Outcome, UpstreamId};
 
 /// Shares of the cores in use between which a report tells what is held with all in use, and its weight.
 const FULL_FROM: (f64, f64) = (0.2, 0.8);
 const FULL_NEWEST: f64 = 0.02;
-/// Share of attempts of a class that are not overdue: the rest are worth a second look.
-const USUAL: f64 = 0.95;
 /// Faults in a row after which an upstream is ejected for the class that met them.
 const FAULTS: u32 = 2;
 /// Seconds for which an error tells of the others': where all have some, the fault is on the way. Then one
@@ -18,11 +17,6 @@
 const COMMON_OVER: f64 = 5.0;
 const COMMON_LEAST: f64 = 0.3;
 const COMMON_FAULTS: u32 = 4;
-/// What an attempt given up counts for as a latency, in the time it was waited for: it would take longer.
-const GIVEN_UP: f64 = 1.5;
-/// Seconds over which a class's latency is averaged where answers are few, and weight of one where not.
-const LATENCY_OVER: f64 = 3.0;
-const LATENCY_NEWEST: f64 = 0.02;
 impl Balancer {
     /// What one outcome tells of its upstream, its class and the fleet.
     pub(super) fn learn(
@@ -35,29 +29,17 @@
     ) {
         let (overdue, idle) = way;
         let slow = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && overdue;
-        let latency_objective = self.set.classes[class].latency_objective.as_secs_f64();
-        let learned = &mut self.classes[class];
-        let ratio = latency / learned.latency.max(1e-6);
         let ok = outcome == Outcome::Ok;
         if ok {
             self.done += 1.0;
-            learned.usual *= if latency > learned.usual {
-                1.0 + 0.05 * USUAL
-            } else {
-                1.0 - 0.05 * (1.0 - USUAL)
-            };
-            learned.usual = learned.usual.clamp(2.0 * TICK, latency_objective);
-        }
-        if ok || slow {
-            let latency = if ok {
-                latency.min(2.0 * latency_objective)
-            } else {
-                (GIVEN_UP * latency).min(2.0 * latency_objective)
-            };
-            let newest = ((self.at - learned.at) / LATENCY_OVER).clamp(LATENCY_NEWEST, 0.2);
-            learned.at = self.at;
-            learned.latency += newest * (latency - learned.latency);
         }
+        let sample = if ok {
+            Some(LatencySample::Answered)
+        } else {
+            slow.then_some(LatencySample::GivenUp)
+        };
+        let ratio =
+            sample.map(|sample| self.classes.record_latency(class, sample, latency, self.at));
         if ok || slow {
             self.idle_connections.record(idle, slow, self.at);
         }
@@ -76,12 +58,12 @@
         u.connections.record(self.at);
         u.in_flight = u.in_flight.saturating_sub(1);
         u.overdue = u.overdue.saturating_sub(u32::from(overdue));
-        if ok || slow {
+        if let Some(ratio) = ratio {
             let ratio = ratio.min(5.0);
             u.seen += 1.0;
             u.pace += (ratio - u.pace) / u.seen.max(1.0);
         }
-        let (h, l) = (&mut u.health[class], &mut self.classes[class]);
+        let (h, l) = (&mut u.health[class], &mut self.trials[class]);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             u.heard = self.at;
         }
@@ -92,7 +74,7 @@
                 u.ejections *= u32::from(u.doubt > DOUBTED);
                 if !overdue && std::mem::take(&mut h.ejected) {
                     // What ailed it may have been the others' trouble too: they are tried at once.
-                    (l.trials, l.trial_at) = (0, self.at);
+                    (l.unsuccessful, l.next_at_s) = (0, self.at);
                 }
             }
             // It looks the emptiest to the skip rule, whatever makes it turn requests of a class away.
@@ -111,8 +93,9 @@
         };
         if !h.ejected && out && h.faults >= faults {
             (h.faults, h.ejected, h.tried) = (0, true, self.at);
-            if l.trial_at <= self.at {
-                (l.trials, l.trial_at) = (0, self.at + EJECT * (0.75 + 0.5 * self.rng.f64()));
+            if l.next_at_s <= self.at {
+                (l.unsuccessful, l.next_at_s) =
+                    (0, self.at + EJECT * (0.75 + 0.5 * self.rng.f64()));
             }
         }
         // Where the fault is the upstream's own, it says nothing of the room elsewhere.
@@ -142,7 +125,7 @@
 
     /// A fault of an upstream, perhaps for all classes: too much in doubt, it is ejected for all of them.
     pub(super) fn suspect(&mut self, j: usize, fault: f64) -> bool {
-        let usual = self.latency();
+        let usual = self.classes.mean_latency_s();
         let u = &mut self.ring[j];
         u.doubt += fault * (1.0 - u.doubt);
         // A process that has died breaks every connection, a poor way there a few.
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -38,7 +38,7 @@
                 // A newcomer to a list already known has just started, whatever the list says.
                 let started = started.or((!first).then_some(self.at));
                 let credit = self.rng.f64();
-                let health = vec![Health::default(); self.classes.len()];
+                let health = vec![Health::default(); self.set.classes.len()];
                 self.ring.push(Upstream {
                     health,
                     id: l.id,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -8,6 +8,7 @@
 
 mod admission;
 mod attempts;
+mod class_statistics;
 mod doubt;
 mod endpoint_lease;
 mod endpoint_polling;
@@ -20,7 +21,8 @@
     SettingsError, StatusSnapshot, TimerId, UpstreamId, WatchEvent,
 };
 use crate::random::Random;
-use crate::state::{Bucket, Learned, Request, Upstream};
+use crate::state::{Bucket, ClassTrials, Request, Upstream};
+use class_statistics::ClassStatistics;
 use endpoint_lease::EndpointLease;
 use endpoint_polling::EndpointPolling;
 pub(crate) use idle_connections::ConnectionUse;
@@ -30,7 +32,7 @@
 use std::time::Duration;
 
 /// Seconds between refills: short against any aim, long against one look over the fleet.
-const TICK: f64 = 0.025;
+const TICK_S: f64 = 0.025;
 /// Seconds over which C is counted under strain, and a rate once reached is forgotten otherwise.
 const RATE_OVER: f64 = 2.0;
 const RATE_KEPT: f64 = 30.0;
@@ -46,8 +48,6 @@
 const BUCKET_LEAST: f64 = 3.0;
 /// What an overdue attempt counts for, in held requests: its upstream is stuck or silent.
 const OVERDUE_HELD: f64 = 4.0;
-/// An attempt is overdue at this share of the aim at the latest, so that another still has time.
-const OVERDUE_BY: f64 = 0.6;
 /// Further attempts earned by each request admitted, and how many of them can be saved up.
 const RETRY_SHARE: f64 = 0.1;
 const RETRY_SAVED: f64 = 10.0;
@@ -101,9 +101,10 @@
     idle_connections: IdleConnections,
     due: BTreeSet<(Duration, RequestId, u8)>, // when attempts out become overdue
     buckets: Vec<Bucket>,
-    classes: Vec<Learned>,
-    rate: f64,      // C for each unit of turn weight
-    done: f64,      // completions of the running tick
+    classes: ClassStatistics,
+    trials: Vec<ClassTrials>, // by class
+    rate: f64,                // C for each unit of turn weight
+    done: f64,                // completions of the running tick
     wanted: f64, // first tries of the running tick, or what was admitted where they can't be told
     flow: f64,   // the same a second, smoothed
     weights: f64, // turn weight of all in turn, smoothed
@@ -150,15 +151,6 @@
                 guarantee,
             }
         });
-        let classes = set.classes.iter().map(|c| {
-            let latency_objective = c.latency_objective.as_secs_f64();
-            Learned {
-                latency: latency_objective * 0.3,
-                usual: latency_objective * OVERDUE_BY,
-                share: 1.0,
-                ..Learned::default()
-            }
-        });
         let each = stated.max(1.0) / f64::from(set.balancers);
         let subset = (SUBSET_EACH * each).clamp(SUBSET_LEAST, 1e6) as usize;
         // Where reports will tell how busy the cores are: as busy as they may be, until then.
@@ -173,7 +165,8 @@
             subset_least: subset,
             rng: Random::with_seed(seed),
             buckets: buckets.collect(),
-            classes: classes.collect(),
+            trials: vec![ClassTrials::default(); set.classes.len()],
+            classes: ClassStatistics::new(&set),
             // Where the list says nothing of their sizes the small ones would be full first.
             rate_now: if telling && set.endpoint_weights == EndpointWeights::Off {
                 busy * each
@@ -207,7 +200,7 @@
             spare_capacity: self.room,
             service_rate: self.rate * self.in_turn().map(|u| u.weight).sum::<f64>(),
             utilization: self.busy,
-            mean_latency_s: self.latency(),
+            mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.buckets.iter().map(|b| b.demand).sum(),
             in_flight: self.ring.iter().map(|u| u.in_flight).sum(),
             rotation_size: self.turns.len(),
@@ -230,7 +223,7 @@
         if !std::mem::replace(&mut self.ticking, true) {
             self.last_tick = at;
             self.polling.start(at, &mut self.rng);
-            let after = Duration::from_secs_f64(TICK * self.rng.f64());
+            let after = Duration::from_secs_f64(TICK_S * self.rng.f64());
             self.out.push(Action::Timer {
                 after,
                 timer: TICK_TIMER,
@@ -324,18 +317,8 @@
             self.out.push(Action::WatchEndpoints);
         }
         self.out.push(Action::Timer {
-            after: Duration::from_secs_f64(TICK),
+            after: Duration::from_secs_f64(TICK_S),
             timer: TICK_TIMER,
         });
     }
-
-    /// Mean latency over the classes as they are admitted.
-    fn latency(&self) -> f64 {
-        let shares: f64 = self.classes.iter().map(|l| l.share).sum();
-        self.classes
-            .iter()
-            .map(|l| l.latency * l.share)
-            .sum::<f64>()
-            / shares.max(1e-9)
-    }
 }
--- a/src/policy/turns.rs
+++ b/src/policy/turns.rs
@@ -152,7 +152,7 @@
             .retain(|j| ring[*j].weight > 0.0 && ring[*j].ready);
         let ill = |b: &Self, j: usize| b.ring[j].health[class].ejected && b.ring[j].weight > 0.0;
         let out = self.turns.iter().filter(|j| ill(self, **j)).count();
-        if out > 0 && self.at >= self.classes[class].trial_at {
+        if out > 0 && self.at >= self.trials[class].next_at_s {
             // One trial at a time, ever more seldom: each may cost a request that nothing repeats.
             let tried = |j: &&usize| self.ring[**j].health[class].tried;
             let oldest = self
@@ -160,10 +160,10 @@
                 .iter()
                 .filter(|j| ill(self, **j))
                 .min_by(|a, b| tried(a).total_cmp(&tried(b)));
-            let (l, oldest) = (&mut self.classes[class], oldest.copied());
-            l.trials += 1;
-            l.trial_at =
-                self.at + EJECT * f64::from(1 << l.trials.min(4)) * (0.75 + 0.5 * self.rng.f64());
+            let (l, oldest) = (&mut self.trials[class], oldest.copied());
+            l.unsuccessful += 1;
+            l.next_at_s = self.at
+                + EJECT * f64::from(1 << l.unsuccessful.min(4)) * (0.75 + 0.5 * self.rng.f64());
             oldest
                 .into_iter()
                 .for_each(|j| self.ring[j].health[class].tried = self.at);
--- a/src/state.rs
+++ b/src/state.rs
@@ -78,13 +78,10 @@
     pub(crate) guarantee: f64, // u_g_i a second
 }
 
-/// What was learned of a class of requests.
-#[derive(Default)]
-pub(crate) struct Learned {
-    pub(crate) latency: f64, // mean of the class's attempts
-    pub(crate) at: f64,      // of the latest of them
-    pub(crate) usual: f64,   // the quantile USUAL of them
-    pub(crate) share: f64,   // of the admitted
-    pub(crate) trials: u32,  // without success, of upstreams ejected for the class
-    pub(crate) trial_at: f64,
+/// Trials of upstreams that are ejected for one class.
+#[derive(Clone, Default)]
+pub(crate) struct ClassTrials {
+    /// Since the last one that was answered.
+    pub(crate) unsuccessful: u32,
+    pub(crate) next_at_s: f64,
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 9] = [
+const FILES: [(&str, &str); 10] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -14,6 +14,10 @@
         "src/policy/attempts.rs",
         include_str!("../src/policy/attempts.rs"),
     ),
+    (
+        "src/policy/class_statistics.rs",
+        include_str!("../src/policy/class_statistics.rs"),
+    ),
     (
         "src/policy/doubt.rs",
         include_str!("../src/policy/doubt.rs"),
