--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,12 +1,13 @@
 //! Who is admitted: the token buckets, C and W, and what is kept of saved sends in a shortage.
 
+use super::upstreams::Upstream;
 use super::{
     BUCKET, BUCKET_LEAST, BUSY_KEPT, Balancer, RATE_KEPT, RATE_OVER, RETRY_SAVED, RETRY_SHARE,
     TICK_S, bound,
 };
 use crate::interface::{Action, FailureReason, RequestId};
 use crate::random::Random;
-use crate::state::{Request, Upstream};
+use crate::state::Request;
 use std::time::Duration;
 
 /// Share of the aim that work may spend in the fleet on average before room is gone; past it, many miss.
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,8 +1,9 @@
 //! The attempts of a request: sends, further ones, second copies, and the final answer.
 
+use super::upstreams::Upstream;
 use super::{Balancer, DOUBT};
 use crate::interface::{Action, AttemptNo, DedupGroup, Effect, FailureReason, Outcome, RequestId};
-use crate::state::{Attempt, Request, Upstream};
+use crate::state::{Attempt, Request};
 use std::time::Duration;
 
 /// Upstreams a further attempt looks at for the least loaded.
@@ -13,7 +14,7 @@
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        let u = &mut self.ring[turn];
+        let u = &mut self.upstreams[turn];
         let mut idle = u.connections.idle_s(self.at, u.in_flight);
         if self.idle_connections.is_suspect(idle, self.at) {
             self.out
@@ -87,22 +88,22 @@
             || at + 1e-3 >= r.deadline
             || at + 0.5 * self.classes.latency_s(r.class) >= r.worth_until
             || self.retries < cost
-            || self.ring.is_empty()
+            || self.upstreams.is_empty()
             || self.lease.is_expired(self.at)
         {
             return false;
         }
         // Outside the subset only where nobody in it will do, as for a key known to one cell.
-        let (n, m, from) = (self.turns.len(), self.ring.len(), self.rng.usize(..));
+        let (n, m, from) = (self.turns.len(), self.upstreams.len(), self.rng.usize(..));
         let all = (1..=n)
             .map(|k| self.turns[(self.sigma + k) % n])
             .chain((0..m).map(|k| (k + from % m) % m));
         let fit = all
-            .filter(|j| self.fits(r, &self.ring[*j]))
+            .filter(|j| self.fits(r, &self.upstreams[*j]))
             .take(FURTHER_LOOK);
         let far =
             |u: &Upstream| f64::from(u8::from(u.zone != self.set.zone) + 2 * u8::from(!u.member));
-        let held = |j: usize| 1e6 * far(&self.ring[j]) + self.holds(j);
+        let held = |j: usize| 1e6 * far(&self.upstreams[j]) + self.holds(j);
         let Some(j) = fit.min_by(|a, b| held(*a).total_cmp(&held(*b))) else {
             return false;
         };
@@ -140,11 +141,11 @@
             return;
         };
         a.overdue = true;
-        let Some(&j) = self.index.get(&a.upstream) else {
+        let Some(j) = self.upstreams.slot(a.upstream) else {
             return;
         };
-        let silent = self.ring[j].heard < a.sent;
-        self.ring[j].overdue += 1;
+        let silent = self.upstreams[j].heard < a.sent;
+        self.upstreams[j].overdue += 1;
         if silent {
             self.suspect(j, DOUBT);
         }
@@ -183,9 +184,9 @@
             let cost = if outcome.never_ran() { 0.1 } else { 1.0 };
             if !self.further(id, cost) {
                 let heard = self
-                    .index
-                    .get(&upstream)
-                    .is_some_and(|j| self.ring[*j].heard >= sent);
+                    .upstreams
+                    .slot(upstream)
+                    .is_some_and(|j| self.upstreams[j].heard >= sent);
                 let reason = match outcome {
                     Outcome::Error => FailureReason::UpstreamError,
                     Outcome::Rejected => FailureReason::UpstreamRejected,
--- a/src/policy/doubt.rs
+++ b/src/policy/doubt.rs
@@ -47,14 +47,14 @@
         let out = self
             .turns
             .iter()
-            .filter(|j| self.ring[**j].health[class].ejected)
+            .filter(|j| self.upstreams[**j].health[class].ejected)
             .count()
             + 1;
         let out = out as f64 <= EJECTED_MOST * self.turns.len() as f64;
-        let Some(&j) = self.index.get(&id) else {
+        let Some(j) = self.upstreams.slot(id) else {
             return;
         };
-        let u = &mut self.ring[j];
+        let u = &mut self.upstreams[j];
         u.connections.record(self.at);
         u.in_flight = u.in_flight.saturating_sub(1);
         u.overdue = u.overdue.saturating_sub(u32::from(overdue));
@@ -110,7 +110,7 @@
             // Nobody listens there: its process has died, and the next one is cold. It comes back from a
             // first turn at a random time: a slow trial by all balancers. One that takes connections, if
             // only to break them, has not restarted and has no less to give.
-            self.ring[j].started = Some(self.ring[j].ejected_until);
+            self.upstreams[j].started = Some(self.upstreams[j].ejected_until);
         }
     }
 
@@ -126,7 +126,7 @@
     /// A fault of an upstream, perhaps for all classes: too much in doubt, it is ejected for all of them.
     pub(super) fn suspect(&mut self, j: usize, fault: f64) -> bool {
         let usual = self.classes.mean_latency_s();
-        let u = &mut self.ring[j];
+        let u = &mut self.upstreams[j];
         u.doubt += fault * (1.0 - u.doubt);
         // A process that has died breaks every connection, a poor way there a few.
         let heard = fault == DOUBT_BREAK && u.heard + usual >= self.at;
@@ -148,7 +148,7 @@
     }
 
     pub(super) fn report(&mut self, id: UpstreamId, report: &[f32]) {
-        let Some(u) = self.index.get(&id).map(|j| &mut self.ring[*j]) else {
+        let Some(u) = self.upstreams.slot(id).map(|j| &mut self.upstreams[j]) else {
             return;
         };
         // Reports are old: less own requests of now they say nothing of the others, who hold their part.
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -13,7 +13,7 @@
 
 /// When the connections to one upstream were last used.
 #[derive(Default)]
-pub(crate) struct ConnectionUse {
+pub(super) struct ConnectionUse {
     /// Something was sent or came back; zero: never.
     last_used_at_s: f64,
 }
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -1,10 +1,10 @@
 //! The list of upstreams: asking for it, taking it in, and the subset that takes turns.
 
 use super::endpoint_polling::PollFailure;
+use super::upstreams::{Health, Upstream};
 use super::{BUDGET, Balancer, EJECTED_MOST};
 use crate::interface::{Action, Availability, Endpoint, EndpointWeights, UpdateScope};
 use crate::random::Random;
-use crate::state::{Health, Upstream};
 use std::collections::VecDeque;
 
 /// Subsets that each upstream is in at the least.
@@ -27,19 +27,20 @@
         let mut changed = scope != UpdateScope::Delta;
         if changed {
             // What a full list no longer names is gone.
-            self.ring
+            self.upstreams
                 .iter_mut()
                 .for_each(|u| (u.ready, u.draining) = (false, false));
         }
-        let (first, mut grown) = (self.ring.is_empty(), false);
+        let (first, mut grown) = (self.upstreams.is_empty(), false);
         for l in endpoints {
             let started = l.started.map(|s| s.as_secs_f64());
-            let j = *self.index.entry(l.id).or_insert_with(|| {
+            let j = self.upstreams.slot(l.id).unwrap_or_else(|| {
                 // A newcomer to a list already known has just started, whatever the list says.
                 let started = started.or((!first).then_some(self.at));
                 let credit = self.rng.f64();
                 let health = vec![Health::default(); self.set.classes.len()];
-                self.ring.push(Upstream {
+                grown = true;
+                self.upstreams.push(Upstream {
                     health,
                     id: l.id,
                     started,
@@ -49,11 +50,9 @@
                     heard: f64::NEG_INFINITY,
                     fresh: !first,
                     ..Upstream::default()
-                });
-                grown = true;
-                self.ring.len() - 1
+                })
             });
-            let u = &mut self.ring[j];
+            let u = &mut self.upstreams[j];
             (u.zone, u.cell) = (l.zone, l.cell);
             changed |= u.ready != (l.availability == Availability::Ready);
             u.ready = l.availability == Availability::Ready;
@@ -85,15 +84,9 @@
             }
         }
         let gone = |u: &Upstream| !u.ready && !u.draining && u.in_flight == 0;
-        if grown || self.ring.iter().filter(|u| gone(u)).count() > self.ring.len() / 4 {
+        if grown || self.upstreams.iter().filter(|u| gone(u)).count() > self.upstreams.len() / 4 {
             // The gone leave: else churn of the fleet would grow state as long as a balancer lives.
-            self.ring.retain(|u| !gone(u));
-            self.index = self
-                .ring
-                .iter()
-                .enumerate()
-                .map(|(j, u)| (u.id, j))
-                .collect();
+            self.upstreams.retain(|u| !gone(u));
             changed = true;
         }
         if changed {
@@ -109,8 +102,8 @@
     /// other. Guards against upstreams that run out of connections and against judging by stale news; who is
     /// ejected is replaced by the next in the order. Harm: fewer to choose from.
     pub(super) fn choose_subset(&mut self) {
-        let mut order: Vec<usize> = (0..self.ring.len())
-            .filter(|j| self.ring[*j].ready)
+        let mut order: Vec<usize> = (0..self.upstreams.len())
+            .filter(|j| self.upstreams[*j].ready)
             .collect();
         // Few balancers take more each: every upstream is in several subsets, and one alone takes all.
         let n = order.len();
@@ -128,29 +121,29 @@
         // When more seem ill, the fault is not theirs.
         let out = order
             .iter()
-            .filter(|j| self.ring[**j].ejected_until > self.at)
+            .filter(|j| self.upstreams[**j].ejected_until > self.at)
             .count() as f64;
         let now = if out <= EJECTED_MOST * n as f64 {
             self.at
         } else {
             f64::INFINITY
         };
-        self.ring.iter_mut().for_each(|u| u.member &= u.ready);
+        self.upstreams.iter_mut().for_each(|u| u.member &= u.ready);
         // Who comes back from ejection is looked at again then.
         let until = self
-            .ring
+            .upstreams
             .iter()
             .map(|u| u.ejected_until)
             .filter(|t| *t > self.at);
         self.choose_at = until.fold(f64::INFINITY, f64::min);
         if !all {
             order.sort_by_cached_key(|j| {
-                Random::with_seed(self.ring[*j].id.0 ^ (round as u64) << 48).u64(..)
+                Random::with_seed(self.upstreams[*j].id.0 ^ (round as u64) << 48).u64(..)
             });
             order.rotate_left(place % n.max(1));
         }
         for (rank, j) in order.iter().enumerate() {
-            let u = &mut self.ring[*j];
+            let u = &mut self.upstreams[*j];
             let usable = u.ejected_until <= now;
             // Once in it stays in, so that connections stay warm; newcomers have their place by the order.
             u.member = all || u.member || (usable && u.fresh && rank < least);
@@ -162,13 +155,13 @@
         // at once, and these are the next to fall.
         let least = least.max(ill + least.div_ceil(2));
         for j in &order {
-            let u = &mut self.ring[*j];
+            let u = &mut self.upstreams[*j];
             if members < least && !u.member && u.ejected_until <= now {
                 (u.member, members) = (true, members + 1);
             }
         }
         for j in order.iter().rev() {
-            let u = &mut self.ring[*j];
+            let u = &mut self.upstreams[*j];
             if members > least && u.member && !all {
                 (u.member, members) = (false, members - 1);
                 self.out
@@ -177,7 +170,7 @@
         }
         let before = self.turns.len();
         self.turns = order;
-        self.turns.retain(|j| self.ring[*j].member);
+        self.turns.retain(|j| self.upstreams[*j].member);
         // More to choose from is no more for this balancer: others send there as well.
         let grown = self.turns.len() as f64 / before.max(1) as f64;
         if !all && before > 0 && grown > 1.0 {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -15,21 +15,22 @@
 mod idle_connections;
 mod list;
 mod turns;
+mod upstreams;
 
 use crate::interface::{
     Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, SendPause, Settings,
-    SettingsError, StatusSnapshot, TimerId, UpstreamId, WatchEvent,
+    SettingsError, StatusSnapshot, TimerId, WatchEvent,
 };
 use crate::random::Random;
-use crate::state::{Bucket, ClassTrials, Request, Upstream};
+use crate::state::{Bucket, ClassTrials, Request};
 use class_statistics::ClassStatistics;
 use endpoint_lease::EndpointLease;
 use endpoint_polling::EndpointPolling;
-pub(crate) use idle_connections::ConnectionUse;
 use idle_connections::IdleConnections;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
+use upstreams::{Upstream, Upstreams};
 
 /// Seconds between refills: short against any aim, long against one look over the fleet.
 const TICK_S: f64 = 0.025;
@@ -88,8 +89,7 @@
     at: f64,       // the same in seconds
     out: Vec<Action>,
     rng: Random,
-    ring: Vec<Upstream>, // all that are endpoints
-    index: FxHashMap<UpstreamId, usize>,
+    upstreams: Upstreams,
     turns: Vec<usize>,      // the subset, in this balancer's own order
     subset_least: usize,    // of an equal part of the traffic
     subset: usize,          // of what this balancer really gets
@@ -184,12 +184,12 @@
 
     /// Entries of state held: upstreams, requests, attempts to look after. Bounded: see the tests.
     pub fn entries(&self) -> usize {
-        self.ring.len() + self.index.len() + self.requests.len() + self.due.len()
+        self.upstreams.entry_count() + self.requests.len() + self.due.len()
     }
 
     /// The upstreams in turn.
     fn in_turn(&self) -> impl Iterator<Item = &Upstream> {
-        self.turns.iter().map(|j| &self.ring[*j])
+        self.turns.iter().map(|j| &self.upstreams[*j])
     }
 
     /// The present state that decisions are based on.
@@ -202,7 +202,7 @@
             utilization: self.busy,
             mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.buckets.iter().map(|b| b.demand).sum(),
-            in_flight: self.ring.iter().map(|u| u.in_flight).sum(),
+            in_flight: self.upstreams.iter().map(|u| u.in_flight).sum(),
             rotation_size: self.turns.len(),
             warming_up,
             ejected,
@@ -303,7 +303,7 @@
         self.flow += (tau / RATE_OVER).min(1.0) * (self.wanted / tau.max(1e-6) - self.flow);
         self.wanted = 0.0;
         let due = (SUBSET_EACH * self.flow).clamp(self.subset_least as f64, 1e6) as usize;
-        let more = due * 2 >= self.subset * 3 && self.turns.len() < self.ring.len();
+        let more = due * 2 >= self.subset * 3 && self.turns.len() < self.upstreams.len();
         if more || due * 3 <= self.subset {
             (self.subset, self.choose_at) = (due, at);
         }
--- a/src/policy/turns.rs
+++ b/src/policy/turns.rs
@@ -1,8 +1,8 @@
 //! Whose turn it is: what each upstream can do now, the clock that bounds its sends, the round robin.
 
+use super::upstreams::Upstream;
 use super::{BUDGET, BUSY_KEPT, Balancer, DOUBTED, EJECT, EJECTED_MOST, OVERDUE_HELD};
 use crate::interface::Effect;
-use crate::state::Upstream;
 
 /// Turns looked ahead by the skip rule; two is the design's.
 const LOOK_AHEAD: usize = 3;
@@ -48,7 +48,7 @@
         let laid = (-tau / latency_objective).exp();
         let (mut warm_rate, mut warm) = (0.0, 0.0);
         for j in &self.turns {
-            let u = &mut self.ring[*j];
+            let u = &mut self.upstreams[*j];
             u.seen *= fade;
             u.doubt *= fade;
             u.ghosts *= laid;
@@ -90,7 +90,7 @@
         let spare = (self.sharers / (self.sharers - 1.0).max(1e-3)).min(1e3);
         let mut flow = 0.0;
         for j in &self.turns {
-            let u = &mut self.ring[*j];
+            let u = &mut self.upstreams[*j];
             if u.started.is_some() {
                 u.credit = (u.credit + tau * each * cold * u.weight).min(1.5);
                 flow += each * cold * u.weight;
@@ -112,7 +112,7 @@
     /// What an upstream holds for its capacity: own requests, and reported ones. With its age a report fades
     /// to what the others hold: taken for empty, who is not heard of draws the turns of all balancers.
     pub(super) fn holds(&self, j: usize) -> f64 {
-        let u = &self.ring[j];
+        let u = &self.upstreams[j];
         let age = (self.last_tick - u.held_at).max(0.0);
         let reported = self.crowd + (u.held / u.capacity - self.crowd) * (-age / REPORT_KEPT).exp();
         let own = f64::from(u.in_flight) + OVERDUE_HELD * f64::from(u.overdue) + u.ghosts;
@@ -129,7 +129,7 @@
         for _ in 0..self.turns.len() * 8 {
             self.sigma = (self.sigma + 1) % self.turns.len();
             let j = self.turns[self.sigma];
-            let u = &mut self.ring[j];
+            let u = &mut self.upstreams[j];
             if u.weight <= 0.0 {
                 continue;
             }
@@ -147,14 +147,16 @@
     /// The round robin with its skip rule: the first in turn that does not hold clearly more than the least
     /// of those in sight. Who is ejected for this class keeps its turn for the others.
     pub(super) fn next_turn(&mut self, class: usize) -> Option<usize> {
-        let ring = &self.ring;
+        let upstreams = &self.upstreams;
         self.ahead
-            .retain(|j| ring[*j].weight > 0.0 && ring[*j].ready);
-        let ill = |b: &Self, j: usize| b.ring[j].health[class].ejected && b.ring[j].weight > 0.0;
+            .retain(|j| upstreams[*j].weight > 0.0 && upstreams[*j].ready);
+        let ill = |b: &Self, j: usize| {
+            b.upstreams[j].health[class].ejected && b.upstreams[j].weight > 0.0
+        };
         let out = self.turns.iter().filter(|j| ill(self, **j)).count();
         if out > 0 && self.at >= self.trials[class].next_at_s {
             // One trial at a time, ever more seldom: each may cost a request that nothing repeats.
-            let tried = |j: &&usize| self.ring[**j].health[class].tried;
+            let tried = |j: &&usize| self.upstreams[**j].health[class].tried;
             let oldest = self
                 .turns
                 .iter()
@@ -166,7 +168,7 @@
                 + EJECT * f64::from(1 << l.unsuccessful.min(4)) * (0.75 + 0.5 * self.rng.f64());
             oldest
                 .into_iter()
-                .for_each(|j| self.ring[j].health[class].tried = self.at);
+                .for_each(|j| self.upstreams[j].health[class].tried = self.at);
             return oldest;
         }
         let once = self.set.classes[class].effect == Effect::AtMostOnce;
@@ -182,9 +184,10 @@
             || self
                 .turns
                 .iter()
-                .all(|j| ill(self, *j) || doubted(&self.ring[*j]));
-        let ill = |b: &Self, j: usize| b.ring[j].health[class].ejected || doubted(&b.ring[j]);
-        let fit = |b: &Self, j: usize| !b.spent(&b.ring[j]) && (all || !ill(b, j));
+                .all(|j| ill(self, *j) || doubted(&self.upstreams[*j]));
+        let ill =
+            |b: &Self, j: usize| b.upstreams[j].health[class].ejected || doubted(&b.upstreams[j]);
+        let fit = |b: &Self, j: usize| !b.spent(&b.upstreams[j]) && (all || !ill(b, j));
         let mut sight = self.ahead.iter().filter(|j| fit(self, **j)).count();
         while sight < LOOK_AHEAD && self.ahead.len() < LOOK_AHEAD + self.turns.len() {
             let Some(j) = self.step() else { break };
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 10] = [
+const FILES: [(&str, &str); 11] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -39,6 +39,10 @@
         "src/policy/turns.rs",
         include_str!("../src/policy/turns.rs"),
     ),
+    (
+        "src/policy/upstreams.rs",
+        include_str!("../src/policy/upstreams.rs"),
+    ),
 ];
 
 /// What of a file's text goes over the limits.
