--- a/balancer/src/event_loop.rs
+++ b/balancer/src/event_loop.rs
@@ -413,7 +413,7 @@
                     ));
                 });
             }
-            Action::Log { line } => tracing::info!("{line}"),
+            Action::Log(event) => tracing::info!("{event}"),
         }
     }
 
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -93,10 +93,10 @@
     }));
     all.extend(lifecycle.map(|became| What::Registry { became }));
     let states = [
-        MemberState::Present,
+        MemberState::Alive,
         MemberState::Suspect,
         MemberState::Left,
-        MemberState::Gone,
+        MemberState::Dead,
     ];
     all.extend(states.map(|standing| What::Saw {
         by: 0,
--- a/simulator-adapter/tests/codec.rs
+++ b/simulator-adapter/tests/codec.rs
@@ -232,7 +232,6 @@
         reason: FailureReason::Timeout,
     };
     let upstream = upstream(7);
-    let line = "two servers known".to_owned();
     vec![
         (INSTANCE, attempt(REQUEST, 7, Some(micros(80_000)))),
         (INSTANCE, attempt(RequestId(1), 8, None)),
@@ -245,15 +244,17 @@
         (INSTANCE, Action::WatchEndpoints),
         (INSTANCE, Action::CloseIdleConnections { upstream }),
         (INSTANCE, Action::HealthCheck { upstream }),
-        (5, Action::Log { line }),
     ]
 }
 
-/// The reply with one action, without its length field.
-fn encoded(instance: u32, action: &Action) -> Vec<u8> {
+/// The log line that is the last action of `actions.hex`, with its instance.
+const LOG_LINE: (u32, &str) = (5, "two servers known");
+
+/// A reply of what `push` adds, without its length field.
+fn encoded(push: impl FnOnce(&mut ReplyEncoder)) -> Vec<u8> {
     let mut reply = ReplyEncoder::default();
     reply.begin();
-    reply.push(instance, action);
+    push(&mut reply);
     let bytes = reply.finish();
     let (length, action) = bytes.split_first_chunk().expect("a length field");
     assert_eq!(u32::from_be_bytes(*length) as usize, action.len());
@@ -264,16 +265,21 @@
 fn encodes_each_action_kind() {
     let lines = parse_named_hex(include_str!("data/actions.hex"));
     let actions = actions();
-    assert_eq!(lines.len(), actions.len());
+    assert_eq!(lines.len(), actions.len() + 1);
     let mut reply = ReplyEncoder::default();
     reply.begin();
     reply.push(INSTANCE, &Action::WatchEndpoints);
     // A second start drops what the first reply held.
     reply.begin();
     for (line, (instance, action)) in lines.iter().zip(&actions) {
-        assert_eq!(encoded(*instance, action), line.bytes, "{}", line.name);
+        let bytes = encoded(|reply| reply.push(*instance, action));
+        assert_eq!(bytes, line.bytes, "{}", line.name);
         reply.push(*instance, action);
     }
+    let (instance, text) = LOG_LINE;
+    let bytes = encoded(|reply| reply.push_log_line(instance, text));
+    assert_eq!(bytes, lines[actions.len()].bytes, "log line");
+    reply.push_log_line(instance, text);
     let all = concatenated(&lines);
     let length = (all.len() as u32).to_be_bytes();
     assert_eq!(reply.finish(), [&length[..], &all].concat());
@@ -282,7 +288,7 @@
 #[test]
 fn truncates_log_lines_at_the_length_field_limit() {
     let line = "x".repeat(70_000);
-    let bytes = encoded(1, &Action::Log { line });
+    let bytes = encoded(|reply| reply.push_log_line(1, &line));
     assert_eq!(bytes[..7], [69, 0, 0, 0, 1, 0xff, 0xff]);
     assert_eq!(bytes.len(), 7 + 65_535);
 }
--- a/tests/invariants/world.rs
+++ b/tests/invariants/world.rs
@@ -75,7 +75,7 @@
                 self.health_checks.push(upstream);
             }
             Action::WatchEndpoints => assert!(self.settings.polls_endpoints),
-            Action::Log { .. } | Action::CloseIdleConnections { .. } => {}
+            Action::Log(_) | Action::CloseIdleConnections { .. } => {}
             Action::Cancel { id, attempt } => {
                 assert!(self.settings.cancellation);
                 let attempts = self.requests[&id].attempts.len();
