--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -306,7 +306,8 @@
                 self.figures.false_gone += 1;
                 if self.broken.len() < SHOWN {
                     let text = format!(
-                        "b{by} took {name} for {standing:?} at {:.3} s: it lived",
+                        "b{by} took {name} for {} at {:.3} s: it lived",
+                        end_in_breach(standing),
                         seconds(at)
                     );
                     self.broken.push((at, text));
@@ -398,6 +399,15 @@
     }
 }
 
+/// The word for the end of a member in the text of a breach.
+fn end_in_breach(state: MemberState) -> &'static str {
+    if state == MemberState::Left {
+        "Left"
+    } else {
+        "Gone"
+    }
+}
+
 #[cfg(test)]
 mod tests {
     use super::*;
