--- a/membership/tests/hash_tree.rs
+++ b/membership/tests/hash_tree.rs
@@ -1,4 +1,8 @@
 //! The comparison of views by a tree of hashes.
+#![expect(
+    clippy::expect_used,
+    reason = "a test fails where its input cannot be set up"
+)]
 
 use frostkeel_membership::hash_tree::{
     FollowUp, HashPrefix, HashedMember, MAX_DEPTH, MAX_MEMBERS_SENT,
--- /dev/null
+++ b/membership/tests/wire_fixtures/output_log.rs
@@ -0,0 +1,158 @@
+//! The log of everything that simulated members put out.
+
+use frostkeel_membership::{DropReason, Identity, MemberState, Membership, Output, Phase};
+use siphasher::sip::SipHasher13;
+use std::hash::Hasher;
+use std::time::Duration;
+
+/// A digest of outputs, timers and counters. Enums enter it by position, so that renames leave it
+/// as it is.
+#[derive(Default)]
+pub struct OutputLog {
+    hasher: SipHasher13,
+    output_count: u64,
+    /// How many outputs report that an earlier incarnation was superseded.
+    pub superseded_count: u64,
+    /// How many outputs report that a process yielded its name.
+    pub yielded_count: u64,
+}
+
+/// A part of the log that is digested by itself.
+pub struct Section {
+    outer: SipHasher13,
+    first_output: u64,
+}
+
+/// The digest of a section.
+pub struct SectionDigest {
+    /// How many outputs it has.
+    pub output_count: u64,
+    /// Their digest.
+    pub digest: u64,
+}
+
+impl OutputLog {
+    /// The digest of everything so far.
+    pub fn digest(&self) -> u64 {
+        self.hasher.finish()
+    }
+
+    /// How many outputs there were so far.
+    pub fn output_count(&self) -> u64 {
+        self.output_count
+    }
+
+    /// Begins a section.
+    pub fn begin_section(&mut self) -> Section {
+        Section {
+            outer: std::mem::take(&mut self.hasher),
+            first_output: self.output_count,
+        }
+    }
+
+    /// Ends a section and enters its digest into the log.
+    pub fn end_section(&mut self, section: Section) -> SectionDigest {
+        let digest = std::mem::replace(&mut self.hasher, section.outer).finish();
+        self.record(&digest.to_le_bytes());
+        SectionDigest {
+            output_count: self.output_count - section.first_output,
+            digest,
+        }
+    }
+
+    /// Enters bytes.
+    pub fn record(&mut self, bytes: &[u8]) {
+        self.hasher.write(bytes);
+    }
+
+    /// Enters a member's next timeout, phase, health and counters.
+    pub fn record_status(&mut self, machine: &Membership) {
+        let due_ns = machine.next_timeout().map_or(u64::MAX, nanoseconds);
+        self.record(&due_ns.to_le_bytes());
+        let phase = phase_position(machine.phase());
+        self.record(&[phase, machine.health_score() as u8]);
+        let counters = machine.counters();
+        for count in [
+            counters.sent,
+            counters.sent_bytes,
+            counters.received,
+            counters.received_bytes,
+            counters.protocol_errors,
+            counters.refutations,
+            counters.pauses,
+        ] {
+            self.record(&count.to_le_bytes());
+        }
+    }
+
+    /// Enters an output of the member at a peer.
+    pub fn record_output(&mut self, now: Duration, peer: u16, output: &Output) {
+        self.output_count += 1;
+        self.record(&nanoseconds(now).to_le_bytes());
+        self.record(&peer.to_le_bytes());
+        match output {
+            Output::Send { to, datagram } => {
+                self.record(&[0]);
+                self.record(&to.0.to_le_bytes());
+                self.record(&[datagram.len() as u8]);
+                self.record(datagram);
+            }
+            Output::ViewChanged(change) => {
+                let member = &change.member;
+                let reported_by = member.reported_by.map(|name| name.to_string());
+                self.record(&[1, state_position(member.state)]);
+                self.record(&change.version.to_le_bytes());
+                self.record_identity(&member.id);
+                self.record(&nanoseconds(member.since).to_le_bytes());
+                self.record(reported_by.unwrap_or_default().as_bytes());
+            }
+            Output::Superseded(id) => {
+                self.superseded_count += 1;
+                self.record(&[2]);
+                self.record_identity(id);
+            }
+            Output::Yielded(id) => {
+                self.yielded_count += 1;
+                self.record(&[3]);
+                self.record_identity(id);
+            }
+        }
+    }
+
+    fn record_identity(&mut self, id: &Identity) {
+        self.record(&postcard::to_allocvec(id).expect("an identity fits"));
+    }
+}
+
+fn nanoseconds(duration: Duration) -> u64 {
+    duration.as_nanos() as u64
+}
+
+fn state_position(state: MemberState) -> u8 {
+    match state {
+        MemberState::Alive => 0,
+        MemberState::Suspect => 1,
+        MemberState::Left => 2,
+        MemberState::Dead => 3,
+    }
+}
+
+fn phase_position(phase: Phase) -> u8 {
+    match phase {
+        Phase::Member => 0,
+        Phase::Yielded => 1,
+        Phase::Left => 2,
+    }
+}
+
+/// The position of a reason among all, from 1.
+pub fn drop_position(reason: DropReason) -> u8 {
+    match reason {
+        DropReason::Malformed => 1,
+        DropReason::UnsupportedVersion => 2,
+        DropReason::ForeignFleet => 3,
+        DropReason::UnknownSender => 4,
+        DropReason::SenderMismatch => 5,
+        DropReason::Implausible => 6,
+    }
+}
