--- a/membership/tests/wire_fixtures/scenarios.rs
+++ b/membership/tests/wire_fixtures/scenarios.rs
@@ -89,6 +89,24 @@
     requests.chain(claims)
 }
 
+/// Links that are cut for a while: three in one direction, and then all of one member.
+fn link_faults() -> Vec<(Duration, Fault)> {
+    let mut faults = Vec::new();
+    let link = |from, to| (Fault::Cut { from, to }, Fault::Heal { from, to });
+    for (from, to) in [(1, 2), (2, 1), (4, 5)] {
+        let (cut, heal) = link(from, to);
+        faults.extend([(seconds(8), cut), (seconds(18), heal)]);
+    }
+    let isolated = (0..SMALL_FLEET)
+        .filter(|other| *other != 3)
+        .flat_map(|other| [(3, other), (other, 3)]);
+    for (from, to) in isolated {
+        let (cut, heal) = link(from, to);
+        faults.extend([(seconds(40), cut), (seconds(52), heal)]);
+    }
+    faults
+}
+
 /// Kills, restarts, leaves, name conflicts, pauses, cut links, loss and invalid datagrams among
 /// eight members.
 fn small_fleet_faults() -> Vec<(Duration, Fault)> {
@@ -111,18 +129,7 @@
             },
         ));
     }
-    let link = |from, to| (Fault::Cut { from, to }, Fault::Heal { from, to });
-    for (from, to) in [(1, 2), (2, 1), (4, 5)] {
-        let (cut, heal) = link(from, to);
-        faults.extend([(seconds(8), cut), (seconds(18), heal)]);
-    }
-    let isolated = (0..SMALL_FLEET)
-        .filter(|other| *other != 3)
-        .flat_map(|other| [(3, other), (other, 3)]);
-    for (from, to) in isolated {
-        let (cut, heal) = link(from, to);
-        faults.extend([(seconds(40), cut), (seconds(52), heal)]);
-    }
+    faults.extend(link_faults());
     faults.extend([
         (seconds(7), Fault::UnknownSender(0)),
         (seconds(7), start(7, 7, 7_000, false)),
