--- a/balancer/tests/common/upstream_pool.rs
+++ b/balancer/tests/common/upstream_pool.rs
@@ -2,8 +2,8 @@
 
 use super::{EMPTY_RESPONSE, TIMEOUT};
 use bytes::Bytes;
-use frostkeel_balancer::exchange::Outgoing;
-use frostkeel_balancer::upstream::{Ended, Place, Upstreams};
+use frostkeel_balancer::exchange::ForwardedRequest;
+use frostkeel_balancer::upstream::{AttemptResult, EndpointState, Upstreams};
 use frostkeel_policy::{Availability, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -32,8 +32,8 @@
 }
 
 /// The state of a ready endpoint.
-pub fn ready_endpoint(address: SocketAddr) -> Place {
-    Place {
+pub fn ready_endpoint(address: SocketAddr) -> EndpointState {
+    EndpointState {
         endpoint: Some(address),
         availability: Availability::Ready,
         boot_ms: 5,
@@ -61,7 +61,7 @@
     pub upstreams: Rc<Upstreams>,
     pub listener: TcpListener,
     /// The state of the upstream's endpoint.
-    pub endpoint: Place,
+    pub endpoint: EndpointState,
 }
 
 impl TestPool {
@@ -73,7 +73,7 @@
     pub fn on(listener: TcpListener, max_connections: usize) -> Self {
         let upstreams = Rc::new(Upstreams::new(&patient_settings(), max_connections));
         let endpoint = ready_endpoint(listener.local_addr().unwrap());
-        upstreams.place(UPSTREAM, &endpoint);
+        upstreams.apply_endpoint(UPSTREAM, &endpoint);
         Self {
             upstreams,
             listener,
@@ -83,15 +83,15 @@
 
     /// Applies the endpoint's state after a change by the test.
     pub fn apply_endpoint(&self) {
-        self.upstreams.place(UPSTREAM, &self.endpoint);
+        self.upstreams.apply_endpoint(UPSTREAM, &self.endpoint);
     }
 
-    pub async fn attempt(&self, body_length: usize, time_limit: Duration) -> Ended {
+    pub async fn attempt(&self, body_length: usize, time_limit: Duration) -> AttemptResult {
         attempt(&self.upstreams, UPSTREAM, body_length, time_limit).await
     }
 
     /// Begins an attempt that goes on beside the test.
-    pub fn spawn_attempt(&self) -> JoinHandle<Ended> {
+    pub fn spawn_attempt(&self) -> JoinHandle<AttemptResult> {
         let upstreams = Rc::clone(&self.upstreams);
         spawn_local(async move { attempt(&upstreams, UPSTREAM, 1, TIMEOUT).await })
     }
@@ -117,8 +117,8 @@
     id: UpstreamId,
     body_length: usize,
     time_limit: Duration,
-) -> Ended {
-    let request = Outgoing {
+) -> AttemptResult {
+    let request = ForwardedRequest {
         method: Method::POST,
         target: Uri::from_static("/book"),
         headers: HeaderMap::new(),
--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -1,7 +1,7 @@
 //! Reading the configuration file, and errors in it.
 
 use frostkeel_balancer::config::{Config, RESERVED_SOCKETS};
-use frostkeel_membership::Place;
+use frostkeel_membership::PeerIndex;
 
 /// A valid configuration.
 const VALID: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
@@ -29,7 +29,7 @@
         .expect("membership is on");
     assert_eq!(
         (members.place, members.peers.len(), members.name.as_str()),
-        (Place(1), 2, "n0")
+        (PeerIndex(1), 2, "n0")
     );
     for (from, to, named) in [
         (r#""me": 1"#, r#""me": 2"#, "settings.me is 2"),
--- a/balancer/tests/races_upstream_connections.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -152,7 +152,7 @@
         ..Settings::default()
     };
     let upstreams = Upstreams::new(&settings, 8);
-    upstreams.place(UPSTREAM, &ready_endpoint(address));
+    upstreams.apply_endpoint(UPSTREAM, &ready_endpoint(address));
     let ended = attempt(&upstreams, UPSTREAM, 1, Duration::from_millis(50)).await;
     assert_eq!(
         ended.outcome,
--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -6,11 +6,11 @@
 
 use common::{idempotent_request, into_async, raw_listener, unreachable_address};
 use frostkeel_balancer::discovery::Discovery;
-use frostkeel_balancer::driver::Driver;
-use frostkeel_balancer::list::{Entry, ListUpdate};
+use frostkeel_balancer::endpoint_list::{EndpointEntry, EndpointUpdate};
+use frostkeel_balancer::event_loop::EventLoop;
+use frostkeel_balancer::request_counters::RequestCounters;
 use frostkeel_balancer::server::{Phase, Server};
-use frostkeel_balancer::tally::Tally;
-use frostkeel_balancer::upstream::{Place, Upstreams};
+use frostkeel_balancer::upstream::{EndpointState, Upstreams};
 use frostkeel_policy::{
     Availability, Balancer, CellId, Class, Effect, KindId, Settings, UpdateScope, UpstreamId,
     ZoneId,
@@ -47,21 +47,21 @@
 }
 
 /// A list of one ready endpoint.
-fn cached_list(address: SocketAddr) -> ListUpdate {
-    let place = Place {
+fn cached_list(address: SocketAddr) -> EndpointUpdate {
+    let state = EndpointState {
         endpoint: Some(address),
         availability: Availability::Ready,
         boot_ms: 0,
     };
-    let entry = Entry {
+    let entry = EndpointEntry {
         id: UpstreamId(1),
         zone: ZoneId(0),
         kind: KindId(0),
         cell: CellId(0),
         weight: 1.0,
-        place,
+        place: state,
     };
-    ListUpdate {
+    EndpointUpdate {
         scope: UpdateScope::Cached,
         entries: vec![entry],
     }
@@ -79,9 +79,9 @@
     async fn start() -> Self {
         let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let site = site();
-        let driver = Driver::start(
+        let event_loop = EventLoop::start(
             Balancer::new(site.settings.clone(), 7).unwrap(),
-            Tally::new(&site),
+            RequestCounters::new(&site),
             Upstreams::new(&site.settings, 8),
             Discovery::new(unreachable_address(), site.names.clone()),
             cached_list(upstream.local_addr().unwrap()),
@@ -91,7 +91,7 @@
         let listener = into_async(raw_listener(configure, 8));
         let address = listener.local_addr().unwrap();
         let (phase, phases) = watch::channel(Phase::Serving);
-        spawn_local(Server::new(driver, &site, phases).run(listener, 8));
+        spawn_local(Server::new(event_loop, &site, phases).run(listener, 8));
         Self {
             address,
             phase,
--- a/balancer/tests/upstream_attempts.rs
+++ b/balancer/tests/upstream_attempts.rs
@@ -99,7 +99,7 @@
 async fn open_connections_stay_within_the_limit() {
     let pool = TestPool::start(1).await;
     let other = UpstreamId(8);
-    pool.upstreams.place(other, &pool.endpoint);
+    pool.upstreams.apply_endpoint(other, &pool.endpoint);
     for id in [UPSTREAM, other] {
         let attempt = attempt(&pool.upstreams, id, 1, TIMEOUT);
         let (ended, _stream) = tokio::join!(attempt, pool.serve_next());
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -1,12 +1,13 @@
 //! A list service from its start to its end.
 
 use crate::config::Config;
+use crate::endpoint::PersistedEntry;
+use crate::endpoint_registry::EndpointRegistry;
 use crate::http::{Reading, Writing};
-use crate::list::{List, Record};
 use crate::metrics::Metrics;
-use crate::publish::Published;
-use crate::writer::{KeptEntry, Writer};
-use frostkeel_store::{Owner, Store, StoreError};
+use crate::published_view::PublishedView;
+use crate::writer::Writer;
+use frostkeel_store::{Owner, Store, StoreError, StoredRecord};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -52,24 +53,29 @@
         process: config.name.clone(),
     };
     let (store, kept) = tokio::task::block_in_place(|| Store::open(&config.folder, &owner))?;
-    let mut entries: Vec<(Record, Duration)> = Vec::new();
-    for (uid, bytes) in &kept.records {
-        let entry: KeptEntry = serde_json::from_slice(bytes).map_err(|e| ServiceError::Entry {
-            uid: uid.clone(),
-            reason: e.to_string(),
-        })?;
-        entries.push((entry.record, Duration::from_millis(entry.lease_ms)));
+    let mut entries: Vec<PersistedEntry> = Vec::new();
+    for StoredRecord {
+        key: uid,
+        value: bytes,
+    } in &kept.records
+    {
+        let entry: PersistedEntry =
+            serde_json::from_slice(bytes).map_err(|e| ServiceError::Entry {
+                uid: uid.clone(),
+                reason: e.to_string(),
+            })?;
+        entries.push(entry);
     }
     let count = entries.len();
     let list = || {
-        List::new(
+        EndpointRegistry::restore(
             config.rules(),
             Duration::ZERO,
-            kept.version,
+            kept.revision,
             entries.clone(),
         )
     };
-    let published = Arc::new(Published::new(list()));
+    let published = Arc::new(PublishedView::new(list()));
     let metrics = Arc::new(Metrics::default());
     let bind = async |what, address| {
         let bound = TcpListener::bind(address).await;
@@ -87,17 +93,17 @@
     tracing::info!(
         read = %shown(&read, config.read),
         write = %shown(&write, config.write),
-        version = kept.version,
+        version = kept.revision,
         entries = count,
         "serving"
     );
     let (jobs, waiting) = mpsc::channel(config.limits.writes);
     let writer = Writer {
-        list: list(),
+        registry: list(),
         store,
         published: Arc::clone(&published),
         metrics: Arc::clone(&metrics),
-        start: Instant::now(),
+        started_at: Instant::now(),
     };
     let reading = Reading::new(Arc::clone(&published), Arc::clone(&metrics), &config.limits);
     let writing = Writing::new(published, metrics, jobs, config.name.clone());
--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -108,7 +108,7 @@
             Action::Fail { id, reason } => self.record_failure(id, FinalResponse::Failed, reason),
             Action::HealthCheck { upstream } => self.health_checks.push(upstream),
             Action::WatchEndpoints => self.polls.push(self.now),
-            Action::Cancel { .. } | Action::CloseIdleConnections { .. } | Action::Log { .. } => {}
+            Action::Cancel { .. } | Action::CloseIdleConnections { .. } | Action::Log(_) => {}
         }
     }
 
