--- a/balancer/tests/races_clients.rs
+++ b/balancer/tests/races_clients.rs
@@ -87,7 +87,7 @@
     let process = config.start();
     let mut clients: Vec<Client> = (0..MAX_CONNECTIONS).map(|_| process.connect()).collect();
     for (k, client) in clients.iter_mut().enumerate() {
-        send_identified(client, &format!("held{k}"));
+        send_identified(client, &format!("in-flight-{k}"));
     }
     let connections: Vec<TcpStream> = (0..MAX_CONNECTIONS)
         .map(|_| upstream.next_connection())
@@ -102,12 +102,12 @@
         .collect();
     assert_eq!(ids.len(), MAX_CONNECTIONS, "{ids:?}");
     let mut disconnecting = process.connect();
-    send_identified(&mut disconnecting, "left");
+    send_identified(&mut disconnecting, "disconnects");
     process.round_trip();
     disconnecting.disconnect();
     process.round_trip();
     let mut waiting = process.connect();
-    send_identified(&mut waiting, "stays");
+    send_identified(&mut waiting, "waits");
     process.round_trip();
     let closing = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     for mut connection in connections {
@@ -116,7 +116,7 @@
     let request = read_request(&upstream.next_connection()).expect("a request");
     assert_eq!(
         request.header("x-correlation-id"),
-        Some("stays"),
+        Some("waits"),
         "{request:?}"
     );
 }
