--- a/frostkeel/src/agent.rs
+++ b/frostkeel/src/agent.rs
@@ -1,7 +1,7 @@
 //! `frostkeel agent`: beside an upstream, it keeps it on the list for as long as it runs.
 
 use clap::Args;
-use frostkeel_registry::client::call;
+use frostkeel_registry::client::{CompleteResponse, call};
 use hyper::Method;
 use serde_json::json;
 use std::error::Error;
@@ -89,7 +89,7 @@
             call(self.write, Method::DELETE, &self.path(""), life),
         )
         .await;
-        if !matches!(gone, Ok(Ok((200, _)))) {
+        if !matches!(gone, Ok(Ok(CompleteResponse { status: 200, .. }))) {
             tracing::warn!(
                 "{}: the list service was not told of the end; its lease ends by itself",
                 self.uid
@@ -122,7 +122,7 @@
                 call(self.write, Method::PUT, &self.path(""), body.to_string()).await
             };
             let next = match called {
-                Ok((200, _)) => {
+                Ok(CompleteResponse { status: 200, .. }) => {
                     if !std::mem::replace(&mut registered, true) {
                         tracing::info!("{}: on the list", self.uid);
                     }
@@ -130,17 +130,22 @@
                     lease / 3
                 }
                 // Not listed any more: it registers anew, at once.
-                Ok((404, _)) if registered => {
+                Ok(CompleteResponse { status: 404, .. }) if registered => {
                     registered = false;
                     AGAIN
                 }
-                Ok((400 | 409, said)) => {
-                    let said = String::from_utf8_lossy(&said).trim().to_owned();
+                Ok(CompleteResponse {
+                    status: 400 | 409,
+                    body,
+                }) => {
+                    let said = String::from_utf8_lossy(&body).trim().to_owned();
                     return format!("{}: the list service refuses it: {said}", self.uid);
                 }
                 failed => {
-                    let why =
-                        failed.map_or_else(|e| e, |(status, _)| format!("it answered {status}"));
+                    let why = match failed {
+                        Ok(response) => format!("it answered {}", response.status),
+                        Err(e) => e.to_string(),
+                    };
                     tracing::warn!("{}: not heard by the list service: {why}", self.uid);
                     again = (again * 2).min(AGAIN_MOST);
                     // Many agents of one service must not all come back together.
@@ -155,11 +160,10 @@
     async fn leave(&self, child: &mut Child) -> std::io::Result<std::process::ExitStatus> {
         let path = self.path("/drain");
         let drained = call(self.write, Method::POST, &path, String::new());
-        if let Err(e) = timeout(FAREWELL, drained)
-            .await
-            .unwrap_or_else(|_| Err("no answer".into()))
-        {
-            tracing::warn!("{}: not drained: {e}", self.uid);
+        match timeout(FAREWELL, drained).await {
+            Ok(Ok(_)) => {}
+            Ok(Err(e)) => tracing::warn!("{}: not drained: {e}", self.uid),
+            Err(_) => tracing::warn!("{}: not drained: no answer", self.uid),
         }
         let until = Instant::now() + Duration::from_secs_f64(self.drain_s);
         tokio::select! {
--- a/frostkeel/src/members.rs
+++ b/frostkeel/src/members.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use clap::Args;
-use frostkeel_registry::client::call;
+use frostkeel_registry::client::{CompleteResponse, call};
 use hyper::Method;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -140,9 +140,10 @@
 }
 
 async fn read(page: SocketAddr) -> Result<Bytes, String> {
-    match call(page, Method::GET, "/members", String::new()).await? {
-        (200, body) => Ok(body),
-        (status, _) => Err(format!("{page}: answered {status}")),
+    let called = call(page, Method::GET, "/members", String::new()).await;
+    match called.map_err(|e| e.to_string())? {
+        CompleteResponse { status: 200, body } => Ok(body),
+        CompleteResponse { status, .. } => Err(format!("{page}: answered {status}")),
     }
 }
 
--- a/frostkeel/src/registry.rs
+++ b/frostkeel/src/registry.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use clap::{Args, Subcommand};
-use frostkeel_registry::client::{call, send_request};
+use frostkeel_registry::client::{CompleteResponse, call, send_request};
 use frostkeel_registry::endpoint::EndpointUpdate;
 use frostkeel_registry::{config::Config, service};
 use http_body_util::BodyExt;
@@ -75,7 +75,7 @@
             Ok(ExitCode::SUCCESS)
         }
         (None, Some(Ask::Status { write })) => {
-            let (status, body) =
+            let CompleteResponse { status, body } =
                 runtime()?.block_on(call(write, Method::GET, "/status", String::new()))?;
             print!("{}", String::from_utf8_lossy(&body));
             Ok(if status == 200 {
@@ -91,7 +91,7 @@
 pub fn drain(command: Drain) -> Done {
     let target = format!("/upstreams/{}/drain", command.uid);
     let called = runtime()?.block_on(call(command.write, Method::POST, &target, String::new()));
-    let (status, body) = called?;
+    let CompleteResponse { status, body } = called?;
     let said = String::from_utf8_lossy(&body);
     if status == 200 {
         println!("{}: draining, {}", command.uid, said.trim());
@@ -104,7 +104,7 @@
 pub fn list(command: List) -> Done {
     runtime()?.block_on(async {
         if !command.watch {
-            let (status, body) = call(
+            let CompleteResponse { status, body } = call(
                 command.read,
                 Method::GET,
                 "/registry/instances",
--- a/lab/src/registrar.rs
+++ b/lab/src/registrar.rs
@@ -249,7 +249,7 @@
             let status = call(write, method, &target, body)
                 .await
                 .ok()
-                .map(|(status, _)| status);
+                .map(|response| response.status);
             let next = match (status, word) {
                 (Some(200), Word::Ready { boot_ms }) => {
                     registered = boot_ms + 1;
@@ -278,8 +278,9 @@
                 let Some((_, write)) = self.addresses() else {
                     return;
                 };
-                if let Ok((200, body)) = call(write, Method::GET, "/status", String::new()).await
-                    && let Ok(status) = serde_json::from_slice::<serde_json::Value>(&body)
+                if let Ok(response) = call(write, Method::GET, "/status", String::new()).await
+                    && response.status == 200
+                    && let Ok(status) = serde_json::from_slice::<serde_json::Value>(&response.body)
                     && status["ready"]
                         .as_u64()
                         .is_some_and(|ready| ready >= count as u64)
--- a/lab/src/watching.rs
+++ b/lab/src/watching.rs
@@ -200,9 +200,11 @@
             )
             .await;
             let rev = match answer {
-                Ok((200, body)) => serde_json::from_slice::<serde_json::Value>(&body)
-                    .ok()
-                    .and_then(|said| said["rev"].as_u64()),
+                Ok(response) if response.status == 200 => {
+                    serde_json::from_slice::<serde_json::Value>(&response.body)
+                        .ok()
+                        .and_then(|said| said["rev"].as_u64())
+                }
                 _ => None,
             };
             let Some(rev) = rev else {
@@ -228,7 +230,7 @@
     }
 
     async fn whole(&self) -> Option<(u64, Weights)> {
-        let (_, body) = call(
+        let response = call(
             self.read()?,
             Method::GET,
             "/registry/instances",
@@ -236,7 +238,7 @@
         )
         .await
         .ok()?;
-        let text: EndpointUpdate = serde_json::from_slice(&body).ok()?;
+        let text: EndpointUpdate = serde_json::from_slice(&response.body).ok()?;
         Some((
             text.revision,
             text.records
