--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -132,9 +132,9 @@
         Arc::new(Self {
             published,
             metrics,
-            calls: Arc::new(Semaphore::new(limits.calls)),
-            watches: Arc::new(Semaphore::new(limits.watches)),
-            connections: Arc::new(Semaphore::new(limits.watches + CONNECTIONS)),
+            calls: Arc::new(Semaphore::new(limits.max_concurrent_lists)),
+            watches: Arc::new(Semaphore::new(limits.max_watches)),
+            connections: Arc::new(Semaphore::new(limits.max_watches + CONNECTIONS)),
         })
     }
 
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -69,7 +69,7 @@
     let count = entries.len();
     let list = || {
         EndpointRegistry::restore(
-            config.rules(),
+            config.policy(),
             Duration::ZERO,
             kept.revision,
             entries.clone(),
@@ -86,18 +86,18 @@
         })
     };
     let (read, write) = (
-        bind("read", config.read).await?,
-        bind("write", config.write).await?,
+        bind("read", config.read_address).await?,
+        bind("write", config.write_address).await?,
     );
     let shown = |listener: &TcpListener, or| listener.local_addr().unwrap_or(or);
     tracing::info!(
-        read = %shown(&read, config.read),
-        write = %shown(&write, config.write),
+        read = %shown(&read, config.read_address),
+        write = %shown(&write, config.write_address),
         version = kept.revision,
         entries = count,
         "serving"
     );
-    let (jobs, waiting) = mpsc::channel(config.limits.writes);
+    let (jobs, waiting) = mpsc::channel(config.limits.max_pending_writes);
     let writer = Writer {
         registry: list(),
         store,
