--- /dev/null
+++ b/store/tests/support/mod.rs
@@ -0,0 +1,3 @@
+//! Support for the tests of the store.
+
+pub mod simulated_disk;
