--- a/registry/src/config.rs
+++ b/registry/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a registry service, in TOML. Its keys are fixed: a field is bound to its
 //! key by a serde rename.
 
-use crate::endpoint_registry::RegistryPolicy;
+use crate::policy::RegistryPolicy;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
--- a/registry/src/endpoint.rs
+++ b/registry/src/endpoint.rs
@@ -101,6 +101,15 @@
     pub lease_duration: Option<Duration>,
 }
 
+/// An entry that has to be persisted.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DirtyEntry {
+    /// The endpoint's uid.
+    pub uid: String,
+    /// The entry, or `None` if it has been removed.
+    pub entry: Option<PersistedEntry>,
+}
+
 /// A lease's duration in milliseconds, where 0 stands for no lease.
 mod lease_ms {
     use serde::{Deserialize, Deserializer, Serializer};
--- a/registry/src/endpoint_registry.rs
+++ b/registry/src/endpoint_registry.rs
@@ -4,39 +4,13 @@
 use crate::change_log::{ChangeLog, LoggedChange};
 use crate::command::{Command, CommandError, validate_lease, validate_record, validate_weight};
 use crate::endpoint::{
-    EndpointChange, EndpointRecord, EndpointState, EndpointUpdate, PersistedEntry,
+    DirtyEntry, EndpointChange, EndpointRecord, EndpointState, EndpointUpdate, PersistedEntry,
 };
 use crate::lease::{Lease, SelfPreservation};
+use crate::policy::RegistryPolicy;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The limits of the list, and when the expiry of leases is enforced.
-#[derive(Clone, Debug)]
-pub struct RegistryPolicy {
-    /// The maximum number of endpoints.
-    pub max_endpoints: usize,
-    /// The number of changes that are retained for watches to resume from.
-    pub max_retained_changes: usize,
-    /// The share of the leases that may expire together. If more do, none is enforced.
-    pub max_expired_share: f64,
-    /// The time after a start or a pause of the service in which no lease is enforced.
-    pub grace_period: Duration,
-    /// The time between two ticks from which on the service counts as paused.
-    pub pause_threshold: Duration,
-}
-
-impl Default for RegistryPolicy {
-    fn default() -> Self {
-        Self {
-            max_endpoints: 20_000,
-            max_retained_changes: 10_000,
-            max_expired_share: 0.2,
-            grace_period: Duration::from_secs(15),
-            pause_threshold: Duration::from_secs(2),
-        }
-    }
-}
-
 /// The number of endpoints by state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
@@ -46,15 +20,6 @@
     pub terminating: usize,
 }
 
-/// An entry that has to be persisted.
-#[derive(Clone, Debug, PartialEq)]
-pub struct DirtyEntry {
-    /// The endpoint's uid.
-    pub uid: String,
-    /// The entry, or `None` if it has been removed.
-    pub entry: Option<PersistedEntry>,
-}
-
 #[derive(Clone, Debug)]
 struct Entry {
     record: EndpointRecord,
--- /dev/null
+++ b/registry/src/http/connection.rs
@@ -0,0 +1,114 @@
+//! Accepts connections, limits their number, and closes those of clients that are too slow.
+
+use super::response::Body;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use std::convert::Infallible;
+use std::future::pending;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{Notify, Semaphore};
+use tokio::time::sleep;
+
+/// The maximum number of connections to an interface, besides watches.
+pub(super) const MAX_CONNECTIONS: usize = 2048;
+/// The time that a client may take to send a request.
+pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// The time after which a connection is closed that is not a watch.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time to the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// An interface of the service.
+pub trait Api: Send + Sync + 'static {
+    /// The number of connections that may be open.
+    fn connection_slots(&self) -> Arc<Semaphore>;
+
+    /// Responds to a request on a connection that has the given limit.
+    fn respond(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+        limit: Arc<SlowReaderLimit>,
+    ) -> impl Future<Output = Response<Body>> + Send;
+}
+
+/// Closes a connection that is open for too long, unless it is a watch, and a watch whose client
+/// does not read.
+#[derive(Default)]
+pub struct SlowReaderLimit {
+    is_watch: AtomicBool,
+    close_requested: Notify,
+}
+
+impl SlowReaderLimit {
+    /// Lifts the limit on the time that the connection is open.
+    pub(super) fn set_watch(&self) {
+        self.is_watch.store(true, Ordering::Relaxed);
+    }
+
+    /// Closes the connection.
+    pub(super) fn close(&self) {
+        self.close_requested.notify_one();
+    }
+
+    async fn timed_out(&self) {
+        sleep(CONNECTION_TIMEOUT).await;
+        if self.is_watch.load(Ordering::Relaxed) {
+            pending::<()>().await;
+        }
+    }
+}
+
+/// Accepts connections until it is aborted, and serves each in a task of its own. Connections
+/// beyond the limit are closed at once.
+pub async fn serve<A: Api>(listener: TcpListener, api: Arc<A>) {
+    let slots = api.connection_slots();
+    loop {
+        let stream = accept(&listener).await;
+        let Ok(slot) = Arc::clone(&slots).try_acquire_owned() else {
+            continue;
+        };
+        let api = Arc::clone(&api);
+        tokio::spawn(async move {
+            serve_connection(stream, api).await;
+            drop(slot);
+        });
+    }
+}
+
+async fn accept(listener: &TcpListener) -> TcpStream {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => return stream,
+            Err(e) => {
+                tracing::warn!("cannot accept a connection: {e}");
+                sleep(ACCEPT_RETRY_DELAY).await;
+            }
+        }
+    }
+}
+
+async fn serve_connection<A: Api>(stream: TcpStream, api: Arc<A>) {
+    // Without it responses are only delayed.
+    let _ = stream.set_nodelay(true);
+    let limit = Arc::<SlowReaderLimit>::default();
+    let service = service_fn(|request| {
+        let response = Arc::clone(&api).respond(request, Arc::clone(&limit));
+        async { Ok::<_, Infallible>(response.await) }
+    });
+    let mut builder = http1::Builder::new();
+    builder
+        .timer(TokioTimer::new())
+        .header_read_timeout(REQUEST_TIMEOUT);
+    tokio::select! {
+        // A client that disconnects, or does not send HTTP, has no use for a response.
+        _ = builder.serve_connection(TokioIo::new(stream), service) => {}
+        () = limit.close_requested.notified() => {}
+        () = limit.timed_out() => {}
+    }
+}
--- a/registry/src/lease.rs
+++ b/registry/src/lease.rs
@@ -1,6 +1,6 @@
 //! Leases, and the self-preservation that protects them from faults of the service itself.
 
-use crate::endpoint_registry::RegistryPolicy;
+use crate::policy::RegistryPolicy;
 use std::time::Duration;
 
 /// The lease of an endpoint. Times are those of the monotonic clock since the service started.
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -1,8 +1,9 @@
-//! The list service: the project's own discovery.
+//! The registry service: the project's own service discovery.
 //!
 //! [`endpoint_registry::EndpointRegistry`] is a pure state machine: commands and time in, changes
-//! out. [`service`] is its HTTP: the reading side is the published form to the letter, the writing
-//! side JSON at an address of its own. What is acknowledged is durable.
+//! out. [`service`] runs it with two HTTP interfaces: one to read and watch the endpoint list, in
+//! the published format, and one for writes, status and metrics, in JSON. A write is acknowledged
+//! once it is durable.
 
 mod change_log;
 pub mod client;
@@ -13,6 +14,8 @@
 mod http;
 mod lease;
 mod metrics;
+pub mod policy;
 mod published_view;
 pub mod service;
+pub mod write_request;
 mod writer;
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -1,125 +1,143 @@
-//! A list service from its start to its end.
+//! The registry service from its start to its end.
 
 use crate::config::Config;
 use crate::endpoint::PersistedEntry;
 use crate::endpoint_registry::EndpointRegistry;
-use crate::http::{Reading, Writing};
-use crate::metrics::Metrics;
+use crate::http::{ReadApi, WriteApi, serve};
 use crate::published_view::PublishedView;
 use crate::writer::Writer;
-use frostkeel_store::{Owner, Store, StoreError, StoredRecord};
+use frostkeel_store::{Owner, Snapshot, Store, StoreError, StoredRecord};
+use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use thiserror::Error;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use tokio::task::JoinSet;
+use tokio::task::{JoinError, JoinSet};
 use tokio::time::Instant;
 
-/// Why a list service cannot start, or had to end.
+/// Why the service cannot start, or why it stopped.
 #[derive(Debug, Error)]
 pub enum ServiceError {
-    /// Its folder.
+    /// The store cannot be opened, or a commit failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// An entry in it.
-    #[error("the entry of {uid:?} cannot be read: {reason}; restore the folder from a copy")]
+    /// A persisted entry cannot be parsed.
+    #[error("the entry of {uid:?} cannot be read: {source}; restore the folder from a copy")]
     Entry {
-        /// Whose.
+        /// The uid of the entry.
         uid: String,
-        /// Why.
-        reason: String,
+        /// The reason.
+        source: serde_json::Error,
     },
-    /// An address.
-    #[error("{what} address {address}: {source}")]
-    Address {
-        /// Which.
-        what: &'static str,
-        /// As configured.
+    /// A listening address cannot be bound.
+    #[error("{interface} address {address}: {source}")]
+    Bind {
+        /// The interface that is served there.
+        interface: &'static str,
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
-        source: std::io::Error,
+        /// The error of the operating system.
+        source: io::Error,
     },
-    /// A part of it has ended.
+    /// A task has panicked.
     #[error("a part of the service has ended: {0}")]
-    Ended(String),
+    TaskFailed(#[source] JoinError),
+    /// A task has ended that should run for as long as the service.
+    #[error("a part of the service has ended: unasked")]
+    TaskEnded,
 }
 
-/// Runs a list service until its disk fails; needs a runtime with several threads.
+/// The listeners of both interfaces.
+struct Listeners {
+    read: TcpListener,
+    write: TcpListener,
+}
+
+/// Runs the service until its disk fails. Needs a multi-threaded runtime.
 pub async fn run(config: Config) -> Result<(), ServiceError> {
     let owner = Owner {
         fleet: config.fleet.clone(),
         process: config.name.clone(),
     };
-    let (store, kept) = tokio::task::block_in_place(|| Store::open(&config.folder, &owner))?;
-    let mut entries: Vec<PersistedEntry> = Vec::new();
-    for StoredRecord {
-        key: uid,
-        value: bytes,
-    } in &kept.records
-    {
-        let entry: PersistedEntry =
-            serde_json::from_slice(bytes).map_err(|e| ServiceError::Entry {
-                uid: uid.clone(),
-                reason: e.to_string(),
-            })?;
-        entries.push(entry);
-    }
-    let count = entries.len();
-    let list = || {
-        EndpointRegistry::restore(
-            config.policy(),
-            Duration::ZERO,
-            kept.revision,
-            entries.clone(),
-        )
+    let opened = tokio::task::block_in_place(|| Store::open(&config.folder, &owner));
+    let (store, snapshot) = opened?;
+    let entries = parse_entries(&snapshot)?;
+    let listeners = Listeners {
+        read: bind("read", config.read_address).await?,
+        write: bind("write", config.write_address).await?,
     };
-    let published = Arc::new(PublishedView::new(list()));
-    let metrics = Arc::new(Metrics::default());
-    let bind = async |what, address| {
-        let bound = TcpListener::bind(address).await;
-        bound.map_err(|source| ServiceError::Address {
-            what,
-            address,
+    log_start(&config, &listeners, &snapshot);
+    let restore = || {
+        let policy = config.policy();
+        EndpointRegistry::restore(policy, Duration::ZERO, snapshot.revision, entries.clone())
+    };
+    let published = Arc::new(PublishedView::new(restore()));
+    let writer = Writer {
+        registry: restore(),
+        store,
+        published,
+        metrics: Arc::default(),
+        started_at: Instant::now(),
+    };
+    run_tasks(&config, writer, listeners).await
+}
+
+fn parse_entries(snapshot: &Snapshot) -> Result<Vec<PersistedEntry>, ServiceError> {
+    let parse = |StoredRecord { key, value }: &StoredRecord| {
+        serde_json::from_slice(value).map_err(|source| ServiceError::Entry {
+            uid: key.clone(),
             source,
         })
     };
-    let (read, write) = (
-        bind("read", config.read_address).await?,
-        bind("write", config.write_address).await?,
-    );
-    let shown = |listener: &TcpListener, or| listener.local_addr().unwrap_or(or);
+    snapshot.records.iter().map(parse).collect()
+}
+
+async fn bind(interface: &'static str, address: SocketAddr) -> Result<TcpListener, ServiceError> {
+    let bound = TcpListener::bind(address).await;
+    bound.map_err(|source| ServiceError::Bind {
+        interface,
+        address,
+        source,
+    })
+}
+
+/// The addresses are those that are bound, as a configured port of 0 is chosen by the operating
+/// system.
+fn log_start(config: &Config, listeners: &Listeners, snapshot: &Snapshot) {
     tracing::info!(
-        read = %shown(&read, config.read_address),
-        write = %shown(&write, config.write_address),
-        version = kept.revision,
-        entries = count,
+        read = %listeners.read.local_addr().unwrap_or(config.read_address),
+        write = %listeners.write.local_addr().unwrap_or(config.write_address),
+        version = snapshot.revision,
+        entries = snapshot.records.len(),
         "serving"
     );
-    let (jobs, waiting) = mpsc::channel(config.limits.max_pending_writes);
-    let writer = Writer {
-        registry: list(),
-        store,
-        published: Arc::clone(&published),
-        metrics: Arc::clone(&metrics),
-        started_at: Instant::now(),
-    };
-    let reading = Reading::new(Arc::clone(&published), Arc::clone(&metrics), &config.limits);
-    let writing = Writing::new(published, metrics, jobs, config.name.clone());
-    let mut parts: JoinSet<Result<(), StoreError>> = JoinSet::new();
-    parts.spawn(writer.run(waiting));
-    parts.spawn(async move {
-        reading.serve(read).await;
+}
+
+/// Runs the writer and both interfaces until the first of them ends; the others are aborted.
+async fn run_tasks(
+    config: &Config,
+    writer: Writer,
+    listeners: Listeners,
+) -> Result<(), ServiceError> {
+    let (published, metrics) = (Arc::clone(&writer.published), Arc::clone(&writer.metrics));
+    let (requests, pending_requests) = mpsc::channel(config.limits.max_pending_writes);
+    let read_api = ReadApi::new(Arc::clone(&published), Arc::clone(&metrics), &config.limits);
+    let write_api = WriteApi::new(published, metrics, requests, config.name.clone());
+    let mut tasks: JoinSet<Result<(), StoreError>> = JoinSet::new();
+    tasks.spawn(writer.run(pending_requests));
+    tasks.spawn(async move {
+        serve(listeners.read, read_api).await;
         Ok(())
     });
-    parts.spawn(async move {
-        writing.serve(write).await;
+    tasks.spawn(async move {
+        serve(listeners.write, write_api).await;
         Ok(())
     });
-    match parts.join_next().await {
+    match tasks.join_next().await {
         Some(Ok(Err(e))) => Err(e.into()),
-        Some(Err(e)) => Err(ServiceError::Ended(e.to_string())),
-        Some(Ok(Ok(()))) | None => Err(ServiceError::Ended("unasked".into())),
+        Some(Err(e)) => Err(ServiceError::TaskFailed(e)),
+        Some(Ok(Ok(()))) | None => Err(ServiceError::TaskEnded),
     }
 }
--- a/registry/src/writer.rs
+++ b/registry/src/writer.rs
@@ -2,7 +2,8 @@
 //! commit, and each is acknowledged once it is durable and published.
 
 use crate::command::{Command, CommandError};
-use crate::endpoint_registry::{DirtyEntry, EndpointRegistry};
+use crate::endpoint::DirtyEntry;
+use crate::endpoint_registry::EndpointRegistry;
 use crate::metrics::Metrics;
 use crate::published_view::PublishedView;
 use frostkeel_store::{Change, Store, StoreError};
@@ -119,7 +120,8 @@
         self.registry.tick(self.started_at.elapsed());
         match (was_self_preserving, self.registry.is_self_preserving()) {
             (false, true) => tracing::warn!(
-                "self-preservation on, expired leases are retained: too many at once, or shortly after a pause; is it the network?"
+                "self-preservation on, expired leases are retained: too many at once, or shortly \
+                 after a pause; is it the network?"
             ),
             (true, false) => tracing::info!("self-preservation off"),
             _ => {}
--- a/registry/tests/endpoint_registry.rs
+++ b/registry/tests/endpoint_registry.rs
@@ -2,7 +2,8 @@
 
 use frostkeel_registry::command::{Command, CommandError};
 use frostkeel_registry::endpoint::{EndpointRecord, EndpointState, PersistedEntry};
-use frostkeel_registry::endpoint_registry::{EndpointRegistry, RegistryPolicy};
+use frostkeel_registry::endpoint_registry::EndpointRegistry;
+use frostkeel_registry::policy::RegistryPolicy;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
--- a/registry/tests/http_fixtures.rs
+++ b/registry/tests/http_fixtures.rs
@@ -1,6 +1,8 @@
 //! The bytes of the service's responses against those that revision d26284e sent. See
 //! `data/README.md`.
 
+#![expect(clippy::expect_used, reason = "a test helper fails by panicking")]
+
 mod support;
 
 use std::fs;
--- a/registry/tests/store_fixtures.rs
+++ b/registry/tests/store_fixtures.rs
@@ -1,6 +1,8 @@
 //! What the service persists, and what it recovers, against a folder that revision d26284e wrote.
 //! The folder is that of the store's own tests: see `../store/tests/data/README.md`.
 
+#![expect(clippy::expect_used, reason = "a test helper fails by panicking")]
+
 mod support;
 
 use frostkeel_store::{Owner, Store, StoredRecord};
