--- a/registry/src/config.rs
+++ b/registry/src/config.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 const LIMIT_RANGE: RangeInclusive<usize> = 1..=1_000_000;
-const EXPIRED_SHARE_RANGE: RangeInclusive<f64> = 0.0..=1.0;
+const EXPIRED_FRACTION_RANGE: RangeInclusive<f64> = 0.0..=1.0;
 const GRACE_PERIOD_RANGE_S: RangeInclusive<f64> = 0.0..=3600.0;
 
 /// The configuration of a registry service.
@@ -43,7 +43,7 @@
 pub struct Limits {
     /// List requests that are served at the same time. More are rejected with 503.
     #[serde(rename = "calls")]
-    pub max_concurrent_lists: usize,
+    pub max_concurrent_list_requests: usize,
     /// Watches that are open at the same time. More are rejected with 503.
     #[serde(rename = "watches")]
     pub max_watches: usize,
@@ -66,7 +66,7 @@
             ..
         } = RegistryPolicy::default();
         Self {
-            max_concurrent_lists: 64,
+            max_concurrent_list_requests: 64,
             max_watches: 4096,
             max_pending_writes: 1024,
             max_endpoints,
@@ -81,7 +81,7 @@
 pub struct Leases {
     /// The share of the leases that may expire together. If more do, none is enforced.
     #[serde(rename = "lapse_share")]
-    pub max_expired_share: f64,
+    pub max_expired_fraction: f64,
     /// The seconds after a start or a pause of the service in which no lease is enforced.
     #[serde(rename = "grace_s")]
     pub grace_period_s: f64,
@@ -90,12 +90,12 @@
 impl Default for Leases {
     fn default() -> Self {
         let RegistryPolicy {
-            max_expired_share,
+            max_expired_fraction,
             grace_period,
             ..
         } = RegistryPolicy::default();
         Self {
-            max_expired_share,
+            max_expired_fraction,
             grace_period_s: grace_period.as_secs_f64(),
         }
     }
@@ -117,7 +117,7 @@
     },
     /// The share of expired leases is out of range.
     #[error("leases.lapse_share is {0}: 0 to 1 are possible")]
-    ExpiredShare(f64),
+    ExpiredFraction(f64),
     /// The grace period is out of range.
     #[error("leases.grace_s is {0}: 0 to 3600 are possible")]
     GracePeriod(f64),
@@ -142,7 +142,7 @@
         RegistryPolicy {
             max_endpoints: self.limits.max_endpoints,
             max_retained_changes: self.limits.max_retained_changes,
-            max_expired_share: self.leases.max_expired_share,
+            max_expired_fraction: self.leases.max_expired_fraction,
             grace_period: Duration::from_secs_f64(self.leases.grace_period_s),
             ..RegistryPolicy::default()
         }
@@ -152,7 +152,7 @@
 impl Limits {
     fn validate(&self) -> Result<(), ConfigError> {
         for (key, value) in [
-            ("limits.calls", self.max_concurrent_lists),
+            ("limits.calls", self.max_concurrent_list_requests),
             ("limits.watches", self.max_watches),
             ("limits.writes", self.max_pending_writes),
             ("limits.entries", self.max_endpoints),
@@ -168,8 +168,8 @@
 
 impl Leases {
     fn validate(&self) -> Result<(), ConfigError> {
-        if !EXPIRED_SHARE_RANGE.contains(&self.max_expired_share) {
-            return Err(ConfigError::ExpiredShare(self.max_expired_share));
+        if !EXPIRED_FRACTION_RANGE.contains(&self.max_expired_fraction) {
+            return Err(ConfigError::ExpiredFraction(self.max_expired_fraction));
         }
         if !GRACE_PERIOD_RANGE_S.contains(&self.grace_period_s) {
             return Err(ConfigError::GracePeriod(self.grace_period_s));
--- a/registry/src/endpoint_registry.rs
+++ b/registry/src/endpoint_registry.rs
@@ -117,7 +117,7 @@
     }
 
     fn snapshot(&self) -> EndpointUpdate<&EndpointRecord> {
-        let records = self.listed_records().collect();
+        let records = self.registered_records().collect();
         EndpointUpdate {
             revision: self.revision(),
             is_snapshot: true,
@@ -125,7 +125,7 @@
         }
     }
 
-    fn listed_records(&self) -> impl Iterator<Item = &EndpointRecord> {
+    fn registered_records(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.entries
             .values()
             .map(|entry| &entry.record)
@@ -222,7 +222,7 @@
     }
 
     fn renew(&mut self, now: Duration, uid: &str, boot_ms: u64) -> Result<(), CommandError> {
-        let entry = self.listed_entry(uid)?;
+        let entry = self.registered_entry(uid)?;
         if entry.record.boot_ms != boot_ms {
             return Err(CommandError::Superseded {
                 boot_ms: entry.record.boot_ms,
@@ -235,7 +235,7 @@
     }
 
     fn drain(&mut self, uid: &str) -> Result<(), CommandError> {
-        if self.listed_entry(uid)?.record.state == EndpointState::Ready {
+        if self.registered_entry(uid)?.record.state == EndpointState::Ready {
             self.change(uid, |record| record.state = EndpointState::Terminating);
         }
         Ok(())
@@ -243,13 +243,13 @@
 
     /// An endpoint that is not on the list is as the caller wants it: that is no error.
     fn deregister(&mut self, uid: &str, boot_ms: Option<u64>) -> Result<(), CommandError> {
-        let Ok(entry) = self.listed_entry(uid) else {
+        let Ok(entry) = self.registered_entry(uid) else {
             return Ok(());
         };
-        let listed_boot_ms = entry.record.boot_ms;
-        if boot_ms.is_some_and(|boot_ms| boot_ms != listed_boot_ms) {
+        let registered_boot_ms = entry.record.boot_ms;
+        if boot_ms.is_some_and(|boot_ms| boot_ms != registered_boot_ms) {
             return Err(CommandError::Superseded {
-                boot_ms: listed_boot_ms,
+                boot_ms: registered_boot_ms,
             });
         }
         self.remove(uid);
@@ -258,7 +258,7 @@
 
     fn set_weight(&mut self, uid: &str, weight: f64) -> Result<(), CommandError> {
         validate_weight(weight)?;
-        if self.listed_entry(uid)?.record.weight != weight {
+        if self.registered_entry(uid)?.record.weight != weight {
             self.change(uid, |record| record.weight = weight);
         }
         Ok(())
@@ -310,7 +310,7 @@
         record: &EndpointRecord,
     ) -> Result<Option<String>, CommandError> {
         let mut others = self
-            .listed_records()
+            .registered_records()
             .filter(|other| other.uid != record.uid);
         match others.find(|other| other.address == record.address) {
             Some(other) if other.boot_ms >= record.boot_ms => Err(CommandError::AddressInUse {
@@ -321,12 +321,12 @@
     }
 
     fn check_capacity(&self, uid: &str) -> Result<(), CommandError> {
-        let is_listed = self
+        let is_registered = self
             .entries
             .get(uid)
             .is_some_and(|entry| !entry.record.is_removed());
-        let count = self.listed_records().count();
-        if !is_listed && count >= self.policy.max_endpoints {
+        let count = self.registered_records().count();
+        if !is_registered && count >= self.policy.max_endpoints {
             return Err(CommandError::RegistryFull { count });
         }
         Ok(())
@@ -359,7 +359,7 @@
         self.change(uid, |record| record.state = EndpointState::Removed);
     }
 
-    fn listed_entry(&mut self, uid: &str) -> Result<&mut Entry, CommandError> {
+    fn registered_entry(&mut self, uid: &str) -> Result<&mut Entry, CommandError> {
         let entry = self
             .entries
             .get_mut(uid)
--- a/registry/src/http/read_api.rs
+++ b/registry/src/http/read_api.rs
@@ -29,7 +29,7 @@
         Arc::new(Self {
             published,
             metrics,
-            list_slots: Arc::new(Semaphore::new(limits.max_concurrent_lists)),
+            list_slots: Arc::new(Semaphore::new(limits.max_concurrent_list_requests)),
             watch_slots: Arc::new(Semaphore::new(limits.max_watches)),
             connection_slots: Arc::new(Semaphore::new(limits.max_watches + MAX_CONNECTIONS)),
         })
--- a/registry/src/lease.rs
+++ b/registry/src/lease.rs
@@ -70,7 +70,7 @@
         expired_count: usize,
         lease_count: usize,
     ) -> bool {
-        let max_expired = (lease_count as f64 * policy.max_expired_share).max(1.0);
+        let max_expired = (lease_count as f64 * policy.max_expired_fraction).max(1.0);
         let in_grace_period = self.last_tick < self.grace_until;
         self.is_self_preserving =
             expired_count > 0 && (in_grace_period || expired_count as f64 > max_expired);
--- a/registry/src/policy.rs
+++ b/registry/src/policy.rs
@@ -10,7 +10,7 @@
     /// The number of changes that are retained for watches to resume from.
     pub max_retained_changes: usize,
     /// The share of the leases that may expire together. If more do, none is enforced.
-    pub max_expired_share: f64,
+    pub max_expired_fraction: f64,
     /// The time after a start or a pause of the service in which no lease is enforced.
     pub grace_period: Duration,
     /// The time between two ticks from which on the service counts as paused.
@@ -22,7 +22,7 @@
         Self {
             max_endpoints: 20_000,
             max_retained_changes: 10_000,
-            max_expired_share: 0.2,
+            max_expired_fraction: 0.2,
             grace_period: Duration::from_secs(15),
             pause_threshold: Duration::from_secs(2),
         }
--- a/registry/tests/config.rs
+++ b/registry/tests/config.rs
@@ -7,7 +7,7 @@
 #[test]
 fn an_invalid_configuration_is_rejected_with_the_key_and_the_valid_range() {
     let config = Config::parse(VALID).expect("valid");
-    assert_eq!(config.limits.max_concurrent_lists, 64);
+    assert_eq!(config.limits.max_concurrent_list_requests, 64);
     for (tables, expected) in [
         ("[limits]\ncalls = 0\n", "limits.calls is 0"),
         ("[leases]\nlapse_share = 2.0\n", "lapse_share is 2"),
--- a/registry/tests/endpoint_registry.rs
+++ b/registry/tests/endpoint_registry.rs
@@ -64,7 +64,7 @@
     seconds.for_each(|second| registry.tick(second * SECOND));
 }
 
-fn listed_uids(registry: &EndpointRegistry) -> Vec<&str> {
+fn registered_uids(registry: &EndpointRegistry) -> Vec<&str> {
     registry
         .update_since(None)
         .records
@@ -109,7 +109,7 @@
     };
     assert_eq!(registry.apply(SECOND, later, None), Ok(6));
     assert_eq!(
-        listed_uids(&registry),
+        registered_uids(&registry),
         ["u1", "u3"],
         "the later incarnation has the address"
     );
@@ -137,8 +137,12 @@
                 .expect("listed");
         }
     };
-    let status =
-        |registry: &EndpointRegistry| (listed_uids(registry).len(), registry.is_self_preserving());
+    let status = |registry: &EndpointRegistry| {
+        (
+            registered_uids(registry).len(),
+            registry.is_self_preserving(),
+        )
+    };
     tick_each_second(&mut registry, 1..=8);
     renew_all(&mut registry, 8 * SECOND, 2..=10);
     tick_each_second(&mut registry, 9..=11);
@@ -164,22 +168,25 @@
     let entries = vec![persisted(1), persisted(2)];
     let mut registry = EndpointRegistry::restore(policy, Duration::ZERO, 7, entries);
     tick_each_second(&mut registry, 1..=14);
-    let status = (listed_uids(&registry).len(), registry.is_self_preserving());
+    let status = (
+        registered_uids(&registry).len(),
+        registry.is_self_preserving(),
+    );
     assert_eq!(status, (2, true), "in the grace period after a start");
     registry
         .apply(14 * SECOND, renew("u1", 1), None)
         .expect("listed");
     tick_each_second(&mut registry, 15..=16);
-    assert_eq!(listed_uids(&registry), ["u1"]);
+    assert_eq!(registered_uids(&registry), ["u1"]);
     registry.tick(100 * SECOND);
     assert_eq!(
-        listed_uids(&registry),
+        registered_uids(&registry),
         ["u1"],
         "paused for longer than the lease"
     );
     tick_each_second(&mut registry, 101..=130);
     assert_eq!(
-        listed_uids(&registry).len(),
+        registered_uids(&registry).len(),
         0,
         "not renewed after it: a single one is removed"
     );
--- a/registry/tests/http_fixtures.rs
+++ b/registry/tests/http_fixtures.rs
@@ -1,4 +1,4 @@
-//! The bytes of the service's responses against those that revision d26284e sent. See
+//! Compares the bytes of the service's responses with those that revision d26284e sent. See
 //! `data/README.md`.
 
 #![expect(clippy::expect_used, reason = "a test helper fails by panicking")]
@@ -8,25 +8,13 @@
 use std::fs;
 use std::path::Path;
 use std::time::{Duration, Instant};
-use support::{TestService, Watch, connect, data, exchange, mask_dates, new_folder};
+use support::{
+    TestService, Watch, assert_recorded, connect, data, exchange, expect_ok, mask_dates, new_folder,
+};
 
-/// Every key that a configuration can have; leases do not end while the test runs.
+/// Every key that a configuration can have; no lease expires while a test runs.
 const TABLES: &str = "[limits]\ncalls = 8\nwatches = 2\nwrites = 8\nentries = 4\nchanges = 1000\n[leases]\nlapse_share = 0.5\ngrace_s = 3600.0\n";
 
-fn assert_same(name: &str, actual: &[u8], expected: &[u8]) {
-    let (shown_actual, shown_expected) = (actual.escape_ascii(), expected.escape_ascii());
-    assert!(
-        actual == expected,
-        "{name}\n  actual:   {shown_actual}\n  expected: {shown_expected}"
-    );
-}
-
-/// Compares with the committed file.
-fn assert_recorded(file: &str, actual: &[u8]) {
-    let expected = fs::read(data(file)).unwrap_or_else(|e| panic!("{file}: {e}"));
-    assert_same(file, actual, &expected);
-}
-
 fn step_names(folder: &Path) -> Vec<String> {
     let files = fs::read_dir(folder).expect("the recorded requests");
     let names = files.map(|file| {
@@ -42,7 +30,7 @@
     steps
 }
 
-/// One service gets all recorded requests in their order, each on a connection of its own.
+/// Sends all recorded requests to one service in their order, each on its own connection.
 #[test]
 fn each_recorded_request_gets_the_recorded_response() {
     let service = TestService::start(&new_folder("http-responses"), TABLES);
@@ -57,29 +45,21 @@
             service.write
         };
         let response = mask_dates(&exchange(address, &request));
-        assert_recorded(&format!("responses/{step}.response"), &response);
+        assert_recorded(&data(&format!("responses/{step}.response")), &response);
     }
 }
 
 const U1: &str = r#"{"endpoint":"10.0.0.1:80","boot_ms":100,"ttl_s":60,"az":"a","model":"m"}"#;
 const U2: &str = r#"{"endpoint":"10.0.0.2:80","boot_ms":200,"ttl_s":60,"az":"b","model":"m"}"#;
 
-fn expect_ok(response: &[u8]) {
-    assert!(
-        response.starts_with(b"HTTP/1.1 200 OK\r\n"),
-        "{}",
-        response.escape_ascii()
-    );
-}
-
-/// Registers two endpoints, changes them and removes them, each after `seen` has run.
-fn change_endpoints(service: &TestService, mut seen: impl FnMut()) {
+/// Registers, changes and removes endpoints, and calls `on_change` after each request.
+fn change_endpoints(service: &TestService, mut on_change: impl FnMut()) {
     for (head, body) in [
         ("PUT /upstreams/u1", U1),
         ("PUT /upstreams/u2", U2),
         ("POST /upstreams/u1/drain", ""),
         ("PUT /upstreams/u2/weight", r#"{"capacity_hint":0.25}"#),
-        // Takes the endpoint of u2: two changes in one line.
+        // Has the address of u2 and replaces it: two changes in one line.
         (
             "PUT /upstreams/u0",
             r#"{"endpoint":"10.0.0.2:80","boot_ms":300,"ttl_s":60}"#,
@@ -88,7 +68,7 @@
         ("PUT /upstreams/u1", U1),
     ] {
         expect_ok(&service.write(head, body));
-        seen();
+        on_change();
     }
 }
 
@@ -103,7 +83,7 @@
         watch.read_updates(updates);
     });
     watch.read_empty_line();
-    assert_recorded("watch/from-empty.response", &watch.masked());
+    assert_recorded(&data("watch/from-empty.response"), &watch.masked());
     drop(watch);
 
     for (name, query, updates) in [
@@ -117,7 +97,7 @@
         let mut watch = Watch::open(&service, query);
         watch.read_updates(updates);
         watch.read_empty_line();
-        assert_recorded(&format!("watch/{name}.response"), &watch.masked());
+        assert_recorded(&data(&format!("watch/{name}.response")), &watch.masked());
     }
 }
 
@@ -128,11 +108,11 @@
     watches.iter_mut().for_each(|watch| watch.read_updates(1));
     let request = "GET /registry/instances?stream=1&index=0";
     let response = exchange(service.read, &support::request(request, ""));
-    assert_recorded("watch/beyond-limit.response", &mask_dates(&response));
+    assert_recorded(&data("watch/beyond-limit.response"), &mask_dates(&response));
 }
 
 #[test]
-fn a_watch_from_a_revision_that_is_not_retained_gets_the_whole_list() {
+fn a_watch_from_a_compacted_revision_gets_a_snapshot() {
     let tables = TABLES.replace("changes = 1000", "changes = 2");
     let folder = new_folder("http-watch-compacted");
     let service = TestService::start(&folder, &tables);
@@ -140,39 +120,39 @@
     for (name, index) in [("compacted-revision", 5), ("retained-revision", 6)] {
         let mut watch = Watch::open(&service, &format!("stream=1&index={index}"));
         watch.read_updates(1);
-        assert_recorded(&format!("watch/{name}.response"), &watch.masked());
+        assert_recorded(&data(&format!("watch/{name}.response")), &watch.masked());
     }
     drop(service);
     let service = TestService::start(&folder, &tables);
     let mut watch = Watch::open(&service, "stream=1&index=7");
     watch.read_updates(1);
-    assert_recorded("watch/from-before-restart.response", &watch.masked());
+    assert_recorded(&data("watch/from-before-restart.response"), &watch.masked());
 }
 
 #[test]
-fn a_lease_that_ends_is_told_as_recorded() {
+fn an_expired_lease_is_published_as_recorded() {
     let tables = TABLES.replace("grace_s = 3600.0", "grace_s = 0");
     let service = TestService::start(&new_folder("http-lease"), &tables);
     let mut watch = Watch::open(&service, "stream=1&index=0");
     watch.read_updates(1);
     expect_ok(&service.write("PUT /upstreams/u1", &U1.replace("60", "1")));
     watch.read_updates(3);
-    assert_recorded("watch/lease-ended.response", &watch.masked());
+    assert_recorded(&data("watch/lease-ended.response"), &watch.masked());
 }
 
 #[test]
-fn the_status_says_as_recorded_that_ended_leases_are_retained() {
+fn the_status_reports_self_preservation_as_recorded() {
     let service = TestService::start(&new_folder("http-retained"), TABLES);
     expect_ok(&service.write("PUT /upstreams/u1", &U1.replace("60", "1")));
     let start = Instant::now();
     loop {
-        // Another lease is written, and the figures with it; the revision stays.
+        // A new lease duration is a commit, which updates the gauges, and no new revision.
         for ttl_s in ["60", "61"] {
             expect_ok(&service.write("PUT /upstreams/u2", &U2.replace("60", ttl_s)));
         }
         let status = service.write("GET /status", "");
         if status.windows(12).any(|window| window == b"\"holds\":true") {
-            assert_recorded("retained-status.response", &mask_dates(&status));
+            assert_recorded(&data("retained-status.response"), &mask_dates(&status));
             break;
         }
         assert!(
@@ -185,7 +165,7 @@
 }
 
 #[test]
-fn a_body_that_does_not_come_gets_the_recorded_response() {
+fn a_request_without_its_body_times_out_as_recorded() {
     use std::io::{Read, Write};
     let service = TestService::start(&new_folder("http-body-timeout"), TABLES);
     let mut stream = connect(service.write);
@@ -196,5 +176,5 @@
     stream
         .read_to_end(&mut response)
         .expect("closed by the service");
-    assert_recorded("body-timeout.response", &mask_dates(&response));
+    assert_recorded(&data("body-timeout.response"), &mask_dates(&response));
 }
--- a/registry/tests/store_fixtures.rs
+++ b/registry/tests/store_fixtures.rs
@@ -1,5 +1,5 @@
-//! What the service persists, and what it recovers, against a folder that revision d26284e wrote.
-//! The folder is that of the store's own tests: see `../store/tests/data/README.md`.
+//! Compares what the service persists and recovers with folders that revision d26284e wrote. The
+//! folders are those of the store's tests: see `../store/tests/data/README.md`.
 
 #![expect(clippy::expect_used, reason = "a test helper fails by panicking")]
 
@@ -9,7 +9,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use support::{TestService, Watch, data, mask_dates, new_folder};
+use support::{TestService, Watch, assert_recorded, data, expect_ok, mask_dates, new_folder};
 
 const TABLES: &str = "[leases]\ngrace_s = 3600\n";
 
@@ -19,26 +19,8 @@
         .join(name)
 }
 
-fn assert_recorded(path: &Path, actual: &[u8]) {
-    let expected = fs::read(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-    let (shown_actual, shown_expected) = (actual.escape_ascii(), expected.escape_ascii());
-    assert!(
-        actual == expected,
-        "{}\n  actual:   {shown_actual}\n  expected: {shown_expected}",
-        path.display()
-    );
-}
-
-fn expect_ok(response: &[u8]) {
-    assert!(
-        response.starts_with(b"HTTP/1.1 200 OK\r\n"),
-        "{}",
-        response.escape_ascii()
-    );
-}
-
-/// Leases of several lengths, endpoints that drain, that were given a weight, removed, registered
-/// anew and taken over.
+/// Registers endpoints with several lease durations, and drains, weights, removes and replaces
+/// some.
 fn write_endpoints(service: &TestService) {
     for n in 1..=12 {
         let ttl_s = ["10", "1.5", "3600", "90.125"][n % 4];
@@ -80,7 +62,7 @@
     fs::copy(from.join("list.redb"), to.join("list.redb")).expect("copied");
 }
 
-/// The version and each entry, as text.
+/// The revision and each entry of a folder, as text.
 fn persisted(folder: &Path) -> Vec<u8> {
     let owner = Owner {
         fleet: "fixtures".into(),
@@ -105,7 +87,7 @@
     assert_recorded(&store_data("records.txt"), &persisted(&folder));
 }
 
-/// From a folder that was closed, and from one whose process was killed.
+/// One folder was copied after the service had stopped, one while it was running.
 #[test]
 fn the_service_recovers_the_recorded_folders() {
     for written in ["closed", "killed"] {
@@ -144,22 +126,22 @@
     }
 }
 
-/// A recovered lease begins anew with its own length.
+/// A recovered lease begins anew with its own duration.
 #[test]
-fn a_recovered_lease_ends_after_its_length() {
+fn a_recovered_lease_expires_after_its_duration() {
     let folder = new_folder("store-lease");
     copy_folder(&store_data("closed"), &folder);
     let started = Instant::now();
     let service = TestService::start(&folder, "[leases]\ngrace_s = 0\nlapse_share = 1.0\n");
     let mut watch = Watch::open(&service, "stream=1&index=0");
     watch.read_updates(2);
-    let told = String::from_utf8(watch.masked()).expect("text");
-    let removed: Vec<&str> = told
+    let lines = String::from_utf8(watch.masked()).expect("text");
+    let removed: Vec<&str> = lines
         .split(r#"{"uid":""#)
         .filter(|entry| entry.contains(r#""state":"Gone""#))
         .filter_map(|entry| entry.split('"').next())
         .collect();
-    assert_eq!(removed, ["u01", "u05"], "{told}");
+    assert_eq!(removed, ["u01", "u05"], "{lines}");
     assert!(
         started.elapsed() >= Duration::from_millis(1500),
         "{:?}",
--- a/registry/tests/support/mod.rs
+++ b/registry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the list service inside the test process and talks to it over loopback as raw bytes.
+//! Runs the registry service in the test process and exchanges raw bytes with it over loopback.
 
 #![allow(dead_code, reason = "each test file uses its own part of it")]
 
@@ -15,12 +15,12 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
 
-/// How long a test waits for bytes before it fails.
+/// The time that a test waits for bytes before it fails.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// What a chunk of a watch is that says that nothing has changed.
+/// The chunk of an empty line, which a watch sends while nothing changes.
 const EMPTY_CHUNK: &[u8] = b"1\r\n\n\r\n";
 
-/// The addresses that a service says it is bound to.
+/// The bound addresses, as the service logs them.
 #[derive(Clone, Copy, Debug, Default)]
 struct Addresses {
     read: Option<SocketAddr>,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads the bound addresses from the service's first event, as ports are chosen by the system.
+/// Reads the bound addresses from the log, as the operating system chooses the ports.
 struct AddressSubscriber(mpsc::Sender<Addresses>);
 
 impl Subscriber for AddressSubscriber {
@@ -58,7 +58,7 @@
         let mut addresses = Addresses::default();
         event.record(&mut addresses);
         if addresses.read.is_some() && addresses.write.is_some() {
-            // Only the first one is waited for.
+            // The receiver is dropped after the first event.
             let _ = self.0.send(addresses);
         }
     }
@@ -68,7 +68,7 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// A running service; it ends, and its folder is free, when this is dropped.
+/// A running service. Dropping it stops the service and releases its folder.
 pub struct TestService {
     pub read: SocketAddr,
     pub write: SocketAddr,
@@ -77,7 +77,7 @@
 }
 
 impl TestService {
-    /// Starts a service on a folder; `tables` is the rest of its configuration.
+    /// Starts a service on a folder; `tables` are the other tables of its configuration.
     pub fn start(folder: &Path, tables: &str) -> Self {
         let text = format!(
             "fleet = \"fixtures\"\nname = \"r0\"\nread = \"127.0.0.1:0\"\nwrite = \"127.0.0.1:0\"\nfolder = {folder:?}\n{tables}"
@@ -115,12 +115,12 @@
         }
     }
 
-    /// Sends a whole request to the writing side; its response.
+    /// Sends a request to the write interface, and returns the response.
     pub fn write(&self, head: &str, body: &str) -> Vec<u8> {
         exchange(self.write, &request(head, body))
     }
 
-    /// Sends a whole request to the reading side; its response.
+    /// Sends a request to the read interface, and returns the response.
     pub fn read(&self, head: &str) -> Vec<u8> {
         exchange(self.read, &request(head, ""))
     }
@@ -167,7 +167,7 @@
     response
 }
 
-/// Masks what differs from run to run: the value of each `date` header. Nothing else is changed.
+/// Masks the value of each `date` header, which differs from run to run, and changes nothing else.
 pub fn mask_dates(response: &[u8]) -> Vec<u8> {
     const NAME: &[u8] = b"\r\ndate: ";
     let mut masked = Vec::new();
@@ -189,7 +189,7 @@
         .position(|window| window == pattern)
 }
 
-/// A watch, and what has been read of it.
+/// A watch, and the bytes that were read from it.
 pub struct Watch {
     stream: TcpStream,
     bytes: Vec<u8>,
@@ -219,35 +219,35 @@
         }
     }
 
-    /// Waits for the head and so many lines that carry endpoints.
+    /// Reads until the head and `count` lines with endpoints have been received.
     pub fn read_updates(&mut self, count: usize) {
         self.read_until(|bytes| {
             let updates = bytes
                 .windows(4)
                 .filter(|window| window == b"]}\n\r")
                 .count();
-            // The chunk's own end follows its line.
+            // The end of the chunk follows the line.
             updates >= count && bytes.ends_with(b"\n\r\n")
         });
     }
 
-    /// Waits for the line that says that nothing has changed.
+    /// Reads until another empty line has been received.
     pub fn read_empty_line(&mut self) {
         let before = count(&self.bytes, EMPTY_CHUNK);
         self.read_until(|bytes| count(bytes, EMPTY_CHUNK) > before);
     }
 
-    /// What was read, with dates masked and without the chunks that say that nothing has changed:
-    /// how many there are depends on how quickly the test runs.
+    /// The bytes that were read, with dates masked and without empty lines, whose number depends
+    /// on the speed of the test.
     pub fn masked(&self) -> Vec<u8> {
         let mut rest = self.bytes.as_slice();
-        let mut kept = Vec::new();
+        let mut masked = Vec::new();
         while let Some(at) = find(rest, EMPTY_CHUNK) {
-            kept.extend_from_slice(&rest[..at]);
+            masked.extend_from_slice(&rest[..at]);
             rest = &rest[at + EMPTY_CHUNK.len()..];
         }
-        kept.extend_from_slice(rest);
-        mask_dates(&kept)
+        masked.extend_from_slice(rest);
+        mask_dates(&masked)
     }
 }
 
@@ -258,7 +258,7 @@
         .count()
 }
 
-/// An empty folder of a test's own.
+/// Creates an empty folder for a test.
 pub fn new_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -266,9 +266,26 @@
     folder
 }
 
-/// The committed data.
+/// The path of a file of the recorded data.
 pub fn data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/data")
         .join(name)
 }
+
+/// Compares bytes with those of a recorded file.
+pub fn assert_recorded(file: &Path, actual: &[u8]) {
+    let expected = std::fs::read(file).unwrap_or_else(|e| panic!("{}: {e}", file.display()));
+    let (shown_actual, shown_expected) = (actual.escape_ascii(), expected.escape_ascii());
+    assert!(
+        actual == expected,
+        "{}\n  actual:   {shown_actual}\n  expected: {shown_expected}",
+        file.display()
+    );
+}
+
+/// Fails if a response has another status than 200.
+pub fn expect_ok(response: &[u8]) {
+    let is_ok = response.starts_with(b"HTTP/1.1 200 OK\r\n");
+    assert!(is_ok, "{}", response.escape_ascii());
+}
--- a/store/tests/fixtures.rs
+++ b/store/tests/fixtures.rs
@@ -15,7 +15,7 @@
         .join(name)
 }
 
-/// A copy of a recorded folder: opening one writes to it.
+/// Copies a recorded folder, as opening it writes to it.
 fn copy(recorded: &str, test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{recorded}"));
     let _ = fs::remove_dir_all(&folder);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_recorded_folder_has_the_recorded_entries() {
+fn a_recorded_folder_contains_the_recorded_entries() {
     let recorded = recorded();
     assert_eq!(recorded.records.len(), 10, "recorded entries");
     for folder in FOLDERS {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_recorded_folder_takes_further_commits() {
+fn a_recorded_folder_accepts_more_commits() {
     for folder in FOLDERS {
         let copied = copy(folder, "commit");
         let (mut store, mut expected) = Store::open(&copied, &owner()).expect("opened");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_recorded_folder_belongs_to_its_owner() {
+fn a_recorded_folder_rejects_another_owner() {
     for folder in FOLDERS {
         for (fleet, process) in [("fixtures", "r1"), ("other", "r0")] {
             let other = Owner {
@@ -121,9 +121,9 @@
     }
 }
 
-/// The messages are what an operator sees of a folder that cannot be used.
+/// Operators see these messages, so they must not change.
 #[test]
-fn a_folder_that_cannot_be_used_is_rejected_with_the_recorded_message() {
+fn an_unusable_folder_is_rejected_with_the_recorded_message() {
     let message = |folder: &Path, owner: &Owner| {
         let error = Store::open(folder, owner)
             .expect_err("rejected")
