--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,9 +1,9 @@
 //! Who is admitted: the token buckets, C and W, and what is kept of saved sends in a shortage.
 
+use super::load::UTILIZATION_VALID_S;
 use super::upstreams::Upstream;
 use super::{
-    BUCKET, BUCKET_LEAST, BUSY_KEPT, Balancer, RATE_KEPT, RATE_OVER, RETRY_SAVED, RETRY_SHARE,
-    TICK_S, bound,
+    BUCKET, BUCKET_LEAST, Balancer, RATE_KEPT, RATE_OVER, RETRY_SAVED, RETRY_SHARE, TICK_S, bound,
 };
 use crate::interface::{Action, FailureReason, RequestId};
 use crate::random::Random;
@@ -141,16 +141,16 @@
         let at = self.at;
         self.classes.fade(tau, at);
         // What each upstream said last counts alike, however few of them answer this balancer in a second.
-        let told = |u: &&Upstream| u.busy_at > 0.0 && at - u.busy_at < BUSY_KEPT;
+        let told = |u: &&Upstream| u.load.has_utilization(at);
         let telling = self.in_turn().filter(told);
         let (busy, size) = telling.fold((0.0, 0.0), |(b, size), u| {
-            (b + u.size * u.busy, size + u.size)
+            (b + u.size * u.load.utilization(), size + u.size)
         });
         let bound = bound(&self.set);
         if size > 0.0 {
             // The first reports are of a fleet that nobody had sent to yet: C is not set by them alone.
             self.told_for += tau;
-            let newest = if self.told_for < BUSY_KEPT {
+            let newest = if self.told_for < UTILIZATION_VALID_S {
                 (tau / RATE_OVER).min(1.0)
             } else {
                 1.0
@@ -194,12 +194,12 @@
             // One place in all at least: where nothing is stated a start from nothing takes long. One whose
             // requests are overdue has no room, in part or all, but what it holds is held: else, when all
             // are stuck, W and what is missing are nil together and no guarantee is cut.
-            let held = f64::from(u.in_flight) + u.ghosts;
-            let free = 1.0 - (f64::from(u.overdue) + u.ghosts) / held.max(1.0);
+            let held = u.load.own();
+            let free = u.load.responsive_share();
             // Nor is it less than an equal part of what the cores that are told to be idle can hold, however
             // little this balancer has admitted, and so heard of, lately.
             let idle = if told(&u) && u.started.is_none() {
-                bound * self.full * u.size - u.told
+                bound * self.load_reports.in_flight_at_full() * u.size - u.load.reported_in_flight()
             } else {
                 0.0
             };
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -15,14 +15,14 @@
             return;
         };
         let u = &mut self.upstreams[turn];
-        let mut idle = u.connections.idle_s(self.at, u.in_flight);
+        let mut idle = u.connections.idle_s(self.at, u.load.in_flight());
         if self.idle_connections.is_suspect(idle, self.at) {
             self.out
                 .push(Action::CloseIdleConnections { upstream: u.id });
             idle = 0.0;
         }
         u.connections.record(self.at);
-        u.in_flight += 1;
+        u.load.record_sent();
         u.budget = (u.budget - 1.0).max(0.0);
         self.saved -= 1.0;
         let class = &self.set.classes[r.class];
@@ -145,7 +145,7 @@
             return;
         };
         let silent = self.upstreams[j].heard < a.sent;
-        self.upstreams[j].overdue += 1;
+        self.upstreams[j].load.record_overdue();
         if silent {
             self.suspect(j, DOUBT);
         }
--- a/src/policy/doubt.rs
+++ b/src/policy/doubt.rs
@@ -3,13 +3,9 @@
 use super::class_statistics::LatencySample;
 use super::{
     Balancer, DOUBT, DOUBT_BREAK, DOUBT_LEFT, DOUBT_MOST, DOUBTED, EJECT, EJECT_MOST, EJECTED_MOST,
-    OVERDUE_HELD,
 };
-use crate::interface::{LoadField, Outcome, UpstreamId};
+use crate::interface::{Outcome, UpstreamId};
 
-/// Shares of the cores in use between which a report tells what is held with all in use, and its weight.
-const FULL_FROM: (f64, f64) = (0.2, 0.8);
-const FULL_NEWEST: f64 = 0.02;
 /// Faults in a row after which an upstream is ejected for the class that met them.
 const FAULTS: u32 = 2;
 /// Seconds for which an error tells of the others': where all have some, the fault is on the way. Then one
@@ -56,8 +52,7 @@
         };
         let u = &mut self.upstreams[j];
         u.connections.record(self.at);
-        u.in_flight = u.in_flight.saturating_sub(1);
-        u.overdue = u.overdue.saturating_sub(u32::from(overdue));
+        u.load.record_ended(overdue);
         if let Some(ratio) = ratio {
             let ratio = ratio.min(5.0);
             u.seen += 1.0;
@@ -79,7 +74,7 @@
             }
             // It looks the emptiest to the skip rule, whatever makes it turn requests of a class away.
             Outcome::Rejected => {
-                (u.held, u.held_at) = (u.held.max(2.0 * OVERDUE_HELD), self.at);
+                u.load.record_rejected(self.at);
                 h.faults += 1;
             }
             Outcome::Error => (h.faults, u.erred_at) = (h.faults + 1, self.at),
@@ -99,7 +94,9 @@
             }
         }
         // Where the fault is the upstream's own, it says nothing of the room elsewhere.
-        u.ghosts += f64::from(u8::from(slow && !h.ejected));
+        if slow && !h.ejected {
+            u.load.record_abandoned();
+        }
         let fault = match outcome {
             Outcome::Error => DOUBT * (1.0 - common).max(COMMON_LEAST),
             Outcome::Rejected => DOUBT,
@@ -146,37 +143,4 @@
         self.choose_at = self.at;
         true
     }
-
-    pub(super) fn report(&mut self, id: UpstreamId, report: &[f32]) {
-        let Some(u) = self.upstreams.slot(id).map(|j| &mut self.upstreams[j]) else {
-            return;
-        };
-        // Reports are old: less own requests of now they say nothing of the others, who hold their part.
-        let others = 1.0 - 1.0 / f64::from(self.set.balancers.max(1));
-        let mut most = None;
-        for (field, value) in self
-            .set
-            .report_fields
-            .iter()
-            .zip(report)
-            .filter(|(_, v)| v.is_finite())
-        {
-            let value = f64::from(*value).clamp(0.0, 1e4);
-            match field {
-                LoadField::InFlight | LoadField::Queue => {
-                    most = Some(value.max(most.unwrap_or(0.0)))
-                }
-                LoadField::Utilization => (u.busy, u.busy_at) = (value.min(1.0), self.at),
-                _ => {}
-            }
-        }
-        if let Some(most) = most {
-            u.told = most;
-            let full = most / (u.busy * u.size).max(1e-9);
-            if (FULL_FROM.0..FULL_FROM.1).contains(&u.busy) && u.busy_at >= self.at && full > 0.0 {
-                self.full += if self.full > 0.0 { FULL_NEWEST } else { 1.0 } * (full - self.full);
-            }
-            (u.held, u.held_at) = (most * others, self.at);
-        }
-    }
 }
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -67,8 +67,9 @@
                 EndpointWeights::Size => u.size = weight,
                 EndpointWeights::Live => {
                     u.size = u.size.max(weight);
-                    let others = 1.0 - 1.0 / f64::from(self.set.balancers.max(1));
-                    (u.held, u.held_at) = ((u.size / weight - 1.0) * others, self.at);
+                    let in_flight = u.size / weight - 1.0;
+                    self.load_reports
+                        .record_live_weight(&mut u.load, in_flight, self.at);
                 }
             }
             let fresh = |s: &f64| {
@@ -83,7 +84,7 @@
                 (u.fresh, changed) = (true, true);
             }
         }
-        let gone = |u: &Upstream| !u.ready && !u.draining && u.in_flight == 0;
+        let gone = |u: &Upstream| !u.ready && !u.draining && u.load.in_flight() == 0;
         if grown || self.upstreams.iter().filter(|u| gone(u)).count() > self.upstreams.len() / 4 {
             // The gone leave: else churn of the fleet would grow state as long as a balancer lives.
             self.upstreams.retain(|u| !gone(u));
--- /dev/null
+++ b/src/policy/load.rs
@@ -0,0 +1,225 @@
+//! What each upstream has in flight: this balancer's own attempts, and those of others as load reports and
+//! live weights tell.
+
+use super::upstreams::Upstreams;
+use crate::interface::{LoadField, Settings};
+
+/// What an overdue attempt counts for, in attempts in flight: its upstream is stuck or unresponsive.
+const OVERDUE_IN_FLIGHT: f64 = 4.0;
+/// Attempts of others that an upstream which rejects one is taken to have: it looks the emptiest.
+const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_IN_FLIGHT;
+/// Seconds over which a report of what is in flight fades, and for which it counts in the mean.
+const REPORT_FADE_S: f64 = 1.0;
+const REPORT_VALID_S: f64 = 3.0;
+/// Seconds for which a report of utilization stands without another of the same upstream.
+pub(super) const UTILIZATION_VALID_S: f64 = 3.0;
+/// Utilization between which a report tells what is in flight at full utilization, and its weight.
+const MIN_TELLING_UTILIZATION: f64 = 0.2;
+const MAX_TELLING_UTILIZATION: f64 = 0.8;
+const FULL_NEWEST_WEIGHT: f64 = 0.02;
+/// The largest value of a report that is believed.
+const MAX_REPORTED: f64 = 1e4;
+
+/// What one upstream has in flight.
+#[derive(Default)]
+pub(super) struct UpstreamLoad {
+    /// q_j: this balancer's own.
+    in_flight: u32,
+    /// Of these, out for longer than usual.
+    overdue: u32,
+    /// Given up, and perhaps still at work there; fading over the shortest objective.
+    abandoned_attempts: f64,
+    /// Those of other balancers, by the latest report.
+    others_in_flight: f64,
+    others_reported_at_s: f64,
+    /// All of them, by the same.
+    reported_in_flight: f64,
+    /// Share of its cores in use, by the latest report.
+    utilization: f64,
+    utilization_reported_at_s: f64,
+}
+
+impl UpstreamLoad {
+    pub(super) fn in_flight(&self) -> u32 {
+        self.in_flight
+    }
+
+    /// This balancer's attempts, with those given up that may still run.
+    pub(super) fn own(&self) -> f64 {
+        f64::from(self.in_flight) + self.abandoned_attempts
+    }
+
+    /// Share of its own attempts that are neither overdue nor given up.
+    pub(super) fn responsive_share(&self) -> f64 {
+        1.0 - (f64::from(self.overdue) + self.abandoned_attempts) / self.own().max(1.0)
+    }
+
+    pub(super) fn reported_in_flight(&self) -> f64 {
+        self.reported_in_flight
+    }
+
+    pub(super) fn utilization(&self) -> f64 {
+        self.utilization
+    }
+
+    /// Whether its utilization was reported of late.
+    pub(super) fn has_utilization(&self, now_s: f64) -> bool {
+        self.utilization_reported_at_s > 0.0 && self.utilization_is_recent(now_s)
+    }
+
+    pub(super) fn utilization_is_recent(&self, now_s: f64) -> bool {
+        now_s - self.utilization_reported_at_s < UTILIZATION_VALID_S
+    }
+
+    pub(super) fn record_sent(&mut self) {
+        self.in_flight += 1;
+    }
+
+    pub(super) fn record_overdue(&mut self) {
+        self.overdue += 1;
+    }
+
+    pub(super) fn record_ended(&mut self, was_overdue: bool) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.overdue = self.overdue.saturating_sub(u32::from(was_overdue));
+    }
+
+    pub(super) fn record_abandoned(&mut self) {
+        self.abandoned_attempts += 1.0;
+    }
+
+    /// It rejected an attempt: whatever the reason, it would look the emptiest.
+    pub(super) fn record_rejected(&mut self, now_s: f64) {
+        self.others_in_flight = self.others_in_flight.max(REJECTING_IN_FLIGHT);
+        self.others_reported_at_s = now_s;
+    }
+
+    /// What others have in flight there, by a report or a live weight.
+    pub(super) fn record_others(&mut self, in_flight: f64, now_s: f64) {
+        (self.others_in_flight, self.others_reported_at_s) = (in_flight, now_s);
+    }
+
+    /// Lets attempts given up fade: `kept` of them are left.
+    pub(super) fn fade_abandoned(&mut self, kept: f64) {
+        self.abandoned_attempts *= kept;
+    }
+
+    fn others_are_recent(&self, now_s: f64) -> bool {
+        self.others_reported_at_s > 0.0 && now_s - self.others_reported_at_s < REPORT_VALID_S
+    }
+}
+
+/// What load reports tell of all upstreams together.
+#[derive(Default)]
+pub(super) struct LoadReportTracker {
+    fields: Vec<LoadField>,
+    /// Share of a report's attempts that are not this balancer's own: reports are old, so that its own
+    /// attempts of now, subtracted, would say nothing of the others.
+    others_share: f64,
+    /// What upstreams in the rotation have in flight of others for their capacity.
+    mean_others_in_flight: f64,
+    /// What one of unit size has in flight with all its cores in use, and nothing waiting.
+    in_flight_at_full: f64,
+}
+
+impl LoadReportTracker {
+    pub(super) fn new(settings: &Settings) -> Self {
+        Self {
+            fields: settings.report_fields.clone(),
+            others_share: 1.0 - 1.0 / f64::from(settings.balancers.max(1)),
+            mean_others_in_flight: 0.0,
+            in_flight_at_full: 0.0,
+        }
+    }
+
+    /// In flight at full utilization for each unit of size; zero while unknown.
+    pub(super) fn in_flight_at_full(&self) -> f64 {
+        self.in_flight_at_full
+    }
+
+    /// Takes in a load report of an upstream of this size.
+    pub(super) fn record(
+        &mut self,
+        load: &mut UpstreamLoad,
+        size: f64,
+        report: &[f32],
+        now_s: f64,
+    ) {
+        let mut most_in_flight: Option<f64> = None;
+        let fields = self
+            .fields
+            .iter()
+            .zip(report)
+            .filter(|(_, value)| value.is_finite());
+        for (field, value) in fields {
+            let value = f64::from(*value).clamp(0.0, MAX_REPORTED);
+            match field {
+                LoadField::InFlight | LoadField::Queue => {
+                    most_in_flight = Some(value.max(most_in_flight.unwrap_or(0.0)));
+                }
+                LoadField::Utilization => {
+                    load.utilization = value.min(1.0);
+                    load.utilization_reported_at_s = now_s;
+                }
+                _ => {}
+            }
+        }
+        let Some(in_flight) = most_in_flight else {
+            return;
+        };
+        load.reported_in_flight = in_flight;
+        if load.utilization_reported_at_s >= now_s {
+            self.learn_in_flight_at_full(in_flight, load.utilization, size);
+        }
+        load.record_others(in_flight * self.others_share, now_s);
+    }
+
+    /// Takes in what a live weight tells: the requests that each core has in flight.
+    pub(super) fn record_live_weight(&self, load: &mut UpstreamLoad, in_flight: f64, now_s: f64) {
+        load.record_others(in_flight * self.others_share, now_s);
+    }
+
+    fn learn_in_flight_at_full(&mut self, in_flight: f64, utilization: f64, size: f64) {
+        let at_full = in_flight / (utilization * size).max(1e-9);
+        let telling = MIN_TELLING_UTILIZATION..MAX_TELLING_UTILIZATION;
+        if telling.contains(&utilization) && at_full > 0.0 {
+            let newest_weight = if self.in_flight_at_full > 0.0 {
+                FULL_NEWEST_WEIGHT
+            } else {
+                1.0
+            };
+            self.in_flight_at_full += newest_weight * (at_full - self.in_flight_at_full);
+        }
+    }
+
+    /// Means what others have in flight over the upstreams of the rotation.
+    pub(super) fn update_mean(&mut self, upstreams: &Upstreams, rotation: &[usize], now_s: f64) {
+        let (mut sum, mut count) = (0.0, 0.0);
+        for upstream in rotation.iter().map(|slot| &upstreams[*slot]) {
+            if upstream.load.others_are_recent(now_s) {
+                sum += upstream.load.others_in_flight / upstream.capacity;
+                count += 1.0;
+            }
+        }
+        self.mean_others_in_flight = sum / f64::max(count, 1.0);
+    }
+
+    /// What an upstream of this capacity has in flight for it: own attempts, and reported ones. With its age
+    /// a report fades to what the others have: taken for empty, an upstream without reports would draw the
+    /// turns of all balancers.
+    pub(super) fn in_flight_per_capacity(
+        &self,
+        load: &UpstreamLoad,
+        capacity: f64,
+        tick_s: f64,
+    ) -> f64 {
+        let age_s = (tick_s - load.others_reported_at_s).max(0.0);
+        let mean = self.mean_others_in_flight;
+        let others =
+            mean + (load.others_in_flight / capacity - mean) * (-age_s / REPORT_FADE_S).exp();
+        let own = f64::from(load.in_flight)
+            + OVERDUE_IN_FLIGHT * f64::from(load.overdue)
+            + load.abandoned_attempts;
+        own / capacity + others
+    }
+}
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -14,12 +14,13 @@
 mod endpoint_polling;
 mod idle_connections;
 mod list;
+mod load;
 mod turns;
 mod upstreams;
 
 use crate::interface::{
     Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, SendPause, Settings,
-    SettingsError, StatusSnapshot, TimerId, WatchEvent,
+    SettingsError, StatusSnapshot, TimerId, UpstreamId, WatchEvent,
 };
 use crate::random::Random;
 use crate::state::{Bucket, ClassTrials, Request};
@@ -27,6 +28,7 @@
 use endpoint_lease::EndpointLease;
 use endpoint_polling::EndpointPolling;
 use idle_connections::IdleConnections;
+use load::LoadReportTracker;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -41,14 +43,10 @@
 /// demand over the shares, by its worth: where it is worth little, so is the risk.
 const BUSY: f64 = 0.62;
 const BUSY_MORE: f64 = 0.4;
-/// Seconds for which a report of it stands without a further one of the same upstream.
-const BUSY_KEPT: f64 = 3.0;
 /// Bucket size T_i: a second of the guarantee or this share of the tenant's demand, whichever is more, and
 /// this many tokens, so that a small tenant's chance pairs are not refused.
 const BUCKET: f64 = 0.2;
 const BUCKET_LEAST: f64 = 3.0;
-/// What an overdue attempt counts for, in held requests: its upstream is stuck or silent.
-const OVERDUE_HELD: f64 = 4.0;
 /// Further attempts earned by each request admitted, and how many of them can be saved up.
 const RETRY_SHARE: f64 = 0.1;
 const RETRY_SAVED: f64 = 10.0;
@@ -113,11 +111,10 @@
     held_back: f64, // 1: requests were refused by the clock of late
     saved: f64,  // sends earned by the clock, over all in turn
     saved_most: f64,
-    crowd: f64, // what those in turn hold of others for their capacity, by their reports
-    busy: f64,  // share of the upstreams' cores in use, by their reports
-    load: f64,  // the same, but for the first seconds of reports
+    busy: f64,     // share of the upstreams' cores in use, by their reports
+    load: f64,     // the same, but for the first seconds of reports
     told_for: f64, // seconds
-    full: f64,  // what one of unit size holds with all its cores in use, and nothing waiting
+    load_reports: LoadReportTracker,
     retries: f64,
     ticking: bool,
     last_tick: f64,
@@ -174,6 +171,7 @@
                 each
             },
             flow: each,
+            load_reports: LoadReportTracker::new(&set),
             polling: EndpointPolling::new(&set),
             lease: EndpointLease::new(set.drain_grace, set.has_local_agent),
             set,
@@ -202,7 +200,7 @@
             utilization: self.busy,
             mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.buckets.iter().map(|b| b.demand).sum(),
-            in_flight: self.upstreams.iter().map(|u| u.in_flight).sum(),
+            in_flight: self.upstreams.iter().map(|u| u.load.in_flight()).sum(),
             rotation_size: self.turns.len(),
             warming_up,
             ejected,
@@ -266,13 +264,13 @@
             } => {
                 // One given up as overdue ends before the tick that would have found it so.
                 self.look_for_overdue();
-                self.report(upstream, report);
+                self.record_load_report(upstream, report);
                 self.attempt_ended(id, attempt.0, outcome, latency.as_secs_f64(), finished);
             }
             Event::ClientDisconnected { id } => self.end(id),
             Event::HealthCheckEnded {
                 upstream, report, ..
-            } => self.report(upstream, report),
+            } => self.record_load_report(upstream, report),
             Event::Timer { timer: TICK_TIMER } => self.tick(),
             Event::Timer { .. } => {}
         }
@@ -293,6 +291,14 @@
         self.out.extend(log_event.map(Action::Log));
     }
 
+    fn record_load_report(&mut self, id: UpstreamId, report: &[f32]) {
+        if let Some(slot) = self.upstreams.slot(id) {
+            let upstream = &mut self.upstreams[slot];
+            self.load_reports
+                .record(&mut upstream.load, upstream.size, report, self.at);
+        }
+    }
+
     /// The tick: W and the grants, then the fleet's weights, overdue attempts and discovery.
     fn tick(&mut self) {
         let (at, tau) = (self.at, (self.at - self.last_tick).clamp(0.0, 1.0));
--- a/src/policy/turns.rs
+++ b/src/policy/turns.rs
@@ -1,7 +1,7 @@
 //! Whose turn it is: what each upstream can do now, the clock that bounds its sends, the round robin.
 
 use super::upstreams::Upstream;
-use super::{BUDGET, BUSY_KEPT, Balancer, DOUBTED, EJECT, EJECTED_MOST, OVERDUE_HELD};
+use super::{BUDGET, Balancer, DOUBTED, EJECT, EJECTED_MOST};
 use crate::interface::Effect;
 
 /// Turns looked ahead by the skip rule; two is the design's.
@@ -15,9 +15,6 @@
 const COLD_SHARE: f64 = 0.4;
 /// Points of cross-zone price at which other zones get no ordinary turns; less in proportion.
 const FAR_PRICE: f64 = 0.05;
-/// Seconds over which a report of what an upstream holds fades, and for which it tells of the others.
-const REPORT_KEPT: f64 = 1.0;
-const REPORT_MOST: f64 = 3.0;
 /// Sends to all of them that can be saved up: so many, and so many seconds' worth.
 const SAVED: f64 = 3.0;
 const SAVED_OVER: f64 = 0.1;
@@ -51,7 +48,7 @@
             let u = &mut self.upstreams[*j];
             u.seen *= fade;
             u.doubt *= fade;
-            u.ghosts *= laid;
+            u.load.fade_abandoned(laid);
             let pace = (u.pace * u.seen + PACE_DOUBT) / (u.seen + PACE_DOUBT);
             let climb = u.started.map_or(1.0, |s| {
                 let share = ((self.at - s) / self.set.slow_start_duration.as_secs_f64().max(1e-6))
@@ -74,10 +71,8 @@
                 warm_rate += u.weight;
             }
         }
-        let heard = |u: &&Upstream| u.held_at > 0.0 && self.at - u.held_at < REPORT_MOST;
-        let crowds = self.in_turn().filter(heard).map(|u| u.held / u.capacity);
-        let (crowd, n) = crowds.fold((0.0, 0.0), |(crowd, n), held| (crowd + held, n + 1.0));
-        self.crowd = crowd / f64::max(n, 1.0);
+        self.load_reports
+            .update_mean(&self.upstreams, &self.turns, self.at);
         // A cold upstream earns turns by the clock: where others are skipped the ring turns faster.
         let each = if warm > 0.0 {
             self.rate * warm_rate / warm
@@ -97,10 +92,11 @@
                 continue;
             }
             let mut rate = (self.rate * u.weight).max(u.weight / self.sharers);
-            if self.at - u.busy_at < BUSY_KEPT && self.full > 0.0 {
+            let full = self.load_reports.in_flight_at_full();
+            if u.load.utilization_is_recent(self.at) && full > 0.0 {
                 // Less where it says that it is busier than the others, or that more waits.
-                rate *= (self.busy / u.busy.max(0.1)).clamp(0.5, 1.5);
-                rate /= (u.told / (self.full * u.size)).clamp(1.0, 4.0);
+                rate *= (self.busy / u.load.utilization().max(0.1)).clamp(0.5, 1.5);
+                rate /= (u.load.reported_in_flight() / (full * u.size)).clamp(1.0, 4.0);
             }
             u.budget = (u.budget + tau * spare * rate).min(BUDGET * spare);
             flow += spare * rate * f64::from(u8::from(u.weight > 0.0));
@@ -109,14 +105,11 @@
         self.saved = (self.saved + tau * flow).clamp(-self.saved_most, self.saved_most);
     }
 
-    /// What an upstream holds for its capacity: own requests, and reported ones. With its age a report fades
-    /// to what the others hold: taken for empty, who is not heard of draws the turns of all balancers.
+    /// What an upstream has in flight for its capacity.
     pub(super) fn holds(&self, j: usize) -> f64 {
         let u = &self.upstreams[j];
-        let age = (self.last_tick - u.held_at).max(0.0);
-        let reported = self.crowd + (u.held / u.capacity - self.crowd) * (-age / REPORT_KEPT).exp();
-        let own = f64::from(u.in_flight) + OVERDUE_HELD * f64::from(u.overdue) + u.ghosts;
-        own / u.capacity + reported
+        self.load_reports
+            .in_flight_per_capacity(&u.load, u.capacity, self.last_tick)
     }
 
     /// Whether it has had its sends for now. A cold one earns turns by the clock anyway.
@@ -178,8 +171,9 @@
                 .classes
                 .iter()
                 .any(|c| c.effect != Effect::AtMostOnce);
-        let doubted =
-            |u: &Upstream| (u.doubt > DOUBTED || u.ejections > 0) && (once || u.in_flight > 0);
+        let doubted = |u: &Upstream| {
+            (u.doubt > DOUBTED || u.ejections > 0) && (once || u.load.in_flight() > 0)
+        };
         let all = out >= self.turns.len()
             || self
                 .turns
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -1,6 +1,7 @@
 //! The upstreams that a balancer knows, by slot.
 
 use super::idle_connections::ConnectionUse;
+use super::load::UpstreamLoad;
 use crate::interface::{CellId, UpstreamId, ZoneId};
 use rustc_hash::FxHashMap;
 use std::ops::{Index, IndexMut};
@@ -17,15 +18,8 @@
     pub(super) fresh: bool, // new, restarted or back from ejection since the subset was last chosen
     pub(super) size: f64,   // endpoints size; with live weights the largest seen
     pub(super) started: Option<f64>, // begins the climb from cold; None: long warm
-    pub(super) in_flight: u32, // q_j: this balancer's own
-    pub(super) overdue: u32, // of these, out for longer than usual
-    pub(super) ghosts: f64, // given up, perhaps still at work; fading over the shortest objective
-    pub(super) held: f64,   // what others hold there, by the latest report
-    pub(super) held_at: f64,
-    pub(super) told: f64,   // what it holds in all, by the same
-    pub(super) budget: f64, // sends earned by the clock
-    pub(super) busy: f64,   // share of its cores in use, by the latest report
-    pub(super) busy_at: f64,
+    pub(super) load: UpstreamLoad,
+    pub(super) budget: f64,   // sends earned by the clock
     pub(super) pace: f64,     // mean of latency over what is usual for the class
     pub(super) seen: f64,     // answers behind it, fading
     pub(super) erred_at: f64, // an error came back last
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 11] = [
+const FILES: [(&str, &str); 12] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -35,6 +35,7 @@
         include_str!("../src/policy/idle_connections.rs"),
     ),
     ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
+    ("src/policy/load.rs", include_str!("../src/policy/load.rs")),
     (
         "src/policy/turns.rs",
         include_str!("../src/policy/turns.rs"),
