--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -77,7 +77,7 @@
         let turn = if short { None } else { self.next_turn(class) };
         let Some(turn) = turn else {
             let waits = |u: &Upstream| {
-                u.weight > 0.0 && !u.health[class].ejected && (short || self.spent(u))
+                u.weight.weight() > 0.0 && !u.health[class].ejected && (short || self.spent(u))
             };
             let waits = self.in_turn().any(waits);
             self.held_back += if waits {
@@ -166,7 +166,11 @@
         };
         let slack = self.classes.queue_slack_s(part);
         let mut within = (self.classes.mean_latency_s() + slack).max(0.0);
-        let weights: f64 = self.in_turn().map(|u| u.weight).sum::<f64>().max(1e-9);
+        let weights: f64 = self
+            .in_turn()
+            .map(|u| u.weight.weight())
+            .sum::<f64>()
+            .max(1e-9);
         self.rate_now += (tau / RATE_OVER).min(1.0) * (self.done / tau.max(1e-6) - self.rate_now);
         self.done = 0.0;
         self.held_back -= (tau / RATE_OVER).min(1.0) * self.held_back;
@@ -189,8 +193,8 @@
             self.rate = (self.rate + (tau / over).min(1.0) * (seen - self.rate)).max(seen);
         }
         let (mut room, mut taken, balancers) = (0.0, 0.0, f64::from(self.set.balancers));
-        for u in self.in_turn().filter(|u| u.weight > 0.0) {
-            let c = self.rate * u.weight;
+        for u in self.in_turn().filter(|u| u.weight.weight() > 0.0) {
+            let c = self.rate * u.weight.weight();
             // One place in all at least: where nothing is stated a start from nothing takes long. One whose
             // requests are overdue has no room, in part or all, but what it holds is held: else, when all
             // are stuck, W and what is missing are nil together and no guarantee is cut.
@@ -198,13 +202,13 @@
             let free = u.load.responsive_share();
             // Nor is it less than an equal part of what the cores that are told to be idle can hold, however
             // little this balancer has admitted, and so heard of, lately.
-            let idle = if told(&u) && u.started.is_none() {
+            let idle = if told(&u) && !u.weight.is_warming_up() {
                 bound * self.load_reports.in_flight_at_full() * u.size - u.load.reported_in_flight()
             } else {
                 0.0
             };
             let all = (c * within)
-                .max(u.weight / balancers)
+                .max(u.weight.weight() / balancers)
                 .max(idle / self.sharers)
                 * free;
             room += tau * c * free + all - held;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -116,7 +116,7 @@
     pub(super) fn fits(&self, r: &Request, u: &Upstream) -> bool {
         // Not onto a cold upstream: a failure's retries together are the burst that pushes it over.
         u.ready
-            && u.started.is_none()
+            && !u.weight.is_warming_up()
             && u.ejected_until <= self.at
             && !u.health[r.class].ejected
             && !self.spent(u)
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -91,6 +91,11 @@
         weighted.sum::<f64>() / shares.max(1e-9)
     }
 
+    pub(super) fn shortest_objective_s(&self) -> f64 {
+        let objectives = self.classes.iter().map(|class| class.objective_s);
+        objectives.fold(f64::INFINITY, f64::min)
+    }
+
     pub(super) fn latency_s(&self, class: usize) -> f64 {
         self.classes[class].mean_latency_s
     }
--- a/src/policy/doubt.rs
+++ b/src/policy/doubt.rs
@@ -54,9 +54,7 @@
         u.connections.record(self.at);
         u.load.record_ended(overdue);
         if let Some(ratio) = ratio {
-            let ratio = ratio.min(5.0);
-            u.seen += 1.0;
-            u.pace += (ratio - u.pace) / u.seen.max(1.0);
+            u.weight.record_latency_ratio(ratio);
         }
         let (h, l) = (&mut u.health[class], &mut self.trials[class]);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
@@ -107,7 +105,8 @@
             // Nobody listens there: its process has died, and the next one is cold. It comes back from a
             // first turn at a random time: a slow trial by all balancers. One that takes connections, if
             // only to break them, has not restarted and has no less to give.
-            self.upstreams[j].started = Some(self.upstreams[j].ejected_until);
+            let u = &mut self.upstreams[j];
+            u.weight.begin_slow_start(u.ejected_until);
         }
     }
 
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -2,6 +2,7 @@
 
 use super::endpoint_polling::PollFailure;
 use super::upstreams::{Health, Upstream};
+use super::weights::UpstreamWeight;
 use super::{BUDGET, Balancer, EJECTED_MOST};
 use crate::interface::{Action, Availability, Endpoint, EndpointWeights, UpdateScope};
 use crate::random::Random;
@@ -43,9 +44,8 @@
                 self.upstreams.push(Upstream {
                     health,
                     id: l.id,
-                    started,
                     credit,
-                    capacity: 1.0,
+                    weight: UpstreamWeight::new(started),
                     budget: BUDGET,
                     heard: f64::NEG_INFINITY,
                     fresh: !first,
@@ -73,12 +73,11 @@
                 }
             }
             let fresh = |s: &f64| {
-                self.at - s < self.set.slow_start_duration.as_secs_f64()
-                    && u.started.is_none_or(|k| *s > k)
+                self.upstream_weights.is_recent_start(*s, self.at) && u.weight.is_later_start(*s)
             };
             if let Some(s) = started.filter(fresh) {
                 // It has restarted: what was held against it is void, and it is cold.
-                u.started = Some(s);
+                u.weight.begin_slow_start(s);
                 (u.doubt, u.ejections, u.ejected_until, u.credit) = (0.0, 0, 0.0, self.rng.f64());
                 u.health.fill(Health::default());
                 (u.fresh, changed) = (true, true);
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -197,7 +197,7 @@
         let (mut sum, mut count) = (0.0, 0.0);
         for upstream in rotation.iter().map(|slot| &upstreams[*slot]) {
             if upstream.load.others_are_recent(now_s) {
-                sum += upstream.load.others_in_flight / upstream.capacity;
+                sum += upstream.load.others_in_flight / upstream.weight.capacity();
                 count += 1.0;
             }
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -17,6 +17,7 @@
 mod load;
 mod turns;
 mod upstreams;
+mod weights;
 
 use crate::interface::{
     Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, SendPause, Settings,
@@ -33,6 +34,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 use upstreams::{Upstream, Upstreams};
+use weights::Weights;
 
 /// Seconds between refills: short against any aim, long against one look over the fleet.
 const TICK_S: f64 = 0.025;
@@ -115,6 +117,7 @@
     load: f64,     // the same, but for the first seconds of reports
     told_for: f64, // seconds
     load_reports: LoadReportTracker,
+    upstream_weights: Weights,
     retries: f64,
     ticking: bool,
     last_tick: f64,
@@ -172,6 +175,7 @@
             },
             flow: each,
             load_reports: LoadReportTracker::new(&set),
+            upstream_weights: Weights::new(&set),
             polling: EndpointPolling::new(&set),
             lease: EndpointLease::new(set.drain_grace, set.has_local_agent),
             set,
@@ -192,11 +196,11 @@
 
     /// The present state that decisions are based on.
     pub fn status(&self) -> StatusSnapshot {
-        let warming_up = self.in_turn().filter(|u| u.started.is_some()).count();
+        let warming_up = self.in_turn().filter(|u| u.weight.is_warming_up()).count();
         let ejected = self.in_turn().filter(|u| u.ejected_until > self.at).count();
         StatusSnapshot {
             spare_capacity: self.room,
-            service_rate: self.rate * self.in_turn().map(|u| u.weight).sum::<f64>(),
+            service_rate: self.rate * self.in_turn().map(|u| u.weight.weight()).sum::<f64>(),
             utilization: self.busy,
             mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.buckets.iter().map(|b| b.demand).sum(),
--- a/src/policy/turns.rs
+++ b/src/policy/turns.rs
@@ -8,13 +8,8 @@
 const LOOK_AHEAD: usize = 3;
 /// Holding this many times what another in sight holds, and half a request more, is clearly more.
 const CLEARLY: f64 = 1.5;
-/// Seconds over which what was learned of one upstream fades, and answers it takes to believe it.
-const PACE_KEPT: f64 = 10.0;
-const PACE_DOUBT: f64 = 4.0;
-/// What a cold upstream gets for each unit of capacity: this share of what would push it over.
-const COLD_SHARE: f64 = 0.4;
-/// Points of cross-zone price at which other zones get no ordinary turns; less in proportion.
-const FAR_PRICE: f64 = 0.05;
+/// Seconds over which suspicion fades.
+const SUSPICION_KEPT: f64 = 10.0;
 /// Sends to all of them that can be saved up: so many, and so many seconds' worth.
 const SAVED: f64 = 3.0;
 const SAVED_OVER: f64 = 0.1;
@@ -22,76 +17,41 @@
 impl Balancer {
     /// What each upstream can do now, and the turns it gets for it.
     pub(super) fn weigh(&mut self, tau: f64) {
-        let largest = self.in_turn().map(|u| u.size).fold(1e-9, f64::max);
         let ready = self.in_turn().filter(|u| u.ready).count() as f64;
         let ejected = self
             .in_turn()
             .filter(|u| u.ready && u.ejected_until > self.at)
             .count() as f64;
-        let spare_ejections = ejected <= EJECTED_MOST * ready;
-        let far = (1.0 - self.set.prices.cross_zone / FAR_PRICE).max(0.0);
-        let near = |u: &Upstream| u.ready && u.zone == self.set.zone && u.ejected_until <= self.at;
-        let near_ready = self.in_turn().any(near);
-        let (fade, slow_start_initial_share) = (
-            (-tau / PACE_KEPT).exp(),
-            self.set.slow_start_initial_share.min(1.0),
-        );
-        let latency_objective = self
-            .set
-            .classes
-            .iter()
-            .map(|c| c.latency_objective.as_secs_f64())
-            .fold(f64::INFINITY, f64::min);
-        let laid = (-tau / latency_objective).exp();
-        let (mut warm_rate, mut warm) = (0.0, 0.0);
+        let ejections_hold = ejected <= EJECTED_MOST * ready;
+        let fade = (-tau / SUSPICION_KEPT).exp();
+        let laid = (-tau / self.classes.shortest_objective_s()).exp();
         for j in &self.turns {
             let u = &mut self.upstreams[*j];
-            u.seen *= fade;
             u.doubt *= fade;
             u.load.fade_abandoned(laid);
-            let pace = (u.pace * u.seen + PACE_DOUBT) / (u.seen + PACE_DOUBT);
-            let climb = u.started.map_or(1.0, |s| {
-                let share = ((self.at - s) / self.set.slow_start_duration.as_secs_f64().max(1e-6))
-                    .clamp(0.0, 1.0);
-                slow_start_initial_share + (1.0 - slow_start_initial_share) * share
-            });
-            if climb >= 1.0 {
-                u.started = None;
-            }
-            u.capacity = (u.size / largest * climb / pace.clamp(0.25, 4.0)).max(1e-3);
-            let usable = u.ready && (u.ejected_until <= self.at || !spare_ejections);
-            let zone = if u.zone == self.set.zone || !near_ready {
-                1.0
-            } else {
-                far
-            };
-            u.weight = u.capacity * zone * f64::from(u8::from(usable));
-            if u.weight > 0.0 && u.started.is_none() {
-                warm += 1.0;
-                warm_rate += u.weight;
-            }
         }
-        self.load_reports
-            .update_mean(&self.upstreams, &self.turns, self.at);
+        let (turns, at) = (&self.turns, self.at);
+        self.upstream_weights
+            .update(&mut self.upstreams, turns, ejections_hold, tau, at);
+        self.load_reports.update_mean(&self.upstreams, turns, at);
         // A cold upstream earns turns by the clock: where others are skipped the ring turns faster.
-        let each = if warm > 0.0 {
-            self.rate * warm_rate / warm
-        } else {
-            self.rate
-        };
-        let cold = COLD_SHARE * self.set.overload_multiple;
+        let slow_start = self
+            .upstream_weights
+            .slow_start_rate(&self.upstreams, turns, self.rate);
+        let (each, cold) = (slow_start.warm_rate, slow_start.multiple);
         // What others send shows late: each sends what C says, whoever drops out. Where few share one,
         // what it holds is this balancer's own, and the skip rule sees it at once.
         let spare = (self.sharers / (self.sharers - 1.0).max(1e-3)).min(1e3);
         let mut flow = 0.0;
         for j in &self.turns {
             let u = &mut self.upstreams[*j];
-            if u.started.is_some() {
-                u.credit = (u.credit + tau * each * cold * u.weight).min(1.5);
-                flow += each * cold * u.weight;
+            let weight = u.weight.weight();
+            if u.weight.is_warming_up() {
+                u.credit = (u.credit + tau * each * cold * weight).min(1.5);
+                flow += each * cold * weight;
                 continue;
             }
-            let mut rate = (self.rate * u.weight).max(u.weight / self.sharers);
+            let mut rate = (self.rate * weight).max(weight / self.sharers);
             let full = self.load_reports.in_flight_at_full();
             if u.load.utilization_is_recent(self.at) && full > 0.0 {
                 // Less where it says that it is busier than the others, or that more waits.
@@ -99,7 +59,7 @@
                 rate /= (u.load.reported_in_flight() / (full * u.size)).clamp(1.0, 4.0);
             }
             u.budget = (u.budget + tau * spare * rate).min(BUDGET * spare);
-            flow += spare * rate * f64::from(u8::from(u.weight > 0.0));
+            flow += spare * rate * f64::from(u8::from(weight > 0.0));
         }
         self.saved_most = SAVED + SAVED_OVER * flow;
         self.saved = (self.saved + tau * flow).clamp(-self.saved_most, self.saved_most);
@@ -109,12 +69,12 @@
     pub(super) fn holds(&self, j: usize) -> f64 {
         let u = &self.upstreams[j];
         self.load_reports
-            .in_flight_per_capacity(&u.load, u.capacity, self.last_tick)
+            .in_flight_per_capacity(&u.load, u.weight.capacity(), self.last_tick)
     }
 
     /// Whether it has had its sends for now. A cold one earns turns by the clock anyway.
     pub(super) fn spent(&self, u: &Upstream) -> bool {
-        self.busy > 0.0 && u.started.is_none() && u.budget < 1.0
+        self.busy > 0.0 && !u.weight.is_warming_up() && u.budget < 1.0
     }
 
     /// Steps the counter to the next upstream that has earned a turn.
@@ -123,11 +83,11 @@
             self.sigma = (self.sigma + 1) % self.turns.len();
             let j = self.turns[self.sigma];
             let u = &mut self.upstreams[j];
-            if u.weight <= 0.0 {
+            if u.weight.weight() <= 0.0 {
                 continue;
             }
-            if u.started.is_none() {
-                u.credit = (u.credit + u.weight).min(2.0);
+            if !u.weight.is_warming_up() {
+                u.credit = (u.credit + u.weight.weight()).min(2.0);
             }
             if u.credit >= 1.0 {
                 u.credit -= 1.0;
@@ -142,9 +102,9 @@
     pub(super) fn next_turn(&mut self, class: usize) -> Option<usize> {
         let upstreams = &self.upstreams;
         self.ahead
-            .retain(|j| upstreams[*j].weight > 0.0 && upstreams[*j].ready);
+            .retain(|j| upstreams[*j].weight.weight() > 0.0 && upstreams[*j].ready);
         let ill = |b: &Self, j: usize| {
-            b.upstreams[j].health[class].ejected && b.upstreams[j].weight > 0.0
+            b.upstreams[j].health[class].ejected && b.upstreams[j].weight.weight() > 0.0
         };
         let out = self.turns.iter().filter(|j| ill(self, **j)).count();
         if out > 0 && self.at >= self.trials[class].next_at_s {
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -2,6 +2,7 @@
 
 use super::idle_connections::ConnectionUse;
 use super::load::UpstreamLoad;
+use super::weights::UpstreamWeight;
 use crate::interface::{CellId, UpstreamId, ZoneId};
 use rustc_hash::FxHashMap;
 use std::ops::{Index, IndexMut};
@@ -14,14 +15,11 @@
     pub(super) cell: CellId,
     pub(super) ready: bool,
     pub(super) draining: bool,
-    pub(super) member: bool,         // of the subset that takes turns
+    pub(super) member: bool, // of the subset that takes turns
     pub(super) fresh: bool, // new, restarted or back from ejection since the subset was last chosen
     pub(super) size: f64,   // endpoints size; with live weights the largest seen
-    pub(super) started: Option<f64>, // begins the climb from cold; None: long warm
     pub(super) load: UpstreamLoad,
     pub(super) budget: f64,   // sends earned by the clock
-    pub(super) pace: f64,     // mean of latency over what is usual for the class
-    pub(super) seen: f64,     // answers behind it, fading
     pub(super) erred_at: f64, // an error came back last
     pub(super) heard: f64,    // anything came back last: an answer, an error or a refusal
     pub(super) doubt: f64,    // by faults of whatever class, less by answers
@@ -29,9 +27,8 @@
     pub(super) ejected_until: f64,
     pub(super) health: Vec<Health>, // by class
     pub(super) connections: ConnectionUse,
-    pub(super) capacity: f64, // share of a full-size upstream's work it can do now
-    pub(super) weight: f64,   // turns it gets each round of the ring
-    pub(super) credit: f64,   // turns earned and not taken
+    pub(super) weight: UpstreamWeight,
+    pub(super) credit: f64, // turns earned and not taken
 }
 
 /// What one class has met at one upstream.
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 12] = [
+const FILES: [(&str, &str); 13] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -44,6 +44,10 @@
         "src/policy/upstreams.rs",
         include_str!("../src/policy/upstreams.rs"),
     ),
+    (
+        "src/policy/weights.rs",
+        include_str!("../src/policy/weights.rs"),
+    ),
 ];
 
 /// What of a file's text goes over the limits.
