--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -23,11 +23,6 @@
 /// Part of a guarantee lost for each part of what is held that is too much: for demand over it, inside.
 const CUT: (f64, f64) = (20.0, 2.0);
 const CUT_FROM: f64 = 0.25;
-/// Part of what can be saved that is kept for first tries: a repeat may be late already, and each one let in
-/// in a shortage refuses a first try that becomes a repeat.
-const KEPT_FROM_REPEATS: f64 = 0.6;
-/// The same that is kept for the class worth most for the time it takes, from one that is worth nothing.
-const KEPT_FOR_WORTH: f64 = 0.4;
 /// Growth of C a second where the clock refuses, for each part that the cores are under the bound: slow
 /// against the second or so that reports are old.
 const GROWTH: f64 = 0.7;
@@ -71,13 +66,14 @@
             );
             return;
         }
-        let light = KEPT_FOR_WORTH * (1.0 - self.classes.relative_value(class));
-        let kept = (self.saved_most - 1.0) * if is_retry { KEPT_FROM_REPEATS } else { light };
-        let short = self.busy > 0.0 && self.saved < 1.0 + kept;
+        let relative_value = self.classes.relative_value(class);
+        let short = self.pacing.is_short(relative_value, is_retry);
         let turn = if short { None } else { self.next_turn(class) };
         let Some(turn) = turn else {
             let waits = |u: &Upstream| {
-                u.weight.weight() > 0.0 && !u.health[class].ejected && (short || self.spent(u))
+                u.weight.weight() > 0.0
+                    && !u.health[class].ejected
+                    && (short || self.pacing.is_exhausted(u))
             };
             let waits = self.in_turn().any(waits);
             self.held_back += if waits {
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -23,8 +23,7 @@
         }
         u.connections.record(self.at);
         u.load.record_sent();
-        u.budget = (u.budget - 1.0).max(0.0);
-        self.saved -= 1.0;
+        self.pacing.record_send(&mut u.send_budget);
         let class = &self.set.classes[r.class];
         let overdue = self.classes.overdue_after_s(r.class);
         // Where no second copy may run beside the first, what may be repeated is given up when overdue.
@@ -119,7 +118,7 @@
             && !u.weight.is_warming_up()
             && u.ejected_until <= self.at
             && !u.health[r.class].ejected
-            && !self.spent(u)
+            && !self.pacing.is_exhausted(u)
             && r.attempts.iter().all(|a| a.upstream != u.id)
             && self.safe(r, u)
     }
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -1,9 +1,10 @@
 //! The list of upstreams: asking for it, taking it in, and the subset that takes turns.
 
 use super::endpoint_polling::PollFailure;
+use super::pacing::SendBudget;
 use super::upstreams::{Health, Upstream};
 use super::weights::UpstreamWeight;
-use super::{BUDGET, Balancer, EJECTED_MOST};
+use super::{Balancer, EJECTED_MOST};
 use crate::interface::{Action, Availability, Endpoint, EndpointWeights, UpdateScope};
 use crate::random::Random;
 use std::collections::VecDeque;
@@ -46,7 +47,7 @@
                     id: l.id,
                     credit,
                     weight: UpstreamWeight::new(started),
-                    budget: BUDGET,
+                    send_budget: SendBudget::full(),
                     heard: f64::NEG_INFINITY,
                     fresh: !first,
                     ..Upstream::default()
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -15,6 +15,7 @@
 mod idle_connections;
 mod list;
 mod load;
+mod pacing;
 mod turns;
 mod upstreams;
 mod weights;
@@ -30,6 +31,7 @@
 use endpoint_polling::EndpointPolling;
 use idle_connections::IdleConnections;
 use load::LoadReportTracker;
+use pacing::SendPacing;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -68,8 +70,6 @@
 const EJECT_MOST: f64 = 12.0;
 /// Share of the ready upstreams that may be ejected: when more seem ill, the fault is not theirs.
 const EJECTED_MOST: f64 = 0.6;
-/// Sends to an upstream that can be saved up, where many share it.
-const BUDGET: f64 = 1.5;
 /// Upstreams in a subset for each request a second that the balancer may get, and at the least.
 const SUBSET_EACH: f64 = 0.7;
 const SUBSET_LEAST: f64 = 2.0;
@@ -111,8 +111,7 @@
     rate_now: f64, // completions a second, smoothed
     room: f64,   // W
     held_back: f64, // 1: requests were refused by the clock of late
-    saved: f64,  // sends earned by the clock, over all in turn
-    saved_most: f64,
+    pacing: SendPacing,
     busy: f64,     // share of the upstreams' cores in use, by their reports
     load: f64,     // the same, but for the first seconds of reports
     told_for: f64, // seconds
@@ -160,7 +159,7 @@
         Ok(Self {
             busy,
             load: busy,
-            saved: 1.0,
+            pacing: SendPacing::new(busy > 0.0),
             subset,
             subset_least: subset,
             rng: Random::with_seed(seed),
@@ -322,6 +321,7 @@
         }
         self.weigh(tau);
         self.grant(tau);
+        self.pacing.set_active(self.busy > 0.0);
         self.look_for_overdue();
         if self.polling.poll_if_due(at, &mut self.rng) {
             self.out.push(Action::WatchEndpoints);
--- a/src/policy/turns.rs
+++ b/src/policy/turns.rs
@@ -1,7 +1,8 @@
 //! Whose turn it is: what each upstream can do now, the clock that bounds its sends, the round robin.
 
+use super::pacing::PacingRates;
 use super::upstreams::Upstream;
-use super::{BUDGET, Balancer, DOUBTED, EJECT, EJECTED_MOST};
+use super::{Balancer, DOUBTED, EJECT, EJECTED_MOST};
 use crate::interface::Effect;
 
 /// Turns looked ahead by the skip rule; two is the design's.
@@ -10,10 +11,6 @@
 const CLEARLY: f64 = 1.5;
 /// Seconds over which suspicion fades.
 const SUSPICION_KEPT: f64 = 10.0;
-/// Sends to all of them that can be saved up: so many, and so many seconds' worth.
-const SAVED: f64 = 3.0;
-const SAVED_OVER: f64 = 0.1;
-
 impl Balancer {
     /// What each upstream can do now, and the turns it gets for it.
     pub(super) fn weigh(&mut self, tau: f64) {
@@ -39,30 +36,21 @@
             .upstream_weights
             .slow_start_rate(&self.upstreams, turns, self.rate);
         let (each, cold) = (slow_start.warm_rate, slow_start.multiple);
-        // What others send shows late: each sends what C says, whoever drops out. Where few share one,
-        // what it holds is this balancer's own, and the skip rule sees it at once.
-        let spare = (self.sharers / (self.sharers - 1.0).max(1e-3)).min(1e3);
-        let mut flow = 0.0;
         for j in &self.turns {
             let u = &mut self.upstreams[*j];
-            let weight = u.weight.weight();
             if u.weight.is_warming_up() {
-                u.credit = (u.credit + tau * each * cold * weight).min(1.5);
-                flow += each * cold * weight;
-                continue;
-            }
-            let mut rate = (self.rate * weight).max(weight / self.sharers);
-            let full = self.load_reports.in_flight_at_full();
-            if u.load.utilization_is_recent(self.at) && full > 0.0 {
-                // Less where it says that it is busier than the others, or that more waits.
-                rate *= (self.busy / u.load.utilization().max(0.1)).clamp(0.5, 1.5);
-                rate /= (u.load.reported_in_flight() / (full * u.size)).clamp(1.0, 4.0);
+                u.credit = (u.credit + tau * each * cold * u.weight.weight()).min(1.5);
             }
-            u.budget = (u.budget + tau * spare * rate).min(BUDGET * spare);
-            flow += spare * rate * f64::from(u8::from(weight > 0.0));
         }
-        self.saved_most = SAVED + SAVED_OVER * flow;
-        self.saved = (self.saved + tau * flow).clamp(-self.saved_most, self.saved_most);
+        let rates = PacingRates {
+            service_rate: self.rate,
+            slow_start,
+            utilization: self.busy,
+            balancers_per_upstream: self.sharers,
+            load_reports: &self.load_reports,
+        };
+        self.pacing
+            .refill(&mut self.upstreams, &self.turns, &rates, tau, self.at);
     }
 
     /// What an upstream has in flight for its capacity.
@@ -72,11 +60,6 @@
             .in_flight_per_capacity(&u.load, u.weight.capacity(), self.last_tick)
     }
 
-    /// Whether it has had its sends for now. A cold one earns turns by the clock anyway.
-    pub(super) fn spent(&self, u: &Upstream) -> bool {
-        self.busy > 0.0 && !u.weight.is_warming_up() && u.budget < 1.0
-    }
-
     /// Steps the counter to the next upstream that has earned a turn.
     pub(super) fn step(&mut self) -> Option<usize> {
         for _ in 0..self.turns.len() * 8 {
@@ -141,7 +124,8 @@
                 .all(|j| ill(self, *j) || doubted(&self.upstreams[*j]));
         let ill =
             |b: &Self, j: usize| b.upstreams[j].health[class].ejected || doubted(&b.upstreams[j]);
-        let fit = |b: &Self, j: usize| !b.spent(&b.upstreams[j]) && (all || !ill(b, j));
+        let fit =
+            |b: &Self, j: usize| !b.pacing.is_exhausted(&b.upstreams[j]) && (all || !ill(b, j));
         let mut sight = self.ahead.iter().filter(|j| fit(self, **j)).count();
         while sight < LOOK_AHEAD && self.ahead.len() < LOOK_AHEAD + self.turns.len() {
             let Some(j) = self.step() else { break };
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -2,6 +2,7 @@
 
 use super::idle_connections::ConnectionUse;
 use super::load::UpstreamLoad;
+use super::pacing::SendBudget;
 use super::weights::UpstreamWeight;
 use crate::interface::{CellId, UpstreamId, ZoneId};
 use rustc_hash::FxHashMap;
@@ -19,7 +20,7 @@
     pub(super) fresh: bool, // new, restarted or back from ejection since the subset was last chosen
     pub(super) size: f64,   // endpoints size; with live weights the largest seen
     pub(super) load: UpstreamLoad,
-    pub(super) budget: f64,   // sends earned by the clock
+    pub(super) send_budget: SendBudget,
     pub(super) erred_at: f64, // an error came back last
     pub(super) heard: f64,    // anything came back last: an answer, an error or a refusal
     pub(super) doubt: f64,    // by faults of whatever class, less by answers
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 13] = [
+const FILES: [(&str, &str); 14] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -36,6 +36,10 @@
     ),
     ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
     ("src/policy/load.rs", include_str!("../src/policy/load.rs")),
+    (
+        "src/policy/pacing.rs",
+        include_str!("../src/policy/pacing.rs"),
+    ),
     (
         "src/policy/turns.rs",
         include_str!("../src/policy/turns.rs"),
