--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,19 +1,13 @@
 //! Who is admitted: the token buckets, C and W, and what is kept of saved sends in a shortage.
 
-use super::load::UTILIZATION_VALID_S;
+use super::capacity::CapacityInputs;
 use super::upstreams::Upstream;
-use super::{
-    BUCKET, BUCKET_LEAST, Balancer, RATE_KEPT, RATE_OVER, RETRY_SAVED, RETRY_SHARE, TICK_S, bound,
-};
+use super::{BUCKET, BUCKET_LEAST, Balancer, RETRY_SAVED, RETRY_SHARE, TICK_S};
 use crate::interface::{Action, FailureReason, RequestId};
 use crate::random::Random;
 use crate::state::Request;
 use std::time::Duration;
 
-/// Share of the aim that work may spend in the fleet on average before room is gone; past it, many miss.
-pub(super) const QUEUE_OBJECTIVE_SHARE: f64 = 0.4;
-/// The same where reports tell how busy the cores are, so that latency need only guard.
-const ROOM_TOLD: f64 = 0.55;
 /// Seconds and requests over which demand V_i is counted at least: a tick sees too few to go by.
 const DEMAND_OVER: f64 = 1.0;
 const DEMAND_COUNT: f64 = 10.0;
@@ -23,9 +17,6 @@
 /// Part of a guarantee lost for each part of what is held that is too much: for demand over it, inside.
 const CUT: (f64, f64) = (20.0, 2.0);
 const CUT_FROM: f64 = 0.25;
-/// Growth of C a second where the clock refuses, for each part that the cores are under the bound: slow
-/// against the second or so that reports are old.
-const GROWTH: f64 = 0.7;
 /// Share of the aim after which an attempt whose late answer is worth nothing is given up.
 const AIM_LEFT: f64 = 0.98;
 
@@ -58,7 +49,7 @@
             self.refuse(
                 id,
                 left,
-                if self.room > 0.0 {
+                if self.capacity.spare() > 0.0 {
                     FailureReason::QuotaExceeded
                 } else {
                     FailureReason::NoSpareCapacity
@@ -76,11 +67,9 @@
                     && (short || self.pacing.is_exhausted(u))
             };
             let waits = self.in_turn().any(waits);
-            self.held_back += if waits {
-                0.1 * (1.0 - self.held_back)
-            } else {
-                0.0
-            };
+            if waits {
+                self.capacity.record_paced();
+            }
             self.refuse(
                 id,
                 left,
@@ -136,87 +125,22 @@
     pub(super) fn grant(&mut self, tau: f64) {
         let at = self.at;
         self.classes.fade(tau, at);
-        // What each upstream said last counts alike, however few of them answer this balancer in a second.
-        let told = |u: &&Upstream| u.load.has_utilization(at);
-        let telling = self.in_turn().filter(told);
-        let (busy, size) = telling.fold((0.0, 0.0), |(b, size), u| {
-            (b + u.size * u.load.utilization(), size + u.size)
+        self.capacity.update(&CapacityInputs {
+            upstreams: &self.upstreams,
+            rotation: &self.turns,
+            classes: &self.classes,
+            load_reports: &self.load_reports,
+            balancers_per_upstream: self.sharers,
+            elapsed_s: tau,
+            now_s: at,
         });
-        let bound = bound(&self.set);
-        if size > 0.0 {
-            // The first reports are of a fleet that nobody had sent to yet: C is not set by them alone.
-            self.told_for += tau;
-            let newest = if self.told_for < UTILIZATION_VALID_S {
-                (tau / RATE_OVER).min(1.0)
-            } else {
-                1.0
-            };
-            self.busy = busy / size;
-            self.load = self.busy.max(self.load + newest * (self.busy - self.load));
-        }
-        let telling = self.busy > 0.0;
-        let part = if telling {
-            ROOM_TOLD
-        } else {
-            QUEUE_OBJECTIVE_SHARE
-        };
-        let slack = self.classes.queue_slack_s(part);
-        let mut within = (self.classes.mean_latency_s() + slack).max(0.0);
-        let weights: f64 = self
-            .in_turn()
-            .map(|u| u.weight.weight())
-            .sum::<f64>()
-            .max(1e-9);
-        self.rate_now += (tau / RATE_OVER).min(1.0) * (self.done / tau.max(1e-6) - self.rate_now);
-        self.done = 0.0;
-        self.held_back -= (tau / RATE_OVER).min(1.0) * self.held_back;
-        // Of what took turns meanwhile: C of those left is not more as soon as others drop out.
-        let over = if self.weights > 0.0 { RATE_OVER } else { 0.0 };
-        self.weights += (tau / over).min(1.0) * (weights - self.weights);
-        let seen = self.rate_now / self.weights.max(1e-9);
-        if telling {
-            // A rate once reached under load would go on admitting what turns a crowded upstream slow.
-            let able = seen * (bound / self.load.max(0.1)).min(2.0);
-            // Where the clock holds sends back, what is completed only shows what was let through.
-            let idle = (bound / self.load.max(0.1) - 1.0).clamp(0.0, 1.0);
-            self.rate *= 1.0 + tau * GROWTH * self.held_back * idle;
-            // Nor is it under what they do now, if that keeps them no busier.
-            self.rate =
-                (self.rate + (tau / RATE_OVER).min(1.0) * (able - self.rate)).max(seen.min(able));
-            within = within.min(self.classes.mean_latency_s());
-        } else {
-            let over = if slack < 0.0 { RATE_OVER } else { RATE_KEPT };
-            self.rate = (self.rate + (tau / over).min(1.0) * (seen - self.rate)).max(seen);
-        }
-        let (mut room, mut taken, balancers) = (0.0, 0.0, f64::from(self.set.balancers));
-        for u in self.in_turn().filter(|u| u.weight.weight() > 0.0) {
-            let c = self.rate * u.weight.weight();
-            // One place in all at least: where nothing is stated a start from nothing takes long. One whose
-            // requests are overdue has no room, in part or all, but what it holds is held: else, when all
-            // are stuck, W and what is missing are nil together and no guarantee is cut.
-            let held = u.load.own();
-            let free = u.load.responsive_share();
-            // Nor is it less than an equal part of what the cores that are told to be idle can hold, however
-            // little this balancer has admitted, and so heard of, lately.
-            let idle = if told(&u) && !u.weight.is_warming_up() {
-                bound * self.load_reports.in_flight_at_full() * u.size - u.load.reported_in_flight()
-            } else {
-                0.0
-            };
-            let all = (c * within)
-                .max(u.weight.weight() / balancers)
-                .max(idle / self.sharers)
-                * free;
-            room += tau * c * free + all - held;
-            taken += held;
-        }
-        self.room = room;
+        let room = self.capacity.spare();
         let total: f64 = self.buckets.iter().map(|b| b.demand).sum();
         // Long enough to hold a few requests: a tenant that happened to be silent is not without demand.
         let over = DEMAND_OVER.max(DEMAND_COUNT / total.max(0.1));
         // Where room is missing, those over their guarantee lose it first; the rest too when much is missing,
         // as after the loss of half the fleet: nobody is served from full queues.
-        let missing = (-room / f64::max(taken, 1e-9)).max(0.0);
+        let missing = self.capacity.shortage();
         // Where the middle tenant asks for more than its part, this balancer carries more; no tenant surges.
         let mut asks: Vec<f64> = self
             .buckets
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -149,7 +149,7 @@
             self.suspect(j, DOUBT);
         }
         // Room for one: the overdue attempt itself is counted in what is held.
-        if silent && self.set.hedging && self.room > -1.0 {
+        if silent && self.set.hedging && self.capacity.spare() > -1.0 {
             self.further(id, 1.0);
         }
     }
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,7 +1,7 @@
 //! What is usual for each class of requests: latency, its upper quantile, share of the admitted.
 
 use super::TICK_S;
-use super::admission::QUEUE_OBJECTIVE_SHARE;
+use super::capacity::QUEUE_OBJECTIVE_SHARE;
 use crate::interface::{Class, Settings};
 
 /// Seconds over which a class's latency is averaged where responses are few, and the least and the most
--- a/src/policy/doubt.rs
+++ b/src/policy/doubt.rs
@@ -27,7 +27,7 @@
         let slow = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && overdue;
         let ok = outcome == Outcome::Ok;
         if ok {
-            self.done += 1.0;
+            self.capacity.record_completion();
         }
         let sample = if ok {
             Some(LatencySample::Answered)
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -175,8 +175,7 @@
         // More to choose from is no more for this balancer: others send there as well.
         let grown = self.turns.len() as f64 / before.max(1) as f64;
         if !all && before > 0 && grown > 1.0 {
-            self.rate /= grown;
-            self.weights *= grown;
+            self.capacity.on_rotation_grown(grown);
         }
         let part = equal.min(n) as f64 / n.max(1) as f64;
         self.sharers = (f64::from(self.set.balancers) * part).max(1.0);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -8,6 +8,7 @@
 
 mod admission;
 mod attempts;
+mod capacity;
 mod class_statistics;
 mod doubt;
 mod endpoint_lease;
@@ -21,11 +22,12 @@
 mod weights;
 
 use crate::interface::{
-    Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, SendPause, Settings,
-    SettingsError, StatusSnapshot, TimerId, UpstreamId, WatchEvent,
+    Action, Event, RequestId, SendPause, Settings, SettingsError, StatusSnapshot, TimerId,
+    UpstreamId, WatchEvent,
 };
 use crate::random::Random;
 use crate::state::{Bucket, ClassTrials, Request};
+use capacity::{Capacity, RATE_MEMORY_S};
 use class_statistics::ClassStatistics;
 use endpoint_lease::EndpointLease;
 use endpoint_polling::EndpointPolling;
@@ -40,13 +42,6 @@
 
 /// Seconds between refills: short against any aim, long against one look over the fleet.
 const TICK_S: f64 = 0.025;
-/// Seconds over which C is counted under strain, and a rate once reached is forgotten otherwise.
-const RATE_OVER: f64 = 2.0;
-const RATE_KEPT: f64 = 30.0;
-/// Share of the upstreams' cores that spare room may keep busy where reports tell, and what is added for
-/// demand over the shares, by its worth: where it is worth little, so is the risk.
-const BUSY: f64 = 0.62;
-const BUSY_MORE: f64 = 0.4;
 /// Bucket size T_i: a second of the guarantee or this share of the tenant's demand, whichever is more, and
 /// this many tokens, so that a small tenant's chance pairs are not refused.
 const BUCKET: f64 = 0.2;
@@ -76,11 +71,6 @@
 /// The timer of the tick.
 const TICK_TIMER: TimerId = TimerId(0);
 
-/// Share of the upstreams' cores that may be kept busy.
-fn bound(set: &Settings) -> f64 {
-    BUSY + BUSY_MORE * set.over_quota_weight_share.min(0.5)
-}
-
 /// One balancer's decisions. See the crate's page for its use.
 #[derive(Default)]
 pub struct Balancer {
@@ -103,18 +93,10 @@
     buckets: Vec<Bucket>,
     classes: ClassStatistics,
     trials: Vec<ClassTrials>, // by class
-    rate: f64,                // C for each unit of turn weight
-    done: f64,                // completions of the running tick
     wanted: f64, // first tries of the running tick, or what was admitted where they can't be told
     flow: f64,   // the same a second, smoothed
-    weights: f64, // turn weight of all in turn, smoothed
-    rate_now: f64, // completions a second, smoothed
-    room: f64,   // W
-    held_back: f64, // 1: requests were refused by the clock of late
+    capacity: Capacity,
     pacing: SendPacing,
-    busy: f64,     // share of the upstreams' cores in use, by their reports
-    load: f64,     // the same, but for the first seconds of reports
-    told_for: f64, // seconds
     load_reports: LoadReportTracker,
     upstream_weights: Weights,
     retries: f64,
@@ -152,26 +134,16 @@
         });
         let each = stated.max(1.0) / f64::from(set.balancers);
         let subset = (SUBSET_EACH * each).clamp(SUBSET_LEAST, 1e6) as usize;
-        // Where reports will tell how busy the cores are: as busy as they may be, until then.
-        let telling = set.load_reports == LoadReports::Inline
-            && set.report_fields.contains(&LoadField::Utilization);
-        let busy = if telling { bound(&set) } else { 0.0 };
+        let capacity = Capacity::new(&set, each);
         Ok(Self {
-            busy,
-            load: busy,
-            pacing: SendPacing::new(busy > 0.0),
+            pacing: SendPacing::new(capacity.knows_utilization()),
+            capacity,
             subset,
             subset_least: subset,
             rng: Random::with_seed(seed),
             buckets: buckets.collect(),
             trials: vec![ClassTrials::default(); set.classes.len()],
             classes: ClassStatistics::new(&set),
-            // Where the list says nothing of their sizes the small ones would be full first.
-            rate_now: if telling && set.endpoint_weights == EndpointWeights::Off {
-                busy * each
-            } else {
-                each
-            },
             flow: each,
             load_reports: LoadReportTracker::new(&set),
             upstream_weights: Weights::new(&set),
@@ -198,9 +170,10 @@
         let warming_up = self.in_turn().filter(|u| u.weight.is_warming_up()).count();
         let ejected = self.in_turn().filter(|u| u.ejected_until > self.at).count();
         StatusSnapshot {
-            spare_capacity: self.room,
-            service_rate: self.rate * self.in_turn().map(|u| u.weight.weight()).sum::<f64>(),
-            utilization: self.busy,
+            spare_capacity: self.capacity.spare(),
+            service_rate: self.capacity.service_rate()
+                * self.in_turn().map(|u| u.weight.weight()).sum::<f64>(),
+            utilization: self.capacity.utilization(),
             mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.buckets.iter().map(|b| b.demand).sum(),
             in_flight: self.upstreams.iter().map(|u| u.load.in_flight()).sum(),
@@ -309,7 +282,7 @@
         // Traffic is uneven: several times the mean on an equal part of the upstreams would crowd them as
         // others idle. Repeats that are not marked would count as that. Both ways by leaps, so that chance
         // moves nothing.
-        self.flow += (tau / RATE_OVER).min(1.0) * (self.wanted / tau.max(1e-6) - self.flow);
+        self.flow += (tau / RATE_MEMORY_S).min(1.0) * (self.wanted / tau.max(1e-6) - self.flow);
         self.wanted = 0.0;
         let due = (SUBSET_EACH * self.flow).clamp(self.subset_least as f64, 1e6) as usize;
         let more = due * 2 >= self.subset * 3 && self.turns.len() < self.upstreams.len();
@@ -321,7 +294,7 @@
         }
         self.weigh(tau);
         self.grant(tau);
-        self.pacing.set_active(self.busy > 0.0);
+        self.pacing.set_active(self.capacity.knows_utilization());
         self.look_for_overdue();
         if self.polling.poll_if_due(at, &mut self.rng) {
             self.out.push(Action::WatchEndpoints);
--- a/src/policy/turns.rs
+++ b/src/policy/turns.rs
@@ -32,9 +32,11 @@
             .update(&mut self.upstreams, turns, ejections_hold, tau, at);
         self.load_reports.update_mean(&self.upstreams, turns, at);
         // A cold upstream earns turns by the clock: where others are skipped the ring turns faster.
-        let slow_start = self
-            .upstream_weights
-            .slow_start_rate(&self.upstreams, turns, self.rate);
+        let slow_start = self.upstream_weights.slow_start_rate(
+            &self.upstreams,
+            turns,
+            self.capacity.service_rate(),
+        );
         let (each, cold) = (slow_start.warm_rate, slow_start.multiple);
         for j in &self.turns {
             let u = &mut self.upstreams[*j];
@@ -43,9 +45,9 @@
             }
         }
         let rates = PacingRates {
-            service_rate: self.rate,
+            service_rate: self.capacity.service_rate(),
             slow_start,
-            utilization: self.busy,
+            utilization: self.capacity.utilization(),
             balancers_per_upstream: self.sharers,
             load_reports: &self.load_reports,
         };
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 14] = [
+const FILES: [(&str, &str); 15] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -14,6 +14,10 @@
         "src/policy/attempts.rs",
         include_str!("../src/policy/attempts.rs"),
     ),
+    (
+        "src/policy/capacity.rs",
+        include_str!("../src/policy/capacity.rs"),
+    ),
     (
         "src/policy/class_statistics.rs",
         include_str!("../src/policy/class_statistics.rs"),
