--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,173 +1,184 @@
-//! Who is admitted: the token buckets, C and W, and what is kept of saved sends in a shortage.
+//! Admission: one token bucket a tenant, refilled by a guaranteed rate and by a share, in proportion to
+//! demand, of the spare capacity.
 
-use super::capacity::CapacityInputs;
-use super::upstreams::Upstream;
-use super::{BUCKET, BUCKET_LEAST, Balancer, RETRY_SAVED, RETRY_SHARE, TICK_S};
-use crate::interface::{Action, FailureReason, RequestId};
+use crate::interface::{RequestId, Settings};
 use crate::random::Random;
-use crate::state::Request;
 use std::time::Duration;
 
-/// Seconds and requests over which demand V_i is counted at least: a tick sees too few to go by.
-const DEMAND_OVER: f64 = 1.0;
-const DEMAND_COUNT: f64 = 10.0;
-/// Guarantees grow with the middle tenant's demand and this much more, up to so many equal parts.
-const PART_SPARE: f64 = 1.3;
-const PART_MOST: f64 = 4.0;
-/// Part of a guarantee lost for each part of what is held that is too much: for demand over it, inside.
-const CUT: (f64, f64) = (20.0, 2.0);
-const CUT_FROM: f64 = 0.25;
-/// Share of the aim after which an attempt whose late answer is worth nothing is given up.
-const AIM_LEFT: f64 = 0.98;
-
-impl Balancer {
-    /// A request is admitted when its tenant's bucket has a token for it, else refused on arrival.
-    pub(super) fn request(
-        &mut self,
-        id: RequestId,
-        class: usize,
-        tenant: usize,
-        left: Duration,
-        is_retry: bool,
-    ) {
-        if class >= self.set.classes.len() {
-            self.out.push(Action::Fail {
-                id,
-                reason: FailureReason::UnknownClass,
-            });
-            return;
-        }
-        let tenant = tenant.min(self.buckets.len() - 1);
-        let bucket = &mut self.buckets[tenant];
-        bucket.arrivals += 1.0;
-        if self.lease.is_expired(self.at) {
-            self.refuse(id, left, FailureReason::StaleEndpoints);
-            return;
-        }
-        let bucket = &self.buckets[tenant];
-        if bucket.tokens < 1.0 {
-            self.refuse(
-                id,
-                left,
-                if self.capacity.spare() > 0.0 {
-                    FailureReason::QuotaExceeded
-                } else {
-                    FailureReason::NoSpareCapacity
-                },
-            );
-            return;
+/// Bucket size: a second of the guarantee or this share of the tenant's demand, whichever is more, and
+/// this many tokens, so that a small tenant's chance pairs are not rejected.
+const BUCKET_DEMAND_SHARE: f64 = 0.2;
+const MIN_BUCKET_SIZE: f64 = 3.0;
+/// Seconds and requests over which demand is counted at least: a tick sees too few to go by.
+const MIN_DEMAND_WINDOW_S: f64 = 1.0;
+const MIN_DEMAND_COUNT: f64 = 10.0;
+/// Guarantees grow with the median tenant's demand and this much more, up to so many equal parts.
+const GUARANTEE_MARGIN: f64 = 1.3;
+const MAX_GUARANTEE_GROWTH: f64 = 4.0;
+/// Part of a guarantee lost for each part of what is in flight that is too much, for demand over it ...
+const OVER_GUARANTEE_CUT: f64 = 20.0;
+/// ... and, from a shortage on, for demand within it.
+const WITHIN_GUARANTEE_CUT: f64 = 2.0;
+const WITHIN_GUARANTEE_CUT_FROM: f64 = 0.25;
+/// The guarantee of a tenant whose quota is not stated, in requests a second.
+const DEFAULT_GUARANTEE: f64 = 1.0;
+
+/// The token bucket of a tenant.
+struct TokenBucket {
+    /// mu_i
+    tokens: f64,
+    /// V_i of the running tick.
+    arrivals: f64,
+    /// V_i a second, smoothed.
+    demand_per_s: f64,
+    /// This balancer's equal part of the tenant's quota, a second.
+    base_guarantee_per_s: f64,
+    /// u_g_i a second.
+    guarantee_per_s: f64,
+}
+
+impl TokenBucket {
+    /// A full one.
+    fn new(guarantee_per_s: f64) -> Self {
+        Self {
+            tokens: MIN_BUCKET_SIZE + guarantee_per_s,
+            arrivals: 0.0,
+            demand_per_s: 0.0,
+            base_guarantee_per_s: guarantee_per_s,
+            guarantee_per_s,
         }
-        let relative_value = self.classes.relative_value(class);
-        let short = self.pacing.is_short(relative_value, is_retry);
-        let turn = if short { None } else { self.next_turn(class) };
-        let Some(turn) = turn else {
-            let waits = |u: &Upstream| {
-                u.weight.weight() > 0.0
-                    && !u.health[class].ejected
-                    && (short || self.pacing.is_exhausted(u))
-            };
-            let waits = self.in_turn().any(waits);
-            if waits {
-                self.capacity.record_paced();
-            }
-            self.refuse(
-                id,
-                left,
-                if waits {
-                    FailureReason::Paced
-                } else {
-                    FailureReason::NoHealthyUpstream
-                },
-            );
-            return;
-        };
-        self.buckets[tenant].tokens -= 1.0;
-        self.wanted += f64::from(u8::from(!self.set.retries_marked));
-        self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
-        self.classes.record_admission(class);
-        let deadline = self.at + left.as_secs_f64();
-        let c = &self.set.classes[class];
-        let lasts = c.late_weight_share > 0.0 || c.objective_work_multiple > 0.0 || c.streamed;
-        let latency_objective = self.at + AIM_LEFT * c.latency_objective.as_secs_f64();
-        let worth_until = if lasts {
-            deadline
+    }
+
+    /// T_i.
+    fn size(&self) -> f64 {
+        MIN_BUCKET_SIZE + (BUCKET_DEMAND_SHARE * self.demand_per_s).max(self.guarantee_per_s)
+    }
+
+    /// Adds u_i: the guarantee, less what a shortage cuts from it, and the tenant's share of W.
+    fn refill(&mut self, refill: &Refill) {
+        let size = self.size();
+        let cut = if self.demand_per_s > self.guarantee_per_s {
+            OVER_GUARANTEE_CUT * refill.shortage
         } else {
-            deadline.min(latency_objective)
+            WITHIN_GUARANTEE_CUT * (refill.shortage - WITHIN_GUARANTEE_CUT_FROM)
         };
-        let (attempts, ended, streaming) = (Vec::new(), false, false);
-        let request = Request {
-            class,
-            worth_until,
-            deadline,
-            attempts,
-            ended,
-            streaming,
+        let demand_share = if refill.total_demand_per_s > 0.0 {
+            self.demand_per_s / refill.total_demand_per_s
+        } else {
+            0.0
         };
-        self.requests.insert(id, request);
-        self.send(id, turn);
+        // Only whole tokens count against a share of W under one request: else it stops short of one.
+        let open = (refill.spare_capacity - self.tokens.floor()).max(0.0);
+        let guaranteed = (1.0 - cut).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
+        let grant = guaranteed + demand_share * open;
+        self.tokens += grant.min((size - self.tokens).max(0.0));
     }
 
-    /// A refusal always tells when to come back. The moment is spread by the request's own number, so that
-    /// those refused together do not return together.
-    pub(super) fn refuse(&mut self, id: RequestId, left: Duration, reason: FailureReason) {
-        // No sooner than an attempt takes, however little of this try is left: the client may have another.
-        let least = Duration::from_secs_f64(self.classes.mean_latency_s().max(TICK_S));
-        let longest = self.set.max_retry_after.min(least.max(left / 2));
-        let retry_after = longest.mul_f64(0.5 + 0.5 * Random::with_seed(u64::from(id.0)).f64());
-        self.out.push(Action::Reject {
-            id,
-            retry_after: Some(retry_after),
-            reason,
-        });
+    /// Takes the arrivals of the tick into the demand.
+    fn update_demand(&mut self, window_s: f64, elapsed_s: f64) {
+        let per_s = self.arrivals / elapsed_s.max(1e-6);
+        self.demand_per_s += (elapsed_s / window_s).min(1.0) * (per_s - self.demand_per_s);
+        self.arrivals = 0.0;
     }
+}
+
+/// What a refill of all buckets goes by.
+struct Refill {
+    /// W.
+    spare_capacity: f64,
+    shortage: f64,
+    total_demand_per_s: f64,
+    /// tau.
+    elapsed_s: f64,
+}
 
-    /// W = sum of (tau C_j + (Q_j - q_j)) in this balancer's own share, then u_i for each tenant.
-    pub(super) fn grant(&mut self, tau: f64) {
-        let at = self.at;
-        self.classes.fade(tau, at);
-        self.capacity.update(&CapacityInputs {
-            upstreams: &self.upstreams,
-            rotation: &self.turns,
-            classes: &self.classes,
-            load_reports: &self.load_reports,
-            balancers_per_upstream: self.sharers,
-            elapsed_s: tau,
-            now_s: at,
-        });
-        let room = self.capacity.spare();
-        let total: f64 = self.buckets.iter().map(|b| b.demand).sum();
-        // Long enough to hold a few requests: a tenant that happened to be silent is not without demand.
-        let over = DEMAND_OVER.max(DEMAND_COUNT / total.max(0.1));
-        // Where room is missing, those over their guarantee lose it first; the rest too when much is missing,
-        // as after the loss of half the fleet: nobody is served from full queues.
-        let missing = self.capacity.shortage();
-        // Where the middle tenant asks for more than its part, this balancer carries more; no tenant surges.
-        let mut asks: Vec<f64> = self
-            .buckets
-            .iter()
-            .map(|b| b.demand / b.part.max(1e-9))
-            .collect();
-        asks.sort_by(f64::total_cmp);
-        let more = (asks.get(asks.len() / 2).unwrap_or(&1.0) * PART_SPARE).clamp(1.0, PART_MOST);
-        // ... unless much is missing: then all surge, as with retries in a jam.
-        let more = 1.0 + (more - 1.0) * (1.0 - missing).max(0.0);
-        self.buckets
-            .iter_mut()
-            .for_each(|b| b.guarantee = b.part * more);
-        for b in &mut self.buckets {
-            let size = BUCKET_LEAST + (BUCKET * b.demand).max(b.guarantee); // T_i
-            let cut = if b.demand > b.guarantee {
-                CUT.0 * missing
+/// The token buckets of all tenants.
+#[derive(Default)]
+pub(super) struct Admission {
+    buckets: Vec<TokenBucket>,
+}
+
+impl Admission {
+    pub(super) fn new(settings: &Settings) -> Self {
+        let bucket = |tenant: usize| {
+            let quota_per_s = settings.tenants.get(tenant).map_or(0.0, |t| t.quota_per_s);
+            TokenBucket::new(if quota_per_s > 0.0 {
+                quota_per_s / f64::from(settings.balancers)
             } else {
-                CUT.1 * (missing - CUT_FROM)
-            };
-            let share = if total > 0.0 { b.demand / total } else { 0.0 };
-            // Only whole tokens count against a share of W under one request: else it stops short of one.
-            let open = (room - b.tokens.floor()).max(0.0);
-            let grant = (1.0 - cut).clamp(0.0, 1.0) * b.guarantee * tau + share * open;
-            b.tokens += grant.min((size - b.tokens).max(0.0));
-            b.demand += (tau / over).min(1.0) * (b.arrivals / tau.max(1e-6) - b.demand);
-            b.arrivals = 0.0;
+                DEFAULT_GUARANTEE
+            })
+        };
+        Self {
+            buckets: (0..settings.tenants.len().max(1)).map(bucket).collect(),
         }
     }
+
+    /// The bucket of a tenant; one that the settings don't know shares the last.
+    fn bucket(&mut self, tenant: usize) -> &mut TokenBucket {
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[tenant.min(last)]
+    }
+
+    pub(super) fn record_arrival(&mut self, tenant: usize) {
+        self.bucket(tenant).arrivals += 1.0;
+    }
+
+    pub(super) fn has_token(&mut self, tenant: usize) -> bool {
+        self.bucket(tenant).tokens >= 1.0
+    }
+
+    pub(super) fn take_token(&mut self, tenant: usize) {
+        self.bucket(tenant).tokens -= 1.0;
+    }
+
+    /// Requests a second that are asked for.
+    pub(super) fn demand_per_s(&self) -> f64 {
+        self.buckets.iter().map(|bucket| bucket.demand_per_s).sum()
+    }
+
+    /// Refills the buckets, each tick. In a shortage tenants over their guarantee lose it first; the rest
+    /// too in a large one, as after the loss of half the fleet: nobody is served from full queues.
+    pub(super) fn refill(&mut self, spare_capacity: f64, shortage: f64, elapsed_s: f64) {
+        let total_demand_per_s = self.demand_per_s();
+        let growth = self.guarantee_growth(shortage);
+        // Long enough for a few requests: a tenant that happened to be silent is not without demand.
+        let window_s = MIN_DEMAND_WINDOW_S.max(MIN_DEMAND_COUNT / total_demand_per_s.max(0.1));
+        let refill = Refill {
+            spare_capacity,
+            shortage,
+            total_demand_per_s,
+            elapsed_s,
+        };
+        for bucket in &mut self.buckets {
+            bucket.guarantee_per_s = bucket.base_guarantee_per_s * growth;
+            bucket.refill(&refill);
+            bucket.update_demand(window_s, elapsed_s);
+        }
+    }
+
+    /// Where the median tenant asks for more than its part, this balancer carries more, and no tenant
+    /// surges; unless there is a large shortage: then all surge, as with retries in a jam.
+    fn guarantee_growth(&self, shortage: f64) -> f64 {
+        let demand =
+            |bucket: &TokenBucket| bucket.demand_per_s / bucket.base_guarantee_per_s.max(1e-9);
+        let mut demands: Vec<f64> = self.buckets.iter().map(demand).collect();
+        demands.sort_by(f64::total_cmp);
+        let median = demands.get(demands.len() / 2).unwrap_or(&1.0);
+        let growth = (median * GUARANTEE_MARGIN).clamp(1.0, MAX_GUARANTEE_GROWTH);
+        1.0 + (growth - 1.0) * (1.0 - shortage).max(0.0)
+    }
+}
+
+/// How long a client that is rejected should stay away: no less than an attempt takes, however little of
+/// this one's time is left, as the client may have another. The moment is spread by the request's own
+/// number, so that clients rejected together do not return together.
+pub(super) fn retry_after(
+    id: RequestId,
+    time_left: Duration,
+    attempt_s: f64,
+    longest: Duration,
+) -> Duration {
+    let least = Duration::from_secs_f64(attempt_s);
+    let longest = longest.min(least.max(time_left / 2));
+    longest.mul_f64(0.5 + 0.5 * Random::with_seed(u64::from(id.0)).f64())
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -17,6 +17,7 @@
 mod list;
 mod load;
 mod pacing;
+mod request_flow;
 mod turns;
 mod upstreams;
 mod weights;
@@ -26,7 +27,8 @@
     UpstreamId, WatchEvent,
 };
 use crate::random::Random;
-use crate::state::{Bucket, ClassTrials, Request};
+use crate::state::{ClassTrials, Request};
+use admission::Admission;
 use capacity::{Capacity, RATE_MEMORY_S};
 use class_statistics::ClassStatistics;
 use endpoint_lease::EndpointLease;
@@ -42,10 +44,6 @@
 
 /// Seconds between refills: short against any aim, long against one look over the fleet.
 const TICK_S: f64 = 0.025;
-/// Bucket size T_i: a second of the guarantee or this share of the tenant's demand, whichever is more, and
-/// this many tokens, so that a small tenant's chance pairs are not refused.
-const BUCKET: f64 = 0.2;
-const BUCKET_LEAST: f64 = 3.0;
 /// Further attempts earned by each request admitted, and how many of them can be saved up.
 const RETRY_SHARE: f64 = 0.1;
 const RETRY_SAVED: f64 = 10.0;
@@ -90,7 +88,7 @@
     requests: FxHashMap<RequestId, Request>,
     idle_connections: IdleConnections,
     due: BTreeSet<(Duration, RequestId, u8)>, // when attempts out become overdue
-    buckets: Vec<Bucket>,
+    admission: Admission,
     classes: ClassStatistics,
     trials: Vec<ClassTrials>, // by class
     wanted: f64, // first tries of the running tick, or what was admitted where they can't be told
@@ -110,28 +108,12 @@
     /// A balancer with these settings; `seed` is its only source of chance.
     pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
         set.check()?;
-        let count = set.tenants.len().max(1);
         let stated: f64 = set
             .tenants
             .iter()
             .map(|t| t.quota_per_s)
             .filter(|a| a.is_finite())
             .sum();
-        let buckets = (0..count).map(|i| {
-            let stated = set.tenants.get(i).map_or(0.0, |t| t.quota_per_s);
-            let guarantee = if stated > 0.0 {
-                stated / f64::from(set.balancers)
-            } else {
-                1.0
-            };
-            Bucket {
-                tokens: BUCKET_LEAST + guarantee, // full
-                arrivals: 0.0,
-                demand: 0.0,
-                part: guarantee,
-                guarantee,
-            }
-        });
         let each = stated.max(1.0) / f64::from(set.balancers);
         let subset = (SUBSET_EACH * each).clamp(SUBSET_LEAST, 1e6) as usize;
         let capacity = Capacity::new(&set, each);
@@ -141,7 +123,7 @@
             subset,
             subset_least: subset,
             rng: Random::with_seed(seed),
-            buckets: buckets.collect(),
+            admission: Admission::new(&set),
             trials: vec![ClassTrials::default(); set.classes.len()],
             classes: ClassStatistics::new(&set),
             flow: each,
@@ -175,7 +157,7 @@
                 * self.in_turn().map(|u| u.weight.weight()).sum::<f64>(),
             utilization: self.capacity.utilization(),
             mean_latency_s: self.classes.mean_latency_s(),
-            demand_per_s: self.buckets.iter().map(|b| b.demand).sum(),
+            demand_per_s: self.admission.demand_per_s(),
             in_flight: self.upstreams.iter().map(|u| u.load.in_flight()).sum(),
             rotation_size: self.turns.len(),
             warming_up,
--- a/src/state.rs
+++ b/src/state.rs
@@ -25,15 +25,6 @@
     pub(crate) streaming: bool,
 }
 
-/// The token bucket of a tenant.
-pub(crate) struct Bucket {
-    pub(crate) tokens: f64,    // mu_i
-    pub(crate) arrivals: f64,  // V_i of the running tick
-    pub(crate) demand: f64,    // V_i a second, smoothed
-    pub(crate) part: f64,      // this balancer's equal part of the tenant's allowance, a second
-    pub(crate) guarantee: f64, // u_g_i a second
-}
-
 /// Trials of upstreams that are ejected for one class.
 #[derive(Clone, Default)]
 pub(crate) struct ClassTrials {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 15] = [
+const FILES: [(&str, &str); 16] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -44,6 +44,10 @@
         "src/policy/pacing.rs",
         include_str!("../src/policy/pacing.rs"),
     ),
+    (
+        "src/policy/request_flow.rs",
+        include_str!("../src/policy/request_flow.rs"),
+    ),
     (
         "src/policy/turns.rs",
         include_str!("../src/policy/turns.rs"),
