--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -15,27 +15,27 @@
             return;
         };
         let u = &mut self.upstreams[turn];
-        let mut idle = u.connections.idle_s(self.at, u.load.in_flight());
-        if self.idle_connections.is_suspect(idle, self.at) {
-            self.out
+        let mut idle = u.connections.idle_s(self.now_s, u.load.in_flight());
+        if self.idle_connections.is_suspect(idle, self.now_s) {
+            self.actions
                 .push(Action::CloseIdleConnections { upstream: u.id });
             idle = 0.0;
         }
-        u.connections.record(self.at);
+        u.connections.record(self.now_s);
         u.load.record_sent();
         self.pacing.record_send(&mut u.send_budget);
-        let class = &self.set.classes[r.class];
+        let class = &self.settings.classes[r.class];
         let overdue = self.classes.overdue_after_s(r.class);
         // Where no second copy may run beside the first, what may be repeated is given up when overdue.
-        let last = r.attempts.len() + 1 >= usize::from(self.set.max_attempts);
+        let last = r.attempts.len() + 1 >= usize::from(self.settings.max_attempts);
         let repeatable = class.effect != Effect::AtMostOnce && !class.streamed;
-        let again = (!self.set.hedging && repeatable && !last && self.retries >= 1.0)
+        let again = (!self.settings.hedging && repeatable && !last && self.retries >= 1.0)
             .then(|| Duration::from_secs_f64(overdue));
         // What is worth nothing after its aim is not waited for any longer: upstreams that drop what is
         // called back have room for others, and silence is known sooner. It ends just before, not as late.
-        let spent = Duration::from_secs_f64((r.worth_until - self.at).clamp(1e-3, 1e6));
+        let spent = Duration::from_secs_f64((r.worth_until - self.now_s).clamp(1e-3, 1e6));
         let timeout = again.or((r.worth_until < r.deadline).then_some(spent));
-        self.out.push(Action::Attempt {
+        self.actions.push(Action::Attempt {
             id,
             upstream: u.id,
             timeout,
@@ -45,7 +45,7 @@
             id,
             r.attempts.len() as u8,
         ));
-        let (upstream, zone, cell, sent) = (u.id, u.zone, u.cell, self.at);
+        let (upstream, zone, cell, sent) = (u.id, u.zone, u.cell, self.now_s);
         r.attempts.push(Attempt {
             upstream,
             zone,
@@ -62,17 +62,17 @@
         let Some(first) = r.attempts.iter().find(|a| a.out || a.may_have_run) else {
             return true;
         };
-        let Effect::Deduplicated { group, ttl } = self.set.classes[r.class].effect else {
-            return self.set.classes[r.class].effect == Effect::Idempotent;
+        let Effect::Deduplicated { group, ttl } = self.settings.classes[r.class].effect else {
+            return self.settings.classes[r.class].effect == Effect::Idempotent;
         };
         // For the way there: a connection may have to be made first.
-        let margin = self.set.connect_timeout.as_secs_f64() + 0.05;
+        let margin = self.settings.connect_timeout.as_secs_f64() + 0.05;
         let same = match group {
             DedupGroup::All => true,
             DedupGroup::Zone => u.zone == first.zone,
             DedupGroup::Cell => u.cell == first.cell,
         };
-        same && self.at + margin < first.sent + ttl.as_secs_f64()
+        same && self.now_s + margin < first.sent + ttl.as_secs_f64()
     }
 
     /// Sends a further attempt where the class and the retry budget allow one.
@@ -80,28 +80,33 @@
         let Some(r) = self.requests.get(&id) else {
             return false;
         };
-        let at = self.at;
+        let at = self.now_s;
         if r.ended
             || r.streaming
-            || r.attempts.len() >= usize::from(self.set.max_attempts)
+            || r.attempts.len() >= usize::from(self.settings.max_attempts)
             || at + 1e-3 >= r.deadline
             || at + 0.5 * self.classes.latency_s(r.class) >= r.worth_until
             || self.retries < cost
             || self.upstreams.is_empty()
-            || self.lease.is_expired(self.at)
+            || self.lease.is_expired(self.now_s)
         {
             return false;
         }
         // Outside the subset only where nobody in it will do, as for a key known to one cell.
-        let (n, m, from) = (self.turns.len(), self.upstreams.len(), self.rng.usize(..));
+        let (n, m, from) = (
+            self.turns.len(),
+            self.upstreams.len(),
+            self.random.usize(..),
+        );
         let all = (1..=n)
             .map(|k| self.turns[(self.sigma + k) % n])
             .chain((0..m).map(|k| (k + from % m) % m));
         let fit = all
             .filter(|j| self.fits(r, &self.upstreams[*j]))
             .take(FURTHER_LOOK);
-        let far =
-            |u: &Upstream| f64::from(u8::from(u.zone != self.set.zone) + 2 * u8::from(!u.member));
+        let far = |u: &Upstream| {
+            f64::from(u8::from(u.zone != self.settings.zone) + 2 * u8::from(!u.member))
+        };
         let held = |j: usize| 1e6 * far(&self.upstreams[j]) + self.holds(j);
         let Some(j) = fit.min_by(|a, b| held(*a).total_cmp(&held(*b))) else {
             return false;
@@ -116,7 +121,7 @@
         // Not onto a cold upstream: a failure's retries together are the burst that pushes it over.
         u.ready
             && !u.weight.is_warming_up()
-            && u.ejected_until <= self.at
+            && u.ejected_until <= self.now_s
             && !u.health[r.class].ejected
             && !self.pacing.is_exhausted(u)
             && r.attempts.iter().all(|a| a.upstream != u.id)
@@ -149,7 +154,7 @@
             self.suspect(j, DOUBT);
         }
         // Room for one: the overdue attempt itself is counted in what is held.
-        if silent && self.set.hedging && self.capacity.spare() > -1.0 {
+        if silent && self.settings.hedging && self.capacity.spare() > -1.0 {
             self.further(id, 1.0);
         }
     }
@@ -207,12 +212,12 @@
         let Some(r) = self.requests.remove(&id) else {
             return;
         };
-        let safe = self.set.classes[r.class].effect == Effect::Idempotent;
+        let safe = self.settings.classes[r.class].effect == Effect::Idempotent;
         if safe || r.attempts.iter().all(|a| !a.may_have_run) {
-            let left = (deadline - self.at).max(0.0);
+            let left = (deadline - self.now_s).max(0.0);
             self.refuse(id, Duration::from_secs_f64(left.min(1e6)), reason);
         } else {
-            self.out.push(Action::Fail { id, reason });
+            self.actions.push(Action::Fail { id, reason });
         }
     }
 
@@ -222,9 +227,9 @@
             return;
         };
         let was_ended = std::mem::replace(&mut r.ended, true);
-        if !was_ended && self.set.cancellation {
+        if !was_ended && self.settings.cancellation {
             for (k, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.out) {
-                self.out.push(Action::Cancel {
+                self.actions.push(Action::Cancel {
                     id,
                     attempt: AttemptNo(k as u8),
                 });
--- a/src/policy/doubt.rs
+++ b/src/policy/doubt.rs
@@ -34,10 +34,12 @@
         } else {
             slow.then_some(LatencySample::GivenUp)
         };
-        let ratio =
-            sample.map(|sample| self.classes.record_latency(class, sample, latency, self.at));
+        let ratio = sample.map(|sample| {
+            self.classes
+                .record_latency(class, sample, latency, self.now_s)
+        });
         if ok || slow {
-            self.idle_connections.record(idle, slow, self.at);
+            self.idle_connections.record(idle, slow, self.now_s);
         }
         let common = self.common_errors(id);
         let out = self
@@ -51,14 +53,14 @@
             return;
         };
         let u = &mut self.upstreams[j];
-        u.connections.record(self.at);
+        u.connections.record(self.now_s);
         u.load.record_ended(overdue);
         if let Some(ratio) = ratio {
             u.weight.record_latency_ratio(ratio);
         }
         let (h, l) = (&mut u.health[class], &mut self.trials[class]);
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
-            u.heard = self.at;
+            u.heard = self.now_s;
         }
         match outcome {
             Outcome::Ok => {
@@ -67,16 +69,16 @@
                 u.ejections *= u32::from(u.doubt > DOUBTED);
                 if !overdue && std::mem::take(&mut h.ejected) {
                     // What ailed it may have been the others' trouble too: they are tried at once.
-                    (l.unsuccessful, l.next_at_s) = (0, self.at);
+                    (l.unsuccessful, l.next_at_s) = (0, self.now_s);
                 }
             }
             // It looks the emptiest to the skip rule, whatever makes it turn requests of a class away.
             Outcome::Rejected => {
-                u.load.record_rejected(self.at);
+                u.load.record_rejected(self.now_s);
                 h.faults += 1;
             }
-            Outcome::Error => (h.faults, u.erred_at) = (h.faults + 1, self.at),
-            _ if slow && u.ejected_until <= self.at => h.faults += 1,
+            Outcome::Error => (h.faults, u.erred_at) = (h.faults + 1, self.now_s),
+            _ if slow && u.ejected_until <= self.now_s => h.faults += 1,
             _ => {}
         }
         let faults = if common > 0.5 {
@@ -85,10 +87,10 @@
             FAULTS
         };
         if !h.ejected && out && h.faults >= faults {
-            (h.faults, h.ejected, h.tried) = (0, true, self.at);
-            if l.next_at_s <= self.at {
+            (h.faults, h.ejected, h.tried) = (0, true, self.now_s);
+            if l.next_at_s <= self.now_s {
                 (l.unsuccessful, l.next_at_s) =
-                    (0, self.at + EJECT * (0.75 + 0.5 * self.rng.f64()));
+                    (0, self.now_s + EJECT * (0.75 + 0.5 * self.random.f64()));
             }
         }
         // Where the fault is the upstream's own, it says nothing of the room elsewhere.
@@ -114,7 +116,7 @@
     pub(super) fn common_errors(&self, but: UpstreamId) -> f64 {
         let others = || self.in_turn().filter(|u| u.id != but);
         let erred = others()
-            .filter(|u| u.erred_at > 0.0 && self.at - u.erred_at < COMMON_OVER)
+            .filter(|u| u.erred_at > 0.0 && self.now_s - u.erred_at < COMMON_OVER)
             .count();
         erred as f64 / others().count().max(1) as f64
     }
@@ -125,21 +127,21 @@
         let u = &mut self.upstreams[j];
         u.doubt += fault * (1.0 - u.doubt);
         // A process that has died breaks every connection, a poor way there a few.
-        let heard = fault == DOUBT_BREAK && u.heard + usual >= self.at;
+        let heard = fault == DOUBT_BREAK && u.heard + usual >= self.now_s;
         // Back from ejection it is on trial: as long as nothing clears it the next fault ejects it again.
-        if (u.doubt < DOUBT_MOST && u.ejections == 0) || heard || u.ejected_until > self.at {
+        if (u.doubt < DOUBT_MOST && u.ejections == 0) || heard || u.ejected_until > self.now_s {
             return false;
         }
         let length =
             (EJECT * self.sharers.sqrt() * f64::from(1 << u.ejections.min(3))).min(EJECT_MOST);
         u.ejections += 1;
-        u.ejected_until = self.at + length * (0.75 + 0.5 * self.rng.f64());
+        u.ejected_until = self.now_s + length * (0.75 + 0.5 * self.random.f64());
         u.health
             .iter_mut()
             .for_each(|h| (h.faults, h.ejected) = (0, false));
-        u.credit = self.rng.f64();
+        u.credit = self.random.f64();
         u.fresh = true;
-        self.choose_at = self.at;
+        self.choose_at = self.now_s;
         true
     }
 }
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -19,7 +19,8 @@
                 was_partial: self.lease.has_partial_response(),
                 was_rejected: self.lease.polls_are_rejected(),
             };
-            self.polling.on_failure(&failure, self.at, &mut self.rng);
+            self.polling
+                .on_failure(&failure, self.now_s, &mut self.random);
             return;
         }
         if scope != UpdateScope::Cached {
@@ -38,9 +39,9 @@
             let started = l.started.map(|s| s.as_secs_f64());
             let j = self.upstreams.slot(l.id).unwrap_or_else(|| {
                 // A newcomer to a list already known has just started, whatever the list says.
-                let started = started.or((!first).then_some(self.at));
-                let credit = self.rng.f64();
-                let health = vec![Health::default(); self.set.classes.len()];
+                let started = started.or((!first).then_some(self.now_s));
+                let credit = self.random.f64();
+                let health = vec![Health::default(); self.settings.classes.len()];
                 grown = true;
                 self.upstreams.push(Upstream {
                     health,
@@ -63,23 +64,24 @@
             } else {
                 1.0
             };
-            match self.set.endpoint_weights {
+            match self.settings.endpoint_weights {
                 EndpointWeights::Off => u.size = 1.0,
                 EndpointWeights::Size => u.size = weight,
                 EndpointWeights::Live => {
                     u.size = u.size.max(weight);
                     let in_flight = u.size / weight - 1.0;
                     self.load_reports
-                        .record_live_weight(&mut u.load, in_flight, self.at);
+                        .record_live_weight(&mut u.load, in_flight, self.now_s);
                 }
             }
             let fresh = |s: &f64| {
-                self.upstream_weights.is_recent_start(*s, self.at) && u.weight.is_later_start(*s)
+                self.weights.is_recent_start(*s, self.now_s) && u.weight.is_later_start(*s)
             };
             if let Some(s) = started.filter(fresh) {
                 // It has restarted: what was held against it is void, and it is cold.
                 u.weight.begin_slow_start(s);
-                (u.doubt, u.ejections, u.ejected_until, u.credit) = (0.0, 0, 0.0, self.rng.f64());
+                (u.doubt, u.ejections, u.ejected_until, u.credit) =
+                    (0.0, 0, 0.0, self.random.f64());
                 u.health.fill(Health::default());
                 (u.fresh, changed) = (true, true);
             }
@@ -110,22 +112,22 @@
         let n = order.len();
         let equal = self
             .subset_least
-            .max(SUBSETS_EACH * n / (self.set.balancers as usize).max(1));
+            .max(SUBSETS_EACH * n / (self.settings.balancers as usize).max(1));
         let least = equal.max(self.subset);
         let all = least * 5 >= n * 4;
         let blocks = (n / equal.max(1)).max(1);
         let (round, place) = (
-            self.set.index as usize / blocks,
-            self.set.index as usize % blocks * equal,
+            self.settings.index as usize / blocks,
+            self.settings.index as usize % blocks * equal,
         );
         let (mut members, mut ill) = (0, 0);
         // When more seem ill, the fault is not theirs.
         let out = order
             .iter()
-            .filter(|j| self.upstreams[**j].ejected_until > self.at)
+            .filter(|j| self.upstreams[**j].ejected_until > self.now_s)
             .count() as f64;
         let now = if out <= EJECTED_MOST * n as f64 {
-            self.at
+            self.now_s
         } else {
             f64::INFINITY
         };
@@ -135,7 +137,7 @@
             .upstreams
             .iter()
             .map(|u| u.ejected_until)
-            .filter(|t| *t > self.at);
+            .filter(|t| *t > self.now_s);
         self.choose_at = until.fold(f64::INFINITY, f64::min);
         if !all {
             order.sort_by_cached_key(|j| {
@@ -165,7 +167,7 @@
             let u = &mut self.upstreams[*j];
             if members > least && u.member && !all {
                 (u.member, members) = (false, members - 1);
-                self.out
+                self.actions
                     .push(Action::CloseIdleConnections { upstream: u.id });
             }
         }
@@ -178,9 +180,9 @@
             self.capacity.on_rotation_grown(grown);
         }
         let part = equal.min(n) as f64 / n.max(1) as f64;
-        self.sharers = (f64::from(self.set.balancers) * part).max(1.0);
+        self.sharers = (f64::from(self.settings.balancers) * part).max(1.0);
         // Each balancer has its own order, so that counters do not march in step.
-        self.rng.shuffle(&mut self.turns);
+        self.random.shuffle(&mut self.turns);
         (self.sigma, self.ahead) = (0, VecDeque::new());
         self.weigh(0.0);
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -72,11 +72,12 @@
 /// One balancer's decisions. See the crate's page for its use.
 #[derive(Default)]
 pub struct Balancer {
-    set: Settings,
-    now: Duration, // of the event in hand
-    at: f64,       // the same in seconds
-    out: Vec<Action>,
-    rng: Random,
+    settings: Settings,
+    /// The time of the event in hand; in seconds as well.
+    now: Duration,
+    now_s: f64,
+    actions: Vec<Action>,
+    random: Random,
     upstreams: Upstreams,
     turns: Vec<usize>,      // the subset, in this balancer's own order
     subset_least: usize,    // of an equal part of the traffic
@@ -96,10 +97,10 @@
     capacity: Capacity,
     pacing: SendPacing,
     load_reports: LoadReportTracker,
-    upstream_weights: Weights,
+    weights: Weights,
     retries: f64,
     ticking: bool,
-    last_tick: f64,
+    last_tick_s: f64,
     polling: EndpointPolling,
     lease: EndpointLease,
 }
@@ -122,16 +123,16 @@
             capacity,
             subset,
             subset_least: subset,
-            rng: Random::with_seed(seed),
+            random: Random::with_seed(seed),
             admission: Admission::new(&set),
             trials: vec![ClassTrials::default(); set.classes.len()],
             classes: ClassStatistics::new(&set),
             flow: each,
             load_reports: LoadReportTracker::new(&set),
-            upstream_weights: Weights::new(&set),
+            weights: Weights::new(&set),
             polling: EndpointPolling::new(&set),
             lease: EndpointLease::new(set.drain_grace, set.has_local_agent),
-            set,
+            settings: set,
             retries: RETRY_SAVED,
             ..Self::default()
         })
@@ -150,7 +151,10 @@
     /// The present state that decisions are based on.
     pub fn status(&self) -> StatusSnapshot {
         let warming_up = self.in_turn().filter(|u| u.weight.is_warming_up()).count();
-        let ejected = self.in_turn().filter(|u| u.ejected_until > self.at).count();
+        let ejected = self
+            .in_turn()
+            .filter(|u| u.ejected_until > self.now_s)
+            .count();
         StatusSnapshot {
             spare_capacity: self.capacity.spare(),
             service_rate: self.capacity.service_rate()
@@ -173,14 +177,14 @@
 
     /// Takes in one event and adds what is to be done about it.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
-        std::mem::swap(&mut self.out, actions);
+        std::mem::swap(&mut self.actions, actions);
         let at = now.as_secs_f64();
-        (self.now, self.at) = (now, at);
+        (self.now, self.now_s) = (now, at);
         if !std::mem::replace(&mut self.ticking, true) {
-            self.last_tick = at;
-            self.polling.start(at, &mut self.rng);
-            let after = Duration::from_secs_f64(TICK_S * self.rng.f64());
-            self.out.push(Action::Timer {
+            self.last_tick_s = at;
+            self.polling.start(at, &mut self.random);
+            let after = Duration::from_secs_f64(TICK_S * self.random.f64());
+            self.actions.push(Action::Timer {
                 after,
                 timer: TICK_TIMER,
             });
@@ -196,7 +200,7 @@
                 is_retry,
                 ..
             } => {
-                self.wanted += f64::from(u8::from(self.set.retries_marked && !is_retry));
+                self.wanted += f64::from(u8::from(self.settings.retries_marked && !is_retry));
                 self.request(
                     id,
                     usize::from(class.0),
@@ -232,12 +236,12 @@
             Event::Timer { timer: TICK_TIMER } => self.tick(),
             Event::Timer { .. } => {}
         }
-        std::mem::swap(&mut self.out, actions);
+        std::mem::swap(&mut self.actions, actions);
     }
 
     /// Takes in what happened to the endpoint watch or a poll.
     fn on_watch_event(&mut self, event: WatchEvent) {
-        self.lease.on_watch_event(event, self.at);
+        self.lease.on_watch_event(event, self.now_s);
         if matches!(event, WatchEvent::Partial { .. }) {
             self.polling.on_partial_response();
         }
@@ -245,22 +249,22 @@
 
     /// Discovery has confirmed the endpoint list.
     fn renew_lease(&mut self) {
-        let log_event = self.lease.renew(self.at);
-        self.out.extend(log_event.map(Action::Log));
+        let log_event = self.lease.renew(self.now_s);
+        self.actions.extend(log_event.map(Action::Log));
     }
 
     fn record_load_report(&mut self, id: UpstreamId, report: &[f32]) {
         if let Some(slot) = self.upstreams.slot(id) {
             let upstream = &mut self.upstreams[slot];
             self.load_reports
-                .record(&mut upstream.load, upstream.size, report, self.at);
+                .record(&mut upstream.load, upstream.size, report, self.now_s);
         }
     }
 
     /// The tick: W and the grants, then the fleet's weights, overdue attempts and discovery.
     fn tick(&mut self) {
-        let (at, tau) = (self.at, (self.at - self.last_tick).clamp(0.0, 1.0));
-        self.last_tick = at;
+        let (at, tau) = (self.now_s, (self.now_s - self.last_tick_s).clamp(0.0, 1.0));
+        self.last_tick_s = at;
         // Traffic is uneven: several times the mean on an equal part of the upstreams would crowd them as
         // others idle. Repeats that are not marked would count as that. Both ways by leaps, so that chance
         // moves nothing.
@@ -278,10 +282,10 @@
         self.grant(tau);
         self.pacing.set_active(self.capacity.knows_utilization());
         self.look_for_overdue();
-        if self.polling.poll_if_due(at, &mut self.rng) {
-            self.out.push(Action::WatchEndpoints);
+        if self.polling.poll_if_due(at, &mut self.random) {
+            self.actions.push(Action::WatchEndpoints);
         }
-        self.out.push(Action::Timer {
+        self.actions.push(Action::Timer {
             after: Duration::from_secs_f64(TICK_S),
             timer: TICK_TIMER,
         });
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -21,15 +21,15 @@
         left: Duration,
         is_retry: bool,
     ) {
-        if class >= self.set.classes.len() {
-            self.out.push(Action::Fail {
+        if class >= self.settings.classes.len() {
+            self.actions.push(Action::Fail {
                 id,
                 reason: FailureReason::UnknownClass,
             });
             return;
         }
         self.admission.record_arrival(tenant);
-        if self.lease.is_expired(self.at) {
+        if self.lease.is_expired(self.now_s) {
             self.refuse(id, left, FailureReason::StaleEndpoints);
             return;
         }
@@ -70,13 +70,13 @@
             return;
         };
         self.admission.take_token(tenant);
-        self.wanted += f64::from(u8::from(!self.set.retries_marked));
+        self.wanted += f64::from(u8::from(!self.settings.retries_marked));
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
         self.classes.record_admission(class);
-        let deadline = self.at + left.as_secs_f64();
-        let c = &self.set.classes[class];
+        let deadline = self.now_s + left.as_secs_f64();
+        let c = &self.settings.classes[class];
         let lasts = c.late_weight_share > 0.0 || c.objective_work_multiple > 0.0 || c.streamed;
-        let latency_objective = self.at + AIM_LEFT * c.latency_objective.as_secs_f64();
+        let latency_objective = self.now_s + AIM_LEFT * c.latency_objective.as_secs_f64();
         let worth_until = if lasts {
             deadline
         } else {
@@ -98,8 +98,8 @@
     /// A rejection always says when to come back.
     pub(super) fn refuse(&mut self, id: RequestId, left: Duration, reason: FailureReason) {
         let attempt_s = self.classes.mean_latency_s().max(TICK_S);
-        let retry_after = retry_after(id, left, attempt_s, self.set.max_retry_after);
-        self.out.push(Action::Reject {
+        let retry_after = retry_after(id, left, attempt_s, self.settings.max_retry_after);
+        self.actions.push(Action::Reject {
             id,
             retry_after: Some(retry_after),
             reason,
@@ -108,7 +108,7 @@
 
     /// Spare capacity, and what the token buckets get of it.
     pub(super) fn grant(&mut self, tau: f64) {
-        self.classes.fade(tau, self.at);
+        self.classes.fade(tau, self.now_s);
         self.capacity.update(&CapacityInputs {
             upstreams: &self.upstreams,
             rotation: &self.turns,
@@ -116,7 +116,7 @@
             load_reports: &self.load_reports,
             balancers_per_upstream: self.sharers,
             elapsed_s: tau,
-            now_s: self.at,
+            now_s: self.now_s,
         });
         let (spare, shortage) = (self.capacity.spare(), self.capacity.shortage());
         self.admission.refill(spare, shortage, tau);
--- a/src/policy/turns.rs
+++ b/src/policy/turns.rs
@@ -17,7 +17,7 @@
         let ready = self.in_turn().filter(|u| u.ready).count() as f64;
         let ejected = self
             .in_turn()
-            .filter(|u| u.ready && u.ejected_until > self.at)
+            .filter(|u| u.ready && u.ejected_until > self.now_s)
             .count() as f64;
         let ejections_hold = ejected <= EJECTED_MOST * ready;
         let fade = (-tau / SUSPICION_KEPT).exp();
@@ -27,16 +27,14 @@
             u.doubt *= fade;
             u.load.fade_abandoned(laid);
         }
-        let (turns, at) = (&self.turns, self.at);
-        self.upstream_weights
+        let (turns, at) = (&self.turns, self.now_s);
+        self.weights
             .update(&mut self.upstreams, turns, ejections_hold, tau, at);
         self.load_reports.update_mean(&self.upstreams, turns, at);
         // A cold upstream earns turns by the clock: where others are skipped the ring turns faster.
-        let slow_start = self.upstream_weights.slow_start_rate(
-            &self.upstreams,
-            turns,
-            self.capacity.service_rate(),
-        );
+        let slow_start =
+            self.weights
+                .slow_start_rate(&self.upstreams, turns, self.capacity.service_rate());
         let (each, cold) = (slow_start.warm_rate, slow_start.multiple);
         for j in &self.turns {
             let u = &mut self.upstreams[*j];
@@ -52,14 +50,14 @@
             load_reports: &self.load_reports,
         };
         self.pacing
-            .refill(&mut self.upstreams, &self.turns, &rates, tau, self.at);
+            .refill(&mut self.upstreams, &self.turns, &rates, tau, self.now_s);
     }
 
     /// What an upstream has in flight for its capacity.
     pub(super) fn holds(&self, j: usize) -> f64 {
         let u = &self.upstreams[j];
         self.load_reports
-            .in_flight_per_capacity(&u.load, u.weight.capacity(), self.last_tick)
+            .in_flight_per_capacity(&u.load, u.weight.capacity(), self.last_tick_s)
     }
 
     /// Steps the counter to the next upstream that has earned a turn.
@@ -92,7 +90,7 @@
             b.upstreams[j].health[class].ejected && b.upstreams[j].weight.weight() > 0.0
         };
         let out = self.turns.iter().filter(|j| ill(self, **j)).count();
-        if out > 0 && self.at >= self.trials[class].next_at_s {
+        if out > 0 && self.now_s >= self.trials[class].next_at_s {
             // One trial at a time, ever more seldom: each may cost a request that nothing repeats.
             let tried = |j: &&usize| self.upstreams[**j].health[class].tried;
             let oldest = self
@@ -102,17 +100,17 @@
                 .min_by(|a, b| tried(a).total_cmp(&tried(b)));
             let (l, oldest) = (&mut self.trials[class], oldest.copied());
             l.unsuccessful += 1;
-            l.next_at_s = self.at
-                + EJECT * f64::from(1 << l.unsuccessful.min(4)) * (0.75 + 0.5 * self.rng.f64());
+            l.next_at_s = self.now_s
+                + EJECT * f64::from(1 << l.unsuccessful.min(4)) * (0.75 + 0.5 * self.random.f64());
             oldest
                 .into_iter()
-                .for_each(|j| self.upstreams[j].health[class].tried = self.at);
+                .for_each(|j| self.upstreams[j].health[class].tried = self.now_s);
             return oldest;
         }
-        let once = self.set.classes[class].effect == Effect::AtMostOnce;
+        let once = self.settings.classes[class].effect == Effect::AtMostOnce;
         let once = once
             && self
-                .set
+                .settings
                 .classes
                 .iter()
                 .any(|c| c.effect != Effect::AtMostOnce);
