--- a/src/lib.rs
+++ b/src/lib.rs
@@ -72,7 +72,6 @@
 mod policy;
 mod random;
 mod settings;
-mod state;
 
 pub use interface::*;
 pub use policy::Balancer;
--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -2,7 +2,9 @@
 
 use super::Balancer;
 use super::class_statistics::LatencySample;
+use super::clock::JitteredClock;
 use super::requests::{Attempt, AttemptState, EndedAttempt, OverdueAttempt, Request, RequestState};
+use super::upstream_health::{Fault, FleetConditions};
 use super::upstreams::Upstream;
 use crate::interface::{Action, AttemptNo, Effect, FailureReason, Outcome, RequestId};
 use std::time::Duration;
@@ -134,8 +136,8 @@
         let connect_timeout = self.settings.connect_timeout;
         upstream.ready
             && !upstream.weight.is_warming_up()
-            && upstream.ejected_until <= self.now_s
-            && !upstream.health[request.class].ejected
+            && !upstream.health.is_ejected(self.now_s)
+            && !upstream.health.is_ejected_for(request.class)
             && !self.pacing.is_exhausted(upstream)
             && !request.was_sent_to(upstream.id)
             && request.may_run_at(upstream, class, connect_timeout, self.now_s)
@@ -157,10 +159,10 @@
         };
         let upstream = &mut self.upstreams[slot];
         upstream.load.record_overdue();
-        if upstream.heard >= attempt.sent_at_s {
+        if upstream.health.has_responded_since(attempt.sent_at_s) {
             return;
         }
-        self.suspect(slot, super::DOUBT);
+        self.suspect(slot, Fault::Unresponsive);
         if self.settings.hedging && self.capacity.spare() > MIN_HEDGE_CAPACITY {
             self.retry_elsewhere(attempt.request, RETRY_COST);
         }
@@ -215,8 +217,11 @@
             Outcome::NotSent => FailureReason::NotSent,
             Outcome::Ok | Outcome::TimedOut | Outcome::Cancelled => {
                 let slot = self.upstreams.slot(attempt.upstream);
-                let has_responded =
-                    slot.is_some_and(|slot| self.upstreams[slot].heard >= attempt.sent_at_s);
+                let has_responded = slot.is_some_and(|slot| {
+                    self.upstreams[slot]
+                        .health
+                        .has_responded_since(attempt.sent_at_s)
+                });
                 if has_responded {
                     FailureReason::Timeout
                 } else {
@@ -252,4 +257,54 @@
         }
         self.judge(slot, attempt);
     }
+
+    /// What the end of an attempt says of its upstream's health.
+    fn judge(&mut self, slot: usize, attempt: &EndedAttempt) {
+        let mut clock = JitteredClock {
+            now_s: self.now_s,
+            random: &mut self.random,
+        };
+        let upstreams = &mut self.upstreams;
+        let fault = self
+            .outliers
+            .record_outcome(upstreams, &self.turns, slot, attempt, &mut clock);
+        let upstream = &mut upstreams[slot];
+        if attempt.outcome == Outcome::Rejected {
+            upstream.load.record_rejected(self.now_s);
+        }
+        // Where the fault is the upstream's own, it says nothing of the capacity elsewhere.
+        if attempt.is_given_up() && !upstream.health.is_ejected_for(attempt.class) {
+            upstream.load.record_abandoned();
+        }
+        let is_ejected = fault.is_some_and(|fault| self.suspect(slot, fault));
+        if is_ejected && attempt.outcome == Outcome::ConnectFailed {
+            // Nobody listens there: its process has died, and the next one is in slow start. It comes back
+            // from a first turn at a random time: a slow trial by all balancers. One that takes connections,
+            // if only to break them, has not restarted and has no less to give.
+            let upstream = &mut self.upstreams[slot];
+            upstream
+                .weight
+                .begin_slow_start(upstream.health.ejected_until_s());
+        }
+    }
+
+    /// Adds a fault to the suspicion of an upstream. Returns whether it is ejected for it.
+    fn suspect(&mut self, slot: usize, fault: Fault) -> bool {
+        let conditions = FleetConditions {
+            mean_latency_s: self.classes.mean_latency_s(),
+            balancers_per_upstream: self.sharers,
+        };
+        let mut clock = JitteredClock {
+            now_s: self.now_s,
+            random: &mut self.random,
+        };
+        let upstream = &mut self.upstreams[slot];
+        let is_ejected = upstream.health.suspect(fault, &conditions, &mut clock);
+        if is_ejected {
+            upstream.credit = self.random.f64();
+            upstream.fresh = true;
+            self.choose_at = self.now_s;
+        }
+        is_ejected
+    }
 }
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -1,10 +1,12 @@
 //! The list of upstreams: asking for it, taking it in, and the subset that takes turns.
 
+use super::Balancer;
 use super::endpoint_polling::PollFailure;
+use super::outlier_detection::may_be_ejected;
 use super::pacing::SendBudget;
-use super::upstreams::{Health, Upstream};
+use super::upstream_health::UpstreamHealth;
+use super::upstreams::Upstream;
 use super::weights::UpstreamWeight;
-use super::{Balancer, EJECTED_MOST};
 use crate::interface::{Action, Availability, Endpoint, EndpointWeights, UpdateScope};
 use crate::random::Random;
 use std::collections::VecDeque;
@@ -41,15 +43,13 @@
                 // A newcomer to a list already known has just started, whatever the list says.
                 let started = started.or((!first).then_some(self.now_s));
                 let credit = self.random.f64();
-                let health = vec![Health::default(); self.settings.classes.len()];
                 grown = true;
                 self.upstreams.push(Upstream {
-                    health,
+                    health: UpstreamHealth::new(self.settings.classes.len()),
                     id: l.id,
                     credit,
                     weight: UpstreamWeight::new(started),
                     send_budget: SendBudget::full(),
-                    heard: f64::NEG_INFINITY,
                     fresh: !first,
                     ..Upstream::default()
                 })
@@ -80,9 +80,8 @@
             if let Some(s) = started.filter(fresh) {
                 // It has restarted: what was held against it is void, and it is cold.
                 u.weight.begin_slow_start(s);
-                (u.doubt, u.ejections, u.ejected_until, u.credit) =
-                    (0.0, 0, 0.0, self.random.f64());
-                u.health.fill(Health::default());
+                u.credit = self.random.f64();
+                u.health.reset();
                 (u.fresh, changed) = (true, true);
             }
         }
@@ -124,9 +123,9 @@
         // When more seem ill, the fault is not theirs.
         let out = order
             .iter()
-            .filter(|j| self.upstreams[**j].ejected_until > self.now_s)
-            .count() as f64;
-        let now = if out <= EJECTED_MOST * n as f64 {
+            .filter(|j| self.upstreams[**j].health.is_ejected(self.now_s))
+            .count();
+        let now = if may_be_ejected(out, n) {
             self.now_s
         } else {
             f64::INFINITY
@@ -136,7 +135,7 @@
         let until = self
             .upstreams
             .iter()
-            .map(|u| u.ejected_until)
+            .map(|u| u.health.ejected_until_s())
             .filter(|t| *t > self.now_s);
         self.choose_at = until.fold(f64::INFINITY, f64::min);
         if !all {
@@ -147,7 +146,7 @@
         }
         for (rank, j) in order.iter().enumerate() {
             let u = &mut self.upstreams[*j];
-            let usable = u.ejected_until <= now;
+            let usable = !u.health.is_ejected(now);
             // Once in it stays in, so that connections stay warm; newcomers have their place by the order.
             u.member = all || u.member || (usable && u.fresh && rank < least);
             u.fresh &= !usable;
@@ -159,7 +158,7 @@
         let least = least.max(ill + least.div_ceil(2));
         for j in &order {
             let u = &mut self.upstreams[*j];
-            if members < least && !u.member && u.ejected_until <= now {
+            if members < least && !u.member && !u.health.is_ejected(now) {
                 (u.member, members) = (true, members + 1);
             }
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -10,16 +10,18 @@
 mod attempt_flow;
 mod capacity;
 mod class_statistics;
-mod doubt;
+mod clock;
 mod endpoint_lease;
 mod endpoint_polling;
 mod idle_connections;
 mod list;
 mod load;
+mod outlier_detection;
 mod pacing;
 mod request_flow;
 mod requests;
 mod turns;
+mod upstream_health;
 mod upstreams;
 mod weights;
 
@@ -28,7 +30,6 @@
     WatchEvent,
 };
 use crate::random::Random;
-use crate::state::ClassTrials;
 use admission::Admission;
 use capacity::{Capacity, CapacityInputs, RATE_MEMORY_S};
 use class_statistics::ClassStatistics;
@@ -36,6 +37,7 @@
 use endpoint_polling::EndpointPolling;
 use idle_connections::IdleConnections;
 use load::LoadReportTracker;
+use outlier_detection::OutlierDetection;
 use pacing::SendPacing;
 use request_flow::Arrival;
 use requests::{Requests, RetryBudget};
@@ -46,22 +48,6 @@
 
 /// Seconds between refills: short against any aim, long against one look over the fleet.
 const TICK_S: f64 = 0.025;
-/// Doubt of an upstream, over all classes: part of what is left that an error, or an overdue attempt since
-/// which nothing came back, adds; the same of a broken connection; and what an answer leaves of it.
-const DOUBT: f64 = 0.4;
-const DOUBT_BREAK: f64 = 0.3;
-const DOUBT_LEFT: f64 = 0.6;
-/// Doubt from which one is sent to only to see how it is, one at a time and nothing that can't be repeated;
-/// and doubt at which it is ejected: two faults in a row, or three breaks where nothing came for a while.
-const DOUBTED: f64 = 0.35;
-const DOUBT_MOST: f64 = 0.6;
-/// Seconds of the first ejection, and of the longest; each one more without a success doubles it. All who
-/// send to an upstream try it again on their own: the first grows with the root of their number, between the
-/// load that they are to it together and how late each then learns that it is well.
-const EJECT: f64 = 1.5;
-const EJECT_MOST: f64 = 12.0;
-/// Share of the ready upstreams that may be ejected: when more seem ill, the fault is not theirs.
-const EJECTED_MOST: f64 = 0.6;
 /// Upstreams in a subset for each request a second that the balancer may get, and at the least.
 const SUBSET_EACH: f64 = 0.7;
 const SUBSET_LEAST: f64 = 2.0;
@@ -90,7 +76,7 @@
     idle_connections: IdleConnections,
     admission: Admission,
     classes: ClassStatistics,
-    trials: Vec<ClassTrials>, // by class
+    outliers: OutlierDetection,
     wanted: f64, // first tries of the running tick, or what was admitted where they can't be told
     flow: f64,   // the same a second, smoothed
     capacity: Capacity,
@@ -123,7 +109,7 @@
             subset_least: subset,
             random: Random::with_seed(seed),
             admission: Admission::new(&set),
-            trials: vec![ClassTrials::default(); set.classes.len()],
+            outliers: OutlierDetection::new(set.classes.len()),
             classes: ClassStatistics::new(&set),
             flow: each,
             load_reports: LoadReportTracker::new(&set),
@@ -151,7 +137,7 @@
         let warming_up = self.in_turn().filter(|u| u.weight.is_warming_up()).count();
         let ejected = self
             .in_turn()
-            .filter(|u| u.ejected_until > self.now_s)
+            .filter(|u| u.health.is_ejected(self.now_s))
             .count();
         StatusSnapshot {
             spare_capacity: self.capacity.spare(),
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -74,7 +74,7 @@
     fn has_paced_upstream(&self, class: usize, is_short: bool) -> bool {
         self.in_turn().any(|upstream| {
             upstream.weight.weight() > 0.0
-                && !upstream.health[class].ejected
+                && !upstream.health.is_ejected_for(class)
                 && (is_short || self.pacing.is_exhausted(upstream))
         })
     }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -67,6 +67,12 @@
     pub(super) fn is_given_up(&self) -> bool {
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
+
+    /// Whether it speaks against its upstream; silence does only of one that is not ejected.
+    pub(super) fn is_fault(&self, silence_counts: bool) -> bool {
+        matches!(self.outcome, Outcome::Error | Outcome::Rejected)
+            || (self.is_given_up() && silence_counts)
+    }
 }
 
 /// Where a request stands.
--- a/src/policy/turns.rs
+++ b/src/policy/turns.rs
@@ -1,30 +1,29 @@
 //! Whose turn it is: what each upstream can do now, the clock that bounds its sends, the round robin.
 
+use super::Balancer;
+use super::clock::JitteredClock;
+use super::outlier_detection::may_be_ejected;
 use super::pacing::PacingRates;
+use super::upstream_health::suspicion_left;
 use super::upstreams::Upstream;
-use super::{Balancer, DOUBTED, EJECT, EJECTED_MOST};
 use crate::interface::Effect;
 
 /// Turns looked ahead by the skip rule; two is the design's.
 const LOOK_AHEAD: usize = 3;
 /// Holding this many times what another in sight holds, and half a request more, is clearly more.
 const CLEARLY: f64 = 1.5;
-/// Seconds over which suspicion fades.
-const SUSPICION_KEPT: f64 = 10.0;
+
 impl Balancer {
     /// What each upstream can do now, and the turns it gets for it.
     pub(super) fn weigh(&mut self, tau: f64) {
-        let ready = self.in_turn().filter(|u| u.ready).count() as f64;
-        let ejected = self
-            .in_turn()
-            .filter(|u| u.ready && u.ejected_until > self.now_s)
-            .count() as f64;
-        let ejections_hold = ejected <= EJECTED_MOST * ready;
-        let fade = (-tau / SUSPICION_KEPT).exp();
+        let ready = self.in_turn().filter(|u| u.ready);
+        let ejected = ready.filter(|u| u.health.is_ejected(self.now_s)).count();
+        let ejections_hold = may_be_ejected(ejected, self.in_turn().filter(|u| u.ready).count());
+        let kept = suspicion_left(tau);
         let laid = (-tau / self.classes.shortest_objective_s()).exp();
         for j in &self.turns {
             let u = &mut self.upstreams[*j];
-            u.doubt *= fade;
+            u.health.fade(kept);
             u.load.fade_abandoned(laid);
         }
         let (turns, at) = (&self.turns, self.now_s);
@@ -92,46 +91,28 @@
         let upstreams = &self.upstreams;
         self.ahead
             .retain(|j| upstreams[*j].weight.weight() > 0.0 && upstreams[*j].ready);
-        let ill = |b: &Self, j: usize| {
-            b.upstreams[j].health[class].ejected && b.upstreams[j].weight.weight() > 0.0
+        let mut clock = JitteredClock {
+            now_s: self.now_s,
+            random: &mut self.random,
         };
-        let out = self.turns.iter().filter(|j| ill(self, **j)).count();
-        if out > 0 && self.now_s >= self.trials[class].next_at_s {
-            // One trial at a time, ever more seldom: each may cost a request that nothing repeats.
-            let tried = |j: &&usize| self.upstreams[**j].health[class].tried;
-            let oldest = self
-                .turns
-                .iter()
-                .filter(|j| ill(self, **j))
-                .min_by(|a, b| tried(a).total_cmp(&tried(b)));
-            let (l, oldest) = (&mut self.trials[class], oldest.copied());
-            l.unsuccessful += 1;
-            l.next_at_s = self.now_s
-                + EJECT * f64::from(1 << l.unsuccessful.min(4)) * (0.75 + 0.5 * self.random.f64());
-            oldest
-                .into_iter()
-                .for_each(|j| self.upstreams[j].health[class].tried = self.now_s);
-            return oldest;
+        let trial = self
+            .outliers
+            .due_trial(&mut self.upstreams, &self.turns, class, &mut clock);
+        if trial.is_some() {
+            return trial;
         }
-        let once = self.settings.classes[class].effect == Effect::AtMostOnce;
-        let once = once
+        let needs_proven = self.settings.classes[class].effect == Effect::AtMostOnce
             && self
                 .settings
                 .classes
                 .iter()
                 .any(|c| c.effect != Effect::AtMostOnce);
-        let doubted = |u: &Upstream| {
-            (u.doubt > DOUBTED || u.ejections > 0) && (once || u.load.in_flight() > 0)
+        let eligibility =
+            self.outliers
+                .eligibility(&self.upstreams, &self.turns, class, needs_proven);
+        let fit = |b: &Self, j: usize| {
+            !b.pacing.is_exhausted(&b.upstreams[j]) && eligibility.accepts(&b.upstreams[j])
         };
-        let all = out >= self.turns.len()
-            || self
-                .turns
-                .iter()
-                .all(|j| ill(self, *j) || doubted(&self.upstreams[*j]));
-        let ill =
-            |b: &Self, j: usize| b.upstreams[j].health[class].ejected || doubted(&b.upstreams[j]);
-        let fit =
-            |b: &Self, j: usize| !b.pacing.is_exhausted(&b.upstreams[j]) && (all || !ill(b, j));
         let mut sight = self.ahead.iter().filter(|j| fit(self, **j)).count();
         while sight < LOOK_AHEAD && self.ahead.len() < LOOK_AHEAD + self.turns.len() {
             let Some(j) = self.step() else { break };
--- /dev/null
+++ b/src/policy/upstream_health.rs
@@ -0,0 +1,248 @@
+//! The health of one upstream: suspicion by the faults of its attempts, ejection for all classes, and the
+//! way back on probation.
+
+use super::clock::JitteredClock;
+use crate::interface::Outcome;
+
+/// Suspicion of an upstream, over all classes: part of what is left that an error, or an overdue attempt
+/// since which nothing came back, adds; the same of a broken connection; and what an answer leaves of it.
+const FAULT_SUSPICION: f64 = 0.4;
+const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
+const SUSPICION_LEFT_BY_ANSWER: f64 = 0.6;
+/// Suspicion from which on an upstream gets one attempt at a time and nothing that can't be repeated; and
+/// suspicion at which it is ejected: two faults in a row, or three broken connections without a response.
+const PROBATION_SUSPICION: f64 = 0.35;
+const MAX_SUSPICION: f64 = 0.6;
+/// Seconds over which suspicion fades.
+const SUSPICION_MEMORY_S: f64 = 10.0;
+/// Seconds of the first ejection, and of the longest; each one more without an answer doubles it. All who
+/// send to an upstream try it again on their own: the first grows with the root of their number, between
+/// the load that they are to it together and how late each then learns that it is healthy.
+pub(super) const FIRST_EJECTION_S: f64 = 1.5;
+const MAX_EJECTION_S: f64 = 12.0;
+const MAX_EJECTION_DOUBLINGS: u32 = 3;
+/// Seconds for which an error counts as recent.
+const RECENT_ERROR_S: f64 = 5.0;
+
+/// What is left of a suspicion after so many seconds.
+pub(super) fn suspicion_left(elapsed_s: f64) -> f64 {
+    (-elapsed_s / SUSPICION_MEMORY_S).exp()
+}
+
+/// A fault that counts against an upstream for all classes.
+#[derive(Clone, Copy)]
+pub(super) enum Fault {
+    /// It answered with an error, which counts for this part.
+    Error { weight: f64 },
+    /// It rejected an attempt.
+    Rejected,
+    /// An attempt is overdue, and nothing has come back since it was sent.
+    Unresponsive,
+    /// A connection broke or never came up.
+    BrokenConnection,
+}
+
+impl Fault {
+    fn suspicion(self) -> f64 {
+        match self {
+            Self::Error { weight } => FAULT_SUSPICION * weight,
+            Self::Rejected | Self::Unresponsive => FAULT_SUSPICION,
+            Self::BrokenConnection => CONNECTION_FAULT_SUSPICION,
+        }
+    }
+}
+
+/// What a suspicion goes by, of the rest of the balancer.
+pub(super) struct FleetConditions {
+    /// Mean latency of an attempt.
+    pub(super) mean_latency_s: f64,
+    /// Balancers that send to each upstream.
+    pub(super) balancers_per_upstream: f64,
+}
+
+/// Whether an upstream gets requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum EjectionState {
+    /// It does.
+    Serving,
+    /// It gets none.
+    Ejected,
+    /// Back from ejection: the next fault ejects it again, unless an answer comes first.
+    HalfOpen,
+}
+
+/// What one class has met at one upstream.
+#[derive(Clone, Default)]
+struct ClassHealth {
+    /// Since the last answer.
+    consecutive_faults: u32,
+    /// For this class alone.
+    is_ejected: bool,
+    /// When it was ejected, or last tried since.
+    last_trial_at_s: f64,
+}
+
+/// The health of one upstream.
+#[derive(Default)]
+pub(super) struct UpstreamHealth {
+    /// By faults of whatever class, less by answers.
+    suspicion: f64,
+    /// Without an answer that has cleared it.
+    consecutive_ejections: u32,
+    ejected_until_s: f64,
+    last_error_at_s: f64,
+    /// An answer, an error or a rejection.
+    last_response_at_s: f64,
+    classes: Vec<ClassHealth>,
+}
+
+impl UpstreamHealth {
+    pub(super) fn new(class_count: usize) -> Self {
+        Self {
+            suspicion: 0.0,
+            consecutive_ejections: 0,
+            ejected_until_s: 0.0,
+            last_error_at_s: 0.0,
+            last_response_at_s: f64::NEG_INFINITY,
+            classes: vec![ClassHealth::default(); class_count],
+        }
+    }
+
+    /// Its process has restarted: what was held against it is void.
+    pub(super) fn reset(&mut self) {
+        (
+            self.suspicion,
+            self.consecutive_ejections,
+            self.ejected_until_s,
+        ) = (0.0, 0, 0.0);
+        self.classes.fill(ClassHealth::default());
+    }
+
+    /// Lets suspicion fade: `left` of it stays, of [`suspicion_left`].
+    pub(super) fn fade(&mut self, left: f64) {
+        self.suspicion *= left;
+    }
+
+    pub(super) fn state(&self, now_s: f64) -> EjectionState {
+        if self.ejected_until_s > now_s {
+            EjectionState::Ejected
+        } else if self.consecutive_ejections > 0 {
+            EjectionState::HalfOpen
+        } else {
+            EjectionState::Serving
+        }
+    }
+
+    pub(super) fn is_ejected(&self, now_s: f64) -> bool {
+        self.state(now_s) == EjectionState::Ejected
+    }
+
+    pub(super) fn ejected_until_s(&self) -> f64 {
+        self.ejected_until_s
+    }
+
+    pub(super) fn is_ejected_for(&self, class: usize) -> bool {
+        self.classes[class].is_ejected
+    }
+
+    /// An answer came back for a class. Returns whether that ends its ejection: a late one does not.
+    pub(super) fn record_class_answer(&mut self, class: usize, was_overdue: bool) -> bool {
+        let health = &mut self.classes[class];
+        health.consecutive_faults = 0;
+        !was_overdue && std::mem::take(&mut health.is_ejected)
+    }
+
+    pub(super) fn record_class_fault(&mut self, class: usize) {
+        self.classes[class].consecutive_faults += 1;
+    }
+
+    /// Whether it is to be ejected for a class.
+    pub(super) fn is_faulty_for(&self, class: usize, max_faults: u32) -> bool {
+        let health = &self.classes[class];
+        !health.is_ejected && health.consecutive_faults >= max_faults
+    }
+
+    pub(super) fn eject_for(&mut self, class: usize, now_s: f64) {
+        self.classes[class] = ClassHealth {
+            consecutive_faults: 0,
+            is_ejected: true,
+            last_trial_at_s: now_s,
+        };
+    }
+
+    /// When it was ejected for a class, or last tried for it since.
+    pub(super) fn last_trial_at_s(&self, class: usize) -> f64 {
+        self.classes[class].last_trial_at_s
+    }
+
+    pub(super) fn record_trial(&mut self, class: usize, now_s: f64) {
+        self.classes[class].last_trial_at_s = now_s;
+    }
+
+    /// Whether something came back since then.
+    pub(super) fn has_responded_since(&self, at_s: f64) -> bool {
+        self.last_response_at_s >= at_s
+    }
+
+    /// Whether it is suspected: it gets one attempt at a time then, and nothing that can't be repeated.
+    pub(super) fn is_on_probation(&self) -> bool {
+        self.suspicion > PROBATION_SUSPICION || self.consecutive_ejections > 0
+    }
+
+    pub(super) fn has_erred_recently(&self, now_s: f64) -> bool {
+        self.last_error_at_s > 0.0 && now_s - self.last_error_at_s < RECENT_ERROR_S
+    }
+
+    /// Takes in what an outcome says for all classes; what it says against the upstream comes as a fault.
+    pub(super) fn record_response(&mut self, outcome: Outcome, now_s: f64) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
+            self.last_response_at_s = now_s;
+        }
+        if outcome == Outcome::Error {
+            self.last_error_at_s = now_s;
+        }
+        if outcome == Outcome::Ok {
+            self.suspicion *= SUSPICION_LEFT_BY_ANSWER;
+            if self.suspicion <= PROBATION_SUSPICION {
+                self.consecutive_ejections = 0;
+            }
+        }
+    }
+
+    /// Adds a fault to the suspicion. Returns whether the upstream is ejected for it.
+    pub(super) fn suspect(
+        &mut self,
+        fault: Fault,
+        conditions: &FleetConditions,
+        clock: &mut JitteredClock<'_>,
+    ) -> bool {
+        self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
+        // A process that has died breaks every connection, a poor network a few.
+        let responds = matches!(fault, Fault::BrokenConnection)
+            && self.last_response_at_s + conditions.mean_latency_s >= clock.now_s;
+        let is_outlier = match self.state(clock.now_s) {
+            EjectionState::Ejected => false,
+            EjectionState::HalfOpen => true,
+            EjectionState::Serving => self.suspicion >= MAX_SUSPICION,
+        };
+        if !is_outlier || responds {
+            return false;
+        }
+        self.eject(
+            FIRST_EJECTION_S * conditions.balancers_per_upstream.sqrt(),
+            clock,
+        );
+        true
+    }
+
+    /// Ejects it for all classes; each ejection without an answer doubles the next.
+    fn eject(&mut self, first_s: f64, clock: &mut JitteredClock<'_>) {
+        let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
+        let length_s = (first_s * f64::from(1 << doublings)).min(MAX_EJECTION_S);
+        self.consecutive_ejections += 1;
+        self.ejected_until_s = clock.after_s(length_s);
+        for class in &mut self.classes {
+            (class.consecutive_faults, class.is_ejected) = (0, false);
+        }
+    }
+}
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -3,6 +3,7 @@
 use super::idle_connections::ConnectionUse;
 use super::load::UpstreamLoad;
 use super::pacing::SendBudget;
+use super::upstream_health::UpstreamHealth;
 use super::weights::UpstreamWeight;
 use crate::interface::{CellId, UpstreamId, ZoneId};
 use rustc_hash::FxHashMap;
@@ -21,25 +22,12 @@
     pub(super) size: f64,   // endpoints size; with live weights the largest seen
     pub(super) load: UpstreamLoad,
     pub(super) send_budget: SendBudget,
-    pub(super) erred_at: f64, // an error came back last
-    pub(super) heard: f64,    // anything came back last: an answer, an error or a refusal
-    pub(super) doubt: f64,    // by faults of whatever class, less by answers
-    pub(super) ejections: u32,
-    pub(super) ejected_until: f64,
-    pub(super) health: Vec<Health>, // by class
+    pub(super) health: UpstreamHealth,
     pub(super) connections: ConnectionUse,
     pub(super) weight: UpstreamWeight,
     pub(super) credit: f64, // turns earned and not taken
 }
 
-/// What one class has met at one upstream.
-#[derive(Clone, Default)]
-pub(super) struct Health {
-    pub(super) faults: u32,   // since the last answer
-    pub(super) ejected: bool, // for this class
-    pub(super) tried: f64,    // then or by a trial since
-}
-
 /// All upstreams, by slot. A slot stays an upstream's own until [`Upstreams::retain`].
 #[derive(Default)]
 pub(super) struct Upstreams {
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -124,7 +124,7 @@
     ) {
         let members = || rotation.iter().map(|slot| &upstreams[*slot]);
         let largest_size = members().map(|u| u.size).fold(1e-9, f64::max);
-        let is_near = |u: &Upstream| self.is_near(u) && u.ejected_until <= now_s;
+        let is_near = |u: &Upstream| self.is_near(u) && !u.health.is_ejected(now_s);
         let has_near = members().any(|u| u.ready && is_near(u));
         let fade = (-elapsed_s / LATENCY_RATIO_MEMORY_S).exp();
         for slot in rotation {
@@ -134,7 +134,7 @@
             let size_share = upstream.size / largest_size;
             let capacity = size_share * warmth / upstream.weight.believed_latency_ratio();
             upstream.weight.capacity = capacity.max(MIN_CAPACITY);
-            let is_out = ejections_hold && upstream.ejected_until > now_s;
+            let is_out = ejections_hold && upstream.health.is_ejected(now_s);
             let is_usable = upstream.ready && !is_out;
             let zone_share = if self.is_near(upstream) || !has_near {
                 1.0
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 17] = [
+const FILES: [(&str, &str); 19] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -23,8 +23,8 @@
         include_str!("../src/policy/class_statistics.rs"),
     ),
     (
-        "src/policy/doubt.rs",
-        include_str!("../src/policy/doubt.rs"),
+        "src/policy/clock.rs",
+        include_str!("../src/policy/clock.rs"),
     ),
     (
         "src/policy/endpoint_lease.rs",
@@ -40,6 +40,10 @@
     ),
     ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
     ("src/policy/load.rs", include_str!("../src/policy/load.rs")),
+    (
+        "src/policy/outlier_detection.rs",
+        include_str!("../src/policy/outlier_detection.rs"),
+    ),
     (
         "src/policy/pacing.rs",
         include_str!("../src/policy/pacing.rs"),
@@ -56,6 +60,10 @@
         "src/policy/turns.rs",
         include_str!("../src/policy/turns.rs"),
     ),
+    (
+        "src/policy/upstream_health.rs",
+        include_str!("../src/policy/upstream_health.rs"),
+    ),
     (
         "src/policy/upstreams.rs",
         include_str!("../src/policy/upstreams.rs"),
