--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -4,6 +4,7 @@
 use super::class_statistics::LatencySample;
 use super::clock::JitteredClock;
 use super::requests::{Attempt, AttemptState, EndedAttempt, OverdueAttempt, Request, RequestState};
+use super::round_robin::Deficit;
 use super::upstream_health::{Fault, FleetConditions};
 use super::upstreams::Upstream;
 use crate::interface::{Action, AttemptNo, Effect, FailureReason, Outcome, RequestId};
@@ -120,9 +121,12 @@
             let is_far = u8::from(upstream.zone != self.settings.zone);
             let is_outside = u8::from(!upstream.member);
             DISTANCE_PENALTY * f64::from(is_far + 2 * is_outside)
-                + self.in_flight_per_capacity(upstream)
+                + self
+                    .load_reports
+                    .in_flight_per_capacity(upstream, self.last_tick_s)
         };
-        self.rotation_from_cursor()
+        self.rotation
+            .after_cursor()
             .chain(others)
             .filter(|slot| self.accepts_retry(request, &self.upstreams[*slot]))
             .take(MAX_RETRY_CANDIDATES)
@@ -265,9 +269,13 @@
             random: &mut self.random,
         };
         let upstreams = &mut self.upstreams;
-        let fault = self
-            .outliers
-            .record_outcome(upstreams, &self.turns, slot, attempt, &mut clock);
+        let fault = self.outliers.record_outcome(
+            upstreams,
+            self.rotation.members(),
+            slot,
+            attempt,
+            &mut clock,
+        );
         let upstream = &mut upstreams[slot];
         if attempt.outcome == Outcome::Rejected {
             upstream.load.record_rejected(self.now_s);
@@ -301,7 +309,7 @@
         let upstream = &mut self.upstreams[slot];
         let is_ejected = upstream.health.suspect(fault, &conditions, &mut clock);
         if is_ejected {
-            upstream.credit = self.random.f64();
+            upstream.deficit = Deficit::new(self.random.f64());
             upstream.fresh = true;
             self.choose_at = self.now_s;
         }
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -4,12 +4,12 @@
 use super::endpoint_polling::PollFailure;
 use super::outlier_detection::may_be_ejected;
 use super::pacing::SendBudget;
+use super::round_robin::Deficit;
 use super::upstream_health::UpstreamHealth;
 use super::upstreams::Upstream;
 use super::weights::UpstreamWeight;
 use crate::interface::{Action, Availability, Endpoint, EndpointWeights, UpdateScope};
 use crate::random::Random;
-use std::collections::VecDeque;
 
 /// Subsets that each upstream is in at the least.
 const SUBSETS_EACH: usize = 4;
@@ -42,12 +42,12 @@
             let j = self.upstreams.slot(l.id).unwrap_or_else(|| {
                 // A newcomer to a list already known has just started, whatever the list says.
                 let started = started.or((!first).then_some(self.now_s));
-                let credit = self.random.f64();
+                let deficit = Deficit::new(self.random.f64());
                 grown = true;
                 self.upstreams.push(Upstream {
                     health: UpstreamHealth::new(self.settings.classes.len()),
                     id: l.id,
-                    credit,
+                    deficit,
                     weight: UpstreamWeight::new(started),
                     send_budget: SendBudget::full(),
                     fresh: !first,
@@ -80,7 +80,7 @@
             if let Some(s) = started.filter(fresh) {
                 // It has restarted: what was held against it is void, and it is cold.
                 u.weight.begin_slow_start(s);
-                u.credit = self.random.f64();
+                u.deficit = Deficit::new(self.random.f64());
                 u.health.reset();
                 (u.fresh, changed) = (true, true);
             }
@@ -94,7 +94,7 @@
         if changed {
             self.choose_subset();
         } else {
-            self.weigh(0.0);
+            self.update_weights(0.0);
         }
     }
 
@@ -170,19 +170,19 @@
                     .push(Action::CloseIdleConnections { upstream: u.id });
             }
         }
-        let before = self.turns.len();
-        self.turns = order;
-        self.turns.retain(|j| self.upstreams[*j].member);
+        let before = self.rotation.members().len();
+        let mut turns = order;
+        turns.retain(|j| self.upstreams[*j].member);
         // More to choose from is no more for this balancer: others send there as well.
-        let grown = self.turns.len() as f64 / before.max(1) as f64;
+        let grown = turns.len() as f64 / before.max(1) as f64;
         if !all && before > 0 && grown > 1.0 {
             self.capacity.on_rotation_grown(grown);
         }
         let part = equal.min(n) as f64 / n.max(1) as f64;
         self.sharers = (f64::from(self.settings.balancers) * part).max(1.0);
         // Each balancer has its own order, so that counters do not march in step.
-        self.random.shuffle(&mut self.turns);
-        (self.sigma, self.ahead) = (0, VecDeque::new());
-        self.weigh(0.0);
+        self.random.shuffle(&mut turns);
+        self.rotation.replace(turns);
+        self.update_weights(0.0);
     }
 }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,7 +1,7 @@
 //! What each upstream has in flight: this balancer's own attempts, and those of others as load reports and
 //! live weights tell.
 
-use super::upstreams::Upstreams;
+use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{LoadField, Settings};
 
 /// What an overdue attempt counts for, in attempts in flight: its upstream is stuck or unresponsive.
@@ -204,15 +204,11 @@
         self.mean_others_in_flight = sum / f64::max(count, 1.0);
     }
 
-    /// What an upstream of this capacity has in flight for it: own attempts, and reported ones. With its age
+    /// What an upstream has in flight for its capacity: own attempts, and reported ones. With its age
     /// a report fades to what the others have: taken for empty, an upstream without reports would draw the
     /// turns of all balancers.
-    pub(super) fn in_flight_per_capacity(
-        &self,
-        load: &UpstreamLoad,
-        capacity: f64,
-        tick_s: f64,
-    ) -> f64 {
+    pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, tick_s: f64) -> f64 {
+        let (load, capacity) = (&upstream.load, upstream.weight.capacity());
         let age_s = (tick_s - load.others_reported_at_s).max(0.0);
         let mean = self.mean_others_in_flight;
         let others =
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -20,7 +20,7 @@
 mod pacing;
 mod request_flow;
 mod requests;
-mod turns;
+mod round_robin;
 mod upstream_health;
 mod upstreams;
 mod weights;
@@ -37,12 +37,13 @@
 use endpoint_polling::EndpointPolling;
 use idle_connections::IdleConnections;
 use load::LoadReportTracker;
-use outlier_detection::OutlierDetection;
-use pacing::SendPacing;
+use outlier_detection::{OutlierDetection, may_be_ejected};
+use pacing::{PacingRates, SendPacing};
 use request_flow::Arrival;
 use requests::{Requests, RetryBudget};
-use std::collections::VecDeque;
+use round_robin::Rotation;
 use std::time::Duration;
+use upstream_health::suspicion_left;
 use upstreams::{Upstream, Upstreams};
 use weights::Weights;
 
@@ -64,13 +65,11 @@
     actions: Vec<Action>,
     random: Random,
     upstreams: Upstreams,
-    turns: Vec<usize>,      // the subset, in this balancer's own order
-    subset_least: usize,    // of an equal part of the traffic
-    subset: usize,          // of what this balancer really gets
-    sharers: f64,           // balancers that send to each upstream, by an equal spread of subsets
-    choose_at: f64,         // when the subset is looked at again
-    sigma: usize,           // the counter of the round robin
-    ahead: VecDeque<usize>, // the turns after it
+    rotation: Rotation,
+    subset_least: usize, // of an equal part of the traffic
+    subset: usize,       // of what this balancer really gets
+    sharers: f64,        // balancers that send to each upstream, by an equal spread of subsets
+    choose_at: f64,      // when the subset is looked at again
     requests: Requests,
     retry_budget: RetryBudget,
     idle_connections: IdleConnections,
@@ -129,7 +128,10 @@
 
     /// The upstreams in turn.
     fn in_turn(&self) -> impl Iterator<Item = &Upstream> {
-        self.turns.iter().map(|j| &self.upstreams[*j])
+        self.rotation
+            .members()
+            .iter()
+            .map(|slot| &self.upstreams[*slot])
     }
 
     /// The present state that decisions are based on.
@@ -147,7 +149,7 @@
             mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.admission.demand_per_s(),
             in_flight: self.upstreams.iter().map(|u| u.load.in_flight()).sum(),
-            rotation_size: self.turns.len(),
+            rotation_size: self.rotation.members().len(),
             warming_up,
             ejected,
         }
@@ -249,7 +251,7 @@
         self.classes.fade(elapsed_s, self.now_s);
         self.capacity.update(&CapacityInputs {
             upstreams: &self.upstreams,
-            rotation: &self.turns,
+            rotation: self.rotation.members(),
             classes: &self.classes,
             load_reports: &self.load_reports,
             balancers_per_upstream: self.sharers,
@@ -261,6 +263,40 @@
         self.admission.refill(spare, shortage, elapsed_s);
     }
 
+    /// Weighs the upstreams of the rotation anew: what each can do now, and the turns and sends it gets.
+    fn update_weights(&mut self, elapsed_s: f64) {
+        let (now_s, members) = (self.now_s, self.rotation.members());
+        let ready = self.in_turn().filter(|u| u.ready);
+        let ejected = ready.filter(|u| u.health.is_ejected(now_s)).count();
+        let ejections_hold = may_be_ejected(ejected, self.in_turn().filter(|u| u.ready).count());
+        let suspicion_left = suspicion_left(elapsed_s);
+        let abandoned_left = (-elapsed_s / self.classes.shortest_objective_s()).exp();
+        for slot in members {
+            let upstream = &mut self.upstreams[*slot];
+            upstream.health.fade(suspicion_left);
+            upstream.load.fade_abandoned(abandoned_left);
+        }
+        let upstreams = &mut self.upstreams;
+        self.weights
+            .update(upstreams, members, ejections_hold, elapsed_s, now_s);
+        self.load_reports.update_mean(upstreams, members, now_s);
+        let service_rate = self.capacity.service_rate();
+        let slow_start = self
+            .weights
+            .slow_start_rate(upstreams, members, service_rate);
+        self.rotation
+            .earn_slow_start_turns(upstreams, slow_start, elapsed_s);
+        let rates = PacingRates {
+            service_rate,
+            slow_start,
+            utilization: self.capacity.utilization(),
+            balancers_per_upstream: self.sharers,
+            load_reports: &self.load_reports,
+        };
+        self.pacing
+            .refill(upstreams, members, &rates, elapsed_s, now_s);
+    }
+
     /// The tick: W and the grants, then the fleet's weights, overdue attempts and discovery.
     fn tick(&mut self) {
         let (at, tau) = (self.now_s, (self.now_s - self.last_tick_s).clamp(0.0, 1.0));
@@ -271,14 +307,15 @@
         self.flow += (tau / RATE_MEMORY_S).min(1.0) * (self.wanted / tau.max(1e-6) - self.flow);
         self.wanted = 0.0;
         let due = (SUBSET_EACH * self.flow).clamp(self.subset_least as f64, 1e6) as usize;
-        let more = due * 2 >= self.subset * 3 && self.turns.len() < self.upstreams.len();
+        let more =
+            due * 2 >= self.subset * 3 && self.rotation.members().len() < self.upstreams.len();
         if more || due * 3 <= self.subset {
             (self.subset, self.choose_at) = (due, at);
         }
         if at >= self.choose_at {
             self.choose_subset();
         }
-        self.weigh(tau);
+        self.update_weights(tau);
         self.update_capacity(tau);
         self.handle_overdue_attempts();
         if self.polling.poll_if_due(at, &mut self.random) {
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -1,7 +1,9 @@
 //! The way of a request: admission, its first attempt, its final response.
 
 use super::admission::retry_after;
+use super::clock::JitteredClock;
 use super::requests::{Request, RequestState};
+use super::upstreams::Upstream;
 use super::{Balancer, TICK_S};
 use crate::interface::{Action, AttemptNo, Class, Effect, FailureReason, RequestId};
 use std::time::Duration;
@@ -70,6 +72,40 @@
         })
     }
 
+    /// The upstream whose turn it is for a class; a due trial of one that is ejected for it comes first.
+    fn next_turn(&mut self, class: usize) -> Option<usize> {
+        let upstreams = &mut self.upstreams;
+        self.rotation.drop_unusable(upstreams);
+        let members = self.rotation.members();
+        let mut clock = JitteredClock {
+            now_s: self.now_s,
+            random: &mut self.random,
+        };
+        let trial = self
+            .outliers
+            .due_trial(upstreams, members, class, &mut clock);
+        if trial.is_some() {
+            return trial;
+        }
+        let needs_proven = self.needs_proven_upstreams(class);
+        let eligibility = self
+            .outliers
+            .eligibility(&self.upstreams, members, class, needs_proven);
+        let accepts = |u: &Upstream| !self.pacing.is_exhausted(u) && eligibility.accepts(u);
+        let tick_s = self.last_tick_s;
+        let in_flight = |u: &Upstream| self.load_reports.in_flight_per_capacity(u, tick_s);
+        self.rotation.next(&mut self.upstreams, accepts, in_flight)
+    }
+
+    /// Whether a class may not run twice, while others can show how a suspected upstream is.
+    fn needs_proven_upstreams(&self, class: usize) -> bool {
+        let classes = &self.settings.classes;
+        classes[class].effect == Effect::AtMostOnce
+            && classes
+                .iter()
+                .any(|other| other.effect != Effect::AtMostOnce)
+    }
+
     /// Whether an upstream could take a request of the class, but for pacing.
     fn has_paced_upstream(&self, class: usize, is_short: bool) -> bool {
         self.in_turn().any(|upstream| {
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -3,6 +3,7 @@
 use super::idle_connections::ConnectionUse;
 use super::load::UpstreamLoad;
 use super::pacing::SendBudget;
+use super::round_robin::Deficit;
 use super::upstream_health::UpstreamHealth;
 use super::weights::UpstreamWeight;
 use crate::interface::{CellId, UpstreamId, ZoneId};
@@ -25,7 +26,7 @@
     pub(super) health: UpstreamHealth,
     pub(super) connections: ConnectionUse,
     pub(super) weight: UpstreamWeight,
-    pub(super) credit: f64, // turns earned and not taken
+    pub(super) deficit: Deficit,
 }
 
 /// All upstreams, by slot. A slot stays an upstream's own until [`Upstreams::retain`].
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -57,8 +57,8 @@
         include_str!("../src/policy/requests.rs"),
     ),
     (
-        "src/policy/turns.rs",
-        include_str!("../src/policy/turns.rs"),
+        "src/policy/round_robin.rs",
+        include_str!("../src/policy/round_robin.rs"),
     ),
     (
         "src/policy/upstream_health.rs",
