--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -93,7 +93,6 @@
 }
 
 /// The token buckets of all tenants.
-#[derive(Default)]
 pub(super) struct Admission {
     buckets: Vec<TokenBucket>,
 }
--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -43,7 +43,7 @@
             .idle_s(self.now_s, upstream.load.in_flight());
         if self.idle_connections.is_suspect(idle_s, self.now_s) {
             self.actions.push(Action::CloseIdleConnections {
-                upstream: upstream.id,
+                upstream: upstream.endpoint.id,
             });
             idle_s = 0.0;
         }
@@ -52,13 +52,13 @@
         self.pacing.record_send(&mut upstream.send_budget);
         self.actions.push(Action::Attempt {
             id,
-            upstream: upstream.id,
+            upstream: upstream.endpoint.id,
             timeout,
         });
         let attempt = Attempt {
-            upstream: upstream.id,
-            zone: upstream.zone,
-            cell: upstream.cell,
+            upstream: upstream.endpoint.id,
+            zone: upstream.endpoint.zone,
+            cell: upstream.endpoint.cell,
             sent_at_s: self.now_s,
             state: AttemptState::InFlight,
             connection_idle_s: idle_s,
@@ -118,8 +118,8 @@
         let others = (0..count).map(|step| (step + start % count) % count);
         let rank = |slot: usize| {
             let upstream = &self.upstreams[slot];
-            let is_far = u8::from(upstream.zone != self.settings.zone);
-            let is_outside = u8::from(!upstream.member);
+            let is_far = u8::from(upstream.endpoint.zone != self.settings.zone);
+            let is_outside = u8::from(!upstream.membership.is_member());
             DISTANCE_PENALTY * f64::from(is_far + 2 * is_outside)
                 + self
                     .load_reports
@@ -138,12 +138,12 @@
     fn accepts_retry(&self, request: &Request, upstream: &Upstream) -> bool {
         let class = &self.settings.classes[request.class];
         let connect_timeout = self.settings.connect_timeout;
-        upstream.ready
+        upstream.endpoint.is_ready()
             && !upstream.weight.is_warming_up()
             && !upstream.health.is_ejected(self.now_s)
             && !upstream.health.is_ejected_for(request.class)
             && !self.pacing.is_exhausted(upstream)
-            && !request.was_sent_to(upstream.id)
+            && !request.was_sent_to(upstream.endpoint.id)
             && request.may_run_at(upstream, class, connect_timeout, self.now_s)
     }
 
@@ -300,7 +300,7 @@
     fn suspect(&mut self, slot: usize, fault: Fault) -> bool {
         let conditions = FleetConditions {
             mean_latency_s: self.classes.mean_latency_s(),
-            balancers_per_upstream: self.sharers,
+            balancers_per_upstream: self.subset.balancers_per_upstream(),
         };
         let mut clock = JitteredClock {
             now_s: self.now_s,
@@ -310,8 +310,8 @@
         let is_ejected = upstream.health.suspect(fault, &conditions, &mut clock);
         if is_ejected {
             upstream.deficit = Deficit::new(self.random.f64());
-            upstream.fresh = true;
-            self.choose_at = self.now_s;
+            upstream.membership.mark_new();
+            self.subset.request_review(self.now_s);
         }
         is_ejected
     }
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -55,7 +55,6 @@
 }
 
 /// What the upstreams can do together.
-#[derive(Default)]
 pub(super) struct Capacity {
     utilization_bound: f64,
     balancers: f64,
@@ -176,7 +175,7 @@
             .members()
             .filter(|u| u.load.has_utilization(inputs.now_s))
         {
-            let size = upstream.size;
+            let size = upstream.endpoint.size;
             cores_in_use += size * upstream.load.utilization();
             cores += size;
         }
@@ -273,7 +272,8 @@
         let reports = upstream.load.has_utilization(inputs.now_s);
         let idle = if reports && !upstream.weight.is_warming_up() {
             let at_full = inputs.load_reports.in_flight_at_full();
-            self.utilization_bound * at_full * upstream.size - upstream.load.reported_in_flight()
+            self.utilization_bound * at_full * upstream.endpoint.size
+                - upstream.load.reported_in_flight()
         } else {
             0.0
         };
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -55,7 +55,6 @@
 }
 
 /// All classes, as in the settings.
-#[derive(Default)]
 pub(super) struct ClassStatistics {
     classes: Vec<ClassRecord>,
     /// Priority weights are in proportion to the work already.
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -56,7 +56,6 @@
 }
 
 /// How far the endpoint list can be trusted.
-#[derive(Default)]
 pub(super) struct EndpointLease {
     /// How long after a notification sends to a draining upstream may go on.
     drain_grace_s: f64,
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -27,10 +27,9 @@
 const LOCAL_AGENT_POLL_TIMEOUT_S: f64 = 1.0;
 
 /// Who is polled.
-#[derive(Clone, Copy, Default, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 enum PollTarget {
     /// Nobody: the list is pushed.
-    #[default]
     Nobody,
     /// Discovery, together with all other balancers.
     Discovery,
@@ -57,7 +56,6 @@
 }
 
 /// The polls for the endpoint list of one balancer.
-#[derive(Default)]
 pub(super) struct EndpointPolling {
     target: PollTarget,
     interval_s: f64,
--- /dev/null
+++ b/src/policy/endpoints.rs
@@ -0,0 +1,171 @@
+//! The endpoint list: takes updates of it into the upstreams known.
+
+use super::idle_connections::ConnectionUse;
+use super::load::{LoadReportTracker, UpstreamLoad};
+use super::pacing::SendBudget;
+use super::round_robin::Deficit;
+use super::subset::SubsetMembership;
+use super::upstream_health::UpstreamHealth;
+use super::upstreams::{Upstream, Upstreams};
+use super::weights::{UpstreamWeight, Weights};
+use crate::interface::{
+    Availability, CellId, Endpoint, EndpointWeights, UpdateScope, UpstreamId, ZoneId,
+};
+use crate::random::Random;
+
+/// The removed upstreams leave when they are more than this part of all.
+const MAX_REMOVED_PART: usize = 4;
+
+/// What the list says of one upstream.
+pub(super) struct EndpointRecord {
+    pub(super) id: UpstreamId,
+    pub(super) zone: ZoneId,
+    pub(super) cell: CellId,
+    availability: Availability,
+    /// Listed size; with live weights the largest seen.
+    pub(super) size: f64,
+}
+
+impl EndpointRecord {
+    pub(super) fn is_ready(&self) -> bool {
+        self.availability == Availability::Ready
+    }
+}
+
+impl Upstream {
+    /// A newcomer to the list, before its entry is taken in.
+    fn new(
+        id: UpstreamId,
+        class_count: usize,
+        start_s: Option<f64>,
+        is_new: bool,
+        turns: f64,
+    ) -> Self {
+        Self {
+            endpoint: EndpointRecord {
+                id,
+                zone: ZoneId::default(),
+                cell: CellId::default(),
+                availability: Availability::Removed,
+                size: 0.0,
+            },
+            membership: SubsetMembership::new(is_new),
+            weight: UpstreamWeight::new(start_s),
+            load: UpstreamLoad::default(),
+            health: UpstreamHealth::new(class_count),
+            send_budget: SendBudget::full(),
+            deficit: Deficit::new(turns),
+            connections: ConnectionUse::default(),
+        }
+    }
+
+    /// Whether nothing of it is left to wait for.
+    fn is_gone(&self) -> bool {
+        self.endpoint.availability == Availability::Removed && self.load.in_flight() == 0
+    }
+
+    /// Its process has restarted: what was held against it is void, and it is in slow start.
+    fn restart(&mut self, started_at_s: f64, turns: f64) {
+        self.weight.begin_slow_start(started_at_s);
+        self.health.reset();
+        self.deficit = Deficit::new(turns);
+        self.membership.mark_new();
+    }
+}
+
+/// What an update of the list goes by.
+pub(super) struct UpdateContext<'a> {
+    pub(super) endpoint_weights: EndpointWeights,
+    pub(super) class_count: usize,
+    pub(super) weights: &'a Weights,
+    pub(super) load_reports: &'a LoadReportTracker,
+    pub(super) random: &'a mut Random,
+    pub(super) now_s: f64,
+}
+
+/// Takes an update of the list in. Returns whether the subset has to be chosen anew.
+pub(super) fn apply_update(
+    upstreams: &mut Upstreams,
+    scope: UpdateScope,
+    endpoints: &[Endpoint],
+    context: &mut UpdateContext<'_>,
+) -> bool {
+    let mut is_changed = scope != UpdateScope::Delta;
+    if is_changed {
+        // What a snapshot no longer names is removed.
+        upstreams
+            .iter_mut()
+            .for_each(|u| u.endpoint.availability = Availability::Removed);
+    }
+    // A newcomer to a list already known has just started, whatever the list says.
+    let is_first_list = upstreams.is_empty();
+    let known = upstreams.len();
+    for endpoint in endpoints {
+        let started_at_s = endpoint.started.map(|started| started.as_secs_f64());
+        let slot = upstreams.slot(endpoint.id).unwrap_or_else(|| {
+            let start_s = started_at_s.or((!is_first_list).then_some(context.now_s));
+            let turns = context.random.f64();
+            let count = context.class_count;
+            upstreams.push(Upstream::new(
+                endpoint.id,
+                count,
+                start_s,
+                !is_first_list,
+                turns,
+            ))
+        });
+        is_changed |= context.apply_endpoint(&mut upstreams[slot], endpoint, started_at_s);
+    }
+    let gone = upstreams
+        .iter()
+        .filter(|upstream| upstream.is_gone())
+        .count();
+    if upstreams.len() > known || gone > upstreams.len() / MAX_REMOVED_PART {
+        // The gone leave: else a changing fleet would grow state as long as a balancer lives.
+        upstreams.retain(|upstream| !upstream.is_gone());
+        is_changed = true;
+    }
+    is_changed
+}
+
+impl UpdateContext<'_> {
+    /// Takes an entry of the list in. Returns whether the subset has to be chosen anew.
+    fn apply_endpoint(
+        &mut self,
+        upstream: &mut Upstream,
+        endpoint: &Endpoint,
+        started_at_s: Option<f64>,
+    ) -> bool {
+        let was_ready = upstream.endpoint.is_ready();
+        upstream.endpoint.zone = endpoint.zone;
+        upstream.endpoint.cell = endpoint.cell;
+        upstream.endpoint.availability = endpoint.availability;
+        self.apply_weight(upstream, endpoint.weight);
+        let restarted_at_s = started_at_s.filter(|at_s| {
+            self.weights.is_recent_start(*at_s, self.now_s) && upstream.weight.is_later_start(*at_s)
+        });
+        if let Some(at_s) = restarted_at_s {
+            upstream.restart(at_s, self.random.f64());
+        }
+        restarted_at_s.is_some() || was_ready != upstream.endpoint.is_ready()
+    }
+
+    fn apply_weight(&self, upstream: &mut Upstream, weight: f64) {
+        let weight = if weight > 0.0 && weight.is_finite() {
+            weight
+        } else {
+            1.0
+        };
+        let size = &mut upstream.endpoint.size;
+        match self.endpoint_weights {
+            EndpointWeights::Off => *size = 1.0,
+            EndpointWeights::Size => *size = weight,
+            EndpointWeights::Live => {
+                *size = size.max(weight);
+                let in_flight = *size / weight - 1.0;
+                self.load_reports
+                    .record_live_weight(&mut upstream.load, in_flight, self.now_s);
+            }
+        }
+    }
+}
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -110,7 +110,6 @@
 }
 
 /// What load reports tell of all upstreams together.
-#[derive(Default)]
 pub(super) struct LoadReportTracker {
     fields: Vec<LoadField>,
     /// Share of a report's attempts that are not this balancer's own: reports are old, so that its own
@@ -137,14 +136,9 @@
         self.in_flight_at_full
     }
 
-    /// Takes in a load report of an upstream of this size.
-    pub(super) fn record(
-        &mut self,
-        load: &mut UpstreamLoad,
-        size: f64,
-        report: &[f32],
-        now_s: f64,
-    ) {
+    /// Takes in a load report of an upstream.
+    pub(super) fn record(&mut self, upstream: &mut Upstream, report: &[f32], now_s: f64) {
+        let (load, size) = (&mut upstream.load, upstream.endpoint.size);
         let mut most_in_flight: Option<f64> = None;
         let fields = self
             .fields
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,14 @@
-//! All decisions of a balancer, alone. Their types, events and actions stand in `interface.rs`.
+//! All decisions of a balancer. Their types, events and actions are in `interface.rs`.
 //!
 //! The ordinary path is the paper's: every tick refills one token bucket a tenant by a guaranteed rate and a
-//! share, in proportion to demand, of the spare room W of the upstreams; a request that finds a token is
-//! admitted, any other refused on arrival; admitted requests take turns round robin over the ready upstreams,
-//! skipping one that holds clearly more than the next ones. Everything else here is an exception to that path
-//! and says what it guards against. Times are seconds.
+//! share, in proportion to demand, of the spare capacity W of the upstreams; a request that finds a token is
+//! admitted, any other is rejected on arrival; admitted requests take turns round robin over the ready
+//! upstreams, skipping one that has clearly more in flight than the next ones. Everything else here is an
+//! exception to that path and says what it guards against.
+//!
+//! Each part owns its state, its constants and what it keeps of each upstream; [`Balancer`] hands it what it
+//! needs of others. The ways of a request and of an attempt through the parts are in `request_flow.rs` and
+//! `attempt_flow.rs`. Times are seconds (`_s`) on the embedder's clock.
 
 mod admission;
 mod attempt_flow;
@@ -13,28 +17,30 @@
 mod clock;
 mod endpoint_lease;
 mod endpoint_polling;
+mod endpoints;
 mod idle_connections;
-mod list;
 mod load;
 mod outlier_detection;
 mod pacing;
 mod request_flow;
 mod requests;
 mod round_robin;
+mod subset;
 mod upstream_health;
 mod upstreams;
 mod weights;
 
 use crate::interface::{
-    Action, Event, SendPause, Settings, SettingsError, StatusSnapshot, TimerId, UpstreamId,
-    WatchEvent,
+    Action, Endpoint, Event, SendPause, Settings, SettingsError, StatusSnapshot, Tenant, TimerId,
+    UpdateScope, UpstreamId, WatchEvent,
 };
 use crate::random::Random;
 use admission::Admission;
-use capacity::{Capacity, CapacityInputs, RATE_MEMORY_S};
+use capacity::{Capacity, CapacityInputs};
 use class_statistics::ClassStatistics;
 use endpoint_lease::EndpointLease;
-use endpoint_polling::EndpointPolling;
+use endpoint_polling::{EndpointPolling, PollFailure};
+use endpoints::{UpdateContext, apply_update};
 use idle_connections::IdleConnections;
 use load::LoadReportTracker;
 use outlier_detection::{OutlierDetection, may_be_ejected};
@@ -43,20 +49,18 @@
 use requests::{Requests, RetryBudget};
 use round_robin::Rotation;
 use std::time::Duration;
+use subset::Subset;
 use upstream_health::suspicion_left;
 use upstreams::{Upstream, Upstreams};
 use weights::Weights;
 
-/// Seconds between refills: short against any aim, long against one look over the fleet.
+/// Seconds between ticks: short against any objective, long against one look over the fleet.
 const TICK_S: f64 = 0.025;
-/// Upstreams in a subset for each request a second that the balancer may get, and at the least.
-const SUBSET_EACH: f64 = 0.7;
-const SUBSET_LEAST: f64 = 2.0;
-/// The timer of the tick.
+/// A tick counts for so many seconds at the most, however late it comes.
+const MAX_TICK_S: f64 = 1.0;
 const TICK_TIMER: TimerId = TimerId(0);
 
 /// One balancer's decisions. See the crate's page for its use.
-#[derive(Default)]
 pub struct Balancer {
     settings: Settings,
     /// The time of the event in hand; in seconds as well.
@@ -64,94 +68,102 @@
     now_s: f64,
     actions: Vec<Action>,
     random: Random,
+    is_started: bool,
+    last_tick_s: f64,
+    // Who is there, and whom this balancer sends to.
+    polling: EndpointPolling,
+    lease: EndpointLease,
     upstreams: Upstreams,
+    subset: Subset,
     rotation: Rotation,
-    subset_least: usize, // of an equal part of the traffic
-    subset: usize,       // of what this balancer really gets
-    sharers: f64,        // balancers that send to each upstream, by an equal spread of subsets
-    choose_at: f64,      // when the subset is looked at again
+    // What is in flight, and what it has shown.
     requests: Requests,
     retry_budget: RetryBudget,
-    idle_connections: IdleConnections,
-    admission: Admission,
     classes: ClassStatistics,
+    load_reports: LoadReportTracker,
     outliers: OutlierDetection,
-    wanted: f64, // first tries of the running tick, or what was admitted where they can't be told
-    flow: f64,   // the same a second, smoothed
+    idle_connections: IdleConnections,
+    // How much is taken in and sent.
+    weights: Weights,
     capacity: Capacity,
+    admission: Admission,
     pacing: SendPacing,
-    load_reports: LoadReportTracker,
-    weights: Weights,
-    ticking: bool,
-    last_tick_s: f64,
-    polling: EndpointPolling,
-    lease: EndpointLease,
+}
+
+/// Requests a second that a balancer expects before it has seen any: an equal part of the quotas.
+fn expected_per_s(settings: &Settings) -> f64 {
+    let quotas = settings
+        .tenants
+        .iter()
+        .map(|tenant: &Tenant| tenant.quota_per_s);
+    let stated: f64 = quotas.filter(|quota| quota.is_finite()).sum();
+    stated.max(1.0) / f64::from(settings.balancers)
+}
+
+impl Default for Balancer {
+    /// A balancer without classes: it fails every request.
+    fn default() -> Self {
+        Self::with_settings(Settings::default(), 0)
+    }
 }
 
 impl Balancer {
     /// A balancer with these settings; `seed` is its only source of chance.
-    pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
-        set.check()?;
-        let stated: f64 = set
-            .tenants
-            .iter()
-            .map(|t| t.quota_per_s)
-            .filter(|a| a.is_finite())
-            .sum();
-        let each = stated.max(1.0) / f64::from(set.balancers);
-        let subset = (SUBSET_EACH * each).clamp(SUBSET_LEAST, 1e6) as usize;
-        let capacity = Capacity::new(&set, each);
-        Ok(Self {
-            pacing: SendPacing::new(capacity.knows_utilization()),
-            capacity,
-            subset,
-            subset_least: subset,
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.check()?;
+        Ok(Self::with_settings(settings, seed))
+    }
+
+    fn with_settings(settings: Settings, seed: u64) -> Self {
+        let expected_per_s = expected_per_s(&settings);
+        let capacity = Capacity::new(&settings, expected_per_s);
+        Self {
+            now: Duration::ZERO,
+            now_s: 0.0,
+            actions: Vec::new(),
             random: Random::with_seed(seed),
-            admission: Admission::new(&set),
-            outliers: OutlierDetection::new(set.classes.len()),
-            classes: ClassStatistics::new(&set),
-            flow: each,
-            load_reports: LoadReportTracker::new(&set),
-            weights: Weights::new(&set),
-            polling: EndpointPolling::new(&set),
-            lease: EndpointLease::new(set.drain_grace, set.has_local_agent),
-            settings: set,
+            is_started: false,
+            last_tick_s: 0.0,
+            polling: EndpointPolling::new(&settings),
+            lease: EndpointLease::new(settings.drain_grace, settings.has_local_agent),
+            upstreams: Upstreams::default(),
+            subset: Subset::new(&settings, expected_per_s),
+            rotation: Rotation::default(),
+            requests: Requests::default(),
             retry_budget: RetryBudget::full(),
-            ..Self::default()
-        })
+            classes: ClassStatistics::new(&settings),
+            load_reports: LoadReportTracker::new(&settings),
+            outliers: OutlierDetection::new(settings.classes.len()),
+            idle_connections: IdleConnections::default(),
+            weights: Weights::new(&settings),
+            admission: Admission::new(&settings),
+            pacing: SendPacing::new(capacity.knows_utilization()),
+            capacity,
+            settings,
+        }
     }
 
-    /// Entries of state held: upstreams, requests, attempts to look after. Bounded: see the tests.
+    /// Entries of state: upstreams, requests, overdue times. Bounded: see the tests.
     pub fn entries(&self) -> usize {
         self.upstreams.entry_count() + self.requests.entry_count()
     }
 
-    /// The upstreams in turn.
-    fn in_turn(&self) -> impl Iterator<Item = &Upstream> {
-        self.rotation
-            .members()
-            .iter()
-            .map(|slot| &self.upstreams[*slot])
-    }
-
-    /// The present state that decisions are based on.
+    /// The state that decisions are based on.
     pub fn status(&self) -> StatusSnapshot {
-        let warming_up = self.in_turn().filter(|u| u.weight.is_warming_up()).count();
-        let ejected = self
-            .in_turn()
-            .filter(|u| u.health.is_ejected(self.now_s))
-            .count();
+        let weight: f64 = self.members().map(|u| u.weight.weight()).sum();
         StatusSnapshot {
             spare_capacity: self.capacity.spare(),
-            service_rate: self.capacity.service_rate()
-                * self.in_turn().map(|u| u.weight.weight()).sum::<f64>(),
+            service_rate: self.capacity.service_rate() * weight,
             utilization: self.capacity.utilization(),
             mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.admission.demand_per_s(),
             in_flight: self.upstreams.iter().map(|u| u.load.in_flight()).sum(),
             rotation_size: self.rotation.members().len(),
-            warming_up,
-            ejected,
+            warming_up: self.members().filter(|u| u.weight.is_warming_up()).count(),
+            ejected: self
+                .members()
+                .filter(|u| u.health.is_ejected(self.now_s))
+                .count(),
         }
     }
 
@@ -164,19 +176,10 @@
     /// Takes in one event and adds what is to be done about it.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
-        let at = now.as_secs_f64();
-        (self.now, self.now_s) = (now, at);
-        if !std::mem::replace(&mut self.ticking, true) {
-            self.last_tick_s = at;
-            self.polling.start(at, &mut self.random);
-            let after = Duration::from_secs_f64(TICK_S * self.random.f64());
-            self.actions.push(Action::Timer {
-                after,
-                timer: TICK_TIMER,
-            });
-        }
+        (self.now, self.now_s) = (now, now.as_secs_f64());
+        self.start();
         match event {
-            Event::EndpointsUpdated { scope, endpoints } => self.fleet(scope, endpoints),
+            Event::EndpointsUpdated { scope, endpoints } => self.on_endpoints(scope, endpoints),
             Event::Watch(event) => self.on_watch_event(event),
             Event::Request {
                 id,
@@ -206,19 +209,90 @@
             } => {
                 // One given up as overdue ends before the tick that would have found it so.
                 self.handle_overdue_attempts();
-                self.record_load_report(upstream, report);
+                self.on_load_report(upstream, report);
                 self.on_attempt_ended(id, attempt, outcome, latency, finished);
             }
             Event::ClientDisconnected { id } => self.complete(id),
             Event::HealthCheckEnded {
                 upstream, report, ..
-            } => self.record_load_report(upstream, report),
-            Event::Timer { timer: TICK_TIMER } => self.tick(),
+            } => {
+                self.on_load_report(upstream, report);
+            }
+            Event::Timer { timer: TICK_TIMER } => self.on_tick(),
             Event::Timer { .. } => {}
         }
         std::mem::swap(&mut self.actions, actions);
     }
 
+    /// Begins at the first event: ticks and polls of many balancers are spread.
+    fn start(&mut self) {
+        if std::mem::replace(&mut self.is_started, true) {
+            return;
+        }
+        self.last_tick_s = self.now_s;
+        self.polling.start(self.now_s, &mut self.random);
+        let first_s = TICK_S * self.random.f64();
+        self.schedule_tick(first_s);
+    }
+
+    fn schedule_tick(&mut self, after_s: f64) {
+        let after = Duration::from_secs_f64(after_s);
+        self.actions.push(Action::Timer {
+            after,
+            timer: TICK_TIMER,
+        });
+    }
+
+    /// The tick: the subset, weights, W and the token buckets, then overdue attempts and discovery.
+    fn on_tick(&mut self) {
+        let elapsed_s = (self.now_s - self.last_tick_s).clamp(0.0, MAX_TICK_S);
+        self.last_tick_s = self.now_s;
+        let has_others = self.rotation.members().len() < self.upstreams.len();
+        self.subset.update_size(has_others, elapsed_s, self.now_s);
+        if self.subset.is_review_due(self.now_s) {
+            self.choose_subset();
+        }
+        self.update_weights(elapsed_s);
+        self.update_capacity(elapsed_s);
+        self.handle_overdue_attempts();
+        if self.polling.poll_if_due(self.now_s, &mut self.random) {
+            self.actions.push(Action::WatchEndpoints);
+        }
+        self.schedule_tick(TICK_S);
+    }
+
+    /// Takes in an update of the endpoint list, or that there is none.
+    fn on_endpoints(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
+        self.polling.on_response_end();
+        if scope == UpdateScope::Failed {
+            let failure = PollFailure {
+                was_partial: self.lease.has_partial_response(),
+                was_rejected: self.lease.polls_are_rejected(),
+            };
+            self.polling
+                .on_failure(&failure, self.now_s, &mut self.random);
+            return;
+        }
+        if scope != UpdateScope::Cached {
+            self.polling.on_update();
+        }
+        let log_event = self.lease.renew(self.now_s);
+        self.actions.extend(log_event.map(Action::Log));
+        let mut context = UpdateContext {
+            endpoint_weights: self.settings.endpoint_weights,
+            class_count: self.settings.classes.len(),
+            weights: &self.weights,
+            load_reports: &self.load_reports,
+            random: &mut self.random,
+            now_s: self.now_s,
+        };
+        if apply_update(&mut self.upstreams, scope, endpoints, &mut context) {
+            self.choose_subset();
+        } else {
+            self.update_weights(0.0);
+        }
+    }
+
     /// Takes in what happened to the endpoint watch or a poll.
     fn on_watch_event(&mut self, event: WatchEvent) {
         self.lease.on_watch_event(event, self.now_s);
@@ -227,56 +301,50 @@
         }
     }
 
-    /// Discovery has confirmed the endpoint list.
-    fn renew_lease(&mut self) {
-        let log_event = self.lease.renew(self.now_s);
-        self.actions.extend(log_event.map(Action::Log));
-    }
-
-    fn record_load_report(&mut self, id: UpstreamId, report: &[f32]) {
+    fn on_load_report(&mut self, id: UpstreamId, report: &[f32]) {
         if let Some(slot) = self.upstreams.slot(id) {
-            let upstream = &mut self.upstreams[slot];
             self.load_reports
-                .record(&mut upstream.load, upstream.size, report, self.now_s);
+                .record(&mut self.upstreams[slot], report, self.now_s);
         }
     }
 
-    /// A first attempt of a client counts for the size of the subset.
-    fn record_first_attempt(&mut self) {
-        self.wanted += 1.0;
+    /// The upstreams that take turns.
+    fn members(&self) -> impl Iterator<Item = &Upstream> {
+        self.rotation
+            .members()
+            .iter()
+            .map(|slot| &self.upstreams[*slot])
     }
 
-    /// Spare capacity, and what the token buckets get of it.
-    fn update_capacity(&mut self, elapsed_s: f64) {
-        self.classes.fade(elapsed_s, self.now_s);
-        self.capacity.update(&CapacityInputs {
-            upstreams: &self.upstreams,
-            rotation: self.rotation.members(),
-            classes: &self.classes,
-            load_reports: &self.load_reports,
-            balancers_per_upstream: self.sharers,
-            elapsed_s,
-            now_s: self.now_s,
-        });
-        self.pacing.set_active(self.capacity.knows_utilization());
-        let (spare, shortage) = (self.capacity.spare(), self.capacity.shortage());
-        self.admission.refill(spare, shortage, elapsed_s);
+    /// Chooses the upstreams that take turns, and starts their round robin anew.
+    fn choose_subset(&mut self) {
+        let choice = self.subset.choose(&mut self.upstreams, self.now_s);
+        let close = |upstream| Action::CloseIdleConnections { upstream };
+        self.actions.extend(choice.left.into_iter().map(close));
+        let before = self.rotation.members().len();
+        let growth = choice.members.len() as f64 / before.max(1) as f64;
+        if choice.is_part && before > 0 && growth > 1.0 {
+            self.capacity.on_rotation_grown(growth);
+        }
+        let mut members = choice.members;
+        self.random.shuffle(&mut members);
+        self.rotation.replace(members);
+        self.update_weights(0.0);
     }
 
     /// Weighs the upstreams of the rotation anew: what each can do now, and the turns and sends it gets.
     fn update_weights(&mut self, elapsed_s: f64) {
-        let (now_s, members) = (self.now_s, self.rotation.members());
-        let ready = self.in_turn().filter(|u| u.ready);
-        let ejected = ready.filter(|u| u.health.is_ejected(now_s)).count();
-        let ejections_hold = may_be_ejected(ejected, self.in_turn().filter(|u| u.ready).count());
+        let now_s = self.now_s;
+        let ready = || self.members().filter(|u| u.endpoint.is_ready());
+        let ejected = ready().filter(|u| u.health.is_ejected(now_s)).count();
+        let ejections_hold = may_be_ejected(ejected, ready().count());
         let suspicion_left = suspicion_left(elapsed_s);
         let abandoned_left = (-elapsed_s / self.classes.shortest_objective_s()).exp();
+        let (upstreams, members) = (&mut self.upstreams, self.rotation.members());
         for slot in members {
-            let upstream = &mut self.upstreams[*slot];
-            upstream.health.fade(suspicion_left);
-            upstream.load.fade_abandoned(abandoned_left);
+            upstreams[*slot].health.fade(suspicion_left);
+            upstreams[*slot].load.fade_abandoned(abandoned_left);
         }
-        let upstreams = &mut self.upstreams;
         self.weights
             .update(upstreams, members, ejections_hold, elapsed_s, now_s);
         self.load_reports.update_mean(upstreams, members, now_s);
@@ -290,40 +358,27 @@
             service_rate,
             slow_start,
             utilization: self.capacity.utilization(),
-            balancers_per_upstream: self.sharers,
+            balancers_per_upstream: self.subset.balancers_per_upstream(),
             load_reports: &self.load_reports,
         };
         self.pacing
             .refill(upstreams, members, &rates, elapsed_s, now_s);
     }
 
-    /// The tick: W and the grants, then the fleet's weights, overdue attempts and discovery.
-    fn tick(&mut self) {
-        let (at, tau) = (self.now_s, (self.now_s - self.last_tick_s).clamp(0.0, 1.0));
-        self.last_tick_s = at;
-        // Traffic is uneven: several times the mean on an equal part of the upstreams would crowd them as
-        // others idle. Repeats that are not marked would count as that. Both ways by leaps, so that chance
-        // moves nothing.
-        self.flow += (tau / RATE_MEMORY_S).min(1.0) * (self.wanted / tau.max(1e-6) - self.flow);
-        self.wanted = 0.0;
-        let due = (SUBSET_EACH * self.flow).clamp(self.subset_least as f64, 1e6) as usize;
-        let more =
-            due * 2 >= self.subset * 3 && self.rotation.members().len() < self.upstreams.len();
-        if more || due * 3 <= self.subset {
-            (self.subset, self.choose_at) = (due, at);
-        }
-        if at >= self.choose_at {
-            self.choose_subset();
-        }
-        self.update_weights(tau);
-        self.update_capacity(tau);
-        self.handle_overdue_attempts();
-        if self.polling.poll_if_due(at, &mut self.random) {
-            self.actions.push(Action::WatchEndpoints);
-        }
-        self.actions.push(Action::Timer {
-            after: Duration::from_secs_f64(TICK_S),
-            timer: TICK_TIMER,
+    /// Spare capacity, and what the token buckets get of it.
+    fn update_capacity(&mut self, elapsed_s: f64) {
+        self.classes.fade(elapsed_s, self.now_s);
+        self.capacity.update(&CapacityInputs {
+            upstreams: &self.upstreams,
+            rotation: self.rotation.members(),
+            classes: &self.classes,
+            load_reports: &self.load_reports,
+            balancers_per_upstream: self.subset.balancers_per_upstream(),
+            elapsed_s,
+            now_s: self.now_s,
         });
+        self.pacing.set_active(self.capacity.knows_utilization());
+        let (spare, shortage) = (self.capacity.spare(), self.capacity.shortage());
+        self.admission.refill(spare, shortage, elapsed_s);
     }
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -75,7 +75,6 @@
 }
 
 /// The trials of upstreams that are ejected for a class, by class.
-#[derive(Default)]
 pub(super) struct OutlierDetection {
     trials: Vec<ClassTrials>,
 }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -23,7 +23,6 @@
 const MAX_QUEUE_FACTOR: f64 = 4.0;
 
 /// The sends that one upstream has left.
-#[derive(Default)]
 pub(super) struct SendBudget {
     sends: f64,
 }
@@ -49,7 +48,6 @@
 }
 
 /// The sends that all upstreams together have left.
-#[derive(Default)]
 pub(super) struct SendPacing {
     saved_sends: f64,
     max_saved_sends: f64,
@@ -138,7 +136,7 @@
             // Less where it reports a higher utilization than the others, or that more waits.
             rate *= (self.utilization / upstream.load.utilization().max(0.1))
                 .clamp(MIN_UTILIZATION_FACTOR, MAX_UTILIZATION_FACTOR);
-            let expected = in_flight_at_full * upstream.size;
+            let expected = in_flight_at_full * upstream.endpoint.size;
             rate /= (upstream.load.reported_in_flight() / expected).clamp(1.0, MAX_QUEUE_FACTOR);
         }
         rate
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -29,7 +29,7 @@
     /// rejected on arrival.
     pub(super) fn on_request(&mut self, arrival: Arrival) {
         if self.settings.retries_marked && !arrival.is_retry {
-            self.record_first_attempt();
+            self.subset.record_first_attempt();
         }
         if arrival.class >= self.settings.classes.len() {
             let (id, reason) = (arrival.id, FailureReason::UnknownClass);
@@ -108,7 +108,7 @@
 
     /// Whether an upstream could take a request of the class, but for pacing.
     fn has_paced_upstream(&self, class: usize, is_short: bool) -> bool {
-        self.in_turn().any(|upstream| {
+        self.members().any(|upstream| {
             upstream.weight.weight() > 0.0
                 && !upstream.health.is_ejected_for(class)
                 && (is_short || self.pacing.is_exhausted(upstream))
@@ -118,7 +118,7 @@
     fn admit(&mut self, arrival: &Arrival, slot: usize) {
         self.admission.take_token(arrival.tenant);
         if !self.settings.retries_marked {
-            self.record_first_attempt();
+            self.subset.record_first_attempt();
         }
         self.retry_budget.record_admission();
         self.classes.record_admission(arrival.class);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -133,8 +133,8 @@
         };
         let shares_keys = match group {
             DedupGroup::All => true,
-            DedupGroup::Zone => upstream.zone == first.zone,
-            DedupGroup::Cell => upstream.cell == first.cell,
+            DedupGroup::Zone => upstream.endpoint.zone == first.zone,
+            DedupGroup::Cell => upstream.endpoint.cell == first.cell,
         };
         // A connection may have to be made first.
         let margin_s = connect_timeout.as_secs_f64() + KEY_MARGIN_S;
@@ -149,7 +149,6 @@
 }
 
 /// The retries that may still be made.
-#[derive(Default)]
 pub(super) struct RetryBudget {
     retries: f64,
 }
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -17,7 +17,6 @@
 const MAX_ROUNDS: usize = 8;
 
 /// Turns that one upstream has earned and not taken.
-#[derive(Default)]
 pub(super) struct Deficit {
     turns: f64,
 }
@@ -78,7 +77,7 @@
     pub(super) fn drop_unusable(&mut self, upstreams: &Upstreams) {
         self.lookahead.retain(|slot| {
             let upstream = &upstreams[*slot];
-            upstream.weight.weight() > 0.0 && upstream.ready
+            upstream.weight.weight() > 0.0 && upstream.endpoint.is_ready()
         });
     }
 
--- /dev/null
+++ b/src/policy/subset.rs
@@ -0,0 +1,243 @@
+//! The subset of the upstreams that one balancer sends to: all that are ready, or a part where it sees too
+//! little traffic to keep a connection to each in use and to learn what it needs of each.
+//!
+//! Balancers share a shuffled order of the upstreams and take neighbouring parts of it, so that each upstream
+//! is in about as many subsets as any other. This guards against upstreams that run out of connections and
+//! against decisions by old information. Its cost: fewer upstreams to choose from.
+
+use super::capacity::RATE_MEMORY_S;
+use super::outlier_detection::may_be_ejected;
+use super::upstreams::Upstreams;
+use crate::interface::{Settings, UpstreamId};
+use crate::random::Random;
+
+/// Upstreams in a subset for each request a second that the balancer may get, and at the least.
+const UPSTREAMS_PER_RATE: f64 = 0.7;
+const MIN_SIZE: f64 = 2.0;
+const MAX_SIZE: f64 = 1e6;
+/// Subsets that each upstream is in at the least: few balancers take more each, and one alone takes all.
+const MIN_SUBSETS_PER_UPSTREAM: usize = 4;
+/// Where the subset would be as much of all as this, as a fraction, it is all of them.
+const ALL_NUMERATOR: usize = 4;
+const ALL_DENOMINATOR: usize = 5;
+/// The size changes when it would grow to three halves, or shrink to a third: chance moves nothing.
+const GROWTH_NUMERATOR: usize = 3;
+const GROWTH_DENOMINATOR: usize = 2;
+const SHRINK_DENOMINATOR: usize = 3;
+/// Seconds of a tick are at least these, where something is counted by them.
+const MIN_ELAPSED_S: f64 = 1e-6;
+
+/// What the subset keeps of one upstream.
+#[derive(Clone, Copy)]
+pub(super) struct SubsetMembership {
+    is_member: bool,
+    /// New, restarted or back from ejection since the subset was last chosen.
+    is_new: bool,
+}
+
+impl SubsetMembership {
+    pub(super) fn new(is_new: bool) -> Self {
+        Self {
+            is_member: false,
+            is_new,
+        }
+    }
+
+    pub(super) fn is_member(self) -> bool {
+        self.is_member
+    }
+
+    pub(super) fn mark_new(&mut self) {
+        self.is_new = true;
+    }
+}
+
+/// A subset that was chosen.
+pub(super) struct SubsetChoice {
+    pub(super) members: Vec<usize>,
+    /// Upstreams that are no members any more, though they are ready.
+    pub(super) left: Vec<UpstreamId>,
+    /// Not all ready upstreams are members.
+    pub(super) is_part: bool,
+}
+
+/// How large a subset is to be, of the ready upstreams.
+struct SubsetSize {
+    /// Of an equal part of the traffic.
+    equal: usize,
+    /// Of what this balancer gets.
+    wanted: usize,
+    /// It takes all of them.
+    takes_all: bool,
+}
+
+/// The size of the subset, and when it is chosen anew.
+pub(super) struct Subset {
+    balancers: u32,
+    index: u32,
+    /// The size for an equal part of the traffic.
+    min_size: usize,
+    /// The size for what this balancer gets.
+    size: usize,
+    /// First attempts of clients in the running tick, or what was admitted where they aren't marked.
+    first_attempts: f64,
+    /// The same a second, smoothed.
+    first_attempts_per_s: f64,
+    /// Balancers that send to each upstream, by an equal spread of subsets.
+    balancers_per_upstream: f64,
+    review_at_s: f64,
+}
+
+impl Subset {
+    pub(super) fn new(settings: &Settings, expected_per_s: f64) -> Self {
+        let size = (UPSTREAMS_PER_RATE * expected_per_s).clamp(MIN_SIZE, MAX_SIZE) as usize;
+        Self {
+            balancers: settings.balancers,
+            index: settings.index,
+            min_size: size,
+            size,
+            first_attempts: 0.0,
+            first_attempts_per_s: expected_per_s,
+            balancers_per_upstream: 0.0,
+            review_at_s: 0.0,
+        }
+    }
+
+    pub(super) fn balancers_per_upstream(&self) -> f64 {
+        self.balancers_per_upstream
+    }
+
+    /// A client's first attempt; retries that are not marked would count as traffic.
+    pub(super) fn record_first_attempt(&mut self) {
+        self.first_attempts += 1.0;
+    }
+
+    /// Has the subset chosen anew at the next tick.
+    pub(super) fn request_review(&mut self, now_s: f64) {
+        self.review_at_s = now_s;
+    }
+
+    pub(super) fn is_review_due(&self, now_s: f64) -> bool {
+        now_s >= self.review_at_s
+    }
+
+    /// Follows the traffic, each tick: it is uneven, and several times the mean on an equal part of the
+    /// upstreams would crowd them as others idle. `has_others`: there are upstreams outside the subset.
+    pub(super) fn update_size(&mut self, has_others: bool, elapsed_s: f64, now_s: f64) {
+        let per_s = self.first_attempts / elapsed_s.max(MIN_ELAPSED_S);
+        let newest_weight = (elapsed_s / RATE_MEMORY_S).min(1.0);
+        self.first_attempts_per_s += newest_weight * (per_s - self.first_attempts_per_s);
+        self.first_attempts = 0.0;
+        let size = UPSTREAMS_PER_RATE * self.first_attempts_per_s;
+        let size = size.clamp(self.min_size as f64, MAX_SIZE) as usize;
+        let grows = size * GROWTH_DENOMINATOR >= self.size * GROWTH_NUMERATOR && has_others;
+        if grows || size * SHRINK_DENOMINATOR <= self.size {
+            self.size = size;
+            self.review_at_s = now_s;
+        }
+    }
+
+    /// Chooses the members. Those ejected are replaced by the next in the order.
+    pub(super) fn choose(&mut self, upstreams: &mut Upstreams, now_s: f64) -> SubsetChoice {
+        let ready = |slot: &usize| upstreams[*slot].endpoint.is_ready();
+        let mut order: Vec<usize> = (0..upstreams.len()).filter(ready).collect();
+        let size = self.size_of(order.len());
+        if !size.takes_all {
+            self.sort(&mut order, upstreams, &size);
+        }
+        // When more seem unhealthy, the fault is not theirs.
+        let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected(now_s);
+        let ejected = order.iter().filter(is_ejected).count();
+        let may_eject = may_be_ejected(ejected, order.len());
+        let ejected_at_s = if may_eject { now_s } else { f64::INFINITY };
+        for upstream in upstreams.iter_mut() {
+            upstream.membership.is_member &= upstream.endpoint.is_ready();
+        }
+        // Who comes back from ejection is looked at again then.
+        let ends = upstreams
+            .iter()
+            .map(|upstream| upstream.health.ejected_until_s());
+        self.review_at_s = ends
+            .filter(|end_s| *end_s > now_s)
+            .fold(f64::INFINITY, f64::min);
+        let left = fill(&order, upstreams, &size, ejected_at_s);
+        let part = size.equal.min(order.len()) as f64 / order.len().max(1) as f64;
+        self.balancers_per_upstream = (f64::from(self.balancers) * part).max(1.0);
+        order.retain(|slot| upstreams[*slot].membership.is_member);
+        SubsetChoice {
+            members: order,
+            left,
+            is_part: !size.takes_all,
+        }
+    }
+
+    fn size_of(&self, ready: usize) -> SubsetSize {
+        let balancers = (self.balancers as usize).max(1);
+        let equal = self
+            .min_size
+            .max(MIN_SUBSETS_PER_UPSTREAM * ready / balancers);
+        let wanted = equal.max(self.size);
+        let takes_all = wanted * ALL_DENOMINATOR >= ready * ALL_NUMERATOR;
+        SubsetSize {
+            equal,
+            wanted,
+            takes_all,
+        }
+    }
+
+    /// Puts the upstreams into the order that balancers share, from this one's part on. When all parts are
+    /// given out, the next balancers share another order.
+    fn sort(&self, order: &mut [usize], upstreams: &Upstreams, size: &SubsetSize) {
+        let parts = (order.len() / size.equal.max(1)).max(1);
+        let index = self.index as usize;
+        let (round, start) = (index / parts, index % parts * size.equal);
+        let key = |slot: &usize| {
+            let id = upstreams[*slot].endpoint.id;
+            Random::with_seed(id.0 ^ (round as u64) << 48).u64(..)
+        };
+        order.sort_by_cached_key(key);
+        order.rotate_left(start % order.len().max(1));
+    }
+}
+
+/// Makes members of upstreams, and of some no more. Returns the latter.
+fn fill(
+    order: &[usize],
+    upstreams: &mut Upstreams,
+    size: &SubsetSize,
+    ejected_at_s: f64,
+) -> Vec<UpstreamId> {
+    let (mut members, mut unusable) = (0, 0);
+    for (rank, slot) in order.iter().enumerate() {
+        let upstream = &mut upstreams[*slot];
+        let is_usable = !upstream.health.is_ejected(ejected_at_s);
+        let membership = &mut upstream.membership;
+        // A member stays one, so that connections stay warm; newcomers have their place by the order.
+        let joins = is_usable && membership.is_new && rank < size.wanted;
+        membership.is_member = size.takes_all || membership.is_member || joins;
+        membership.is_new &= !is_usable;
+        members += usize::from(membership.is_member);
+        unusable += usize::from(membership.is_member && !is_usable);
+    }
+    // Up to half of the members keep their place while ejected: else all who share them move their load to
+    // others at once, and these are the next to fail.
+    let wanted = size.wanted.max(unusable + size.wanted.div_ceil(2));
+    for slot in order {
+        let upstream = &mut upstreams[*slot];
+        let is_usable = !upstream.health.is_ejected(ejected_at_s);
+        if members < wanted && !upstream.membership.is_member && is_usable {
+            upstream.membership.is_member = true;
+            members += 1;
+        }
+    }
+    let mut left = Vec::new();
+    for slot in order.iter().rev() {
+        let upstream = &mut upstreams[*slot];
+        if members > wanted && upstream.membership.is_member && !size.takes_all {
+            upstream.membership.is_member = false;
+            members -= 1;
+            left.push(upstream.endpoint.id);
+        }
+    }
+    left
+}
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -83,7 +83,6 @@
 }
 
 /// The health of one upstream.
-#[derive(Default)]
 pub(super) struct UpstreamHealth {
     /// By faults of whatever class, less by answers.
     suspicion: f64,
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -1,32 +1,28 @@
-//! The upstreams that a balancer knows, by slot.
+//! The upstreams that a balancer knows: a record each, made of what every part keeps about it.
 
+use super::endpoints::EndpointRecord;
 use super::idle_connections::ConnectionUse;
 use super::load::UpstreamLoad;
+
 use super::pacing::SendBudget;
 use super::round_robin::Deficit;
+use super::subset::SubsetMembership;
 use super::upstream_health::UpstreamHealth;
 use super::weights::UpstreamWeight;
-use crate::interface::{CellId, UpstreamId, ZoneId};
+use crate::interface::UpstreamId;
 use rustc_hash::FxHashMap;
 use std::ops::{Index, IndexMut};
 
-/// An upstream as one balancer sees it.
-#[derive(Default)]
+/// An upstream. Each field belongs to the part that its type comes from.
 pub(super) struct Upstream {
-    pub(super) id: UpstreamId,
-    pub(super) zone: ZoneId,
-    pub(super) cell: CellId,
-    pub(super) ready: bool,
-    pub(super) draining: bool,
-    pub(super) member: bool, // of the subset that takes turns
-    pub(super) fresh: bool, // new, restarted or back from ejection since the subset was last chosen
-    pub(super) size: f64,   // endpoints size; with live weights the largest seen
+    pub(super) endpoint: EndpointRecord,
+    pub(super) membership: SubsetMembership,
+    pub(super) weight: UpstreamWeight,
     pub(super) load: UpstreamLoad,
-    pub(super) send_budget: SendBudget,
     pub(super) health: UpstreamHealth,
-    pub(super) connections: ConnectionUse,
-    pub(super) weight: UpstreamWeight,
+    pub(super) send_budget: SendBudget,
     pub(super) deficit: Deficit,
+    pub(super) connections: ConnectionUse,
 }
 
 /// All upstreams, by slot. A slot stays an upstream's own until [`Upstreams::retain`].
@@ -64,7 +60,7 @@
 
     pub(super) fn push(&mut self, upstream: Upstream) -> usize {
         let slot = self.upstreams.len();
-        self.slots.insert(upstream.id, slot);
+        self.slots.insert(upstream.endpoint.id, slot);
         self.upstreams.push(upstream);
         slot
     }
@@ -73,7 +69,9 @@
     pub(super) fn retain(&mut self, is_kept: impl Fn(&Upstream) -> bool) {
         self.upstreams.retain(is_kept);
         let ids = self.upstreams.iter().enumerate();
-        self.slots = ids.map(|(slot, upstream)| (upstream.id, slot)).collect();
+        self.slots = ids
+            .map(|(slot, upstream)| (upstream.endpoint.id, slot))
+            .collect();
     }
 }
 
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -87,7 +87,6 @@
 }
 
 /// What weights go by in the settings.
-#[derive(Default)]
 pub(super) struct Weights {
     zone: ZoneId,
     /// Share of their turns that upstreams of other zones get.
@@ -123,19 +122,19 @@
         now_s: f64,
     ) {
         let members = || rotation.iter().map(|slot| &upstreams[*slot]);
-        let largest_size = members().map(|u| u.size).fold(1e-9, f64::max);
+        let largest_size = members().map(|u| u.endpoint.size).fold(1e-9, f64::max);
         let is_near = |u: &Upstream| self.is_near(u) && !u.health.is_ejected(now_s);
-        let has_near = members().any(|u| u.ready && is_near(u));
+        let has_near = members().any(|u| u.endpoint.is_ready() && is_near(u));
         let fade = (-elapsed_s / LATENCY_RATIO_MEMORY_S).exp();
         for slot in rotation {
             let upstream = &mut upstreams[*slot];
             upstream.weight.answer_count *= fade;
             let warmth = self.advance_slow_start(&mut upstream.weight, now_s);
-            let size_share = upstream.size / largest_size;
+            let size_share = upstream.endpoint.size / largest_size;
             let capacity = size_share * warmth / upstream.weight.believed_latency_ratio();
             upstream.weight.capacity = capacity.max(MIN_CAPACITY);
             let is_out = ejections_hold && upstream.health.is_ejected(now_s);
-            let is_usable = upstream.ready && !is_out;
+            let is_usable = upstream.endpoint.is_ready() && !is_out;
             let zone_share = if self.is_near(upstream) || !has_near {
                 1.0
             } else {
@@ -147,7 +146,7 @@
     }
 
     fn is_near(&self, upstream: &Upstream) -> bool {
-        upstream.zone == self.zone
+        upstream.endpoint.zone == self.zone
     }
 
     /// Share of its work that an upstream can do so long after its start; ends a slow start that is over.
--- a/src/random.rs
+++ b/src/random.rs
@@ -11,12 +11,6 @@
     }
 }
 
-impl Default for Random {
-    fn default() -> Self {
-        Self::with_seed(0)
-    }
-}
-
 impl Deref for Random {
     type Target = fastrand::Rng;
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 19] = [
+const FILES: [(&str, &str); 20] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -34,11 +34,14 @@
         "src/policy/endpoint_polling.rs",
         include_str!("../src/policy/endpoint_polling.rs"),
     ),
+    (
+        "src/policy/endpoints.rs",
+        include_str!("../src/policy/endpoints.rs"),
+    ),
     (
         "src/policy/idle_connections.rs",
         include_str!("../src/policy/idle_connections.rs"),
     ),
-    ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
     ("src/policy/load.rs", include_str!("../src/policy/load.rs")),
     (
         "src/policy/outlier_detection.rs",
@@ -60,6 +63,10 @@
         "src/policy/round_robin.rs",
         include_str!("../src/policy/round_robin.rs"),
     ),
+    (
+        "src/policy/subset.rs",
+        include_str!("../src/policy/subset.rs"),
+    ),
     (
         "src/policy/upstream_health.rs",
         include_str!("../src/policy/upstream_health.rs"),
