--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -1,10 +1,12 @@
-//! The two HTTP sides: reading, the published form to the letter; writing, JSON at an address of its own.
+//! The two HTTP sides: reading, the published form to the letter; writing, JSON at an address of
+//! its own.
 
+use crate::command::{Command, CommandError};
 use crate::config::Limits;
-use crate::list::{Command, Record, Refused, State};
+use crate::endpoint::{EndpointRecord, EndpointState};
 use crate::metrics::Metrics;
-use crate::publish::Published;
-use crate::writer::{Job, WriteError};
+use crate::published_view::PublishedView;
+use crate::writer::{WriteError, WriteRequest};
 use bytes::{Bytes, BytesMut};
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, Limited, StreamBody};
@@ -68,14 +70,15 @@
     response
 }
 
-/// What a connection is allowed: it is cut when it takes too long, unless it is a watch, and when a watch does not read.
+/// What a connection is allowed: it is cut when it takes too long, unless it is a watch, and when a
+/// watch does not read.
 #[derive(Default)]
-struct Leash {
+struct SlowReaderLimit {
     watches: AtomicBool,
     cut: Notify,
 }
 
-async fn connection<F, R>(stream: TcpStream, leash: Arc<Leash>, respond: F)
+async fn connection<F, R>(stream: TcpStream, limit: Arc<SlowReaderLimit>, respond: F)
 where
     F: Fn(Request<Incoming>) -> R,
     R: Future<Output = Response<Body>>,
@@ -91,14 +94,14 @@
         .header_read_timeout(SAYS_WITHIN);
     let too_long = async {
         sleep(TAKES_WITHIN).await;
-        if leash.watches.load(Ordering::Relaxed) {
+        if limit.watches.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
     };
     tokio::select! {
         // Who goes away, or says what is no HTTP, has told its reason itself.
         _ = builder.serve_connection(TokioIo::new(stream), service) => {}
-        () = leash.cut.notified() => {}
+        () = limit.cut.notified() => {}
         () = too_long => {}
     }
 }
@@ -117,7 +120,7 @@
 
 /// The reading side.
 pub struct Reading {
-    published: Arc<Published>,
+    published: Arc<PublishedView>,
     metrics: Arc<Metrics>,
     calls: Arc<Semaphore>,
     watches: Arc<Semaphore>,
@@ -125,7 +128,7 @@
 }
 
 impl Reading {
-    pub fn new(published: Arc<Published>, metrics: Arc<Metrics>, limits: &Limits) -> Arc<Self> {
+    pub fn new(published: Arc<PublishedView>, metrics: Arc<Metrics>, limits: &Limits) -> Arc<Self> {
         Arc::new(Self {
             published,
             metrics,
@@ -142,10 +145,10 @@
             let Ok(slot) = Arc::clone(&self.connections).try_acquire_owned() else {
                 continue;
             };
-            let (reading, leash) = (Arc::clone(&self), Arc::new(Leash::default()));
+            let (reading, limit) = (Arc::clone(&self), Arc::new(SlowReaderLimit::default()));
             tokio::spawn(async move {
-                let held = Arc::clone(&leash);
-                connection(stream, leash, |request| {
+                let held = Arc::clone(&limit);
+                connection(stream, limit, |request| {
                     let (reading, held) = (Arc::clone(&reading), Arc::clone(&held));
                     async move { reading.respond(&request, &held) }
                 })
@@ -158,7 +161,7 @@
     fn respond(
         self: &Arc<Self>,
         request: &Request<Incoming>,
-        leash: &Arc<Leash>,
+        limit: &Arc<SlowReaderLimit>,
     ) -> Response<Body> {
         if request.uri().path() != "/registry/instances" {
             return error(StatusCode::NOT_FOUND, "the list is at /registry/instances");
@@ -174,36 +177,36 @@
         };
         if of("stream") == Some("1") {
             let since = of("index").and_then(|n| n.parse().ok()).filter(|n| *n > 0);
-            return self.watch(since, leash);
+            return self.watch(since, limit);
         }
         let Ok(_call) = self.calls.try_acquire() else {
-            self.metrics.refused.inc();
+            self.metrics.overloads.inc();
             return busy("too many calls at once");
         };
-        self.metrics.lists.inc();
-        let mut response = Response::new(full(self.published.text(None).1));
+        self.metrics.snapshots.inc();
+        let mut response = Response::new(full(self.published.update_since(None).json));
         response
             .headers_mut()
             .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         response
     }
 
-    fn watch(self: &Arc<Self>, since: Option<u64>, leash: &Arc<Leash>) -> Response<Body> {
+    fn watch(self: &Arc<Self>, since: Option<u64>, limit: &Arc<SlowReaderLimit>) -> Response<Body> {
         let slot = match Arc::clone(&self.watches).try_acquire_owned() {
             Ok(slot) => slot,
             Err(TryAcquireError::NoPermits | TryAcquireError::Closed) => {
-                self.metrics.refused.inc();
+                self.metrics.overloads.inc();
                 return busy("too many watches at once");
             }
         };
-        leash.watches.store(true, Ordering::Relaxed);
+        limit.watches.store(true, Ordering::Relaxed);
         let (lines, body) = mpsc::channel(LINES_BEHIND);
-        let (reading, leash) = (Arc::clone(self), Arc::clone(leash));
+        let (reading, limit) = (Arc::clone(self), Arc::clone(limit));
         tokio::spawn(async move {
             reading.metrics.watches.inc();
             if !reading.follow(since, lines).await {
-                reading.metrics.cut.inc();
-                leash.cut.notify_one();
+                reading.metrics.slow_watches.inc();
+                limit.cut.notify_one();
             }
             reading.metrics.watches.dec();
             drop(slot);
@@ -215,11 +218,12 @@
     async fn follow(&self, mut since: Option<u64>, lines: mpsc::Sender<Line>) -> bool {
         let mut changes = self.published.subscribe();
         loop {
-            let (rev, text) = self.published.text(since);
+            let update = self.published.update_since(since);
+            let (rev, text) = (update.revision, update.json);
             let mut line = BytesMut::with_capacity(text.len() + 1);
             if since != Some(rev) {
                 line.extend_from_slice(&text);
-                self.metrics.lines.inc();
+                self.metrics.watch_updates.inc();
             }
             line.extend_from_slice(b"\n");
             if lines.is_closed() {
@@ -251,9 +255,9 @@
 
 /// The writing side, with status and metrics.
 pub struct Writing {
-    published: Arc<Published>,
+    published: Arc<PublishedView>,
     metrics: Arc<Metrics>,
-    jobs: mpsc::Sender<Job>,
+    jobs: mpsc::Sender<WriteRequest>,
     connections: Arc<Semaphore>,
     name: String,
 }
@@ -292,9 +296,9 @@
 
 impl Writing {
     pub fn new(
-        published: Arc<Published>,
+        published: Arc<PublishedView>,
         metrics: Arc<Metrics>,
-        jobs: mpsc::Sender<Job>,
+        jobs: mpsc::Sender<WriteRequest>,
         name: String,
     ) -> Arc<Self> {
         let connections = Arc::new(Semaphore::new(CONNECTIONS));
@@ -360,14 +364,14 @@
         let (reply, told) = oneshot::channel();
         if self
             .jobs
-            .try_send(Job {
+            .try_send(WriteRequest {
                 command,
-                if_rev,
+                expected_revision: if_rev,
                 reply,
             })
             .is_err()
         {
-            self.metrics.refused.inc();
+            self.metrics.overloads.inc();
             return busy("too many writes at once");
         }
         match told.await {
@@ -382,21 +386,25 @@
 
     fn status(&self) -> serde_json::Value {
         let m = &self.metrics;
-        json!({"name": self.name, "rev": self.published.rev(), "ready": m.ready.get(),
-            "terminating": m.terminating.get(), "holds": m.holds.get() == 1, "watches": m.watches.get()})
+        json!({"name": self.name, "rev": self.published.revision(), "ready": m.ready.get(),
+            "terminating": m.terminating.get(), "holds": m.self_preserving.get() == 1, "watches": m.watches.get()})
     }
 }
 
 fn status_of(error: &WriteError) -> StatusCode {
     match error {
-        WriteError::Refused(Refused::Version(_)) => StatusCode::PRECONDITION_FAILED,
-        WriteError::Refused(Refused::Unknown(_)) => StatusCode::NOT_FOUND,
-        WriteError::Refused(Refused::Replaced(_) | Refused::Taken(_)) => StatusCode::CONFLICT,
-        WriteError::Refused(Refused::Full(_)) | WriteError::NoRoom => {
+        WriteError::Rejected(CommandError::RevisionMismatch { .. }) => {
+            StatusCode::PRECONDITION_FAILED
+        }
+        WriteError::Rejected(CommandError::UnknownEndpoint { .. }) => StatusCode::NOT_FOUND,
+        WriteError::Rejected(
+            CommandError::Superseded { .. } | CommandError::AddressInUse { .. },
+        ) => StatusCode::CONFLICT,
+        WriteError::Rejected(CommandError::RegistryFull { .. }) | WriteError::DiskFull => {
             StatusCode::INSUFFICIENT_STORAGE
         }
-        WriteError::Refused(Refused::Bad(_)) => StatusCode::BAD_REQUEST,
-        WriteError::Failed => StatusCode::INTERNAL_SERVER_ERROR,
+        WriteError::Rejected(CommandError::Invalid(_)) => StatusCode::BAD_REQUEST,
+        WriteError::DiskFailed => StatusCode::INTERNAL_SERVER_ERROR,
     }
 }
 
@@ -430,18 +438,21 @@
                     format!("ttl_s of {ttl_s}: 1 to 3600 are possible"),
                 )
             })?;
-            let state = State::Ready;
-            let record = Record {
+            let state = EndpointState::Ready;
+            let record = EndpointRecord {
                 uid,
-                endpoint,
-                az,
+                address: endpoint,
+                zone: az,
                 model,
                 pod_group,
                 state,
-                capacity_hint,
+                weight: capacity_hint,
                 boot_ms,
             };
-            Ok(Command::Register { record, lease })
+            Ok(Command::Register {
+                record,
+                lease_duration: lease,
+            })
         }
         (&Method::DELETE, "") => {
             let boot_ms = if body.is_empty() {
@@ -456,9 +467,9 @@
             boot_ms: read::<Life>(body)?.boot_ms,
         }),
         (&Method::POST, "drain") => Ok(Command::Drain { uid }),
-        (&Method::PUT, "weight") => Ok(Command::Weight {
+        (&Method::PUT, "weight") => Ok(Command::SetWeight {
             uid,
-            capacity_hint: read::<Weight>(body)?.capacity_hint,
+            weight: read::<Weight>(body)?.capacity_hint,
         }),
         _ => Err(none()),
     }
