--- /dev/null
+++ b/tests/action_digest/adapter.rs
@@ -0,0 +1,351 @@
+//! The crate's names, translated to and from the generator's.
+
+use crate::sites;
+use frostkeel_policy::{
+    Action, AttemptNo, Availability, Balancer, CellId, ClassId, Endpoint, Event, FailureReason,
+    KindId, LoadField, LoadReports, Outcome, RequestId, TenantId, TimerId, UpdateScope, UpstreamId,
+    WatchEvent, ZoneId,
+};
+use std::time::Duration;
+
+/// An entry of the endpoint list: availability 0 ready, 1 draining, 2 removed.
+#[derive(Clone)]
+pub struct Entry {
+    pub id: u64,
+    pub zone: u8,
+    pub cell: u16,
+    pub availability: u8,
+    pub weight: f64,
+    pub started: Option<Duration>,
+}
+
+/// The end of an attempt; outcomes are numbered in the order of the crate's enum.
+pub struct Ended {
+    pub id: u32,
+    pub attempt: u8,
+    pub upstream: u64,
+    pub outcome: usize,
+    pub latency: Duration,
+    pub finished: bool,
+    pub report: Vec<f32>,
+}
+
+/// An event. Scopes, kinds and outcomes are numbered in the order of the crate's enums.
+pub enum Input {
+    Endpoints {
+        scope: usize,
+        entries: Vec<Entry>,
+    },
+    Watch {
+        kind: usize,
+        since: Duration,
+    },
+    Request {
+        id: u32,
+        class: u16,
+        tenant: u32,
+        left: Duration,
+        work_ms: Option<f64>,
+        again: bool,
+    },
+    StreamStarted {
+        id: u32,
+        attempt: u8,
+        latency: Duration,
+    },
+    AttemptEnded(Ended),
+    Disconnected {
+        id: u32,
+    },
+    HealthCheckEnded {
+        upstream: u64,
+        outcome: usize,
+        report: Vec<f32>,
+    },
+    Timer {
+        number: u32,
+    },
+}
+
+/// An action; reasons by their position.
+pub enum Output {
+    Attempt {
+        id: u32,
+        upstream: u64,
+        timeout: Option<Duration>,
+    },
+    Cancel {
+        id: u32,
+        attempt: u8,
+    },
+    Reject {
+        id: u32,
+        retry_after: Option<Duration>,
+        reason: usize,
+    },
+    Fail {
+        id: u32,
+        reason: usize,
+    },
+    Timer {
+        after: Duration,
+        number: u32,
+    },
+    Watch,
+    CloseIdle {
+        upstream: u64,
+    },
+    HealthCheck {
+        upstream: u64,
+    },
+    Log,
+}
+
+/// What the generator has to know of the settings.
+pub struct Site {
+    pub classes: usize,
+    pub streamed: Vec<bool>,
+    pub deadlines: Vec<Duration>,
+    pub tenants: u32,
+    pub load_report_size: usize,
+    pub utilization_field: Option<usize>,
+    pub polls: bool,
+    pub local_agent: bool,
+}
+
+pub struct Player {
+    balancer: Balancer,
+    actions: Vec<Action>,
+}
+
+const OUTCOMES: [Outcome; 8] = [
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::TimedOut,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::NotSent,
+];
+
+impl Player {
+    pub fn new(number: usize, seed: u64) -> (Self, Site) {
+        let settings = sites::settings(number);
+        let site = Site {
+            classes: settings.classes.len(),
+            streamed: settings
+                .classes
+                .iter()
+                .map(|class| class.streamed)
+                .collect(),
+            deadlines: settings
+                .classes
+                .iter()
+                .map(|class| class.deadline)
+                .collect(),
+            tenants: settings.tenants.len() as u32,
+            load_report_size: if settings.load_reports == LoadReports::Off {
+                0
+            } else {
+                settings.report_fields.len()
+            },
+            utilization_field: settings
+                .report_fields
+                .iter()
+                .position(|field| *field == LoadField::Utilization),
+            polls: settings.polls_endpoints,
+            local_agent: settings.has_local_agent,
+        };
+        let balancer = Balancer::new(settings, seed).expect("settings permit decisions");
+        (
+            Self {
+                balancer,
+                actions: Vec::new(),
+            },
+            site,
+        )
+    }
+
+    pub fn play(&mut self, now: Duration, input: &Input) -> Vec<Output> {
+        self.actions.clear();
+        let endpoints: Vec<Endpoint>;
+        let event = match input {
+            Input::Endpoints { scope, entries } => {
+                let scopes = [
+                    UpdateScope::Delta,
+                    UpdateScope::Snapshot,
+                    UpdateScope::Cached,
+                    UpdateScope::Failed,
+                ];
+                endpoints = entries.iter().map(endpoint).collect();
+                Event::EndpointsUpdated {
+                    scope: scopes[*scope],
+                    endpoints: &endpoints,
+                }
+            }
+            Input::Watch { kind, since } => Event::Watch(watch_event(*kind, *since)),
+            Input::Request {
+                id,
+                class,
+                tenant,
+                left,
+                work_ms,
+                again,
+            } => Event::Request {
+                id: RequestId(*id),
+                class: ClassId(*class),
+                tenant: TenantId(*tenant),
+                time_left: *left,
+                work_ms: *work_ms,
+                is_retry: *again,
+            },
+            Input::StreamStarted {
+                id,
+                attempt,
+                latency,
+            } => Event::StreamStarted {
+                id: RequestId(*id),
+                attempt: AttemptNo(*attempt),
+                latency: *latency,
+            },
+            Input::AttemptEnded(ended) => attempt_ended(ended),
+            Input::Disconnected { id } => Event::ClientDisconnected { id: RequestId(*id) },
+            Input::HealthCheckEnded {
+                upstream,
+                outcome,
+                report,
+            } => Event::HealthCheckEnded {
+                upstream: UpstreamId(*upstream),
+                outcome: OUTCOMES[*outcome],
+                latency: Duration::from_millis(5),
+                report,
+            },
+            Input::Timer { number } => Event::Timer {
+                timer: TimerId(*number),
+            },
+        };
+        self.balancer.handle(now, event, &mut self.actions);
+        self.actions.iter().map(output).collect()
+    }
+
+    /// What the balancer says of itself: figures as bits, counts, and the span in which nothing
+    /// is sent.
+    pub fn status(&self) -> Vec<u64> {
+        let status = self.balancer.status();
+        let pause = self.balancer.send_pause();
+        let mut words: Vec<u64> = [
+            status.spare_capacity,
+            status.service_rate,
+            status.utilization,
+            status.mean_latency_s,
+            status.demand_per_s,
+        ]
+        .map(f64::to_bits)
+        .to_vec();
+        words.push(u64::from(status.in_flight));
+        words.extend(
+            [status.rotation_size, status.warming_up, status.ejected].map(|count| count as u64),
+        );
+        words.extend(
+            pause
+                .iter()
+                .flat_map(|p| [p.from.as_nanos() as u64, p.until.as_nanos() as u64]),
+        );
+        words.push(self.balancer.entries() as u64);
+        words
+    }
+}
+
+fn attempt_ended(ended: &Ended) -> Event<'_> {
+    Event::AttemptEnded {
+        id: RequestId(ended.id),
+        attempt: AttemptNo(ended.attempt),
+        upstream: UpstreamId(ended.upstream),
+        outcome: OUTCOMES[ended.outcome],
+        latency: ended.latency,
+        finished: ended.finished,
+        report: &ended.report,
+    }
+}
+
+fn endpoint(entry: &Entry) -> Endpoint {
+    Endpoint {
+        id: UpstreamId(entry.id),
+        zone: ZoneId(entry.zone),
+        kind: KindId(0),
+        cell: CellId(entry.cell),
+        availability: [
+            Availability::Ready,
+            Availability::Draining,
+            Availability::Removed,
+        ][usize::from(entry.availability)],
+        weight: entry.weight,
+        started: entry.started,
+    }
+}
+
+fn watch_event(kind: usize, since: Duration) -> WatchEvent {
+    match kind {
+        0 => WatchEvent::Silent { since },
+        1 => WatchEvent::Ended,
+        2 => WatchEvent::Partial { since },
+        3 => WatchEvent::Rejected {
+            requested_at: since,
+        },
+        4 => WatchEvent::Unreachable {
+            requested_at: since,
+        },
+        _ => WatchEvent::Moved,
+    }
+}
+
+fn position(reason: FailureReason) -> usize {
+    FailureReason::ALL
+        .iter()
+        .position(|other| *other == reason)
+        .expect("each reason is among all of them")
+}
+
+fn output(action: &Action) -> Output {
+    match action {
+        Action::Attempt {
+            id,
+            upstream,
+            timeout,
+        } => Output::Attempt {
+            id: id.0,
+            upstream: upstream.0,
+            timeout: *timeout,
+        },
+        Action::Cancel { id, attempt } => Output::Cancel {
+            id: id.0,
+            attempt: attempt.0,
+        },
+        Action::Reject {
+            id,
+            retry_after,
+            reason,
+        } => Output::Reject {
+            id: id.0,
+            retry_after: *retry_after,
+            reason: position(*reason),
+        },
+        Action::Fail { id, reason } => Output::Fail {
+            id: id.0,
+            reason: position(*reason),
+        },
+        Action::Timer { after, timer } => Output::Timer {
+            after: *after,
+            number: timer.0,
+        },
+        Action::WatchEndpoints => Output::Watch,
+        Action::CloseIdleConnections { upstream } => Output::CloseIdle {
+            upstream: upstream.0,
+        },
+        Action::HealthCheck { upstream } => Output::HealthCheck {
+            upstream: upstream.0,
+        },
+        Action::Log(_) => Output::Log,
+    }
+}
--- a/tests/compare-digest.sh
+++ b/tests/compare-digest.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # Compares the decision module's actions with those of another revision, on this machine: runs the full sequences of
-# tests/action_digest.rs there, in a temporary worktree and with that revision's test file, and here.
+# tests/action_digest there, in a temporary worktree and with that revision's test, and here.
 # Usage: tests/compare-digest.sh REV
 set -eu
 cd "$(dirname "$0")/.."
