--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,11 +1,11 @@
 //! What is usual for each class of requests: latency, its upper quantile, share of the admitted.
 
 use super::TICK_S;
-use super::admission::QUEUE_OBJECTIVE_SHARE;
+use super::capacity::QUEUE_OBJECTIVE_SHARE;
 use crate::interface::{Class, Settings};
 
-/// Seconds over which a class's latency is averaged where responses are few, and the least and the most
-/// that the newest one weighs.
+/// Seconds over which a class's latency is averaged where responses are few, and the least and the
+/// most that the newest one weighs.
 const LATENCY_MEMORY_S: f64 = 3.0;
 const MIN_NEWEST_WEIGHT: f64 = 0.02;
 const MAX_NEWEST_WEIGHT: f64 = 0.2;
@@ -13,12 +13,14 @@
 const MAX_LATENCY_MULTIPLE: f64 = 2.0;
 /// What an attempt given up counts for, in the time it was waited for: it would have taken longer.
 const TIMEOUT_LATENCY_MULTIPLE: f64 = 1.5;
-/// Quantile of the latencies after which an attempt is overdue, and by what part an answer moves it.
+/// Quantile of the latencies after which an attempt is overdue, and by what part an answer moves
+/// it.
 const OVERDUE_QUANTILE: f64 = 0.95;
 const QUANTILE_STEP: f64 = 0.05;
 /// The quantile is no less than two ticks, as overdue attempts are looked for on each.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
-/// An attempt is overdue at this share of the objective at the latest, so that a hedge still has time.
+/// An attempt is overdue at this share of the objective at the latest, so that a hedge still has
+/// time.
 const OVERDUE_OBJECTIVE_SHARE: f64 = 0.6;
 /// Share of the objective that a class's latency is taken for before its first answer.
 const INITIAL_LATENCY_SHARE: f64 = 0.3;
@@ -55,7 +57,6 @@
 }
 
 /// All classes, as in the settings.
-#[derive(Default)]
 pub(super) struct ClassStatistics {
     classes: Vec<ClassRecord>,
     /// Priority weights are in proportion to the work already.
@@ -91,6 +92,11 @@
         weighted.sum::<f64>() / shares.max(1e-9)
     }
 
+    pub(super) fn shortest_objective_s(&self) -> f64 {
+        let objectives = self.classes.iter().map(|class| class.objective_s);
+        objectives.fold(f64::INFINITY, f64::min)
+    }
+
     pub(super) fn latency_s(&self, class: usize) -> f64 {
         self.classes[class].mean_latency_s
     }
@@ -103,8 +109,8 @@
             .min(OVERDUE_OBJECTIVE_SHARE * class.objective_s)
     }
 
-    /// What a class earns for the capacity it takes, as a share of what the best one earns: a heavy request
-    /// is worth less than its priority weight says, as others could be served in its place.
+    /// What a class earns for the capacity it takes, as a share of what the best one earns: a heavy
+    /// request is worth less than its priority weight says, as others could be served in its place.
     pub(super) fn relative_value(&self, class: usize) -> f64 {
         let best = self
             .classes
@@ -122,8 +128,8 @@
         }
     }
 
-    /// By how much queues may still grow, in seconds of latency, or (negative) are too long. All classes
-    /// share them: the class whose latency comes closest to its objective decides.
+    /// By how much queues may still grow, in seconds of latency, or (negative) are too long. All
+    /// classes share them: the class whose latency comes closest to its objective decides.
     pub(super) fn queue_slack_s(&self, objective_share: f64) -> f64 {
         let counted = self.classes.iter().filter(|class| class.share > MIN_SHARE);
         let slack_s =
@@ -160,8 +166,8 @@
         ratio
     }
 
-    /// Lets the latency of classes fade that nothing new is heard of: else no spare capacity would admit
-    /// nothing that could show otherwise.
+    /// Lets the latency of classes fade that nothing new is heard of: else no spare capacity would
+    /// admit nothing that could show otherwise.
     pub(super) fn fade(&mut self, elapsed_s: f64, now_s: f64) {
         let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
         for class in self.classes.iter_mut().filter(stale) {
--- /dev/null
+++ b/src/policy/request_flow.rs
@@ -0,0 +1,200 @@
+//! The way of a request: admission, its first attempt, its final response.
+
+use super::admission::retry_after;
+use super::clock::JitteredClock;
+use super::requests::{Request, RequestState};
+use super::upstreams::Upstream;
+use super::{Balancer, TICK_S};
+use crate::interface::{Action, AttemptNo, Class, Effect, FailureReason, RequestId};
+use std::time::Duration;
+
+/// Share of the objective after which an attempt whose late response is of no use is given up: just
+/// before it, not as late.
+const USEFUL_OBJECTIVE_SHARE: f64 = 0.98;
+/// The longest time left that a rejection goes by.
+const MAX_TIME_LEFT_S: f64 = 1e6;
+
+/// A request that has come.
+#[derive(Clone, Copy)]
+pub(super) struct Arrival {
+    pub(super) id: RequestId,
+    pub(super) class: usize,
+    pub(super) tenant: usize,
+    pub(super) time_left: Duration,
+    pub(super) is_retry: bool,
+}
+
+impl Balancer {
+    /// A request is admitted when its tenant's bucket has a token for it and an upstream its turn;
+    /// else it is rejected on arrival.
+    pub(super) fn on_request(&mut self, arrival: Arrival) {
+        if self.settings.retries_marked && !arrival.is_retry {
+            self.subset.record_first_attempt();
+        }
+        if arrival.class >= self.settings.classes.len() {
+            let (id, reason) = (arrival.id, FailureReason::UnknownClass);
+            self.actions.push(Action::Fail { id, reason });
+            return;
+        }
+        self.admission.record_arrival(arrival.tenant);
+        match self.select_upstream(&arrival) {
+            Ok(slot) => self.admit(&arrival, slot),
+            Err(reason) => self.reject(arrival.id, arrival.time_left, reason),
+        }
+    }
+
+    /// The upstream that a request goes to first, or why there is none.
+    fn select_upstream(&mut self, arrival: &Arrival) -> Result<usize, FailureReason> {
+        if self.lease.is_expired(self.now_s) {
+            return Err(FailureReason::StaleEndpoints);
+        }
+        if !self.admission.has_token(arrival.tenant) {
+            return Err(if self.capacity.spare() > 0.0 {
+                FailureReason::QuotaExceeded
+            } else {
+                FailureReason::NoSpareCapacity
+            });
+        }
+        let relative_value = self.classes.relative_value(arrival.class);
+        let is_short = self.pacing.is_short(relative_value, arrival.is_retry);
+        let slot = if is_short {
+            None
+        } else {
+            self.next_turn(arrival.class)
+        };
+        slot.ok_or_else(|| {
+            if self.has_paced_upstream(arrival.class, is_short) {
+                self.capacity.record_paced();
+                FailureReason::Paced
+            } else {
+                FailureReason::NoHealthyUpstream
+            }
+        })
+    }
+
+    /// The upstream whose turn it is for a class; a due trial of one that is ejected for it comes
+    /// first.
+    fn next_turn(&mut self, class: usize) -> Option<usize> {
+        let upstreams = &mut self.upstreams;
+        self.rotation.drop_unusable(upstreams);
+        let members = self.rotation.members();
+        let mut clock = JitteredClock {
+            now_s: self.now_s,
+            random: &mut self.random,
+        };
+        let trial = self
+            .outliers
+            .due_trial(upstreams, members, class, &mut clock);
+        if trial.is_some() {
+            return trial;
+        }
+        let needs_proven = self.needs_proven_upstreams(class);
+        let eligibility = self
+            .outliers
+            .eligibility(&self.upstreams, members, class, needs_proven);
+        let accepts = |u: &Upstream| !self.pacing.is_exhausted(u) && eligibility.accepts(u);
+        let tick_s = self.last_tick_s;
+        let in_flight = |u: &Upstream| self.load_reports.in_flight_per_capacity(u, tick_s);
+        self.rotation.next(&mut self.upstreams, accepts, in_flight)
+    }
+
+    /// Whether a class may not run twice, while others can show how a suspected upstream is.
+    fn needs_proven_upstreams(&self, class: usize) -> bool {
+        let classes = &self.settings.classes;
+        classes[class].effect == Effect::AtMostOnce
+            && classes
+                .iter()
+                .any(|other| other.effect != Effect::AtMostOnce)
+    }
+
+    /// Whether an upstream could take a request of the class, but for pacing.
+    fn has_paced_upstream(&self, class: usize, is_short: bool) -> bool {
+        self.members().any(|upstream| {
+            upstream.weight.weight() > 0.0
+                && !upstream.health.is_ejected_for(class)
+                && (is_short || self.pacing.is_exhausted(upstream))
+        })
+    }
+
+    fn admit(&mut self, arrival: &Arrival, slot: usize) {
+        self.admission.take_token(arrival.tenant);
+        if !self.settings.retries_marked {
+            self.subset.record_first_attempt();
+        }
+        self.retry_budget.record_admission();
+        self.classes.record_admission(arrival.class);
+        let deadline_s = self.now_s + arrival.time_left.as_secs_f64();
+        let class = &self.settings.classes[arrival.class];
+        let useful_until_s = if is_useful_when_late(class) {
+            deadline_s
+        } else {
+            let useful_s = USEFUL_OBJECTIVE_SHARE * class.latency_objective.as_secs_f64();
+            deadline_s.min(self.now_s + useful_s)
+        };
+        let request = Request::new(arrival.class, useful_until_s, deadline_s);
+        self.requests.insert(arrival.id, request);
+        self.send(arrival.id, slot);
+    }
+
+    /// A rejection always says when to come back.
+    fn reject(&mut self, id: RequestId, time_left: Duration, reason: FailureReason) {
+        let attempt_s = self.classes.mean_latency_s().max(TICK_S);
+        let longest = self.settings.max_retry_after;
+        let retry_after = Some(retry_after(id, time_left, attempt_s, longest));
+        self.actions.push(Action::Reject {
+            id,
+            retry_after,
+            reason,
+        });
+    }
+
+    /// The final response where no attempt is in flight and none may follow: a rejection only if
+    /// nothing can have run, or may run again.
+    pub(super) fn give_up(&mut self, id: RequestId, reason: FailureReason) {
+        let Some(request) = self.requests.remove(id) else {
+            return;
+        };
+        let is_idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
+        if is_idempotent || request.never_ran() {
+            let left_s = (request.deadline_s - self.now_s).max(0.0);
+            let time_left = Duration::from_secs_f64(left_s.min(MAX_TIME_LEFT_S));
+            self.reject(id, time_left, reason);
+        } else {
+            self.actions.push(Action::Fail { id, reason });
+        }
+    }
+
+    /// A streamed response has started.
+    pub(super) fn on_stream_started(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(id)
+            && request.state == RequestState::Waiting
+        {
+            request.state = RequestState::Streaming;
+        }
+    }
+
+    /// A request has its final response, or its client is gone: nothing more is sent for it, and
+    /// what is in flight is cancelled.
+    pub(super) fn complete(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let state = std::mem::replace(&mut request.state, RequestState::Completed);
+        if state != RequestState::Completed && self.settings.cancellation {
+            for (number, attempt) in request.attempts.iter().enumerate() {
+                if attempt.is_in_flight() {
+                    let attempt = AttemptNo(number as u8);
+                    self.actions.push(Action::Cancel { id, attempt });
+                }
+            }
+        }
+        if !request.has_attempt_in_flight() {
+            self.requests.remove(id);
+        }
+    }
+}
+
+/// Whether a response after the objective still earns something.
+fn is_useful_when_late(class: &Class) -> bool {
+    class.late_weight_share > 0.0 || class.objective_work_multiple > 0.0 || class.streamed
+}
