--- /dev/null
+++ b/balancer/src/discovery/mod.rs
@@ -0,0 +1,342 @@
+//! Discovery: the watch on the endpoint list. It is the only call there is: a watch from revision 0 begins with the
+//! complete list.
+
+mod endpoint_list;
+mod error;
+mod watch_lines;
+mod watch_progress;
+
+pub use endpoint_list::{
+    EndpointEntry, EndpointList, EndpointListError, EndpointListReader, EndpointUpdate, EntryError,
+    MAX_LIST_BYTES,
+};
+pub use error::DiscoveryError;
+pub use watch_lines::{WatchLine, WatchLines};
+pub use watch_progress::MAX_SILENCE;
+
+use crate::connection::{Connection, FirstByte};
+use crate::rate_limited_log::RateLimitedLog;
+use bytes::Bytes;
+use frostkeel_policy::UpdateScope;
+use frostkeel_settings::Names;
+use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
+use hyper::header::HOST;
+use hyper::{Request, StatusCode};
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::task::AbortHandle;
+use tokio::time::{Instant, timeout, timeout_at};
+use watch_progress::WatchProgress;
+
+/// How long a call may take to be answered: discovery serves one after another, and fails those that wait too long.
+const CALL_TIMEOUT: Duration = Duration::from_millis(3500);
+/// How long a connection to discovery may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+
+/// Numbers the watches of a process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct WatchId(u64);
+
+/// What has come of a watch, or of the call for one. The moments are those of the monotonic clock.
+#[derive(Clone, Debug, PartialEq)]
+pub enum DiscoveryEvent {
+    /// A list, changes, or that the watch has ended.
+    Update(EndpointUpdate),
+    /// Nothing has come since then, and the watch or the call is given up.
+    Silent(Instant),
+    /// Discovery has ended the watch.
+    Ended,
+    /// Part of a response or of a line has come, the first of it then, and not its end.
+    Partial(Instant),
+    /// The call made then was rejected.
+    Rejected(Instant),
+    /// The call made then has reached nobody, or was ended without a response.
+    Unreachable(Instant),
+}
+
+/// What one line of a watch says.
+enum WatchMessage {
+    Heartbeat,
+    Update(EndpointUpdate),
+}
+
+/// Where discovery is, and which list this balancer has.
+pub struct Discovery {
+    address: Cell<SocketAddr>,
+    reader: EndpointListReader,
+    /// The revision of the list in hand; 0: none.
+    revision: Cell<u64>,
+    watch_task: RefCell<Option<AbortHandle>>,
+    current_watch: Cell<WatchId>,
+    entry_log: RateLimitedLog,
+}
+
+impl Discovery {
+    /// Discovery at an address; `names` map zones and kinds to their ids.
+    pub fn new(address: SocketAddr, names: Names) -> Self {
+        Self {
+            address: Cell::new(address),
+            reader: EndpointListReader::new(names),
+            revision: Cell::new(0),
+            watch_task: RefCell::default(),
+            current_watch: Cell::default(),
+            entry_log: RateLimitedLog::default(),
+        }
+    }
+
+    /// The list of the configuration, as [`UpdateScope::Cached`].
+    pub fn cached_list(&self, text: &str) -> EndpointUpdate {
+        let mut update = EndpointUpdate {
+            scope: UpdateScope::Cached,
+            entries: Vec::new(),
+        };
+        if !text.is_empty() {
+            match self.accept(text.as_bytes()) {
+                Ok(list) => update.entries = list.entries,
+                Err(error) => tracing::warn!(%error, "configured endpoint list unreadable"),
+            }
+        }
+        update
+    }
+
+    /// Sets the address of discovery. Returns whether it has changed under a watch, which must then be replaced.
+    pub fn set_address(&self, address: SocketAddr) -> bool {
+        self.address.replace(address) != address && self.watch_task.borrow().is_some()
+    }
+
+    /// Begins a watch, in place of the one before, which says nothing more.
+    pub fn begin_watch(&self) -> WatchId {
+        let watch = WatchId(self.current_watch.get().0 + 1);
+        self.current_watch.set(watch);
+        watch
+    }
+
+    /// Takes over the task that runs the watch, and ends the one before.
+    pub fn set_watch_task(&self, task: AbortHandle) {
+        if let Some(before) = self.watch_task.borrow_mut().replace(task) {
+            before.abort();
+        }
+    }
+
+    /// Ends the watch.
+    pub fn stop(&self) {
+        if let Some(task) = self.watch_task.borrow_mut().take() {
+            task.abort();
+        }
+    }
+
+    /// Runs a watch until it ends, and reports what comes; the last event is that it has failed. A watch that another
+    /// has replaced reports nothing more, though its task may still run.
+    pub async fn watch(&self, watch: WatchId, mut report: impl FnMut(DiscoveryEvent)) {
+        let mut report = |event| {
+            if self.is_current(watch) {
+                report(event);
+            }
+        };
+        let ended = self.run_watch(watch, &mut report).await;
+        if !self.is_current(watch) {
+            tracing::info!(watch = watch.0, "watch replaced");
+            return;
+        }
+        match ended {
+            Ok(()) => tracing::info!(watch = watch.0, "watch ended"),
+            Err(error) => tracing::warn!(watch = watch.0, %error, "watch failed"),
+        }
+        report(DiscoveryEvent::Update(EndpointUpdate::failed()));
+    }
+
+    fn is_current(&self, watch: WatchId) -> bool {
+        self.current_watch.get() == watch
+    }
+
+    async fn run_watch(
+        &self,
+        watch: WatchId,
+        report: &mut impl FnMut(DiscoveryEvent),
+    ) -> Result<(), DiscoveryError> {
+        let revision = self.revision.get();
+        tracing::info!(watch = watch.0, discovery = %self.address.get(), revision, "watch requested");
+        let (requested_at, first_byte) = (Instant::now(), FirstByte::default());
+        let call = timeout(CALL_TIMEOUT, self.request_watch(revision, &first_byte)).await;
+        let response = call.unwrap_or_else(|elapsed| Err(DiscoveryError::Unresponsive(elapsed)));
+        report_call(
+            response.as_ref().err(),
+            requested_at,
+            first_byte.at(),
+            report,
+        );
+        let (_connection, body) = response?;
+        tracing::info!(watch = watch.0, "watch opened");
+        self.read_watch(watch, body, report).await
+    }
+
+    /// Calls for a watch on what is newer than a revision; `first_byte` notes when its response begins.
+    async fn request_watch(
+        &self,
+        revision: u64,
+        first_byte: &FirstByte,
+    ) -> Result<(Connection, Incoming), DiscoveryError> {
+        let address = self.address.get();
+        let opened = Connection::open_timed(address, (), first_byte.clone());
+        let opened = timeout(CONNECT_TIMEOUT, opened)
+            .await
+            .map_err(DiscoveryError::ConnectTimeout)?;
+        let mut connection = opened.map_err(DiscoveryError::Connect)?;
+        let request = Request::get(format!("/registry/instances?stream=1&index={revision}"));
+        let request = request
+            .header(HOST, address.to_string())
+            .body(Full::<Bytes>::default())?;
+        let response = connection.send(request).await?;
+        if response.status() != StatusCode::OK {
+            return Err(DiscoveryError::Rejected(response.status()));
+        }
+        Ok((connection, response.into_body()))
+    }
+
+    /// Reads the lines of a watch until it ends.
+    async fn read_watch(
+        &self,
+        watch: WatchId,
+        mut body: Incoming,
+        report: &mut impl FnMut(DiscoveryEvent),
+    ) -> Result<(), DiscoveryError> {
+        let mut progress = WatchProgress::new(Instant::now());
+        let mut lines = WatchLines::default();
+        let mut is_first_line = true;
+        while let Some(data) = next_data(&mut body, &progress, report).await? {
+            progress.on_bytes();
+            lines.push(&data);
+            let (bytes, revision) = (data.len(), self.revision.get());
+            tracing::debug!(watch = watch.0, bytes, revision, "watch data received");
+            while self.is_current(watch) {
+                let message = self.next_message(&mut lines).inspect_err(|_| {
+                    report(DiscoveryEvent::Partial(progress.last_byte_at()));
+                })?;
+                let Some(message) = message else { break };
+                progress.on_line();
+                match message {
+                    WatchMessage::Update(update) => report(DiscoveryEvent::Update(update)),
+                    // In place of a first list it says that nothing has changed.
+                    WatchMessage::Heartbeat if is_first_line => {
+                        report(DiscoveryEvent::Update(EndpointUpdate::unchanged()));
+                    }
+                    WatchMessage::Heartbeat => {}
+                }
+                is_first_line = false;
+            }
+            if lines.has_partial_list() && progress.on_partial_line() {
+                report(DiscoveryEvent::Partial(progress.last_byte_at()));
+            }
+        }
+        Ok(())
+    }
+
+    /// The next complete line of a watch. One that cannot be read may have told of a drain, so the complete list is
+    /// requested next.
+    fn next_message(&self, lines: &mut WatchLines) -> Result<Option<WatchMessage>, DiscoveryError> {
+        let line = lines.next_line().map_err(DiscoveryError::from);
+        let message = line.and_then(|line| match line {
+            None => Ok(None),
+            Some(WatchLine::Heartbeat) => Ok(Some(WatchMessage::Heartbeat)),
+            Some(WatchLine::List(text)) => self.accept(&text).map(|list| {
+                let scope = if list.is_snapshot {
+                    UpdateScope::Snapshot
+                } else {
+                    UpdateScope::Delta
+                };
+                Some(WatchMessage::Update(EndpointUpdate {
+                    scope,
+                    entries: list.entries,
+                }))
+            }),
+        });
+        message.inspect_err(|_| self.revision.set(0))
+    }
+
+    /// Reads a list and takes its revision for the one in hand.
+    fn accept(&self, text: &[u8]) -> Result<EndpointList, DiscoveryError> {
+        let list = self.reader.read(text)?;
+        if let Some(error) = &list.first_error {
+            self.entry_log
+                .warn(|suppressed| tracing::warn!(suppressed, %error, "endpoint unreadable"));
+        }
+        let current = self.revision.get();
+        if !list.is_snapshot && list.revision < current {
+            return Err(DiscoveryError::OutdatedRevision {
+                received: list.revision,
+                current,
+            });
+        }
+        if !list.is_snapshot && list.unnamed_count > 0 {
+            return Err(DiscoveryError::UnnamedChange);
+        }
+        self.revision.set(list.revision);
+        let EndpointList {
+            revision,
+            is_snapshot,
+            ref entries,
+            ..
+        } = list;
+        tracing::info!(
+            revision,
+            is_snapshot,
+            endpoints = entries.len(),
+            "endpoint list received"
+        );
+        Ok(list)
+    }
+}
+
+/// Reports what the call for a watch says of discovery.
+fn report_call(
+    error: Option<&DiscoveryError>,
+    requested_at: Instant,
+    first_byte_at: Option<Instant>,
+    report: &mut impl FnMut(DiscoveryEvent),
+) {
+    if matches!(error, Some(DiscoveryError::Unresponsive(_))) {
+        report(DiscoveryEvent::Silent(requested_at));
+    }
+    match (error, first_byte_at) {
+        (Some(DiscoveryError::Rejected(_)), _) => report(DiscoveryEvent::Rejected(requested_at)),
+        // Whatever has come of a response was written by discovery.
+        (_, Some(since)) => report(DiscoveryEvent::Partial(since)),
+        (Some(error), None) if error.is_unreachable() => {
+            report(DiscoveryEvent::Unreachable(requested_at))
+        }
+        _ => {}
+    }
+}
+
+/// The next data of a watch; `None`: discovery has ended it.
+async fn next_data(
+    body: &mut Incoming,
+    progress: &WatchProgress,
+    report: &mut impl FnMut(DiscoveryEvent),
+) -> Result<Option<Bytes>, DiscoveryError> {
+    loop {
+        match timeout_at(progress.give_up_at(), body.frame()).await {
+            Ok(Some(Ok(frame))) => {
+                if let Ok(data) = frame.into_data() {
+                    return Ok(Some(data));
+                }
+            }
+            Ok(Some(Err(error))) => {
+                report(DiscoveryEvent::Ended);
+                return Err(error.into());
+            }
+            Ok(None) => {
+                report(DiscoveryEvent::Ended);
+                return Ok(None);
+            }
+            Err(elapsed) => {
+                if let Some(since) = progress.silent_since() {
+                    report(DiscoveryEvent::Silent(since));
+                }
+                return Err(DiscoveryError::Stalled(elapsed));
+            }
+        }
+    }
+}
--- a/balancer/src/event_loop.rs
+++ b/balancer/src/event_loop.rs
@@ -5,11 +5,10 @@
 //! is never entered twice; tasks only ever add to the queue.
 
 use crate::clock::Clock;
-use crate::discovery::{Discovery, DiscoveryEvent};
-use crate::endpoint_list::EndpointUpdate;
+use crate::discovery::{Discovery, DiscoveryEvent, EndpointUpdate};
 use crate::headers::CORRELATION_ID;
 use crate::in_flight::{Attempt, ClientRequest, FinalResponse, InFlightRequest};
-use crate::incarnations::Incarnations;
+use crate::incarnations::{Incarnations, StartTimes};
 use crate::pending_response::PendingResponse;
 use crate::request_counters::RequestCounters;
 use crate::upstream::{AttemptResult, Upstreams};
@@ -126,7 +125,7 @@
 
     /// Discovery has moved: a watch goes on there.
     pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
-        if self.discovery.move_to(address) {
+        if self.discovery.set_address(address) {
             self.enqueue(QueuedEvent::DiscoveryMoved);
             self.watch();
         }
@@ -144,7 +143,7 @@
                 })
                 .await;
         });
-        self.discovery.watched_by(watch.abort_handle());
+        self.discovery.set_watch_task(watch.abort_handle());
     }
 
     /// Logs how the balancer stands, again and again.
@@ -316,7 +315,7 @@
             DiscoveryEvent::Partial(since) => Event::Watch(WatchEvent::Partial {
                 since: self.clock.at(since),
             }),
-            DiscoveryEvent::Refused(called) => Event::Watch(WatchEvent::Rejected {
+            DiscoveryEvent::Rejected(called) => Event::Watch(WatchEvent::Rejected {
                 requested_at: self.clock.at(called),
             }),
             DiscoveryEvent::Unreachable(called) => Event::Watch(WatchEvent::Unreachable {
@@ -343,19 +342,21 @@
             incarnations.retain_listed(&ids);
         }
         let endpoints = update.entries.iter().map(|entry| {
-            self.upstreams.apply_endpoint(entry.id, &entry.place);
+            self.upstreams.apply_endpoint(entry.id, &entry.state);
             Endpoint {
                 id: entry.id,
                 zone: entry.zone,
                 kind: entry.kind,
                 cell: entry.cell,
-                availability: entry.place.availability,
+                availability: entry.state.availability,
                 weight: entry.weight,
                 started: incarnations.observe(
                     entry,
-                    now,
-                    self.clock.at_unix_ms(entry.place.boot_ms),
-                    first,
+                    &StartTimes {
+                        now,
+                        by_wall_clock: self.clock.at_unix_ms(entry.state.boot_ms),
+                        is_first_list: first,
+                    },
                 ),
             }
         });
--- a/balancer/src/incarnations.rs
+++ b/balancer/src/incarnations.rs
@@ -1,66 +1,88 @@
 //! When upstreams started, on this balancer's own clock.
 //!
-//! The list dates a start by the wall clock, and the wall clocks of two machines may be far apart. What decides is when
-//! a start is first seen. The wall clock only says how long ago it was where that fits what a list takes to come.
+//! The endpoint list dates a start by the wall clock, and the wall clocks of two machines may differ by any amount. So
+//! a start counts from the moment at which it is first observed. The wall clock only says how long before that it was,
+//! where its answer fits the time that a list takes to arrive.
 
-use crate::endpoint_list::EndpointEntry;
+use crate::discovery::EndpointEntry;
 use frostkeel_policy::{Availability, UpstreamId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
 
-/// A start is seen so long after it was at the most: the list may learn late of one that fell silent and came back. One
-/// that looks older, or lies ahead, is dated by a clock that is off, unless it is in the first list of all.
-const SEEN_AFTER_MOST: Duration = Duration::from_secs(15);
+/// A start is observed at most so long after it was: the list may learn late of an upstream that restarted. A start
+/// that looks older, or lies ahead, is dated by a wrong clock, unless it is in the first list of the process.
+const MAX_OBSERVATION_DELAY: Duration = Duration::from_secs(15);
 
 /// The latest start of one upstream.
-struct Start {
+struct Incarnation {
     boot_ms: u64,
-    at: Option<Duration>,
+    started_at: Option<Duration>,
 }
 
-/// The latest start of each upstream that is listed.
+/// How a start is dated.
+pub struct StartTimes {
+    /// The time of the observation.
+    pub now: Duration,
+    /// The start by the wall clock; `None`: long ago.
+    pub by_wall_clock: Option<Duration>,
+    /// Whether it is in the first list of the process, which names starts of any age.
+    pub is_first_list: bool,
+}
+
+/// The latest start of each listed upstream.
 #[derive(Default)]
-pub struct Incarnations(FxHashMap<UpstreamId, Start>);
+pub struct Incarnations(FxHashMap<UpstreamId, Incarnation>);
 
 impl Incarnations {
-    /// Whether no list has been seen yet.
+    /// Whether no list has been observed yet.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// When an upstream started that is listed now; `None`: long ago. `dated` is that start by the wall clock, and
-    /// `first` says that it is in the first list of all, which tells of starts of any age.
-    pub fn observe(
-        &mut self,
-        entry: &EndpointEntry,
-        now: Duration,
-        dated: Option<Duration>,
-        first: bool,
-    ) -> Option<Duration> {
-        if entry.place.availability == Availability::Removed {
+    /// Records a listed upstream and returns when it started; `None`: long ago.
+    pub fn observe(&mut self, entry: &EndpointEntry, times: &StartTimes) -> Option<Duration> {
+        if entry.state.availability == Availability::Removed {
             self.0.remove(&entry.id);
             return None;
         }
-        let boot_ms = entry.place.boot_ms;
-        if let Some(start) = self
+        let boot_ms = entry.state.boot_ms;
+        if let Some(known) = self
             .0
             .get(&entry.id)
-            .filter(|start| start.boot_ms == boot_ms)
+            .filter(|known| known.boot_ms == boot_ms)
         {
-            return start.at;
+            return known.started_at;
         }
-        let at = match dated {
-            _ if boot_ms == 0 => None,
-            None if first => None,
-            Some(at) if at <= now && (first || now - at <= SEEN_AFTER_MOST) => Some(at),
-            _ => Some(now),
+        let started_at = if boot_ms == 0 {
+            None
+        } else {
+            times.started_at()
         };
-        self.0.insert(entry.id, Start { boot_ms, at });
-        at
+        self.0.insert(
+            entry.id,
+            Incarnation {
+                boot_ms,
+                started_at,
+            },
+        );
+        started_at
     }
 
-    /// Forgets all that are not listed any more.
-    pub fn retain_listed(&mut self, endpoints: &FxHashSet<UpstreamId>) {
-        self.0.retain(|id, _| endpoints.contains(id));
+    /// Removes all upstreams that are not listed.
+    pub fn retain_listed(&mut self, listed: &FxHashSet<UpstreamId>) {
+        self.0.retain(|id, _| listed.contains(id));
+    }
+}
+
+impl StartTimes {
+    fn started_at(&self) -> Option<Duration> {
+        let plausible = |at: Duration| {
+            at <= self.now && (self.is_first_list || self.now - at <= MAX_OBSERVATION_DELAY)
+        };
+        match self.by_wall_clock {
+            None if self.is_first_list => None,
+            Some(at) if plausible(at) => Some(at),
+            _ => Some(self.now),
+        }
     }
 }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -6,7 +6,6 @@
 pub mod config;
 pub mod connection;
 pub mod discovery;
-pub mod endpoint_list;
 pub mod error_origin;
 pub mod event_loop;
 pub mod exchange;
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -39,7 +39,7 @@
         .map_err(|e| format!("listen on {}: {e}", config.listen))?;
     let upstreams = Upstreams::new(&config.site.settings, config.upstream_connections());
     let discovery = Discovery::new(config.discovery, config.site.names.clone());
-    let known = discovery.known(&config.known);
+    let known = discovery.cached_list(&config.known);
     let members = match &config.members {
         Some(members) => Some(Members::start(members, config.seed).await?),
         None => None,
--- a/balancer/src/upstream.rs
+++ b/balancer/src/upstream.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointState {
     /// Where it listens; `None` if the list did not say so in a readable way.
-    pub endpoint: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Whether it takes requests.
     pub availability: Availability,
     /// When it last started, by the list.
@@ -162,13 +162,13 @@
         let upstream = upstreams
             .entry(id)
             .or_insert_with(|| Rc::new(Upstream::new(place.boot_ms)));
-        let moved = place.endpoint.is_some() && upstream.endpoint.get() != place.endpoint;
+        let moved = place.address.is_some() && upstream.endpoint.get() != place.address;
         if moved {
-            upstream.endpoint.set(place.endpoint);
+            upstream.endpoint.set(place.address);
         }
         let ready = place.availability == Availability::Ready;
         if upstream.ready.replace(ready) != ready {
-            tracing::debug!(upstream = id.0, ready, endpoint = ?place.endpoint, "upstream changed");
+            tracing::debug!(upstream = id.0, ready, address = ?place.address, "upstream changed");
         }
         // Connections to a process that is no more, or wants nothing new, serve nobody.
         if upstream.boot_ms.replace(place.boot_ms) != place.boot_ms
--- a/balancer/tests/crossing_server.rs
+++ b/balancer/tests/crossing_server.rs
@@ -5,7 +5,7 @@
 
 use common::{look, nobody};
 use frostkeel_balancer::discovery::Discovery;
-use frostkeel_balancer::endpoint_list::{EndpointEntry, EndpointUpdate};
+use frostkeel_balancer::discovery::{EndpointEntry, EndpointUpdate};
 use frostkeel_balancer::event_loop::EventLoop;
 use frostkeel_balancer::request_counters::RequestCounters;
 use frostkeel_balancer::server::{Phase, Server};
@@ -49,7 +49,7 @@
 async fn serve(upstream: SocketAddr) -> (SocketAddr, watch::Sender<Phase>) {
     let site = site();
     let place = EndpointState {
-        endpoint: Some(upstream),
+        address: Some(upstream),
         availability: Availability::Ready,
         boot_ms: 0,
     };
@@ -60,7 +60,7 @@
         kind,
         cell,
         weight: 1.0,
-        place,
+        state: place,
     }];
     let driver = EventLoop::start(
         Balancer::new(site.settings.clone(), 7).unwrap(),
--- a/balancer/tests/crossing_upstreams.rs
+++ b/balancer/tests/crossing_upstreams.rs
@@ -42,7 +42,7 @@
     let upstreams = Rc::new(Upstreams::new(&settings, 8));
     let endpoint = Some(listener.local_addr().unwrap());
     let place = EndpointState {
-        endpoint,
+        address: endpoint,
         availability: Availability::Ready,
         boot_ms: 5,
     };
@@ -185,7 +185,7 @@
     upstreams.apply_endpoint(
         ID,
         &EndpointState {
-            endpoint,
+            address: endpoint,
             availability: Availability::Ready,
             boot_ms: 0,
         },
@@ -240,7 +240,7 @@
     upstreams.apply_endpoint(
         ID,
         &EndpointState {
-            endpoint: Some(address),
+            address: Some(address),
             availability: Availability::Ready,
             boot_ms: 0,
         },
--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstreams.rs
@@ -38,7 +38,7 @@
     let upstreams = Rc::new(Upstreams::new(&settings, most_open));
     let endpoint = Some(listener.local_addr().unwrap());
     let place = EndpointState {
-        endpoint,
+        address: endpoint,
         availability: Availability::Ready,
         boot_ms: 0,
     };
--- a/balancer/tests/wire_fixtures.rs
+++ b/balancer/tests/wire_fixtures.rs
@@ -527,11 +527,11 @@
         },
         8,
     );
-    let (endpoint, id) = (Some(upstream.address), UpstreamId(7));
+    let (address, id) = (Some(upstream.address), UpstreamId(7));
     upstreams.apply_endpoint(
         id,
         &EndpointState {
-            endpoint,
+            address,
             availability: Availability::Ready,
             boot_ms: 0,
         },
