--- a/balancer/src/event_loop.rs
+++ b/balancer/src/event_loop.rs
@@ -11,7 +11,7 @@
 use crate::incarnations::{Incarnations, StartTimes};
 use crate::pending_response::PendingResponse;
 use crate::request_counters::RequestCounters;
-use crate::upstream::{AttemptResult, Upstreams};
+use crate::upstream::{AttemptResult, AttemptState, Upstreams};
 use frostkeel_policy::{
     Action, AttemptNo, Balancer, Endpoint, Event, FailureReason, Outcome, RequestId, TimerId,
     UpdateScope, UpstreamId, WatchEvent,
@@ -221,14 +221,17 @@
                     return;
                 };
                 // One event for each: a cancelled attempt may have ended by itself just before.
-                let Some(attempt) = held.attempts.get_mut(usize::from(no.0)).filter(|a| a.out)
+                let Some(attempt) = held
+                    .attempts
+                    .get_mut(usize::from(no.0))
+                    .filter(|a| a.state.get() != AttemptState::Ended)
                 else {
                     return;
                 };
-                attempt.out = false;
+                attempt.state.set(AttemptState::Ended);
                 core.counters.count_attempt(held.asked.class, ended.outcome);
                 let (upstream, latency) = (attempt.upstream, attempt.sent.elapsed());
-                let (outcome, report) = (ended.outcome, &ended.report);
+                let (outcome, report) = (ended.outcome, &ended.load_report);
                 tracing::debug!(
                     id = id.0,
                     no = no.0,
@@ -238,7 +241,7 @@
                     ?report
                 );
                 // A second copy's answer comes to a request that is over: it is dropped.
-                if let Some(served) = ended.served
+                if let Some(served) = ended.response
                     && let Some(reply) = held.reply.take()
                 {
                     core.counters
@@ -254,7 +257,7 @@
                     outcome: ended.outcome,
                     latency,
                     finished,
-                    report: &ended.report,
+                    report: &ended.load_report,
                 };
                 core.balancer.handle(now, event, &mut actions);
                 self.release(core, id);
@@ -264,7 +267,7 @@
                     upstream,
                     outcome: ended.outcome,
                     latency,
-                    report: &ended.report,
+                    report: &ended.load_report,
                 };
                 core.balancer.handle(now, event, &mut actions);
             }
@@ -375,7 +378,7 @@
                     .requests
                     .get(&id)
                     .and_then(|held| held.attempts.get(usize::from(attempt.0)));
-                if let Some(out) = out.filter(|a| a.out) {
+                if let Some(out) = out.filter(|a| a.state.get() != AttemptState::Ended) {
                     out.task.abort();
                     let cancelled =
                         QueuedEvent::AttemptEnded(id, attempt, Outcome::Cancelled.into());
@@ -432,14 +435,14 @@
         let give_up = timeout.map_or(held.asked.deadline, |t| held.asked.deadline.min(sent + t));
         let (event_loop, asked) = (Rc::clone(self), Rc::clone(&held.asked));
         let mut force_close = self.force_close.subscribe();
-        let begun = Rc::new(Cell::new(false));
-        let begins = Rc::clone(&begun);
+        let state = Rc::new(Cell::new(AttemptState::default()));
+        let shared_state = Rc::clone(&state);
         let task = spawn_local(async move {
             let ended = if *force_close.borrow() {
                 Outcome::NotSent.into()
             } else {
                 tokio::select! {
-                    ended = event_loop.upstreams.attempt(upstream, &asked.outgoing, give_up, &begins) => ended,
+                    ended = event_loop.upstreams.attempt(upstream, &asked.outgoing, give_up, &shared_state) => ended,
                     _ = force_close.wait_for(|cut| *cut) => Outcome::TimedOut.into(),
                 }
             };
@@ -449,8 +452,7 @@
             upstream,
             sent,
             task: task.abort_handle(),
-            begun,
-            out: true,
+            state,
         });
     }
 
@@ -475,14 +477,18 @@
             .attempts
             .iter()
             .enumerate()
-            .filter(|(_, a)| a.out && !a.begun.get())
+            .filter(|(_, a)| a.state.get() == AttemptState::WaitingForConnection)
         {
             attempt.task.abort();
             let dropped =
                 QueuedEvent::AttemptEnded(id, AttemptNo(no as u8), Outcome::NotSent.into());
             self.queue.borrow_mut().push_back(dropped);
         }
-        let over = |held: &InFlightRequest| held.attempts.iter().all(|a| !a.out);
+        let over = |held: &InFlightRequest| {
+            held.attempts
+                .iter()
+                .all(|a| a.state.get() == AttemptState::Ended)
+        };
         if core.requests.get(&id).is_some_and(over) {
             core.requests.remove(&id);
         }
--- a/balancer/src/in_flight.rs
+++ b/balancer/src/in_flight.rs
@@ -1,7 +1,6 @@
 //! Requests in flight: what was asked, the attempts that are out, the answer that is owed.
 
-use crate::exchange::ForwardedRequest;
-use crate::upstream::UpstreamResponse;
+use crate::upstream::{AttemptState, ForwardedRequest, UpstreamResponse};
 use frostkeel_policy::{ClassId, TenantId, UpstreamId};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -42,9 +41,8 @@
     pub(crate) upstream: UpstreamId,
     pub(crate) sent: Instant,
     pub(crate) task: AbortHandle,
-    /// Something of it may have been written.
-    pub(crate) begun: Rc<Cell<bool>>,
-    pub(crate) out: bool,
+    /// Shared with the task, which sets it until the attempt has ended.
+    pub(crate) state: Rc<Cell<AttemptState>>,
 }
 
 /// A request that is owed its answer, or has attempts out.
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -1,8 +1,8 @@
 //! What clients ask: reads a request for the module, and words its final answer.
 
-use crate::exchange::ForwardedRequest;
 use crate::headers::{self, CORRELATION_ID, IDEMPOTENCY_KEY, RETRY, TENANT, TIME_LEFT, WORK_HINT};
 use crate::in_flight::{ClientRequest, FinalResponse};
+use crate::upstream::ForwardedRequest;
 use bytes::Bytes;
 use frostkeel_policy::{ClassId, Effect, TenantId};
 use frostkeel_settings::Site;
--- /dev/null
+++ b/balancer/src/upstream/connection_limit.rs
@@ -0,0 +1,53 @@
+//! The limit on connections open to all upstreams together.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// The limit, and how many connections are open.
+pub struct ConnectionLimit {
+    max_open: usize,
+    open_count: Cell<usize>,
+    released: Notify,
+}
+
+/// A permit for one connection, released when its descriptor is closed.
+pub struct ConnectionPermit(Rc<ConnectionLimit>);
+
+impl ConnectionLimit {
+    /// At most `max_open` connections at a time.
+    pub fn new(max_open: usize) -> Rc<Self> {
+        Rc::new(Self {
+            max_open,
+            open_count: Cell::new(0),
+            released: Notify::new(),
+        })
+    }
+
+    /// How many connections are open now.
+    pub fn open_count(&self) -> usize {
+        self.open_count.get()
+    }
+
+    /// Whether no further connection may be opened now.
+    pub fn is_reached(&self) -> bool {
+        self.open_count.get() >= self.max_open
+    }
+
+    /// Waits for a permit; as long as there is none, `close_idle` is called to close an idle connection.
+    pub async fn acquire(self: &Rc<Self>, close_idle: impl Fn()) -> ConnectionPermit {
+        while self.is_reached() {
+            close_idle();
+            self.released.notified().await;
+        }
+        self.open_count.set(self.open_count.get() + 1);
+        ConnectionPermit(Rc::clone(self))
+    }
+}
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        self.0.open_count.set(self.0.open_count.get() - 1);
+        self.0.released.notify_one();
+    }
+}
--- /dev/null
+++ b/balancer/src/upstream/idle_pool.rs
@@ -0,0 +1,75 @@
+//! The connections to one upstream that are kept for reuse.
+
+use crate::connection::Connection;
+use std::cell::RefCell;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How long a connection stays unused after a response: an upstream may send a second response some milliseconds late,
+/// and nothing on the wire tells to which request it belongs.
+const COOLDOWN: Duration = Duration::from_millis(30);
+
+/// A connection between requests.
+struct IdleConnection {
+    connection: Connection,
+    idle_since: Instant,
+}
+
+/// A connection that may be used once its cooldown is over.
+pub struct CoolingConnection {
+    /// The connection.
+    pub connection: Connection,
+    /// When its cooldown is over.
+    pub usable_at: Instant,
+}
+
+/// The idle connections to one upstream, the most recently used last.
+#[derive(Default)]
+pub struct IdlePool(RefCell<Vec<IdleConnection>>);
+
+impl IdlePool {
+    /// Adds a connection that is between requests.
+    pub fn put(&self, connection: Connection) {
+        self.0.borrow_mut().push(IdleConnection {
+            connection,
+            idle_since: Instant::now(),
+        });
+    }
+
+    /// Takes the most recently used connection whose cooldown is over, unless it has been idle for `max_idle` or
+    /// longer.
+    pub fn take_usable(&self, max_idle: Duration) -> Option<Connection> {
+        let mut pool = self.0.borrow_mut();
+        let usable = pool
+            .iter()
+            .rposition(|idle| idle.idle_since.elapsed() >= COOLDOWN)?;
+        let idle = pool.remove(usable);
+        (idle.idle_since.elapsed() < max_idle).then_some(idle.connection)
+    }
+
+    /// Takes the connection that has been idle for the longest.
+    pub fn take_oldest(&self) -> Option<CoolingConnection> {
+        let mut pool = self.0.borrow_mut();
+        if pool.is_empty() {
+            return None;
+        }
+        let oldest = pool.remove(0);
+        Some(CoolingConnection {
+            connection: oldest.connection,
+            usable_at: oldest.idle_since + COOLDOWN,
+        })
+    }
+
+    /// Closes the connections that have ended, or have been idle for `max_idle` or longer.
+    pub fn close_expired(&self, max_idle: Duration) {
+        let in_use = |idle: &IdleConnection| {
+            !idle.connection.is_closed() && idle.idle_since.elapsed() < max_idle
+        };
+        self.0.borrow_mut().retain(in_use);
+    }
+
+    /// Closes all.
+    pub fn clear(&self) {
+        self.0.borrow_mut().clear();
+    }
+}
--- a/balancer/tests/crossing_upstreams.rs
+++ b/balancer/tests/crossing_upstreams.rs
@@ -4,8 +4,7 @@
 
 use bytes::Bytes;
 use common::{LONG, Setup, look, next_request};
-use frostkeel_balancer::exchange::ForwardedRequest;
-use frostkeel_balancer::upstream::{AttemptResult, EndpointState, Upstreams};
+use frostkeel_balancer::upstream::{AttemptResult, EndpointState, ForwardedRequest, Upstreams};
 use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -56,7 +55,7 @@
             ID,
             &outgoing(body),
             Instant::now() + within,
-            &Cell::new(false),
+            &Cell::default(),
         )
         .await
 }
@@ -127,7 +126,7 @@
             ended.outcome, outcome,
             "{answer:?}, closed by a reset: {closes:?}"
         );
-        assert_eq!(ended.served.is_some(), outcome == Outcome::Ok);
+        assert_eq!(ended.response.is_some(), outcome == Outcome::Ok);
     }
 }
 
--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstreams.rs
@@ -1,8 +1,7 @@
 //! Attempts at upstreams on real sockets.
 
 use bytes::Bytes;
-use frostkeel_balancer::exchange::ForwardedRequest;
-use frostkeel_balancer::upstream::{AttemptResult, EndpointState, Upstreams};
+use frostkeel_balancer::upstream::{AttemptResult, EndpointState, ForwardedRequest, Upstreams};
 use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -64,7 +63,7 @@
     give_up: Instant,
 ) -> AttemptResult {
     upstreams
-        .attempt(id, outgoing, give_up, &Cell::new(false))
+        .attempt(id, outgoing, give_up, &Cell::default())
         .await
 }
 
@@ -155,7 +154,7 @@
             "{:?}",
             &answer[..answer.len().min(60)]
         );
-        assert!(ended.served.is_none());
+        assert!(ended.response.is_none());
     }
 }
 
--- a/balancer/tests/wire_fixtures.rs
+++ b/balancer/tests/wire_fixtures.rs
@@ -537,7 +537,7 @@
         },
     );
     let ended = upstreams.health_check(id).await;
-    assert!(ended.served.is_some(), "{ended:?}");
+    assert!(ended.response.is_some(), "{ended:?}");
     upstream.received().concat()
 }
 
