--- /dev/null
+++ b/balancer/src/event_loop/mod.rs
@@ -0,0 +1,171 @@
+//! The event loop round the decision module: it turns what happens into the module's events, and performs the actions
+//! that the module returns, in their order. It decides nothing.
+//!
+//! Whatever happens is queued and processed from the queue, one event at a time, so that the module is never entered
+//! twice. Tasks only add to the queue.
+
+mod actions;
+mod attempts;
+mod background;
+mod endpoints;
+mod requests;
+
+use crate::clock::Clock;
+use crate::discovery::{Discovery, DiscoveryEvent, EndpointUpdate};
+use crate::in_flight::InFlightTable;
+use crate::incarnations::Incarnations;
+use crate::request_counters::RequestCounters;
+use crate::task_group::TaskGroup;
+use crate::upstream::{AttemptResult, Upstreams};
+use frostkeel_policy::{Action, AttemptNo, Balancer, Event, RequestId, TimerId, UpstreamId};
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+
+/// What the loop processes next.
+enum QueuedEvent {
+    Discovery(DiscoveryEvent),
+    DiscoveryMoved,
+    RequestReceived(RequestId),
+    AttemptEnded {
+        id: RequestId,
+        attempt: AttemptNo,
+        result: AttemptResult,
+    },
+    HealthCheckEnded {
+        upstream: UpstreamId,
+        latency: Duration,
+        result: AttemptResult,
+    },
+    ClientDisconnected(RequestId),
+    TimerDue(TimerId),
+}
+
+/// What only the event in hand may change.
+struct LoopState {
+    balancer: Balancer,
+    in_flight: InFlightTable,
+    counters: RequestCounters,
+    /// The actions of the event in hand.
+    actions: Vec<Action>,
+}
+
+impl LoopState {
+    fn decide(&mut self, now: Duration, event: Event<'_>) {
+        self.balancer.handle(now, event, &mut self.actions);
+    }
+}
+
+/// The event loop of one balancer. It owns the decision module, the requests in flight and the upstreams.
+pub struct EventLoop {
+    clock: Clock,
+    state: RefCell<LoopState>,
+    queue: RefCell<VecDeque<QueuedEvent>>,
+    is_processing: Cell<bool>,
+    upstreams: Upstreams,
+    incarnations: RefCell<Incarnations>,
+    discovery: Discovery,
+    /// Set when all attempts must end.
+    force_close: watch::Sender<bool>,
+    tasks: TaskGroup,
+}
+
+impl EventLoop {
+    /// Starts the loop with the list known before the start and the counters of its classes.
+    pub fn start(
+        balancer: Balancer,
+        counters: RequestCounters,
+        upstreams: Upstreams,
+        discovery: Discovery,
+        cached_list: EndpointUpdate,
+    ) -> Rc<Self> {
+        let state = LoopState {
+            balancer,
+            in_flight: InFlightTable::default(),
+            counters,
+            actions: Vec::new(),
+        };
+        let event_loop = Rc::new(Self {
+            clock: Clock::start(),
+            state: RefCell::new(state),
+            queue: RefCell::default(),
+            is_processing: Cell::new(false),
+            upstreams,
+            incarnations: RefCell::default(),
+            discovery,
+            force_close: watch::Sender::new(false),
+            tasks: TaskGroup::default(),
+        });
+        event_loop.start_background_tasks();
+        event_loop.enqueue(QueuedEvent::Discovery(DiscoveryEvent::Update(cached_list)));
+        event_loop
+    }
+
+    /// Ends all attempts, and each that may follow, so that the module gives every request in flight its final
+    /// response: the process is about to end.
+    pub fn force_close(&self) {
+        self.force_close.send_replace(true);
+    }
+
+    /// Ends the tasks of the loop.
+    pub fn stop(&self) {
+        self.discovery.stop();
+        self.tasks.abort_all();
+    }
+
+    /// Queues an event, and processes the queue unless that is being done already.
+    fn enqueue(self: &Rc<Self>, event: QueuedEvent) {
+        self.queue.borrow_mut().push_back(event);
+        if self.is_processing.replace(true) {
+            return;
+        }
+        loop {
+            let next = self.queue.borrow_mut().pop_front();
+            let Some(next) = next else { break };
+            self.process_event(&mut self.state.borrow_mut(), next);
+        }
+        self.is_processing.set(false);
+    }
+
+    /// Hands one event to the module and performs its actions.
+    fn process_event(self: &Rc<Self>, state: &mut LoopState, event: QueuedEvent) {
+        let now = self.clock.now();
+        match event {
+            QueuedEvent::Discovery(event) => self.on_discovery_event(state, now, event),
+            QueuedEvent::DiscoveryMoved => self.on_discovery_moved(state, now),
+            QueuedEvent::RequestReceived(id) => self.on_request(state, now, id),
+            QueuedEvent::AttemptEnded {
+                id,
+                attempt,
+                result,
+            } => {
+                self.on_attempt_ended(state, now, id, attempt, result);
+            }
+            QueuedEvent::HealthCheckEnded {
+                upstream,
+                latency,
+                result,
+            } => {
+                let (outcome, report) = (result.outcome, &result.load_report[..]);
+                state.decide(
+                    now,
+                    Event::HealthCheckEnded {
+                        upstream,
+                        outcome,
+                        latency,
+                        report,
+                    },
+                );
+            }
+            QueuedEvent::ClientDisconnected(id) => self.on_client_disconnected(state, now, id),
+            QueuedEvent::TimerDue(timer) => state.decide(now, Event::Timer { timer }),
+        }
+        let mut actions = std::mem::take(&mut state.actions);
+        for action in actions.drain(..) {
+            self.perform(state, action);
+        }
+        state.actions = actions;
+    }
+}
--- /dev/null
+++ b/balancer/src/event_loop/requests.rs
@@ -0,0 +1,106 @@
+//! Requests: from their arrival to their final response.
+
+use super::{EventLoop, LoopState, QueuedEvent};
+use crate::headers::CORRELATION_ID;
+use crate::in_flight::{ClientRequest, FinalResponse};
+use crate::pending_response::PendingResponse;
+use frostkeel_policy::{AttemptNo, Event, FailureReason, Outcome, RequestId};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+impl EventLoop {
+    /// Submits a request to the decision module. Dropping what is returned before the final response means that the
+    /// client has disconnected.
+    pub fn submit(self: &Rc<Self>, request: ClientRequest) -> PendingResponse {
+        let (reply, response) = oneshot::channel();
+        let id = self.state.borrow_mut().in_flight.insert(request, reply);
+        self.enqueue(QueuedEvent::RequestReceived(id));
+        PendingResponse::new(Rc::clone(self), id, response)
+    }
+
+    /// The client of a request that is owed its final response has disconnected.
+    pub(crate) fn client_disconnected(self: &Rc<Self>, id: RequestId) {
+        self.enqueue(QueuedEvent::ClientDisconnected(id));
+    }
+
+    pub(super) fn on_request(&self, state: &mut LoopState, now: Duration, id: RequestId) {
+        let Some(in_flight) = state.in_flight.get(id) else {
+            return;
+        };
+        let request = &in_flight.request;
+        state.counters.count_received(request.class);
+        let event = Event::Request {
+            id,
+            class: request.class,
+            tenant: request.tenant,
+            time_left: request.time_left(),
+            work_ms: request.work_ms,
+            is_retry: request.is_retry,
+        };
+        tracing::debug!(
+            request_id = id.0,
+            correlation_id = ?request.forwarded.headers.get(CORRELATION_ID),
+            class = request.class.0,
+            tenant = request.tenant.0,
+            time_left = ?request.time_left(),
+            is_retry = request.is_retry,
+            "request received"
+        );
+        state.decide(now, event);
+    }
+
+    pub(super) fn on_client_disconnected(
+        &self,
+        state: &mut LoopState,
+        now: Duration,
+        id: RequestId,
+    ) {
+        let Some(in_flight) = state.in_flight.get_mut(id) else {
+            return;
+        };
+        if in_flight.reply.take().is_some() {
+            tracing::debug!(request_id = id.0, "client disconnected");
+            state
+                .counters
+                .count_client_disconnected(in_flight.request.class);
+            state.decide(now, Event::ClientDisconnected { id });
+        }
+        self.release(state, id);
+    }
+
+    /// Gives a request a final response that is not an upstream's.
+    pub(super) fn respond(
+        &self,
+        state: &mut LoopState,
+        id: RequestId,
+        response: FinalResponse,
+        reason: FailureReason,
+    ) {
+        if let Some(in_flight) = state.in_flight.get_mut(id)
+            && let Some(reply) = in_flight.reply.take()
+        {
+            state.counters.count_failed(in_flight.request.class, reason);
+            // Where the client has just disconnected, nobody waits for it.
+            let _ = reply.send(response);
+        }
+        self.release(state, id);
+    }
+
+    /// Removes a request that has its final response and no open attempt. Attempts of which nothing was written are
+    /// dropped, also where the site does not allow cancellation: nobody waits for them, and nothing of them has left.
+    pub(super) fn release(&self, state: &mut LoopState, id: RequestId) {
+        let Some(in_flight) = state
+            .in_flight
+            .get(id)
+            .filter(|request| request.reply.is_none())
+        else {
+            return;
+        };
+        let unwritten: Vec<AttemptNo> = in_flight.unwritten_attempts().collect();
+        for attempt in unwritten {
+            self.abort_attempt(state, id, attempt, Outcome::NotSent);
+        }
+        state.in_flight.remove_if_complete(id);
+    }
+}
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -18,4 +18,5 @@
 pub mod request;
 pub mod request_counters;
 pub mod server;
+mod task_group;
 pub mod upstream;
--- a/balancer/src/pending_response.rs
+++ b/balancer/src/pending_response.rs
@@ -1,4 +1,4 @@
-//! A request that is owed its final answer.
+//! The client connection's side of a request in flight.
 
 use crate::event_loop::EventLoop;
 use crate::in_flight::FinalResponse;
@@ -6,40 +6,40 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that is owed its final answer; dropped before, its client has gone.
+/// A request that is owed its final response. Dropping it before means that the client has disconnected.
 pub struct PendingResponse {
     event_loop: Rc<EventLoop>,
     id: RequestId,
-    answer: Option<oneshot::Receiver<FinalResponse>>,
+    response: Option<oneshot::Receiver<FinalResponse>>,
 }
 
 impl PendingResponse {
     pub(crate) fn new(
         event_loop: Rc<EventLoop>,
         id: RequestId,
-        answer: oneshot::Receiver<FinalResponse>,
+        response: oneshot::Receiver<FinalResponse>,
     ) -> Self {
         Self {
             event_loop,
             id,
-            answer: Some(answer),
+            response: Some(response),
         }
     }
 
-    /// The final answer.
+    /// Waits for the final response.
     pub async fn response(mut self) -> FinalResponse {
-        let Some(answer) = &mut self.answer else {
+        let Some(receiver) = &mut self.response else {
             return FinalResponse::Failed;
         };
-        let answer = answer.await;
-        self.answer = None;
-        answer.unwrap_or(FinalResponse::Failed)
+        let response = receiver.await;
+        self.response = None;
+        response.unwrap_or(FinalResponse::Failed)
     }
 }
 
 impl Drop for PendingResponse {
     fn drop(&mut self) {
-        if self.answer.take().is_some() {
+        if self.response.take().is_some() {
             self.event_loop.client_disconnected(self.id);
         }
     }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -67,7 +67,7 @@
             .path_and_query()
             .map(|p| Uri::from(p.clone()))
             .unwrap_or_default();
-        let outgoing = ForwardedRequest {
+        let forwarded = ForwardedRequest {
             method: parts.method,
             target,
             headers,
@@ -80,7 +80,7 @@
             deadline,
             work_ms,
             is_retry,
-            outgoing,
+            forwarded,
         })
     }
 
@@ -188,7 +188,7 @@
             *response.headers_mut() = served.headers;
             response
         }
-        FinalResponse::Rejected(retry_after) => {
+        FinalResponse::Rejected { retry_after } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
             let value = retry_after.and_then(|t| format!("{:.3}", t.as_secs_f64()).parse().ok());
             if let Some(value) = value {
