--- a/balancer/src/request_counters.rs
+++ b/balancer/src/request_counters.rs
@@ -1,6 +1,6 @@
 //! What became of requests, by class, since the log last said so.
 
-use frostkeel_policy::{ClassId, FailureReason, Outcome};
+use frostkeel_policy::{Class, ClassId, FailureReason, Outcome};
 use frostkeel_settings::Site;
 use std::fmt;
 use std::time::Duration;
@@ -8,33 +8,33 @@
 /// Counts of one class.
 #[derive(Default)]
 struct Counts {
-    asked: u32,
-    /// Answered by an upstream within the aim, and after it.
+    received: u32,
+    /// Forwarded responses within the latency objective, and after it.
     in_time: u32,
-    after_aim: u32,
-    /// The client went away first.
-    gone: u32,
-    /// Attempts made, and those that ended without an answer.
+    late: u32,
+    /// The client disconnected before the response.
+    client_disconnected: u32,
+    /// Attempts that ended, and those of them without a response that can be forwarded.
     attempts: u32,
-    unanswered: u32,
-    lost: [u32; FailureReason::ALL.len()],
+    failed_attempts: u32,
+    by_reason: [u32; FailureReason::ALL.len()],
 }
 
-struct Class {
+struct ClassCounters {
     name: String,
     latency_objective: Duration,
     counts: Counts,
 }
 
-/// What became of the requests of each class; shown, only what is not nil:
-/// `pay: asked 9, in-time 6, room 2, silent 1, attempts 7, unanswered 1`.
-pub struct RequestCounters(Vec<Class>);
+/// What became of the requests of each class. Its form shows only what is not zero:
+/// `pay: received 9, in-time 6, no-spare-capacity 2, upstream-unresponsive 1, attempts 7, failed-attempts 1`.
+pub struct RequestCounters(Vec<ClassCounters>);
 
 impl RequestCounters {
-    /// An empty one for the classes of a site.
+    /// Counters at zero for the classes of a site.
     pub fn new(site: &Site) -> Self {
         let classes = site.names.classes.iter().zip(&site.settings.classes);
-        let class = |(name, class): (&String, &frostkeel_policy::Class)| Class {
+        let class = |(name, class): (&String, &Class)| ClassCounters {
             name: name.clone(),
             latency_objective: class.latency_objective,
             counts: Counts::default(),
@@ -42,45 +42,46 @@
         Self(classes.map(class).collect())
     }
 
-    /// Begins anew.
+    /// Sets all counters to zero.
     pub fn reset(&mut self) {
         self.0
             .iter_mut()
             .for_each(|class| class.counts = Counts::default());
     }
 
-    /// A request has come.
+    /// Counts a request that was received.
     pub fn count_received(&mut self, class: ClassId) {
-        self.count(class, |c| c.asked += 1);
+        self.count(class, |counts| counts.received += 1);
     }
 
-    /// A request has an upstream's answer, so long after it came.
-    pub fn count_forwarded(&mut self, class: ClassId, after: Duration) {
+    /// Counts a forwarded response, by the request's latency.
+    pub fn count_forwarded(&mut self, class: ClassId, latency: Duration) {
         let Some(class) = self.0.get_mut(usize::from(class.0)) else {
             return;
         };
-        *if after <= class.latency_objective {
+        let in_time = latency <= class.latency_objective;
+        *if in_time {
             &mut class.counts.in_time
         } else {
-            &mut class.counts.after_aim
+            &mut class.counts.late
         } += 1;
     }
 
-    /// A client has gone away from a request.
+    /// Counts a client that disconnected before its response.
     pub fn count_client_disconnected(&mut self, class: ClassId) {
-        self.count(class, |c| c.gone += 1);
+        self.count(class, |counts| counts.client_disconnected += 1);
     }
 
-    /// A request was refused or has failed.
+    /// Counts a request that was rejected or has failed.
     pub fn count_failed(&mut self, class: ClassId, reason: FailureReason) {
-        self.count(class, |c| c.lost[reason as usize] += 1);
+        self.count(class, |counts| counts.by_reason[reason as usize] += 1);
     }
 
-    /// An attempt has ended.
+    /// Counts an attempt that has ended.
     pub fn count_attempt(&mut self, class: ClassId, outcome: Outcome) {
-        self.count(class, |c| {
-            c.attempts += 1;
-            c.unanswered += u32::from(outcome != Outcome::Ok);
+        self.count(class, |counts| {
+            counts.attempts += 1;
+            counts.failed_attempts += u32::from(outcome != Outcome::Ok);
         });
     }
 
@@ -91,32 +92,44 @@
     }
 }
 
+impl Counts {
+    fn is_zero(&self) -> bool {
+        self.received + self.attempts == 0
+    }
+
+    /// Each counter with its label, in the order of the log line.
+    fn labelled(&self) -> impl Iterator<Item = (&'static str, u32)> {
+        let reasons = FailureReason::ALL
+            .iter()
+            .map(|reason| (reason.as_str(), self.by_reason[*reason as usize]));
+        let first = [
+            ("received", self.received),
+            ("in-time", self.in_time),
+            ("late", self.late),
+        ];
+        let last = [
+            ("client-disconnected", self.client_disconnected),
+            ("attempts", self.attempts),
+            ("failed-attempts", self.failed_attempts),
+        ];
+        first.into_iter().chain(reasons).chain(last)
+    }
+}
+
 impl fmt::Display for RequestCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut apart = "";
-        for Class { name, counts, .. } in self
-            .0
-            .iter()
-            .filter(|c| c.counts.asked + c.counts.attempts > 0)
-        {
-            write!(f, "{apart}{name}: asked {}", counts.asked)?;
-            let lost = FailureReason::ALL
-                .iter()
-                .map(|reason| (reason.as_str(), counts.lost[*reason as usize]));
-            let first = [
-                ("in-time", counts.in_time),
-                ("after-objective", counts.after_aim),
-            ]
-            .into_iter();
-            let last = [
-                ("gone", counts.gone),
-                ("attempts", counts.attempts),
-                ("unanswered", counts.unanswered),
-            ];
-            for (what, n) in first.chain(lost).chain(last).filter(|(_, n)| *n > 0) {
-                write!(f, ", {what} {n}")?;
+        let mut class_separator = "";
+        for class in self.0.iter().filter(|class| !class.counts.is_zero()) {
+            write!(f, "{class_separator}{}: ", class.name)?;
+            let mut separator = "";
+            // The number received is shown also where it is zero: attempts may outlive their requests.
+            for (k, (label, count)) in class.counts.labelled().enumerate() {
+                if count > 0 || k == 0 {
+                    write!(f, "{separator}{label} {count}")?;
+                    separator = ", ";
+                }
             }
-            apart = "; ";
+            class_separator = "; ";
         }
         Ok(())
     }
--- a/balancer/tests/request_counters.rs
+++ b/balancer/tests/request_counters.rs
@@ -23,7 +23,7 @@
     counters.count_attempt(pay, Outcome::Ok);
     counters.count_attempt(pay, Outcome::TimedOut);
     counters.count_client_disconnected(ClassId(9));
-    let shown = "pay: asked 4, in-time 1, after-objective 1, no-spare-capacity 1, upstream-unresponsive 1, attempts 2, unanswered 1";
+    let shown = "pay: received 4, in-time 1, late 1, no-spare-capacity 1, upstream-unresponsive 1, attempts 2, failed-attempts 1";
     assert_eq!(counters.to_string(), shown);
     counters.reset();
     assert_eq!(counters.to_string(), "");
