--- /dev/null
+++ b/balancer/src/client/response.rs
@@ -0,0 +1,35 @@
+//! Responses to clients.
+
+use crate::in_flight::FinalResponse;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::RETRY_AFTER;
+use hyper::{Response, StatusCode};
+
+/// A response of the balancer's own.
+pub fn plain_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
+    *response.status_mut() = status;
+    response
+}
+
+/// The response that carries a final response of the decision module.
+pub fn response_of(response: FinalResponse) -> Response<Full<Bytes>> {
+    match response {
+        FinalResponse::Forwarded(forwarded) => {
+            let mut response = Response::new(Full::new(forwarded.body));
+            *response.headers_mut() = forwarded.headers;
+            response
+        }
+        FinalResponse::Rejected { retry_after } => {
+            let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
+            let value =
+                retry_after.and_then(|after| format!("{:.3}", after.as_secs_f64()).parse().ok());
+            if let Some(value) = value {
+                response.headers_mut().insert(RETRY_AFTER, value);
+            }
+            response
+        }
+        FinalResponse::Failed => plain_response(StatusCode::BAD_GATEWAY, "failed"),
+    }
+}
--- a/balancer/src/client_stream.rs
+++ b/balancer/src/client/stream.rs
@@ -1,7 +1,7 @@
 //! A client's connection as the HTTP server sees it, read ahead of the server.
 //!
 //! The server reads only what it needs for the request in hand. Bytes that wait behind that request would hide the
-//! end of the connection, so whoever watches the connection reads ahead, up to a bound, and learns of the end at once.
+//! end of the connection, so the watch reads ahead, up to a limit, and notices the end at once.
 
 use crate::error_origin::retry_if_interrupted;
 use bytes::{Buf, BytesMut};
@@ -18,58 +18,65 @@
 use tokio::time::{Instant, timeout};
 
 /// The most that is read ahead of the server.
-const READ_AHEAD_MOST: usize = 32 * 1024;
-/// How much room a read is given.
+const MAX_READ_AHEAD: usize = 32 * 1024;
+/// The most that one read takes.
 const READ_SIZE: usize = 4 * 1024;
-/// The most that is read and thrown away on one connection, behind a request in hand or after the last answer.
-const DISCARD_MOST: usize = 1024 * 1024;
+/// The most that is discarded on one connection, behind a request in hand or after the last response.
+const MAX_DISCARDED: usize = 1024 * 1024;
+
+/// What is done with bytes that come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReadMode {
+    /// They are buffered; when the buffer is full, reading waits for the server.
+    Buffering,
+    /// The same while a response is owed, when the server takes nothing: a full buffer means a flood.
+    Responding,
+    /// The client has sent more than is buffered, or nothing more is read from it: they are discarded.
+    Discarding,
+}
 
 /// What both sides of a connection know of it.
 struct Shared {
-    ahead: RefCell<BytesMut>,
+    buffer: RefCell<BytesMut>,
     /// How reading ended, once it has: cleanly, or by what error.
     ended: RefCell<Option<Result<(), io::ErrorKind>>>,
     /// The server, where it waits for bytes.
-    server: RefCell<Option<Waker>>,
-    /// The watch, where it waits for room.
-    watch: RefCell<Option<Waker>>,
-    /// The request in hand is read whole: the server takes nothing more before it has answered.
-    answering: Cell<bool>,
-    /// More came behind a request in hand than is read ahead, and was thrown away.
-    flooded: Cell<bool>,
-    /// When the first byte came of a head that is not whole yet.
+    server_waker: RefCell<Option<Waker>>,
+    /// The watch, where it waits for space in the buffer.
+    watch_waker: RefCell<Option<Waker>>,
+    mode: Cell<ReadMode>,
+    /// When the first byte came of a head that is not complete yet.
     head_since: Cell<Option<Instant>>,
-    /// Since when the peer has taken no byte of an answer that waits to be written.
+    /// Since when the client has taken no byte of a response that waits to be written.
     write_blocked_since: Cell<Option<Instant>>,
 }
 
 /// The side of the connection that the HTTP server reads and writes. Dropping it ends the sending.
-pub struct ClientStream {
+pub(super) struct ClientStream {
     shared: Rc<Shared>,
     writer: OwnedWriteHalf,
 }
 
-/// The side that reads ahead and sees the client go.
-pub struct ClientWatch {
+/// The side that reads ahead and notices that the client disconnects.
+pub(super) struct ClientWatch {
     shared: Rc<Shared>,
     reader: OwnedReadHalf,
-    discarded: usize,
+    discarded_bytes: usize,
 }
 
-/// What can be asked of a connection at any time.
+/// The state of the connection, for whoever serves it.
 #[derive(Clone)]
-pub struct ClientState(Rc<Shared>);
+pub(super) struct ClientState(Rc<Shared>);
 
-/// The two sides of a client's connection, and what can be asked of it.
-pub fn split(stream: TcpStream) -> (ClientStream, ClientWatch, ClientState) {
+/// Splits a client's connection into its two sides and its state.
+pub(super) fn split(stream: TcpStream) -> (ClientStream, ClientWatch, ClientState) {
     let (reader, writer) = stream.into_split();
     let shared = Rc::new(Shared {
-        ahead: RefCell::default(),
+        buffer: RefCell::default(),
         ended: RefCell::default(),
-        server: RefCell::default(),
-        watch: RefCell::default(),
-        answering: Cell::new(false),
-        flooded: Cell::new(false),
+        server_waker: RefCell::default(),
+        watch_waker: RefCell::default(),
+        mode: Cell::new(ReadMode::Buffering),
         head_since: Cell::new(None),
         write_blocked_since: Cell::new(None),
     });
@@ -83,7 +90,7 @@
         ClientWatch {
             shared,
             reader,
-            discarded: 0,
+            discarded_bytes: 0,
         },
         state,
     )
@@ -91,30 +98,36 @@
 
 impl ClientState {
     /// Whether the client has closed the connection or ended its sending.
-    pub fn has_left(&self) -> bool {
+    pub(super) fn has_disconnected(&self) -> bool {
         self.0.ended.borrow().is_some()
     }
 
-    /// A request has been read whole, or answered: what comes from here on is the next one's.
-    pub fn set_answering(&self, answering: bool) {
-        self.0.answering.set(answering);
+    /// Notes that a request has been read completely, or responded to: what comes from here on belongs to the next one.
+    pub(super) fn set_responding(&self, is_responding: bool) {
+        if self.0.mode.get() != ReadMode::Discarding {
+            self.0.mode.set(if is_responding {
+                ReadMode::Responding
+            } else {
+                ReadMode::Buffering
+            });
+        }
         self.0.wake_watch();
-        let waiting = !self.0.ahead.borrow().is_empty();
-        self.0.head_since.set(waiting.then(Instant::now));
+        let has_bytes = !self.0.buffer.borrow().is_empty();
+        self.0.head_since.set(has_bytes.then(Instant::now));
     }
 
     /// When the first byte came of a further request that has not begun yet.
-    pub fn head_since(&self) -> Option<Instant> {
+    pub(super) fn head_since(&self) -> Option<Instant> {
         self.0.head_since.get()
     }
 
-    /// Whether part of what the client sent was thrown away: no further request can be read from it.
-    pub fn is_flooded(&self) -> bool {
-        self.0.flooded.get()
+    /// Whether part of what the client sent was discarded: no further request can be read.
+    pub(super) fn is_flooded(&self) -> bool {
+        self.0.mode.get() == ReadMode::Discarding
     }
 
-    /// Since when the client has taken nothing of an answer that waits to be written.
-    pub fn write_blocked_since(&self) -> Option<Instant> {
+    /// Since when the client has taken nothing of a response that waits to be written.
+    pub(super) fn write_blocked_since(&self) -> Option<Instant> {
         self.0.write_blocked_since.get()
     }
 }
@@ -126,73 +139,75 @@
     }
 
     fn wake_watch(&self) {
-        if let Some(watch) = self.watch.borrow_mut().take() {
+        if let Some(watch) = self.watch_waker.borrow_mut().take() {
             watch.wake();
         }
     }
 
     fn wake_server(&self) {
-        if let Some(server) = self.server.borrow_mut().take() {
+        if let Some(server) = self.server_waker.borrow_mut().take() {
             server.wake();
         }
     }
 }
 
 impl ClientWatch {
-    /// Waits until the client has closed the connection or ended its sending, and reads ahead meanwhile.
-    pub async fn left(&mut self) {
-        poll_fn(|cx| self.poll_left(cx)).await;
+    /// Reads ahead until the client has closed the connection or ended its sending.
+    pub(super) async fn disconnected(&mut self) {
+        poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
 
-    fn poll_left(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.shared.ended.borrow().is_none() {
-            let full = self.shared.ahead.borrow().len() >= READ_AHEAD_MOST;
-            if full && !self.shared.answering.get() && !self.shared.flooded.get() {
-                *self.shared.watch.borrow_mut() = Some(cx.waker().clone());
+            let is_full = self.shared.buffer.borrow().len() >= MAX_READ_AHEAD;
+            if is_full && self.shared.mode.get() == ReadMode::Buffering {
+                *self.shared.watch_waker.borrow_mut() = Some(cx.waker().clone());
                 return Poll::Pending;
             }
             let mut space = [0; READ_SIZE];
             let mut read = ReadBuf::new(&mut space);
             match retry_if_interrupted(Pin::new(&mut self.reader).poll_read(cx, &mut read), cx) {
                 Poll::Pending => return Poll::Pending,
-                Poll::Ready(Err(e)) => self.shared.end(Err(e.kind())),
+                Poll::Ready(Err(error)) => self.shared.end(Err(error.kind())),
                 Poll::Ready(Ok(())) if read.filled().is_empty() => self.shared.end(Ok(())),
-                Poll::Ready(Ok(())) => self.take_in(read.filled()),
+                Poll::Ready(Ok(())) => self.on_bytes(read.filled()),
             }
         }
         Poll::Ready(())
     }
 
-    /// Keeps what has come for the server. Whoever sends so much behind a request in hand is not heard any further:
-    /// the rest is thrown away, as the end of the connection would not be seen behind it.
-    fn take_in(&mut self, bytes: &[u8]) {
+    /// Buffers what has come for the server. A client that sends more behind a request in hand than is buffered is
+    /// flooding: the rest is discarded, as the end of the connection would not be noticed behind it.
+    fn on_bytes(&mut self, bytes: &[u8]) {
         let shared = &self.shared;
-        let full = shared.ahead.borrow().len() + bytes.len() > READ_AHEAD_MOST;
-        if shared.flooded.get() || (full && shared.answering.get()) {
-            shared.flooded.set(true);
-            self.discarded += bytes.len();
-            if self.discarded > DISCARD_MOST {
+        let is_full = shared.buffer.borrow().len() + bytes.len() > MAX_READ_AHEAD;
+        if is_full && shared.mode.get() == ReadMode::Responding {
+            shared.mode.set(ReadMode::Discarding);
+        }
+        if shared.mode.get() == ReadMode::Discarding {
+            self.discarded_bytes += bytes.len();
+            if self.discarded_bytes > MAX_DISCARDED {
                 shared.end(Err(io::ErrorKind::ConnectionAborted));
             }
             return;
         }
-        shared.ahead.borrow_mut().extend_from_slice(bytes);
+        shared.buffer.borrow_mut().extend_from_slice(bytes);
         shared
             .head_since
             .set(shared.head_since.get().or_else(|| Some(Instant::now())));
         shared.wake_server();
     }
 
-    /// Reads and throws away what still comes, until the client closes or the time is over: a connection that is
-    /// closed over unread bytes is reset, and the reset may take the last answer with it. The sending must have ended.
-    pub async fn discard_rest(mut self, most: Duration) {
-        // Whoever goes on sending, or keeps the connection, is closed upon.
-        let _ = timeout(most, poll_fn(|cx| self.poll_discard(cx))).await;
+    /// Discards what still comes, until the client closes or the time is over: a connection that is closed over unread
+    /// bytes is reset, and the reset may take the last response with it. The sending must have ended.
+    pub(super) async fn discard_rest(mut self, max_time: Duration) {
+        // A client that goes on sending, or keeps the connection, is closed upon.
+        let _ = timeout(max_time, poll_fn(|cx| self.poll_discard(cx))).await;
     }
 
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        self.shared.flooded.set(true);
-        self.poll_left(cx)
+        self.shared.mode.set(ReadMode::Discarding);
+        self.poll_disconnected(cx)
     }
 }
 
@@ -203,20 +218,20 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let shared = &self.shared;
-        let mut ahead = shared.ahead.borrow_mut();
-        if ahead.is_empty() {
+        let mut buffer = shared.buffer.borrow_mut();
+        if buffer.is_empty() {
             return match *shared.ended.borrow() {
                 Some(Ok(())) => Poll::Ready(Ok(())),
                 Some(Err(kind)) => Poll::Ready(Err(kind.into())),
                 None => {
-                    *shared.server.borrow_mut() = Some(cx.waker().clone());
+                    *shared.server_waker.borrow_mut() = Some(cx.waker().clone());
                     Poll::Pending
                 }
             };
         }
-        let count = ahead.len().min(buf.remaining());
-        buf.put_slice(&ahead[..count]);
-        ahead.advance(count);
+        let count = buffer.len().min(buf.remaining());
+        buf.put_slice(&buffer[..count]);
+        buffer.advance(count);
         shared.wake_watch();
         Poll::Ready(Ok(()))
     }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,7 +1,7 @@
 //! `frostkeel-balancer`: a load balancer on real sockets. Every decision is the `frostkeel-policy` library's; this crate does the
 //! input and output round it, on one thread.
 
-pub mod client_stream;
+pub mod client;
 pub mod clock;
 pub mod config;
 pub mod connection;
@@ -15,8 +15,6 @@
 pub mod pending_response;
 pub mod process;
 pub mod rate_limited_log;
-pub mod request;
 pub mod request_counters;
-pub mod server;
 mod task_group;
 pub mod upstream;
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -1,11 +1,11 @@
 //! The life of the process: start, reload at SIGHUP, graceful shutdown at SIGTERM.
 
+use crate::client::{Phase, Server};
 use crate::config::Config;
 use crate::discovery::Discovery;
 use crate::event_loop::EventLoop;
 use crate::members::Members;
 use crate::request_counters::RequestCounters;
-use crate::server::{Phase, Server};
 use crate::upstream::Upstreams;
 use frostkeel_policy::Balancer;
 use std::error::Error;
--- a/balancer/tests/crossing_server.rs
+++ b/balancer/tests/crossing_server.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use common::{look, nobody};
+use frostkeel_balancer::client::{Phase, Server};
 use frostkeel_balancer::discovery::Discovery;
 use frostkeel_balancer::discovery::{EndpointEntry, EndpointUpdate};
 use frostkeel_balancer::event_loop::EventLoop;
 use frostkeel_balancer::request_counters::RequestCounters;
-use frostkeel_balancer::server::{Phase, Server};
 use frostkeel_balancer::upstream::{EndpointState, Upstreams};
 use frostkeel_policy::{
     Availability, Balancer, CellId, Class, Effect, KindId, Settings, UpdateScope, UpstreamId,
