--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,80 +1,145 @@
-//! What the platform tells a balancer at its start: the JSON file that `NODE_CONFIG` names.
+//! What the platform gives a balancer at its start: the JSON file that `NODE_CONFIG` names.
 
-use frostkeel_membership::{Name, Place};
+use frostkeel_membership::{Name, NameError, Place};
 use frostkeel_settings::Site;
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use std::fmt;
+use std::io;
 use std::net::SocketAddr;
+use std::num::ParseIntError;
+use std::path::PathBuf;
 use std::time::Duration;
 
-/// Descriptors kept for what is neither a client nor an upstream: standard streams, the poller, the
-/// listener, signals, discovery's calls.
+/// The environment variable that names the configuration file.
+const CONFIG_VARIABLE: &str = "NODE_CONFIG";
+/// Descriptors reserved for what is neither a client nor an upstream: standard streams, the poller, the listener,
+/// signals, calls to discovery.
 pub const RESERVED_SOCKETS: usize = 24;
-/// Part of the rest that connections to upstreams may take.
-const UPSTREAM_PART: f64 = 0.45;
+/// A balancer with fewer descriptors cannot start.
+const MIN_SOCKETS: usize = 2 * RESERVED_SOCKETS;
+/// Share of the other descriptors that connections to upstreams may take.
+const UPSTREAM_SHARE: f64 = 0.45;
+/// Default for `limits.sockets`.
+const DEFAULT_SOCKETS: usize = 1024;
+/// Default for `membership.forget_s`.
+const DEFAULT_FORGET_S: u64 = 600;
+/// Default for `membership.members_most`: this many for each peer, and for at least so many peers.
+const DEFAULT_MEMBERS_PER_PEER: usize = 2;
+const MIN_PEERS_FOR_DEFAULT: usize = 64;
 
 /// A balancer's configuration.
 #[derive(Debug)]
 pub struct Config {
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Where discovery listens.
     pub discovery: SocketAddr,
-    /// The seed of all chance.
+    /// The seed of all random choices.
     pub seed: u64,
     /// How many descriptors the process may hold.
     pub sockets: usize,
-    /// The upstreams last known, in discovery's form; empty if none are.
-    pub known: String,
+    /// The endpoint list last known, in discovery's form; empty if there is none.
+    pub cached_list: String,
     /// The settings of the site.
     pub site: Site,
-    /// Who else there is, where the configuration names that.
-    pub members: Option<Members>,
+    /// The membership, where the configuration names it.
+    pub membership: Option<MembershipConfig>,
 }
 
-/// What a balancer is told about the others of its fleet.
+/// How a balancer takes part in its fleet's membership.
 #[derive(Debug)]
-pub struct Members {
+pub struct MembershipConfig {
     /// The fleet's name.
     pub fleet: String,
     /// This balancer's name.
     pub name: Name,
     /// Its position among the peers.
     pub place: Place,
-    /// Where datagrams land.
+    /// Where it receives datagrams.
     pub listen: SocketAddr,
     /// By position, where the others are reached, and where what they send comes from.
     pub peers: Vec<SocketAddr>,
-    /// Where the view of the others can be read.
+    /// Where the view of the members can be read.
     pub page: Option<SocketAddr>,
-    /// The most members that are kept.
-    pub members_most: usize,
-    /// How long one that has gone is remembered.
+    /// How many members are kept at most.
+    pub max_members: usize,
+    /// How long a member that has left or failed is remembered.
     pub forget_after: Duration,
 }
 
-/// Why no balancer can start.
-#[derive(Debug)]
-pub struct ConfigError(String);
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why a configuration cannot be used. The balancer does not start by it; one that runs keeps the configuration it has.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The environment names no file.
+    #[error("{CONFIG_VARIABLE} names no configuration file")]
+    NoFile,
+    /// The file cannot be read.
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// The file's text is not a configuration.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with the text.
+        source: Box<ConfigError>,
+    },
+    /// The text is not JSON of the expected form.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// The seed is no hexadecimal number.
+    #[error("seed: {0}")]
+    Seed(#[source] ParseIntError),
+    /// The settings of the site are invalid.
+    #[error("{0}")]
+    Settings(String),
+    /// Too few descriptors to serve with.
+    #[error("limits.sockets: {0} are too few")]
+    TooFewSockets(usize),
+    /// The membership is invalid.
+    #[error("membership: {0}")]
+    Membership(#[from] MembershipConfigError),
 }
 
-impl std::error::Error for ConfigError {}
+/// Why a membership cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum MembershipConfigError {
+    /// The position of this balancer is unreadable.
+    #[error("settings.me: {0}")]
+    Position(#[source] serde_json::Error),
+    /// The address for datagrams is missing.
+    #[error("peer_listen is missing")]
+    MissingListen,
+    /// This balancer is not among the peers.
+    #[error("settings.me is {position}, and peers names {peer_count} addresses")]
+    PositionOutOfRange {
+        /// The position.
+        position: u16,
+        /// How many peers there are.
+        peer_count: usize,
+    },
+    /// The page would be reachable from other machines.
+    #[error("page {0}: it is shown on a loopback address only")]
+    PageNotLoopback(SocketAddr),
+    /// The balancer's name is invalid.
+    #[error("{0}")]
+    Name(#[from] NameError),
+}
 
 #[derive(Deserialize)]
-struct Raw<'a> {
+struct RawConfig<'a> {
     listen: SocketAddr,
     discovery: SocketAddr,
     seed: String,
     #[serde(default)]
     limits: RawLimits,
-    #[serde(borrow, default)]
-    known: Option<&'a RawValue>,
+    #[serde(rename = "known", borrow, default)]
+    cached_list: Option<&'a RawValue>,
     #[serde(borrow)]
     settings: &'a RawValue,
     #[serde(default)]
@@ -82,28 +147,29 @@
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    membership: Option<RawMembers>,
+    membership: Option<RawMembership>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawMembers {
+struct RawMembership {
     fleet: String,
     page: Option<SocketAddr>,
-    members_most: Option<usize>,
-    #[serde(default = "RawMembers::forget_s")]
+    #[serde(rename = "members_most")]
+    max_members: Option<usize>,
+    #[serde(default = "RawMembership::default_forget_s")]
     forget_s: u64,
 }
 
-impl RawMembers {
-    fn forget_s() -> u64 {
-        600
+impl RawMembership {
+    fn default_forget_s() -> u64 {
+        DEFAULT_FORGET_S
     }
 }
 
-/// The position of this balancer, which the settings know as well.
+/// The position of this balancer, which the settings state as well.
 #[derive(Deserialize)]
-struct Position {
+struct RawPosition {
     #[serde(default)]
     me: u16,
 }
@@ -116,89 +182,91 @@
 
 impl Default for RawLimits {
     fn default() -> Self {
-        Self { sockets: 1024 }
+        Self {
+            sockets: DEFAULT_SOCKETS,
+        }
     }
 }
 
 impl Config {
     /// Reads the file that `NODE_CONFIG` names.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let path = std::env::var_os("NODE_CONFIG")
-            .ok_or_else(|| ConfigError("NODE_CONFIG names no configuration file".into()))?;
-        let shown = path.to_string_lossy();
-        let text =
-            std::fs::read_to_string(&path).map_err(|e| ConfigError(format!("{shown}: {e}")))?;
-        Self::parse(&text).map_err(|e| ConfigError(format!("{shown}: {e}")))
+        let path = PathBuf::from(std::env::var_os(CONFIG_VARIABLE).ok_or(ConfigError::NoFile)?);
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::Unreadable { path, source }),
+        };
+        Self::parse(&text).map_err(|error| ConfigError::Invalid {
+            path,
+            source: Box::new(error),
+        })
     }
 
-    /// Reads a configuration's text.
+    /// Reads the text of a configuration.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let raw: Raw<'_> = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
-        let seed =
-            u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
-        let mut site = frostkeel_settings::parse(raw.settings.get()).map_err(ConfigError)?;
-        // Where lists are pushed, an agent of this balancer's own has them: on sockets they come over its watch.
+        let raw: RawConfig<'_> = serde_json::from_str(text)?;
+        let seed = u64::from_str_radix(&raw.seed, 16).map_err(ConfigError::Seed)?;
+        let mut site =
+            frostkeel_settings::parse(raw.settings.get()).map_err(ConfigError::Settings)?;
+        // Where lists are pushed, an agent beside this balancer has them, and on sockets they come over its watch.
         site.settings.has_local_agent = !site.settings.polls_endpoints;
         site.settings.polls_endpoints = true;
-        if raw.limits.sockets < 2 * RESERVED_SOCKETS {
-            return Err(ConfigError(format!(
-                "limits.sockets: {} are too few",
-                raw.limits.sockets
-            )));
+        if raw.limits.sockets < MIN_SOCKETS {
+            return Err(ConfigError::TooFewSockets(raw.limits.sockets));
         }
         Ok(Self {
             listen: raw.listen,
             discovery: raw.discovery,
             seed,
             sockets: raw.limits.sockets,
-            known: raw.known.map_or_else(String::new, |k| k.get().to_owned()),
+            cached_list: raw
+                .cached_list
+                .map_or_else(String::new, |list| list.get().to_owned()),
             site,
-            members: raw.members()?,
+            membership: raw.membership()?,
         })
     }
 
     /// How many connections to upstreams may be open.
-    pub fn upstream_connections(&self) -> usize {
-        ((self.sockets - RESERVED_SOCKETS) as f64 * UPSTREAM_PART) as usize
+    pub fn max_upstream_connections(&self) -> usize {
+        ((self.sockets - RESERVED_SOCKETS) as f64 * UPSTREAM_SHARE) as usize
     }
 
     /// How many clients' connections may be open.
-    pub fn client_connections(&self) -> usize {
-        self.sockets - RESERVED_SOCKETS - self.upstream_connections()
+    pub fn max_client_connections(&self) -> usize {
+        self.sockets - RESERVED_SOCKETS - self.max_upstream_connections()
     }
 }
 
-impl Raw<'_> {
-    fn members(&self) -> Result<Option<Members>, ConfigError> {
+impl RawConfig<'_> {
+    fn membership(&self) -> Result<Option<MembershipConfig>, MembershipConfigError> {
         let Some(raw) = &self.membership else {
             return Ok(None);
         };
-        let wrong = |text: String| ConfigError(format!("membership: {text}"));
-        let position: Position = serde_json::from_str(self.settings.get())
-            .map_err(|e| wrong(format!("settings.me: {e}")))?;
+        let position: RawPosition =
+            serde_json::from_str(self.settings.get()).map_err(MembershipConfigError::Position)?;
         let listen = self
             .peer_listen
-            .ok_or_else(|| wrong("peer_listen is missing".into()))?;
-        if usize::from(position.me) >= self.peers.len() {
-            let count = self.peers.len();
-            return Err(wrong(format!(
-                "settings.me is {}, and peers names {count} addresses",
-                position.me
-            )));
+            .ok_or(MembershipConfigError::MissingListen)?;
+        let (position, peer_count) = (position.me, self.peers.len());
+        if usize::from(position) >= peer_count {
+            return Err(MembershipConfigError::PositionOutOfRange {
+                position,
+                peer_count,
+            });
         }
         if let Some(page) = raw.page.filter(|page| !page.ip().is_loopback()) {
-            return Err(wrong(format!(
-                "page {page}: it is shown on a loopback address only"
-            )));
+            return Err(MembershipConfigError::PageNotLoopback(page));
         }
-        Ok(Some(Members {
+        let default_members = DEFAULT_MEMBERS_PER_PEER * peer_count.max(MIN_PEERS_FOR_DEFAULT);
+        Ok(Some(MembershipConfig {
             fleet: raw.fleet.clone(),
-            name: Name::new(&self.name).map_err(|e| wrong(e.to_string()))?,
-            place: Place(position.me),
+            name: Name::new(&self.name)?,
+            place: Place(position),
             listen,
             peers: self.peers.clone(),
             page: raw.page,
-            members_most: raw.members_most.unwrap_or(2 * self.peers.len().max(64)),
+            max_members: raw.max_members.unwrap_or(default_members),
             forget_after: Duration::from_secs(raw.forget_s),
         }))
     }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -15,6 +15,8 @@
 pub mod pending_response;
 pub mod process;
 pub mod rate_limited_log;
+mod reload;
 pub mod request_counters;
+mod shutdown;
 mod task_group;
 pub mod upstream;
--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -1,12 +1,23 @@
 //! The program: reads its configuration, writes its log to standard error and serves until it is told to end.
 
-use frostkeel_balancer::config::Config;
-use frostkeel_balancer::process;
-use std::error::Error;
+use frostkeel_balancer::config::{Config, ConfigError};
+use frostkeel_balancer::process::{self, StartError};
+use std::io;
 use std::process::ExitCode;
 use tokio::runtime::LocalOptions;
 use tracing::level_filters::LevelFilter;
 
+/// Why the program ends with a failure.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Runtime(#[from] io::Error),
+    #[error(transparent)]
+    Start(#[from] StartError),
+}
+
 fn main() -> ExitCode {
     let level = std::env::var("NODE_LOG")
         .ok()
@@ -18,17 +29,16 @@
         .init();
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("frostkeel-balancer: {e}");
+        Err(error) => {
+            eprintln!("frostkeel-balancer: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), Box<dyn Error>> {
+fn run() -> Result<(), ProgramError> {
     let config = Config::from_env()?;
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build_local(LocalOptions::default())?;
-    runtime.block_on(process::serve(config))
+    let mut runtime = tokio::runtime::Builder::new_current_thread();
+    let runtime = runtime.enable_all().build_local(LocalOptions::default())?;
+    Ok(runtime.block_on(process::serve(config))?)
 }
--- /dev/null
+++ b/balancer/src/members/mod.rs
@@ -0,0 +1,253 @@
+//! The membership of the fleet: the membership's state machine between a datagram socket, the clock, the log and a page.
+//!
+//! It takes no part in the balancer's decisions, and runs only where the configuration names it. The log lines of this
+//! module are an interface: the lab reads them.
+
+mod page;
+
+use crate::config::MembershipConfig;
+use crate::task_group::TaskGroup;
+use frostkeel_membership::{
+    Change, Config, ConfigError, Identity, Membership, Output, Place, Viewed,
+};
+use rustc_hash::FxHashMap;
+use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::net::{TcpListener, UdpSocket};
+use tokio::sync::Notify;
+use tokio::time::{Instant, sleep_until};
+
+/// Longer than any valid datagram: one that fills the buffer is too long.
+const BUFFER_SIZE: usize = 512;
+/// Datagrams that are read before timers are checked again.
+const MAX_DATAGRAMS_AT_ONCE: usize = 256;
+
+/// Why the membership cannot be joined.
+#[derive(Debug, thiserror::Error)]
+pub enum MembersError {
+    /// The state machine does not accept the configuration.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The address for datagrams cannot be bound.
+    #[error("membership: peer_listen {address}: {source}")]
+    BindPeers {
+        /// The address.
+        address: SocketAddr,
+        /// Why not.
+        source: io::Error,
+    },
+    /// The address of the page cannot be listened on.
+    #[error("membership: page {address}: {source}")]
+    BindPage {
+        /// The address.
+        address: SocketAddr,
+        /// Why not.
+        source: io::Error,
+    },
+    /// The system does not state a socket's own address.
+    #[error(transparent)]
+    LocalAddress(#[from] io::Error),
+}
+
+/// This balancer's part in the membership. Dropping it ends its tasks.
+pub struct Members {
+    driver: Rc<Driver>,
+    _tasks: TaskGroup,
+}
+
+/// Feeds the state machine with datagrams and time, and does what it asks for.
+struct Driver {
+    machine: RefCell<Membership>,
+    socket: UdpSocket,
+    peers: Vec<SocketAddr>,
+    places: FxHashMap<SocketAddr, Place>,
+    fleet: String,
+    start: Instant,
+    /// Notified when the machine may be due sooner than it was.
+    due_changed: Notify,
+}
+
+impl Members {
+    /// Joins, and takes part until it is dropped.
+    pub async fn start(config: &MembershipConfig, seed: u64) -> Result<Self, MembersError> {
+        let machine = Membership::new(machine_config(config, seed), Duration::ZERO)?;
+        let address = config.listen;
+        let socket = UdpSocket::bind(address).await;
+        let socket = socket.map_err(|source| MembersError::BindPeers { address, source })?;
+        let page = match config.page {
+            Some(address) => {
+                let page = TcpListener::bind(address).await;
+                Some(page.map_err(|source| MembersError::BindPage { address, source })?)
+            }
+            None => None,
+        };
+        let page_address = page.as_ref().map(TcpListener::local_addr).transpose()?;
+        let page_address =
+            page_address.map_or_else(|| "none".to_owned(), |address| address.to_string());
+        tracing::info!(peers = %socket.local_addr()?, page = %page_address, "joining");
+        let others = (0u16..)
+            .zip(&config.peers)
+            .filter(|(place, _)| *place != config.place.0);
+        let driver = Rc::new(Driver {
+            machine: RefCell::new(machine),
+            socket,
+            places: others
+                .map(|(place, address)| (*address, Place(place)))
+                .collect(),
+            peers: config.peers.clone(),
+            fleet: config.fleet.clone(),
+            start: Instant::now(),
+            due_changed: Notify::new(),
+        });
+        let tasks = TaskGroup::default();
+        tasks.spawn(Rc::clone(&driver).run());
+        if let Some(page) = page {
+            tasks.spawn(page::serve(Rc::clone(&driver), page));
+        }
+        Ok(Self {
+            driver,
+            _tasks: tasks,
+        })
+    }
+
+    /// Announces to the others that this balancer leaves.
+    pub fn leave(&self) {
+        let driver = &self.driver;
+        driver.machine.borrow_mut().leave(driver.start.elapsed());
+        driver.perform_outputs();
+        driver.due_changed.notify_one();
+    }
+}
+
+fn machine_config(config: &MembershipConfig, seed: u64) -> Config {
+    let boot = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64;
+    Config {
+        fleet: config.fleet.clone(),
+        name: config.name,
+        place: config.place,
+        places: config.peers.len() as u16,
+        boot,
+        members_most: config.max_members,
+        forget_after: config.forget_after,
+        seed,
+    }
+}
+
+impl Driver {
+    async fn run(self: Rc<Self>) {
+        self.perform_outputs();
+        loop {
+            let due = self.machine.borrow().due();
+            let Some(due) = due else {
+                // It takes part no more, and only reads what would pile up.
+                if self.socket.readable().await.is_ok() {
+                    self.read_datagrams();
+                }
+                continue;
+            };
+            tokio::select! {
+                ready = self.socket.readable() => if let Err(error) = ready {
+                    tracing::warn!(%error, "membership socket failed");
+                    return;
+                },
+                () = sleep_until(self.start + due) => {}
+                () = self.due_changed.notified() => {}
+            }
+            // Datagrams first: what was answered in time must not look late.
+            self.read_datagrams();
+            self.run_timers();
+            self.perform_outputs();
+        }
+    }
+
+    /// Reads what has come, up to a limit.
+    fn read_datagrams(&self) {
+        let mut buffer = [0; BUFFER_SIZE];
+        for _ in 0..MAX_DATAGRAMS_AT_ONCE {
+            match self.socket.try_recv_from(&mut buffer) {
+                Ok((length, from)) => self.on_datagram(from, &buffer[..length]),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                // An ICMP error for an earlier datagram, to a peer that is not there.
+                Err(_) => {}
+            }
+        }
+    }
+
+    fn on_datagram(&self, from: SocketAddr, datagram: &[u8]) {
+        let (mut machine, now) = (self.machine.borrow_mut(), self.start.elapsed());
+        match self.places.get(&from) {
+            // Why a datagram was dropped is counted there, and shown on the page.
+            Some(place) => drop(machine.datagram(now, *place, datagram)),
+            None => machine.unknown_sender(),
+        }
+    }
+
+    fn run_timers(&self) {
+        let (mut machine, now) = (self.machine.borrow_mut(), self.start.elapsed());
+        if machine.due().is_some_and(|due| due <= now) {
+            machine.timeout(now);
+        }
+    }
+
+    /// Sends what is to be sent, and logs what has changed.
+    fn perform_outputs(&self) {
+        loop {
+            let output = self.machine.borrow_mut().output();
+            match output {
+                None => return,
+                Some(Output::Send { to, datagram }) => {
+                    if let Some(address) = self.peers.get(usize::from(to.0)) {
+                        // A full buffer loses it, as the network may. The protocol makes up for it.
+                        let _ = self.socket.try_send_to(&datagram, *address);
+                    }
+                }
+                Some(Output::Changed(change)) => log_change(&change),
+                Some(Output::Outbid(other)) => log_superseded(&other),
+                Some(Output::Yielded(other)) => log_yielded(&other),
+            }
+        }
+    }
+}
+
+fn log_change(change: &Change) {
+    let Viewed {
+        id, standing, from, ..
+    } = change.now;
+    let from = from.map_or_else(|| "itself".to_owned(), |name| name.to_string());
+    tracing::info!(
+        version = change.version,
+        name = %id.name,
+        place = id.place.0,
+        incarnation = id.boot,
+        turn = id.turn,
+        standing = %format!("{standing:?}").to_lowercase(),
+        from = %from,
+        "member"
+    );
+}
+
+/// An earlier start of this balancer had a later incarnation, so that one above it is taken.
+fn log_superseded(other: &Identity) {
+    tracing::warn!(
+        incarnation = other.boot,
+        hint = "was the clock set back?",
+        "incarnation superseded"
+    );
+}
+
+/// A later process has this balancer's name, so that this one takes part no more.
+fn log_yielded(other: &Identity) {
+    tracing::error!(
+        name = %other.name,
+        place = other.place.0,
+        incarnation = other.boot,
+        hint = "give one of the two processes another name",
+        "yielded"
+    );
+}
--- /dev/null
+++ b/balancer/src/members/page.rs
@@ -0,0 +1,130 @@
+//! The page that shows this balancer's view of the members, in JSON.
+
+use super::Driver;
+use crate::task_group::TaskGroup;
+use bytes::Bytes;
+use frostkeel_membership::{Counters, MemberState, Phase, Viewed};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::header::{CONTENT_TYPE, HeaderValue};
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use serde::Serialize;
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Semaphore;
+use tokio::time::timeout;
+
+/// Where the page is.
+const PATH: &str = "/members";
+/// How many readers are served at once, and how long one may take.
+const MAX_READERS: usize = 4;
+const READER_TIMEOUT: Duration = Duration::from_secs(5);
+
+#[derive(Serialize)]
+struct Page<'a> {
+    fleet: &'a str,
+    name: &'a str,
+    phase: Phase,
+    /// 0: healthy.
+    slowness: u32,
+    version: u64,
+    /// Equal for equal views of who is present.
+    digest: String,
+    #[serde(rename = "there")]
+    present_count: usize,
+    members: Vec<Row<'a>>,
+    counters: Counters,
+}
+
+#[derive(Serialize)]
+struct Row<'a> {
+    name: &'a str,
+    place: u16,
+    incarnation: u64,
+    turn: u16,
+    standing: MemberState,
+    since_s: f64,
+    from: Option<&'a str>,
+}
+
+/// Serves the page to whoever asks.
+pub(super) async fn serve(driver: Rc<Driver>, listener: TcpListener) {
+    let permits = Arc::new(Semaphore::new(MAX_READERS));
+    let readers = TaskGroup::default();
+    loop {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
+            return;
+        };
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
+        let driver = Rc::clone(&driver);
+        readers.spawn(async move {
+            // A reader that disconnects or sends nothing fails alone.
+            let _ = timeout(READER_TIMEOUT, serve_reader(&driver, stream)).await;
+            drop(permit);
+        });
+    }
+}
+
+async fn serve_reader(driver: &Rc<Driver>, stream: TcpStream) -> hyper::Result<()> {
+    let service = service_fn(|request| {
+        let response = respond(driver, &request);
+        async { Ok::<_, Infallible>(response) }
+    });
+    let mut builder = hyper::server::conn::http1::Builder::new();
+    builder.timer(TokioTimer::new()).keep_alive(false);
+    builder
+        .serve_connection(TokioIo::new(stream), service)
+        .await
+}
+
+fn respond(driver: &Driver, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    if request.uri().path() != PATH {
+        let mut response = Response::new(Full::new(Bytes::from_static(b"the page is /members\n")));
+        *response.status_mut() = StatusCode::NOT_FOUND;
+        return response;
+    }
+    let mut response = Response::new(Full::new(page(driver).into()));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+}
+
+fn page(driver: &Driver) -> Vec<u8> {
+    let (machine, now) = (driver.machine.borrow(), driver.start.elapsed());
+    let own = machine.me();
+    let view = machine.view();
+    // Copied first: the rows borrow the names.
+    let members: Vec<Viewed> = view.members().copied().collect();
+    let page = Page {
+        fleet: &driver.fleet,
+        name: own.name.as_str(),
+        phase: machine.phase(),
+        slowness: machine.health(),
+        version: view.version(),
+        digest: format!("{:016x}", view.digest()),
+        present_count: view.there(),
+        members: members.iter().map(|viewed| row(viewed, now)).collect(),
+        counters: machine.counters(),
+    };
+    serde_json::to_vec(&page).unwrap_or_default()
+}
+
+fn row(viewed: &Viewed, now: Duration) -> Row<'_> {
+    Row {
+        name: viewed.id.name.as_str(),
+        place: viewed.id.place.0,
+        incarnation: viewed.id.boot,
+        turn: viewed.id.turn,
+        standing: viewed.standing,
+        since_s: now.saturating_sub(viewed.since).as_secs_f64(),
+        from: viewed.from.as_ref().map(|name| name.as_str()),
+    }
+}
--- /dev/null
+++ b/balancer/src/reload.rs
@@ -0,0 +1,44 @@
+//! The reload of the configuration at SIGHUP.
+
+use crate::config::Config;
+use crate::event_loop::EventLoop;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::signal::unix::Signal;
+use tokio::time::sleep;
+
+/// How often, and how many times, a configuration file is read that is not complete after SIGHUP.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+const MAX_READS: u32 = 240;
+
+/// Reloads at each signal; never returns.
+pub(crate) async fn reload_on(hangup: &mut Signal, event_loop: &Rc<EventLoop>) {
+    while hangup.recv().await.is_some() {
+        let mut running = pin!(reload(event_loop));
+        // A further signal begins anew: the file may have been replaced since it was read.
+        while tokio::select! { () = &mut running => false, again = hangup.recv() => again.is_some() }
+        {
+            running.set(reload(event_loop));
+        }
+    }
+    std::future::pending().await
+}
+
+/// Applies the address of discovery in the configuration file; the rest of a configuration holds until the process
+/// ends. A file that cannot be read, or is half written, is read again for a while.
+async fn reload(event_loop: &Rc<EventLoop>) {
+    for read in 0..MAX_READS {
+        match Config::from_env() {
+            Ok(config) => {
+                tracing::info!(discovery = %config.discovery, "configuration reloaded");
+                event_loop.set_discovery_address(config.discovery);
+                return;
+            }
+            Err(error) if read == 0 => tracing::warn!(%error, "configuration unreadable, retrying"),
+            Err(_) => (),
+        }
+        sleep(RETRY_INTERVAL).await;
+    }
+    tracing::error!(reads = MAX_READS, "configuration not reloaded");
+}
--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -11,18 +11,19 @@
 fn the_descriptors_are_shared_out_within_the_limit() {
     let config = Config::parse(GOOD).unwrap();
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
-    let out = config.upstream_connections() + config.client_connections() + RESERVED_SOCKETS;
+    let out =
+        config.max_upstream_connections() + config.max_client_connections() + RESERVED_SOCKETS;
     assert_eq!(out, 1024);
-    assert!(config.known.contains("targets"));
+    assert!(config.cached_list.contains("targets"));
 }
 
 #[test]
 fn members_are_off_unless_named_and_refused_where_they_cannot_be_meant() {
-    assert!(Config::parse(GOOD).unwrap().members.is_none());
+    assert!(Config::parse(GOOD).unwrap().membership.is_none());
     let told = r#""peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:5", "127.0.0.1:6"],
         "membership": {"fleet": "f", "page": "127.0.0.1:0"}, "settings": {"me": 1,"#;
     let told = GOOD.replace(r#""settings": {"#, told);
-    let members = Config::parse(&told).unwrap().members.expect("named");
+    let members = Config::parse(&told).unwrap().membership.expect("named");
     assert_eq!(
         (members.place, members.peers.len(), members.name.as_str()),
         (Place(1), 2, "n0")
