--- a/balancer/src/error_origin.rs
+++ b/balancer/src/error_origin.rs
@@ -40,7 +40,10 @@
 impl ErrorOrigin {
     /// The origin of an error of `connect`, `read` or `write`.
     pub fn of(error: &io::Error) -> Self {
-        use errno::*;
+        use errno::{
+            EACCES, EADDRINUSE, EADDRNOTAVAIL, EAGAIN, EINTR, EMFILE, ENETDOWN, ENETUNREACH,
+            ENFILE, ENOBUFS, ENOMEM, EPERM,
+        };
         match error.raw_os_error() {
             Some(EMFILE | ENFILE | ENOMEM | ENOBUFS | EAGAIN | EPERM | EACCES) => Self::Local,
             Some(EADDRNOTAVAIL | EADDRINUSE | ENETDOWN | ENETUNREACH) => Self::Local,
@@ -52,7 +55,10 @@
     /// The origin of an error of `accept`, which also returns errors of the connection that it would have accepted:
     /// those concern that connection alone, and the next one may be waiting.
     pub fn of_accept(error: &io::Error) -> Self {
-        use errno::*;
+        use errno::{
+            ECONNABORTED, EHOSTDOWN, EHOSTUNREACH, EINTR, ENETDOWN, ENETUNREACH, ENONET,
+            ENOPROTOOPT, EOPNOTSUPP, EPROTO,
+        };
         match error.raw_os_error() {
             Some(EINTR | ECONNABORTED | EPROTO | ENOPROTOOPT | EOPNOTSUPP) => Self::Transient,
             Some(ENETDOWN | ENETUNREACH | ENONET | EHOSTDOWN | EHOSTUNREACH) => Self::Transient,
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,5 +1,9 @@
-//! `frostkeel-balancer`: a load balancer on real sockets. Every decision is the `frostkeel-policy` library's; this crate does the
-//! input and output round it, on one thread.
+//! The balancer: a load balancer on real sockets, on one thread. Every decision is made by `frostkeel-policy`; this
+//! crate does the input and output round it.
+//!
+//! A client's request is accepted by [`client`], submitted to the [`event_loop`], forwarded by [`upstream`] and answered
+//! by [`client`]. [`discovery`] watches the endpoint list, and [`members`] takes part in the fleet's membership where
+//! that is configured. [`process`] starts all of it and ends it.
 
 pub mod client;
 pub mod clock;
