--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform gives a balancer at its start: the JSON file that `NODE_CONFIG` names.
 
-use frostkeel_membership::{Name, NameError, Place};
-use frostkeel_settings::Site;
+use frostkeel_membership::{Name, NameError, PeerIndex};
+use frostkeel_settings::{SettingsParseError, Site};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::io;
@@ -54,7 +54,7 @@
     /// This balancer's name.
     pub name: Name,
     /// Its position among the peers.
-    pub place: Place,
+    pub peer: PeerIndex,
     /// Where it receives datagrams.
     pub listen: SocketAddr,
     /// By position, where the others are reached, and where what they send comes from.
@@ -96,8 +96,8 @@
     #[error("seed: {0}")]
     Seed(#[source] ParseIntError),
     /// The settings of the site are invalid.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsParseError),
     /// Too few descriptors to serve with.
     #[error("limits.sockets: {0} are too few")]
     TooFewSockets(usize),
@@ -206,8 +206,7 @@
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: RawConfig<'_> = serde_json::from_str(text)?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(ConfigError::Seed)?;
-        let mut site =
-            frostkeel_settings::parse(raw.settings.get()).map_err(ConfigError::Settings)?;
+        let mut site = frostkeel_settings::parse(raw.settings.get())?;
         // Where lists are pushed, an agent beside this balancer has them, and on sockets they come over its watch.
         site.settings.has_local_agent = !site.settings.polls_endpoints;
         site.settings.polls_endpoints = true;
@@ -262,7 +261,7 @@
         Ok(Some(MembershipConfig {
             fleet: raw.fleet.clone(),
             name: Name::new(&self.name)?,
-            place: Place(position),
+            peer: PeerIndex(position),
             listen,
             peers: self.peers.clone(),
             page: raw.page,
--- a/balancer/src/event_loop/actions.rs
+++ b/balancer/src/event_loop/actions.rs
@@ -41,7 +41,7 @@
             Action::WatchEndpoints => self.start_watch(),
             Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
             Action::HealthCheck { upstream } => self.start_health_check(upstream),
-            Action::Log { line } => tracing::info!("{line}"),
+            Action::Log(event) => tracing::info!("{event}"),
         }
     }
 
--- a/balancer/src/members/mod.rs
+++ b/balancer/src/members/mod.rs
@@ -8,7 +8,7 @@
 use crate::config::MembershipConfig;
 use crate::task_group::TaskGroup;
 use frostkeel_membership::{
-    Change, Config, ConfigError, Identity, Membership, Output, Place, Viewed,
+    Config, ConfigError, Identity, MemberRecord, Membership, Output, PeerIndex, ViewChange,
 };
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
@@ -63,7 +63,7 @@
     machine: RefCell<Membership>,
     socket: UdpSocket,
     peers: Vec<SocketAddr>,
-    places: FxHashMap<SocketAddr, Place>,
+    peer_by_address: FxHashMap<SocketAddr, PeerIndex>,
     fleet: String,
     start: Instant,
     /// Notified when the machine may be due sooner than it was.
@@ -90,12 +90,12 @@
         tracing::info!(peers = %socket.local_addr()?, page = %page_address, "joining");
         let others = (0u16..)
             .zip(&config.peers)
-            .filter(|(place, _)| *place != config.place.0);
+            .filter(|(peer, _)| *peer != config.peer.0);
         let driver = Rc::new(Driver {
             machine: RefCell::new(machine),
             socket,
-            places: others
-                .map(|(place, address)| (*address, Place(place)))
+            peer_by_address: others
+                .map(|(peer, address)| (*address, PeerIndex(peer)))
                 .collect(),
             peers: config.peers.clone(),
             fleet: config.fleet.clone(),
@@ -123,17 +123,17 @@
 }
 
 fn machine_config(config: &MembershipConfig, seed: u64) -> Config {
-    let boot = SystemTime::now()
+    let incarnation = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
     Config {
         fleet: config.fleet.clone(),
         name: config.name,
-        place: config.place,
-        places: config.peers.len() as u16,
-        boot,
-        members_most: config.max_members,
+        peer: config.peer,
+        peer_count: config.peers.len() as u16,
+        incarnation,
+        max_members: config.max_members,
         forget_after: config.forget_after,
         seed,
     }
@@ -143,7 +143,7 @@
     async fn run(self: Rc<Self>) {
         self.perform_outputs();
         loop {
-            let due = self.machine.borrow().due();
+            let due = self.machine.borrow().next_timeout();
             let Some(due) = due else {
                 // It takes part no more, and only reads what would pile up.
                 if self.socket.readable().await.is_ok() {
@@ -181,24 +181,26 @@
 
     fn on_datagram(&self, from: SocketAddr, datagram: &[u8]) {
         let (mut machine, now) = (self.machine.borrow_mut(), self.start.elapsed());
-        match self.places.get(&from) {
+        match self.peer_by_address.get(&from) {
             // Why a datagram was dropped is counted there, and shown on the page.
-            Some(place) => drop(machine.datagram(now, *place, datagram)),
-            None => machine.unknown_sender(),
+            Some(peer) => {
+                let _ = machine.handle_datagram(now, *peer, datagram);
+            }
+            None => machine.record_unknown_sender(),
         }
     }
 
     fn run_timers(&self) {
         let (mut machine, now) = (self.machine.borrow_mut(), self.start.elapsed());
-        if machine.due().is_some_and(|due| due <= now) {
-            machine.timeout(now);
+        if machine.next_timeout().is_some_and(|due| due <= now) {
+            machine.handle_timeout(now);
         }
     }
 
     /// Sends what is to be sent, and logs what has changed.
     fn perform_outputs(&self) {
         loop {
-            let output = self.machine.borrow_mut().output();
+            let output = self.machine.borrow_mut().poll_output();
             match output {
                 None => return,
                 Some(Output::Send { to, datagram }) => {
@@ -207,26 +209,29 @@
                         let _ = self.socket.try_send_to(&datagram, *address);
                     }
                 }
-                Some(Output::Changed(change)) => log_change(&change),
-                Some(Output::Outbid(other)) => log_superseded(&other),
+                Some(Output::ViewChanged(change)) => log_change(&change),
+                Some(Output::Superseded(other)) => log_superseded(&other),
                 Some(Output::Yielded(other)) => log_yielded(&other),
             }
         }
     }
 }
 
-fn log_change(change: &Change) {
-    let Viewed {
-        id, standing, from, ..
-    } = change.now;
-    let from = from.map_or_else(|| "itself".to_owned(), |name| name.to_string());
+fn log_change(change: &ViewChange) {
+    let MemberRecord {
+        id,
+        state,
+        reported_by,
+        ..
+    } = change.member;
+    let from = reported_by.map_or_else(|| "itself".to_owned(), |name| name.to_string());
     tracing::info!(
         version = change.version,
         name = %id.name,
-        place = id.place.0,
-        incarnation = id.boot,
-        turn = id.turn,
-        standing = %format!("{standing:?}").to_lowercase(),
+        place = id.peer.0,
+        incarnation = id.incarnation,
+        turn = id.rejoin_count,
+        standing = %state.as_str(),
         from = %from,
         "member"
     );
@@ -235,7 +240,7 @@
 /// An earlier start of this balancer had a later incarnation, so that one above it is taken.
 fn log_superseded(other: &Identity) {
     tracing::warn!(
-        incarnation = other.boot,
+        incarnation = other.incarnation,
         hint = "was the clock set back?",
         "incarnation superseded"
     );
@@ -245,8 +250,8 @@
 fn log_yielded(other: &Identity) {
     tracing::error!(
         name = %other.name,
-        place = other.place.0,
-        incarnation = other.boot,
+        place = other.peer.0,
+        incarnation = other.incarnation,
         hint = "give one of the two processes another name",
         "yielded"
     );
--- a/balancer/src/members/page.rs
+++ b/balancer/src/members/page.rs
@@ -3,7 +3,7 @@
 use super::Driver;
 use crate::task_group::TaskGroup;
 use bytes::Bytes;
-use frostkeel_membership::{Counters, MemberState, Phase, Viewed};
+use frostkeel_membership::{Counters, MemberRecord, MemberState, Phase};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -31,7 +31,8 @@
     name: &'a str,
     phase: Phase,
     /// 0: healthy.
-    slowness: u32,
+    #[serde(rename = "slowness")]
+    health_score: u32,
     version: u64,
     /// Equal for equal views of who is present.
     digest: String,
@@ -44,12 +45,16 @@
 #[derive(Serialize)]
 struct Row<'a> {
     name: &'a str,
-    place: u16,
+    #[serde(rename = "place")]
+    peer: u16,
     incarnation: u64,
-    turn: u16,
-    standing: MemberState,
+    #[serde(rename = "turn")]
+    rejoin_count: u16,
+    #[serde(rename = "standing")]
+    state: MemberState,
     since_s: f64,
-    from: Option<&'a str>,
+    #[serde(rename = "from")]
+    reported_by: Option<&'a str>,
 }
 
 /// Serves the page to whoever asks.
@@ -99,32 +104,32 @@
 
 fn page(driver: &Driver) -> Vec<u8> {
     let (machine, now) = (driver.machine.borrow(), driver.start.elapsed());
-    let own = machine.me();
+    let own = machine.identity();
     let view = machine.view();
     // Copied first: the rows borrow the names.
-    let members: Vec<Viewed> = view.members().copied().collect();
+    let members: Vec<MemberRecord> = view.members().copied().collect();
     let page = Page {
         fleet: &driver.fleet,
         name: own.name.as_str(),
         phase: machine.phase(),
-        slowness: machine.health(),
+        health_score: machine.health_score(),
         version: view.version(),
         digest: format!("{:016x}", view.digest()),
-        present_count: view.there(),
-        members: members.iter().map(|viewed| row(viewed, now)).collect(),
+        present_count: view.live_count(),
+        members: members.iter().map(|member| row(member, now)).collect(),
         counters: machine.counters(),
     };
     serde_json::to_vec(&page).unwrap_or_default()
 }
 
-fn row(viewed: &Viewed, now: Duration) -> Row<'_> {
+fn row(member: &MemberRecord, now: Duration) -> Row<'_> {
     Row {
-        name: viewed.id.name.as_str(),
-        place: viewed.id.place.0,
-        incarnation: viewed.id.boot,
-        turn: viewed.id.turn,
-        standing: viewed.standing,
-        since_s: now.saturating_sub(viewed.since).as_secs_f64(),
-        from: viewed.from.as_ref().map(|name| name.as_str()),
+        name: member.id.name.as_str(),
+        peer: member.id.peer.0,
+        incarnation: member.id.incarnation,
+        rejoin_count: member.id.rejoin_count,
+        state: member.state,
+        since_s: now.saturating_sub(member.since).as_secs_f64(),
+        reported_by: member.reported_by.as_ref().map(|name| name.as_str()),
     }
 }
--- a/balancer/tests/request_counters.rs
+++ b/balancer/tests/request_counters.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[test]
-fn each_class_says_only_what_is_not_nil() {
+fn shows_only_nonzero_counters_of_each_class() {
     let site = frostkeel_settings::parse(
         r#"{"classes": [{"name": "look", "aim_ms": 100}, {"name": "pay", "aim_ms": 200}]}"#,
     );
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -1,125 +1,46 @@
 //! The list of upstreams: asking for it, taking it in, and the subset that takes turns.
 
+use super::endpoint_polling::PollFailure;
+use super::upstreams::{Health, Upstream};
 use super::{BUDGET, Balancer, EJECTED_MOST};
 use crate::interface::{Action, Availability, Endpoint, EndpointWeights, UpdateScope};
-use crate::state::{Health, Upstream};
-use crate::stats::Chance;
+use crate::random::Random;
 use std::collections::VecDeque;
 
 /// Subsets that each upstream is in at the least.
 const SUBSETS_EACH: usize = 4;
-/// Seconds of the list service left to each balancer's call: it serves one after another, and a call that has
-/// waited for too long fails and is made again.
-const CALL_EACH: f64 = 0.05;
-/// Seconds after which a change counts as told, however the calls for it went. Of these: what an answered
-/// call takes from its connection on, and what it takes to see that a watch has fallen silent.
-const TOLD_WITHIN: f64 = 6.0;
-const CALL_TAKES: f64 = 1.5;
-const SILENCE: f64 = 3.0;
-/// The longest wait after a call that was turned away at once, where few balancers call.
-const REFUSED_WAIT: f64 = 2.0;
-/// The shortest wait before a further call, and the longest over which many balancers spread theirs.
-const WAIT_LEAST: f64 = 0.25;
-const CROWD_MOST: f64 = 3.0;
-/// Seconds after which a call that nothing has answered is given up for another; the agent answers at once.
-const CALL_MOST: f64 = 4.0;
-const AGENT_CALL_MOST: f64 = 1.0;
-
 impl Balancer {
-    /// Seconds over which the calls of all balancers are spread, should all need their list at once.
-    pub(super) fn calls_over(&self) -> f64 {
-        let all = if self.set.has_local_agent {
-            0.0
-        } else {
-            CALL_EACH * f64::from(self.set.balancers)
-        };
-        all.min(0.5 * self.set.poll_interval.as_secs_f64())
-    }
-
-    /// Asks for the list where that is due.
-    pub(super) fn ask_for_list(&mut self) {
-        let called = self.watching || self.list_coming;
-        if !self.set.polls_endpoints || called || self.at < self.ask_at {
-            return;
-        }
-        // An unanswered call is asked again well before silence counts as having been told.
-        let again = self.set.poll_interval.as_secs_f64() * (0.4 + 0.2 * self.rng.f64());
-        let again = if self.set.has_local_agent {
-            AGENT_CALL_MOST
-        } else {
-            again.max(CALL_MOST)
-        };
-        (self.asked_at, self.ask_at) = (self.at, self.at + again);
-        self.out.push(Action::WatchEndpoints);
-    }
-
-    /// A call failed, or the watch ended: doubling, jittered waits, as a list service that was down must not
-    /// meet all at once; but none so long that a change made meanwhile is known later than it counts as told.
-    fn list_failed(&mut self) {
-        let longest = self.set.poll_interval.as_secs_f64() * 0.8;
-        let doubling = (longest / 16.0) * f64::from(1u32 << self.ask_failures.min(4));
-        let spent = if self.watching {
-            SILENCE
-        } else {
-            self.at - self.asked_at
-        };
-        let crowd = self.calls_over().min(CROWD_MOST);
-        // The largest fleets keep their spread: a service that all ask at once is in reach of few of them.
-        let least = if crowd < CROWD_MOST {
-            WAIT_LEAST
-        } else {
-            CROWD_MOST
-        };
-        let left = (TOLD_WITHIN - CALL_TAKES - spent).max(least);
-        let wait = if self.set.has_local_agent {
-            WAIT_LEAST
-        } else {
-            doubling.max(crowd).min(left)
-        };
-        // An answer broke off: nothing may be sent by the list in hand soon, and this befell nobody else.
-        let soon = WAIT_LEAST * f64::from(1u32 << self.ask_failures.min(4));
-        let wait = if self.list_is_partial() {
-            wait.min(soon)
-        } else {
-            wait
-        };
-        // Turning calls away costs a crowded service time as well: none is repeated soon, and none late.
-        let wait = if self.list_calls_are_refused() {
-            wait.min(crowd.max(REFUSED_WAIT))
-        } else {
-            wait
-        };
-        self.ask_failures += 1;
-        self.watching = false;
-        self.ask_at = self.at + wait * (0.1 + 0.9 * self.rng.f64());
-    }
-
     pub(super) fn fleet(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
-        self.list_coming = false;
+        self.polling.on_response_end();
         if scope == UpdateScope::Failed {
-            self.list_failed();
+            let failure = PollFailure {
+                was_partial: self.lease.has_partial_response(),
+                was_rejected: self.lease.polls_are_rejected(),
+            };
+            self.polling.on_failure(&failure, self.at, &mut self.rng);
             return;
         }
         if scope != UpdateScope::Cached {
-            (self.watching, self.ask_failures) = (true, 0);
+            self.polling.on_update();
         }
         self.renew_lease();
         let mut changed = scope != UpdateScope::Delta;
         if changed {
             // What a full list no longer names is gone.
-            self.ring
+            self.upstreams
                 .iter_mut()
                 .for_each(|u| (u.ready, u.draining) = (false, false));
         }
-        let (first, mut grown) = (self.ring.is_empty(), false);
+        let (first, mut grown) = (self.upstreams.is_empty(), false);
         for l in endpoints {
             let started = l.started.map(|s| s.as_secs_f64());
-            let j = *self.index.entry(l.id).or_insert_with(|| {
+            let j = self.upstreams.slot(l.id).unwrap_or_else(|| {
                 // A newcomer to a list already known has just started, whatever the list says.
                 let started = started.or((!first).then_some(self.at));
                 let credit = self.rng.f64();
-                let health = vec![Health::default(); self.classes.len()];
-                self.ring.push(Upstream {
+                let health = vec![Health::default(); self.set.classes.len()];
+                grown = true;
+                self.upstreams.push(Upstream {
                     health,
                     id: l.id,
                     started,
@@ -129,11 +50,9 @@
                     heard: f64::NEG_INFINITY,
                     fresh: !first,
                     ..Upstream::default()
-                });
-                grown = true;
-                self.ring.len() - 1
+                })
             });
-            let u = &mut self.ring[j];
+            let u = &mut self.upstreams[j];
             (u.zone, u.cell) = (l.zone, l.cell);
             changed |= u.ready != (l.availability == Availability::Ready);
             u.ready = l.availability == Availability::Ready;
@@ -165,15 +84,9 @@
             }
         }
         let gone = |u: &Upstream| !u.ready && !u.draining && u.in_flight == 0;
-        if grown || self.ring.iter().filter(|u| gone(u)).count() > self.ring.len() / 4 {
+        if grown || self.upstreams.iter().filter(|u| gone(u)).count() > self.upstreams.len() / 4 {
             // The gone leave: else churn of the fleet would grow state as long as a balancer lives.
-            self.ring.retain(|u| !gone(u));
-            self.index = self
-                .ring
-                .iter()
-                .enumerate()
-                .map(|(j, u)| (u.id, j))
-                .collect();
+            self.upstreams.retain(|u| !gone(u));
             changed = true;
         }
         if changed {
@@ -189,8 +102,8 @@
     /// other. Guards against upstreams that run out of connections and against judging by stale news; who is
     /// ejected is replaced by the next in the order. Harm: fewer to choose from.
     pub(super) fn choose_subset(&mut self) {
-        let mut order: Vec<usize> = (0..self.ring.len())
-            .filter(|j| self.ring[*j].ready)
+        let mut order: Vec<usize> = (0..self.upstreams.len())
+            .filter(|j| self.upstreams[*j].ready)
             .collect();
         // Few balancers take more each: every upstream is in several subsets, and one alone takes all.
         let n = order.len();
@@ -208,29 +121,29 @@
         // When more seem ill, the fault is not theirs.
         let out = order
             .iter()
-            .filter(|j| self.ring[**j].ejected_until > self.at)
+            .filter(|j| self.upstreams[**j].ejected_until > self.at)
             .count() as f64;
         let now = if out <= EJECTED_MOST * n as f64 {
             self.at
         } else {
             f64::INFINITY
         };
-        self.ring.iter_mut().for_each(|u| u.member &= u.ready);
+        self.upstreams.iter_mut().for_each(|u| u.member &= u.ready);
         // Who comes back from ejection is looked at again then.
         let until = self
-            .ring
+            .upstreams
             .iter()
             .map(|u| u.ejected_until)
             .filter(|t| *t > self.at);
         self.choose_at = until.fold(f64::INFINITY, f64::min);
         if !all {
             order.sort_by_cached_key(|j| {
-                Chance::with_seed(self.ring[*j].id.0 ^ (round as u64) << 48).u64(..)
+                Random::with_seed(self.upstreams[*j].id.0 ^ (round as u64) << 48).u64(..)
             });
             order.rotate_left(place % n.max(1));
         }
         for (rank, j) in order.iter().enumerate() {
-            let u = &mut self.ring[*j];
+            let u = &mut self.upstreams[*j];
             let usable = u.ejected_until <= now;
             // Once in it stays in, so that connections stay warm; newcomers have their place by the order.
             u.member = all || u.member || (usable && u.fresh && rank < least);
@@ -242,13 +155,13 @@
         // at once, and these are the next to fall.
         let least = least.max(ill + least.div_ceil(2));
         for j in &order {
-            let u = &mut self.ring[*j];
+            let u = &mut self.upstreams[*j];
             if members < least && !u.member && u.ejected_until <= now {
                 (u.member, members) = (true, members + 1);
             }
         }
         for j in order.iter().rev() {
-            let u = &mut self.ring[*j];
+            let u = &mut self.upstreams[*j];
             if members > least && u.member && !all {
                 (u.member, members) = (false, members - 1);
                 self.out
@@ -257,7 +170,7 @@
         }
         let before = self.turns.len();
         self.turns = order;
-        self.turns.retain(|j| self.ring[*j].member);
+        self.turns.retain(|j| self.upstreams[*j].member);
         // More to choose from is no more for this balancer: others send there as well.
         let grown = self.turns.len() as f64 / before.max(1) as f64;
         if !all && before > 0 && grown > 1.0 {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -8,24 +8,32 @@
 
 mod admission;
 mod attempts;
+mod class_statistics;
 mod doubt;
-mod lease;
+mod endpoint_lease;
+mod endpoint_polling;
+mod idle_connections;
 mod list;
 mod turns;
+mod upstreams;
 
 use crate::interface::{
-    Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, Settings, SettingsError,
-    StatusSnapshot, TimerId, UpstreamId,
+    Action, EndpointWeights, Event, LoadField, LoadReports, RequestId, SendPause, Settings,
+    SettingsError, StatusSnapshot, TimerId, WatchEvent,
 };
-use crate::state::{Bucket, Learned, Request, Upstream};
-use crate::stats::Chance;
-pub use lease::SendPause;
+use crate::random::Random;
+use crate::state::{Bucket, ClassTrials, Request};
+use class_statistics::ClassStatistics;
+use endpoint_lease::EndpointLease;
+use endpoint_polling::EndpointPolling;
+use idle_connections::IdleConnections;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
+use upstreams::{Upstream, Upstreams};
 
 /// Seconds between refills: short against any aim, long against one look over the fleet.
-const TICK: f64 = 0.025;
+const TICK_S: f64 = 0.025;
 /// Seconds over which C is counted under strain, and a rate once reached is forgotten otherwise.
 const RATE_OVER: f64 = 2.0;
 const RATE_KEPT: f64 = 30.0;
@@ -41,8 +49,6 @@
 const BUCKET_LEAST: f64 = 3.0;
 /// What an overdue attempt counts for, in held requests: its upstream is stuck or silent.
 const OVERDUE_HELD: f64 = 4.0;
-/// An attempt is overdue at this share of the aim at the latest, so that another still has time.
-const OVERDUE_BY: f64 = 0.6;
 /// Further attempts earned by each request admitted, and how many of them can be saved up.
 const RETRY_SHARE: f64 = 0.1;
 const RETRY_SAVED: f64 = 10.0;
@@ -82,9 +88,8 @@
     now: Duration, // of the event in hand
     at: f64,       // the same in seconds
     out: Vec<Action>,
-    rng: Chance,
-    ring: Vec<Upstream>, // all that are endpoints
-    index: FxHashMap<UpstreamId, usize>,
+    rng: Random,
+    upstreams: Upstreams,
     turns: Vec<usize>,      // the subset, in this balancer's own order
     subset_least: usize,    // of an equal part of the traffic
     subset: usize,          // of what this balancer really gets
@@ -93,14 +98,13 @@
     sigma: usize,           // the counter of the round robin
     ahead: VecDeque<usize>, // the turns after it
     requests: FxHashMap<RequestId, Request>,
-    silent: [f64; 2], // share of attempts never answered, on connections in use and on idle ones
-    reap: f64,        // idle time after which a connection may be dead
-    reap_until: f64,
+    idle_connections: IdleConnections,
     due: BTreeSet<(Duration, RequestId, u8)>, // when attempts out become overdue
     buckets: Vec<Bucket>,
-    classes: Vec<Learned>,
-    rate: f64,      // C for each unit of turn weight
-    done: f64,      // completions of the running tick
+    classes: ClassStatistics,
+    trials: Vec<ClassTrials>, // by class
+    rate: f64,                // C for each unit of turn weight
+    done: f64,                // completions of the running tick
     wanted: f64, // first tries of the running tick, or what was admitted where they can't be told
     flow: f64,   // the same a second, smoothed
     weights: f64, // turn weight of all in turn, smoothed
@@ -117,12 +121,8 @@
     retries: f64,
     ticking: bool,
     last_tick: f64,
-    watching: bool,
-    ask_at: f64,
-    asked_at: f64,
-    ask_failures: u32,
-    list_coming: bool, // part of an answer is here, and its end may follow
-    lease: lease::ListLease,
+    polling: EndpointPolling,
+    lease: EndpointLease,
 }
 
 impl Balancer {
@@ -151,15 +151,6 @@
                 guarantee,
             }
         });
-        let classes = set.classes.iter().map(|c| {
-            let latency_objective = c.latency_objective.as_secs_f64();
-            Learned {
-                latency: latency_objective * 0.3,
-                usual: latency_objective * OVERDUE_BY,
-                share: 1.0,
-                ..Learned::default()
-            }
-        });
         let each = stated.max(1.0) / f64::from(set.balancers);
         let subset = (SUBSET_EACH * each).clamp(SUBSET_LEAST, 1e6) as usize;
         // Where reports will tell how busy the cores are: as busy as they may be, until then.
@@ -172,9 +163,10 @@
             saved: 1.0,
             subset,
             subset_least: subset,
-            rng: Chance::with_seed(seed),
+            rng: Random::with_seed(seed),
             buckets: buckets.collect(),
-            classes: classes.collect(),
+            trials: vec![ClassTrials::default(); set.classes.len()],
+            classes: ClassStatistics::new(&set),
             // Where the list says nothing of their sizes the small ones would be full first.
             rate_now: if telling && set.endpoint_weights == EndpointWeights::Off {
                 busy * each
@@ -182,6 +174,8 @@
                 each
             },
             flow: each,
+            polling: EndpointPolling::new(&set),
+            lease: EndpointLease::new(set.drain_grace, set.has_local_agent),
             set,
             retries: RETRY_SAVED,
             ..Self::default()
@@ -190,12 +184,12 @@
 
     /// Entries of state held: upstreams, requests, attempts to look after. Bounded: see the tests.
     pub fn entries(&self) -> usize {
-        self.ring.len() + self.index.len() + self.requests.len() + self.due.len()
+        self.upstreams.entry_count() + self.requests.len() + self.due.len()
     }
 
     /// The upstreams in turn.
     fn in_turn(&self) -> impl Iterator<Item = &Upstream> {
-        self.turns.iter().map(|j| &self.ring[*j])
+        self.turns.iter().map(|j| &self.upstreams[*j])
     }
 
     /// The present state that decisions are based on.
@@ -206,15 +200,21 @@
             spare_capacity: self.room,
             service_rate: self.rate * self.in_turn().map(|u| u.weight).sum::<f64>(),
             utilization: self.busy,
-            mean_latency_s: self.latency(),
+            mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.buckets.iter().map(|b| b.demand).sum(),
-            in_flight: self.ring.iter().map(|u| u.in_flight).sum(),
+            in_flight: self.upstreams.iter().map(|u| u.in_flight).sum(),
             rotation_size: self.turns.len(),
             warming_up,
             ejected,
         }
     }
 
+    /// When no new attempt may be sent, unless the endpoint list is confirmed before; `None`: it is
+    /// confirmed. An embedder looks here again just before it writes an attempt.
+    pub fn send_pause(&self) -> Option<SendPause> {
+        self.lease.send_pause()
+    }
+
     /// Takes in one event and adds what is to be done about it.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.out, actions);
@@ -222,8 +222,8 @@
         (self.now, self.at) = (now, at);
         if !std::mem::replace(&mut self.ticking, true) {
             self.last_tick = at;
-            self.ask_at = at + self.calls_over() * self.rng.f64();
-            let after = Duration::from_secs_f64(TICK * self.rng.f64());
+            self.polling.start(at, &mut self.rng);
+            let after = Duration::from_secs_f64(TICK_S * self.rng.f64());
             self.out.push(Action::Timer {
                 after,
                 timer: TICK_TIMER,
@@ -231,7 +231,7 @@
         }
         match event {
             Event::EndpointsUpdated { scope, endpoints } => self.fleet(scope, endpoints),
-            Event::Watch(event) => self.list_event(event),
+            Event::Watch(event) => self.on_watch_event(event),
             Event::Request {
                 id,
                 class,
@@ -279,6 +279,20 @@
         std::mem::swap(&mut self.out, actions);
     }
 
+    /// Takes in what happened to the endpoint watch or a poll.
+    fn on_watch_event(&mut self, event: WatchEvent) {
+        self.lease.on_watch_event(event, self.at);
+        if matches!(event, WatchEvent::Partial { .. }) {
+            self.polling.on_partial_response();
+        }
+    }
+
+    /// Discovery has confirmed the endpoint list.
+    fn renew_lease(&mut self) {
+        let log_event = self.lease.renew(self.at);
+        self.out.extend(log_event.map(Action::Log));
+    }
+
     /// The tick: W and the grants, then the fleet's weights, overdue attempts and discovery.
     fn tick(&mut self) {
         let (at, tau) = (self.at, (self.at - self.last_tick).clamp(0.0, 1.0));
@@ -289,7 +303,7 @@
         self.flow += (tau / RATE_OVER).min(1.0) * (self.wanted / tau.max(1e-6) - self.flow);
         self.wanted = 0.0;
         let due = (SUBSET_EACH * self.flow).clamp(self.subset_least as f64, 1e6) as usize;
-        let more = due * 2 >= self.subset * 3 && self.turns.len() < self.ring.len();
+        let more = due * 2 >= self.subset * 3 && self.turns.len() < self.upstreams.len();
         if more || due * 3 <= self.subset {
             (self.subset, self.choose_at) = (due, at);
         }
@@ -299,20 +313,12 @@
         self.weigh(tau);
         self.grant(tau);
         self.look_for_overdue();
-        self.ask_for_list();
+        if self.polling.poll_if_due(at, &mut self.rng) {
+            self.out.push(Action::WatchEndpoints);
+        }
         self.out.push(Action::Timer {
-            after: Duration::from_secs_f64(TICK),
+            after: Duration::from_secs_f64(TICK_S),
             timer: TICK_TIMER,
         });
     }
-
-    /// Mean latency over the classes as they are admitted.
-    fn latency(&self) -> f64 {
-        let shares: f64 = self.classes.iter().map(|l| l.share).sum();
-        self.classes
-            .iter()
-            .map(|l| l.latency * l.share)
-            .sum::<f64>()
-            / shares.max(1e-9)
-    }
 }
