--- a/balancer/tests/races_upstream_connections.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -4,8 +4,7 @@
 
 use bytes::Bytes;
 use common::{LONG, Setup, look, next_request};
-use frostkeel_balancer::exchange::ForwardedRequest;
-use frostkeel_balancer::upstream::{AttemptResult, EndpointState, Upstreams};
+use frostkeel_balancer::upstream::{AttemptResult, EndpointState, ForwardedRequest, Upstreams};
 use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -42,7 +41,7 @@
     let upstreams = Rc::new(Upstreams::new(&settings, 8));
     let endpoint = Some(listener.local_addr().unwrap());
     let place = EndpointState {
-        endpoint,
+        address: endpoint,
         availability: Availability::Ready,
         boot_ms: 5,
     };
@@ -56,7 +55,7 @@
             ID,
             &outgoing(body),
             Instant::now() + within,
-            &Cell::new(false),
+            &Cell::default(),
         )
         .await
 }
@@ -127,7 +126,7 @@
             ended.outcome, outcome,
             "{answer:?}, closed by a reset: {closes:?}"
         );
-        assert_eq!(ended.served.is_some(), outcome == Outcome::Ok);
+        assert_eq!(ended.response.is_some(), outcome == Outcome::Ok);
     }
 }
 
@@ -185,7 +184,7 @@
     upstreams.apply_endpoint(
         ID,
         &EndpointState {
-            endpoint,
+            address: endpoint,
             availability: Availability::Ready,
             boot_ms: 0,
         },
@@ -240,7 +239,7 @@
     upstreams.apply_endpoint(
         ID,
         &EndpointState {
-            endpoint: Some(address),
+            address: Some(address),
             availability: Availability::Ready,
             boot_ms: 0,
         },
--- a/balancer/tests/upstream_attempts.rs
+++ b/balancer/tests/upstream_attempts.rs
@@ -1,8 +1,7 @@
 //! Attempts at upstreams on real sockets.
 
 use bytes::Bytes;
-use frostkeel_balancer::exchange::ForwardedRequest;
-use frostkeel_balancer::upstream::{AttemptResult, EndpointState, Upstreams};
+use frostkeel_balancer::upstream::{AttemptResult, EndpointState, ForwardedRequest, Upstreams};
 use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -38,7 +37,7 @@
     let upstreams = Rc::new(Upstreams::new(&settings, most_open));
     let endpoint = Some(listener.local_addr().unwrap());
     let place = EndpointState {
-        endpoint,
+        address: endpoint,
         availability: Availability::Ready,
         boot_ms: 0,
     };
@@ -64,7 +63,7 @@
     give_up: Instant,
 ) -> AttemptResult {
     upstreams
-        .attempt(id, outgoing, give_up, &Cell::new(false))
+        .attempt(id, outgoing, give_up, &Cell::default())
         .await
 }
 
@@ -155,7 +154,7 @@
             "{:?}",
             &answer[..answer.len().min(60)]
         );
-        assert!(ended.served.is_none());
+        assert!(ended.response.is_none());
     }
 }
 
