--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -3,7 +3,7 @@
 use crate::balancers::balancer_config::{Told, config};
 use crate::error::LabError;
 use crate::experiment::Experiment;
-use crate::history::{History, Process, What};
+use crate::history::{EventKind, History, ProcessState};
 use crate::links::peer_links::Peers;
 use crate::measurements::figures;
 use crate::processes::child::{self, field};
@@ -136,8 +136,11 @@
             .clone()
     }
 
-    fn became(&self, balancer: u32, became: Process) {
-        self.history.note(What::Balancer { balancer, became });
+    fn became(&self, balancer: u32, became: ProcessState) {
+        self.history.record(EventKind::BalancerState {
+            balancer,
+            state: became,
+        });
     }
 
     /// The most memory that any has taken, in KB, as far as was seen.
@@ -228,7 +231,7 @@
         *slot.ending.lock().unwrap_or_else(PoisonError::into_inner) = false;
         slot.life.send_replace(Life::On(pid));
         self.front.set(number, Some(address));
-        self.became(number, Process::Ready);
+        self.became(number, ProcessState::Ready);
         tokio::spawn(Arc::clone(self).watch(number, child, pid));
         Ok(())
     }
@@ -239,9 +242,10 @@
             return;
         };
         if said.starts_with("yielded") {
-            self.history.note(What::Yielded { by: number });
+            self.history
+                .record(EventKind::NameYielded { balancer: number });
         } else if let Some(saw) = saw(number, said) {
-            self.history.note(saw);
+            self.history.record(saw);
         } else if let Some(address) = field(said, "peers").and_then(|a| a.parse().ok()) {
             if let Some(peers) = &self.peers {
                 peers.at(number, address);
@@ -270,7 +274,7 @@
                     let mut most = self.most_memory_kb.lock().unwrap_or_else(PoisonError::into_inner);
                     *most = took.max(*most);
                     if took > most_kb && !std::mem::replace(&mut over, true) {
-                        self.became(number, Process::OverMemory);
+                        self.became(number, ProcessState::MemoryLimitExceeded);
                     }
                 }
             }
@@ -282,9 +286,9 @@
         self.became(
             number,
             if meant {
-                Process::Ended
+                ProcessState::Exited
             } else {
-                Process::Crashed
+                ProcessState::Crashed
             },
         );
         slot.life.send_replace(Life::Off);
@@ -333,7 +337,7 @@
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner) = name;
         }
-        self.became(number, Process::Killed);
+        self.became(number, ProcessState::Killed);
         if !self.signal(number, Signal::KILL) {
             return;
         }
@@ -354,7 +358,7 @@
     /// SIGTERM, and SIGKILL where it takes too long; whether it has ended.
     pub async fn leave(self: &Arc<Self>, number: u32) -> bool {
         self.ending(number);
-        self.became(number, Process::Asked);
+        self.became(number, ProcessState::ShutdownRequested);
         // A held process would only leave once it is let go on.
         if !self.signal(number, Signal::TERM) || !self.signal(number, Signal::CONT) {
             return true;
@@ -369,11 +373,11 @@
         if self.ended(number, KILL_AFTER_TERM).await {
             return true;
         }
-        self.became(number, Process::Killed);
+        self.became(number, ProcessState::Killed);
         self.signal(number, Signal::KILL);
         let gone = self.ended(number, GONE).await;
         if !gone {
-            self.became(number, Process::Outlived);
+            self.became(number, ProcessState::SurvivedKill);
         }
         gone
     }
@@ -383,11 +387,11 @@
         if self.signal(number, Signal::STOP) {
             let held = &self.slots[number as usize].held;
             held.store(true, Ordering::Relaxed);
-            self.became(number, Process::Held);
+            self.became(number, ProcessState::Paused);
             sleep(lasts).await;
             self.signal(number, Signal::CONT);
             held.store(false, Ordering::Relaxed);
-            self.became(number, Process::Released);
+            self.became(number, ProcessState::Resumed);
         }
     }
 
@@ -396,13 +400,13 @@
             && let Err(e) = self.start(number).await
         {
             tracing::warn!("b{number} is not back: {e}");
-            self.became(number, Process::Crashed);
+            self.became(number, ProcessState::Crashed);
         }
     }
 }
 
 /// A line that tells of a change of a balancer's view.
-fn saw(by: u32, said: &str) -> Option<What> {
+fn saw(by: u32, said: &str) -> Option<EventKind> {
     let number = |name| field(said, name).and_then(|n| n.parse::<u64>().ok());
     let standing = match field(said, "standing")? {
         "present" => MemberState::Present,
@@ -413,11 +417,11 @@
     };
     let name = Name::new(field(said, "name")?).ok()?;
     let incarnation = number("incarnation")? + number("turn")?;
-    Some(What::Saw {
-        by,
+    Some(EventKind::ViewChanged {
+        observer: by,
         name,
         incarnation,
-        standing,
+        state: standing,
         version: number("version")?,
     })
 }
--- a/lab/src/checks/balancer_rules.rs
+++ b/lab/src/checks/balancer_rules.rs
@@ -4,7 +4,9 @@
 //! rule is.
 
 use crate::experiment::{Effect, Experiment};
-use crate::history::{Event, Listed, Lost, Process, Reply, TryId, What};
+use crate::history::{
+    AttemptFailure, ClientAttemptId, EndpointState, Event, EventKind, ProcessState, UpstreamReply,
+};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
@@ -57,9 +59,9 @@
 struct Try {
     asked: Option<(u64, u32, u16)>,
     answers: Vec<(u64, u16)>,
-    lost: Option<(u64, Lost)>,
+    lost: Option<(u64, AttemptFailure)>,
     arrivals: Vec<(u64, u32)>,
-    replies: Vec<(u32, Reply)>,
+    replies: Vec<(u32, UpstreamReply)>,
 }
 
 /// Every rule that this history breaks, in the order of time.
@@ -76,11 +78,15 @@
     found
 }
 
-fn gather(events: &[Event]) -> BTreeMap<TryId, Try> {
-    let mut tries: BTreeMap<TryId, Try> = BTreeMap::new();
-    for Event { at, what } in events {
+fn gather(events: &[Event]) -> BTreeMap<ClientAttemptId, Try> {
+    let mut tries: BTreeMap<ClientAttemptId, Try> = BTreeMap::new();
+    for Event {
+        at_us: at,
+        kind: what,
+    } in events
+    {
         match what {
-            What::Asked {
+            EventKind::AttemptSent {
                 id,
                 balancer,
                 class,
@@ -88,16 +94,18 @@
             } => {
                 tries.entry(*id).or_default().asked = Some((*at, *balancer, *class));
             }
-            What::Answered { id, status } => {
+            EventKind::ResponseReceived { id, status } => {
                 tries.entry(*id).or_default().answers.push((*at, *status))
             }
-            What::Unanswered { id, how } => tries.entry(*id).or_default().lost = Some((*at, *how)),
-            What::Arrived { id, upstream } => tries
+            EventKind::AttemptFailed { id, failure: how } => {
+                tries.entry(*id).or_default().lost = Some((*at, *how))
+            }
+            EventKind::UpstreamReceived { id, upstream } => tries
                 .entry(*id)
                 .or_default()
                 .arrivals
                 .push((*at, *upstream)),
-            What::Replied {
+            EventKind::UpstreamReplied {
                 id,
                 upstream,
                 reply,
@@ -122,23 +130,23 @@
 /// connections were reset, or it had been asked to leave shortly before.
 fn ended_between(events: &[Event], balancer: u32, from: u64, to: u64) -> bool {
     events.iter().any(|e| {
-        let (b, lasts) = match &e.what {
-            What::Unlinked { balancer } => (balancer, NOTED_WITHIN),
-            What::Balancer {
+        let (b, lasts) = match &e.kind {
+            EventKind::ClientConnectionsReset { balancer } => (balancer, NOTED_WITHIN),
+            EventKind::BalancerState {
                 balancer,
-                became: Process::Killed | Process::Ended | Process::Crashed,
+                state: ProcessState::Killed | ProcessState::Exited | ProcessState::Crashed,
             } => (balancer, NOTED_WITHIN),
-            What::Balancer {
+            EventKind::BalancerState {
                 balancer,
-                became: Process::Asked,
+                state: ProcessState::ShutdownRequested,
             } => (balancer, LEAVE_MOST),
             _ => return false,
         };
-        *b == balancer && e.at + lasts >= from && e.at <= to + NOTED_WITHIN
+        *b == balancer && e.at_us + lasts >= from && e.at_us <= to + NOTED_WITHIN
     })
 }
 
-fn answers(id: TryId, one: &Try, events: &[Event], found: &mut Vec<Broken>) {
+fn answers(id: ClientAttemptId, one: &Try, events: &[Event], found: &mut Vec<Broken>) {
     let Some((asked, balancer, _)) = one.asked else {
         return;
     };
@@ -156,7 +164,8 @@
         );
         breach(Rule::OneAnswer, one.answers[1].0, text);
     }
-    if let (Some((at, Lost::Broken)), true) = (one.lost, one.answers.is_empty()) {
+    if let (Some((at, AttemptFailure::ConnectionClosed)), true) = (one.lost, one.answers.is_empty())
+    {
         // What a balancer holds when it is killed, or has not answered by the end of its leave, is lost with it.
         if !ended_between(events, balancer, asked, at) {
             let (asked, at_s) = (seconds(asked), seconds(at));
@@ -166,7 +175,10 @@
             breach(Rule::OneAnswer, at, text);
         }
     }
-    let served = one.replies.iter().any(|(_, reply)| *reply == Reply::Served);
+    let served = one
+        .replies
+        .iter()
+        .any(|(_, reply)| *reply == UpstreamReply::Served);
     if let Some((at, _)) = one.answers.iter().find(|(_, status)| *status == 200)
         && !served
     {
@@ -178,7 +190,7 @@
     }
 }
 
-fn attempts(id: TryId, one: &Try, experiment: &Experiment, found: &mut Vec<Broken>) {
+fn attempts(id: ClientAttemptId, one: &Try, experiment: &Experiment, found: &mut Vec<Broken>) {
     let Some((_, balancer, class)) = one.asked else {
         return;
     };
@@ -204,7 +216,7 @@
         for (upstream, _) in one
             .replies
             .iter()
-            .filter(|(_, reply)| *reply == Reply::TurnedAway)
+            .filter(|(_, reply)| *reply == UpstreamReply::Rejected)
         {
             if let Some(k) = ran.iter().position(|(_, u)| u == upstream) {
                 ran.remove(k);
@@ -220,13 +232,17 @@
     }
 }
 
-fn drains(tries: &BTreeMap<TryId, Try>, events: &[Event], found: &mut Vec<Broken>) {
-    let mut told: HashMap<(u32, u32), Vec<(u64, Listed)>> = HashMap::new();
-    for Event { at, what } in events {
-        if let What::Told {
+fn drains(tries: &BTreeMap<ClientAttemptId, Try>, events: &[Event], found: &mut Vec<Broken>) {
+    let mut told: HashMap<(u32, u32), Vec<(u64, EndpointState)>> = HashMap::new();
+    for Event {
+        at_us: at,
+        kind: what,
+    } in events
+    {
+        if let EventKind::EndpointNotified {
             balancer,
             upstream,
-            listed,
+            state: listed,
         } = what
         {
             told.entry((*balancer, *upstream))
@@ -246,12 +262,14 @@
             let last = known.iter().rev().find(|(t, _)| t + GRACE < *at);
             let since = known
                 .iter()
-                .any(|(t, listed)| *listed == Listed::Ready && t + GRACE >= *at && t <= at);
-            if let Some((t, listed)) = last.filter(|(_, listed)| *listed != Listed::Ready && !since)
+                .any(|(t, listed)| *listed == EndpointState::Ready && t + GRACE >= *at && t <= at);
+            if let Some((t, listed)) =
+                last.filter(|(_, listed)| *listed != EndpointState::Ready && !since)
             {
                 let text = format!(
-                    "try {id:x} of b{balancer} reached u{upstream} at {}, told {listed:?} at {}",
+                    "try {id:x} of b{balancer} reached u{upstream} at {}, told {} at {}",
                     seconds(*at),
+                    listed.label(),
                     seconds(*t)
                 );
                 found.push(Broken {
@@ -265,21 +283,28 @@
 }
 
 fn processes(events: &[Event], found: &mut Vec<Broken>) {
-    for Event { at, what } in events {
+    for Event {
+        at_us: at,
+        kind: what,
+    } in events
+    {
         let (rule, text) = match what {
-            What::Upstream {
+            EventKind::UpstreamState {
                 upstream,
-                became: Process::Fell,
+                state: ProcessState::Overloaded,
             } => (
                 Rule::ColdSpared,
                 format!("u{upstream} was pushed over while cold at {}", seconds(*at)),
             ),
-            What::Balancer {
+            EventKind::BalancerState {
                 balancer,
-                became: became @ (Process::Crashed | Process::OverMemory | Process::Outlived),
+                state:
+                    became @ (ProcessState::Crashed
+                    | ProcessState::MemoryLimitExceeded
+                    | ProcessState::SurvivedKill),
             } => (
                 Rule::Sound,
-                format!("b{balancer}: {became:?} at {}", seconds(*at)),
+                format!("b{balancer}: {} at {}", became.label(), seconds(*at)),
             ),
             _ => continue,
         };
@@ -300,35 +325,35 @@
         Experiment::parse(text).expect("it can be meant")
     }
 
-    fn asked(id: TryId, class: u16) -> What {
-        What::Asked {
+    fn asked(id: ClientAttemptId, class: u16) -> EventKind {
+        EventKind::AttemptSent {
             id,
             request: id as u32,
-            again: 0,
+            retry: 0,
             class,
             tenant: 0,
             balancer: 1,
         }
     }
 
-    fn arrived(id: TryId, upstream: u32) -> What {
-        What::Arrived { id, upstream }
+    fn arrived(id: ClientAttemptId, upstream: u32) -> EventKind {
+        EventKind::UpstreamReceived { id, upstream }
     }
 
-    fn replied(id: TryId, upstream: u32, reply: Reply) -> What {
-        What::Replied {
+    fn replied(id: ClientAttemptId, upstream: u32, reply: UpstreamReply) -> EventKind {
+        EventKind::UpstreamReplied {
             id,
             upstream,
             reply,
         }
     }
 
-    fn rules(events: Vec<(u64, What)>) -> Vec<Rule> {
+    fn rules(events: Vec<(u64, EventKind)>) -> Vec<Rule> {
         let events: Vec<Event> = events
             .into_iter()
             .map(|(ms, what)| Event {
-                at: ms * 1000,
-                what,
+                at_us: ms * 1000,
+                kind: what,
             })
             .collect();
         broken(&experiment(), &events)
@@ -341,53 +366,53 @@
 
     #[test]
     fn a_history_that_keeps_the_rules_breaks_none() {
-        let told = What::Told {
+        let told = EventKind::EndpointNotified {
             balancer: 1,
             upstream: 2,
-            listed: Listed::Terminating,
+            state: EndpointState::Terminating,
         };
         let kept = vec![
             (0, asked(1, SETTLE)),
             (10, arrived(1, 0)),
-            (11, replied(1, 0, Reply::TurnedAway)),
+            (11, replied(1, 0, UpstreamReply::Rejected)),
             (12, arrived(1, 2)),
-            (300, replied(1, 2, Reply::Served)),
-            (310, What::Answered { id: 1, status: 200 }),
+            (300, replied(1, 2, UpstreamReply::Served)),
+            (310, EventKind::ResponseReceived { id: 1, status: 200 }),
             (400, told),
             (1000, asked(2, 0)),
             (1010, arrived(2, 2)),
-            (1020, replied(2, 2, Reply::Served)),
-            (1025, What::Answered { id: 2, status: 200 }),
+            (1020, replied(2, 2, UpstreamReply::Served)),
+            (1025, EventKind::ResponseReceived { id: 2, status: 200 }),
             (2000, asked(3, 0)),
             (
                 2010,
-                What::Balancer {
+                EventKind::BalancerState {
                     balancer: 1,
-                    became: Process::Killed,
+                    state: ProcessState::Killed,
                 },
             ),
             (
                 2020,
-                What::Unanswered {
+                EventKind::AttemptFailed {
                     id: 3,
-                    how: Lost::Broken,
+                    failure: AttemptFailure::ConnectionClosed,
                 },
             ),
             (3000, asked(4, 0)),
-            (3001, What::Answered { id: 4, status: 503 }),
+            (3001, EventKind::ResponseReceived { id: 4, status: 503 }),
         ];
         assert_eq!(rules(kept), []);
     }
 
     #[test]
     fn a_kill_excuses_only_what_was_held_then() {
-        let killed = What::Balancer {
+        let killed = EventKind::BalancerState {
             balancer: 1,
-            became: Process::Killed,
+            state: ProcessState::Killed,
         };
-        let lost = What::Unanswered {
+        let lost = EventKind::AttemptFailed {
             id: 1,
-            how: Lost::Broken,
+            failure: AttemptFailure::ConnectionClosed,
         };
         let held = vec![(0, asked(1, 0)), (500, killed.clone()), (510, lost.clone())];
         assert_eq!(rules(held), []);
@@ -397,19 +422,19 @@
 
     #[test]
     fn each_broken_rule_is_seen() {
-        let answer = |id, status| What::Answered { id, status };
-        let crashed = What::Balancer {
+        let answer = |id, status| EventKind::ResponseReceived { id, status };
+        let crashed = EventKind::BalancerState {
             balancer: 0,
-            became: Process::Crashed,
+            state: ProcessState::Crashed,
         };
-        let fell = What::Upstream {
+        let fell = EventKind::UpstreamState {
             upstream: 3,
-            became: Process::Fell,
+            state: ProcessState::Overloaded,
         };
-        let gone = What::Told {
+        let gone = EventKind::EndpointNotified {
             balancer: 1,
             upstream: 2,
-            listed: Listed::Gone,
+            state: EndpointState::Removed,
         };
         for (rule, events) in [
             (
@@ -422,9 +447,9 @@
                     (0, asked(1, 0)),
                     (
                         5,
-                        What::Unanswered {
+                        EventKind::AttemptFailed {
                             id: 1,
-                            how: Lost::Broken,
+                            failure: AttemptFailure::ConnectionClosed,
                         },
                     ),
                 ],
--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -3,7 +3,7 @@
 //! They are counted as the history goes on, so that simulated days need not be kept.
 
 use crate::experiment::Experiment;
-use crate::history::{Process, What};
+use crate::history::{EventKind, ProcessState};
 use frostkeel_membership::{MemberState, Name};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -146,19 +146,22 @@
 
 impl Presence {
     /// Takes in what happened at a time, in microseconds.
-    pub fn feed(&mut self, at: u64, what: &What) {
+    pub fn feed(&mut self, at: u64, what: &EventKind) {
         match what {
-            What::Balancer { balancer, became } => self.became(at, *balancer, *became),
-            What::Saw {
-                by,
+            EventKind::BalancerState {
+                balancer,
+                state: became,
+            } => self.became(at, *balancer, *became),
+            EventKind::ViewChanged {
+                observer: by,
                 name,
                 incarnation,
-                standing,
+                state: standing,
                 version,
             } => {
                 self.saw(at, *by, *name, *incarnation, *standing, *version);
             }
-            What::Yielded { by } => {
+            EventKind::NameYielded { balancer: by } => {
                 self.uncount(*by);
                 self.members.entry(*by).or_default().out = true;
             }
@@ -198,15 +201,15 @@
         }
     }
 
-    fn became(&mut self, at: u64, number: u32, became: Process) {
+    fn became(&mut self, at: u64, number: u32, became: ProcessState) {
         match became {
-            Process::Killed | Process::Asked | Process::Crashed => {
+            ProcessState::Killed | ProcessState::ShutdownRequested | ProcessState::Crashed => {
                 self.uncount(number);
                 let member = self.members.entry(number).or_default();
                 if std::mem::replace(&mut member.alive, false)
                     && let Some(name) = member.name
                 {
-                    let asked = became == Process::Asked;
+                    let asked = became == ProcessState::ShutdownRequested;
                     let living = self
                         .members
                         .iter()
@@ -222,8 +225,8 @@
                     });
                 }
             }
-            Process::Held | Process::Released => {
-                self.members.entry(number).or_default().held = became == Process::Held;
+            ProcessState::Paused | ProcessState::Resumed => {
+                self.members.entry(number).or_default().held = became == ProcessState::Paused;
             }
             _ => {}
         }
@@ -406,22 +409,25 @@
         Name::new(&format!("b{n}")).expect("a name")
     }
 
-    fn saw(by: u32, of: u32, incarnation: u64, standing: MemberState, version: u64) -> What {
-        What::Saw {
-            by,
+    fn saw(by: u32, of: u32, incarnation: u64, standing: MemberState, version: u64) -> EventKind {
+        EventKind::ViewChanged {
+            observer: by,
             name: name(of),
             incarnation,
-            standing,
+            state: standing,
             version,
         }
     }
 
-    fn became(balancer: u32, became: Process) -> What {
-        What::Balancer { balancer, became }
+    fn became(balancer: u32, became: ProcessState) -> EventKind {
+        EventKind::BalancerState {
+            balancer,
+            state: became,
+        }
     }
 
     /// Three that all know each other, by 1 s; then what a case adds, with its times in seconds.
-    fn judged(then: Vec<(u64, What)>) -> (Figures, usize) {
+    fn judged(then: Vec<(u64, EventKind)>) -> (Figures, usize) {
         let mut presence = Presence::default();
         for by in 0..3 {
             for (version, of) in (1..).zip([by, (by + 1) % 3, (by + 2) % 3]) {
@@ -437,7 +443,7 @@
     #[test]
     fn a_death_counts_from_the_kill_until_all_that_live_on_know() {
         let (figures, broken) = judged(vec![
-            (10, became(2, Process::Killed)),
+            (10, became(2, ProcessState::Killed)),
             (13, saw(0, 2, 5, MemberState::Gone, 4)),
             (15, saw(1, 2, 5, MemberState::Gone, 4)),
         ]);
@@ -459,19 +465,19 @@
         assert_eq!((living.0.false_gone, living.0.unequal, living.1), (1, 1, 1));
         assert_eq!(living.0.equal_since_s, None);
         let held = judged(vec![
-            (9, became(2, Process::Held)),
+            (9, became(2, ProcessState::Paused)),
             (10, saw(0, 2, 5, MemberState::Gone, 4)),
         ]);
         assert_eq!((held.0.false_gone, held.0.false_gone_held), (0, 1));
         let skipped = judged(vec![(10, saw(0, 2, 5, MemberState::Suspect, 6))]);
         assert_eq!((skipped.0.suspected, skipped.1), (1, 1));
         let unknown = judged(vec![
-            (10, became(2, Process::Killed)),
+            (10, became(2, ProcessState::Killed)),
             (13, saw(0, 2, 5, MemberState::Gone, 4)),
         ]);
         assert_eq!((unknown.0.kills, unknown.0.unknown), (1, 1));
         let leave = judged(vec![
-            (10, became(2, Process::Asked)),
+            (10, became(2, ProcessState::ShutdownRequested)),
             (13, saw(0, 2, 5, MemberState::Gone, 4)),
         ]);
         assert_eq!((leave.0.leaves, leave.0.left_as_gone), (1, 1));
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -2,7 +2,7 @@
 
 use crate::balancers::balancer_process::Balancers;
 use crate::experiment::{Act, Experiment, Fault, Target, Way};
-use crate::history::{History, What};
+use crate::history::{EventKind, History};
 use crate::links::connections::{Link, Links, Other};
 use crate::links::peer_links::Peers;
 use crate::standins::discovery::Discovery;
@@ -78,7 +78,7 @@
         .iter()
         .filter(|(_, other, _)| *other == Other::Clients)
     {
-        history.note(What::Unlinked {
+        history.record(EventKind::ClientConnectionsReset {
             balancer: *balancer,
         });
     }
@@ -89,10 +89,10 @@
     pub async fn faults(self, seed: u64) {
         let mut running = JoinSet::new();
         for (k, fault) in occurrences(&self.experiment) {
-            sleep_until(self.history.at(fault.at.as_secs_f64())).await;
-            self.history.note(What::Fault {
-                text: words(&fault),
-                lasts: lasts(&fault.act),
+            sleep_until(self.history.instant_at(fault.at.as_secs_f64())).await;
+            self.history.record(EventKind::FaultStarted {
+                description: words(&fault),
+                duration_s: lasts(&fault.act),
             });
             let mut draw = ChaCha8Rng::seed_from_u64(seed ^ (k + 1) << 40);
             let met = self.met(&fault.target, &mut draw);
--- a/lab/src/measurements/figures.rs
+++ b/lab/src/measurements/figures.rs
@@ -1,8 +1,7 @@
 //! The figures of a play, counted over its whole history.
 
 use crate::experiment::Experiment;
-use crate::history::{Event, Lost, TryId, What};
-use crate::standins::clients::TRIES_BITS;
+use crate::history::{AttemptFailure, Event, EventKind, request_of};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::HashMap;
@@ -75,8 +74,12 @@
 /// The most calls to the list service that one balancer made within a second.
 fn calls_most(events: &[Event]) -> usize {
     let mut calls: HashMap<u32, Vec<u64>> = HashMap::new();
-    for Event { at, what } in events {
-        if let What::Called { balancer } = what {
+    for Event {
+        at_us: at,
+        kind: what,
+    } in events
+    {
+        if let EventKind::DiscoveryCalled { balancer } = what {
             calls.entry(*balancer).or_default().push(*at);
         }
     }
@@ -120,9 +123,13 @@
 pub fn figures(experiment: &Experiment, events: &[Event]) -> Figures {
     let mut wanted: HashMap<u32, Wanted> = HashMap::new();
     let (mut tries, mut attempts) = (0u32, 0u32);
-    for Event { at, what } in events {
+    for Event {
+        at_us: at,
+        kind: what,
+    } in events
+    {
         match what {
-            What::Wanted { request, class } => {
+            EventKind::RequestDue { request, class } => {
                 let one = Wanted {
                     since: *at,
                     class: usize::from(*class),
@@ -131,21 +138,21 @@
                 };
                 wanted.insert(*request, one);
             }
-            What::Asked { .. } => tries += 1,
-            What::Answered { id, status } => {
-                if let Some(one) = wanted.get_mut(&request_of(*id)) {
+            EventKind::AttemptSent { .. } => tries += 1,
+            EventKind::ResponseReceived { id, status } => {
+                if let Some(one) = wanted.get_mut(&(request_of(*id) as u32)) {
                     one.refused = matches!(status, 429 | 503);
                     if *status == 200 {
                         one.served.get_or_insert(*at);
                     }
                 }
             }
-            What::Unanswered { id, how } => {
-                if let Some(one) = wanted.get_mut(&request_of(*id)) {
-                    one.refused &= *how == Lost::NoConnection;
+            EventKind::AttemptFailed { id, failure: how } => {
+                if let Some(one) = wanted.get_mut(&(request_of(*id) as u32)) {
+                    one.refused &= *how == AttemptFailure::NoConnection;
                 }
             }
-            What::Arrived { .. } => attempts += 1,
+            EventKind::UpstreamReceived { .. } => attempts += 1,
             _ => {}
         }
     }
@@ -253,14 +260,16 @@
     ))
 }
 
-fn request_of(id: TryId) -> u32 {
-    (id >> TRIES_BITS) as u32
-}
-
 fn loads(events: &[Event], seconds: &mut [Second]) {
     let mut counted = vec![0u32; seconds.len()];
-    for Event { at, what } in events {
-        if let What::Load { util, .. } = what
+    for Event {
+        at_us: at,
+        kind: what,
+    } in events
+    {
+        if let EventKind::UpstreamLoad {
+            utilization: util, ..
+        } = what
             && let Some(second) = seconds.get_mut((*at / 1_000_000) as usize)
         {
             second.util += f64::from(*util);
@@ -286,24 +295,25 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::history::client_attempt_id;
 
     #[test]
     fn a_request_counts_once_from_its_first_try() {
         let text = "name = \"x\"\nseconds = 9.0\n[fleet]\nbalancers = 2\nupstreams = 4\n";
         let experiment = Experiment::parse(text).expect("it can be meant");
-        let asked = |request: u32, again: u8, class| What::Asked {
-            id: u64::from(request) << TRIES_BITS | u64::from(again),
+        let asked = |request: u32, again: u8, class| EventKind::AttemptSent {
+            id: client_attempt_id(request, again),
             request,
-            again,
+            retry: again,
             class,
             tenant: 0,
             balancer: 0,
         };
-        let answered = |request: u64, again: u64, status| What::Answered {
-            id: request << TRIES_BITS | again,
+        let answered = |request: u32, again: u8, status| EventKind::ResponseReceived {
+            id: client_attempt_id(request, again),
             status,
         };
-        let wants = |request, class| What::Wanted { request, class };
+        let wants = |request, class| EventKind::RequestDue { request, class };
         let events = [
             (0, wants(0, 0)),
             (0, asked(0, 0, 0)),
@@ -326,8 +336,8 @@
         let events: Vec<Event> = events
             .into_iter()
             .map(|(ms, what)| Event {
-                at: ms * 1000,
-                what,
+                at_us: ms * 1000,
+                kind: what,
             })
             .collect();
         let figures = figures(&experiment, &events);
--- a/lab/src/reports/page.rs
+++ b/lab/src/reports/page.rs
@@ -1,6 +1,6 @@
 //! The report of a play: its events as JSON lines, one result in JSON, and one page that holds its own plots.
 
-use crate::history::{Event, What};
+use crate::history::{Event, EventKind};
 use crate::runs::experiment_run::Played;
 use crate::runs::simulation::Simulated;
 use plotters::prelude::*;
@@ -208,10 +208,14 @@
 }
 
 fn fault(event: &Event) -> Option<Band<'_>> {
-    let What::Fault { text, lasts } = &event.what else {
+    let EventKind::FaultStarted {
+        description: text,
+        duration_s: lasts,
+    } = &event.kind
+    else {
         return None;
     };
-    let at = event.at as f64 / 1e6;
+    let at = event.at_us as f64 / 1e6;
     Some(Band {
         at,
         until: lasts.map(|lasts| at + lasts),
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -6,7 +6,7 @@
 use crate::error::LabError;
 use crate::experiment::{Act, Experiment, Fault};
 use crate::faults::fault_injector::Stage;
-use crate::history::{Event, History};
+use crate::history::{Event, History, Recording};
 use crate::links::connections::Links;
 use crate::links::peer_links::Peers;
 use crate::measurements::figures::{self, Figures};
@@ -236,7 +236,7 @@
     let arrivals = schedule(&experiment, options.seed);
     let processor = processor_seconds();
     let sent = peers.as_ref().map_or((0, 0), |peers| peers.sent());
-    history.begin();
+    history.start_clock();
     tasks.spawn(Arc::clone(&upstreams).watch_load());
     let stage = Stage {
         experiment: Arc::clone(&experiment),
@@ -275,7 +275,10 @@
         registrar.kill(None).await;
     }
 
-    let (events, dropped) = history.take();
+    let Recording {
+        events,
+        dropped_count: dropped,
+    } = history.take();
     let late = clients.lateness();
     let lab = LabItself {
         late_p50_ms: figures::ms(&late, 0.5),
@@ -298,8 +301,10 @@
         Some((datagrams, bytes)) => {
             let mut presence = Presence::default();
             // What the end of the play does is no part of it.
-            let until = events.iter().take_while(|e| e.at as f64 <= elapsed * 1e6);
-            until.for_each(|event| presence.feed(event.at, &event.what));
+            let until = events
+                .iter()
+                .take_while(|e| e.at_us as f64 <= elapsed * 1e6);
+            until.for_each(|event| presence.feed(event.at_us, &event.kind));
             let (figures, wrong) = presence.end();
             let of_each = elapsed * f64::from(experiment.fleet.balancers);
             let (datagrams, bytes) = (datagrams as f64 / of_each, bytes as f64 / of_each);
--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -5,7 +5,7 @@
 //! ends with the list; what was acknowledged is there at the end; a read after an acknowledgement is at least as new.
 
 use crate::error::LabError;
-use crate::history::{History, Listed};
+use crate::history::{EndpointState, History};
 use crate::processes::guard::Guard;
 use crate::standins::registration::Registrar;
 use bytes::BytesMut;
@@ -280,7 +280,7 @@
     for upstream in 0..plan.upstreams {
         let port = 1024 + upstream as u16;
         registrar.add(upstream, SocketAddr::from(([127, 0, 0, 1], port)));
-        registrar.says(upstream, Listed::Ready, 1);
+        registrar.says(upstream, EndpointState::Ready, 1);
     }
     registrar.lists(plan.upstreams as usize).await?;
     let changes = (plan.changes * plan.lasts.as_secs_f64() * 1.1) as usize + 100;
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -2,7 +2,7 @@
 
 use crate::checks::membership_checks::{Figures, Presence};
 use crate::experiment::{Act, Experiment, Target, Way};
-use crate::history::{Process, What};
+use crate::history::{EventKind, ProcessState};
 use crate::links::datagrams::{Kept, Ways, copies};
 use frostkeel_membership::{Config, ConfigError, Membership, Name, Output, Place};
 use rand::seq::SliceRandom;
@@ -182,12 +182,15 @@
         Ok(())
     }
 
-    fn note(&mut self, what: &What) {
+    fn record(&mut self, what: &EventKind) {
         self.presence.feed(self.now.as_micros() as u64, what);
     }
 
-    fn became(&mut self, balancer: u32, became: Process) {
-        self.note(&What::Balancer { balancer, became });
+    fn became(&mut self, balancer: u32, became: ProcessState) {
+        self.record(&EventKind::BalancerState {
+            balancer,
+            state: became,
+        });
     }
 
     fn start_known(&mut self) -> Result<(), ConfigError> {
@@ -233,7 +236,7 @@
         node.waiting.clear();
         node.wakes = Duration::MAX;
         self.after(member);
-        self.became(member, Process::Ready);
+        self.became(member, ProcessState::Ready);
         Ok(())
     }
 
@@ -246,15 +249,15 @@
             };
             match output {
                 Output::Send { to, datagram } => self.send(member, u32::from(to.0), datagram),
-                Output::Changed(change) => self.note(&What::Saw {
-                    by: member,
+                Output::Changed(change) => self.record(&EventKind::ViewChanged {
+                    observer: member,
                     name: change.now.id.name,
                     incarnation: change.now.id.boot + u64::from(change.now.id.turn),
-                    standing: change.now.standing,
+                    state: change.now.standing,
                     version: change.version,
                 }),
                 Output::Outbid(_) => {}
-                Output::Yielded(_) => self.note(&What::Yielded { by: member }),
+                Output::Yielded(_) => self.record(&EventKind::NameYielded { balancer: member }),
             }
         }
         let node = &mut self.nodes[member as usize];
@@ -324,7 +327,7 @@
         if !std::mem::replace(&mut node.held, false) {
             return;
         }
-        self.became(member, Process::Released);
+        self.became(member, ProcessState::Resumed);
         for (from, datagram) in std::mem::take(&mut self.nodes[member as usize].waiting) {
             self.arrives(member, from, datagram);
         }
@@ -364,7 +367,7 @@
         match &what.act {
             Act::Kill { back, name } => {
                 for member in some {
-                    self.became(member, Process::Killed);
+                    self.became(member, ProcessState::Killed);
                     let node = &mut self.nodes[member as usize];
                     node.machine = None;
                     if let Some(name) = name.as_deref().and_then(|name| Name::new(name).ok()) {
@@ -377,7 +380,7 @@
             }
             Act::Term => {
                 for member in some {
-                    self.became(member, Process::Asked);
+                    self.became(member, ProcessState::ShutdownRequested);
                     if let Some(machine) = &mut self.nodes[member as usize].machine {
                         machine.leave(self.now);
                         self.after(member);
@@ -393,7 +396,7 @@
                 for member in some {
                     let node = &mut self.nodes[member as usize];
                     if node.machine.is_some() && !std::mem::replace(&mut node.held, true) {
-                        self.became(member, Process::Held);
+                        self.became(member, ProcessState::Paused);
                         self.push(self.now + *lasts, Happening::GoesOn { member });
                     }
                 }
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -2,7 +2,9 @@
 //! its retries. What is late to send is not made up for by sending less: a request's time counts from when it was due.
 
 use crate::experiment::{Effect, Experiment};
-use crate::history::{History, Lost, TryId, What};
+use crate::history::{
+    AttemptFailure, ClientAttemptId, EventKind, History, client_attempt_id, request_of,
+};
 use crate::links::connections::{Link, Links, Other};
 use crate::measurements::figures::times;
 use bytes::Bytes;
@@ -22,8 +24,6 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// Tries of one request have numbers next to one another: eight at most.
-pub const TRIES_BITS: u32 = 3;
 /// The shortest time in which a further try makes sense.
 const LEFT_LEAST: Duration = Duration::from_millis(50);
 /// Requests that are due and not yet taken up: more mean a lab that is late.
@@ -237,7 +237,7 @@
     /// Sends what is due when it is due; returns when the last client has ended. Dropped, all end.
     pub async fn run(self: Arc<Self>, arrivals: Vec<Arrival>) {
         let (dealt, mut due) = mpsc::channel(DEALT_MOST);
-        let start = self.history.at(0.0).into_std();
+        let start = self.history.instant_at(0.0).into_std();
         // A thread of its own: the runtime's timers are right to a millisecond or two only.
         tokio::task::spawn_blocking(move || {
             for (request, arrival) in arrivals.into_iter().enumerate() {
@@ -268,7 +268,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .saturating_record(late.max(1));
-        self.history.note(What::Wanted {
+        self.history.record(EventKind::RequestDue {
             request,
             class: arrival.class,
         });
@@ -280,7 +280,7 @@
             if left < LEFT_LEAST {
                 return;
             }
-            let id = (TryId::from(request) << TRIES_BITS) | TryId::from(again);
+            let id = client_attempt_id(request, again);
             let said = self
                 .attempt(id, again, request, &arrival, left, chance.random())
                 .await;
@@ -302,7 +302,7 @@
     /// One try, with its time; `None`: no answer.
     async fn attempt(
         &self,
-        id: TryId,
+        id: ClientAttemptId,
         again: u8,
         request: u32,
         arrival: &Arrival,
@@ -324,9 +324,9 @@
                 None => match timeout_at(gives_up, connect(address, &link)).await {
                     Ok(Some(connection)) => connection,
                     _ => {
-                        self.history.note(What::Unanswered {
+                        self.history.record(EventKind::AttemptFailed {
                             id,
-                            how: Lost::NoConnection,
+                            failure: AttemptFailure::NoConnection,
                         });
                         return None;
                     }
@@ -334,10 +334,10 @@
             };
             let message = self.message(id, again, arrival, left)?;
             if !std::mem::replace(&mut asked, true) {
-                self.history.note(What::Asked {
+                self.history.record(EventKind::AttemptSent {
                     id,
                     request,
-                    again,
+                    retry: again,
                     class,
                     tenant,
                     balancer,
@@ -349,9 +349,9 @@
             };
             match timeout_at(gives_up, exchange).await {
                 Err(_) => {
-                    self.history.note(What::Unanswered {
+                    self.history.record(EventKind::AttemptFailed {
                         id,
-                        how: Lost::GaveUp,
+                        failure: AttemptFailure::TimedOut,
                     });
                     return None;
                 }
@@ -360,14 +360,14 @@
                     if reused
                         && (e.is_canceled() || e.is_incomplete_message() || e.is_closed()) => {}
                 Ok(Err(_)) => {
-                    self.history.note(What::Unanswered {
+                    self.history.record(EventKind::AttemptFailed {
                         id,
-                        how: Lost::Broken,
+                        failure: AttemptFailure::ConnectionClosed,
                     });
                     return None;
                 }
                 Ok(Ok(parts)) => {
-                    self.history.note(What::Answered {
+                    self.history.record(EventKind::ResponseReceived {
                         id,
                         status: parts.status.as_u16(),
                     });
@@ -389,7 +389,7 @@
 
     fn message(
         &self,
-        id: TryId,
+        id: ClientAttemptId,
         again: u8,
         arrival: &Arrival,
         left: Duration,
@@ -413,7 +413,7 @@
             message = message.header("x-repeat", "1");
         }
         if class.effect == Effect::Keyed {
-            message = message.header("idempotency-key", format!("{:032x}", id >> TRIES_BITS));
+            message = message.header("idempotency-key", format!("{:032x}", request_of(id)));
         }
         message.body(Full::default()).ok()
     }
--- a/lab/src/standins/discovery.rs
+++ b/lab/src/standins/discovery.rs
@@ -1,7 +1,7 @@
 //! The stand-in of the list service: the whole list, and a watch on its changes, to each balancer at an address
 //! of its own.
 
-use crate::history::{History, Listed, What};
+use crate::history::{EndpointState, EventKind, History};
 use crate::links::connections::{Links, Other};
 use crate::standins::registration::Registrar;
 use bytes::{Bytes, BytesMut};
@@ -30,7 +30,7 @@
 
 #[derive(Clone)]
 struct Entry {
-    listed: Listed,
+    listed: EndpointState,
     boot_ms: u64,
     /// By balancer.
     endpoints: Arc<Vec<SocketAddr>>,
@@ -70,7 +70,7 @@
     pub fn list(
         &self,
         upstream: u32,
-        listed: Listed,
+        listed: EndpointState,
         boot_ms: u64,
         endpoints: &Arc<Vec<SocketAddr>>,
     ) {
@@ -131,14 +131,14 @@
         let rev = *self.rev.borrow();
         let newer = entries.iter().filter(|(_, e)| match since {
             Some(since) => e.rev > since,
-            None => e.listed != Listed::Gone,
+            None => e.listed != EndpointState::Removed,
         });
         let targets: Vec<serde_json::Value> = newer
             .map(|(upstream, e)| {
                 let state = match e.listed {
-                    Listed::Ready => "Ready",
-                    Listed::Terminating => "Terminating",
-                    Listed::Gone => "Gone",
+                    EndpointState::Ready => "Ready",
+                    EndpointState::Terminating => "Terminating",
+                    EndpointState::Removed => "Gone",
                 };
                 serde_json::json!({
                     "uid": format!("u{upstream}"),
@@ -173,10 +173,10 @@
             .iter()
             .filter(|(_, e)| since.is_none_or(|since| e.rev > since));
         for (upstream, e) in newer {
-            self.history.note(What::Told {
+            self.history.record(EventKind::EndpointNotified {
                 balancer,
                 upstream: *upstream,
-                listed: e.listed,
+                state: e.listed,
             });
         }
     }
@@ -185,7 +185,7 @@
     pub async fn serve(self: Arc<Self>, balancer: u32, listener: TcpListener) {
         let link = self.links.between(balancer, Other::Discovery);
         while let Ok((stream, _)) = listener.accept().await {
-            self.history.note(What::Called { balancer });
+            self.history.record(EventKind::DiscoveryCalled { balancer });
             if !*self.up.borrow() {
                 continue;
             }
@@ -281,14 +281,14 @@
                 target["endpoint"] = endpoint.to_string().into();
             }
             let listed = match target["state"].as_str() {
-                Some("Ready") => Listed::Ready,
-                Some("Terminating") => Listed::Terminating,
-                _ => Listed::Gone,
+                Some("Ready") => EndpointState::Ready,
+                Some("Terminating") => EndpointState::Terminating,
+                _ => EndpointState::Removed,
             };
-            self.history.note(What::Told {
+            self.history.record(EventKind::EndpointNotified {
                 balancer,
                 upstream,
-                listed,
+                state: listed,
             });
         }
         Bytes::from(list.to_string())
--- a/lab/src/standins/registration.rs
+++ b/lab/src/standins/registration.rs
@@ -1,7 +1,7 @@
 //! A real list service in a play: the process, and the stand-in upstreams that register with it and renew.
 
 use crate::error::LabError;
-use crate::history::{History, Listed, Process, What};
+use crate::history::{EndpointState, EventKind, History, ProcessState};
 use crate::processes::child::{self, field};
 use crate::processes::guard::Guard;
 use frostkeel_registry::client::call;
@@ -82,8 +82,9 @@
         self.addresses().map(|(read, _)| read)
     }
 
-    fn became(&self, became: Process) {
-        self.history.note(What::Registry { became });
+    fn became(&self, became: ProcessState) {
+        self.history
+            .record(EventKind::RegistryState { state: became });
     }
 
     /// Starts it, and waits until it serves.
@@ -137,26 +138,26 @@
             guard.started(pid.as_raw_nonzero().get() as u32);
         }
         *self.running.lock().await = Some(Running { pid, child });
-        self.became(Process::Ready);
+        self.became(ProcessState::Ready);
         Ok(())
     }
 
     /// SIGKILL; started again after `back`.
     pub async fn kill(&self, back: Option<Duration>) {
         if let Some(mut running) = self.running.lock().await.take() {
-            self.became(Process::Killed);
+            self.became(ProcessState::Killed);
             let _ = kill_process(running.pid, Signal::KILL);
             let _ = running.child.wait().await;
             if let Some(guard) = &self.guard {
                 guard.ended(running.pid.as_raw_nonzero().get() as u32);
             }
-            self.became(Process::Ended);
+            self.became(ProcessState::Exited);
         }
         if let Some(back) = back {
             sleep(back).await;
             if let Err(e) = self.start().await {
                 tracing::warn!("the list service is not back: {e}");
-                self.became(Process::Crashed);
+                self.became(ProcessState::Crashed);
             }
         }
     }
@@ -172,10 +173,10 @@
         if let Some(pid) = pid
             && kill_process(pid, Signal::STOP).is_ok()
         {
-            self.became(Process::Held);
+            self.became(ProcessState::Paused);
             sleep(lasts).await;
             let _ = kill_process(pid, Signal::CONT);
-            self.became(Process::Released);
+            self.became(ProcessState::Resumed);
         }
     }
 
@@ -190,13 +191,13 @@
     }
 
     /// How an upstream wants to be listed from now on.
-    pub fn says(&self, upstream: u32, listed: Listed, boot_ms: u64) {
+    pub fn says(&self, upstream: u32, listed: EndpointState, boot_ms: u64) {
         self.word(
             upstream,
             match listed {
-                Listed::Ready => Word::Ready { boot_ms },
-                Listed::Terminating => Word::Draining,
-                Listed::Gone => Word::Leaving,
+                EndpointState::Ready => Word::Ready { boot_ms },
+                EndpointState::Terminating => Word::Draining,
+                EndpointState::Removed => Word::Leaving,
             },
         );
     }
--- a/lab/src/standins/upstreams.rs
+++ b/lab/src/standins/upstreams.rs
@@ -1,7 +1,7 @@
 //! The stand-ins of upstreams: sockets round a [`Machine`] each, at an address of its own for each balancer.
 
 use crate::experiment::Experiment;
-use crate::history::{History, Listed, Process, Reply, What};
+use crate::history::{EndpointState, EventKind, History, ProcessState, UpstreamReply};
 use crate::links::connections::{Io, Links, Other};
 use crate::standins::discovery::Discovery;
 use crate::standins::upstream_model::{Machine, Report, Turned};
@@ -140,7 +140,7 @@
         for (balancer, listener) in (0u32..).zip(listeners) {
             tokio::spawn(Arc::clone(self).accept(Arc::clone(&unit), balancer, listener));
         }
-        self.listed(&unit, Listed::Ready);
+        self.listed(&unit, EndpointState::Ready);
         Ok(number)
     }
 
@@ -170,14 +170,17 @@
             .cloned()
     }
 
-    fn listed(&self, unit: &Unit, listed: Listed) {
+    fn listed(&self, unit: &Unit, listed: EndpointState) {
         let boot_ms = *unit.boot_ms.lock().unwrap_or_else(PoisonError::into_inner);
         self.discovery
             .list(unit.number, listed, boot_ms, &unit.endpoints);
     }
 
-    fn became(&self, upstream: u32, became: Process) {
-        self.history.note(What::Upstream { upstream, became });
+    fn became(&self, upstream: u32, became: ProcessState) {
+        self.history.record(EventKind::UpstreamState {
+            upstream,
+            state: became,
+        });
     }
 
     /// It dies; the list hears of it late. With `back` it starts again, cold, under the same name.
@@ -185,14 +188,14 @@
         let Some(unit) = self.unit(number) else {
             return;
         };
-        self.became(number, Process::Killed);
+        self.became(number, ProcessState::Killed);
         unit.phase.send_replace(Phase::Down);
         let list = &self.experiment.discovery;
         let (noticed, died) = (Duration::from_secs_f64(list.crash_notice_s), Instant::now());
         let back = back.map(|after| died + after);
         if !self.discovery.falls_silent(number) && back.is_none_or(|back| back > died + noticed) {
             sleep_until(died + noticed).await;
-            self.listed(&unit, Listed::Gone);
+            self.listed(&unit, EndpointState::Removed);
         }
         let Some(back) = back else { return };
         sleep_until(back).await;
@@ -201,9 +204,9 @@
             self.machine(number, starts, true);
         *unit.boot_ms.lock().unwrap_or_else(PoisonError::into_inner) = unix_ms();
         unit.phase.send_replace(Phase::Up);
-        self.became(number, Process::Ready);
+        self.became(number, ProcessState::Ready);
         sleep(Duration::from_secs_f64(list.notice_s)).await;
-        self.listed(&unit, Listed::Ready);
+        self.listed(&unit, EndpointState::Ready);
     }
 
     /// It takes `factor` times as long, for a while.
@@ -211,7 +214,7 @@
         let Some(unit) = self.unit(number) else {
             return;
         };
-        self.became(number, Process::Ill);
+        self.became(number, ProcessState::Degraded);
         unit.machine
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -221,7 +224,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .slow(1.0);
-        self.became(number, Process::Well);
+        self.became(number, ProcessState::Recovered);
     }
 
     /// It takes requests and connections and says nothing, for a while; then its connections are reset.
@@ -229,7 +232,7 @@
         let Some(unit) = self.unit(number) else {
             return;
         };
-        self.became(number, Process::Ill);
+        self.became(number, ProcessState::Degraded);
         unit.phase.send_replace(Phase::Silent);
         sleep(lasts).await;
         unit.phase.send_if_modified(|phase| {
@@ -237,7 +240,7 @@
             *phase = if silent { Phase::Up } else { *phase };
             silent
         });
-        self.became(number, Process::Well);
+        self.became(number, ProcessState::Recovered);
     }
 
     /// It drains and leaves, and a cold one under another name comes in its place at once.
@@ -245,18 +248,18 @@
         let Some(unit) = self.unit(number) else {
             return;
         };
-        self.became(number, Process::Asked);
+        self.became(number, ProcessState::ShutdownRequested);
         if let Err(e) = self.add(true).await {
             tracing::warn!("no successor for u{number}: {e}");
         }
         sleep(Duration::from_secs_f64(self.experiment.discovery.notice_s)).await;
-        self.listed(&unit, Listed::Terminating);
+        self.listed(&unit, EndpointState::Terminating);
         sleep(drain).await;
         unit.draining.send_replace(true);
-        self.listed(&unit, Listed::Gone);
+        self.listed(&unit, EndpointState::Removed);
         sleep(Duration::from_secs(1)).await;
         unit.phase.send_replace(Phase::Down);
-        self.became(number, Process::Ended);
+        self.became(number, ProcessState::Exited);
     }
 
     /// Notes the load of all again and again.
@@ -272,10 +275,10 @@
                 let mut machine = unit.machine.lock().unwrap_or_else(PoisonError::into_inner);
                 let Report { util, .. } = machine.report(now);
                 let holds = machine.holds() as u32;
-                self.history.note(What::Load {
+                self.history.record(EventKind::UpstreamLoad {
                     upstream: unit.number,
-                    holds,
-                    util: util as f32,
+                    in_flight: holds,
+                    utilization: util as f32,
                 });
             }
         }
@@ -398,7 +401,8 @@
         };
         body.collect().await.map_err(std::io::Error::other)?;
         let upstream = unit.number;
-        self.history.note(What::Arrived { id, upstream });
+        self.history
+            .record(EventKind::UpstreamReceived { id, upstream });
         let broken = || std::io::Error::other("it has died");
         if *unit.phase.borrow() == Phase::Silent {
             let _ = unit
@@ -423,7 +427,7 @@
             (arrived, stood && machine.has_fallen())
         };
         if arrived.1 {
-            self.became(upstream, Process::Fell);
+            self.became(upstream, ProcessState::Overloaded);
             unit.phase.send_replace(Phase::Down);
         }
         let finish = match arrived.0 {
@@ -431,7 +435,7 @@
             Err(Turned::Full) => return Ok(self.turn_away(id, upstream)),
             Err(Turned::Fallen) => return Err(broken()),
         };
-        sleep_until(self.history.at(finish)).await;
+        sleep_until(self.history.instant_at(finish)).await;
         if *unit.phase.borrow() == Phase::Silent {
             let _ = unit
                 .phase
@@ -446,10 +450,10 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .report(now);
-        self.history.note(What::Replied {
+        self.history.record(EventKind::UpstreamReplied {
             id,
             upstream,
-            reply: Reply::Served,
+            reply: UpstreamReply::Served,
         });
         let mut response = plain(StatusCode::OK);
         let load = format!("util={:.3},inflight={:.1}", report.util, report.inflight);
@@ -460,10 +464,10 @@
     }
 
     fn turn_away(&self, id: u64, upstream: u32) -> Response<Full<Bytes>> {
-        self.history.note(What::Replied {
+        self.history.record(EventKind::UpstreamReplied {
             id,
             upstream,
-            reply: Reply::TurnedAway,
+            reply: UpstreamReply::Rejected,
         });
         let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
         response.headers_mut().insert(
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -2,7 +2,9 @@
 
 use frostkeel_lab::check::{Broken, Rule};
 use frostkeel_lab::figures::{ClassCounts, Counts, Figures, Second};
-use frostkeel_lab::history::{Event, Listed, Lost, Process, Reply, What};
+use frostkeel_lab::history::{
+    AttemptFailure, EndpointState, Event, EventKind, ProcessState, UpstreamReply,
+};
 use frostkeel_lab::presence;
 use frostkeel_lab::simulated::Simulated;
 use frostkeel_lab::{LabItself, Members, Played, report};
@@ -16,100 +18,111 @@
 /// Every kind of event, with every value of each of its enumerations.
 fn events() -> Vec<Event> {
     let mut all = vec![
-        What::Wanted {
+        EventKind::RequestDue {
             request: 3,
             class: 1,
         },
-        What::Asked {
+        EventKind::AttemptSent {
             id: 24,
             request: 3,
-            again: 0,
+            retry: 0,
             class: 1,
             tenant: 2,
             balancer: 0,
         },
-        What::Answered {
+        EventKind::ResponseReceived {
             id: 24,
             status: 200,
         },
-        What::Arrived {
+        EventKind::UpstreamReceived {
             id: 24,
             upstream: 4,
         },
-        What::Called { balancer: 1 },
-        What::Load {
+        EventKind::DiscoveryCalled { balancer: 1 },
+        EventKind::UpstreamLoad {
             upstream: 4,
-            holds: 7,
-            util: 0.5,
+            in_flight: 7,
+            utilization: 0.5,
         },
-        What::Unlinked { balancer: 1 },
-        What::Yielded { by: 1 },
-        What::Fault {
-            text: "u1: killed, back after 2s".into(),
-            lasts: Some(2.0),
+        EventKind::ClientConnectionsReset { balancer: 1 },
+        EventKind::NameYielded { balancer: 1 },
+        EventKind::FaultStarted {
+            description: "u1: killed, back after 2s".into(),
+            duration_s: Some(2.0),
         },
-        What::Fault {
-            text: "b1: asked to leave, started again".into(),
-            lasts: None,
+        EventKind::FaultStarted {
+            description: "b1: asked to leave, started again".into(),
+            duration_s: None,
         },
     ];
     all.extend(
-        [Lost::NoConnection, Lost::Broken, Lost::GaveUp]
-            .map(|how| What::Unanswered { id: 25, how }),
+        [
+            AttemptFailure::NoConnection,
+            AttemptFailure::ConnectionClosed,
+            AttemptFailure::TimedOut,
+        ]
+        .map(|how| EventKind::AttemptFailed {
+            id: 25,
+            failure: how,
+        }),
     );
-    let replies = [Reply::Served, Reply::TurnedAway];
-    all.extend(replies.map(|reply| What::Replied {
+    let replies = [UpstreamReply::Served, UpstreamReply::Rejected];
+    all.extend(replies.map(|reply| EventKind::UpstreamReplied {
         id: 24,
         upstream: 4,
         reply,
     }));
-    let listed = [Listed::Ready, Listed::Terminating, Listed::Gone];
-    all.extend(listed.map(|listed| What::Told {
+    let listed = [
+        EndpointState::Ready,
+        EndpointState::Terminating,
+        EndpointState::Removed,
+    ];
+    all.extend(listed.map(|listed| EventKind::EndpointNotified {
         balancer: 1,
         upstream: 4,
-        listed,
+        state: listed,
     }));
     let lifecycle = [
-        Process::Ready,
-        Process::Killed,
-        Process::Asked,
-        Process::Held,
-        Process::Released,
-        Process::Ended,
-        Process::Crashed,
-        Process::OverMemory,
-        Process::Outlived,
-        Process::Fell,
-        Process::Ill,
-        Process::Well,
+        ProcessState::Ready,
+        ProcessState::Killed,
+        ProcessState::ShutdownRequested,
+        ProcessState::Paused,
+        ProcessState::Resumed,
+        ProcessState::Exited,
+        ProcessState::Crashed,
+        ProcessState::MemoryLimitExceeded,
+        ProcessState::SurvivedKill,
+        ProcessState::Overloaded,
+        ProcessState::Degraded,
+        ProcessState::Recovered,
     ];
-    all.extend(lifecycle.map(|became| What::Balancer {
+    all.extend(lifecycle.map(|became| EventKind::BalancerState {
         balancer: 1,
-        became,
+        state: became,
     }));
-    all.extend(lifecycle.map(|became| What::Upstream {
+    all.extend(lifecycle.map(|became| EventKind::UpstreamState {
         upstream: 4,
-        became,
+        state: became,
     }));
-    all.extend(lifecycle.map(|became| What::Registry { became }));
+    all.extend(lifecycle.map(|became| EventKind::RegistryState { state: became }));
     let states = [
         MemberState::Present,
         MemberState::Suspect,
         MemberState::Left,
         MemberState::Gone,
     ];
-    all.extend(states.map(|standing| What::Saw {
-        by: 0,
+    all.extend(states.map(|standing| EventKind::ViewChanged {
+        observer: 0,
         name: name("b1"),
         incarnation: 1_700_000_000_001,
-        standing,
+        state: standing,
         version: 9,
     }));
     (0..)
         .zip(all)
         .map(|(k, what)| Event {
-            at: 250_000 * k,
-            what,
+            at_us: 250_000 * k,
+            kind: what,
         })
         .collect()
 }
