--- a/frostkeel/src/lab.rs
+++ b/frostkeel/src/lab.rs
@@ -297,7 +297,7 @@
                 f.false_gone_held,
                 f.unequal
             );
-            let wrong = if experiment.expect.none_taken_for_gone {
+            let wrong = if experiment.expect.no_false_failures {
                 &played.broken[..]
             } else {
                 &[]
--- a/frostkeel/src/lab_output.rs
+++ b/frostkeel/src/lab_output.rs
@@ -94,7 +94,7 @@
         let faults = experiment
             .faults
             .iter()
-            .map(|f| f.at.as_secs_f64())
+            .map(|f| f.start.as_secs_f64())
             .collect();
         Self {
             terminal: std::io::stdout().is_terminal(),
--- a/lab/src/balancers/balancer_config.rs
+++ b/lab/src/balancers/balancer_config.rs
@@ -1,6 +1,6 @@
 //! What a balancer of a play is told at its start.
 
-use crate::experiment::{Effect, Experiment};
+use crate::experiment::{Experiment, Idempotence};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -32,13 +32,13 @@
     let seed = told.seed ^ (u64::from(number) << 24) ^ (starts << 48);
     let seed: u64 = ChaCha8Rng::seed_from_u64(seed).random();
     let classes = e.classes.iter().map(|class| {
-        let effect = match class.effect {
-            Effect::Safe => "idempotent",
-            Effect::Keyed => "deduplicated",
-            Effect::Unsafe => "at_most_once",
+        let effect = match class.idempotence {
+            Idempotence::Idempotent => "idempotent",
+            Idempotence::WithIdempotencyKey => "deduplicated",
+            Idempotence::AtMostOnce => "at_most_once",
         };
-        json!({"name": class.name, "aim_ms": class.aim_ms, "hard_limit_ms": class.deadline_ms,
-            "worth": class.worth, "effect": effect, "dedup_scope": "all", "key_ttl_ms": 12_000.0})
+        json!({"name": class.name, "aim_ms": class.latency_objective_ms, "hard_limit_ms": class.deadline_ms,
+            "worth": class.priority_weight, "effect": effect, "dedup_scope": "all", "key_ttl_ms": 12_000.0})
     });
     let classes: Vec<_> = classes.collect();
     let m = &e.upstream;
@@ -57,13 +57,13 @@
         "known": known,
         "settings": {
             "balancers": e.fleet.balancers, "me": number, "classes": classes, "parties": parties,
-            "clients": {"marks_retry": e.load.marks}, "over_share_worth": 0.2, "discovery": "subscribe", "locality": 0,
+            "clients": {"marks_retry": e.load.marks_retries}, "over_share_worth": 0.2, "discovery": "subscribe", "locality": 0,
             "failure_domains": ["a"], "skus": ["m"], "weight_kind": "nominal",
             "telemetry": {"how": "inline", "fields": ["util", "inflight"]},
-            "guarantees": {"ask_every_ms": 6000.0, "cold_from": m.cold_from, "cold_ms": m.cold_s * 1e3,
-                "fall_multiple": m.fall_multiple, "overload_for_ms": m.fall_s * 1e3},
-            "limits": {"cancelling": true, "second_copies": m.second_copies, "try_limit": 3, "max_streams": 1,
-                "conn_idle_ms": m.idle_s * 1e3, "connect_timeout_ms": 250.0,
+            "guarantees": {"ask_every_ms": 6000.0, "cold_from": m.slow_start_initial_share, "cold_ms": m.slow_start_s * 1e3,
+                "fall_multiple": m.overload_multiple, "overload_for_ms": m.overload_window_s * 1e3},
+            "limits": {"cancelling": true, "second_copies": m.allows_hedging, "try_limit": 3, "max_streams": 1,
+                "conn_idle_ms": m.idle_timeout_s * 1e3, "connect_timeout_ms": 250.0,
                 "max_retry_after_ms": 2000.0, "may_probe": false},
             "prices": {"connection": 0.03, "handshake": 0.03, "late_fail": 0.08, "waste": 0.02}
         }
@@ -71,7 +71,7 @@
     if let (Some(membership), Some(peers)) = (&e.membership, told.peers) {
         config["peer_listen"] = "127.0.0.1:0".into();
         config["peers"] = peers.into();
-        config["membership"] = json!({"fleet": "lab", "page": "127.0.0.1:0", "forget_s": membership.forget_after().as_secs()});
+        config["membership"] = json!({"fleet": "lab", "page": "127.0.0.1:0", "forget_s": membership.retention().as_secs()});
     }
     config
 }
--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -301,7 +301,10 @@
     fn unlist_late(self: &Arc<Self>, number: u32) {
         let (balancers, dead) = (Arc::clone(self), self.front.address(number));
         tokio::spawn(async move {
-            sleep(Duration::from_secs_f64(balancers.experiment.load.notice_s)).await;
+            sleep(Duration::from_secs_f64(
+                balancers.experiment.load.failover_delay_s,
+            ))
+            .await;
             // Back meanwhile, it has another address.
             if balancers.front.address(number) == dead {
                 balancers.front.set(number, None);
--- a/lab/src/checks/balancer_rules.rs
+++ b/lab/src/checks/balancer_rules.rs
@@ -3,7 +3,7 @@
 //! Each check is a pure function from events to what is broken, so that a test can hand it a history in which its
 //! rule is.
 
-use crate::experiment::{Effect, Experiment};
+use crate::experiment::{Experiment, Idempotence};
 use crate::history::{
     AttemptFailure, ClientAttemptId, EndpointState, Event, EventKind, ProcessState, UpstreamReply,
 };
@@ -209,8 +209,11 @@
             text: shown(),
         });
     }
-    let effect = experiment.classes.get(usize::from(class)).map(|c| c.effect);
-    if effect == Some(Effect::Unsafe) {
+    let effect = experiment
+        .classes
+        .get(usize::from(class))
+        .map(|c| c.idempotence);
+    if effect == Some(Idempotence::AtMostOnce) {
         // One that was turned away unseen did not run.
         let mut ran = one.arrivals.clone();
         for (upstream, _) in one
--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -83,7 +83,7 @@
 /// What of an experiment's expectations was missed, in words.
 pub fn missed(experiment: &Experiment, figures: &Figures) -> Vec<String> {
     let (expect, mut missed) = (&experiment.expect, Vec::new());
-    if let Some(within) = expect.known_s
+    if let Some(within) = expect.detected_within_s
         && (figures.known_worst_s > within || figures.unknown > 0)
     {
         missed.push(format!(
@@ -91,11 +91,11 @@
             figures.known_worst_s, figures.unknown
         ));
     }
-    if let Some(within) = expect.equal_s {
+    if let Some(within) = expect.converged_within_s {
         let ends = experiment
             .faults
             .iter()
-            .map(|fault| fault.ends(experiment.length).as_secs_f64());
+            .map(|fault| fault.end(experiment.length).as_secs_f64());
         let last = ends.fold(0.0, f64::max);
         match figures.equal_since_s {
             Some(since) if since <= last + within => {}
@@ -106,13 +106,13 @@
             None => missed.push(format!("{} views are not like the others", figures.unequal)),
         }
     }
-    if expect.none_taken_for_gone && figures.false_gone > 0 {
+    if expect.no_false_failures && figures.false_gone > 0 {
         missed.push(format!(
             "living ones were taken for gone {} times",
             figures.false_gone
         ));
     }
-    if expect.none_stopped_taken_for_gone && figures.false_gone_held > 0 {
+    if expect.no_paused_failures && figures.false_gone_held > 0 {
         missed.push(format!(
             "stopped ones were taken for gone {} times",
             figures.false_gone_held
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -1,38 +1,28 @@
-//! Experiment files: what is played, read from TOML and refused with line and reason where it cannot be meant.
+//! Experiment files: the form of what is run, read from TOML and rejected with line and reason
+//! where it is not valid. The serde names are the keys of the files.
 
-pub(crate) mod faults;
+mod class_defaults;
+mod fault_error;
+mod fault_parsing;
+mod faults;
 mod parsing;
+mod target_parsing;
+
+pub use fault_error::InvalidFault;
+pub use faults::{Fault, FaultKind, LinkCondition, LinkConditions, Target};
+pub use parsing::{InvalidExperiment, ParseError};
 
-pub use crate::experiment::faults::{Act, Fault, Target, Way};
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use std::time::Duration;
 
-/// The most of either kind that addresses are kept for.
-pub const BALANCERS_MOST: u32 = 300;
-/// See [`BALANCERS_MOST`].
-pub const UPSTREAMS_MOST: u32 = 200;
-/// The longest play, in seconds: the history of one is held in memory.
-pub const SECONDS_MOST: f64 = 3600.0;
-
-/// Why a text is no experiment.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Refused {
-    /// The line it lies in, from 1.
-    pub line: usize,
-    /// What is wrong, and what would be right.
-    pub reason: String,
-}
-
-impl fmt::Display for Refused {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.reason)
-    }
-}
-
-impl std::error::Error for Refused {}
+/// The largest number of balancers: addresses are reserved for so many.
+pub const MAX_BALANCERS: u32 = 300;
+/// The largest number of upstreams: addresses are reserved for so many.
+pub const MAX_UPSTREAMS: u32 = 200;
+/// The longest run, in seconds: its history is held in memory.
+pub const MAX_SECONDS: f64 = 3600.0;
 
-/// What is played.
+/// What is run.
 #[derive(Clone, Debug)]
 pub struct Experiment {
     /// Its name, for the report.
@@ -41,29 +31,58 @@
     pub length: Duration,
     /// The seed of load, faults and draws, where the command line names no other.
     pub seed: u64,
-    /// How many of each.
+    /// The processes.
     pub fleet: Fleet,
-    /// What clients do.
+    /// The behaviour of the clients.
     pub load: Load,
-    /// What upstreams are like.
-    pub upstream: Model,
-    /// The list service.
-    pub discovery: ListService,
-    /// Balancers know of each other, where this is there.
-    pub membership: Option<Peers>,
-    /// The list service is the real one, where this is there.
-    pub registry: Option<Registry>,
+    /// The behaviour of the upstreams.
+    pub upstream: UpstreamSettings,
+    /// The stand-in of the discovery service.
+    pub discovery: DiscoverySettings,
+    /// Membership among the balancers; off where it is absent.
+    pub membership: Option<MembershipSettings>,
+    /// The real registry in place of the stand-in, where it is present.
+    pub registry: Option<RegistrySettings>,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants, as shares of the load.
     pub tenants: Vec<Tenant>,
-    /// What goes wrong, by time.
+    /// The faults, by time.
     pub faults: Vec<Fault>,
-    /// What must hold besides the rules.
-    pub expect: Expect,
+    /// The expectations besides the rules.
+    pub expect: Expectations,
+}
+
+impl Experiment {
+    /// Whether a fault meets links that carry connections or datagrams.
+    pub fn impairs_links(&self) -> bool {
+        self.faults.iter().any(|fault| {
+            matches!(
+                fault.kind,
+                FaultKind::ImpairLinks { .. } | FaultKind::ResetConnections
+            )
+        })
+    }
+
+    /// Whether a fault sends earlier datagrams again, as they were or corrupted.
+    pub fn resends_datagrams(&self) -> bool {
+        self.faults.iter().any(|fault| {
+            matches!(
+                fault.kind,
+                FaultKind::ReplayDatagrams | FaultKind::InjectDatagrams { .. }
+            )
+        })
+    }
+
+    /// Whether a fault replaces upstreams by new ones.
+    pub fn replaces_upstreams(&self) -> bool {
+        self.faults
+            .iter()
+            .any(|fault| matches!(fault.kind, FaultKind::RollingReplacement { .. }))
+    }
 }
 
-/// How many of each.
+/// The processes of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -71,162 +90,183 @@
     pub balancers: u32,
     /// Stand-in upstreams, 1 to 200.
     pub upstreams: u32,
-    /// Memory that a balancer may take, in MB.
-    #[serde(default = "Fleet::memory_mb")]
+    /// The memory limit of a balancer, in MB.
+    #[serde(default = "Fleet::default_memory_mb")]
     pub memory_mb: u64,
 }
 
 impl Fleet {
-    fn memory_mb() -> u64 {
+    fn default_memory_mb() -> u64 {
         192
     }
 }
 
-/// What clients do.
+/// The behaviour of the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// First tries a second, over all balancers.
-    pub rate: f64,
-    /// Part by which that wanders, as a sine.
-    pub swing: f64,
-    /// Seconds of one such wave.
+    /// Requests a second, over all balancers, without their retries.
+    #[serde(rename = "rate")]
+    pub rate_per_s: f64,
+    /// Amplitude of the sine by which the rate varies, as a share of it.
+    #[serde(rename = "swing")]
+    pub rate_amplitude: f64,
+    /// Period of that sine, in seconds.
     pub period_s: f64,
-    /// Further tries of one client.
+    /// Retries of one request.
     pub retries: u8,
-    /// Share of the clients that heed `Retry-After`.
-    pub honour: f64,
-    /// Share of a class's give-up time after which one try is given up.
-    pub try_share: f64,
-    /// Milliseconds before the first retry of who heeds nothing; doubled for each further one.
+    /// Share of the clients that comply with `Retry-After`.
+    #[serde(rename = "honour")]
+    pub retry_after_compliance: f64,
+    /// Timeout of an attempt, as a share of the class's deadline.
+    #[serde(rename = "try_share")]
+    pub attempt_timeout_share: f64,
+    /// Milliseconds before the first retry without `Retry-After`; doubled for each further one.
     pub backoff_ms: f64,
-    /// Whether a client marks its further tries.
-    pub marks: bool,
+    /// Whether a client marks its retries.
+    #[serde(rename = "marks")]
+    pub marks_retries: bool,
     /// Distinct keys that requests concern.
-    pub keys: u32,
-    /// Seconds for which a dead balancer is still sent to.
-    pub notice_s: f64,
+    #[serde(rename = "keys")]
+    pub key_count: u32,
+    /// Seconds for which clients still send to a dead balancer.
+    #[serde(rename = "notice_s")]
+    pub failover_delay_s: f64,
 }
 
 impl Default for Load {
     fn default() -> Self {
         Self {
-            rate: 100.0,
-            swing: 0.2,
+            rate_per_s: 100.0,
+            rate_amplitude: 0.2,
             period_s: 10.0,
             retries: 2,
-            honour: 0.85,
-            try_share: 0.6,
+            retry_after_compliance: 0.85,
+            attempt_timeout_share: 0.6,
             backoff_ms: 200.0,
-            marks: true,
-            keys: 250,
-            notice_s: 1.5,
+            marks_retries: true,
+            key_count: 250,
+            failover_delay_s: 1.5,
         }
     }
 }
 
-/// What upstreams are like.
+/// The behaviour of the upstreams.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Model {
+pub struct UpstreamSettings {
     /// Cores of each.
     pub cores: u32,
-    /// Speed of a core; work is stated for 1.
+    /// Speed of a core; work is stated for speed 1.
     pub speed: f64,
-    /// Requests that may wait, for each core; more are turned away.
+    /// Requests that may be queued, for each core; more are rejected.
     pub queue_per_core: u32,
-    /// What a cold one can do, as a share of the whole, at its start.
-    pub cold_from: f64,
-    /// Seconds from cold to warm.
-    pub cold_s: f64,
-    /// Sent more than this multiple of what it can do just then, a cold one falls over ...
-    pub fall_multiple: f64,
-    /// ... if for so long, in seconds.
-    pub fall_s: f64,
-    /// Requests waiting for each core from which it chokes; 0: it never does.
-    pub choke_at: f64,
-    /// Seconds of that before it does.
-    pub choke_over_s: f64,
-    /// How many times slower it then is.
-    pub choke_slower: f64,
-    /// Share of its cores in use under which it recovers ...
-    pub choke_below: f64,
+    /// Share of the full capacity at the beginning of slow start.
+    #[serde(rename = "cold_from")]
+    pub slow_start_initial_share: f64,
+    /// Seconds of slow start.
+    #[serde(rename = "cold_s")]
+    pub slow_start_s: f64,
+    /// Work above this multiple of the present capacity overloads one in slow start ...
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    /// ... if it lasts so long, in seconds.
+    #[serde(rename = "fall_s")]
+    pub overload_window_s: f64,
+    /// Queued requests for each core that congest it; 0: it is never congested.
+    #[serde(rename = "choke_at")]
+    pub congestion_queue_per_core: f64,
+    /// Seconds of such a queue before it is congested.
+    #[serde(rename = "choke_over_s")]
+    pub congestion_onset_s: f64,
+    /// How many times slower it is while congested.
+    #[serde(rename = "choke_slower")]
+    pub congestion_slowdown: f64,
+    /// Utilization below which it recovers ...
+    #[serde(rename = "choke_below")]
+    pub recovery_utilization: f64,
     /// ... after so many seconds.
-    pub choke_rest_s: f64,
+    #[serde(rename = "choke_rest_s")]
+    pub recovery_s: f64,
     /// Milliseconds between two load reports.
-    pub report_ms: f64,
-    /// Milliseconds by which a report is old when it is first told.
+    #[serde(rename = "report_ms")]
+    pub report_interval_ms: f64,
+    /// Age of a load report when it is first sent, in milliseconds.
     pub report_delay_ms: f64,
-    /// Part by which a report is off, either way.
+    /// Largest relative error of a load report, either way.
     pub report_noise: f64,
-    /// A request may have two attempts out at the same time.
-    pub second_copies: bool,
+    /// Whether a request may be hedged.
+    #[serde(rename = "second_copies")]
+    pub allows_hedging: bool,
     /// Seconds after which an idle connection is closed.
-    pub idle_s: f64,
-    /// Connections it accepts for each core.
+    #[serde(rename = "idle_s")]
+    pub idle_timeout_s: f64,
+    /// Connections that are accepted for each core.
     pub connections_per_core: u32,
 }
 
-impl Default for Model {
+impl Default for UpstreamSettings {
     fn default() -> Self {
         Self {
             cores: 2,
             speed: 1.8,
             queue_per_core: 300,
-            cold_from: 0.25,
-            cold_s: 12.0,
-            fall_multiple: 3.0,
-            fall_s: 2.0,
-            choke_at: 5.0,
-            choke_over_s: 2.0,
-            choke_slower: 3.0,
-            choke_below: 0.3,
-            choke_rest_s: 3.0,
-            report_ms: 700.0,
+            slow_start_initial_share: 0.25,
+            slow_start_s: 12.0,
+            overload_multiple: 3.0,
+            overload_window_s: 2.0,
+            congestion_queue_per_core: 5.0,
+            congestion_onset_s: 2.0,
+            congestion_slowdown: 3.0,
+            recovery_utilization: 0.3,
+            recovery_s: 3.0,
+            report_interval_ms: 700.0,
             report_delay_ms: 250.0,
             report_noise: 0.03,
-            second_copies: true,
-            idle_s: 5.0,
+            allows_hedging: true,
+            idle_timeout_s: 5.0,
             connections_per_core: 700,
         }
     }
 }
 
-/// The stand-in of the list service.
+/// The stand-in of the discovery service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ListService {
+pub struct DiscoverySettings {
     /// Seconds until a change is on the list.
-    pub notice_s: f64,
+    #[serde(rename = "notice_s")]
+    pub update_delay_s: f64,
     /// Seconds until a crash is.
-    pub crash_notice_s: f64,
+    #[serde(rename = "crash_notice_s")]
+    pub crash_detection_s: f64,
 }
 
-impl Default for ListService {
+impl Default for DiscoverySettings {
     fn default() -> Self {
         Self {
-            notice_s: 0.5,
-            crash_notice_s: 2.0,
+            update_delay_s: 0.5,
+            crash_detection_s: 2.0,
         }
     }
 }
 
-/// A real list service.
+/// The real registry.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Registry {
+pub struct RegistrySettings {
     /// Seconds of an upstream's lease; it renews after a third.
     pub lease_s: f64,
 }
 
-impl Default for Registry {
+impl Default for RegistrySettings {
     fn default() -> Self {
         Self { lease_s: 6.0 }
     }
 }
 
-impl Registry {
-    /// See `lease_s`.
+impl RegistrySettings {
+    /// The lease, 1 s to 1 hour.
     pub fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s.clamp(1.0, 3600.0))
     }
@@ -235,34 +275,37 @@
 /// Membership among the balancers.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Peers {
-    /// Seconds for which one that is gone is remembered.
-    pub forget_s: f64,
+pub struct MembershipSettings {
+    /// Seconds for which a member that has left or failed is remembered.
+    #[serde(rename = "forget_s")]
+    pub retention_s: f64,
 }
 
-impl Default for Peers {
+impl Default for MembershipSettings {
     fn default() -> Self {
-        Self { forget_s: 600.0 }
+        Self { retention_s: 600.0 }
     }
 }
 
-impl Peers {
-    /// See `forget_s`.
-    pub fn forget_after(&self) -> Duration {
-        Duration::from_secs_f64(self.forget_s.clamp(60.0, 86_400.0))
+impl MembershipSettings {
+    /// The retention, 1 minute to 1 day.
+    pub fn retention(&self) -> Duration {
+        Duration::from_secs_f64(self.retention_s.clamp(60.0, 86_400.0))
     }
 }
 
-/// What a repeat of a request may do.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Effect {
+pub enum Idempotence {
     /// Repeats are harmless.
-    Safe,
-    /// It carries a key; repeats of it are dropped for a while.
-    Keyed,
-    /// It must never run twice.
-    Unsafe,
+    #[serde(rename = "safe")]
+    Idempotent,
+    /// It carries an idempotency key; repeats of it are dropped for a while.
+    #[serde(rename = "keyed")]
+    WithIdempotencyKey,
+    /// It must not run twice.
+    #[serde(rename = "unsafe")]
+    AtMostOnce,
 }
 
 /// A class of requests.
@@ -275,16 +318,19 @@
     pub share: f64,
     /// Mean work on a core of speed 1.
     pub work_ms: f64,
-    /// Mean wait on others.
+    /// Mean wait on other systems.
     pub io_ms: f64,
-    /// Wanted within.
-    pub aim_ms: f64,
-    /// Given up after.
+    /// The latency objective.
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: f64,
+    /// The client's deadline.
     pub deadline_ms: f64,
-    /// What one answer in time is worth.
-    pub worth: f64,
-    /// What a repeat may do.
-    pub effect: Effect,
+    /// The weight of a response within the latency objective.
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
+    /// Whether a request may be repeated.
+    #[serde(rename = "effect")]
+    pub idempotence: Idempotence,
 }
 
 /// A tenant.
@@ -293,25 +339,31 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its share of the load, and of what is guaranteed.
+    /// Its share of the load, and of the guaranteed capacity.
     pub share: f64,
 }
 
-/// What must hold besides the rules, as shares of the whole play.
+/// The expectations besides the rules, over the whole run.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Expect {
-    /// Least worth served in time, as a share of what was asked for.
-    pub served: f64,
-    /// So many seconds after the last fault's end, and from then on, requests are served in time to 0.9 of what they
-    /// were before the first.
-    pub back_s: Option<f64>,
+pub struct Expectations {
+    /// The least weight served within the latency objective, as a share of what was requested.
+    #[serde(rename = "served")]
+    pub min_served: f64,
+    /// So many seconds after the end of the last fault, and from then on, requests are served
+    /// within their objective to 0.9 of what they were before the first fault.
+    #[serde(rename = "back_s")]
+    pub recovered_within_s: Option<f64>,
     /// Seconds within which 99% of the other balancers know that one was killed.
-    pub known_s: Option<f64>,
-    /// Seconds after the last fault within which all balancers' views are the same.
-    pub equal_s: Option<f64>,
-    /// No living balancer is taken for gone.
-    pub none_taken_for_gone: bool,
-    /// Nor one that is stopped.
-    pub none_stopped_taken_for_gone: bool,
+    #[serde(rename = "known_s")]
+    pub detected_within_s: Option<f64>,
+    /// Seconds after the last fault within which the views of all balancers are equal.
+    #[serde(rename = "equal_s")]
+    pub converged_within_s: Option<f64>,
+    /// No live balancer is taken for failed.
+    #[serde(rename = "none_taken_for_gone")]
+    pub no_false_failures: bool,
+    /// Nor is one that is paused.
+    #[serde(rename = "none_stopped_taken_for_gone")]
+    pub no_paused_failures: bool,
 }
--- /dev/null
+++ b/lab/src/experiment/target_parsing.rs
@@ -0,0 +1,53 @@
+//! How the target of a fault is read.
+
+use super::Fleet;
+use super::fault_error::InvalidFault;
+use super::faults::Target;
+
+/// `b3`, `b0..b9`, `other balancers`, `u0`, `discovery`, `clients`, `all balancers`, `30% of
+/// upstreams`.
+pub(super) fn parse_target(text: &str, fleet: &Fleet) -> Result<Target, InvalidFault> {
+    if let Some(number) = parse_member('b', text, fleet.balancers) {
+        return number.map(Target::Balancer);
+    }
+    if let Some((first, last)) = text.split_once("..")
+        && let Some(Ok(first)) = parse_member('b', first, fleet.balancers)
+        && let Some(Ok(last)) = parse_member('b', last, fleet.balancers)
+        && first <= last
+    {
+        return Ok(Target::BalancerRange { first, last });
+    }
+    if let Some(number) = parse_member('u', text, fleet.upstreams) {
+        return number.map(Target::Upstream);
+    }
+    match text {
+        "discovery" => Ok(Target::Discovery),
+        "clients" => Ok(Target::Clients),
+        "other balancers" => Ok(Target::OtherBalancers),
+        _ => parse_share(text).ok_or_else(|| InvalidFault::UnknownTarget(text.into())),
+    }
+}
+
+/// A member of the fleet by its number, `None` where the text names none.
+fn parse_member(prefix: char, text: &str, count: u32) -> Option<Result<u32, InvalidFault>> {
+    let number: u32 = text.strip_prefix(prefix)?.parse().ok()?;
+    let not_in_fleet = || InvalidFault::NotInFleet {
+        text: text.into(),
+        count,
+    };
+    Some((number < count).then_some(number).ok_or_else(not_in_fleet))
+}
+
+/// `all balancers`, `30% of upstreams`.
+fn parse_share(text: &str) -> Option<Target> {
+    let (share, kind) = match text.split_once("% of ") {
+        Some((percent, kind)) => (percent.trim().parse::<f64>().ok()? / 100.0, kind),
+        None => (1.0, text.strip_prefix("all ")?),
+    };
+    match kind {
+        _ if !(0.0..=1.0).contains(&share) => None,
+        "balancers" => Some(Target::BalancerShare(share)),
+        "upstreams" => Some(Target::UpstreamShare(share)),
+        _ => None,
+    }
+}
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -1,7 +1,7 @@
 //! The faults of a play: whom they meet, and what is done to them when they are due.
 
 use crate::balancers::balancer_process::Balancers;
-use crate::experiment::{Act, Experiment, Fault, Target, Way};
+use crate::experiment::{Experiment, Fault, FaultKind, LinkCondition, Target};
 use crate::history::{EventKind, History};
 use crate::links::connections::{Link, Links, Other};
 use crate::links::peer_links::Peers;
@@ -56,13 +56,13 @@
         let mut draw = ChaCha8Rng::seed_from_u64(seed ^ (k + 1) << 40);
         let target = met(experiment, &fault.target, &mut draw);
         let with = fault
-            .with
+            .peer
             .as_ref()
             .map_or_else(Met::default, |with| met(experiment, with, &mut draw));
         DrawnFault {
-            at: fault.at,
+            at: fault.start,
             text: words(&fault),
-            lasts: lasts(&fault.act),
+            lasts: lasts(&fault.kind),
             balancers: [target.balancers, with.balancers],
             upstreams: [target.upstreams, with.upstreams],
         }
@@ -89,59 +89,70 @@
     pub async fn faults(self, seed: u64) {
         let mut running = JoinSet::new();
         for (k, fault) in occurrences(&self.experiment) {
-            sleep_until(self.history.instant_at(fault.at.as_secs_f64())).await;
+            sleep_until(self.history.instant_at(fault.start.as_secs_f64())).await;
             self.history.record(EventKind::FaultStarted {
                 description: words(&fault),
-                duration_s: lasts(&fault.act),
+                duration_s: lasts(&fault.kind),
             });
             let mut draw = ChaCha8Rng::seed_from_u64(seed ^ (k + 1) << 40);
             let met = self.met(&fault.target, &mut draw);
-            match &fault.act {
-                Act::Links(ways, lasts) if matches!(&fault.with, Some(with) if of_balancers(with)) => {
-                    if let (Some(peers), Some(with)) = (&self.peers, &fault.with) {
+            match &fault.kind {
+                FaultKind::ImpairLinks {
+                    conditions: ways,
+                    duration: lasts,
+                } if matches!(&fault.peer, Some(with) if of_balancers(with)) => {
+                    if let (Some(peers), Some(with)) = (&self.peers, &fault.peer) {
                         let others = match with {
-                            Target::Others => {
+                            Target::OtherBalancers => {
                                 let all = 0..self.experiment.fleet.balancers;
                                 all.filter(|n| !met.balancers.contains(n)).collect()
                             }
                             with => self.met(with, &mut draw).balancers,
                         };
                         let (peers, some, lasts) = (Arc::clone(peers), met.balancers, *lasts);
-                        peers.set(&some, &others, *ways);
+                        peers.set(&some, &others, [ways.outbound, ways.inbound]);
                         running.spawn(async move {
                             sleep(lasts).await;
-                            peers.set(&some, &others, [Way::default(); 2]);
+                            peers.set(&some, &others, [LinkCondition::default(); 2]);
                         });
                     }
                 }
-                Act::Replay => {
+                FaultKind::ReplayDatagrams => {
                     if let Some(peers) = &self.peers {
                         peers.replay(&met.balancers);
                     }
                 }
-                Act::Storm { rate, lasts } => {
+                FaultKind::InjectDatagrams {
+                    rate_per_s: rate,
+                    duration: lasts,
+                } => {
                     if let Some(peers) = &self.peers {
                         let storm = Arc::clone(peers).storm(met.balancers, *rate, *lasts, seed ^ k);
                         running.spawn(storm);
                     }
                 }
-                Act::Links(ways, lasts) => {
-                    let links = self.between(met, fault.with.as_ref(), &mut draw);
+                FaultKind::ImpairLinks {
+                    conditions: ways,
+                    duration: lasts,
+                } => {
+                    let links = self.between(met, fault.peer.as_ref(), &mut draw);
                     let (ways, lasts, history) = (*ways, *lasts, Arc::clone(&self.history));
-                    links.iter().for_each(|(_, _, link)| link.set(ways));
+                    links
+                        .iter()
+                        .for_each(|(_, _, link)| link.set([ways.outbound, ways.inbound]));
                     running.spawn(async move {
                         sleep(lasts).await;
                         links
                             .iter()
                             .for_each(|(_, _, link)| link.set(Default::default()));
                         // What came up while the way was cut is reset now.
-                        if ways.iter().any(|way| way.cut) {
+                        if ways.has_cut() {
                             unlinked(&history, &links);
                         }
                     });
                 }
-                Act::Reset => {
-                    let links = self.between(met, fault.with.as_ref(), &mut draw);
+                FaultKind::ResetConnections => {
+                    let links = self.between(met, fault.peer.as_ref(), &mut draw);
                     unlinked(&self.history, &links);
                     links.iter().for_each(|(_, _, link)| link.reset());
                 }
@@ -188,8 +199,15 @@
     }
 
     /// What happens to processes and stand-ins themselves.
-    fn strike(&self, act: &Act, met: Met, running: &mut JoinSet<()>) {
-        if let (true, Act::Kill { back, .. }) = (met.discovery, act) {
+    fn strike(&self, act: &FaultKind, met: Met, running: &mut JoinSet<()>) {
+        if let (
+            true,
+            FaultKind::Kill {
+                restart_after: back,
+                ..
+            },
+        ) = (met.discovery, act)
+        {
             let (discovery, back) = (Arc::clone(&self.discovery), *back);
             running.spawn(async move {
                 if let Some(registrar) = discovery.registrar() {
@@ -203,7 +221,7 @@
                 }
             });
         }
-        if let (true, Act::Stop(lasts), Some(registrar)) =
+        if let (true, FaultKind::Pause { duration: lasts }, Some(registrar)) =
             (met.discovery, act, self.discovery.registrar())
         {
             let (registrar, lasts) = (Arc::clone(registrar), *lasts);
@@ -212,23 +230,34 @@
         for number in met.balancers {
             let balancers = Arc::clone(&self.balancers);
             match act {
-                Act::Kill { back, name } => {
-                    running.spawn(balancers.kill(number, *back, name.clone()))
+                FaultKind::Kill {
+                    restart_after: back,
+                    new_name: name,
+                } => running.spawn(balancers.kill(number, *back, name.clone())),
+                FaultKind::Terminate => running.spawn(balancers.replace(number)),
+                FaultKind::Pause { duration: lasts } => {
+                    running.spawn(balancers.hold(number, *lasts))
                 }
-                Act::Term => running.spawn(balancers.replace(number)),
-                Act::Stop(lasts) => running.spawn(balancers.hold(number, *lasts)),
                 _ => continue,
             };
         }
         for (rank, number) in (0u32..).zip(met.upstreams) {
             let upstreams = Arc::clone(&self.upstreams);
             match *act {
-                Act::Kill { back, .. } => running.spawn(upstreams.crash(number, back)),
-                Act::Slow(factor, lasts) => running.spawn(upstreams.slow(number, factor, lasts)),
-                Act::Silent(lasts) => running.spawn(upstreams.silence(number, lasts)),
-                Act::Replace {
-                    batch,
-                    every,
+                FaultKind::Kill {
+                    restart_after: back,
+                    ..
+                } => running.spawn(upstreams.crash(number, back)),
+                FaultKind::SlowDown {
+                    factor,
+                    duration: lasts,
+                } => running.spawn(upstreams.slow(number, factor, lasts)),
+                FaultKind::Unresponsive { duration: lasts } => {
+                    running.spawn(upstreams.silence(number, lasts))
+                }
+                FaultKind::RollingReplacement {
+                    batch_size: batch,
+                    interval: every,
                     drain,
                 } => running.spawn(async move {
                     sleep(every * (rank / batch)).await;
@@ -244,51 +273,67 @@
     let whom = match &fault.target {
         Target::Balancer(n) => format!("b{n}"),
         Target::Upstream(n) => format!("u{n}"),
-        Target::Range(first, last) => format!("b{first} to b{last}"),
-        Target::Others => "the other balancers".into(),
-        Target::Balancers(share) => format!("{:.0}% of balancers", share * 100.0),
-        Target::Upstreams(share) => format!("{:.0}% of upstreams", share * 100.0),
+        Target::BalancerRange { first, last } => format!("b{first} to b{last}"),
+        Target::OtherBalancers => "the other balancers".into(),
+        Target::BalancerShare(share) => format!("{:.0}% of balancers", share * 100.0),
+        Target::UpstreamShare(share) => format!("{:.0}% of upstreams", share * 100.0),
         Target::Discovery => "discovery".into(),
         Target::Clients => "clients".into(),
     };
-    let what = match &fault.act {
-        Act::Kill { back: None, .. } => "killed".into(),
-        Act::Kill {
-            back: Some(back),
-            name: None,
+    let what = match &fault.kind {
+        FaultKind::Kill {
+            restart_after: None,
+            ..
+        } => "killed".into(),
+        FaultKind::Kill {
+            restart_after: Some(back),
+            new_name: None,
         } => format!("killed, back after {back:?}"),
-        Act::Kill {
-            back: Some(back),
-            name: Some(name),
+        FaultKind::Kill {
+            restart_after: Some(back),
+            new_name: Some(name),
         } => {
             format!("killed, back after {back:?} by the name of {name}")
         }
-        Act::Term => "asked to leave, started again".into(),
-        Act::Stop(lasts) => format!("stopped for {lasts:?}"),
-        Act::Slow(factor, lasts) => format!("{factor} times slower for {lasts:?}"),
-        Act::Silent(lasts) => format!("silent for {lasts:?}"),
-        Act::Replace { batch, every, .. } => format!("replaced, {batch} every {every:?}"),
-        Act::Links([to, back], lasts) => {
-            let slow = |way: &Way| match way {
-                Way { cut: true, .. } => "cut".into(),
-                way if *way == Way::default() => "open".into(),
-                way if way.loss + way.duplicate > 0.0 => format!(
+        FaultKind::Terminate => "asked to leave, started again".into(),
+        FaultKind::Pause { duration: lasts } => format!("stopped for {lasts:?}"),
+        FaultKind::SlowDown {
+            factor,
+            duration: lasts,
+        } => format!("{factor} times slower for {lasts:?}"),
+        FaultKind::Unresponsive { duration: lasts } => format!("silent for {lasts:?}"),
+        FaultKind::RollingReplacement {
+            batch_size: batch,
+            interval: every,
+            ..
+        } => format!("replaced, {batch} every {every:?}"),
+        FaultKind::ImpairLinks {
+            conditions,
+            duration: lasts,
+        } => {
+            let slow = |way: &LinkCondition| match way {
+                LinkCondition { is_cut: true, .. } => "cut".into(),
+                way if *way == LinkCondition::default() => "open".into(),
+                way if way.loss_share + way.duplicate_share > 0.0 => format!(
                     "{:.0}% lost, {:.0}% twice, up to {:?} late",
-                    way.loss * 100.0,
-                    way.duplicate * 100.0,
+                    way.loss_share * 100.0,
+                    way.duplicate_share * 100.0,
                     way.delay + way.jitter
                 ),
                 way => format!("{:?} later, up to {:?} more", way.delay, way.jitter),
             };
             format!(
                 "links from balancers {}, back {}, for {lasts:?}",
-                slow(to),
-                slow(back)
+                slow(&conditions.outbound),
+                slow(&conditions.inbound)
             )
         }
-        Act::Reset => "all connections reset".into(),
-        Act::Replay => "old datagrams come once more".into(),
-        Act::Storm { rate, lasts } => format!("{rate} bad datagrams a second for {lasts:?}"),
+        FaultKind::ResetConnections => "all connections reset".into(),
+        FaultKind::ReplayDatagrams => "old datagrams come once more".into(),
+        FaultKind::InjectDatagrams {
+            rate_per_s: rate,
+            duration: lasts,
+        } => format!("{rate} bad datagrams a second for {lasts:?}"),
     };
     format!("{whom}: {what}")
 }
@@ -310,17 +355,17 @@
             upstreams: vec![*n],
             ..Met::default()
         },
-        Target::Range(first, last) => Met {
+        Target::BalancerRange { first, last } => Met {
             balancers: (*first..=*last).collect(),
             ..Met::default()
         },
         // Whom it does not mean is said by the fault's target.
-        Target::Others => Met::default(),
-        Target::Balancers(share) => Met {
+        Target::OtherBalancers => Met::default(),
+        Target::BalancerShare(share) => Met {
             balancers: some(*share, fleet.balancers),
             ..Met::default()
         },
-        Target::Upstreams(share) => Met {
+        Target::UpstreamShare(share) => Met {
             upstreams: some(*share, fleet.upstreams),
             ..Met::default()
         },
@@ -338,7 +383,10 @@
 fn of_balancers(target: &Target) -> bool {
     matches!(
         target,
-        Target::Balancer(_) | Target::Balancers(_) | Target::Range(..) | Target::Others
+        Target::Balancer(_)
+            | Target::BalancerShare(_)
+            | Target::BalancerRange { .. }
+            | Target::OtherBalancers
     )
 }
 
@@ -346,32 +394,24 @@
 fn occurrences(experiment: &Experiment) -> Vec<(u64, Fault)> {
     let mut all = Vec::new();
     for fault in &experiment.faults {
-        let until = fault.until.unwrap_or(experiment.length);
-        let mut at = fault.at;
+        let until = fault.repeat_until.unwrap_or(experiment.length);
+        let mut at = fault.start;
         loop {
             all.push(Fault {
-                at,
+                start: at,
                 ..fault.clone()
             });
-            match fault.every {
+            match fault.repeat_interval {
                 Some(every) if at + every < until => at += every,
                 _ => break,
             }
         }
     }
-    all.sort_by_key(|fault| fault.at);
+    all.sort_by_key(|fault| fault.start);
     (0u64..).zip(all).collect()
 }
 
 /// Seconds for which it goes on, as far as that is known before.
-fn lasts(act: &Act) -> Option<f64> {
-    let lasts = match act {
-        Act::Kill { back, .. } => *back,
-        Act::Stop(lasts) | Act::Slow(_, lasts) | Act::Silent(lasts) | Act::Links(_, lasts) => {
-            Some(*lasts)
-        }
-        Act::Storm { lasts, .. } => Some(*lasts),
-        Act::Term | Act::Replace { .. } | Act::Reset | Act::Replay => None,
-    };
-    lasts.map(|lasts| lasts.as_secs_f64())
+fn lasts(act: &FaultKind) -> Option<f64> {
+    act.duration().map(|lasts| lasts.as_secs_f64())
 }
--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -3,7 +3,7 @@
 //! A connection through a link is pumped chunk by chunk: each is held until it is due, and while the way is cut.
 //! Nothing is lost or reordered on a connection, as TCP would see to that; its time is what suffers.
 
-use crate::experiment::Way;
+use crate::experiment::LinkCondition;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
 /// The ways between a balancer and another party.
 pub struct Link {
     /// From the balancer, and back to it.
-    ways: [watch::Sender<Way>; 2],
+    ways: [watch::Sender<LinkCondition>; 2],
     /// Goes up when all connections are to be reset.
     resets: watch::Sender<u64>,
     seed: u64,
@@ -51,8 +51,8 @@
 impl Link {
     fn new(seed: u64, plain: bool) -> Self {
         let ways = [
-            watch::Sender::new(Way::default()),
-            watch::Sender::new(Way::default()),
+            watch::Sender::new(LinkCondition::default()),
+            watch::Sender::new(LinkCondition::default()),
         ];
         Self {
             ways,
@@ -64,7 +64,7 @@
     }
 
     /// What happens from now on to what goes from the balancer, and back to it.
-    pub fn set(&self, ways: [Way; 2]) {
+    pub fn set(&self, ways: [LinkCondition; 2]) {
         for (sender, way) in self.ways.iter().zip(ways) {
             sender.send_replace(way);
         }
@@ -72,7 +72,7 @@
 
     /// Whether nothing passes towards the balancer now.
     pub fn is_cut_back(&self) -> bool {
-        self.ways[1].borrow().cut
+        self.ways[1].borrow().is_cut
     }
 
     /// Ends all connections.
@@ -92,7 +92,7 @@
             self.ways.each_ref().map(watch::Sender::subscribe),
             self.resets.subscribe(),
         );
-        if ways.iter().any(|way| way.borrow().cut) {
+        if ways.iter().any(|way| way.borrow().is_cut) {
             tokio::spawn(refuse(stream, far, ways));
         } else {
             tokio::spawn(carry(stream, far, ways, resets, seed));
@@ -102,9 +102,9 @@
 }
 
 /// Holds a connection that never really came up: it stays silent, and is reset once the way is back.
-async fn refuse(stream: TcpStream, far: DuplexStream, ways: [watch::Receiver<Way>; 2]) {
+async fn refuse(stream: TcpStream, far: DuplexStream, ways: [watch::Receiver<LinkCondition>; 2]) {
     for mut way in ways {
-        let _ = way.wait_for(|way| !way.cut).await;
+        let _ = way.wait_for(|way| !way.is_cut).await;
     }
     drop((stream, far));
 }
@@ -113,7 +113,7 @@
 async fn carry(
     stream: TcpStream,
     far: DuplexStream,
-    [to, back]: [watch::Receiver<Way>; 2],
+    [to, back]: [watch::Receiver<LinkCondition>; 2],
     mut resets: watch::Receiver<u64>,
     seed: u64,
 ) {
@@ -134,7 +134,7 @@
 async fn pump(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    mut way: watch::Receiver<Way>,
+    mut way: watch::Receiver<LinkCondition>,
     seed: u64,
 ) {
     let (chunks, mut due) = mpsc::channel::<(Instant, Vec<u8>)>(UNDER_WAY);
@@ -161,11 +161,12 @@
     let writing = async move {
         while let Some((when, chunk)) = due.recv().await {
             sleep_until(when).await;
-            if way.wait_for(|way| !way.cut).await.is_err() || to.write_all(&chunk).await.is_err() {
+            if way.wait_for(|way| !way.is_cut).await.is_err() || to.write_all(&chunk).await.is_err()
+            {
                 return;
             }
         }
-        let _ = way.wait_for(|way| !way.cut).await;
+        let _ = way.wait_for(|way| !way.is_cut).await;
         let _ = to.shutdown().await;
     };
     tokio::join!(reading, writing);
@@ -246,11 +247,11 @@
         let link = Links::new(1, false).between(0, Other::Upstream(3));
         let delay = Duration::from_millis(80);
         link.set([
-            Way {
+            LinkCondition {
                 delay,
-                ..Way::default()
+                ..LinkCondition::default()
             },
-            Way::default(),
+            LinkCondition::default(),
         ]);
         let (mut client, mut server) = connected(&link).await;
         let start = Instant::now();
@@ -264,11 +265,11 @@
         let (mut client, mut server) = connected(&link).await;
         arrives(&mut client, &mut server, b"before").await;
         link.set([
-            Way {
-                cut: true,
-                ..Way::default()
+            LinkCondition {
+                is_cut: true,
+                ..LinkCondition::default()
             },
-            Way::default(),
+            LinkCondition::default(),
         ]);
         client.write_all(b"held").await.expect("written");
         server.write_all(b"back").await.expect("written");
@@ -281,7 +282,7 @@
         let waited =
             tokio::time::timeout(Duration::from_millis(60), server.read_exact(&mut held)).await;
         assert!(waited.is_err(), "nothing comes through a cut");
-        link.set([Way::default(), Way::default()]);
+        link.set([LinkCondition::default(), LinkCondition::default()]);
         server.read_exact(&mut held).await.expect("it goes on");
         assert_eq!(&held, b"held");
     }
@@ -293,14 +294,14 @@
         link.reset();
         assert!(!matches!(client.read(&mut [0; 1]).await, Ok(1..)));
         link.set([
-            Way {
-                cut: true,
-                ..Way::default()
+            LinkCondition {
+                is_cut: true,
+                ..LinkCondition::default()
             },
-            Way::default(),
+            LinkCondition::default(),
         ]);
         let (mut client, _server) = connected(&link).await;
-        link.set([Way::default(), Way::default()]);
+        link.set([LinkCondition::default(), LinkCondition::default()]);
         assert!(!matches!(client.read(&mut [0; 1]).await, Ok(1..)));
     }
 }
--- a/lab/src/links/datagrams.rs
+++ b/lab/src/links/datagrams.rs
@@ -1,6 +1,6 @@
 //! What becomes of datagrams between processes: the same for real sockets and in simulated time.
 
-use crate::experiment::Way;
+use crate::experiment::LinkCondition;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 /// The ways between all ordered pairs of a number of processes.
 pub struct Ways {
     count: usize,
-    ways: Vec<Way>,
+    ways: Vec<LinkCondition>,
 }
 
 impl Ways {
@@ -20,12 +20,12 @@
         let count = count as usize;
         Self {
             count,
-            ways: vec![Way::default(); count * count],
+            ways: vec![LinkCondition::default(); count * count],
         }
     }
 
     /// The way from one to another.
-    pub fn way(&self, from: u32, to: u32) -> Way {
+    pub fn way(&self, from: u32, to: u32) -> LinkCondition {
         self.ways
             .get(from as usize * self.count + to as usize)
             .copied()
@@ -33,7 +33,7 @@
     }
 
     /// The ways between some and some others from now on: there, and back.
-    pub fn set(&mut self, some: &[u32], others: &[u32], [there, back]: [Way; 2]) {
+    pub fn set(&mut self, some: &[u32], others: &[u32], [there, back]: [LinkCondition; 2]) {
         for (a, b) in some
             .iter()
             .flat_map(|a| others.iter().map(move |b| (*a as usize, *b as usize)))
@@ -47,9 +47,12 @@
 }
 
 /// When copies of a datagram come out of a way: none, one, or two.
-pub fn copies(way: &Way, chance: &mut ChaCha8Rng) -> impl Iterator<Item = Duration> + use<> {
-    let lost = way.cut || (way.loss > 0.0 && chance.random::<f64>() < way.loss);
-    let twice = way.duplicate > 0.0 && chance.random::<f64>() < way.duplicate;
+pub fn copies(
+    way: &LinkCondition,
+    chance: &mut ChaCha8Rng,
+) -> impl Iterator<Item = Duration> + use<> {
+    let lost = way.is_cut || (way.loss_share > 0.0 && chance.random::<f64>() < way.loss_share);
+    let twice = way.duplicate_share > 0.0 && chance.random::<f64>() < way.duplicate_share;
     let mut after = || match way.jitter {
         Duration::ZERO => way.delay,
         jitter => way.delay + jitter.mul_f64(chance.random::<f64>()),
--- a/lab/src/links/peer_links.rs
+++ b/lab/src/links/peer_links.rs
@@ -1,7 +1,7 @@
 //! Links for datagrams: between each two balancers a socket for either way, so that each reaches each other at an
 //! address of its own, and what goes between them meets the faults of the way.
 
-use crate::experiment::Way;
+use crate::experiment::LinkCondition;
 use crate::links::datagrams::{Kept, Ways, copies};
 use crate::standins::upstreams::pair_address;
 use rand::{Rng, SeedableRng};
@@ -90,7 +90,7 @@
     }
 
     /// The ways between some and some others from now on: there, and back.
-    pub fn set(&self, some: &[u32], others: &[u32], ways: [Way; 2]) {
+    pub fn set(&self, some: &[u32], others: &[u32], ways: [LinkCondition; 2]) {
         self.ways
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/lab/src/measurements/figures.rs
+++ b/lab/src/measurements/figures.rs
@@ -178,7 +178,9 @@
         for counts in [&mut seconds[second].counts, &mut classes[one.class].counts] {
             counts.asked += 1;
             *match took {
-                Some(took) if took as f64 <= class.aim_ms * 1e3 => &mut counts.in_time,
+                Some(took) if took as f64 <= class.latency_objective_ms * 1e3 => {
+                    &mut counts.in_time
+                }
                 Some(_) => &mut counts.late,
                 None if one.refused => &mut counts.refused,
                 None => &mut counts.failed,
@@ -200,7 +202,7 @@
                 .classes
                 .iter()
                 .zip(&classes)
-                .map(|(c, n)| c.worth * f64::from(of(&n.counts)))
+                .map(|(c, n)| c.priority_weight * f64::from(of(&n.counts)))
                 .sum()
         };
         sum(of) / sum(&|n| n.asked).max(1e-9)
@@ -235,11 +237,16 @@
     figures: &Figures,
     after: f64,
 ) -> Option<(f64, f64)> {
-    let first = experiment.faults.iter().map(|f| f.at).min()?.as_secs_f64() as usize;
+    let first = experiment
+        .faults
+        .iter()
+        .map(|f| f.start)
+        .min()?
+        .as_secs_f64() as usize;
     let last = experiment
         .faults
         .iter()
-        .map(|f| f.ends(experiment.length))
+        .map(|f| f.end(experiment.length))
         .max()?
         .as_secs_f64()
         + after;
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -4,7 +4,7 @@
 use crate::checks::balancer_rules::{self, Broken, Rule};
 use crate::checks::membership_checks::{self, Presence};
 use crate::error::LabError;
-use crate::experiment::{Act, Experiment, Fault};
+use crate::experiment::{Experiment, Fault, FaultKind};
 use crate::faults::fault_injector::Stage;
 use crate::history::{Event, History, Recording};
 use crate::links::connections::Links;
@@ -146,7 +146,12 @@
         .map_err(|e| file(&options.dir, e))?;
     let experiment = Arc::new(experiment);
     let history = Arc::new(History::new(EVENTS_MOST));
-    let on_links = |f: &Fault| matches!(f.act, Act::Links(..) | Act::Reset);
+    let on_links = |f: &Fault| {
+        matches!(
+            f.kind,
+            FaultKind::ImpairLinks { .. } | FaultKind::ResetConnections
+        )
+    };
     let links = Links::new(options.seed, !experiment.faults.iter().any(on_links));
     let guard = options.guard.as_deref().map(Guard::start).transpose();
     let guard = guard
@@ -188,10 +193,12 @@
     let peers = match experiment.membership {
         None => None,
         Some(_) => {
-            let keeps = experiment
-                .faults
-                .iter()
-                .any(|f| matches!(f.act, Act::Replay | Act::Storm { .. }));
+            let keeps = experiment.faults.iter().any(|f| {
+                matches!(
+                    f.kind,
+                    FaultKind::ReplayDatagrams | FaultKind::InjectDatagrams { .. }
+                )
+            });
             let bound = Peers::bind(experiment.fleet.balancers, options.seed, keeps).await;
             Some(bound.map_err(LabError::Address)?)
         }
@@ -322,13 +329,13 @@
     if let Some(members) = &members {
         missed = membership_checks::missed(&experiment, &members.figures);
     }
-    if figures.served < experiment.expect.served {
+    if figures.served < experiment.expect.min_served {
         missed.push(format!(
             "served {:.3} of {:.3} expected",
-            figures.served, experiment.expect.served
+            figures.served, experiment.expect.min_served
         ));
     }
-    if let Some(within) = experiment.expect.back_s {
+    if let Some(within) = experiment.expect.recovered_within_s {
         match figures::before_and_after(&experiment, &figures, within) {
             Some((before, after)) if after >= BACK * before => {}
             Some((before, after)) => missed.push(format!(
@@ -347,7 +354,7 @@
         void,
         broken: {
             let mut broken = balancer_rules::broken(&experiment, &events);
-            if experiment.expect.none_taken_for_gone {
+            if experiment.expect.no_false_failures {
                 broken.extend(wrong.drain(..).map(|(at, text)| Broken {
                     rule: Rule::Present,
                     at,
@@ -399,10 +406,10 @@
     let replaced = experiment
         .faults
         .iter()
-        .any(|f| matches!(f.act, Act::Replace { .. }));
+        .any(|f| matches!(f.kind, FaultKind::RollingReplacement { .. }));
     let pairs = u64::from(experiment.fleet.balancers) * u64::from(experiment.fleet.upstreams);
     // A listener and a connection for each pair, the clients' connections, pipes and logs.
-    let clients = (experiment.load.rate * 2.0) as u64;
+    let clients = (experiment.load.rate_per_s * 2.0) as u64;
     let peers = experiment
         .membership
         .map_or(0, |_| Peers::needs(experiment.fleet.balancers));
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -1,7 +1,7 @@
 //! Membership in simulated time: the state machines alone, with the faults that an experiment has for balancers.
 
 use crate::checks::membership_checks::{Figures, Presence};
-use crate::experiment::{Act, Experiment, Target, Way};
+use crate::experiment::{Experiment, FaultKind, LinkCondition, Target};
 use crate::history::{EventKind, ProcessState};
 use crate::links::datagrams::{Kept, Ways, copies};
 use frostkeel_membership::{Config, ConfigError, Membership, Name, Output, Place};
@@ -110,10 +110,12 @@
         wakes: Duration::MAX,
         name: name(n).unwrap_or_else(|e| unreachable!("{e}")),
     };
-    let keeps = experiment
-        .faults
-        .iter()
-        .any(|f| matches!(f.act, Act::Replay | Act::Storm { .. }));
+    let keeps = experiment.faults.iter().any(|f| {
+        matches!(
+            f.kind,
+            FaultKind::ReplayDatagrams | FaultKind::InjectDatagrams { .. }
+        )
+    });
     let mut rig = Rig {
         experiment,
         seed,
@@ -138,7 +140,7 @@
         rig.push(at, Happening::Starts { member });
     }
     for (fault, what) in experiment.faults.iter().enumerate() {
-        rig.push(what.at, Happening::Begins { fault });
+        rig.push(what.start, Happening::Begins { fault });
     }
     rig.run()?;
     let seconds = (experiment.length - rig.counted).as_secs_f64() * f64::from(count);
@@ -174,7 +176,7 @@
                 Happening::Begins { fault } => self.begin(fault),
                 Happening::Opens { fault } => {
                     let (some, others) = &self.met[fault];
-                    self.ways.set(some, others, [Way::default(); 2]);
+                    self.ways.set(some, others, [LinkCondition::default(); 2]);
                 }
                 Happening::Bad { fault } => self.bad(fault),
             }
@@ -224,11 +226,7 @@
             places,
             boot: EPOCH_MS + self.now.as_millis() as u64,
             members_most: 2 * usize::from(places),
-            forget_after: self
-                .experiment
-                .membership
-                .unwrap_or_default()
-                .forget_after(),
+            forget_after: self.experiment.membership.unwrap_or_default().retention(),
             seed: self.seed ^ (u64::from(member) << 20) ^ (u64::from(node.life) << 50),
         };
         node.machine = Some(Membership::new(config, self.now)?);
@@ -341,8 +339,8 @@
         let count = self.experiment.fleet.balancers;
         match target {
             Target::Balancer(n) => vec![*n],
-            Target::Range(first, last) => (*first..=*last).collect(),
-            Target::Balancers(share) => {
+            Target::BalancerRange { first, last } => (*first..=*last).collect(),
+            Target::BalancerShare(share) => {
                 let mut all: Vec<u32> = (0..count).collect();
                 all.shuffle(&mut self.chance);
                 all.truncate((share * f64::from(count)).round() as usize);
@@ -356,16 +354,19 @@
         let experiment = self.experiment;
         let what = &experiment.faults[fault];
         let some = self.some(&what.target);
-        let others = match &what.with {
-            Some(Target::Others) => (0..experiment.fleet.balancers)
+        let others = match &what.peer {
+            Some(Target::OtherBalancers) => (0..experiment.fleet.balancers)
                 .filter(|n| !some.contains(n))
                 .collect(),
             Some(with) => self.some(with),
             None => Vec::new(),
         };
         self.met[fault] = (some.clone(), others);
-        match &what.act {
-            Act::Kill { back, name } => {
+        match &what.kind {
+            FaultKind::Kill {
+                restart_after: back,
+                new_name: name,
+            } => {
                 for member in some {
                     self.became(member, ProcessState::Killed);
                     let node = &mut self.nodes[member as usize];
@@ -378,7 +379,7 @@
                     }
                 }
             }
-            Act::Term => {
+            FaultKind::Terminate => {
                 for member in some {
                     self.became(member, ProcessState::ShutdownRequested);
                     if let Some(machine) = &mut self.nodes[member as usize].machine {
@@ -392,7 +393,7 @@
                     );
                 }
             }
-            Act::Stop(lasts) => {
+            FaultKind::Pause { duration: lasts } => {
                 for member in some {
                     let node = &mut self.nodes[member as usize];
                     if node.machine.is_some() && !std::mem::replace(&mut node.held, true) {
@@ -401,12 +402,15 @@
                     }
                 }
             }
-            Act::Links(ways, lasts) => {
+            FaultKind::ImpairLinks {
+                conditions: ways,
+                duration: lasts,
+            } => {
                 let (some, others) = &self.met[fault];
-                self.ways.set(some, others, *ways);
+                self.ways.set(some, others, [ways.outbound, ways.inbound]);
                 self.push(self.now + *lasts, Happening::Opens { fault });
             }
-            Act::Replay => {
+            FaultKind::ReplayDatagrams => {
                 for datagram in self.kept.all().to_vec() {
                     for to in 0..experiment.fleet.balancers {
                         for from in some.iter().copied().filter(|from| *from != to) {
@@ -415,12 +419,12 @@
                     }
                 }
             }
-            Act::Storm { .. } => self.bad(fault),
+            FaultKind::InjectDatagrams { .. } => self.bad(fault),
             _ => {}
         }
-        if let Some(every) = what.every {
+        if let Some(every) = what.repeat_interval {
             let again = self.now + every;
-            if what.until.is_none_or(|until| again < until) {
+            if what.repeat_until.is_none_or(|until| again < until) {
                 self.push(again, Happening::Begins { fault });
             }
         }
@@ -429,11 +433,15 @@
     /// One bad datagram of a storm, and the next.
     fn bad(&mut self, fault: usize) {
         let what = &self.experiment.faults[fault];
-        let Act::Storm { rate, lasts } = what.act else {
+        let FaultKind::InjectDatagrams {
+            rate_per_s: rate,
+            duration: lasts,
+        } = what.kind
+        else {
             return;
         };
         let (some, count) = (&self.met[fault].0, self.experiment.fleet.balancers);
-        if some.is_empty() || self.now >= what.at + lasts {
+        if some.is_empty() || self.now >= what.start + lasts {
             return;
         }
         let from = some[self.chance.random_range(0..some.len())];
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -1,7 +1,7 @@
 //! The stand-ins of clients: an open loop whose arrivals, classes and tenants are drawn before the play, each with
 //! its retries. What is late to send is not made up for by sending less: a request's time counts from when it was due.
 
-use crate::experiment::{Effect, Experiment};
+use crate::experiment::{Experiment, Idempotence};
 use crate::history::{
     AttemptFailure, ClientAttemptId, EventKind, History, client_attempt_id, request_of,
 };
@@ -51,22 +51,25 @@
 /// The load of an experiment: a Poisson stream whose rate wanders, by thinning (Lewis and Shedler).
 pub fn schedule(experiment: &Experiment, seed: u64) -> Vec<Arrival> {
     let (load, mut rng) = (&experiment.load, ChaCha8Rng::seed_from_u64(seed));
-    let most = load.rate * (1.0 + load.swing);
+    let most = load.rate_per_s * (1.0 + load.rate_amplitude);
     let (mut at, mut arrivals) = (0.0, Vec::new());
     loop {
         at += -(1.0 - rng.random::<f64>()).ln() / most;
         if at >= experiment.length.as_secs_f64() {
             return arrivals;
         }
-        let rate = load.rate * (1.0 + load.swing * (TAU * at / load.period_s).sin());
+        let rate = load.rate_per_s * (1.0 + load.rate_amplitude * (TAU * at / load.period_s).sin());
         let (thin, class, tenant) = (
             rng.random::<f64>(),
             rng.random::<f64>(),
             rng.random::<f64>(),
         );
         // A few keys far more popular than the rest.
-        let key = (f64::from(load.keys).powf(rng.random::<f64>()) - 1.0) as u32;
-        let (heeds, chance) = (rng.random::<f64>() < load.honour, rng.random());
+        let key = (f64::from(load.key_count).powf(rng.random::<f64>()) - 1.0) as u32;
+        let (heeds, chance) = (
+            rng.random::<f64>() < load.retry_after_compliance,
+            rng.random(),
+        );
         if thin * most <= rate {
             let class = pick(class, experiment.classes.iter().map(|c| c.share));
             let tenant = pick(tenant, experiment.tenants.iter().map(|t| t.share));
@@ -273,7 +276,7 @@
             class: arrival.class,
         });
         let deadline = due + Duration::from_secs_f64(class.deadline_ms / 1e3);
-        let most = Duration::from_secs_f64(class.deadline_ms / 1e3 * load.try_share);
+        let most = Duration::from_secs_f64(class.deadline_ms / 1e3 * load.attempt_timeout_share);
         let mut chance = ChaCha8Rng::seed_from_u64(arrival.chance);
         for again in 0..=load.retries {
             let left = deadline.saturating_duration_since(Instant::now()).min(most);
@@ -290,7 +293,9 @@
                 Some(Said::Other) | None => None,
             };
             // What may have run and must not run twice is the client's to find out about, not to send again.
-            if class.effect == Effect::Unsafe && !matches!(said, Some(Said::Refused(_))) {
+            if class.idempotence == Idempotence::AtMostOnce
+                && !matches!(said, Some(Said::Refused(_)))
+            {
                 return;
             }
             let backoff =
@@ -396,7 +401,7 @@
     ) -> Option<Request<Full<Bytes>>> {
         let class = self.experiment.classes.get(usize::from(arrival.class))?;
         let tenant = self.experiment.tenants.get(usize::from(arrival.tenant))?;
-        let method = if class.effect == Effect::Safe {
+        let method = if class.idempotence == Idempotence::Idempotent {
             Method::GET
         } else {
             Method::POST
@@ -409,10 +414,10 @@
             .header("x-account", &tenant.name)
             .header("cookie", format!("user={:08x}", arrival.key))
             .header("x-time-left-ms", left.as_millis().to_string());
-        if again > 0 && self.experiment.load.marks {
+        if again > 0 && self.experiment.load.marks_retries {
             message = message.header("x-repeat", "1");
         }
-        if class.effect == Effect::Keyed {
+        if class.idempotence == Idempotence::WithIdempotencyKey {
             message = message.header("idempotency-key", format!("{:032x}", request_of(id)));
         }
         message.body(Full::default()).ok()
--- a/lab/src/standins/upstream_model.rs
+++ b/lab/src/standins/upstream_model.rs
@@ -3,7 +3,7 @@
 //! Requests are served first come, first served by its cores, and then wait on others without one. All that is to
 //! come of a request is settled when it arrives, so the machine needs no clock and no timer. Times are seconds.
 
-use crate::experiment::Model;
+use crate::experiment::UpstreamSettings;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -29,7 +29,7 @@
 
 /// One upstream, from a start on.
 pub struct Machine {
-    model: Model,
+    model: UpstreamSettings,
     rng: ChaCha8Rng,
     /// When it started; `None`: long ago, so that it is warm.
     started: Option<f64>,
@@ -56,7 +56,7 @@
 
 impl Machine {
     /// One that starts at `now`, or was warm long before.
-    pub fn new(model: Model, rng: ChaCha8Rng, now: f64, cold: bool) -> Self {
+    pub fn new(model: UpstreamSettings, rng: ChaCha8Rng, now: f64, cold: bool) -> Self {
         Self {
             free: vec![now; model.cores as usize],
             model,
@@ -90,8 +90,8 @@
         let Some(started) = self.started else {
             return 1.0;
         };
-        let share = ((now - started) / self.model.cold_s.max(1e-9)).clamp(0.0, 1.0);
-        self.model.cold_from + (1.0 - self.model.cold_from) * share
+        let share = ((now - started) / self.model.slow_start_s.max(1e-9)).clamp(0.0, 1.0);
+        self.model.slow_start_initial_share + (1.0 - self.model.slow_start_initial_share) * share
     }
 
     /// A request arrives; returns when its answer leaves.
@@ -106,7 +106,7 @@
         }
         self.fall(now, work);
         let choke = if self.choked.is_some() {
-            self.model.choke_slower
+            self.model.congestion_slowdown
         } else {
             1.0
         };
@@ -130,7 +130,7 @@
     pub fn report(&mut self, now: f64) -> Report {
         self.settle(now);
         let (done, at) = self.measured;
-        if now - at >= self.model.report_ms / 1e3 {
+        if now - at >= self.model.report_interval_ms / 1e3 {
             let (done_now, cores) = (self.done(now), f64::from(self.model.cores));
             let noise = 1.0 + self.model.report_noise * self.rng.random_range(-1.0..1.0);
             let util = ((done_now - done) / ((now - at) * cores)).clamp(0.0, 1.0);
@@ -183,19 +183,19 @@
     /// One that has far more waiting than cores for a while turns slow, until it has been mostly idle.
     fn choke(&mut self, now: f64) {
         let (m, cores) = (&self.model, f64::from(self.model.cores));
-        if m.choke_at <= 0.0 {
+        if m.congestion_queue_per_core <= 0.0 {
             return;
         }
         if let Some(since) = self.choked {
             let used = self.free.iter().filter(|t| **t > now).count() as f64 / cores;
-            if used > m.choke_below {
+            if used > m.recovery_utilization {
                 self.idle = None;
-            } else if now - *self.idle.get_or_insert(now.max(since)) >= m.choke_rest_s {
+            } else if now - *self.idle.get_or_insert(now.max(since)) >= m.recovery_s {
                 (self.choked, self.crowded, self.idle) = (None, None, None);
             }
-        } else if (self.begins.len() as f64) < m.choke_at * cores {
+        } else if (self.begins.len() as f64) < m.congestion_queue_per_core * cores {
             self.crowded = None;
-        } else if now - *self.crowded.get_or_insert(now) >= m.choke_over_s {
+        } else if now - *self.crowded.get_or_insert(now) >= m.congestion_onset_s {
             (self.choked, self.idle) = (Some(now), None);
         }
     }
@@ -214,13 +214,14 @@
             .sent
             .front()
             .copied()
-            .filter(|s| s.0 < now - self.model.fall_s)
+            .filter(|s| s.0 < now - self.model.overload_window_s)
         {
             self.sent_sum -= old;
             self.sent.pop_front();
         }
-        let able = climb * self.model.speed * f64::from(self.model.cores) * self.model.fall_s;
-        self.fallen |= self.sent_sum > self.model.fall_multiple * able;
+        let able =
+            climb * self.model.speed * f64::from(self.model.cores) * self.model.overload_window_s;
+        self.fallen |= self.sent_sum > self.model.overload_multiple * able;
     }
 }
 
@@ -234,10 +235,10 @@
     use rand::SeedableRng;
 
     fn machine(cold: bool) -> Machine {
-        let model = Model {
+        let model = UpstreamSettings {
             speed: 1.0,
-            choke_at: 2.0,
-            ..Model::default()
+            congestion_queue_per_core: 2.0,
+            ..UpstreamSettings::default()
         };
         Machine::new(model, ChaCha8Rng::seed_from_u64(1), 0.0, cold)
     }
--- a/lab/src/standins/upstreams.rs
+++ b/lab/src/standins/upstreams.rs
@@ -191,7 +191,10 @@
         self.became(number, ProcessState::Killed);
         unit.phase.send_replace(Phase::Down);
         let list = &self.experiment.discovery;
-        let (noticed, died) = (Duration::from_secs_f64(list.crash_notice_s), Instant::now());
+        let (noticed, died) = (
+            Duration::from_secs_f64(list.crash_detection_s),
+            Instant::now(),
+        );
         let back = back.map(|after| died + after);
         if !self.discovery.falls_silent(number) && back.is_none_or(|back| back > died + noticed) {
             sleep_until(died + noticed).await;
@@ -205,7 +208,7 @@
         *unit.boot_ms.lock().unwrap_or_else(PoisonError::into_inner) = unix_ms();
         unit.phase.send_replace(Phase::Up);
         self.became(number, ProcessState::Ready);
-        sleep(Duration::from_secs_f64(list.notice_s)).await;
+        sleep(Duration::from_secs_f64(list.update_delay_s)).await;
         self.listed(&unit, EndpointState::Ready);
     }
 
@@ -252,7 +255,10 @@
         if let Err(e) = self.add(true).await {
             tracing::warn!("no successor for u{number}: {e}");
         }
-        sleep(Duration::from_secs_f64(self.experiment.discovery.notice_s)).await;
+        sleep(Duration::from_secs_f64(
+            self.experiment.discovery.update_delay_s,
+        ))
+        .await;
         self.listed(&unit, EndpointState::Terminating);
         sleep(drain).await;
         unit.draining.send_replace(true);
@@ -361,7 +367,7 @@
             let mut builder = hyper::server::conn::http1::Builder::new();
             builder
                 .timer(TokioTimer::new())
-                .header_read_timeout(Duration::from_secs_f64(model.idle_s));
+                .header_read_timeout(Duration::from_secs_f64(model.idle_timeout_s));
             tokio::select! {
                 _ = builder.serve_connection(TokioIo::new(stream), service) => (),
                 _ = phase.wait_for(|p| *p == Phase::Down || (was_silent && *p == Phase::Up)) => (),
--- /dev/null
+++ b/lab/tests/experiment_parsing.rs
@@ -0,0 +1,104 @@
+//! Experiment files: what is read from them, and what is rejected with which line and reason.
+
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
+use frostkeel_lab::experiment::{Experiment, FaultKind, Target};
+use std::time::Duration;
+
+const VALID: &str = "name = \"x\"\nseconds = 5.0\n[fleet]\nbalancers = 2\nupstreams = 4\n\
+                     [[fault]]\nat_s = 1\nkind = \"kill\"\ntarget = \"u1\"\nfor_s = 2\n";
+
+#[test]
+fn parses_a_valid_experiment() {
+    let experiment = Experiment::parse(VALID).expect("a valid experiment");
+    assert_eq!(
+        (
+            experiment.classes.len(),
+            experiment.tenants.len(),
+            experiment.seed
+        ),
+        (4, 5, 1)
+    );
+    let fault = &experiment.faults[0];
+    assert_eq!(
+        (&fault.target, fault.start),
+        (&Target::Upstream(1), Duration::from_secs(1))
+    );
+    let restart_after = Some(Duration::from_secs(2));
+    assert_eq!(
+        fault.kind,
+        FaultKind::Kill {
+            restart_after,
+            new_name: None
+        }
+    );
+}
+
+/// A change of the valid text, and what must be said about it.
+struct Case {
+    from: &'static str,
+    to: &'static str,
+    line: usize,
+    reason: &'static str,
+}
+
+const fn case(from: &'static str, to: &'static str, line: usize, reason: &'static str) -> Case {
+    Case {
+        from,
+        to,
+        line,
+        reason,
+    }
+}
+
+#[test]
+fn rejects_an_invalid_experiment_with_line_and_reason() {
+    let peer_cut = "kind = \"cut\"\ntarget = \"b1\"\nwith = \"b0\"";
+    for Case {
+        from,
+        to,
+        line,
+        reason,
+    } in [
+        case("seconds = 5.0", "seconds = 0.0", 2, "seconds is 0"),
+        case(
+            "balancers = 2",
+            "balancers = 2\nbalancer = 1",
+            5,
+            "balancer",
+        ),
+        case("balancers = 2", "balancers = 0", 3, "balancers is 0"),
+        case("kind = \"kill\"", "kind = \"burn\"", 8, "burn"),
+        case("\"u1\"", "\"u9\"", 6, "only 4"),
+        case("\"u1\"", "\"some of us\"", 6, "can be meant"),
+        case("at_s = 1", "at_s = 9", 6, "the play takes"),
+        case("kind = \"kill\"", "kind = \"stop\"", 6, "cannot meet"),
+        case("kind = \"kill\"", "kind = \"slow\"", 6, "factor is missing"),
+        case("for_s = 2", "for_s = 2\nbatch = 1", 6, "says nothing"),
+        case(
+            "kind = \"kill\"",
+            "kind = \"cut\"\nwith = \"u2\"",
+            6,
+            "one end",
+        ),
+        case(
+            "kind = \"kill\"\ntarget = \"u1\"",
+            peer_cut,
+            6,
+            "[membership]",
+        ),
+        case("kind = \"kill\"", "kind = \"delay\"", 6, "what slows"),
+        case("\"u1\"", "\"clients\"", 6, "cannot meet"),
+        case(
+            "for_s = 2",
+            "for_s = 2\nname = \"x\"",
+            6,
+            "name says nothing",
+        ),
+        case("name = \"x\"", "", 1, "name"),
+    ] {
+        let error = Experiment::parse(&VALID.replace(from, to)).expect_err(to);
+        assert_eq!(error.line, line, "{to}: {error}");
+        assert!(error.reason.to_string().contains(reason), "{to}: {error}");
+    }
+}
