--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -4,7 +4,7 @@
 use crate::error::LabError;
 use crate::experiment::Experiment;
 use crate::history::{EventKind, History, ProcessState};
-use crate::links::peer_links::Peers;
+use crate::links::PeerLinks;
 use crate::measurements::figures;
 use crate::processes::child::{self, field};
 use crate::processes::guard::Guard;
@@ -69,7 +69,7 @@
     cores: Mutex<BTreeMap<u32, f64>>,
     /// By number, where one shows its view of the others.
     pages: Mutex<BTreeMap<u32, String>>,
-    peers: Option<Arc<Peers>>,
+    peers: Option<Arc<PeerLinks>>,
 }
 
 /// What a play is made of besides the balancers.
@@ -83,7 +83,7 @@
     /// Whom clients are dealt to.
     pub front: Arc<Front>,
     /// The balancers' links with each other, where they know of each other.
-    pub peers: Option<Arc<Peers>>,
+    pub peers: Option<Arc<PeerLinks>>,
 }
 
 impl Balancers {
@@ -192,7 +192,7 @@
             starts,
             known: (self.known)(number),
             discovery: self.discovery[number as usize],
-            peers: self.peers.as_ref().map(|peers| peers.addresses(number)),
+            peers: self.peers.as_ref().map(|peers| peers.addresses_for(number)),
         };
         let text = config(told).to_string();
         let write = |path: &Path, e: std::io::Error| LabError::File {
@@ -248,7 +248,7 @@
             self.history.record(saw);
         } else if let Some(address) = field(said, "peers").and_then(|a| a.parse().ok()) {
             if let Some(peers) = &self.peers {
-                peers.at(number, address);
+                peers.set_address(number, address);
             }
             if let Some(page) = field(said, "page") {
                 let mut pages = self.pages.lock().unwrap_or_else(PoisonError::into_inner);
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -1,10 +1,10 @@
 //! The faults of a play: whom they meet, and what is done to them when they are due.
 
 use crate::balancers::balancer_process::Balancers;
-use crate::experiment::{Experiment, Fault, FaultKind, LinkCondition, Target};
+use crate::experiment::{Experiment, Fault, FaultKind, LinkCondition, LinkConditions, Target};
 use crate::history::{EventKind, History};
-use crate::links::connections::{Link, Links, Other};
-use crate::links::peer_links::Peers;
+use crate::links::PeerLinks;
+use crate::links::{Link, LinkPeer, Links};
 use crate::standins::discovery::Discovery;
 use crate::standins::upstreams::Upstreams;
 use rand::SeedableRng;
@@ -23,7 +23,7 @@
     pub upstreams: Arc<Upstreams>,
     pub discovery: Arc<Discovery>,
     pub links: Arc<Links>,
-    pub peers: Option<Arc<Peers>>,
+    pub peers: Option<Arc<PeerLinks>>,
 }
 
 /// Who a target is, by number.
@@ -71,12 +71,12 @@
 }
 
 /// A link, and whose it is.
-type Owned = (u32, Other, Arc<Link>);
+type Owned = (u32, LinkPeer, Arc<Link>);
 
 fn unlinked(history: &History, links: &[Owned]) {
     for (balancer, ..) in links
         .iter()
-        .filter(|(_, other, _)| *other == Other::Clients)
+        .filter(|(_, other, _)| *other == LinkPeer::Clients)
     {
         history.record(EventKind::ClientConnectionsReset {
             balancer: *balancer,
@@ -110,10 +110,10 @@
                             with => self.met(with, &mut draw).balancers,
                         };
                         let (peers, some, lasts) = (Arc::clone(peers), met.balancers, *lasts);
-                        peers.set(&some, &others, [ways.outbound, ways.inbound]);
+                        peers.set_conditions(&some, &others, *ways);
                         running.spawn(async move {
                             sleep(lasts).await;
-                            peers.set(&some, &others, [LinkCondition::default(); 2]);
+                            peers.set_conditions(&some, &others, LinkConditions::default());
                         });
                     }
                 }
@@ -127,7 +127,12 @@
                     duration: lasts,
                 } => {
                     if let Some(peers) = &self.peers {
-                        let storm = Arc::clone(peers).storm(met.balancers, *rate, *lasts, seed ^ k);
+                        let storm = Arc::clone(peers).inject_corrupted(
+                            met.balancers,
+                            *rate,
+                            *lasts,
+                            seed ^ k,
+                        );
                         running.spawn(storm);
                     }
                 }
@@ -139,12 +144,12 @@
                     let (ways, lasts, history) = (*ways, *lasts, Arc::clone(&self.history));
                     links
                         .iter()
-                        .for_each(|(_, _, link)| link.set([ways.outbound, ways.inbound]));
+                        .for_each(|(_, _, link)| link.set_conditions(ways));
                     running.spawn(async move {
                         sleep(lasts).await;
                         links
                             .iter()
-                            .for_each(|(_, _, link)| link.set(Default::default()));
+                            .for_each(|(_, _, link)| link.set_conditions(Default::default()));
                         // What came up while the way was cut is reset now.
                         if ways.has_cut() {
                             unlinked(&history, &links);
@@ -154,7 +159,9 @@
                 FaultKind::ResetConnections => {
                     let links = self.between(met, fault.peer.as_ref(), &mut draw);
                     unlinked(&self.history, &links);
-                    links.iter().for_each(|(_, _, link)| link.reset());
+                    links
+                        .iter()
+                        .for_each(|(_, _, link)| link.reset_connections());
                 }
                 act => self.strike(act, met, &mut running),
             }
@@ -184,10 +191,10 @@
                 met.discovery = true;
             }
         }
-        let others = met.upstreams.iter().map(|n| Other::Upstream(*n));
-        let others = others.chain(met.discovery.then_some(Other::Discovery));
-        let others: Vec<Other> = others
-            .chain(met.clients.then_some(Other::Clients))
+        let others = met.upstreams.iter().map(|n| LinkPeer::Upstream(*n));
+        let others = others.chain(met.discovery.then_some(LinkPeer::Discovery));
+        let others: Vec<LinkPeer> = others
+            .chain(met.clients.then_some(LinkPeer::Clients))
             .collect();
         let pairs = met
             .balancers
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod experiment;
 mod faults;
 pub mod history;
-mod links;
+pub mod links;
 pub mod measurements;
 pub mod processes;
 pub mod reports;
--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -1,9 +1,9 @@
-//! Links: the ways between two parties, and what happens to what travels on them.
+//! Connections through links, and what happens to what travels on them.
 //!
-//! A connection through a link is pumped chunk by chunk: each is held until it is due, and while the way is cut.
-//! Nothing is lost or reordered on a connection, as TCP would see to that; its time is what suffers.
+//! A connection through a link is relayed in chunks: each waits until it is due, and while the link
+//! is cut. Nothing is lost or reordered, as TCP would see to that; only its timing suffers.
 
-use crate::experiment::LinkCondition;
+use crate::experiment::{LinkCondition, LinkConditions};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -15,293 +15,225 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Bytes of a chunk, and chunks that may be under way.
-const CHUNK: usize = 16 * 1024;
-/// See `CHUNK`.
-const UNDER_WAY: usize = 64;
+/// The largest chunk, in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Chunks of one direction that may be in transit.
+const MAX_CHUNKS_IN_TRANSIT: usize = 64;
 
-/// Who a balancer has a link for connections with.
+/// The other party of a link for connections with a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Other {
+pub enum LinkPeer {
     /// An upstream.
     Upstream(u32),
-    /// The list service.
+    /// The discovery service.
     Discovery,
     /// The clients, all together.
     Clients,
 }
 
-/// A connection of whatever kind.
-pub trait Io: AsyncRead + AsyncWrite + Send + Unpin {}
+/// A connection of any kind.
+pub trait Connection: AsyncRead + AsyncWrite + Send + Unpin {}
 
-impl<T: AsyncRead + AsyncWrite + Send + Unpin> Io for T {}
+impl<T: AsyncRead + AsyncWrite + Send + Unpin> Connection for T {}
 
-/// The ways between a balancer and another party.
+/// The conditions of both directions, as a connection sees them change.
+struct ConditionReceivers {
+    outbound: watch::Receiver<LinkCondition>,
+    inbound: watch::Receiver<LinkCondition>,
+}
+
+impl ConditionReceivers {
+    fn has_cut(&self) -> bool {
+        self.outbound.borrow().is_cut || self.inbound.borrow().is_cut
+    }
+}
+
+/// The link between a balancer and another party.
 pub struct Link {
-    /// From the balancer, and back to it.
-    ways: [watch::Sender<LinkCondition>; 2],
-    /// Goes up when all connections are to be reset.
+    /// From the balancer.
+    outbound: watch::Sender<LinkCondition>,
+    /// To the balancer.
+    inbound: watch::Sender<LinkCondition>,
+    /// Counts the resets of all connections.
     resets: watch::Sender<u64>,
     seed: u64,
-    opened: AtomicU64,
-    /// Nothing ever happens on it: connections go through untouched, which spares the lab two copies of each byte.
-    plain: bool,
+    opened_count: AtomicU64,
+    /// No fault ever meets it: connections pass untouched, which spares the lab two copies of each
+    /// byte.
+    is_transparent: bool,
 }
 
 impl Link {
-    fn new(seed: u64, plain: bool) -> Self {
-        let ways = [
-            watch::Sender::new(LinkCondition::default()),
-            watch::Sender::new(LinkCondition::default()),
-        ];
+    fn new(seed: u64, is_transparent: bool) -> Self {
         Self {
-            ways,
+            outbound: watch::Sender::default(),
+            inbound: watch::Sender::default(),
             resets: watch::Sender::new(0),
             seed,
-            opened: AtomicU64::new(0),
-            plain,
+            opened_count: AtomicU64::new(0),
+            is_transparent,
         }
     }
 
-    /// What happens from now on to what goes from the balancer, and back to it.
-    pub fn set(&self, ways: [LinkCondition; 2]) {
-        for (sender, way) in self.ways.iter().zip(ways) {
-            sender.send_replace(way);
-        }
+    /// Sets what happens from now on to what travels in each direction.
+    pub fn set_conditions(&self, conditions: LinkConditions) {
+        self.outbound.send_replace(conditions.outbound);
+        self.inbound.send_replace(conditions.inbound);
     }
 
     /// Whether nothing passes towards the balancer now.
-    pub fn is_cut_back(&self) -> bool {
-        self.ways[1].borrow().is_cut
+    pub fn is_inbound_cut(&self) -> bool {
+        self.inbound.borrow().is_cut
     }
 
-    /// Ends all connections.
-    pub fn reset(&self) {
-        self.resets.send_modify(|n| *n += 1);
+    /// Resets all connections.
+    pub fn reset_connections(&self) {
+        self.resets.send_modify(|count| *count += 1);
     }
 
     /// The other party's end of a connection with the balancer, as it comes out of the link.
-    pub fn through(&self, stream: TcpStream) -> Box<dyn Io> {
-        if self.plain {
+    pub fn attach(&self, stream: TcpStream) -> Box<dyn Connection> {
+        if self.is_transparent {
             return Box::new(stream);
         }
-        let (near, far) = duplex(CHUNK);
-        let seed = self.seed ^ (self.opened.fetch_add(1, Ordering::Relaxed) << 20);
-        // As things stand now, not when the task first runs: a cut or a reset in between must meet it.
-        let (ways, resets) = (
-            self.ways.each_ref().map(watch::Sender::subscribe),
-            self.resets.subscribe(),
-        );
-        if ways.iter().any(|way| way.borrow().is_cut) {
-            tokio::spawn(refuse(stream, far, ways));
+        let (near, far) = duplex(CHUNK_BYTES);
+        let seed = self.seed ^ (self.opened_count.fetch_add(1, Ordering::Relaxed) << 20);
+        // Subscribed now, not when the task first runs: a cut or a reset in between must meet it.
+        let conditions = ConditionReceivers {
+            outbound: self.outbound.subscribe(),
+            inbound: self.inbound.subscribe(),
+        };
+        let resets = self.resets.subscribe();
+        if conditions.has_cut() {
+            tokio::spawn(hold_until_open(stream, far, conditions));
         } else {
-            tokio::spawn(carry(stream, far, ways, resets, seed));
+            tokio::spawn(relay(stream, far, conditions, resets, seed));
         }
         Box::new(near)
     }
 }
 
-/// Holds a connection that never really came up: it stays silent, and is reset once the way is back.
-async fn refuse(stream: TcpStream, far: DuplexStream, ways: [watch::Receiver<LinkCondition>; 2]) {
-    for mut way in ways {
-        let _ = way.wait_for(|way| !way.is_cut).await;
+/// Holds a connection that was opened while the link was cut: it stays silent, and is reset once
+/// the link is open again.
+async fn hold_until_open(stream: TcpStream, far: DuplexStream, conditions: ConditionReceivers) {
+    for mut condition in [conditions.outbound, conditions.inbound] {
+        let _ = condition.wait_for(|condition| !condition.is_cut).await;
     }
     drop((stream, far));
 }
 
-/// Carries a connection until both its directions have ended, or it is reset.
-async fn carry(
+/// Relays a connection until both its directions have ended, or it is reset.
+async fn relay(
     stream: TcpStream,
     far: DuplexStream,
-    [to, back]: [watch::Receiver<LinkCondition>; 2],
+    conditions: ConditionReceivers,
     mut resets: watch::Receiver<u64>,
     seed: u64,
 ) {
-    let ((net_in, net_out), (far_in, far_out)) = (stream.into_split(), split(far));
-    let both = async {
-        tokio::join!(
-            pump(net_in, far_out, to, seed),
-            pump(far_in, net_out, back, !seed)
-        )
-    };
+    let ((balancer_in, balancer_out), (peer_in, peer_out)) = (stream.into_split(), split(far));
+    let outbound = relay_direction(balancer_in, peer_out, conditions.outbound, seed);
+    let inbound = relay_direction(peer_in, balancer_out, conditions.inbound, !seed);
     tokio::select! {
-        _ = both => (),
+        _ = async { tokio::join!(outbound, inbound) } => (),
         _ = resets.changed() => (),
     }
 }
 
-/// Carries what comes in one direction until it ends.
-async fn pump(
+/// A chunk in transit.
+struct Chunk {
+    due: Instant,
+    bytes: Vec<u8>,
+}
+
+/// Relays one direction until it ends.
+async fn relay_direction(
+    from: impl AsyncRead + Unpin,
+    to: impl AsyncWrite + Unpin,
+    condition: watch::Receiver<LinkCondition>,
+    seed: u64,
+) {
+    let (sender, receiver) = mpsc::channel(MAX_CHUNKS_IN_TRANSIT);
+    tokio::join!(
+        read_chunks(from, sender, condition.clone(), seed),
+        write_chunks(receiver, to, condition)
+    );
+}
+
+async fn read_chunks(
     mut from: impl AsyncRead + Unpin,
-    mut to: impl AsyncWrite + Unpin,
-    mut way: watch::Receiver<LinkCondition>,
+    chunks: mpsc::Sender<Chunk>,
+    condition: watch::Receiver<LinkCondition>,
     seed: u64,
 ) {
-    let (chunks, mut due) = mpsc::channel::<(Instant, Vec<u8>)>(UNDER_WAY);
-    let now = way.clone();
-    let reading = async move {
-        let (mut rng, mut last, mut buffer) = (
-            ChaCha8Rng::seed_from_u64(seed),
-            Instant::now(),
-            vec![0; CHUNK],
-        );
-        while let Ok(n @ 1..) = from.read(&mut buffer).await {
-            let way = *now.borrow();
-            let jitter = way.jitter.mul_f64(rng.random::<f64>());
-            let sending = way.bytes_per_s.map_or(Duration::ZERO, |rate| {
-                Duration::from_secs_f64(n as f64 / f64::from(rate.max(1)))
-            });
-            // In order, and no sooner than what was sent before it has passed.
-            last = (Instant::now() + way.delay + jitter).max(last) + sending;
-            if chunks.send((last, buffer[..n].to_vec())).await.is_err() {
-                break;
-            }
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut last_due = Instant::now();
+    let mut buffer = vec![0; CHUNK_BYTES];
+    while let Ok(length @ 1..) = from.read(&mut buffer).await {
+        let condition = *condition.borrow();
+        let jitter = condition.jitter.mul_f64(rng.random::<f64>());
+        let transmission = condition.bytes_per_s.map_or(Duration::ZERO, |rate| {
+            Duration::from_secs_f64(length as f64 / f64::from(rate.max(1)))
+        });
+        // In order, and no sooner than what was sent before it has passed.
+        last_due = (Instant::now() + condition.delay + jitter).max(last_due) + transmission;
+        let chunk = Chunk {
+            due: last_due,
+            bytes: buffer[..length].to_vec(),
+        };
+        if chunks.send(chunk).await.is_err() {
+            break;
         }
-    };
-    let writing = async move {
-        while let Some((when, chunk)) = due.recv().await {
-            sleep_until(when).await;
-            if way.wait_for(|way| !way.is_cut).await.is_err() || to.write_all(&chunk).await.is_err()
-            {
-                return;
-            }
+    }
+}
+
+async fn write_chunks(
+    mut chunks: mpsc::Receiver<Chunk>,
+    mut to: impl AsyncWrite + Unpin,
+    mut condition: watch::Receiver<LinkCondition>,
+) {
+    while let Some(chunk) = chunks.recv().await {
+        sleep_until(chunk.due).await;
+        let is_open = condition
+            .wait_for(|condition| !condition.is_cut)
+            .await
+            .is_ok();
+        if !is_open || to.write_all(&chunk.bytes).await.is_err() {
+            return;
         }
-        let _ = way.wait_for(|way| !way.is_cut).await;
-        let _ = to.shutdown().await;
-    };
-    tokio::join!(reading, writing);
+    }
+    let _ = condition.wait_for(|condition| !condition.is_cut).await;
+    let _ = to.shutdown().await;
 }
 
-/// All links of a play.
+/// All links of a run.
 pub struct Links {
     seed: u64,
-    plain: bool,
-    links: Mutex<HashMap<(u32, Other), Arc<Link>>>,
+    is_transparent: bool,
+    links: Mutex<HashMap<(u32, LinkPeer), Arc<Link>>>,
 }
 
 impl Links {
-    /// Those of a play with this seed; `plain` where no fault of it meets a link.
-    pub fn new(seed: u64, plain: bool) -> Arc<Self> {
+    /// The links of a run with this seed; transparent where no fault of it meets a link.
+    pub fn new(seed: u64, is_transparent: bool) -> Arc<Self> {
         Arc::new(Self {
             seed,
-            plain,
+            is_transparent,
             links: Mutex::default(),
         })
     }
 
     /// The link between a balancer and another party.
-    pub fn between(&self, balancer: u32, other: Other) -> Arc<Link> {
-        let number = match other {
-            Other::Upstream(n) => u64::from(n) + 1,
-            Other::Discovery => 0,
-            Other::Clients => u64::from(u16::MAX),
+    pub fn between(&self, balancer: u32, peer: LinkPeer) -> Arc<Link> {
+        let number = match peer {
+            LinkPeer::Upstream(number) => u64::from(number) + 1,
+            LinkPeer::Discovery => 0,
+            LinkPeer::Clients => u64::from(u16::MAX),
         };
-        let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         let seed = self.seed ^ (u64::from(balancer) << 32) ^ (number << 48);
-        Arc::clone(
-            links
-                .entry((balancer, other))
-                .or_insert_with(|| Arc::new(Link::new(seed, self.plain))),
-        )
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use tokio::net::TcpListener;
-
-    /// A client's end, and the other party's end behind the link.
-    async fn connected(link: &Arc<Link>) -> (TcpStream, Box<dyn Io>) {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let client = TcpStream::connect(listener.local_addr().expect("an address"))
-            .await
-            .expect("up");
-        (
-            client,
-            link.through(listener.accept().await.expect("accepted").0),
-        )
-    }
-
-    async fn arrives(client: &mut TcpStream, server: &mut Box<dyn Io>, text: &[u8]) {
-        client.write_all(text).await.expect("written");
-        let mut got = vec![0; text.len()];
-        server.read_exact(&mut got).await.expect("read");
-        assert_eq!(got, text);
-    }
-
-    #[tokio::test]
-    async fn a_plain_link_carries_both_ways_and_its_end() {
-        let link = Links::new(1, false).between(0, Other::Discovery);
-        let (mut client, mut server) = connected(&link).await;
-        arrives(&mut client, &mut server, b"there").await;
-        server.write_all(b"back").await.expect("written");
-        drop(server);
-        let mut rest = Vec::new();
-        client.read_to_end(&mut rest).await.expect("read");
-        assert_eq!(rest, b"back");
-    }
-
-    #[tokio::test]
-    async fn what_is_delayed_comes_no_sooner() {
-        let link = Links::new(1, false).between(0, Other::Upstream(3));
-        let delay = Duration::from_millis(80);
-        link.set([
-            LinkCondition {
-                delay,
-                ..LinkCondition::default()
-            },
-            LinkCondition::default(),
-        ]);
-        let (mut client, mut server) = connected(&link).await;
-        let start = Instant::now();
-        arrives(&mut client, &mut server, b"late").await;
-        assert!(start.elapsed() >= delay);
-    }
-
-    #[tokio::test]
-    async fn a_cut_holds_what_was_sent_one_way_and_lets_it_go_on() {
-        let link = Links::new(1, false).between(0, Other::Upstream(3));
-        let (mut client, mut server) = connected(&link).await;
-        arrives(&mut client, &mut server, b"before").await;
-        link.set([
-            LinkCondition {
-                is_cut: true,
-                ..LinkCondition::default()
-            },
-            LinkCondition::default(),
-        ]);
-        client.write_all(b"held").await.expect("written");
-        server.write_all(b"back").await.expect("written");
-        let mut got = [0; 4];
-        client
-            .read_exact(&mut got)
-            .await
-            .expect("the other way is open");
-        let mut held = [0; 4];
-        let waited =
-            tokio::time::timeout(Duration::from_millis(60), server.read_exact(&mut held)).await;
-        assert!(waited.is_err(), "nothing comes through a cut");
-        link.set([LinkCondition::default(), LinkCondition::default()]);
-        server.read_exact(&mut held).await.expect("it goes on");
-        assert_eq!(&held, b"held");
-    }
-
-    #[tokio::test]
-    async fn a_reset_ends_what_is_open_and_a_cut_what_came_meanwhile() {
-        let link = Links::new(1, false).between(0, Other::Upstream(3));
-        let (mut client, _server) = connected(&link).await;
-        link.reset();
-        assert!(!matches!(client.read(&mut [0; 1]).await, Ok(1..)));
-        link.set([
-            LinkCondition {
-                is_cut: true,
-                ..LinkCondition::default()
-            },
-            LinkCondition::default(),
-        ]);
-        let (mut client, _server) = connected(&link).await;
-        link.set([LinkCondition::default(), LinkCondition::default()]);
-        assert!(!matches!(client.read(&mut [0; 1]).await, Ok(1..)));
+        let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
+        let link = links
+            .entry((balancer, peer))
+            .or_insert_with(|| Arc::new(Link::new(seed, self.is_transparent)));
+        Arc::clone(link)
     }
 }
--- a/lab/src/links/datagrams.rs
+++ b/lab/src/links/datagrams.rs
@@ -1,101 +1,106 @@
 //! What becomes of datagrams between processes: the same for real sockets and in simulated time.
 
-use crate::experiment::LinkCondition;
+use crate::experiment::{LinkCondition, LinkConditions};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Datagrams of each ordered pair that are kept to be sent again, the first that came.
-const KEPT: usize = 8;
+/// Datagrams that are kept to be sent again, the first that passed.
+const MAX_SAMPLES: usize = 8;
+/// Share of the corrupted datagrams that are random bytes.
+const RANDOM_SHARE: f64 = 0.3;
+/// Share of the other corrupted datagrams that are truncated.
+const TRUNCATED_SHARE: f64 = 0.2;
+/// Random datagrams are shorter than this, in bytes.
+const RANDOM_LENGTH: usize = 300;
 
-/// The ways between all ordered pairs of a number of processes.
-pub struct Ways {
+/// The conditions between all ordered pairs of a number of processes.
+pub struct LinkMatrix {
     count: usize,
-    ways: Vec<LinkCondition>,
+    conditions: Vec<LinkCondition>,
 }
 
-impl Ways {
+impl LinkMatrix {
     /// All open.
     pub fn new(count: u32) -> Self {
         let count = count as usize;
         Self {
             count,
-            ways: vec![LinkCondition::default(); count * count],
+            conditions: vec![LinkCondition::default(); count * count],
         }
     }
 
-    /// The way from one to another.
-    pub fn way(&self, from: u32, to: u32) -> LinkCondition {
-        self.ways
-            .get(from as usize * self.count + to as usize)
-            .copied()
-            .unwrap_or_default()
+    /// The condition from one process to another.
+    pub fn condition(&self, from: u32, to: u32) -> LinkCondition {
+        let index = from as usize * self.count + to as usize;
+        self.conditions.get(index).copied().unwrap_or_default()
     }
 
-    /// The ways between some and some others from now on: there, and back.
-    pub fn set(&mut self, some: &[u32], others: &[u32], [there, back]: [LinkCondition; 2]) {
-        for (a, b) in some
-            .iter()
-            .flat_map(|a| others.iter().map(move |b| (*a as usize, *b as usize)))
-        {
-            if a != b {
-                self.ways[a * self.count + b] = there;
-                self.ways[b * self.count + a] = back;
+    /// Sets the conditions between some processes and their peers.
+    pub fn set_conditions(&mut self, targets: &[u32], peers: &[u32], conditions: LinkConditions) {
+        for target in targets.iter().map(|target| *target as usize) {
+            for peer in peers.iter().map(|peer| *peer as usize) {
+                if target != peer {
+                    self.conditions[target * self.count + peer] = conditions.outbound;
+                    self.conditions[peer * self.count + target] = conditions.inbound;
+                }
             }
         }
     }
 }
 
-/// When copies of a datagram come out of a way: none, one, or two.
-pub fn copies(
-    way: &LinkCondition,
-    chance: &mut ChaCha8Rng,
+/// The delays after which copies of a datagram are delivered: none, one, or two.
+pub fn delivery_delays(
+    condition: &LinkCondition,
+    rng: &mut ChaCha8Rng,
 ) -> impl Iterator<Item = Duration> + use<> {
-    let lost = way.is_cut || (way.loss_share > 0.0 && chance.random::<f64>() < way.loss_share);
-    let twice = way.duplicate_share > 0.0 && chance.random::<f64>() < way.duplicate_share;
-    let mut after = || match way.jitter {
-        Duration::ZERO => way.delay,
-        jitter => way.delay + jitter.mul_f64(chance.random::<f64>()),
+    let is_lost = condition.is_cut
+        || (condition.loss_share > 0.0 && rng.random::<f64>() < condition.loss_share);
+    let is_duplicated =
+        condition.duplicate_share > 0.0 && rng.random::<f64>() < condition.duplicate_share;
+    let mut delay = || match condition.jitter {
+        Duration::ZERO => condition.delay,
+        jitter => condition.delay + jitter.mul_f64(rng.random::<f64>()),
     };
-    let first = (!lost).then(&mut after);
-    let second = (!lost && twice).then(after);
+    let first = (!is_lost).then(&mut delay);
+    let second = (!is_lost && is_duplicated).then(delay);
     first.into_iter().chain(second)
 }
 
-/// Datagrams that have passed, to be sent again as they were or damaged.
+/// Datagrams that have passed, to be sent again as they were or corrupted.
 #[derive(Default)]
-pub struct Kept {
-    datagrams: Vec<Vec<u8>>,
+pub struct DatagramSamples {
+    samples: Vec<Vec<u8>>,
 }
 
-impl Kept {
-    /// Keeps one, if it is among the first.
-    pub fn keep(&mut self, datagram: &[u8]) {
-        if self.datagrams.len() < KEPT {
-            self.datagrams.push(datagram.to_vec());
+impl DatagramSamples {
+    /// Adds one, if it is among the first.
+    pub fn add(&mut self, datagram: &[u8]) {
+        if self.samples.len() < MAX_SAMPLES {
+            self.samples.push(datagram.to_vec());
         }
     }
 
-    /// All that are kept.
+    /// All samples.
     pub fn all(&self) -> &[Vec<u8>] {
-        &self.datagrams
+        &self.samples
     }
 
-    /// Something bad: nonsense, or one of those kept with a few bits turned or its end cut off.
-    pub fn bad(&self, chance: &mut ChaCha8Rng) -> Vec<u8> {
-        if self.datagrams.is_empty() || chance.random::<f64>() < 0.3 {
-            let length = chance.random_range(0..300);
-            return (0..length).map(|_| chance.random()).collect();
+    /// A corrupted datagram: random bytes, or a sample with a few bits flipped or its end cut off.
+    pub fn corrupted(&self, rng: &mut ChaCha8Rng) -> Vec<u8> {
+        if self.samples.is_empty() || rng.random::<f64>() < RANDOM_SHARE {
+            let length = rng.random_range(0..RANDOM_LENGTH);
+            return (0..length).map(|_| rng.random()).collect();
         }
-        let mut datagram = self.datagrams[chance.random_range(0..self.datagrams.len())].clone();
-        for _ in 0..chance.random_range(1..4) {
-            let at = chance.random_range(0..datagram.len().max(1));
-            if let Some(byte) = datagram.get_mut(at) {
-                *byte ^= 1 << chance.random_range(0..8);
+        let mut datagram = self.samples[rng.random_range(0..self.samples.len())].clone();
+        for _ in 0..rng.random_range(1..4) {
+            let index = rng.random_range(0..datagram.len().max(1));
+            if let Some(byte) = datagram.get_mut(index) {
+                *byte ^= 1 << rng.random_range(0..8);
             }
         }
-        if chance.random::<f64>() < 0.2 {
-            datagram.truncate(chance.random_range(0..=datagram.len()));
+        if rng.random::<f64>() < TRUNCATED_SHARE {
+            datagram.truncate(rng.random_range(0..=datagram.len()));
         }
         datagram
     }
--- a/lab/src/links/peer_links.rs
+++ b/lab/src/links/peer_links.rs
@@ -1,9 +1,9 @@
-//! Links for datagrams: between each two balancers a socket for either way, so that each reaches each other at an
-//! address of its own, and what goes between them meets the faults of the way.
+//! Links for datagrams: a socket for each ordered pair of balancers, so that each reaches each
+//! other one at an address of its own, and what passes between them meets the conditions of the
+//! link.
 
-use crate::experiment::LinkCondition;
-use crate::links::datagrams::{Kept, Ways, copies};
-use crate::standins::upstreams::pair_address;
+use super::{DatagramSamples, LinkMatrix, delivery_delays, pair_address};
+use crate::experiment::LinkConditions;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io;
@@ -16,38 +16,61 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Datagrams under way that are late: more are lost, as on a real way.
-const UNDER_WAY: usize = 20_000;
-/// Longer than any datagram that is meant.
-const BUFFER: usize = 512;
+/// Delayed datagrams in transit: more are lost, as on a real link.
+const MAX_IN_TRANSIT: usize = 20_000;
+/// Longer than any datagram of the protocol, in bytes.
+const BUFFER_BYTES: usize = 512;
+/// The interval at which corrupted datagrams are injected.
+const INJECTION_INTERVAL: Duration = Duration::from_millis(10);
+/// Where a balancer reaches itself: nobody listens there.
+const UNREACHABLE: &str = "127.0.0.1:1";
 
-/// All links for datagrams of a play.
-pub struct Peers {
-    /// By whom it is reached at, then by whom it stands for.
+/// What balancers have sent to each other.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Traffic {
+    /// Datagrams.
+    pub datagrams: u64,
+    /// Their bytes.
+    pub bytes: u64,
+}
+
+impl Traffic {
+    /// What was sent since an earlier count.
+    pub fn since(self, earlier: Self) -> Self {
+        Self {
+            datagrams: self.datagrams - earlier.datagrams,
+            bytes: self.bytes - earlier.bytes,
+        }
+    }
+}
+
+/// All links for datagrams of a run.
+pub struct PeerLinks {
+    /// By the balancer that sends to it, then by the balancer that it stands for.
     sockets: Vec<Vec<Option<Arc<UdpSocket>>>>,
-    /// Where each balancer really is.
-    real: Vec<Mutex<Option<SocketAddr>>>,
-    ways: Mutex<Ways>,
-    kept: Mutex<Kept>,
-    /// Some fault needs what passes to be kept.
-    keeps: bool,
-    sent: AtomicU64,
+    /// By balancer, its own address.
+    addresses: Vec<Mutex<Option<SocketAddr>>>,
+    conditions: Mutex<LinkMatrix>,
+    samples: Mutex<DatagramSamples>,
+    /// A fault sends datagrams again.
+    keeps_samples: bool,
+    sent_datagrams: AtomicU64,
     sent_bytes: AtomicU64,
-    under_way: Arc<Semaphore>,
+    in_transit: Arc<Semaphore>,
     seed: u64,
 }
 
-impl Peers {
-    /// Takes the addresses for so many balancers.
-    pub async fn bind(count: u32, seed: u64, keeps: bool) -> io::Result<Arc<Self>> {
+impl PeerLinks {
+    /// Binds the sockets for so many balancers.
+    pub async fn bind(count: u32, seed: u64, keeps_samples: bool) -> io::Result<Arc<Self>> {
         let mut sockets = Vec::new();
-        for at in 0..count {
+        for sender in 0..count {
             let mut row = Vec::new();
-            for other in 0..count {
-                row.push(match at == other {
+            for peer in 0..count {
+                row.push(match sender == peer {
                     true => None,
                     false => Some(Arc::new(
-                        UdpSocket::bind((pair_address(at, other), 0)).await?,
+                        UdpSocket::bind((pair_address(sender, peer), 0)).await?,
                     )),
                 });
             }
@@ -55,160 +78,169 @@
         }
         Ok(Arc::new(Self {
             sockets,
-            real: (0..count).map(|_| Mutex::default()).collect(),
-            ways: Mutex::new(Ways::new(count)),
-            kept: Mutex::default(),
-            keeps,
-            sent: AtomicU64::new(0),
+            addresses: (0..count).map(|_| Mutex::default()).collect(),
+            conditions: Mutex::new(LinkMatrix::new(count)),
+            samples: Mutex::default(),
+            keeps_samples,
+            sent_datagrams: AtomicU64::new(0),
             sent_bytes: AtomicU64::new(0),
-            under_way: Arc::new(Semaphore::new(UNDER_WAY)),
+            in_transit: Arc::new(Semaphore::new(MAX_IN_TRANSIT)),
             seed,
         }))
     }
 
     /// How many sockets so many balancers take.
-    pub fn needs(count: u32) -> u64 {
-        u64::from(count) * u64::from(count.saturating_sub(1))
+    pub fn socket_count(balancers: u32) -> u64 {
+        u64::from(balancers) * u64::from(balancers.saturating_sub(1))
     }
 
-    /// By number, where one balancer reaches all; itself nowhere.
-    pub fn addresses(&self, of: u32) -> Vec<String> {
-        let row = self.sockets.get(of as usize).into_iter().flatten();
-        let address =
-            |socket: &Option<Arc<UdpSocket>>| match socket.as_ref().map(|s| s.local_addr()) {
+    /// By number, where one balancer reaches all of them.
+    pub fn addresses_for(&self, balancer: u32) -> Vec<String> {
+        let row = self.sockets.get(balancer as usize).into_iter().flatten();
+        row.map(
+            |socket| match socket.as_ref().map(|socket| socket.local_addr()) {
                 Some(Ok(address)) => address.to_string(),
-                _ => "127.0.0.1:1".into(),
-            };
-        row.map(address).collect()
+                _ => UNREACHABLE.into(),
+            },
+        )
+        .collect()
     }
 
-    /// A balancer is at an address from now on.
-    pub fn at(&self, balancer: u32, address: SocketAddr) {
-        if let Some(real) = self.real.get(balancer as usize) {
-            *real.lock().unwrap_or_else(PoisonError::into_inner) = Some(address);
+    /// Sets a balancer's own address.
+    pub fn set_address(&self, balancer: u32, address: SocketAddr) {
+        if let Some(current) = self.addresses.get(balancer as usize) {
+            *current.lock().unwrap_or_else(PoisonError::into_inner) = Some(address);
         }
     }
 
-    /// The ways between some and some others from now on: there, and back.
-    pub fn set(&self, some: &[u32], others: &[u32], ways: [LinkCondition; 2]) {
-        self.ways
+    /// Sets the conditions between some balancers and their peers.
+    pub fn set_conditions(&self, targets: &[u32], peers: &[u32], conditions: LinkConditions) {
+        let mut matrix = self
+            .conditions
             .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .set(some, others, ways);
+            .unwrap_or_else(PoisonError::into_inner);
+        matrix.set_conditions(targets, peers, conditions);
     }
 
-    /// Datagrams that balancers have sent so far, and their bytes.
-    pub fn sent(&self) -> (u64, u64) {
-        (
-            self.sent.load(Ordering::Relaxed),
-            self.sent_bytes.load(Ordering::Relaxed),
-        )
+    /// What balancers have sent so far.
+    pub fn traffic(&self) -> Traffic {
+        Traffic {
+            datagrams: self.sent_datagrams.load(Ordering::Relaxed),
+            bytes: self.sent_bytes.load(Ordering::Relaxed),
+        }
     }
 
-    /// Carries datagrams for as long as the tasks live.
-    pub fn carry(self: &Arc<Self>, tasks: &mut JoinSet<()>) {
+    /// Relays datagrams for as long as the tasks live.
+    pub fn spawn_relays(self: &Arc<Self>, tasks: &mut JoinSet<()>) {
         for (from, row) in (0u32..).zip(&self.sockets) {
             for (to, socket) in (0u32..).zip(row) {
                 if let Some(socket) = socket {
-                    tasks.spawn(Arc::clone(self).one(from, to, Arc::clone(socket)));
+                    tasks.spawn(Arc::clone(self).relay(from, to, Arc::clone(socket)));
                 }
             }
         }
     }
 
-    async fn one(self: Arc<Self>, from: u32, to: u32, socket: Arc<UdpSocket>) {
+    async fn relay(self: Arc<Self>, from: u32, to: u32, socket: Arc<UdpSocket>) {
         let seed = self.seed ^ (u64::from(from) << 40) ^ (u64::from(to) << 16);
-        let (mut chance, mut buffer) = (ChaCha8Rng::seed_from_u64(seed), [0; BUFFER]);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut buffer = [0; BUFFER_BYTES];
         loop {
             let Ok((length, source)) = socket.recv_from(&mut buffer).await else {
-                // What the other end of a loopback socket says about a datagram before.
+                // The error concerns an earlier datagram, which the other end of the socket
+                // rejected.
                 continue;
             };
-            if self.real(from) != Some(source) {
-                continue;
+            if self.address(from) == Some(source) {
+                self.forward(from, to, &buffer[..length], &mut rng);
             }
-            let datagram = &buffer[..length];
-            self.sent.fetch_add(1, Ordering::Relaxed);
-            self.sent_bytes.fetch_add(length as u64, Ordering::Relaxed);
-            if self.keeps {
-                self.kept
-                    .lock()
-                    .unwrap_or_else(PoisonError::into_inner)
-                    .keep(datagram);
-            }
-            let way = self
-                .ways
+        }
+    }
+
+    /// Delivers a datagram under the conditions of its link.
+    fn forward(self: &Arc<Self>, from: u32, to: u32, datagram: &[u8], rng: &mut ChaCha8Rng) {
+        self.sent_datagrams.fetch_add(1, Ordering::Relaxed);
+        self.sent_bytes
+            .fetch_add(datagram.len() as u64, Ordering::Relaxed);
+        if self.keeps_samples {
+            self.samples
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .way(from, to);
-            for after in copies(&way, &mut chance) {
-                if after.is_zero() {
-                    self.hand_over(from, to, datagram);
-                } else if let Ok(slot) = Arc::clone(&self.under_way).try_acquire_owned() {
-                    let (peers, datagram) = (Arc::clone(&self), datagram.to_vec());
-                    tokio::spawn(async move {
-                        sleep(after).await;
-                        peers.hand_over(from, to, &datagram);
-                        drop(slot);
-                    });
-                }
+                .add(datagram);
+        }
+        let condition = self
+            .conditions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .condition(from, to);
+        for delay in delivery_delays(&condition, rng) {
+            if delay.is_zero() {
+                self.deliver(from, to, datagram);
+            } else if let Ok(permit) = Arc::clone(&self.in_transit).try_acquire_owned() {
+                let (links, datagram) = (Arc::clone(self), datagram.to_vec());
+                tokio::spawn(async move {
+                    sleep(delay).await;
+                    links.deliver(from, to, &datagram);
+                    drop(permit);
+                });
             }
         }
     }
 
-    fn real(&self, balancer: u32) -> Option<SocketAddr> {
-        *self
-            .real
-            .get(balancer as usize)?
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+    fn address(&self, balancer: u32) -> Option<SocketAddr> {
+        let address = self.addresses.get(balancer as usize)?;
+        *address.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What one sent reaches another one from the address at which that one knows it.
-    fn hand_over(&self, from: u32, to: u32, datagram: &[u8]) {
+    /// Delivers a datagram from the address at which its receiver knows the sender.
+    fn deliver(&self, from: u32, to: u32, datagram: &[u8]) {
         let socket = self
             .sockets
             .get(to as usize)
             .and_then(|row| row.get(from as usize)?.as_ref());
-        if let (Some(socket), Some(address)) = (socket, self.real(to)) {
-            // Full: lost, as on a real way.
+        if let (Some(socket), Some(address)) = (socket, self.address(to)) {
+            // A full socket loses it, as a real link does.
             let _ = socket.try_send_to(datagram, address);
         }
     }
 
-    /// The first datagrams that passed come once more, from some to all.
-    pub fn replay(&self, some: &[u32]) {
-        let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        for datagram in kept.all() {
-            for to in 0..self.real.len() as u32 {
-                some.iter()
-                    .filter(|from| **from != to)
-                    .for_each(|from| self.hand_over(*from, to, datagram));
+    /// Sends the first datagrams that passed once more, in the name of some to all.
+    pub fn replay(&self, senders: &[u32]) {
+        let samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
+        for datagram in samples.all() {
+            for to in 0..self.addresses.len() as u32 {
+                for from in senders.iter().filter(|from| **from != to) {
+                    self.deliver(*from, to, datagram);
+                }
             }
         }
     }
 
-    /// Bad datagrams come in the name of some, so many a second, for so long.
-    pub async fn storm(self: Arc<Self>, some: Vec<u32>, rate: f64, lasts: Duration, seed: u64) {
-        let (mut chance, every) = (ChaCha8Rng::seed_from_u64(seed), Duration::from_millis(10));
-        let (mut left, mut owed) = (lasts, 0.0);
-        while !left.is_zero() && !some.is_empty() {
-            owed += rate * every.as_secs_f64();
+    /// Sends corrupted datagrams in the name of some, so many a second, for so long.
+    pub async fn inject_corrupted(
+        self: Arc<Self>,
+        senders: Vec<u32>,
+        rate_per_s: f64,
+        duration: Duration,
+        seed: u64,
+    ) {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let (mut remaining, mut owed) = (duration, 0.0);
+        while !remaining.is_zero() && !senders.is_empty() {
+            owed += rate_per_s * INJECTION_INTERVAL.as_secs_f64();
             while owed >= 1.0 {
                 owed -= 1.0;
-                let from = some[chance.random_range(0..some.len())];
-                let to = chance.random_range(0..self.real.len()) as u32;
-                let datagram = self
-                    .kept
-                    .lock()
-                    .unwrap_or_else(PoisonError::into_inner)
-                    .bad(&mut chance);
+                let from = senders[rng.random_range(0..senders.len())];
+                let to = rng.random_range(0..self.addresses.len()) as u32;
+                let samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
+                let datagram = samples.corrupted(&mut rng);
+                drop(samples);
                 if from != to {
-                    self.hand_over(from, to, &datagram);
+                    self.deliver(from, to, &datagram);
                 }
             }
-            sleep(every).await;
-            left = left.saturating_sub(every);
+            sleep(INJECTION_INTERVAL).await;
+            remaining = remaining.saturating_sub(INJECTION_INTERVAL);
         }
     }
 }
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -7,14 +7,13 @@
 use crate::experiment::{Experiment, Fault, FaultKind};
 use crate::faults::fault_injector::Stage;
 use crate::history::{Event, History, Recording};
-use crate::links::connections::Links;
-use crate::links::peer_links::Peers;
+use crate::links::{DISCOVERY_HOST_NUMBER, Links, PeerLinks, Traffic, pair_address};
 use crate::measurements::figures::{self, Figures};
 use crate::processes::guard::Guard;
 use crate::standins::clients::{Clients, Front, schedule};
 use crate::standins::discovery::Discovery;
 use crate::standins::registration::Registrar;
-use crate::standins::upstreams::{Row, Upstreams, pair_address};
+use crate::standins::upstreams::{Row, Upstreams};
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -181,7 +180,7 @@
     let mut tasks = JoinSet::new();
     let mut addresses = Vec::new();
     for balancer in 0..experiment.fleet.balancers {
-        let listener = TcpListener::bind((pair_address(balancer, 249), 0))
+        let listener = TcpListener::bind((pair_address(balancer, DISCOVERY_HOST_NUMBER), 0))
             .await
             .map_err(LabError::Address)?;
         addresses.push(listener.local_addr().map_err(LabError::Address)?);
@@ -199,12 +198,12 @@
                     FaultKind::ReplayDatagrams | FaultKind::InjectDatagrams { .. }
                 )
             });
-            let bound = Peers::bind(experiment.fleet.balancers, options.seed, keeps).await;
+            let bound = PeerLinks::bind(experiment.fleet.balancers, options.seed, keeps).await;
             Some(bound.map_err(LabError::Address)?)
         }
     };
     if let Some(peers) = &peers {
-        peers.carry(&mut tasks);
+        peers.spawn_relays(&mut tasks);
     }
     if let Some(registrar) = &registrar {
         registrar.lists(experiment.fleet.upstreams as usize).await?;
@@ -242,7 +241,7 @@
     );
     let arrivals = schedule(&experiment, options.seed);
     let processor = processor_seconds();
-    let sent = peers.as_ref().map_or((0, 0), |peers| peers.sent());
+    let sent = peers.as_ref().map(|peers| peers.traffic());
     history.start_clock();
     tasks.spawn(Arc::clone(&upstreams).watch_load());
     let stage = Stage {
@@ -274,7 +273,7 @@
     let seconds = history.now().min(experiment.length).as_secs_f64();
     let sent = peers
         .as_ref()
-        .map(|peers| (peers.sent().0 - sent.0, peers.sent().1 - sent.1));
+        .map(|peers| peers.traffic().since(sent.unwrap_or_default()));
     let (elapsed, spent) = (history.now().as_secs_f64(), processor_seconds() - processor);
     tasks.abort_all();
     end_all(&balancers, experiment.fleet.balancers).await;
@@ -305,7 +304,7 @@
     };
     let (members, mut wrong) = match sent {
         None => (None, Vec::new()),
-        Some((datagrams, bytes)) => {
+        Some(Traffic { datagrams, bytes }) => {
             let mut presence = Presence::default();
             // What the end of the play does is no part of it.
             let until = events
@@ -412,7 +411,7 @@
     let clients = (experiment.load.rate_per_s * 2.0) as u64;
     let peers = experiment
         .membership
-        .map_or(0, |_| Peers::needs(experiment.fleet.balancers));
+        .map_or(0, |_| PeerLinks::socket_count(experiment.fleet.balancers));
     let need = peers
         + pairs * if replaced { 3 } else { 2 }
         + clients
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -1,9 +1,9 @@
 //! Membership in simulated time: the state machines alone, with the faults that an experiment has for balancers.
 
 use crate::checks::membership_checks::{Figures, Presence};
-use crate::experiment::{Experiment, FaultKind, LinkCondition, Target};
+use crate::experiment::{Experiment, FaultKind, LinkConditions, Target};
 use crate::history::{EventKind, ProcessState};
-use crate::links::datagrams::{Kept, Ways, copies};
+use crate::links::{DatagramSamples, LinkMatrix, delivery_delays};
 use frostkeel_membership::{Config, ConfigError, Membership, Name, Output, Place};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -86,9 +86,9 @@
     queue: BinaryHeap<Reverse<(Duration, u64, Happening)>>,
     number: u64,
     nodes: Vec<Node>,
-    ways: Ways,
+    ways: LinkMatrix,
     chance: ChaCha8Rng,
-    kept: Kept,
+    kept: DatagramSamples,
     keeps: bool,
     presence: Presence,
     /// Whom each fault met.
@@ -123,9 +123,9 @@
         queue: BinaryHeap::new(),
         number: 0,
         nodes: (0..count).map(node).collect(),
-        ways: Ways::new(count),
+        ways: LinkMatrix::new(count),
         chance: ChaCha8Rng::seed_from_u64(seed),
-        kept: Kept::default(),
+        kept: DatagramSamples::default(),
         keeps,
         presence: Presence::default(),
         met: vec![Default::default(); experiment.faults.len()],
@@ -176,7 +176,8 @@
                 Happening::Begins { fault } => self.begin(fault),
                 Happening::Opens { fault } => {
                     let (some, others) = &self.met[fault];
-                    self.ways.set(some, others, [LinkCondition::default(); 2]);
+                    self.ways
+                        .set_conditions(some, others, LinkConditions::default());
                 }
                 Happening::Bad { fault } => self.bad(fault),
             }
@@ -276,10 +277,10 @@
             self.sent.1 += datagram.len() as u64;
         }
         if self.keeps {
-            self.kept.keep(&datagram);
+            self.kept.add(&datagram);
         }
-        let way = self.ways.way(from, to);
-        for after in copies(&way, &mut self.chance).collect::<Vec<_>>() {
+        let way = self.ways.condition(from, to);
+        for after in delivery_delays(&way, &mut self.chance).collect::<Vec<_>>() {
             self.push(
                 self.now + DELAY + after,
                 Happening::Arrives {
@@ -407,7 +408,7 @@
                 duration: lasts,
             } => {
                 let (some, others) = &self.met[fault];
-                self.ways.set(some, others, [ways.outbound, ways.inbound]);
+                self.ways.set_conditions(some, others, *ways);
                 self.push(self.now + *lasts, Happening::Opens { fault });
             }
             FaultKind::ReplayDatagrams => {
@@ -446,7 +447,7 @@
         }
         let from = some[self.chance.random_range(0..some.len())];
         let to = self.chance.random_range(0..count);
-        let datagram = self.kept.bad(&mut self.chance);
+        let datagram = self.kept.corrupted(&mut self.chance);
         if from != to {
             self.arrives(to, from, datagram);
         }
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -5,7 +5,7 @@
 use crate::history::{
     AttemptFailure, ClientAttemptId, EventKind, History, client_attempt_id, request_of,
 };
-use crate::links::connections::{Link, Links, Other};
+use crate::links::{Link, LinkPeer, Links};
 use crate::measurements::figures::times;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -189,7 +189,7 @@
         .ok()?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) =
-        hyper::client::conn::http1::handshake(TokioIo::new(link.through(stream)))
+        hyper::client::conn::http1::handshake(TokioIo::new(link.attach(stream)))
             .await
             .ok()?;
     tokio::spawn(connection);
@@ -200,7 +200,7 @@
 enum Said {
     Served,
     Refused(Option<Duration>),
-    Other,
+    LinkPeer,
 }
 
 /// All clients of a play.
@@ -290,7 +290,7 @@
             let asked_for = match said {
                 Some(Said::Served) => return,
                 Some(Said::Refused(after)) => after.filter(|_| arrival.heeds),
-                Some(Said::Other) | None => None,
+                Some(Said::LinkPeer) | None => None,
             };
             // What may have run and must not run twice is the client's to find out about, not to send again.
             if class.idempotence == Idempotence::AtMostOnce
@@ -320,7 +320,7 @@
             sleep_until(gives_up.min(Instant::now() + CONNECT)).await;
             return None;
         };
-        let link = self.links.between(balancer, Other::Clients);
+        let link = self.links.between(balancer, LinkPeer::Clients);
         let (mut kept, mut asked) = (self.front.idle(balancer, address), false);
         loop {
             let reused = kept.is_some();
@@ -385,7 +385,7 @@
                     return Some(match parts.status.as_u16() {
                         200 => Said::Served,
                         429 | 503 => Said::Refused(after),
-                        _ => Said::Other,
+                        _ => Said::LinkPeer,
                     });
                 }
             }
--- a/lab/src/standins/discovery.rs
+++ b/lab/src/standins/discovery.rs
@@ -2,7 +2,7 @@
 //! of its own.
 
 use crate::history::{EndpointState, EventKind, History};
-use crate::links::connections::{Links, Other};
+use crate::links::{LinkPeer, Links};
 use crate::standins::registration::Registrar;
 use bytes::{Bytes, BytesMut};
 use frostkeel_registry::client::begin;
@@ -156,7 +156,11 @@
 
     /// Notes what a text tells a balancer: now, or where its watch is cut off, once that counts as told all the same.
     fn told(self: &Arc<Self>, balancer: u32, since: Option<u64>) {
-        if !self.links.between(balancer, Other::Discovery).is_cut_back() {
+        if !self
+            .links
+            .between(balancer, LinkPeer::Discovery)
+            .is_inbound_cut()
+        {
             self.note_told(balancer, since);
             return;
         }
@@ -183,13 +187,13 @@
 
     /// Serves one balancer at its address for as long as the play lasts.
     pub async fn serve(self: Arc<Self>, balancer: u32, listener: TcpListener) {
-        let link = self.links.between(balancer, Other::Discovery);
+        let link = self.links.between(balancer, LinkPeer::Discovery);
         while let Ok((stream, _)) = listener.accept().await {
             self.history.record(EventKind::DiscoveryCalled { balancer });
             if !*self.up.borrow() {
                 continue;
             }
-            let stream = link.through(stream);
+            let stream = link.attach(stream);
             let (discovery, mut up) = (Arc::clone(&self), self.up.subscribe());
             tokio::spawn(async move {
                 let service = service_fn(move |request| {
--- a/lab/src/standins/upstreams.rs
+++ b/lab/src/standins/upstreams.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Experiment;
 use crate::history::{EndpointState, EventKind, History, ProcessState, UpstreamReply};
-use crate::links::connections::{Io, Links, Other};
+use crate::links::{Connection, LinkPeer, Links, pair_address};
 use crate::standins::discovery::Discovery;
 use crate::standins::upstream_model::{Machine, Report, Turned};
 use bytes::Bytes;
@@ -13,7 +13,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -70,18 +70,6 @@
     units: Mutex<Vec<Arc<Unit>>>,
 }
 
-/// The address kept for what one balancer reaches: 16 nets of 250 balancers by 250 numbers.
-pub fn pair_address(balancer: u32, number: u32) -> IpAddr {
-    let octet = |n: u32| n as u8;
-    let address = [
-        127,
-        octet(16 + balancer / 250),
-        octet(1 + balancer % 250),
-        octet(2 + number % 250),
-    ];
-    IpAddr::V4(Ipv4Addr::from(address))
-}
-
 fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -320,7 +308,9 @@
         let Ok(address) = listener.local_addr() else {
             return;
         };
-        let link = self.links.between(balancer, Other::Upstream(unit.number));
+        let link = self
+            .links
+            .between(balancer, LinkPeer::Upstream(unit.number));
         let (mut phase, mut listener) = (unit.phase.subscribe(), Some(listener));
         loop {
             let listening = match listener.take() {
@@ -341,7 +331,7 @@
                     accepted = listening.accept() => match accepted {
                         Ok((stream, _)) => {
                             let _ = stream.set_nodelay(true);
-                            let stream = link.through(stream);
+                            let stream = link.attach(stream);
                             tokio::spawn(Arc::clone(&self).connection(Arc::clone(&unit), stream));
                         }
                         Err(e) => {
@@ -355,7 +345,7 @@
         }
     }
 
-    async fn connection(self: Arc<Self>, unit: Arc<Unit>, stream: Box<dyn Io>) {
+    async fn connection(self: Arc<Self>, unit: Arc<Unit>, stream: Box<dyn Connection>) {
         let model = &self.experiment.upstream;
         let most = model.connections_per_core * model.cores;
         if unit.connections.fetch_add(1, Ordering::Relaxed) < most {
