--- a/frostkeel/src/lab.rs
+++ b/frostkeel/src/lab.rs
@@ -398,8 +398,8 @@
             let name = ["before", "after"][k];
             println!(
                 "{name:6} seed {seed}: served {:.3}, worst class {:.3}, p99 {:.0} ms, {} breaches{}",
-                f.served,
-                f.worst_class,
+                f.served_share,
+                f.worst_class_share,
                 f.p99_ms,
                 played.broken.len(),
                 played
@@ -410,7 +410,7 @@
             );
             sound &= played.void.is_none();
             if played.void.is_none() {
-                served[k].push(f.served);
+                served[k].push(f.served_share);
             }
         }
     }
--- a/frostkeel/src/lab_output.rs
+++ b/frostkeel/src/lab_output.rs
@@ -18,17 +18,17 @@
         let c = &class.counts;
         println!(
             "{:16} {:>7} {:>8} {:>6} {:>8} {:>7}",
-            class.class, c.asked, c.in_time, c.late, c.refused, c.failed
+            class.class, c.requested, c.in_time, c.late, c.rejected, c.failed
         );
     }
     println!(
         "served {:.1}% of the worth in time; answers {:.0} ms (median), {:.0} ms (99th percentile); \
          {:.2} attempts a request; {} calls of one balancer for its list in a second at most",
-        f.served * 100.0,
+        f.served_share * 100.0,
         f.p50_ms,
         f.p99_ms,
-        f.attempts,
-        f.calls_most
+        f.upstream_attempts,
+        f.max_discovery_calls
     );
     let lab = &played.lab;
     println!(
--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -5,9 +5,9 @@
 use crate::experiment::Experiment;
 use crate::history::{EventKind, History, ProcessState};
 use crate::links::PeerLinks;
-use crate::measurements::figures;
-use crate::processes::child::{self, field};
+use crate::measurements;
 use crate::processes::guard::Guard;
+use crate::processes::{log_field, spawn_logged};
 use crate::standins::clients::Front;
 use frostkeel_membership::{MemberState, Name};
 use rustix::process::{Pid, Signal, kill_process};
@@ -209,9 +209,10 @@
         command
             .env("NODE_CONFIG", &path)
             .env("NODE_NAME", self.name(number));
-        let child = child::start(&mut command, &log, move |line| {
+        let child = spawn_logged(&mut command, &log, move |line| {
             balancers.heard(number, line);
-            if let Some(address) = field(line, "listen").and_then(|a| a.parse::<SocketAddr>().ok())
+            if let Some(address) =
+                log_field(line, "listen").and_then(|a| a.parse::<SocketAddr>().ok())
                 && let Some(tell) = tell.take()
             {
                 let _ = tell.send(address);
@@ -226,7 +227,7 @@
             return Err(LabError::NotReady { number, log });
         };
         if let Some(guard) = &self.guard {
-            guard.started(pid.as_raw_nonzero().get() as u32);
+            guard.register(pid);
         }
         *slot.ending.lock().unwrap_or_else(PoisonError::into_inner) = false;
         slot.life.send_replace(Life::On(pid));
@@ -246,11 +247,11 @@
                 .record(EventKind::NameYielded { balancer: number });
         } else if let Some(saw) = saw(number, said) {
             self.history.record(saw);
-        } else if let Some(address) = field(said, "peers").and_then(|a| a.parse().ok()) {
+        } else if let Some(address) = log_field(said, "peers").and_then(|a| a.parse().ok()) {
             if let Some(peers) = &self.peers {
                 peers.set_address(number, address);
             }
-            if let Some(page) = field(said, "page") {
+            if let Some(page) = log_field(said, "page") {
                 let mut pages = self.pages.lock().unwrap_or_else(PoisonError::into_inner);
                 pages.insert(number, page.to_owned());
             }
@@ -280,7 +281,7 @@
             }
         }
         if let Some(guard) = &self.guard {
-            guard.ended(pid.as_raw_nonzero().get() as u32);
+            guard.unregister(pid);
         }
         let meant = *slot.ending.lock().unwrap_or_else(PoisonError::into_inner);
         self.became(
@@ -410,15 +411,15 @@
 
 /// A line that tells of a change of a balancer's view.
 fn saw(by: u32, said: &str) -> Option<EventKind> {
-    let number = |name| field(said, name).and_then(|n| n.parse::<u64>().ok());
-    let standing = match field(said, "standing")? {
+    let number = |name| log_field(said, name).and_then(|n| n.parse::<u64>().ok());
+    let standing = match log_field(said, "standing")? {
         "present" => MemberState::Present,
         "suspect" => MemberState::Suspect,
         "left" => MemberState::Left,
         "gone" => MemberState::Gone,
         _ => return None,
     };
-    let name = Name::new(field(said, "name")?).ok()?;
+    let name = Name::new(log_field(said, "name")?).ok()?;
     let incarnation = number("incarnation")? + number("turn")?;
     Some(EventKind::ViewChanged {
         observer: by,
@@ -434,19 +435,12 @@
     let text = tokio::fs::read_to_string(format!("/proc/{}/stat", pid.as_raw_nonzero()))
         .await
         .ok()?;
-    Some(figures::processor_seconds(&text))
+    Some(measurements::processor_seconds(&text))
 }
 
 /// What a process takes of memory now, in KB; `None` once it is gone.
 async fn memory_kb(pid: Pid) -> Option<u64> {
     let path = format!("/proc/{}/status", pid.as_raw_nonzero());
     let text = tokio::fs::read_to_string(path).await.ok()?;
-    text.lines().find_map(|line| {
-        line.strip_prefix("VmRSS:")?
-            .trim()
-            .strip_suffix("kB")?
-            .trim()
-            .parse()
-            .ok()
-    })
+    measurements::resident_memory_kb(&text)
 }
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,12 +1,12 @@
-//! Why there was no play.
+//! Why there was no run.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why there was no play.
+/// Why there was no run.
 #[derive(Debug, Error)]
 pub enum LabError {
-    /// A file of the play.
+    /// A file of the run.
     #[error("{path}: {source}")]
     File {
         /// Which.
@@ -14,35 +14,36 @@
         /// Why.
         source: std::io::Error,
     },
-    /// No child.
+    /// A child that could not be started.
     #[error(
         "{program} cannot be started: {source}; build it first: cargo build --release --locked"
     )]
     Start {
-        /// Which program.
+        /// Its program.
         program: PathBuf,
         /// Why.
         source: std::io::Error,
     },
-    /// A child that does not serve.
+    /// A balancer that does not serve.
     #[error("balancer b{number} did not say that it serves: see {log}")]
     NotReady {
-        /// Which.
+        /// Its number.
         number: u32,
         /// Its log.
         log: PathBuf,
     },
-    /// Too few descriptors.
+    /// Too few file descriptors.
     #[error(
-        "the play needs some {need} open files, {limit} are allowed: raise `ulimit -n` or play a smaller fleet"
+        "the play needs some {needed} open files, {limit} are allowed: raise `ulimit -n` or play a \
+         smaller fleet"
     )]
     Descriptors {
         /// How many it needs.
-        need: u64,
+        needed: u64,
         /// How many it may have.
         limit: u64,
     },
-    /// A list service that does not serve.
+    /// A registry that does not serve.
     #[error(
         "the list service did not say that it serves, or does not list all upstreams: see {log}"
     )]
@@ -50,10 +51,10 @@
         /// Its log.
         log: PathBuf,
     },
-    /// No list service.
+    /// No program for the registry.
     #[error("the experiment has a [registry]: the program that serves it has to be named")]
-    NoProgram,
-    /// A stand-in has no address.
+    NoRegistryProgram,
+    /// No address for a stand-in.
     #[error("no address for a stand-in: {0}")]
     Address(std::io::Error),
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -24,7 +24,6 @@
 pub use checks::{balancer_rules as check, membership_checks as presence};
 pub use error::LabError;
 pub use faults::fault_injector::{DrawnFault, drawn_faults};
-pub use measurements::figures;
 pub use processes::guard;
 pub use reports::page as report;
 pub use runs::experiment_run::{LabItself, Members, Options, Played, Progress, play};
--- a/lab/src/measurements/figures.rs
+++ b/lab/src/measurements/figures.rs
@@ -1,402 +1,337 @@
-//! The figures of a play, counted over its whole history.
+//! The figures of a run, computed over its whole history.
 
-use crate::experiment::Experiment;
-use crate::history::{AttemptFailure, Event, EventKind, request_of};
-use hdrhistogram::Histogram;
+use super::{LatencyHistogram, latency_histogram, quantile_ms};
+use crate::experiment::{Class, Experiment};
+use crate::history::{AttemptFailure, ClientAttemptId, Event, EventKind, request_of};
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// What became of the requests of one class, or of one second, or of all; a request is what a client wanted, with
-/// all its tries.
+/// Microseconds of a second.
+const SECOND_US: u64 = 1_000_000;
+/// Seconds left out at the start: balancers know nothing of their upstreams yet.
+const WARM_UP_S: usize = 3;
+const STATUS_OK: u16 = 200;
+const STATUS_TOO_MANY_REQUESTS: u16 = 429;
+const STATUS_UNAVAILABLE: u16 = 503;
+
+/// The outcomes of the requests of one class, or of one second, or of all; a request counts once
+/// with all its attempts. The serialized names are those of `result.json`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Counts {
+pub struct RequestCounts {
     /// Requests.
-    pub asked: u32,
-    /// Answered by an upstream within the aim, counted from the first try.
+    #[serde(rename = "asked")]
+    pub requested: u32,
+    /// Served within the latency objective, counted from the first attempt.
     pub in_time: u32,
-    /// Answered by one later.
+    /// Served later.
     pub late: u32,
-    /// Ended refused.
-    pub refused: u32,
-    /// Ended failed, or without an answer.
+    /// Ended rejected.
+    #[serde(rename = "refused")]
+    pub rejected: u32,
+    /// Ended failed, or without a response.
     pub failed: u32,
 }
 
-/// The same with a name.
+/// The outcomes of the requests of a class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassCounts {
     /// The class.
     pub class: String,
     /// Its counts.
     #[serde(flatten)]
-    pub counts: Counts,
+    pub counts: RequestCounts,
 }
 
-/// One second of a play.
+/// The figures of one second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Second {
-    /// By the second of the first try.
+pub struct SecondFigures {
+    /// By the second of the first attempt.
     #[serde(flatten)]
-    pub counts: Counts,
-    /// Percentiles of the time to the answer of what was served, by the second of the answer, in ms.
+    pub counts: RequestCounts,
+    /// Median latency of what was served, by the second of the response, in ms.
     pub p50_ms: f64,
-    /// See `p50_ms`.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// Mean share of the upstreams' cores in use.
-    pub util: f64,
+    /// Mean utilization of the upstreams.
+    #[serde(rename = "util")]
+    pub utilization: f64,
 }
 
-/// The figures of a play.
+/// The figures of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Figures {
-    /// Worth answered in time, as a share of the worth asked for.
-    pub served: f64,
+    /// Weight served within the latency objective, as a share of the weight requested.
+    #[serde(rename = "served")]
+    pub served_share: f64,
     /// The same of the worst-served class.
-    pub worst_class: f64,
-    /// Tries for each request, and attempts that reached an upstream for each request.
-    pub tries: f64,
-    /// See `tries`.
-    pub attempts: f64,
-    /// Percentiles of the time from the first try to the answer of what was served, in ms.
+    #[serde(rename = "worst_class")]
+    pub worst_class_share: f64,
+    /// Client attempts for each request.
+    #[serde(rename = "tries")]
+    pub client_attempts: f64,
+    /// Attempts that reached an upstream, for each request.
+    #[serde(rename = "attempts")]
+    pub upstream_attempts: f64,
+    /// Median latency of what was served, from the first attempt to the response, in ms.
     pub p50_ms: f64,
-    /// See `p50_ms`.
+    /// The 90th percentile.
     pub p90_ms: f64,
-    /// See `p50_ms`.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The most calls to the list service that one balancer made within a second.
-    pub calls_most: usize,
+    /// The most calls to the discovery service that one balancer made within a second.
+    #[serde(rename = "calls_most")]
+    pub max_discovery_calls: usize,
     /// By class.
     pub classes: Vec<ClassCounts>,
     /// By second.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondFigures>,
 }
 
-/// The most calls to the list service that one balancer made within a second.
-fn calls_most(events: &[Event]) -> usize {
-    let mut calls: HashMap<u32, Vec<u64>> = HashMap::new();
-    for Event {
-        at_us: at,
-        kind: what,
-    } in events
-    {
-        if let EventKind::DiscoveryCalled { balancer } = what {
-            calls.entry(*balancer).or_default().push(*at);
-        }
+/// Computes the figures of a history.
+pub fn figures(experiment: &Experiment, events: &[Event]) -> Figures {
+    let requests = Requests::collect(events);
+    let length_s = experiment.length.as_secs_f64().ceil() as usize;
+    let mut outcomes = Outcomes::new(&experiment.classes, length_s.max(1));
+    for request in requests.by_number.values() {
+        outcomes.add(request, &experiment.classes);
+    }
+    let mut seconds = outcomes.seconds;
+    for (second, latencies) in seconds.iter_mut().zip(&outcomes.latencies_by_second) {
+        second.p50_ms = quantile_ms(latencies, 0.5);
+        second.p99_ms = quantile_ms(latencies, 0.99);
+    }
+    add_utilization(events, &mut seconds);
+    let classes = outcomes.classes;
+    let requested: u32 = classes.iter().map(|class| class.counts.requested).sum();
+    let requested = f64::from(requested.max(1));
+    Figures {
+        served_share: weighted_share(&experiment.classes, &classes),
+        worst_class_share: worst_class_share(&classes),
+        client_attempts: f64::from(requests.client_attempts) / requested,
+        upstream_attempts: f64::from(requests.upstream_attempts) / requested,
+        p50_ms: quantile_ms(&outcomes.latencies, 0.5),
+        p90_ms: quantile_ms(&outcomes.latencies, 0.9),
+        p99_ms: quantile_ms(&outcomes.latencies, 0.99),
+        max_discovery_calls: max_discovery_calls(events),
+        classes,
+        seconds,
     }
-    let within = |times: &[u64], k: usize| {
-        times[k..]
-            .iter()
-            .take_while(|at| **at < times[k] + 1_000_000)
-            .count()
-    };
-    let most = |times: &Vec<u64>| {
-        (0..times.len())
-            .map(|k| within(times, k))
-            .max()
-            .unwrap_or(0)
-    };
-    calls.values().map(most).max().unwrap_or(0)
-}
-
-/// Processor time by the text of a process's `stat`, in seconds.
-pub fn processor_seconds(stat: &str) -> f64 {
-    // After the name, which may hold anything: user and system time are the 12th and 13th, in 1/100 s.
-    let rest = stat.rsplit(')').next().unwrap_or_default();
-    let ticks: u64 = rest
-        .split_whitespace()
-        .skip(11)
-        .take(2)
-        .filter_map(|n| n.parse::<u64>().ok())
-        .sum();
-    ticks as f64 / 100.0
 }
 
-struct Wanted {
-    since: u64,
+/// What became of one request.
+struct Request {
+    due_us: u64,
     class: usize,
     /// When it was served, if it was.
-    served: Option<u64>,
-    refused: bool,
+    served_us: Option<u64>,
+    /// Whether its last response rejected it.
+    is_rejected: bool,
 }
 
-/// Counts a history.
-pub fn figures(experiment: &Experiment, events: &[Event]) -> Figures {
-    let mut wanted: HashMap<u32, Wanted> = HashMap::new();
-    let (mut tries, mut attempts) = (0u32, 0u32);
-    for Event {
-        at_us: at,
-        kind: what,
-    } in events
-    {
-        match what {
+/// The requests of a history, with the attempts for all of them.
+#[derive(Default)]
+struct Requests {
+    by_number: HashMap<u64, Request>,
+    client_attempts: u32,
+    upstream_attempts: u32,
+}
+
+impl Requests {
+    fn collect(events: &[Event]) -> Self {
+        let mut requests = Self::default();
+        for event in events {
+            requests.observe(event);
+        }
+        requests
+    }
+
+    fn observe(&mut self, event: &Event) {
+        match event.kind {
             EventKind::RequestDue { request, class } => {
-                let one = Wanted {
-                    since: *at,
-                    class: usize::from(*class),
-                    served: None,
-                    refused: false,
+                let class = usize::from(class);
+                let one = Request {
+                    due_us: event.at_us,
+                    class,
+                    served_us: None,
+                    is_rejected: false,
                 };
-                wanted.insert(*request, one);
+                self.by_number.insert(u64::from(request), one);
             }
-            EventKind::AttemptSent { .. } => tries += 1,
+            EventKind::AttemptSent { .. } => self.client_attempts += 1,
             EventKind::ResponseReceived { id, status } => {
-                if let Some(one) = wanted.get_mut(&(request_of(*id) as u32)) {
-                    one.refused = matches!(status, 429 | 503);
-                    if *status == 200 {
-                        one.served.get_or_insert(*at);
-                    }
-                }
+                self.on_response(event.at_us, id, status);
             }
-            EventKind::AttemptFailed { id, failure: how } => {
-                if let Some(one) = wanted.get_mut(&(request_of(*id) as u32)) {
-                    one.refused &= *how == AttemptFailure::NoConnection;
+            EventKind::AttemptFailed { id, failure } => {
+                if let Some(request) = self.by_number.get_mut(&request_of(id)) {
+                    request.is_rejected &= failure == AttemptFailure::NoConnection;
                 }
             }
-            EventKind::UpstreamReceived { .. } => attempts += 1,
+            EventKind::UpstreamReceived { .. } => self.upstream_attempts += 1,
             _ => {}
         }
     }
-    let calls_most = calls_most(events);
-    let length = experiment.length.as_secs_f64().ceil() as usize;
-    let mut seconds = vec![Second::default(); length.max(1)];
-    let mut classes: Vec<ClassCounts> = experiment
-        .classes
-        .iter()
-        .map(|class| ClassCounts {
+
+    fn on_response(&mut self, at_us: u64, id: ClientAttemptId, status: u16) {
+        let Some(request) = self.by_number.get_mut(&request_of(id)) else {
+            return;
+        };
+        request.is_rejected = matches!(status, STATUS_TOO_MANY_REQUESTS | STATUS_UNAVAILABLE);
+        if status == STATUS_OK {
+            request.served_us.get_or_insert(at_us);
+        }
+    }
+}
+
+/// Outcomes of requests as they are added up.
+struct Outcomes {
+    classes: Vec<ClassCounts>,
+    seconds: Vec<SecondFigures>,
+    latencies: LatencyHistogram,
+    /// By the second of the response.
+    latencies_by_second: Vec<LatencyHistogram>,
+}
+
+impl Outcomes {
+    fn new(classes: &[Class], length_s: usize) -> Self {
+        let class = |class: &Class| ClassCounts {
             class: class.name.clone(),
-            counts: Counts::default(),
-        })
-        .collect();
-    let mut all = times();
-    let mut by_second: Vec<Histogram<u64>> = seconds.iter().map(|_| times()).collect();
-    for one in wanted.values() {
-        let Some(class) = experiment.classes.get(one.class) else {
-            continue;
+            counts: RequestCounts::default(),
+        };
+        Self {
+            classes: classes.iter().map(class).collect(),
+            seconds: vec![SecondFigures::default(); length_s],
+            latencies: latency_histogram(),
+            latencies_by_second: (0..length_s).map(|_| latency_histogram()).collect(),
+        }
+    }
+
+    fn add(&mut self, request: &Request, classes: &[Class]) {
+        let Some(class) = classes.get(request.class) else {
+            return;
         };
-        let second = ((one.since / 1_000_000) as usize).min(seconds.len() - 1);
-        let took = one.served.map(|at| at - one.since);
-        for counts in [&mut seconds[second].counts, &mut classes[one.class].counts] {
-            counts.asked += 1;
-            *match took {
-                Some(took) if took as f64 <= class.latency_objective_ms * 1e3 => {
+        let last = self.seconds.len() - 1;
+        let second_of = |at_us: u64| ((at_us / SECOND_US) as usize).min(last);
+        let latency_us = request.served_us.map(|at_us| at_us - request.due_us);
+        let second = &mut self.seconds[second_of(request.due_us)];
+        for counts in [&mut second.counts, &mut self.classes[request.class].counts] {
+            counts.requested += 1;
+            *match latency_us {
+                Some(latency) if latency as f64 <= class.latency_objective_ms * 1e3 => {
                     &mut counts.in_time
                 }
                 Some(_) => &mut counts.late,
-                None if one.refused => &mut counts.refused,
+                None if request.is_rejected => &mut counts.rejected,
                 None => &mut counts.failed,
             } += 1;
         }
-        if let (Some(took), Some(at)) = (took, one.served) {
-            all.saturating_record(took.max(1));
-            let second = ((at / 1_000_000) as usize).min(by_second.len() - 1);
-            by_second[second].saturating_record(took.max(1));
+        if let (Some(latency), Some(served_us)) = (latency_us, request.served_us) {
+            self.latencies.saturating_record(latency.max(1));
+            self.latencies_by_second[second_of(served_us)].saturating_record(latency.max(1));
         }
     }
-    for (second, times) in seconds.iter_mut().zip(&by_second) {
-        (second.p50_ms, second.p99_ms) = (ms(times, 0.5), ms(times, 0.99));
-    }
-    loads(events, &mut seconds);
-    let share = |of: &dyn Fn(&Counts) -> u32| {
-        let sum = |of: &dyn Fn(&Counts) -> u32| -> f64 {
-            experiment
-                .classes
-                .iter()
-                .zip(&classes)
-                .map(|(c, n)| c.priority_weight * f64::from(of(&n.counts)))
-                .sum()
+}
+
+/// Weight served within the latency objective, as a share of the weight requested.
+fn weighted_share(classes: &[Class], counts: &[ClassCounts]) -> f64 {
+    let sum = |count: fn(&RequestCounts) -> u32| -> f64 {
+        let weighted = |(class, counted): (&Class, &ClassCounts)| {
+            class.priority_weight * f64::from(count(&counted.counts))
         };
-        sum(of) / sum(&|n| n.asked).max(1e-9)
+        classes.iter().zip(counts).map(weighted).sum()
     };
-    let each = |n: &Counts| f64::from(n.in_time) / f64::from(n.asked.max(1));
-    let asked = f64::from(classes.iter().map(|c| c.counts.asked).sum::<u32>().max(1));
-    Figures {
-        calls_most,
-        served: share(&|n| n.in_time),
-        worst_class: classes
-            .iter()
-            .filter(|c| c.counts.asked > 0)
-            .map(|c| each(&c.counts))
-            .fold(1.0, f64::min),
-        tries: f64::from(tries) / asked,
-        attempts: f64::from(attempts) / asked,
-        p50_ms: ms(&all, 0.5),
-        p90_ms: ms(&all, 0.9),
-        p99_ms: ms(&all, 0.99),
-        classes,
-        seconds,
-    }
+    sum(|counts| counts.in_time) / sum(|counts| counts.requested).max(1e-9)
 }
 
-/// Seconds left out at the start: balancers know nothing of their upstreams yet.
-const SETTLES: usize = 3;
-
-/// Share of the requests served in time before the first fault, and from `after` seconds after the end of the last
-/// one on; `None` where either time holds no request.
-pub fn before_and_after(
-    experiment: &Experiment,
-    figures: &Figures,
-    after: f64,
-) -> Option<(f64, f64)> {
-    let first = experiment
-        .faults
-        .iter()
-        .map(|f| f.start)
-        .min()?
-        .as_secs_f64() as usize;
-    let last = experiment
-        .faults
+/// The least share of the requests of a class that were served within the latency objective.
+fn worst_class_share(classes: &[ClassCounts]) -> f64 {
+    let share =
+        |counts: &RequestCounts| f64::from(counts.in_time) / f64::from(counts.requested.max(1));
+    classes
         .iter()
-        .map(|f| f.end(experiment.length))
-        .max()?
-        .as_secs_f64()
-        + after;
-    let share = |seconds: &[Second]| {
-        let sum = |of: fn(&Counts) -> u32| {
-            seconds
-                .iter()
-                .map(|s| f64::from(of(&s.counts)))
-                .sum::<f64>()
-        };
-        let asked = sum(|c| c.asked);
-        (asked > 0.0).then(|| sum(|c| c.in_time) / asked)
+        .filter(|class| class.counts.requested > 0)
+        .map(|class| share(&class.counts))
+        .fold(1.0, f64::min)
+}
+
+/// The most calls to the discovery service that one balancer made within a second.
+fn max_discovery_calls(events: &[Event]) -> usize {
+    let mut calls: HashMap<u32, Vec<u64>> = HashMap::new();
+    for event in events {
+        if let EventKind::DiscoveryCalled { balancer } = event.kind {
+            calls.entry(balancer).or_default().push(event.at_us);
+        }
+    }
+    let within_a_second = |times: &[u64]| match times.first() {
+        Some(first) => times
+            .iter()
+            .take_while(|at_us| **at_us < first + SECOND_US)
+            .count(),
+        None => 0,
+    };
+    let most = |times: &Vec<u64>| {
+        (0..times.len())
+            .map(|start| within_a_second(&times[start..]))
+            .max()
+            .unwrap_or(0)
     };
-    let before = figures.seconds.get(SETTLES.min(first)..first)?;
-    Some((
-        share(before)?,
-        share(figures.seconds.get(last.ceil() as usize..)?)?,
-    ))
+    calls.values().map(most).max().unwrap_or(0)
 }
 
-fn loads(events: &[Event], seconds: &mut [Second]) {
-    let mut counted = vec![0u32; seconds.len()];
-    for Event {
-        at_us: at,
-        kind: what,
-    } in events
-    {
-        if let EventKind::UpstreamLoad {
-            utilization: util, ..
-        } = what
-            && let Some(second) = seconds.get_mut((*at / 1_000_000) as usize)
+/// The mean of the samples of utilization within each second.
+fn add_utilization(events: &[Event], seconds: &mut [SecondFigures]) {
+    let mut sample_counts = vec![0u32; seconds.len()];
+    for event in events {
+        let index = (event.at_us / SECOND_US) as usize;
+        if let EventKind::UpstreamLoad { utilization, .. } = event.kind
+            && let Some(second) = seconds.get_mut(index)
         {
-            second.util += f64::from(*util);
-            counted[(*at / 1_000_000) as usize] += 1;
+            second.utilization += f64::from(utilization);
+            sample_counts[index] += 1;
         }
     }
-    for (second, n) in seconds.iter_mut().zip(counted) {
-        second.util /= f64::from(n.max(1));
+    for (second, count) in seconds.iter_mut().zip(sample_counts) {
+        second.utilization /= f64::from(count.max(1));
     }
 }
 
-/// Times in microseconds, of up to an hour, to three digits.
-pub fn times() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 3_600_000_000, 3)
-        .expect("the bounds and three digits are allowed")
+/// Shares of the requests that were served within the latency objective.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Recovery {
+    /// Before the first fault.
+    pub before: f64,
+    /// From some time after the end of the last fault on.
+    pub after: f64,
 }
 
-/// A percentile in milliseconds.
-pub fn ms(times: &Histogram<u64>, quantile: f64) -> f64 {
-    times.value_at_quantile(quantile) as f64 / 1e3
+/// What was served before the first fault, and from so many seconds after the end of the last one
+/// on; `None` where either time has no request.
+pub fn recovery(experiment: &Experiment, figures: &Figures, after_s: f64) -> Option<Recovery> {
+    let faults = &experiment.faults;
+    let first_start = faults.iter().map(|fault| fault.start).min()?.as_secs_f64() as usize;
+    let last_end = faults
+        .iter()
+        .map(|fault| fault.end(experiment.length))
+        .max()?
+        .as_secs_f64();
+    let before = figures
+        .seconds
+        .get(WARM_UP_S.min(first_start)..first_start)?;
+    let after = figures
+        .seconds
+        .get((last_end + after_s).ceil() as usize..)?;
+    Some(Recovery {
+        before: in_time_share(before)?,
+        after: in_time_share(after)?,
+    })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::history::client_attempt_id;
-
-    #[test]
-    fn a_request_counts_once_from_its_first_try() {
-        let text = "name = \"x\"\nseconds = 9.0\n[fleet]\nbalancers = 2\nupstreams = 4\n";
-        let experiment = Experiment::parse(text).expect("it can be meant");
-        let asked = |request: u32, again: u8, class| EventKind::AttemptSent {
-            id: client_attempt_id(request, again),
-            request,
-            retry: again,
-            class,
-            tenant: 0,
-            balancer: 0,
-        };
-        let answered = |request: u32, again: u8, status| EventKind::ResponseReceived {
-            id: client_attempt_id(request, again),
-            status,
-        };
-        let wants = |request, class| EventKind::RequestDue { request, class };
-        let events = [
-            (0, wants(0, 0)),
-            (0, asked(0, 0, 0)),
-            (100, answered(0, 0, 503)),
-            (900, asked(0, 1, 0)),
-            (1150, answered(0, 1, 200)),
-            (2000, wants(1, 0)),
-            (2000, asked(1, 0, 0)),
-            (2100, answered(1, 0, 503)),
-            (2900, asked(1, 1, 0)),
-            (3300, answered(1, 1, 200)),
-            (4000, wants(2, 3)),
-            (4000, asked(2, 0, 3)),
-            (4100, answered(2, 0, 503)),
-            (5000, wants(3, 3)),
-            (5000, asked(3, 0, 3)),
-            (5100, answered(3, 0, 502)),
-            (6000, wants(4, 3)),
-        ];
-        let events: Vec<Event> = events
-            .into_iter()
-            .map(|(ms, what)| Event {
-                at_us: ms * 1000,
-                kind: what,
-            })
-            .collect();
-        let figures = figures(&experiment, &events);
-        let status = &figures.classes[0].counts;
-        assert_eq!(
-            (status.asked, status.in_time, status.late),
-            (2, 1, 1),
-            "the aim is 1.2 s"
-        );
-        let settle = &figures.classes[3].counts;
-        assert_eq!(
-            (settle.asked, settle.refused, settle.failed),
-            (3, 1, 2),
-            "one found no balancer"
-        );
-        assert!(
-            (figures.served - 1.0 / 32.0).abs() < 1e-9,
-            "{}",
-            figures.served
-        );
-        assert_eq!(figures.seconds[2].counts.late, 1);
-        assert_eq!(
-            before_and_after(&experiment, &figures, 0.0),
-            None,
-            "there is no fault"
-        );
-        assert!((figures.tries - 6.0 / 5.0).abs() < 1e-9);
-    }
-
-    #[test]
-    fn service_is_back_where_it_is_what_it_was_before_the_fault() {
-        let text = "name = \"x\"\nseconds = 12.0\n[fleet]\nbalancers = 2\nupstreams = 4\n\
-                    [[fault]]\nat_s = 5.0\nkind = \"slow\"\ntarget = \"all upstreams\"\nfactor = 4\nfor_s = 2.0\n";
-        let experiment = Experiment::parse(text).expect("it can be meant");
-        let second = |in_time| Second {
-            counts: Counts {
-                asked: 10,
-                in_time,
-                ..Counts::default()
-            },
-            ..Second::default()
-        };
-        let mut figures = figures(&experiment, &[]);
-        figures.seconds = [1, 1, 1, 8, 10, 0, 0, 0, 0, 5, 6, 7].map(second).into();
-        assert_eq!(
-            before_and_after(&experiment, &figures, 2.0),
-            Some((0.9, 0.6))
-        );
-        assert_eq!(
-            before_and_after(&experiment, &figures, 6.0),
-            None,
-            "the play is over"
-        );
-    }
+fn in_time_share(seconds: &[SecondFigures]) -> Option<f64> {
+    let sum = |count: fn(&RequestCounts) -> u32| {
+        seconds
+            .iter()
+            .map(|second| f64::from(count(&second.counts)))
+            .sum::<f64>()
+    };
+    let requested = sum(|counts| counts.requested);
+    (requested > 0.0).then(|| sum(|counts| counts.in_time) / requested)
 }
--- a/lab/src/measurements/mod.rs
+++ b/lab/src/measurements/mod.rs
@@ -1,3 +1,8 @@
-//! What is measured over a whole run.
+//! What is measured: latencies, the use of processor and memory, and the figures of a whole run.
 
 pub mod figures;
+mod latencies;
+mod process_usage;
+
+pub use latencies::{LatencyHistogram, latency_histogram, quantile_ms};
+pub use process_usage::{processor_seconds, resident_memory_kb};
--- a/lab/src/processes/child.rs
+++ b/lab/src/processes/child.rs
@@ -1,29 +1,44 @@
-//! Children of the lab: started with nothing to read or to write to, and their logs kept and read line by line.
+//! Children of the lab: started with no input, and their logs kept and read line by line.
 
 use crate::error::LabError;
+use rustix::process::Pid;
 use std::path::Path;
 use std::process::Stdio;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncWriteExt, BufReader};
 use tokio::process::{Child, Command};
 
 /// The value of a field in a line of a log.
-pub fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
+pub fn log_field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split(' ')
         .find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Starts a command whose log is added to a file; each line of it is heard first.
-pub async fn start(
+/// A child's process id, while it runs.
+pub fn process_id(child: &Child) -> Option<Pid> {
+    child.id().and_then(|pid| Pid::from_raw(pid as i32))
+}
+
+/// Writes a file of the run.
+pub async fn write_file(path: &Path, text: &str) -> Result<(), LabError> {
+    let written = tokio::fs::write(path, text).await;
+    written.map_err(|source| LabError::File {
+        path: path.to_owned(),
+        source,
+    })
+}
+
+/// Starts a command whose log is appended to a file; each line of it goes to `on_line` first.
+pub async fn spawn_logged(
     command: &mut Command,
     log: &Path,
-    mut heard: impl FnMut(&str) + Send + 'static,
+    on_line: impl FnMut(&str) + Send + 'static,
 ) -> Result<Child, LabError> {
     let file = tokio::fs::OpenOptions::new()
         .create(true)
         .append(true)
         .open(log)
         .await;
-    let mut file = file.map_err(|source| LabError::File {
+    let file = file.map_err(|source| LabError::File {
         path: log.to_owned(),
         source,
     })?;
@@ -38,15 +53,21 @@
         LabError::Start { program, source }
     })?;
     if let Some(stderr) = child.stderr.take() {
-        tokio::spawn(async move {
-            let mut lines = BufReader::new(stderr).lines();
-            // A log that cannot be kept must still be read, or the child would stand still.
-            while let Ok(Some(line)) = lines.next_line().await {
-                heard(&line);
-                let _ = file.write_all(format!("{line}\n").as_bytes()).await;
-            }
-            let _ = file.flush().await;
-        });
+        tokio::spawn(copy_log(stderr, file, on_line));
     }
     Ok(child)
 }
+
+async fn copy_log(
+    stderr: impl AsyncRead + Unpin,
+    mut file: tokio::fs::File,
+    mut on_line: impl FnMut(&str),
+) {
+    let mut lines = BufReader::new(stderr).lines();
+    // A log that cannot be written must still be read, or the child would block.
+    while let Ok(Some(line)) = lines.next_line().await {
+        on_line(&line);
+        let _ = file.write_all(format!("{line}\n").as_bytes()).await;
+    }
+    let _ = file.flush().await;
+}
--- a/lab/src/processes/guard.rs
+++ b/lab/src/processes/guard.rs
@@ -1,12 +1,13 @@
-//! Children must not outlive the lab, not even one that is killed outright: a guard, a small process of the same
-//! program, holds the other end of a pipe. When the pipe ends without a goodbye, it kills whom it was told of.
+//! Children must not outlive the lab, even if it is killed: a guard, a small process of the same
+//! program, reads from a pipe which children live. When the pipe ends, it kills those that are
+//! left.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeSet;
 use std::io::{self, BufRead, Write};
 use std::path::Path;
 use std::process::{Child, ChildStdin, Command, Stdio};
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
 
 /// The lab's end of the pipe.
 pub struct Guard {
@@ -27,22 +28,19 @@
     }
 
     /// A child has started.
-    pub fn started(&self, pid: u32) {
-        self.say(&format!("+{pid}\n"));
+    pub fn register(&self, pid: Pid) {
+        self.send(&format!("+{}\n", pid.as_raw_nonzero()));
     }
 
-    /// A child has ended and been waited for: its number may become another process's.
-    pub fn ended(&self, pid: u32) {
-        self.say(&format!("-{pid}\n"));
+    /// A child has exited and been waited for: its number may become another process's.
+    pub fn unregister(&self, pid: Pid) {
+        self.send(&format!("-{}\n", pid.as_raw_nonzero()));
     }
 
-    fn say(&self, line: &str) {
-        let mut pipe = self
-            .pipe
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
-        if let Some(to) = pipe.as_mut()
-            && to.write_all(line.as_bytes()).is_err()
+    fn send(&self, line: &str) {
+        let mut pipe = self.pipe.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(writer) = pipe.as_mut()
+            && writer.write_all(line.as_bytes()).is_err()
         {
             tracing::warn!("the guard has ended: children would outlive a lab that is killed");
             *pipe = None;
@@ -54,15 +52,16 @@
     fn drop(&mut self) {
         self.pipe
             .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .unwrap_or_else(PoisonError::into_inner)
             .take();
         let _ = self.child.wait();
     }
 }
 
-/// Reads which children live until the input ends, then kills those left; returns how many these were.
+/// Reads which children live until the input ends, then kills those left; returns how many it
+/// killed.
 pub fn watch(input: impl BufRead) -> usize {
-    let mut living = BTreeSet::new();
+    let mut live = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
         let Some((sign, pid)) = line.split_at_checked(1) else {
             continue;
@@ -71,25 +70,12 @@
             continue;
         };
         match sign {
-            "+" => living.insert(pid),
-            _ => living.remove(&pid),
+            "+" => live.insert(pid),
+            _ => live.remove(&pid),
         };
     }
-    let living = living.into_iter().filter_map(Pid::from_raw);
-    living
+    live.into_iter()
+        .filter_map(Pid::from_raw)
         .filter(|pid| kill_process(*pid, Signal::KILL).is_ok())
         .count()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn who_is_left_when_the_lab_is_gone_is_killed() {
-        let mut child = Command::new("sleep").arg("60").spawn().expect("a child");
-        let told = format!("+{}\n+999999999\n-999999999\nnonsense\n", child.id());
-        assert_eq!(watch(told.as_bytes()), 1);
-        assert!(!child.wait().expect("it has ended").success());
-    }
-}
--- a/lab/src/processes/mod.rs
+++ b/lab/src/processes/mod.rs
@@ -1,4 +1,6 @@
-//! Child processes.
+//! Child processes: their logs are kept and read line by line, and none outlives the lab.
 
-pub(crate) mod child;
+mod child;
 pub mod guard;
+
+pub use child::{log_field, process_id, spawn_logged, write_file};
--- a/lab/src/reports/page.rs
+++ b/lab/src/reports/page.rs
@@ -82,11 +82,11 @@
         page,
         "<p>Served {:.1}% of the worth in time; answers take {:.0} ms (median), {:.0} ms (99th percentile); \
          {:.2} tries and {:.2} attempts a request. A balancer took {:.1} MB at most.</p>",
-        f.served * 100.0,
+        f.served_share * 100.0,
         f.p50_ms,
         f.p99_ms,
-        f.tries,
-        f.attempts,
+        f.client_attempts,
+        f.upstream_attempts,
         played.memory_mb
     );
     page.push_str("<table><tr><th>class<th>asked<th>in time<th>late<th>refused<th>failed</tr>");
@@ -96,24 +96,25 @@
         let _ = write!(
             page,
             "<tr><td>{name}<td>{}<td>{}<td>{}<td>{}<td>{}</tr>",
-            c.asked, c.in_time, c.late, c.refused, c.failed
+            c.requested, c.in_time, c.late, c.rejected, c.failed
         );
     }
     page.push_str("</table>");
     let faults: Vec<Band<'_>> = played.events.iter().filter_map(fault).collect();
-    let seconds = |of: &dyn Fn(&crate::measurements::figures::Second) -> f64| -> Vec<(f64, f64)> {
-        f.seconds
-            .iter()
-            .enumerate()
-            .map(|(k, s)| (k as f64 + 0.5, of(s)))
-            .collect()
-    };
-    let asked = seconds(&|s| f64::from(s.counts.asked));
+    let seconds =
+        |of: &dyn Fn(&crate::measurements::figures::SecondFigures) -> f64| -> Vec<(f64, f64)> {
+            f.seconds
+                .iter()
+                .enumerate()
+                .map(|(k, s)| (k as f64 + 0.5, of(s)))
+                .collect()
+        };
+    let asked = seconds(&|s| f64::from(s.counts.requested));
     let in_time = seconds(&|s| f64::from(s.counts.in_time));
-    let refused = seconds(&|s| f64::from(s.counts.refused));
+    let refused = seconds(&|s| f64::from(s.counts.rejected));
     let lost = seconds(&|s| f64::from(s.counts.failed + s.counts.late));
     let (p50, p99) = (seconds(&|s| s.p50_ms), seconds(&|s| s.p99_ms));
-    let util = seconds(&|s| s.util * 100.0);
+    let util = seconds(&|s| s.utilization * 100.0);
     for (title, series) in [
         (
             "Requests by the second of their first try",
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -8,7 +8,8 @@
 use crate::faults::fault_injector::Stage;
 use crate::history::{Event, History, Recording};
 use crate::links::{DISCOVERY_HOST_NUMBER, Links, PeerLinks, Traffic, pair_address};
-use crate::measurements::figures::{self, Figures};
+use crate::measurements::figures::{Figures, Recovery, figures, recovery};
+use crate::measurements::{self, quantile_ms};
 use crate::processes::guard::Guard;
 use crate::standins::clients::{Clients, Front, schedule};
 use crate::standins::discovery::Discovery;
@@ -161,7 +162,7 @@
         .map(Arc::new);
     let registrar = match (&experiment.registry, &options.guard) {
         (None, _) => None,
-        (Some(_), None) => return Err(LabError::NoProgram),
+        (Some(_), None) => return Err(LabError::NoRegistryProgram),
         (Some(registry), Some(program)) => {
             let (guard, history) = (guard.clone(), Arc::clone(&history));
             let registrar = Registrar::new(program, &options.dir, guard, history, registry.lease());
@@ -287,13 +288,13 @@
     } = history.take();
     let late = clients.lateness();
     let lab = LabItself {
-        late_p50_ms: figures::ms(&late, 0.5),
-        late_p99_ms: figures::ms(&late, 0.99),
+        late_p50_ms: quantile_ms(&late, 0.5),
+        late_p99_ms: quantile_ms(&late, 0.99),
         late_max_ms: late.max() as f64 / 1e3,
         cores: spent / elapsed.max(1e-9),
         dropped,
     };
-    let figures = figures::figures(&experiment, &events);
+    let figures = figures(&experiment, &events);
     let void = if lab.late_p99_ms > LATE_MOST_MS {
         Some(format!(
             "the lab was late: p99 {:.1} ms of {LATE_MOST_MS} allowed",
@@ -328,16 +329,16 @@
     if let Some(members) = &members {
         missed = membership_checks::missed(&experiment, &members.figures);
     }
-    if figures.served < experiment.expect.min_served {
+    if figures.served_share < experiment.expect.min_served {
         missed.push(format!(
             "served {:.3} of {:.3} expected",
-            figures.served, experiment.expect.min_served
+            figures.served_share, experiment.expect.min_served
         ));
     }
     if let Some(within) = experiment.expect.recovered_within_s {
-        match figures::before_and_after(&experiment, &figures, within) {
-            Some((before, after)) if after >= BACK * before => {}
-            Some((before, after)) => missed.push(format!(
+        match recovery(&experiment, &figures, within) {
+            Some(Recovery { before, after }) if after >= BACK * before => {}
+            Some(Recovery { before, after }) => missed.push(format!(
                 "{within} s after the last fault {after:.3} is served, {:.3} expected of {before:.3} before the first",
                 BACK * before
             )),
@@ -421,7 +422,10 @@
         .current
         .unwrap_or(u64::MAX);
     if need > limit {
-        Err(LabError::Descriptors { need, limit })
+        Err(LabError::Descriptors {
+            needed: need,
+            limit,
+        })
     } else {
         Ok(())
     }
@@ -429,5 +433,5 @@
 
 /// Processor time that this process has taken, in seconds.
 fn processor_seconds() -> f64 {
-    figures::processor_seconds(&std::fs::read_to_string("/proc/self/stat").unwrap_or_default())
+    measurements::processor_seconds(&std::fs::read_to_string("/proc/self/stat").unwrap_or_default())
 }
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -6,7 +6,7 @@
     AttemptFailure, ClientAttemptId, EventKind, History, client_attempt_id, request_of,
 };
 use crate::links::{Link, LinkPeer, Links};
-use crate::measurements::figures::times;
+use crate::measurements::latency_histogram;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
@@ -225,7 +225,7 @@
             history,
             front,
             links,
-            late: Mutex::new(times()),
+            late: Mutex::new(latency_histogram()),
         })
     }
 
--- a/lab/src/standins/registration.rs
+++ b/lab/src/standins/registration.rs
@@ -2,8 +2,8 @@
 
 use crate::error::LabError;
 use crate::history::{EndpointState, EventKind, History, ProcessState};
-use crate::processes::child::{self, field};
 use crate::processes::guard::Guard;
+use crate::processes::{log_field, spawn_logged};
 use frostkeel_registry::client::call;
 use hyper::Method;
 use rustix::process::{Pid, Signal, kill_process};
@@ -115,9 +115,9 @@
         command
             .args(["--log", "info", "registry", "--config"])
             .arg(&config);
-        let child = child::start(&mut command, &log, move |line| {
+        let child = spawn_logged(&mut command, &log, move |line| {
             let address =
-                |name| field(line, name).and_then(|value| value.parse::<SocketAddr>().ok());
+                |name| log_field(line, name).and_then(|value| value.parse::<SocketAddr>().ok());
             if let (Some(read), Some(write)) = (address("read"), address("write"))
                 && let Some(tell) = tell.take()
             {
@@ -135,7 +135,7 @@
             .and_then(|pid| Pid::from_raw(pid as i32))
             .ok_or_else(not_ready)?;
         if let Some(guard) = &self.guard {
-            guard.started(pid.as_raw_nonzero().get() as u32);
+            guard.register(pid);
         }
         *self.running.lock().await = Some(Running { pid, child });
         self.became(ProcessState::Ready);
@@ -149,7 +149,7 @@
             let _ = kill_process(running.pid, Signal::KILL);
             let _ = running.child.wait().await;
             if let Some(guard) = &self.guard {
-                guard.ended(running.pid.as_raw_nonzero().get() as u32);
+                guard.unregister(running.pid);
             }
             self.became(ProcessState::Exited);
         }
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -1,10 +1,10 @@
 //! What a play writes: `events.jsonl`, `result.json` and the page, byte for byte as committed.
 
 use frostkeel_lab::check::{Broken, Rule};
-use frostkeel_lab::figures::{ClassCounts, Counts, Figures, Second};
 use frostkeel_lab::history::{
     AttemptFailure, EndpointState, Event, EventKind, ProcessState, UpstreamReply,
 };
+use frostkeel_lab::measurements::figures::{ClassCounts, Figures, RequestCounts, SecondFigures};
 use frostkeel_lab::presence;
 use frostkeel_lab::simulated::Simulated;
 use frostkeel_lab::{LabItself, Members, Played, report};
@@ -127,12 +127,12 @@
         .collect()
 }
 
-fn counts(asked: u32) -> Counts {
-    Counts {
-        asked,
-        in_time: asked - 4,
+fn counts(requested: u32) -> RequestCounts {
+    RequestCounts {
+        requested,
+        in_time: requested - 4,
         late: 2,
-        refused: 1,
+        rejected: 1,
         failed: 1,
     }
 }
@@ -178,11 +178,11 @@
 }
 
 fn outcome() -> Played {
-    let second = |asked| Second {
-        counts: counts(asked),
+    let second = |requested| SecondFigures {
+        counts: counts(requested),
         p50_ms: 120.5,
         p99_ms: 850.25,
-        util: 0.375,
+        utilization: 0.375,
     };
     Played {
         experiment: "forms & <signs>".into(),
@@ -194,14 +194,14 @@
         broken: breaches(),
         missed: vec!["served 0.500 of 0.950 expected".into()],
         figures: Figures {
-            served: 0.75,
-            worst_class: 0.5,
-            tries: 1.25,
-            attempts: 1.5,
+            served_share: 0.75,
+            worst_class_share: 0.5,
+            client_attempts: 1.25,
+            upstream_attempts: 1.5,
             p50_ms: 100.5,
             p90_ms: 400.25,
             p99_ms: 900.125,
-            calls_most: 2,
+            max_discovery_calls: 2,
             classes: vec![ClassCounts {
                 class: "station-status".into(),
                 counts: counts(40),
