--- a/frostkeel/src/lab.rs
+++ b/frostkeel/src/lab.rs
@@ -3,7 +3,8 @@
 use crate::lab_output::{Shown, table};
 use clap::{Args, Subcommand};
 use frostkeel_lab::experiment::Experiment;
-use frostkeel_lab::{Options, play, presence, report, simulated, watching};
+use frostkeel_lab::runs::registry_run::{RegistryRunOptions, run_registry};
+use frostkeel_lab::{Options, play, presence, report, simulated};
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -170,34 +171,36 @@
                 );
             }
             let seed = place.seed.unwrap_or(1);
-            let plan = watching::Plan {
+            let plan = RegistryRunOptions {
                 watchers,
                 upstreams,
-                changes,
+                changes_per_s: changes,
                 writers,
-                lasts,
+                duration: lasts,
                 kills,
                 seed,
             };
             let dir = folder(&place, "registry");
             let program = std::env::current_exe()?;
-            let watched = runtime()?.block_on(watching::watch_registry(program, &dir, plan))?;
-            let (p50, p99, worst) = watched.reached_ms;
+            let watched = runtime()?.block_on(run_registry(program, &dir, plan))?;
             println!(
                 "{} changes acknowledged after {:.1} ms (median), {:.1} ms (99th percentile), {} without an answer; \
-                 99% of the watchers had them after {p50:.1} ms (median), {p99:.1} ms (99th percentile), {worst:.1} ms \
+                 99% of the watchers had them after {:.1} ms (median), {:.1} ms (99th percentile), {:.1} ms \
                  at worst; {} lines",
-                watched.acknowledged,
-                watched.acknowledged_ms.0,
-                watched.acknowledged_ms.1,
-                watched.unanswered,
-                watched.lines
+                watched.acknowledged_count,
+                watched.acknowledgement.p50_ms,
+                watched.acknowledgement.p99_ms,
+                watched.failed_count,
+                watched.delivery.p50_ms,
+                watched.delivery.p99_ms,
+                watched.delivery.max_ms,
+                watched.line_count
             );
             watched
-                .broken
+                .violations
                 .iter()
                 .for_each(|text| println!("  BROKEN: {text}"));
-            Ok(if watched.broken.is_empty() {
+            Ok(if watched.violations.is_empty() {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
--- a/frostkeel/src/lab_output.rs
+++ b/frostkeel/src/lab_output.rs
@@ -122,7 +122,7 @@
             .iter()
             .filter(|row| row.state == "up")
             .count();
-        let holds: usize = progress.upstreams.iter().map(|row| row.holds).sum();
+        let holds: usize = progress.upstreams.iter().map(|row| row.in_flight).sum();
         let line = format!(
             "{at:5.0} of {:.0} s  {running} balancers  {up} upstreams hold {holds} requests  {begun} of {} faults \
              begun",
@@ -163,10 +163,10 @@
             ));
         }
         for row in &progress.upstreams {
-            let bar = "#".repeat((row.busy * 20.0).round().clamp(0.0, 40.0) as usize);
+            let bar = "#".repeat((row.utilization * 20.0).round().clamp(0.0, 40.0) as usize);
             rows.push(format!(
                 "  u{:<3} {:8} {:>4} held  {bar}",
-                row.number, row.state, row.holds
+                row.number, row.state, row.in_flight
             ));
         }
         rows
--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -8,7 +8,7 @@
 use crate::measurements;
 use crate::processes::guard::Guard;
 use crate::processes::{log_field, spawn_logged};
-use crate::standins::clients::Front;
+use crate::standins::balancer_pool::BalancerPool;
 use frostkeel_membership::{MemberState, Name};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
@@ -56,7 +56,7 @@
     experiment: Arc<Experiment>,
     seed: u64,
     history: Arc<History>,
-    front: Arc<Front>,
+    front: Arc<BalancerPool>,
     guard: Option<Arc<Guard>>,
     program: PathBuf,
     dir: PathBuf,
@@ -81,7 +81,7 @@
     /// What happens is noted here.
     pub history: Arc<History>,
     /// Whom clients are dealt to.
-    pub front: Arc<Front>,
+    pub front: Arc<BalancerPool>,
     /// The balancers' links with each other, where they know of each other.
     pub peers: Option<Arc<PeerLinks>>,
 }
@@ -231,7 +231,7 @@
         }
         *slot.ending.lock().unwrap_or_else(PoisonError::into_inner) = false;
         slot.life.send_replace(Life::On(pid));
-        self.front.set(number, Some(address));
+        self.front.set_address(number, Some(address));
         self.became(number, ProcessState::Ready);
         tokio::spawn(Arc::clone(self).watch(number, child, pid));
         Ok(())
@@ -308,7 +308,7 @@
             .await;
             // Back meanwhile, it has another address.
             if balancers.front.address(number) == dead {
-                balancers.front.set(number, None);
+                balancers.front.set_address(number, None);
             }
         });
     }
@@ -371,7 +371,7 @@
         tokio::spawn(async move {
             sleep(FRONT_AFTER_TERM).await;
             if balancers.front.address(number) == at {
-                balancers.front.set(number, None);
+                balancers.front.set_address(number, None);
             }
         });
         if self.ended(number, KILL_AFTER_TERM).await {
--- a/lab/src/checks/mod.rs
+++ b/lab/src/checks/mod.rs
@@ -2,3 +2,4 @@
 
 pub mod balancer_rules;
 pub mod membership_checks;
+pub mod watch_checks;
--- /dev/null
+++ b/lab/src/checks/watch_checks.rs
@@ -0,0 +1,149 @@
+//! The rules of a registry's watches: one function a rule, and the watcher that they are applied
+//! to.
+
+use frostkeel_registry::client::Text;
+use frostkeel_registry::list::State;
+use std::collections::BTreeMap;
+use thiserror::Error;
+
+/// Weights by upstream.
+pub type Weights = BTreeMap<String, u64>;
+
+/// A list as one reader has it.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct WatchedList {
+    /// The revision.
+    pub revision: u64,
+    /// The weights of the listed upstreams.
+    pub weights: Weights,
+}
+
+impl WatchedList {
+    /// A whole list.
+    pub fn from_snapshot(snapshot: Text) -> Self {
+        let weight =
+            |target: frostkeel_registry::list::Record| (target.uid, target.capacity_hint as u64);
+        let revision = snapshot.rev;
+        Self {
+            revision,
+            weights: snapshot.targets.into_iter().map(weight).collect(),
+        }
+    }
+
+    /// Applies a line of a watch; the weights that it changed.
+    fn apply(&mut self, line: Text) -> Vec<u64> {
+        self.revision = line.rev;
+        if line.all {
+            self.weights.clear();
+        }
+        let mut changed = Vec::new();
+        for target in line.targets {
+            if target.state == State::Gone {
+                self.weights.remove(&target.uid);
+                continue;
+            }
+            let weight = target.capacity_hint as u64;
+            self.weights.insert(target.uid, weight);
+            if !line.all {
+                changed.push(weight);
+            }
+        }
+        changed
+    }
+}
+
+/// A line of a watch that is no text of a list.
+#[derive(Debug, PartialEq, Eq, Error)]
+#[error("watcher {watcher}: a line that cannot be read")]
+pub struct UnreadableLine {
+    /// The watcher.
+    pub watcher: u32,
+}
+
+/// What a line of a watch did.
+#[derive(Debug, PartialEq, Eq)]
+pub struct AppliedLine {
+    /// The weights that it changed, unless it was a whole list.
+    pub changed: Vec<u64>,
+    /// The rule that it breaks, if any.
+    pub violation: Option<String>,
+}
+
+/// A watcher, and the list as it follows it.
+#[derive(Debug)]
+pub struct Watcher {
+    number: u32,
+    list: WatchedList,
+}
+
+impl Watcher {
+    /// A watcher that knows nothing yet.
+    pub fn new(number: u32) -> Self {
+        Self {
+            number,
+            list: WatchedList::default(),
+        }
+    }
+
+    /// The list as it has it.
+    pub fn list(&self) -> &WatchedList {
+        &self.list
+    }
+
+    /// Checks and applies a line.
+    pub fn apply_line(&mut self, line: &[u8]) -> Result<AppliedLine, UnreadableLine> {
+        let line: Text = serde_json::from_slice(line).map_err(|_| UnreadableLine {
+            watcher: self.number,
+        })?;
+        let violation = revision_goes_up(self.number, &self.list, &line);
+        Ok(AppliedLine {
+            changed: self.list.apply(line),
+            violation,
+        })
+    }
+}
+
+/// The revision never goes back for a watcher, and goes up with each line that is not a whole list.
+///
+/// Source: `docs/registry.md`, "One version for the whole list, up by one with each change, never
+/// down over a restart".
+pub fn revision_goes_up(watcher: u32, list: &WatchedList, line: &Text) -> Option<String> {
+    let known = list.revision;
+    let is_back = line.rev < known || (line.rev == known && !line.all);
+    is_back.then(|| format!("watcher {watcher}: version {} after {known}", line.rev))
+}
+
+/// Each watcher that follows the changes ends with the list.
+///
+/// Source: `docs/registry.md`, "A watch misses nothing and goes on from any version".
+pub fn watchers_have_the_list(watchers: &[WatchedList], list: &WatchedList) -> Option<String> {
+    let differing = watchers.iter().filter(|watched| *watched != list).count();
+    (differing > 0).then(|| {
+        format!(
+            "{differing} watchers have another list than version {}",
+            list.revision
+        )
+    })
+}
+
+/// A change that was acknowledged is there at the end. A later one that had no response may have
+/// been applied: the weights of an upstream only go up.
+///
+/// Source: `docs/registry.md`, "What it promises".
+pub fn acknowledged_changes_are_listed(acknowledged: &Weights, list: &WatchedList) -> Vec<String> {
+    let is_lost = |listed: Option<u64>, weight: u64| listed.is_none_or(|listed| listed < weight);
+    acknowledged
+        .iter()
+        .map(|(uid, weight)| (uid, *weight, list.weights.get(uid).copied()))
+        .filter(|(_, weight, listed)| is_lost(*listed, *weight))
+        .map(|(uid, weight, listed)| format!("{uid} has {listed:?}, {weight} was acknowledged"))
+        .collect()
+}
+
+/// A read after an acknowledgement is at least as new.
+///
+/// Source: `docs/registry.md`, "What it promises".
+pub fn read_is_as_new_as_acknowledged(acknowledged: u64, read: u64) -> Option<String> {
+    (read < acknowledged)
+        .then(|| format!("a read after version {acknowledged} was acknowledged has version {read}"))
+}
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -5,7 +5,7 @@
 use crate::history::{EventKind, History};
 use crate::links::PeerLinks;
 use crate::links::{Link, LinkPeer, Links};
-use crate::standins::discovery::Discovery;
+use crate::standins::discovery::DiscoveryService;
 use crate::standins::upstreams::Upstreams;
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
@@ -21,7 +21,7 @@
     pub history: Arc<History>,
     pub balancers: Arc<Balancers>,
     pub upstreams: Arc<Upstreams>,
-    pub discovery: Arc<Discovery>,
+    pub discovery: Arc<DiscoveryService>,
     pub links: Arc<Links>,
     pub peers: Option<Arc<PeerLinks>>,
 }
@@ -217,22 +217,22 @@
         {
             let (discovery, back) = (Arc::clone(&self.discovery), *back);
             running.spawn(async move {
-                if let Some(registrar) = discovery.registrar() {
-                    registrar.kill(back).await;
+                if let Some(registrar) = discovery.registrations() {
+                    registrar.registry().kill(back).await;
                     return;
                 }
-                discovery.set_up(false);
+                discovery.set_available(false);
                 if let Some(back) = back {
                     sleep(back).await;
-                    discovery.set_up(true);
+                    discovery.set_available(true);
                 }
             });
         }
         if let (true, FaultKind::Pause { duration: lasts }, Some(registrar)) =
-            (met.discovery, act, self.discovery.registrar())
+            (met.discovery, act, self.discovery.registrations())
         {
-            let (registrar, lasts) = (Arc::clone(registrar), *lasts);
-            running.spawn(async move { registrar.hold(lasts).await });
+            let (registrar, lasts) = (Arc::clone(registrar.registry()), *lasts);
+            running.spawn(async move { registrar.pause(lasts).await });
         }
         for number in met.balancers {
             let balancers = Arc::clone(&self.balancers);
@@ -258,9 +258,9 @@
                 FaultKind::SlowDown {
                     factor,
                     duration: lasts,
-                } => running.spawn(upstreams.slow(number, factor, lasts)),
+                } => running.spawn(upstreams.slow_down(number, factor, lasts)),
                 FaultKind::Unresponsive { duration: lasts } => {
-                    running.spawn(upstreams.silence(number, lasts))
+                    running.spawn(upstreams.make_unresponsive(number, lasts))
                 }
                 FaultKind::RollingReplacement {
                     batch_size: batch,
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -27,6 +27,4 @@
 pub use processes::guard;
 pub use reports::page as report;
 pub use runs::experiment_run::{LabItself, Members, Options, Played, Progress, play};
-pub use runs::{registry_run as watching, simulation as simulated};
-pub use standins::clients::{Arrival, schedule};
-pub use standins::upstreams::Row;
+pub use runs::simulation as simulated;
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -11,10 +11,14 @@
 use crate::measurements::figures::{Figures, Recovery, figures, recovery};
 use crate::measurements::{self, quantile_ms};
 use crate::processes::guard::Guard;
-use crate::standins::clients::{Clients, Front, schedule};
-use crate::standins::discovery::Discovery;
-use crate::standins::registration::Registrar;
-use crate::standins::upstreams::{Row, Upstreams};
+use crate::standins::UpstreamStatus;
+use crate::standins::balancer_pool::BalancerPool;
+use crate::standins::clients::Clients;
+use crate::standins::discovery::DiscoveryService;
+use crate::standins::load::draw_load;
+use crate::standins::registration::Registrations;
+use crate::standins::registry_process::RegistryProcess;
+use crate::standins::upstreams::Upstreams;
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -59,7 +63,7 @@
     /// How each balancer stands, in a word, and how many tries it has answered.
     pub balancers: Vec<(&'static str, u64)>,
     /// How each upstream stands.
-    pub upstreams: Vec<Row>,
+    pub upstreams: Vec<UpstreamStatus>,
 }
 
 /// What the lab itself was like.
@@ -165,12 +169,13 @@
         (Some(_), None) => return Err(LabError::NoRegistryProgram),
         (Some(registry), Some(program)) => {
             let (guard, history) = (guard.clone(), Arc::clone(&history));
-            let registrar = Registrar::new(program, &options.dir, guard, history, registry.lease());
-            registrar.start().await?;
-            Some(registrar)
+            let process = RegistryProcess::new(program, &options.dir, guard, history);
+            process.start().await?;
+            Some(Registrations::new(process, registry.lease()))
         }
     };
-    let discovery = Discovery::new(Arc::clone(&history), Arc::clone(&links), registrar.clone());
+    let discovery =
+        DiscoveryService::new(Arc::clone(&history), Arc::clone(&links), registrar.clone());
     let upstreams = Upstreams::new(
         Arc::clone(&experiment),
         options.seed,
@@ -207,9 +212,12 @@
         peers.spawn_relays(&mut tasks);
     }
     if let Some(registrar) = &registrar {
-        registrar.lists(experiment.fleet.upstreams as usize).await?;
+        registrar
+            .registry()
+            .wait_until_ready(experiment.fleet.upstreams as usize)
+            .await?;
     }
-    let front = Arc::new(Front::new(experiment.fleet.balancers));
+    let front = Arc::new(BalancerPool::new(experiment.fleet.balancers));
     let known = Arc::clone(&discovery);
     let round = Round {
         experiment: Arc::clone(&experiment),
@@ -224,7 +232,7 @@
         guard,
         &options.dir,
         addresses,
-        move |balancer| known.text(balancer, None).1,
+        move |balancer| known.snapshot_text(balancer),
     );
     start_all(&balancers, experiment.fleet.balancers).await?;
     if peers.is_some() {
@@ -240,11 +248,11 @@
         Arc::clone(&front),
         Arc::clone(&links),
     );
-    let arrivals = schedule(&experiment, options.seed);
+    let arrivals = draw_load(&experiment, options.seed);
     let processor = processor_seconds();
     let sent = peers.as_ref().map(|peers| peers.traffic());
     history.start_clock();
-    tasks.spawn(Arc::clone(&upstreams).watch_load());
+    tasks.spawn(Arc::clone(&upstreams).sample_load());
     let stage = Stage {
         experiment: Arc::clone(&experiment),
         history: Arc::clone(&history),
@@ -266,8 +274,8 @@
             () = sleep_until(next) => {
                 next += PROGRESS_EVERY;
                 let states = (0..).zip(balancers.standing());
-                let states = states.map(|(b, state)| (state, front.answered(b))).collect();
-                progress(Progress { at: history.now(), balancers: states, upstreams: upstreams.standing() });
+                let states = states.map(|(b, state)| (state, front.response_count(b))).collect();
+                progress(Progress { at: history.now(), balancers: states, upstreams: upstreams.statuses() });
             }
         }
     };
@@ -279,7 +287,7 @@
     tasks.abort_all();
     end_all(&balancers, experiment.fleet.balancers).await;
     if let Some(registrar) = &registrar {
-        registrar.kill(None).await;
+        registrar.registry().kill(None).await;
     }
 
     let Recording {
--- a/lab/src/runs/mod.rs
+++ b/lab/src/runs/mod.rs
@@ -2,4 +2,5 @@
 
 pub(crate) mod experiment_run;
 pub mod registry_run;
+mod registry_writer;
 pub mod simulation;
--- /dev/null
+++ b/lab/src/runs/registry_writer.rs
@@ -0,0 +1,96 @@
+//! Writers of changes to a registry.
+
+use super::registry_run::{RegistryRun, RegistryRunOptions, lock};
+use crate::checks::watch_checks::read_is_as_new_as_acknowledged;
+use frostkeel_registry::client::call;
+use hyper::Method;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+use tokio::time::{Instant, sleep_until};
+
+/// Share of the acknowledged changes after which a writer reads the list.
+const READ_SHARE: f64 = 0.05;
+
+/// A writer of changes. Each upstream has one writer, so that its weights go up in the order of
+/// their acknowledgements.
+pub(super) struct Writer {
+    run: Arc<RegistryRun>,
+    upstreams: Vec<u32>,
+    interval: Duration,
+    next_weight: Arc<AtomicU64>,
+    rng: ChaCha8Rng,
+}
+
+impl Writer {
+    pub fn new(
+        run: Arc<RegistryRun>,
+        options: &RegistryRunOptions,
+        number: u32,
+        next_weight: Arc<AtomicU64>,
+    ) -> Self {
+        let is_own = |upstream: &u32| upstream % options.writers == number;
+        Self {
+            run,
+            upstreams: (0..options.upstreams).filter(is_own).collect(),
+            interval: Duration::from_secs_f64(f64::from(options.writers) / options.changes_per_s),
+            next_weight,
+            rng: ChaCha8Rng::seed_from_u64(options.seed ^ (u64::from(number) << 32)),
+        }
+    }
+
+    /// Sends changes when they are due; each waits for the one before.
+    pub async fn run(mut self, duration: Duration) {
+        let mut due = Instant::now() + self.interval.mul_f64(self.rng.random::<f64>());
+        while self.run.start.elapsed() < duration && !self.upstreams.is_empty() {
+            sleep_until(due).await;
+            due += self.interval;
+            let upstream = self.upstreams[self.rng.random_range(0..self.upstreams.len())];
+            let weight = self.next_weight.fetch_add(1, Ordering::Relaxed);
+            let Some(address) = self.run.registry.write_address() else {
+                return;
+            };
+            if self.run.changes.get(weight as usize).is_none() {
+                return;
+            }
+            self.write(address, format!("u{upstream}"), weight).await;
+        }
+    }
+
+    /// Sends one change, and now and then looks whether readers see it.
+    async fn write(&mut self, address: SocketAddr, uid: String, weight: u64) {
+        let sent_us = self.run.now_us();
+        self.run.changes[weight as usize]
+            .sent_us
+            .store(sent_us, Ordering::Relaxed);
+        let Some(revision) = write_weight(address, &uid, weight).await else {
+            self.run.failed_count.fetch_add(1, Ordering::Relaxed);
+            return;
+        };
+        {
+            let mut acknowledged = lock(&self.run.acknowledged);
+            acknowledged.weights.insert(uid, weight);
+            acknowledged
+                .times_us
+                .push((self.run.now_us() - sent_us) as u32);
+        }
+        if self.rng.random::<f64>() < READ_SHARE
+            && let Some(list) = self.run.read_list().await
+            && let Some(violation) = read_is_as_new_as_acknowledged(revision, list.revision)
+        {
+            self.run.add_violation(violation);
+        }
+    }
+}
+
+/// Writes an upstream's weight; the revision that acknowledges it.
+async fn write_weight(address: SocketAddr, uid: &str, weight: u64) -> Option<u64> {
+    let body = format!("{{\"capacity_hint\":{weight}}}");
+    let target = format!("/upstreams/{uid}/weight");
+    let (status, body) = call(address, Method::PUT, &target, body).await.ok()?;
+    let body: serde_json::Value = serde_json::from_slice(&body).ok()?;
+    body["rev"].as_u64().filter(|_| status == 200)
+}
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -1,22 +1,21 @@
-//! The stand-ins of clients: an open loop whose arrivals, classes and tenants are drawn before the play, each with
-//! its retries. What is late to send is not made up for by sending less: a request's time counts from when it was due.
+//! The stand-ins of clients: an open loop over the drawn arrivals, each with its retries. A request
+//! that is sent late is not compensated for: its latency counts from when it was due.
 
-use crate::experiment::{Experiment, Idempotence};
+use super::balancer_pool::{BalancerPool, ClientConnection, Destination};
+use super::load::Arrival;
+use crate::experiment::{Class, Experiment, Idempotence};
 use crate::history::{
     AttemptFailure, ClientAttemptId, EventKind, History, client_attempt_id, request_of,
 };
 use crate::links::{Link, LinkPeer, Links};
-use crate::measurements::latency_histogram;
+use crate::measurements::{LatencyHistogram, latency_histogram};
 use bytes::Bytes;
-use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
-use hyper::client::conn::http1::SendRequest;
+use hyper::http::response::Parts;
 use hyper::{Method, Request};
 use hyper_util::rt::TokioIo;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use std::f64::consts::TAU;
-use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -24,384 +23,264 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// The shortest time in which a further try makes sense.
-const LEFT_LEAST: Duration = Duration::from_millis(50);
-/// Requests that are due and not yet taken up: more mean a lab that is late.
-const DEALT_MOST: usize = 1024;
+/// The shortest time that is worth another attempt.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
+/// Requests that are due and not yet started: more mean a lab that is late.
+const MAX_DUE_REQUESTS: usize = 1024;
 /// How long a connection to a balancer may take.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The name of the service that clients ask for.
+const SERVICE_HOST: &str = "app.svc";
 
-/// A client's request, as drawn.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Arrival {
-    /// Seconds from the start of the load.
-    pub at: f64,
-    /// Position of its class.
-    pub class: u16,
-    /// Position of its tenant.
-    pub tenant: u16,
-    /// What it concerns.
-    pub key: u32,
-    /// Whether the client heeds `Retry-After`.
-    pub heeds: bool,
-    /// Chance of its own: which balancers it meets, and how long it waits before a retry.
-    pub chance: u64,
+/// A request that is due.
+struct DueRequest {
+    number: u32,
+    arrival: Arrival,
+    due: std::time::Instant,
 }
 
-/// The load of an experiment: a Poisson stream whose rate wanders, by thinning (Lewis and Shedler).
-pub fn schedule(experiment: &Experiment, seed: u64) -> Vec<Arrival> {
-    let (load, mut rng) = (&experiment.load, ChaCha8Rng::seed_from_u64(seed));
-    let most = load.rate_per_s * (1.0 + load.rate_amplitude);
-    let (mut at, mut arrivals) = (0.0, Vec::new());
-    loop {
-        at += -(1.0 - rng.random::<f64>()).ln() / most;
-        if at >= experiment.length.as_secs_f64() {
-            return arrivals;
-        }
-        let rate = load.rate_per_s * (1.0 + load.rate_amplitude * (TAU * at / load.period_s).sin());
-        let (thin, class, tenant) = (
-            rng.random::<f64>(),
-            rng.random::<f64>(),
-            rng.random::<f64>(),
-        );
-        // A few keys far more popular than the rest.
-        let key = (f64::from(load.key_count).powf(rng.random::<f64>()) - 1.0) as u32;
-        let (heeds, chance) = (
-            rng.random::<f64>() < load.retry_after_compliance,
-            rng.random(),
-        );
-        if thin * most <= rate {
-            let class = pick(class, experiment.classes.iter().map(|c| c.share));
-            let tenant = pick(tenant, experiment.tenants.iter().map(|t| t.share));
-            arrivals.push(Arrival {
-                at,
-                class,
-                tenant,
-                key,
-                heeds,
-                chance,
-            });
-        }
-    }
-}
-
-fn pick(mut x: f64, shares: impl Iterator<Item = f64>) -> u16 {
-    let mut last = 0;
-    for (k, share) in shares.enumerate() {
-        last = k as u16;
-        x -= share;
-        if x < 0.0 {
-            break;
-        }
-    }
-    last
-}
-
-#[derive(Default)]
-struct Place {
-    /// Where it is, as far as the front knows: a dead one is sent to for a while.
-    address: Option<SocketAddr>,
-    idle: Vec<SendRequest<Full<Bytes>>>,
-    answered: u64,
+/// One attempt of a request.
+struct Attempt<'a> {
+    id: ClientAttemptId,
+    request: u32,
+    /// 0 for the first attempt.
+    retry: u8,
+    arrival: &'a Arrival,
+    class: &'a Class,
+    /// How long the client waits.
+    time_left: Duration,
+    deadline: Instant,
+    /// Chooses the balancer.
+    random: u64,
 }
 
-/// What deals out clients' requests among the balancers, and keeps their connections.
-pub struct Front {
-    places: Vec<Mutex<Place>>,
+/// What a response says to the client.
+enum ResponseOutcome {
+    Served,
+    Rejected { retry_after: Option<Duration> },
+    Other,
 }
 
-impl Front {
-    /// A front of so many balancers, none of which is there yet.
-    pub fn new(balancers: u32) -> Self {
-        Self {
-            places: (0..balancers).map(|_| Mutex::default()).collect(),
-        }
-    }
-
-    /// A balancer is at this address, or is not sent to any more.
-    pub fn set(&self, balancer: u32, address: Option<SocketAddr>) {
-        if let Some(place) = self.places.get(balancer as usize) {
-            let mut place = place.lock().unwrap_or_else(PoisonError::into_inner);
-            if place.address != address {
-                place.address = address;
-                place.idle.clear();
-            }
-        }
-    }
-
-    /// Where a balancer is.
-    pub fn address(&self, balancer: u32) -> Option<SocketAddr> {
-        self.places
-            .get(balancer as usize)?
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .address
-    }
-
-    /// How many tries a balancer has answered.
-    pub fn answered(&self, balancer: u32) -> u64 {
-        let place = self.places.get(balancer as usize);
-        place.map_or(0, |place| {
-            place
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner)
-                .answered
-        })
-    }
-
-    fn choose(&self, chance: u64) -> Option<(u32, SocketAddr)> {
-        let n = self.places.len() as u64;
-        (0..n)
-            .map(|k| ((chance.wrapping_add(k)) % n) as u32)
-            .find_map(|b| Some((b, self.address(b)?)))
-    }
-
-    fn idle(&self, balancer: u32, address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-        let mut place = self.places[balancer as usize]
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
-        if place.address != Some(address) {
-            return None;
-        }
-        while let Some(connection) = place.idle.pop() {
-            if connection.is_ready() {
-                return Some(connection);
-            }
-        }
-        None
-    }
-
-    fn keep(&self, balancer: u32, address: SocketAddr, connection: SendRequest<Full<Bytes>>) {
-        let mut place = self.places[balancer as usize]
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
-        place.answered += 1;
-        if place.address == Some(address) {
-            place.idle.push(connection);
+impl ResponseOutcome {
+    fn of(response: &Parts) -> Self {
+        match response.status.as_u16() {
+            200 => Self::Served,
+            429 | 503 => Self::Rejected {
+                retry_after: retry_after(response),
+            },
+            _ => Self::Other,
         }
     }
 }
 
-async fn connect(address: SocketAddr, link: &Link) -> Option<SendRequest<Full<Bytes>>> {
-    let stream = timeout(CONNECT, TcpStream::connect(address))
-        .await
+fn retry_after(response: &Parts) -> Option<Duration> {
+    let seconds: f64 = response
+        .headers
+        .get("retry-after")?
+        .to_str()
         .ok()?
+        .parse()
         .ok()?;
-    let _ = stream.set_nodelay(true);
-    let (sender, connection) =
-        hyper::client::conn::http1::handshake(TokioIo::new(link.attach(stream)))
-            .await
-            .ok()?;
-    tokio::spawn(connection);
-    Some(sender)
+    Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// What an answer says to the client.
-enum Said {
-    Served,
-    Refused(Option<Duration>),
-    LinkPeer,
+/// How an exchange on one connection ended.
+enum Exchange {
+    Completed(Parts),
+    /// The balancer closed an idle connection before it read the request.
+    StaleConnection,
+    Failed(AttemptFailure),
 }
 
-/// All clients of a play.
+/// All clients of a run.
 pub struct Clients {
     experiment: Arc<Experiment>,
     history: Arc<History>,
-    front: Arc<Front>,
+    pool: Arc<BalancerPool>,
     links: Arc<Links>,
-    late: Mutex<Histogram<u64>>,
+    lateness: Mutex<LatencyHistogram>,
 }
 
 impl Clients {
-    /// Clients behind a front.
+    /// Clients of a pool of balancers.
     pub fn new(
         experiment: Arc<Experiment>,
         history: Arc<History>,
-        front: Arc<Front>,
+        pool: Arc<BalancerPool>,
         links: Arc<Links>,
     ) -> Arc<Self> {
         Arc::new(Self {
             experiment,
             history,
-            front,
+            pool,
             links,
-            late: Mutex::new(latency_histogram()),
+            lateness: Mutex::new(latency_histogram()),
         })
     }
 
     /// How late requests were sent, in microseconds.
-    pub fn lateness(&self) -> Histogram<u64> {
-        self.late
+    pub fn lateness(&self) -> LatencyHistogram {
+        self.lateness
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    /// Sends what is due when it is due; returns when the last client has ended. Dropped, all end.
+    /// Sends each request when it is due; returns when the last client has finished. Dropped, all
+    /// end.
     pub async fn run(self: Arc<Self>, arrivals: Vec<Arrival>) {
-        let (dealt, mut due) = mpsc::channel(DEALT_MOST);
+        let (sender, mut due_requests) = mpsc::channel(MAX_DUE_REQUESTS);
         let start = self.history.instant_at(0.0).into_std();
-        // A thread of its own: the runtime's timers are right to a millisecond or two only.
-        tokio::task::spawn_blocking(move || {
-            for (request, arrival) in arrivals.into_iter().enumerate() {
-                let at = start + Duration::from_secs_f64(arrival.at);
-                std::thread::sleep(at.saturating_duration_since(std::time::Instant::now()));
-                if dealt.blocking_send((request as u32, arrival, at)).is_err() {
-                    return;
-                }
-            }
-        });
+        // A thread of its own: the runtime's timers are accurate to a millisecond or two only.
+        tokio::task::spawn_blocking(move || dispatch_when_due(arrivals, start, &sender));
         let mut open = JoinSet::new();
-        while let Some((request, arrival, at)) = due.recv().await {
-            open.spawn(Arc::clone(&self).client(request, arrival, Instant::from_std(at)));
+        while let Some(due_request) = due_requests.recv().await {
+            open.spawn(Arc::clone(&self).run_request(due_request));
             while open.try_join_next().is_some() {}
         }
         while open.join_next().await.is_some() {}
     }
 
-    async fn client(self: Arc<Self>, request: u32, arrival: Arrival, due: Instant) {
-        let (load, Some(class)) = (
-            &self.experiment.load,
-            self.experiment.classes.get(usize::from(arrival.class)),
-        ) else {
+    /// One request with its retries.
+    async fn run_request(self: Arc<Self>, request: DueRequest) {
+        let DueRequest {
+            number,
+            arrival,
+            due,
+        } = request;
+        let due = Instant::from_std(due);
+        let load = &self.experiment.load;
+        let Some(class) = self.experiment.classes.get(usize::from(arrival.class)) else {
             return;
         };
-        let late = Instant::now().saturating_duration_since(due).as_micros() as u64;
-        self.late
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .saturating_record(late.max(1));
+        self.record_lateness(due);
         self.history.record(EventKind::RequestDue {
-            request,
+            request: number,
             class: arrival.class,
         });
-        let deadline = due + Duration::from_secs_f64(class.deadline_ms / 1e3);
-        let most = Duration::from_secs_f64(class.deadline_ms / 1e3 * load.attempt_timeout_share);
-        let mut chance = ChaCha8Rng::seed_from_u64(arrival.chance);
-        for again in 0..=load.retries {
-            let left = deadline.saturating_duration_since(Instant::now()).min(most);
-            if left < LEFT_LEAST {
+        let deadline_s = class.deadline_ms / 1e3;
+        let deadline = due + Duration::from_secs_f64(deadline_s);
+        let attempt_timeout = Duration::from_secs_f64(deadline_s * load.attempt_timeout_share);
+        let mut rng = ChaCha8Rng::seed_from_u64(arrival.seed);
+        for retry in 0..=load.retries {
+            let now = Instant::now();
+            let time_left = deadline.saturating_duration_since(now).min(attempt_timeout);
+            if time_left < MIN_ATTEMPT_TIME {
                 return;
             }
-            let id = client_attempt_id(request, again);
-            let said = self
-                .attempt(id, again, request, &arrival, left, chance.random())
-                .await;
-            let asked_for = match said {
-                Some(Said::Served) => return,
-                Some(Said::Refused(after)) => after.filter(|_| arrival.heeds),
-                Some(Said::LinkPeer) | None => None,
+            let attempt = Attempt {
+                id: client_attempt_id(number, retry),
+                request: number,
+                retry,
+                arrival: &arrival,
+                class,
+                time_left,
+                deadline: now + time_left,
+                random: rng.random(),
             };
-            // What may have run and must not run twice is the client's to find out about, not to send again.
-            if class.idempotence == Idempotence::AtMostOnce
-                && !matches!(said, Some(Said::Refused(_)))
-            {
-                return;
-            }
-            let backoff =
-                load.backoff_ms / 1e3 * f64::from(1 << again) * chance.random_range(0.5..1.5);
-            sleep(asked_for.unwrap_or(Duration::from_secs_f64(backoff))).await;
+            let outcome = self.run_attempt(&attempt).await;
+            let retry_after = match outcome {
+                Some(ResponseOutcome::Served) => return,
+                Some(ResponseOutcome::Rejected { retry_after }) => {
+                    retry_after.filter(|_| arrival.honors_retry_after)
+                }
+                // A request that must not run twice may have run: the client does not repeat it.
+                _ if class.idempotence == Idempotence::AtMostOnce => return,
+                Some(ResponseOutcome::Other) | None => None,
+            };
+            let backoff_s =
+                load.backoff_ms / 1e3 * f64::from(1 << retry) * rng.random_range(0.5..1.5);
+            sleep(retry_after.unwrap_or(Duration::from_secs_f64(backoff_s))).await;
         }
     }
 
-    /// One try, with its time; `None`: no answer.
-    async fn attempt(
-        &self,
-        id: ClientAttemptId,
-        again: u8,
-        request: u32,
-        arrival: &Arrival,
-        left: Duration,
-        chance: u64,
-    ) -> Option<Said> {
-        let gives_up = Instant::now() + left;
-        let (class, tenant) = (arrival.class, arrival.tenant);
-        let Some((balancer, address)) = self.front.choose(chance) else {
-            sleep_until(gives_up.min(Instant::now() + CONNECT)).await;
+    fn record_lateness(&self, due: Instant) {
+        let late_us = Instant::now().saturating_duration_since(due).as_micros() as u64;
+        let mut lateness = self.lateness.lock().unwrap_or_else(PoisonError::into_inner);
+        lateness.saturating_record(late_us.max(1));
+    }
+
+    /// One attempt; `None`: no response.
+    async fn run_attempt(&self, attempt: &Attempt<'_>) -> Option<ResponseOutcome> {
+        let Some(to) = self.pool.choose(attempt.random) else {
+            sleep_until(attempt.deadline.min(Instant::now() + CONNECT_TIMEOUT)).await;
             return None;
         };
-        let link = self.links.between(balancer, LinkPeer::Clients);
-        let (mut kept, mut asked) = (self.front.idle(balancer, address), false);
+        let link = self.links.between(to.balancer, LinkPeer::Clients);
+        let mut idle = self.pool.take_idle(to);
+        let mut is_recorded = false;
         loop {
-            let reused = kept.is_some();
-            let mut connection = match kept.take() {
+            let is_reused = idle.is_some();
+            let mut connection = match idle.take() {
                 Some(connection) => connection,
-                None => match timeout_at(gives_up, connect(address, &link)).await {
-                    Ok(Some(connection)) => connection,
-                    _ => {
-                        self.history.record(EventKind::AttemptFailed {
-                            id,
-                            failure: AttemptFailure::NoConnection,
-                        });
-                        return None;
-                    }
-                },
+                None => self.connect(attempt, to, &link).await?,
             };
-            let message = self.message(id, again, arrival, left)?;
-            if !std::mem::replace(&mut asked, true) {
-                self.history.record(EventKind::AttemptSent {
-                    id,
-                    request,
-                    retry: again,
-                    class,
-                    tenant,
-                    balancer,
-                });
+            let message = self.message(attempt)?;
+            if !std::mem::replace(&mut is_recorded, true) {
+                self.record_sent(attempt, to);
             }
-            let exchange = async {
-                let (parts, body) = connection.send_request(message).await?.into_parts();
-                body.collect().await.map(|_| parts)
-            };
-            match timeout_at(gives_up, exchange).await {
-                Err(_) => {
-                    self.history.record(EventKind::AttemptFailed {
-                        id,
-                        failure: AttemptFailure::TimedOut,
-                    });
-                    return None;
-                }
-                // Between requests a balancer may close a connection: the request goes once more on a new one.
-                Ok(Err(e))
-                    if reused
-                        && (e.is_canceled() || e.is_incomplete_message() || e.is_closed()) => {}
-                Ok(Err(_)) => {
+            match exchange(&mut connection, message, attempt.deadline, is_reused).await {
+                Exchange::StaleConnection => {}
+                Exchange::Failed(failure) => {
                     self.history.record(EventKind::AttemptFailed {
-                        id,
-                        failure: AttemptFailure::ConnectionClosed,
+                        id: attempt.id,
+                        failure,
                     });
                     return None;
                 }
-                Ok(Ok(parts)) => {
+                Exchange::Completed(response) => {
+                    let status = response.status.as_u16();
                     self.history.record(EventKind::ResponseReceived {
-                        id,
-                        status: parts.status.as_u16(),
-                    });
-                    self.front.keep(balancer, address, connection);
-                    let after = parts
-                        .headers
-                        .get("retry-after")
-                        .and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-                    let after = after.and_then(|s| Duration::try_from_secs_f64(s).ok());
-                    return Some(match parts.status.as_u16() {
-                        200 => Said::Served,
-                        429 | 503 => Said::Refused(after),
-                        _ => Said::LinkPeer,
+                        id: attempt.id,
+                        status,
                     });
+                    self.pool.return_idle(to, connection);
+                    return Some(ResponseOutcome::of(&response));
                 }
             }
         }
     }
 
-    fn message(
+    /// A new connection, before the attempt's deadline.
+    async fn connect(
         &self,
-        id: ClientAttemptId,
-        again: u8,
-        arrival: &Arrival,
-        left: Duration,
-    ) -> Option<Request<Full<Bytes>>> {
-        let class = self.experiment.classes.get(usize::from(arrival.class))?;
-        let tenant = self.experiment.tenants.get(usize::from(arrival.tenant))?;
-        let method = if class.idempotence == Idempotence::Idempotent {
+        attempt: &Attempt<'_>,
+        to: Destination,
+        link: &Link,
+    ) -> Option<ClientConnection> {
+        let connection = timeout_at(attempt.deadline, connect(to, link))
+            .await
+            .ok()
+            .flatten();
+        if connection.is_none() {
+            let failure = AttemptFailure::NoConnection;
+            self.history.record(EventKind::AttemptFailed {
+                id: attempt.id,
+                failure,
+            });
+        }
+        connection
+    }
+
+    fn record_sent(&self, attempt: &Attempt<'_>, to: Destination) {
+        self.history.record(EventKind::AttemptSent {
+            id: attempt.id,
+            request: attempt.request,
+            retry: attempt.retry,
+            class: attempt.arrival.class,
+            tenant: attempt.arrival.tenant,
+            balancer: to.balancer,
+        });
+    }
+
+    fn message(&self, attempt: &Attempt<'_>) -> Option<Request<Full<Bytes>>> {
+        let class = attempt.class;
+        let tenant = self
+            .experiment
+            .tenants
+            .get(usize::from(attempt.arrival.tenant))?;
+        let is_idempotent = class.idempotence == Idempotence::Idempotent;
+        let method = if is_idempotent {
             Method::GET
         } else {
             Method::POST
@@ -409,60 +288,74 @@
         let mut message = Request::builder()
             .method(method)
             .uri(format!("/{}", class.name))
-            .header("host", "app.svc")
-            .header("x-correlation-id", format!("{id:016x}"))
+            .header("host", SERVICE_HOST)
+            .header("x-correlation-id", format!("{:016x}", attempt.id))
             .header("x-account", &tenant.name)
-            .header("cookie", format!("user={:08x}", arrival.key))
-            .header("x-time-left-ms", left.as_millis().to_string());
-        if again > 0 && self.experiment.load.marks_retries {
+            .header("cookie", format!("user={:08x}", attempt.arrival.key))
+            .header("x-time-left-ms", attempt.time_left.as_millis().to_string());
+        if attempt.retry > 0 && self.experiment.load.marks_retries {
             message = message.header("x-repeat", "1");
         }
         if class.idempotence == Idempotence::WithIdempotencyKey {
-            message = message.header("idempotency-key", format!("{:032x}", request_of(id)));
+            let key = format!("{:032x}", request_of(attempt.id));
+            message = message.header("idempotency-key", key);
         }
         message.body(Full::default()).ok()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn experiment() -> Experiment {
-        let text = "name = \"x\"\nseconds = 60.0\n[fleet]\nbalancers = 2\nupstreams = 4\n[load]\nrate = 200.0\n";
-        Experiment::parse(text).expect("it can be meant")
+/// Hands over each arrival when it is due, until all are or nobody takes them any more.
+fn dispatch_when_due(
+    arrivals: Vec<Arrival>,
+    start: std::time::Instant,
+    sender: &mpsc::Sender<DueRequest>,
+) {
+    for (number, arrival) in arrivals.into_iter().enumerate() {
+        let due = start + Duration::from_secs_f64(arrival.at_s);
+        std::thread::sleep(due.saturating_duration_since(std::time::Instant::now()));
+        let request = DueRequest {
+            number: number as u32,
+            arrival,
+            due,
+        };
+        if sender.blocking_send(request).is_err() {
+            return;
+        }
     }
+}
 
-    #[test]
-    fn the_same_seed_gives_the_same_load_and_another_one_another() {
-        let experiment = experiment();
-        let (one, same, other) = (
-            schedule(&experiment, 4),
-            schedule(&experiment, 4),
-            schedule(&experiment, 5),
-        );
-        assert_eq!(one, same);
-        assert_ne!(one, other);
-    }
+async fn connect(to: Destination, link: &Link) -> Option<ClientConnection> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(to.address))
+        .await
+        .ok()?
+        .ok()?;
+    let _ = stream.set_nodelay(true);
+    let stream = TokioIo::new(link.attach(stream));
+    let (sender, connection) = hyper::client::conn::http1::handshake(stream).await.ok()?;
+    tokio::spawn(connection);
+    Some(sender)
+}
 
-    #[test]
-    fn rate_and_shares_are_those_of_the_experiment() {
-        let experiment = experiment();
-        let arrivals = schedule(&experiment, 4);
-        let n = arrivals.len() as f64;
-        assert!((n / 60.0 - 200.0).abs() < 10.0, "{n} in 60 s");
-        assert!(arrivals.is_sorted_by(|a, b| a.at <= b.at));
-        for (k, class) in experiment.classes.iter().enumerate() {
-            let share = arrivals
-                .iter()
-                .filter(|a| usize::from(a.class) == k)
-                .count() as f64
-                / n;
-            assert!(
-                (share - class.share).abs() < 0.02,
-                "{}: {share}",
-                class.name
-            );
-        }
+/// Sends a request and reads the whole response.
+async fn exchange(
+    connection: &mut ClientConnection,
+    message: Request<Full<Bytes>>,
+    deadline: Instant,
+    is_reused: bool,
+) -> Exchange {
+    let response = async {
+        let (parts, body) = connection.send_request(message).await?.into_parts();
+        body.collect().await.map(|_| parts)
+    };
+    match timeout_at(deadline, response).await {
+        Err(_) => Exchange::Failed(AttemptFailure::TimedOut),
+        // A balancer may close an idle connection: the request is sent once more on a new one.
+        Ok(Err(e)) if is_reused && is_closed_before_response(&e) => Exchange::StaleConnection,
+        Ok(Err(_)) => Exchange::Failed(AttemptFailure::ConnectionClosed),
+        Ok(Ok(response)) => Exchange::Completed(response),
     }
 }
+
+fn is_closed_before_response(error: &hyper::Error) -> bool {
+    error.is_canceled() || error.is_incomplete_message() || error.is_closed()
+}
--- a/lab/src/standins/discovery.rs
+++ b/lab/src/standins/discovery.rs
@@ -1,361 +1,310 @@
-//! The stand-in of the list service: the whole list, and a watch on its changes, to each balancer at an address
-//! of its own.
+//! The stand-in of the discovery service: the endpoint list, and a watch on its changes, to each
+//! balancer at an address of its own. With a real registry behind it, it forwards to that one.
 
+use super::forwarding::Forwarder;
+use super::registration::Registrations;
 use crate::history::{EndpointState, EventKind, History};
 use crate::links::{LinkPeer, Links};
-use crate::standins::registration::Registrar;
-use bytes::{Bytes, BytesMut};
-use frostkeel_registry::client::begin;
+use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response, StatusCode};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 use tokio_stream::wrappers::ReceiverStream;
 
-/// How often a watch on which nothing changes says so.
-const EMPTY_LINE_EVERY: Duration = Duration::from_secs(2);
-/// What a watch that has fallen silent misses counts as told after this.
-const SILENCE_TELLS_AFTER: Duration = Duration::from_secs(6);
+/// How often a watch without changes sends an empty line.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Changes that a silent watch misses count as notified after this.
+const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
 /// Lines that a watcher may be behind.
-const LINES_BEHIND: usize = 16;
+pub(super) const MAX_PENDING_LINES: usize = 16;
+/// The path of the list.
+const LIST_PATH: &str = "/registry/instances";
 
-#[derive(Clone)]
-struct Entry {
-    listed: EndpointState,
+/// The body of a response.
+pub(super) type ResponseBody = BoxBody<Bytes, io::Error>;
+/// A line of a watch on its way to a balancer.
+pub(super) type WatchLine = Result<Frame<Bytes>, io::Error>;
+
+/// An entry of the list.
+pub(super) struct Entry {
+    state: EndpointState,
     boot_ms: u64,
     /// By balancer.
-    endpoints: Arc<Vec<SocketAddr>>,
-    rev: u64,
+    pub(super) endpoints: Arc<Vec<SocketAddr>>,
+    /// The revision of its last change.
+    revision: u64,
 }
 
-/// The list, and who watches it.
-pub struct Discovery {
-    history: Arc<History>,
+/// The endpoint list, and who watches it.
+pub struct DiscoveryService {
+    pub(super) history: Arc<History>,
     links: Arc<Links>,
     entries: Mutex<BTreeMap<u32, Entry>>,
-    rev: watch::Sender<u64>,
-    up: watch::Sender<bool>,
-    /// Where the list is the real service's.
-    registrar: Option<Arc<Registrar>>,
+    revision: watch::Sender<u64>,
+    is_available: watch::Sender<bool>,
+    /// Where a real registry has the list.
+    registrations: Option<Arc<Registrations>>,
 }
 
-impl Discovery {
+impl DiscoveryService {
     /// An empty list.
     pub fn new(
         history: Arc<History>,
         links: Arc<Links>,
-        registrar: Option<Arc<Registrar>>,
+        registrations: Option<Arc<Registrations>>,
     ) -> Arc<Self> {
-        let (rev, up) = (watch::Sender::new(1), watch::Sender::new(true));
         Arc::new(Self {
             history,
             links,
             entries: Mutex::default(),
-            rev,
-            up,
-            registrar,
+            revision: watch::Sender::new(1),
+            is_available: watch::Sender::new(true),
+            registrations,
         })
     }
 
-    /// How an upstream stands from now on.
-    pub fn list(
+    pub(super) fn entries(&self) -> MutexGuard<'_, BTreeMap<u32, Entry>> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Sets the state of an upstream.
+    pub fn update_endpoint(
         &self,
         upstream: u32,
-        listed: EndpointState,
+        state: EndpointState,
         boot_ms: u64,
         endpoints: &Arc<Vec<SocketAddr>>,
     ) {
-        if let Some(registrar) = &self.registrar {
-            let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-            entries.entry(upstream).or_insert_with(|| {
-                let endpoints = Arc::clone(endpoints);
-                if let Some(first) = endpoints.first() {
-                    registrar.add(upstream, *first);
-                }
-                Entry {
-                    listed,
-                    boot_ms,
-                    endpoints,
-                    rev: 0,
-                }
+        let mut entries = self.entries();
+        let endpoints = Arc::clone(endpoints);
+        let Some(registrations) = &self.registrations else {
+            self.revision.send_modify(|revision| {
+                *revision += 1;
+                entries.insert(
+                    upstream,
+                    Entry {
+                        state,
+                        boot_ms,
+                        endpoints,
+                        revision: *revision,
+                    },
+                );
             });
-            registrar.says(upstream, listed, boot_ms);
             return;
-        }
-        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        self.rev.send_modify(|rev| {
-            *rev += 1;
-            let endpoints = Arc::clone(endpoints);
-            entries.insert(
-                upstream,
-                Entry {
-                    listed,
-                    boot_ms,
-                    endpoints,
-                    rev: *rev,
-                },
-            );
+        };
+        entries.entry(upstream).or_insert_with(|| {
+            if let Some(first) = endpoints.first() {
+                registrations.add(upstream, *first);
+            }
+            Entry {
+                state,
+                boot_ms,
+                endpoints,
+                revision: 0,
+            }
         });
+        registrations.announce(upstream, state, boot_ms);
     }
 
-    /// An upstream has died: with the real service, it is silent from now on, and nobody else tells of it. Whether so.
-    pub fn falls_silent(&self, upstream: u32) -> bool {
-        self.registrar
+    /// An upstream has crashed. With a real registry it announces nothing any more, and nobody else
+    /// tells of its crash; returns whether that is so.
+    pub fn stop_announcing(&self, upstream: u32) -> bool {
+        self.registrations
             .as_ref()
-            .map(|registrar| registrar.dies(upstream))
+            .map(|registrations| registrations.stop(upstream))
             .is_some()
     }
 
-    /// The real service, where there is one.
-    pub fn registrar(&self) -> Option<&Arc<Registrar>> {
-        self.registrar.as_ref()
+    /// The upstreams' registrations with a real registry, where there is one.
+    pub fn registrations(&self) -> Option<&Arc<Registrations>> {
+        self.registrations.as_ref()
     }
 
-    /// Answers calls and holds watches, or refuses all.
-    pub fn set_up(&self, up: bool) {
-        self.up.send_replace(up);
+    /// Makes the service available, or closes all its connections and those that come.
+    pub fn set_available(&self, is_available: bool) {
+        self.is_available.send_replace(is_available);
     }
 
-    /// The list as one balancer gets it, or what of it is newer than a version.
-    pub fn text(&self, balancer: u32, since: Option<u64>) -> (u64, String) {
-        let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        let rev = *self.rev.borrow();
-        let newer = entries.iter().filter(|(_, e)| match since {
-            Some(since) => e.rev > since,
-            None => e.listed != EndpointState::Removed,
-        });
-        let targets: Vec<serde_json::Value> = newer
-            .map(|(upstream, e)| {
-                let state = match e.listed {
-                    EndpointState::Ready => "Ready",
-                    EndpointState::Terminating => "Terminating",
-                    EndpointState::Removed => "Gone",
-                };
+    /// The whole list as one balancer gets it.
+    pub fn snapshot_text(&self, balancer: u32) -> String {
+        self.list_text(balancer, None)
+    }
+
+    /// The list as one balancer gets it, or what of it is newer than a revision.
+    fn list_text(&self, balancer: u32, since: Option<u64>) -> String {
+        let entries = self.entries();
+        let revision = *self.revision.borrow();
+        let is_included = |entry: &Entry| match since {
+            Some(since) => entry.revision > since,
+            None => entry.state != EndpointState::Removed,
+        };
+        let targets: Vec<serde_json::Value> = entries
+            .iter()
+            .filter(|(_, entry)| is_included(entry))
+            .map(|(upstream, entry)| {
                 serde_json::json!({
                     "uid": format!("u{upstream}"),
-                    "endpoint": e.endpoints.get(balancer as usize).map(SocketAddr::to_string),
-                    "az": "a", "model": "m", "pod_group": 0, "state": state,
-                    "capacity_hint": 1.0, "boot_ms": e.boot_ms,
+                    "endpoint": entry.endpoints.get(balancer as usize).map(SocketAddr::to_string),
+                    "az": "a", "model": "m", "pod_group": 0, "state": entry.state.label(),
+                    "capacity_hint": 1.0, "boot_ms": entry.boot_ms,
                 })
             })
             .collect();
-        (
-            rev,
-            serde_json::json!({"rev": rev, "all": since.is_none(), "targets": targets}).to_string(),
-        )
+        serde_json::json!({"rev": revision, "all": since.is_none(), "targets": targets}).to_string()
     }
 
-    /// Notes what a text tells a balancer: now, or where its watch is cut off, once that counts as told all the same.
-    fn told(self: &Arc<Self>, balancer: u32, since: Option<u64>) {
+    /// Records what a balancer is notified of: now, or where its watch is cut, once that counts as
+    /// notified all the same.
+    fn record_notified(self: &Arc<Self>, balancer: u32, since: Option<u64>) {
         if !self
             .links
             .between(balancer, LinkPeer::Discovery)
             .is_inbound_cut()
         {
-            self.note_told(balancer, since);
+            self.record_notified_now(balancer, since);
             return;
         }
         let discovery = Arc::clone(self);
         tokio::spawn(async move {
-            sleep(SILENCE_TELLS_AFTER).await;
-            discovery.note_told(balancer, since);
+            sleep(NOTIFIED_AFTER_SILENCE).await;
+            discovery.record_notified_now(balancer, since);
         });
     }
 
-    fn note_told(&self, balancer: u32, since: Option<u64>) {
-        let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        let newer = entries
-            .iter()
-            .filter(|(_, e)| since.is_none_or(|since| e.rev > since));
-        for (upstream, e) in newer {
-            self.history.record(EventKind::EndpointNotified {
-                balancer,
-                upstream: *upstream,
-                state: e.listed,
-            });
+    fn record_notified_now(&self, balancer: u32, since: Option<u64>) {
+        for (upstream, entry) in self.entries().iter() {
+            if since.is_none_or(|since| entry.revision > since) {
+                let (upstream, state) = (*upstream, entry.state);
+                self.history.record(EventKind::EndpointNotified {
+                    balancer,
+                    upstream,
+                    state,
+                });
+            }
         }
     }
 
-    /// Serves one balancer at its address for as long as the play lasts.
+    /// Serves one balancer at its address for as long as the run lasts.
     pub async fn serve(self: Arc<Self>, balancer: u32, listener: TcpListener) {
-        let link = self.links.between(balancer, LinkPeer::Discovery);
         while let Ok((stream, _)) = listener.accept().await {
             self.history.record(EventKind::DiscoveryCalled { balancer });
-            if !*self.up.borrow() {
-                continue;
+            if *self.is_available.borrow() {
+                self.serve_connection(balancer, stream);
             }
-            let stream = link.attach(stream);
-            let (discovery, mut up) = (Arc::clone(&self), self.up.subscribe());
-            tokio::spawn(async move {
-                let service = service_fn(move |request| {
-                    let discovery = Arc::clone(&discovery);
-                    async move {
-                        match discovery
-                            .registrar
-                            .as_ref()
-                            .and_then(|registrar| registrar.read())
-                        {
-                            Some(real) => discovery.pass_on(balancer, real, &request).await,
-                            None => Ok(discovery.respond(balancer, &request)),
-                        }
-                    }
-                });
-                let connection = hyper::server::conn::http1::Builder::new()
-                    .serve_connection(TokioIo::new(stream), service);
-                tokio::select! {
-                    _ = connection => (),
-                    _ = up.wait_for(|up| !up) => (),
-                }
-            });
         }
     }
 
-    /// Passes a call on to the real service, and what it answers back, with the endpoints that this balancer knows.
-    async fn pass_on(
-        self: &Arc<Self>,
-        balancer: u32,
-        real: SocketAddr,
-        request: &Request<Incoming>,
-    ) -> Result<Response<BoxBody<Bytes, std::io::Error>>, std::io::Error> {
-        let broken = || std::io::Error::other("the list service does not answer");
-        let target = request
-            .uri()
-            .path_and_query()
-            .map_or("/", |target| target.as_str());
-        let answer = begin(real, Method::GET, target, String::new())
-            .await
-            .map_err(|_| broken())?;
-        let (parts, mut body) = answer.into_parts();
-        if !target.contains("stream=1") {
-            let text = body.collect().await.map_err(|_| broken())?.to_bytes();
-            let mut response = Response::new(whole(self.seen_by(balancer, &text)));
-            *response.status_mut() = parts.status;
-            return Ok(response);
-        }
-        let (lines, sent) = mpsc::channel(LINES_BEHIND);
-        let discovery = Arc::clone(self);
+    fn serve_connection(self: &Arc<Self>, balancer: u32, stream: TcpStream) {
+        let stream = self
+            .links
+            .between(balancer, LinkPeer::Discovery)
+            .attach(stream);
+        let (discovery, mut is_available) = (Arc::clone(self), self.is_available.subscribe());
         tokio::spawn(async move {
-            let mut pending = BytesMut::new();
-            while let Some(Ok(frame)) = body.frame().await {
-                let Ok(data) = frame.into_data() else {
-                    continue;
-                };
-                pending.extend_from_slice(&data);
-                while let Some(n) = pending.iter().position(|byte| *byte == b'\n') {
-                    let line = pending.split_to(n + 1).freeze();
-                    let mut line = BytesMut::from(&discovery.seen_by(balancer, &line)[..]);
-                    line.extend_from_slice(b"\n");
-                    if lines.send(Ok(Frame::data(line.freeze()))).await.is_err() {
-                        return;
-                    }
-                }
+            let service = service_fn(move |request| {
+                let discovery = Arc::clone(&discovery);
+                async move { discovery.respond(balancer, &request).await }
+            });
+            let connection = hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), service);
+            tokio::select! {
+                _ = connection => (),
+                _ = is_available.wait_for(|is_available| !is_available) => (),
             }
-            // The watch has ended there: it ends here, as one that broke off.
-            let _ = lines.send(Err(broken())).await;
         });
-        let mut response =
-            Response::new(BodyExt::boxed(StreamBody::new(ReceiverStream::new(sent))));
-        *response.status_mut() = parts.status;
-        Ok(response)
     }
 
-    /// A text of the real service as a balancer sees it; notes what it tells.
-    fn seen_by(&self, balancer: u32, text: &[u8]) -> Bytes {
-        let Ok(mut list) = serde_json::from_slice::<serde_json::Value>(text) else {
-            return Bytes::copy_from_slice(text.trim_ascii());
-        };
-        let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        for target in list["targets"].as_array_mut().into_iter().flatten() {
-            let number = target["uid"]
-                .as_str()
-                .and_then(|uid| uid.strip_prefix('u')?.parse::<u32>().ok());
-            let Some((upstream, entry)) = number.and_then(|n| Some((n, entries.get(&n)?))) else {
-                continue;
-            };
-            if let Some(endpoint) = entry.endpoints.get(balancer as usize) {
-                target["endpoint"] = endpoint.to_string().into();
+    async fn respond(
+        self: &Arc<Self>,
+        balancer: u32,
+        request: &Request<Incoming>,
+    ) -> io::Result<Response<ResponseBody>> {
+        let registry = self
+            .registrations
+            .as_ref()
+            .and_then(|all| all.registry().read_address());
+        match registry {
+            Some(address) => {
+                Forwarder::new(Arc::clone(self), balancer, address)
+                    .forward(request)
+                    .await
             }
-            let listed = match target["state"].as_str() {
-                Some("Ready") => EndpointState::Ready,
-                Some("Terminating") => EndpointState::Terminating,
-                _ => EndpointState::Removed,
-            };
-            self.history.record(EventKind::EndpointNotified {
-                balancer,
-                upstream,
-                state: listed,
-            });
+            None => Ok(self.respond_from_list(balancer, request)),
         }
-        Bytes::from(list.to_string())
     }
 
-    fn respond(
+    fn respond_from_list(
         self: &Arc<Self>,
         balancer: u32,
         request: &Request<Incoming>,
-    ) -> Response<BoxBody<Bytes, std::io::Error>> {
+    ) -> Response<ResponseBody> {
         let query = request.uri().query().unwrap_or_default();
-        if request.uri().path() != "/registry/instances" {
-            let mut none = Response::new(whole(Bytes::new()));
-            *none.status_mut() = StatusCode::NOT_FOUND;
-            return none;
+        if request.uri().path() != LIST_PATH {
+            let mut not_found = Response::new(full_body(Bytes::new()));
+            *not_found.status_mut() = StatusCode::NOT_FOUND;
+            return not_found;
         }
         if !query.contains("stream=1") {
-            self.told(balancer, None);
-            return Response::new(whole(self.text(balancer, None).1.into()));
+            self.record_notified(balancer, None);
+            return Response::new(full_body(self.snapshot_text(balancer).into()));
         }
         let index = query
             .split('&')
             .find_map(|part| part.strip_prefix("index=")?.parse().ok());
-        let since = index.filter(|n| *n > 0 && *n <= *self.rev.borrow());
-        let (lines, body) = mpsc::channel(LINES_BEHIND);
-        tokio::spawn(Arc::clone(self).follow(balancer, since, lines));
+        let since = index.filter(|index| *index > 0 && *index <= *self.revision.borrow());
+        let (lines, body) = mpsc::channel(MAX_PENDING_LINES);
+        tokio::spawn(Arc::clone(self).stream_changes(balancer, since, lines));
         Response::new(BodyExt::boxed(StreamBody::new(ReceiverStream::new(body))))
     }
 
-    async fn follow(
+    /// Sends the list, or what is newer than a revision, and then each change of it.
+    async fn stream_changes(
         self: Arc<Self>,
         balancer: u32,
         mut since: Option<u64>,
-        lines: mpsc::Sender<Result<Frame<Bytes>, std::io::Error>>,
+        lines: mpsc::Sender<WatchLine>,
     ) {
-        let mut changes = self.rev.subscribe();
+        let mut revisions = self.revision.subscribe();
         loop {
-            let rev = *changes.borrow_and_update();
-            let line = if since == Some(rev) {
-                String::new()
-            } else {
-                self.text(balancer, since).1
+            let revision = *revisions.borrow_and_update();
+            let is_current = since == Some(revision);
+            let line = match is_current {
+                true => String::new(),
+                false => self.list_text(balancer, since),
             };
-            // Written, or as good as: a watcher that does not read is let go.
+            let frame = Ok(Frame::data(format!("{line}\n").into()));
+            // A watcher that does not read is dropped.
             if lines
-                .send_timeout(
-                    Ok(Frame::data(format!("{line}\n").into())),
-                    EMPTY_LINE_EVERY,
-                )
+                .send_timeout(frame, KEEP_ALIVE_INTERVAL)
                 .await
                 .is_err()
             {
                 return;
             }
-            if since != Some(rev) {
-                self.told(balancer, since);
+            if !is_current {
+                self.record_notified(balancer, since);
             }
-            since = Some(rev);
-            let _ = timeout(EMPTY_LINE_EVERY, changes.wait_for(|now| *now != rev)).await;
+            since = Some(revision);
+            let _ = timeout(
+                KEEP_ALIVE_INTERVAL,
+                revisions.wait_for(|now| *now != revision),
+            )
+            .await;
         }
     }
 }
 
-fn whole(text: Bytes) -> BoxBody<Bytes, std::io::Error> {
+pub(super) fn full_body(text: Bytes) -> ResponseBody {
     Full::new(text).map_err(|never| match never {}).boxed()
 }
--- a/lab/src/standins/mod.rs
+++ b/lab/src/standins/mod.rs
@@ -1,7 +1,16 @@
-//! Stand-ins for what surrounds the balancers.
+//! Stand-ins for what surrounds the balancers: clients with their load, upstreams, the discovery
+//! service, and the registration of upstreams with a real registry.
 
-pub(crate) mod clients;
-pub(crate) mod discovery;
-pub(crate) mod registration;
+pub mod balancer_pool;
+pub mod clients;
+pub mod discovery;
+mod forwarding;
+pub mod load;
+pub mod registration;
+pub mod registry_process;
+mod upstream;
 pub mod upstream_model;
-pub(crate) mod upstreams;
+mod upstream_server;
+pub mod upstreams;
+
+pub use upstream::UpstreamStatus;
--- /dev/null
+++ b/lab/src/standins/registry_process.rs
@@ -0,0 +1,218 @@
+//! A real registry, as a child process.
+
+use crate::error::LabError;
+use crate::history::{EventKind, History, ProcessState};
+use crate::processes::guard::Guard;
+use crate::processes::{log_field, process_id, spawn_logged, write_file};
+use frostkeel_registry::client::call;
+use hyper::Method;
+use rustix::process::{Pid, Signal, kill_process};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+use tokio::process::{Child, Command};
+use tokio::sync::oneshot;
+use tokio::time::{sleep, timeout};
+
+/// How long it may take until it serves, and until it lists all upstreams.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Before the status is read again.
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
+/// The address of the first start: any port.
+const ANY_PORT: &str = "127.0.0.1:0";
+
+/// Where a registry serves.
+#[derive(Clone, Copy, Debug)]
+pub struct RegistryAddresses {
+    /// Reads and watches.
+    pub read: SocketAddr,
+    /// Writes.
+    pub write: SocketAddr,
+}
+
+struct Running {
+    pid: Pid,
+    child: Child,
+}
+
+/// A real registry.
+pub struct RegistryProcess {
+    program: PathBuf,
+    dir: PathBuf,
+    /// Chosen by its first start, kept by all later ones.
+    addresses: Mutex<Option<RegistryAddresses>>,
+    running: tokio::sync::Mutex<Option<Running>>,
+    guard: Option<Arc<Guard>>,
+    history: Arc<History>,
+}
+
+impl RegistryProcess {
+    /// Not started yet.
+    pub fn new(
+        program: &Path,
+        dir: &Path,
+        guard: Option<Arc<Guard>>,
+        history: Arc<History>,
+    ) -> Arc<Self> {
+        Arc::new(Self {
+            program: program.to_owned(),
+            dir: dir.to_owned(),
+            addresses: Mutex::default(),
+            running: tokio::sync::Mutex::default(),
+            guard,
+            history,
+        })
+    }
+
+    /// Where it serves, once it has been started.
+    pub fn addresses(&self) -> Option<RegistryAddresses> {
+        *self
+            .addresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Where it is read.
+    pub fn read_address(&self) -> Option<SocketAddr> {
+        self.addresses().map(|addresses| addresses.read)
+    }
+
+    /// Where it is written to.
+    pub fn write_address(&self) -> Option<SocketAddr> {
+        self.addresses().map(|addresses| addresses.write)
+    }
+
+    fn log(&self) -> PathBuf {
+        self.dir.join("registry.log")
+    }
+
+    fn not_ready(&self) -> LabError {
+        LabError::RegistryNotReady { log: self.log() }
+    }
+
+    fn record_state(&self, state: ProcessState) {
+        self.history.record(EventKind::RegistryState { state });
+    }
+
+    fn config_text(&self) -> String {
+        let (read, write) = self.addresses().map_or_else(
+            || (ANY_PORT.to_owned(), ANY_PORT.to_owned()),
+            |addresses| (addresses.read.to_string(), addresses.write.to_string()),
+        );
+        let folder = self.dir.join("registry");
+        format!(
+            "fleet = \"lab\"\nname = \"r0\"\nread = \"{read}\"\nwrite = \"{write}\"\nfolder = \
+             {folder:?}\n"
+        )
+    }
+
+    /// Starts it, and waits until it serves.
+    pub async fn start(&self) -> Result<(), LabError> {
+        let config = self.dir.join("registry.toml");
+        write_file(&config, &self.config_text()).await?;
+        let (sender, serving) = oneshot::channel();
+        let mut sender = Some(sender);
+        let mut command = Command::new(&self.program);
+        command
+            .args(["--log", "info", "registry", "--config"])
+            .arg(&config);
+        let child = spawn_logged(&mut command, &self.log(), move |line| {
+            if let Some(addresses) = serving_addresses(line)
+                && let Some(sender) = sender.take()
+            {
+                let _ = sender.send(addresses);
+            }
+        })
+        .await?;
+        let Ok(Ok(addresses)) = timeout(READY_TIMEOUT, serving).await else {
+            return Err(self.not_ready());
+        };
+        *self
+            .addresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Some(addresses);
+        let pid = process_id(&child).ok_or_else(|| self.not_ready())?;
+        if let Some(guard) = &self.guard {
+            guard.register(pid);
+        }
+        *self.running.lock().await = Some(Running { pid, child });
+        self.record_state(ProcessState::Ready);
+        Ok(())
+    }
+
+    /// SIGKILL; started again after `restart_after`.
+    pub async fn kill(&self, restart_after: Option<Duration>) {
+        if let Some(mut running) = self.running.lock().await.take() {
+            self.record_state(ProcessState::Killed);
+            let _ = kill_process(running.pid, Signal::KILL);
+            let _ = running.child.wait().await;
+            if let Some(guard) = &self.guard {
+                guard.unregister(running.pid);
+            }
+            self.record_state(ProcessState::Exited);
+        }
+        let Some(restart_after) = restart_after else {
+            return;
+        };
+        sleep(restart_after).await;
+        if let Err(e) = self.start().await {
+            tracing::warn!("the list service is not back: {e}");
+            self.record_state(ProcessState::Crashed);
+        }
+    }
+
+    /// SIGSTOP, and SIGCONT after so long.
+    pub async fn pause(&self, duration: Duration) {
+        let pid = self
+            .running
+            .lock()
+            .await
+            .as_ref()
+            .map(|running| running.pid);
+        if let Some(pid) = pid
+            && kill_process(pid, Signal::STOP).is_ok()
+        {
+            self.record_state(ProcessState::Paused);
+            sleep(duration).await;
+            let _ = kill_process(pid, Signal::CONT);
+            self.record_state(ProcessState::Resumed);
+        }
+    }
+
+    /// Waits until it lists so many ready upstreams.
+    pub async fn wait_until_ready(&self, upstreams: usize) -> Result<(), LabError> {
+        let all_listed = async {
+            while let Some(address) = self.write_address() {
+                if ready_count(address)
+                    .await
+                    .is_some_and(|ready| ready >= upstreams as u64)
+                {
+                    return;
+                }
+                sleep(STATUS_INTERVAL).await;
+            }
+        };
+        timeout(READY_TIMEOUT, all_listed)
+            .await
+            .map_err(|_| self.not_ready())
+    }
+}
+
+/// Where a registry serves, by the line of its log that says so.
+fn serving_addresses(line: &str) -> Option<RegistryAddresses> {
+    let address = |name| log_field(line, name).and_then(|value| value.parse().ok());
+    Some(RegistryAddresses {
+        read: address("read")?,
+        write: address("write")?,
+    })
+}
+
+/// How many upstreams a registry lists as ready.
+async fn ready_count(address: SocketAddr) -> Option<u64> {
+    let (status, body) = call(address, Method::GET, "/status", String::new())
+        .await
+        .ok()?;
+    let body: serde_json::Value = serde_json::from_slice(&body).ok()?;
+    body["ready"].as_u64().filter(|_| status == 200)
+}
--- a/lab/src/standins/upstream_model.rs
+++ b/lab/src/standins/upstream_model.rs
@@ -1,7 +1,9 @@
-//! An upstream as a pure state machine: requests and the time in, finishing times and load reports out.
+//! An upstream as a pure state machine: requests and the time in, completion times and load reports
+//! out.
 //!
-//! Requests are served first come, first served by its cores, and then wait on others without one. All that is to
-//! come of a request is settled when it arrives, so the machine needs no clock and no timer. Times are seconds.
+//! Requests are served first come, first served by its cores, and then wait on other systems
+//! without a core. The completion of a request is decided when it arrives, so the model needs no
+//! clock and no timer. Times are seconds.
 
 use crate::experiment::UpstreamSettings;
 use rand::Rng;
@@ -9,295 +11,297 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Why a request is not taken.
+/// The least factor by which an upstream is slowed down.
+const MIN_SLOWDOWN: f64 = 1e-3;
+
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
-    /// Its waiting room is full.
-    Full,
-    /// It has fallen over, and does not come back.
-    Fallen,
+pub enum Rejection {
+    /// Its queue is full.
+    QueueFull,
+    /// It has crashed under overload, and does not come back.
+    Crashed,
 }
 
 /// A load report.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LoadReport {
     /// Share of its cores in use.
-    pub util: f64,
-    /// Requests it holds.
-    pub inflight: f64,
+    pub utilization: f64,
+    /// Requests in flight.
+    pub in_flight: f64,
+}
+
+/// The state of congestion: an upstream with far too long a queue slows down until it has been
+/// mostly idle for a while.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Congestion {
+    /// The queue is short.
+    None,
+    /// The queue has been too long since a time.
+    Building { since: f64 },
+    /// It is slow since a time, and mostly idle since another one.
+    Congested { since: f64, idle_since: Option<f64> },
 }
 
-/// One upstream, from a start on.
-pub struct Machine {
-    model: UpstreamSettings,
+/// Work that was sent during slow start.
+#[derive(Clone, Copy)]
+struct SentWork {
+    at: f64,
+    work: f64,
+}
+
+/// The last two load reports, and what the newer one measured.
+struct Reports {
+    newest: LoadReport,
+    previous: LoadReport,
+    /// Core time done when the newest was made.
+    measured_work: f64,
+    measured_at: f64,
+}
+
+/// An upstream, from a start on.
+pub struct UpstreamModel {
+    settings: UpstreamSettings,
     rng: ChaCha8Rng,
-    /// When it started; `None`: long ago, so that it is warm.
-    started: Option<f64>,
-    slower: f64,
+    /// When it started; `None`: long ago, so that it is past its slow start.
+    started_at: Option<f64>,
+    slowdown: f64,
     /// When each core is free.
-    free: Vec<f64>,
-    /// Core time taken on in all, done or to come.
-    taken_on: f64,
-    /// When each request in hand begins on a core, in order, and when each is finished.
+    core_free_at: Vec<f64>,
+    /// Core time accepted in all, done or to come.
+    accepted_work: f64,
+    /// When each request in flight begins on a core, in order.
     begins: VecDeque<f64>,
+    /// When each request in flight is finished, in microseconds.
     finishes: BinaryHeap<Reverse<u64>>,
-    /// Of the choke: since when too many wait, since when it chokes, since when it has been mostly idle.
-    crowded: Option<f64>,
-    choked: Option<f64>,
-    idle: Option<f64>,
-    /// Work sent while cold within the time that counts, and its sum.
-    sent: VecDeque<(f64, f64)>,
-    sent_sum: f64,
-    fallen: bool,
-    /// Core time done when the last report was made, when that was, the report, and the one before.
-    measured: (f64, f64),
-    reports: [Report; 2],
+    congestion: Congestion,
+    /// Work sent during slow start within the overload window.
+    sent: VecDeque<SentWork>,
+    sent_work: f64,
+    has_crashed: bool,
+    reports: Reports,
 }
 
-impl Machine {
-    /// One that starts at `now`, or was warm long before.
-    pub fn new(model: UpstreamSettings, rng: ChaCha8Rng, now: f64, cold: bool) -> Self {
+impl UpstreamModel {
+    /// An upstream that starts at `now`, or did so long before.
+    pub fn new(settings: UpstreamSettings, rng: ChaCha8Rng, now: f64, is_cold: bool) -> Self {
         Self {
-            free: vec![now; model.cores as usize],
-            model,
+            core_free_at: vec![now; settings.cores as usize],
+            settings,
             rng,
-            started: cold.then_some(now),
-            slower: 1.0,
-            taken_on: 0.0,
+            started_at: is_cold.then_some(now),
+            slowdown: 1.0,
+            accepted_work: 0.0,
             begins: VecDeque::new(),
             finishes: BinaryHeap::new(),
-            crowded: None,
-            choked: None,
-            idle: None,
+            congestion: Congestion::None,
             sent: VecDeque::new(),
-            sent_sum: 0.0,
-            fallen: false,
-            measured: (0.0, now),
-            reports: [Report {
-                util: 0.0,
-                inflight: 0.0,
-            }; 2],
+            sent_work: 0.0,
+            has_crashed: false,
+            reports: Reports {
+                newest: LoadReport::default(),
+                previous: LoadReport::default(),
+                measured_work: 0.0,
+                measured_at: now,
+            },
         }
     }
 
-    /// Takes `factor` times as long from now on; 1 is its usual self.
-    pub fn slow(&mut self, factor: f64) {
-        self.slower = factor.max(1e-3);
+    /// Makes requests take `factor` times as long from now on; 1 is normal.
+    pub fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor.max(MIN_SLOWDOWN);
     }
 
-    /// Share of its full capacity that it has at `now`, but for what slows it.
-    pub fn climb(&self, now: f64) -> f64 {
-        let Some(started) = self.started else {
+    /// Share of its full capacity that slow start allows at `now`.
+    pub fn slow_start_share(&self, now: f64) -> f64 {
+        let Some(started_at) = self.started_at else {
             return 1.0;
         };
-        let share = ((now - started) / self.model.slow_start_s.max(1e-9)).clamp(0.0, 1.0);
-        self.model.slow_start_initial_share + (1.0 - self.model.slow_start_initial_share) * share
+        let initial = self.settings.slow_start_initial_share;
+        let progress = ((now - started_at) / self.settings.slow_start_s.max(1e-9)).clamp(0.0, 1.0);
+        initial + (1.0 - initial) * progress
     }
 
-    /// A request arrives; returns when its answer leaves.
-    pub fn arrive(&mut self, now: f64, work: f64, waits: f64) -> Result<f64, Turned> {
-        self.settle(now);
-        if self.fallen {
-            return Err(Turned::Fallen);
+    /// A request arrives with its work and its wait on other systems; returns when its response
+    /// leaves.
+    pub fn accept(&mut self, now: f64, work: f64, wait: f64) -> Result<f64, Rejection> {
+        self.advance(now);
+        if self.has_crashed {
+            return Err(Rejection::Crashed);
         }
-        let cores = f64::from(self.model.cores);
-        if self.begins.len() as f64 >= f64::from(self.model.queue_per_core) * cores {
-            return Err(Turned::Full);
+        let cores = f64::from(self.settings.cores);
+        if self.begins.len() as f64 >= f64::from(self.settings.queue_per_core) * cores {
+            return Err(Rejection::QueueFull);
         }
-        self.fall(now, work);
-        let choke = if self.choked.is_some() {
-            self.model.congestion_slowdown
-        } else {
-            1.0
+        self.update_overload(now, work);
+        let congestion = match self.is_congested() {
+            true => self.settings.congestion_slowdown,
+            false => 1.0,
         };
-        let takes = work / (self.model.speed * self.climb(now)) * self.slower * choke;
-        let first = self.free.iter_mut().min_by(|a, b| a.total_cmp(b));
-        let Some(core) = first else {
-            return Err(Turned::Full);
+        let speed = self.settings.speed * self.slow_start_share(now);
+        let service_time = work / speed * self.slowdown * congestion;
+        let first_free = self.core_free_at.iter_mut().min_by(|a, b| a.total_cmp(b));
+        let Some(core) = first_free else {
+            return Err(Rejection::QueueFull);
         };
-        let begins = core.max(now);
-        *core = begins + takes;
-        let finish = begins + takes + waits;
-        self.taken_on += takes;
+        let begin = core.max(now);
+        *core = begin + service_time;
+        let finish = begin + service_time + wait;
+        self.accepted_work += service_time;
         // First come, first served: cores become free in the order in which they are taken.
-        self.begins.push_back(begins);
-        self.finishes.push(Reverse(micros(finish)));
-        self.choke(now);
+        self.begins.push_back(begin);
+        self.finishes.push(Reverse(microseconds(finish)));
+        self.update_congestion(now);
         Ok(finish)
     }
 
-    /// The load report that answers carry at `now`.
-    pub fn report(&mut self, now: f64) -> Report {
-        self.settle(now);
-        let (done, at) = self.measured;
-        if now - at >= self.model.report_interval_ms / 1e3 {
-            let (done_now, cores) = (self.done(now), f64::from(self.model.cores));
-            let noise = 1.0 + self.model.report_noise * self.rng.random_range(-1.0..1.0);
-            let util = ((done_now - done) / ((now - at) * cores)).clamp(0.0, 1.0);
-            let newest = Report {
-                util: util * noise,
-                inflight: self.holds() as f64 * noise,
+    /// The load report that responses carry at `now`.
+    pub fn report(&mut self, now: f64) -> LoadReport {
+        self.advance(now);
+        let age = now - self.reports.measured_at;
+        if age >= self.settings.report_interval_ms / 1e3 {
+            let work = self.work_done(now);
+            let cores = f64::from(self.settings.cores);
+            let noise = 1.0 + self.settings.report_noise * self.rng.random_range(-1.0..1.0);
+            let utilization = ((work - self.reports.measured_work) / (age * cores)).clamp(0.0, 1.0);
+            self.reports = Reports {
+                newest: LoadReport {
+                    utilization: utilization * noise,
+                    in_flight: self.in_flight() as f64 * noise,
+                },
+                previous: self.reports.newest,
+                measured_work: work,
+                measured_at: now,
             };
-            self.reports = [newest, self.reports[0]];
-            self.measured = (done_now, now);
         }
-        let fresh = now - self.measured.1 >= self.model.report_delay_ms / 1e3;
-        if fresh {
-            self.reports[0]
+        let is_sent = now - self.reports.measured_at >= self.settings.report_delay_ms / 1e3;
+        if is_sent {
+            self.reports.newest
         } else {
-            self.reports[1]
+            self.reports.previous
         }
     }
 
-    /// Requests in hand, as of the last event.
-    pub fn holds(&self) -> usize {
+    /// Requests in flight, as of the last event.
+    pub fn in_flight(&self) -> usize {
         self.finishes.len()
     }
 
-    /// Whether it has been pushed over while cold.
-    pub fn has_fallen(&self) -> bool {
-        self.fallen
+    /// Whether it has crashed under overload during slow start.
+    pub fn has_crashed(&self) -> bool {
+        self.has_crashed
     }
 
-    /// Whether it is choked.
-    pub fn is_choked(&self) -> bool {
-        self.choked.is_some()
+    /// Whether it is slow because its queue was too long.
+    pub fn is_congested(&self) -> bool {
+        matches!(self.congestion, Congestion::Congested { .. })
     }
 
-    /// Core time done by `now`.
-    fn done(&self, now: f64) -> f64 {
-        self.taken_on - self.free.iter().map(|t| (t - now).max(0.0)).sum::<f64>()
+    /// When its last core becomes free.
+    pub fn idle_at(&self) -> f64 {
+        self.core_free_at.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Lets go of what is over by `now`.
-    fn settle(&mut self, now: f64) {
-        while self.begins.front().is_some_and(|t| *t <= now) {
+    /// Removes what is finished by `now`.
+    pub fn advance(&mut self, now: f64) {
+        while self.begins.front().is_some_and(|begin| *begin <= now) {
             self.begins.pop_front();
         }
-        while self.finishes.peek().is_some_and(|t| t.0 <= micros(now)) {
+        while self
+            .finishes
+            .peek()
+            .is_some_and(|finish| finish.0 <= microseconds(now))
+        {
             self.finishes.pop();
         }
-        self.choke(now);
+        self.update_congestion(now);
+    }
+
+    /// Core time done by `now`.
+    fn work_done(&self, now: f64) -> f64 {
+        let outstanding: f64 = self
+            .core_free_at
+            .iter()
+            .map(|free| (free - now).max(0.0))
+            .sum();
+        self.accepted_work - outstanding
     }
 
-    /// One that has far more waiting than cores for a while turns slow, until it has been mostly idle.
-    fn choke(&mut self, now: f64) {
-        let (m, cores) = (&self.model, f64::from(self.model.cores));
-        if m.congestion_queue_per_core <= 0.0 {
+    fn update_congestion(&mut self, now: f64) {
+        let settings = &self.settings;
+        let cores = f64::from(settings.cores);
+        if settings.congestion_queue_per_core <= 0.0 {
             return;
         }
-        if let Some(since) = self.choked {
-            let used = self.free.iter().filter(|t| **t > now).count() as f64 / cores;
-            if used > m.recovery_utilization {
-                self.idle = None;
-            } else if now - *self.idle.get_or_insert(now.max(since)) >= m.recovery_s {
-                (self.choked, self.crowded, self.idle) = (None, None, None);
+        let is_queue_long = self.begins.len() as f64 >= settings.congestion_queue_per_core * cores;
+        self.congestion = match self.congestion {
+            Congestion::Congested { since, idle_since } => self.recover(now, since, idle_since),
+            _ if !is_queue_long => Congestion::None,
+            building => {
+                let since = match building {
+                    Congestion::Building { since } => since,
+                    _ => now,
+                };
+                match now - since >= settings.congestion_onset_s {
+                    true => Congestion::Congested {
+                        since: now,
+                        idle_since: None,
+                    },
+                    false => Congestion::Building { since },
+                }
             }
-        } else if (self.begins.len() as f64) < m.congestion_queue_per_core * cores {
-            self.crowded = None;
-        } else if now - *self.crowded.get_or_insert(now) >= m.congestion_onset_s {
-            (self.choked, self.idle) = (Some(now), None);
+        };
+    }
+
+    /// What follows on congestion at `now`.
+    fn recover(&self, now: f64, since: f64, idle_since: Option<f64>) -> Congestion {
+        let busy = self.core_free_at.iter().filter(|free| **free > now).count();
+        let utilization = busy as f64 / f64::from(self.settings.cores);
+        if utilization > self.settings.recovery_utilization {
+            return Congestion::Congested {
+                since,
+                idle_since: None,
+            };
+        }
+        let idle_since = idle_since.unwrap_or(now.max(since));
+        match now - idle_since >= self.settings.recovery_s {
+            true => Congestion::None,
+            false => Congestion::Congested {
+                since,
+                idle_since: Some(idle_since),
+            },
         }
     }
 
-    /// A cold one that is sent more than a multiple of what it can do just then, for a while, falls over. Counted
-    /// as a budget over that time.
-    fn fall(&mut self, now: f64, work: f64) {
-        let climb = self.climb(now);
-        if climb >= 1.0 {
+    /// More work than a multiple of the present capacity, sent for a while during slow start,
+    /// crashes it. Counted as a budget over the overload window.
+    fn update_overload(&mut self, now: f64, work: f64) {
+        let share = self.slow_start_share(now);
+        if share >= 1.0 {
             self.sent.clear();
             return;
         }
-        self.sent.push_back((now, work));
-        self.sent_sum += work;
-        while let Some((_, old)) = self
+        self.sent.push_back(SentWork { at: now, work });
+        self.sent_work += work;
+        let window_start = now - self.settings.overload_window_s;
+        while let Some(oldest) = self
             .sent
             .front()
             .copied()
-            .filter(|s| s.0 < now - self.model.overload_window_s)
+            .filter(|sent| sent.at < window_start)
         {
-            self.sent_sum -= old;
+            self.sent_work -= oldest.work;
             self.sent.pop_front();
         }
-        let able =
-            climb * self.model.speed * f64::from(self.model.cores) * self.model.overload_window_s;
-        self.fallen |= self.sent_sum > self.model.overload_multiple * able;
+        let capacity = share
+            * self.settings.speed
+            * f64::from(self.settings.cores)
+            * self.settings.overload_window_s;
+        self.has_crashed |= self.sent_work > self.settings.overload_multiple * capacity;
     }
 }
 
-fn micros(seconds: f64) -> u64 {
+fn microseconds(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1e6) as u64
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::SeedableRng;
-
-    fn machine(cold: bool) -> Machine {
-        let model = UpstreamSettings {
-            speed: 1.0,
-            congestion_queue_per_core: 2.0,
-            ..UpstreamSettings::default()
-        };
-        Machine::new(model, ChaCha8Rng::seed_from_u64(1), 0.0, cold)
-    }
-
-    #[test]
-    fn cores_serve_in_the_order_of_arrival() {
-        let mut m = machine(false);
-        let finish: Vec<f64> = (0..4)
-            .map(|_| m.arrive(0.0, 0.1, 0.3).expect("taken"))
-            .collect();
-        for (got, want) in finish.iter().zip([0.4, 0.4, 0.5, 0.5]) {
-            assert!((got - want).abs() < 1e-9, "{finish:?}");
-        }
-        assert_eq!(m.holds(), 4);
-        m.settle(0.45);
-        assert_eq!(m.holds(), 2);
-    }
-
-    #[test]
-    fn reports_tell_the_share_of_the_cores_in_use_late() {
-        let mut m = machine(false);
-        for k in 0..20 {
-            m.arrive(f64::from(k) * 0.1, 0.1, 0.0).expect("taken");
-        }
-        assert_eq!(m.report(0.5).util, 0.0, "nothing measured yet");
-        m.report(2.0);
-        let told = m.report(2.3).util;
-        assert!(
-            (0.45..0.55).contains(&told),
-            "{told}: one of two cores was in use"
-        );
-    }
-
-    #[test]
-    fn a_crowded_one_chokes_and_recovers_only_once_idle() {
-        let mut m = machine(false);
-        let mut now = 0.0;
-        while now < 3.0 {
-            m.arrive(now, 0.1, 0.0).expect("taken");
-            now += 0.04;
-        }
-        assert!(m.is_choked());
-        let drained = m.free.iter().copied().fold(0.0, f64::max);
-        m.settle(drained + 0.1);
-        m.settle(drained + 2.9);
-        assert!(m.is_choked(), "not rested for long enough");
-        m.settle(drained + 3.2);
-        assert!(!m.is_choked());
-    }
-
-    #[test]
-    fn a_cold_one_falls_over_and_a_warm_one_does_not() {
-        for cold in [true, false] {
-            let mut m = machine(cold);
-            for k in 0..60 {
-                let _ = m.arrive(f64::from(k) * 0.02, 0.1, 0.0);
-            }
-            assert_eq!(m.has_fallen(), cold);
-            assert_eq!(m.arrive(1.3, 0.1, 0.0).is_err(), cold);
-        }
-    }
-}
--- a/lab/tests/load_digest.rs
+++ b/lab/tests/load_digest.rs
@@ -3,7 +3,8 @@
 
 use frostkeel_lab::experiment::Experiment;
 use frostkeel_lab::simulated::simulate;
-use frostkeel_lab::{Told, config, drawn_faults, schedule};
+use frostkeel_lab::standins::load::draw_load;
+use frostkeel_lab::{Told, config, drawn_faults};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -38,13 +39,13 @@
 }
 
 fn arrivals(experiment: &Experiment, seed: u64) -> (usize, u64) {
-    let (mut text, arrivals) = (String::new(), schedule(experiment, seed));
+    let (mut text, arrivals) = (String::new(), draw_load(experiment, seed));
     for a in &arrivals {
-        let at = (a.at * 1e6).round() as u64;
+        let at = (a.at_s * 1e6).round() as u64;
         writeln!(
             text,
             "{at} {} {} {} {} {}",
-            a.class, a.tenant, a.key, a.heeds, a.chance
+            a.class, a.tenant, a.key, a.honors_retry_after, a.seed
         )
         .expect("written");
     }
