--- a/frostkeel/src/lab_output.rs
+++ b/frostkeel/src/lab_output.rs
@@ -57,7 +57,7 @@
         );
         println!(
             "each sent {:.2} datagrams and {:.0} bytes a second; balancers took {:.4} cores (mean), {:.4} at most",
-            members.datagrams, members.bytes, played.balancer_cores.0, played.balancer_cores.1
+            members.datagrams, members.bytes, played.balancer_cores.mean, played.balancer_cores.max
         );
     }
     match &played.void {
--- a/lab/src/balancers/balancer_config.rs
+++ b/lab/src/balancers/balancer_config.rs
@@ -1,77 +1,121 @@
-//! What a balancer of a play is told at its start.
+//! The configuration of a balancer, in the platform's form.
 
-use crate::experiment::{Experiment, Idempotence};
+use crate::experiment::{Class, Experiment, Idempotence};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use serde_json::json;
+use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// What a balancer is told.
-pub struct Told<'a> {
-    /// The play.
+/// How long an upstream remembers an idempotency key, in milliseconds.
+const KEY_RETENTION_MS: f64 = 12_000.0;
+/// Share of the upstreams' capacity that is guaranteed to the tenants.
+const GUARANTEED_CAPACITY: f64 = 0.85;
+/// Sockets that a balancer may open.
+const MAX_SOCKETS: u32 = 1024;
+
+/// What the configuration of a balancer depends on.
+pub struct ConfigInputs<'a> {
+    /// The experiment.
     pub experiment: &'a Experiment,
-    /// The seed of its draws.
+    /// The seed of the run.
     pub seed: u64,
-    /// Its number and name.
+    /// The balancer's number.
     pub number: u32,
-    /// See `number`.
+    /// Its name.
     pub name: String,
-    /// How often it has been started before.
-    pub starts: u64,
-    /// The list of upstreams as it last had it.
-    pub known: String,
-    /// Where it reaches the list service.
+    /// How often it has been started, this start included.
+    pub start_count: u64,
+    /// The endpoint list as it last had it, as JSON.
+    pub known_endpoints: String,
+    /// Where it reaches the discovery service.
     pub discovery: SocketAddr,
     /// Where it reaches the other balancers, if it does.
     pub peers: Option<Vec<String>>,
 }
 
-/// The same by the platform's form.
-pub fn config(told: Told<'_>) -> serde_json::Value {
-    let (e, number, starts) = (told.experiment, told.number, told.starts);
-    let seed = told.seed ^ (u64::from(number) << 24) ^ (starts << 48);
-    let seed: u64 = ChaCha8Rng::seed_from_u64(seed).random();
-    let classes = e.classes.iter().map(|class| {
-        let effect = match class.idempotence {
-            Idempotence::Idempotent => "idempotent",
-            Idempotence::WithIdempotencyKey => "deduplicated",
-            Idempotence::AtMostOnce => "at_most_once",
-        };
-        json!({"name": class.name, "aim_ms": class.latency_objective_ms, "hard_limit_ms": class.deadline_ms,
-            "worth": class.priority_weight, "effect": effect, "dedup_scope": "all", "key_ttl_ms": 12_000.0})
-    });
-    let classes: Vec<_> = classes.collect();
-    let m = &e.upstream;
-    let work: f64 = e.classes.iter().map(|c| c.share * c.work_ms / 1e3).sum();
-    let able = f64::from(e.fleet.upstreams * m.cores) * m.speed / work.max(1e-6);
-    let parties: Vec<_> = e
-        .tenants
-        .iter()
-        .map(|t| json!({"name": t.name, "allowance_per_s": 0.85 * able * t.share}))
-        .collect();
-    let known: serde_json::Value = serde_json::from_str(&told.known).unwrap_or_default();
+/// The configuration of a balancer.
+pub fn balancer_config(inputs: ConfigInputs<'_>) -> Value {
+    let experiment = inputs.experiment;
+    let known: Value = serde_json::from_str(&inputs.known_endpoints).unwrap_or_default();
+    let seed = balancer_seed(&inputs);
     let mut config = json!({
-        "name": told.name, "listen": "127.0.0.1:0", "discovery": told.discovery.to_string(),
+        "name": inputs.name, "listen": "127.0.0.1:0", "discovery": inputs.discovery.to_string(),
         "seed": format!("{seed:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": e.fleet.memory_mb, "sockets": 1024},
+        "limits": {
+            "cores": 1.0, "memory_mb": experiment.fleet.memory_mb, "sockets": MAX_SOCKETS,
+        },
         "known": known,
-        "settings": {
-            "balancers": e.fleet.balancers, "me": number, "classes": classes, "parties": parties,
-            "clients": {"marks_retry": e.load.marks_retries}, "over_share_worth": 0.2, "discovery": "subscribe", "locality": 0,
-            "failure_domains": ["a"], "skus": ["m"], "weight_kind": "nominal",
-            "telemetry": {"how": "inline", "fields": ["util", "inflight"]},
-            "guarantees": {"ask_every_ms": 6000.0, "cold_from": m.slow_start_initial_share, "cold_ms": m.slow_start_s * 1e3,
-                "fall_multiple": m.overload_multiple, "overload_for_ms": m.overload_window_s * 1e3},
-            "limits": {"cancelling": true, "second_copies": m.allows_hedging, "try_limit": 3, "max_streams": 1,
-                "conn_idle_ms": m.idle_timeout_s * 1e3, "connect_timeout_ms": 250.0,
-                "max_retry_after_ms": 2000.0, "may_probe": false},
-            "prices": {"connection": 0.03, "handshake": 0.03, "late_fail": 0.08, "waste": 0.02}
-        }
+        "settings": settings(experiment, inputs.number),
     });
-    if let (Some(membership), Some(peers)) = (&e.membership, told.peers) {
+    if let (Some(membership), Some(peers)) = (&experiment.membership, inputs.peers) {
         config["peer_listen"] = "127.0.0.1:0".into();
         config["peers"] = peers.into();
-        config["membership"] = json!({"fleet": "lab", "page": "127.0.0.1:0", "forget_s": membership.retention().as_secs()});
+        config["membership"] = json!({
+            "fleet": "lab", "page": "127.0.0.1:0", "forget_s": membership.retention().as_secs(),
+        });
     }
     config
 }
+
+/// A seed for each start of each balancer.
+fn balancer_seed(inputs: &ConfigInputs<'_>) -> u64 {
+    let start = inputs.seed ^ (u64::from(inputs.number) << 24) ^ (inputs.start_count << 48);
+    ChaCha8Rng::seed_from_u64(start).random()
+}
+
+fn settings(experiment: &Experiment, number: u32) -> Value {
+    let upstream = &experiment.upstream;
+    let classes: Vec<Value> = experiment.classes.iter().map(class).collect();
+    json!({
+        "balancers": experiment.fleet.balancers, "me": number, "classes": classes,
+        "parties": parties(experiment),
+        "clients": {"marks_retry": experiment.load.marks_retries},
+        "over_share_worth": 0.2, "discovery": "subscribe", "locality": 0,
+        "failure_domains": ["a"], "skus": ["m"], "weight_kind": "nominal",
+        "telemetry": {"how": "inline", "fields": ["util", "inflight"]},
+        "guarantees": {
+            "ask_every_ms": 6000.0, "cold_from": upstream.slow_start_initial_share,
+            "cold_ms": upstream.slow_start_s * 1e3, "fall_multiple": upstream.overload_multiple,
+            "overload_for_ms": upstream.overload_window_s * 1e3,
+        },
+        "limits": {
+            "cancelling": true, "second_copies": upstream.allows_hedging, "try_limit": 3,
+            "max_streams": 1, "conn_idle_ms": upstream.idle_timeout_s * 1e3,
+            "connect_timeout_ms": 250.0, "max_retry_after_ms": 2000.0, "may_probe": false,
+        },
+        "prices": {"connection": 0.03, "handshake": 0.03, "late_fail": 0.08, "waste": 0.02},
+    })
+}
+
+fn class(class: &Class) -> Value {
+    let effect = match class.idempotence {
+        Idempotence::Idempotent => "idempotent",
+        Idempotence::WithIdempotencyKey => "deduplicated",
+        Idempotence::AtMostOnce => "at_most_once",
+    };
+    json!({
+        "name": class.name, "aim_ms": class.latency_objective_ms,
+        "hard_limit_ms": class.deadline_ms, "worth": class.priority_weight, "effect": effect,
+        "dedup_scope": "all", "key_ttl_ms": KEY_RETENTION_MS,
+    })
+}
+
+/// The tenants, each with its share of the guaranteed capacity.
+fn parties(experiment: &Experiment) -> Vec<Value> {
+    let upstream = &experiment.upstream;
+    let work: f64 = experiment
+        .classes
+        .iter()
+        .map(|class| class.share * class.work_ms / 1e3)
+        .sum();
+    let cores = experiment.fleet.upstreams * upstream.cores;
+    let capacity = f64::from(cores) * upstream.speed / work.max(1e-6);
+    experiment
+        .tenants
+        .iter()
+        .map(|tenant| {
+            let allowance = GUARANTEED_CAPACITY * capacity * tenant.share;
+            json!({"name": tenant.name, "allowance_per_s": allowance})
+        })
+        .collect()
+}
--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -1,446 +1,380 @@
-//! The balancers of a play: the real program, started, watched and ended as children.
+//! The balancers as children: started, signalled, and observed until they exit.
 
-use crate::balancers::balancer_config::{Told, config};
+use super::balancer_config::{ConfigInputs, balancer_config};
+use super::member_log::{MemberLogLine, parse_member_log};
+use super::slot::Slot;
 use crate::error::LabError;
 use crate::experiment::Experiment;
 use crate::history::{EventKind, History, ProcessState};
 use crate::links::PeerLinks;
-use crate::measurements;
+use crate::measurements::{processor_seconds, resident_memory_kb};
 use crate::processes::guard::Guard;
-use crate::processes::{log_field, spawn_logged};
+use crate::processes::{log_field, process_id, spawn_logged, write_file};
 use crate::standins::balancer_pool::BalancerPool;
-use frostkeel_membership::{MemberState, Name};
-use rustix::process::{Pid, Signal, kill_process};
+use rustix::process::{Pid, Signal};
+use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::process::{Child, Command};
-use tokio::sync::{oneshot, watch};
+use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
 /// How long one may take until it serves.
-const READY: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// After SIGTERM new connections keep arriving for so long.
-const FRONT_AFTER_TERM: Duration = Duration::from_millis(300);
-/// SIGKILL follows SIGTERM after this: the longest deadline, counted as 3 s, and 0.7 s, with some slack.
+const CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
+/// SIGKILL follows SIGTERM after this: the longest deadline, counted as 3 s, and 0.7 s, with some
+/// slack.
 const KILL_AFTER_TERM: Duration = Duration::from_secs(5);
-/// How long one may take to be gone after SIGKILL.
-const GONE: Duration = Duration::from_secs(5);
-/// How often memory and processor time are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// How long one may take to exit after SIGKILL.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// How often the use of memory and processor is sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How one stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
-    /// It does not run.
-    Off,
-    /// It runs.
-    On(Pid),
+/// The share of a core that balancers used while they ran last.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
+#[serde(into = "(f64, f64)")]
+pub struct CoreUsage {
+    /// The mean over the balancers.
+    pub mean: f64,
+    /// Of the one that used most.
+    pub max: f64,
 }
 
-struct Slot {
-    life: watch::Sender<Life>,
-    /// The lab has ended it, or asked it to end.
-    ending: Mutex<bool>,
-    starts: Mutex<u64>,
-    held: AtomicBool,
-    /// What it is called at its next start.
-    name: Mutex<String>,
+/// The form in `result.json`.
+impl From<CoreUsage> for (f64, f64) {
+    fn from(usage: CoreUsage) -> Self {
+        (usage.mean, usage.max)
+    }
+}
+
+/// What a run consists of besides the balancers.
+pub struct RunContext {
+    /// What is run.
+    pub experiment: Arc<Experiment>,
+    /// The seed.
+    pub seed: u64,
+    /// The record of the run.
+    pub history: Arc<History>,
+    /// Where clients find the balancers.
+    pub pool: Arc<BalancerPool>,
+    /// The balancers' links with each other, where they have membership.
+    pub peer_links: Option<Arc<PeerLinks>>,
+    /// The guard of the children.
+    pub guard: Option<Arc<Guard>>,
+    /// Where logs and configurations go.
+    pub dir: PathBuf,
 }
 
-/// What all children are started with.
-pub struct Balancers {
-    experiment: Arc<Experiment>,
-    seed: u64,
-    history: Arc<History>,
-    front: Arc<BalancerPool>,
-    guard: Option<Arc<Guard>>,
+/// All balancers of a run.
+pub struct BalancerProcesses {
+    context: RunContext,
     program: PathBuf,
-    dir: PathBuf,
+    /// By number, where each reaches the discovery service.
     discovery: Vec<SocketAddr>,
-    /// The list as each knows it before its start.
-    known: Box<dyn Fn(u32) -> String + Send + Sync>,
+    /// The endpoint list as each knows it before its start.
+    known_endpoints: Box<dyn Fn(u32) -> String + Send + Sync>,
     slots: Vec<Slot>,
-    most_memory_kb: Mutex<u64>,
-    /// By number, the share of a core that one took while it ran last.
-    cores: Mutex<BTreeMap<u32, f64>>,
-    /// By number, where one shows its view of the others.
+    max_memory_kb: Mutex<u64>,
+    /// By number, the share of a core that each used while it ran last.
+    core_shares: Mutex<BTreeMap<u32, f64>>,
+    /// By number, where each shows its view of the others.
     pages: Mutex<BTreeMap<u32, String>>,
-    peers: Option<Arc<PeerLinks>>,
 }
 
-/// What a play is made of besides the balancers.
-pub struct Round {
-    /// What is played, and by which seed.
-    pub experiment: Arc<Experiment>,
-    /// See `experiment`.
-    pub seed: u64,
-    /// What happens is noted here.
-    pub history: Arc<History>,
-    /// Whom clients are dealt to.
-    pub front: Arc<BalancerPool>,
-    /// The balancers' links with each other, where they know of each other.
-    pub peers: Option<Arc<PeerLinks>>,
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Balancers {
-    /// None started yet; logs and configurations go to `dir`.
+impl BalancerProcesses {
+    /// None is started yet.
     pub fn new(
-        round: Round,
+        context: RunContext,
         program: &Path,
-        guard: Option<Arc<Guard>>,
-        dir: &Path,
         discovery: Vec<SocketAddr>,
-        known: impl Fn(u32) -> String + Send + Sync + 'static,
+        known_endpoints: impl Fn(u32) -> String + Send + Sync + 'static,
     ) -> Arc<Self> {
-        let Round {
-            experiment,
-            seed,
-            history,
-            front,
-            peers,
-        } = round;
-        let slot = |number| Slot {
-            life: watch::Sender::new(Life::Off),
-            ending: Mutex::default(),
-            starts: Mutex::default(),
-            held: AtomicBool::new(false),
-            name: Mutex::new(format!("b{number}")),
-        };
+        let balancers = 0..context.experiment.fleet.balancers;
         Arc::new(Self {
-            slots: (0..experiment.fleet.balancers).map(slot).collect(),
-            experiment,
-            seed,
-            history,
-            front,
-            guard,
+            slots: balancers
+                .map(|number| Slot::new(format!("b{number}")))
+                .collect(),
+            context,
             program: program.to_owned(),
-            dir: dir.to_owned(),
             discovery,
-            known: Box::new(known),
-            most_memory_kb: Mutex::new(0),
-            cores: Mutex::default(),
+            known_endpoints: Box::new(known_endpoints),
+            max_memory_kb: Mutex::new(0),
+            core_shares: Mutex::default(),
             pages: Mutex::default(),
-            peers,
         })
     }
 
-    fn name(&self, number: u32) -> String {
-        self.slots[number as usize]
-            .name
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .clone()
+    fn slot(&self, number: u32) -> &Slot {
+        &self.slots[number as usize]
     }
 
-    fn became(&self, balancer: u32, became: ProcessState) {
-        self.history.record(EventKind::BalancerState {
-            balancer,
-            state: became,
-        });
+    fn record_state(&self, balancer: u32, state: ProcessState) {
+        self.context
+            .history
+            .record(EventKind::BalancerState { balancer, state });
     }
 
-    /// The most memory that any has taken, in KB, as far as was seen.
-    pub fn most_memory_kb(&self) -> u64 {
-        *self
-            .most_memory_kb
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+    /// The most memory that any has used, in KB, as far as was sampled.
+    pub fn max_memory_kb(&self) -> u64 {
+        *lock(&self.max_memory_kb)
     }
 
-    /// The share of a core that balancers took while they ran last: mean and most.
-    pub fn cores(&self) -> (f64, f64) {
-        let cores = self.cores.lock().unwrap_or_else(PoisonError::into_inner);
-        let mean = cores.values().sum::<f64>() / cores.len().max(1) as f64;
-        (mean, cores.values().copied().fold(0.0, f64::max))
+    /// The share of a core that balancers used while they ran last.
+    pub fn core_usage(&self) -> CoreUsage {
+        let shares = lock(&self.core_shares);
+        CoreUsage {
+            mean: shares.values().sum::<f64>() / shares.len().max(1) as f64,
+            max: shares.values().copied().fold(0.0, f64::max),
+        }
     }
 
     /// Where the balancers show their views, one a line.
     pub fn pages(&self) -> String {
-        let pages = self.pages.lock().unwrap_or_else(PoisonError::into_inner);
-        pages.values().map(|page| format!("{page}\n")).collect()
+        lock(&self.pages)
+            .values()
+            .map(|page| format!("{page}\n"))
+            .collect()
     }
 
-    /// How each stands, in a word.
-    pub fn standing(&self) -> Vec<&'static str> {
-        let word = |slot: &Slot| match *slot.life.borrow() {
-            Life::Off => "down",
-            Life::On(_) if slot.held.load(Ordering::Relaxed) => "stopped",
-            Life::On(_) if *slot.ending.lock().unwrap_or_else(PoisonError::into_inner) => "leaving",
-            Life::On(_) => "up",
-        };
-        self.slots.iter().map(word).collect()
+    /// A word for the status of each.
+    pub fn statuses(&self) -> Vec<&'static str> {
+        self.slots.iter().map(Slot::status).collect()
     }
 
     /// Starts one and waits until it serves.
     pub async fn start(self: &Arc<Self>, number: u32) -> Result<(), LabError> {
-        let slot = &self.slots[number as usize];
-        let starts = {
-            let mut starts = slot.starts.lock().unwrap_or_else(PoisonError::into_inner);
-            *starts += 1;
-            *starts
-        };
-        let path = self.dir.join(format!("b{number}.json"));
-        let told = Told {
-            experiment: &self.experiment,
-            seed: self.seed,
+        let slot = self.slot(number);
+        let start_count = slot.count_start();
+        let config = self.context.dir.join(format!("b{number}.json"));
+        write_file(&config, &self.config_text(number, start_count)).await?;
+        let log = self.context.dir.join(format!("b{number}.log"));
+        let not_ready = || LabError::NotReady {
             number,
-            name: self.name(number),
-            starts,
-            known: (self.known)(number),
-            discovery: self.discovery[number as usize],
-            peers: self.peers.as_ref().map(|peers| peers.addresses_for(number)),
+            log: log.clone(),
         };
-        let text = config(told).to_string();
-        let write = |path: &Path, e: std::io::Error| LabError::File {
-            path: path.to_owned(),
-            source: e,
-        };
-        tokio::fs::write(&path, text)
-            .await
-            .map_err(|e| write(&path, e))?;
-        let log = self.dir.join(format!("b{number}.log"));
-        let (tell, told) = oneshot::channel();
-        let (balancers, mut tell) = (Arc::clone(self), Some(tell));
+        let (sender, serving) = oneshot::channel();
+        let (balancers, mut sender) = (Arc::clone(self), Some(sender));
         let mut command = Command::new(&self.program);
         command
-            .env("NODE_CONFIG", &path)
-            .env("NODE_NAME", self.name(number));
+            .env("NODE_CONFIG", &config)
+            .env("NODE_NAME", slot.name());
         let child = spawn_logged(&mut command, &log, move |line| {
-            balancers.heard(number, line);
-            if let Some(address) =
-                log_field(line, "listen").and_then(|a| a.parse::<SocketAddr>().ok())
-                && let Some(tell) = tell.take()
+            balancers.on_log_line(number, line);
+            if let Some(address) = listen_address(line)
+                && let Some(sender) = sender.take()
             {
-                let _ = tell.send(address);
+                let _ = sender.send(address);
             }
         })
         .await?;
-        let Ok(Ok(address)) = timeout(READY, told).await else {
-            return Err(LabError::NotReady { number, log });
-        };
-        let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32));
-        let Some(pid) = pid else {
-            return Err(LabError::NotReady { number, log });
+        let Ok(Ok(address)) = timeout(READY_TIMEOUT, serving).await else {
+            return Err(not_ready());
         };
-        if let Some(guard) = &self.guard {
+        let pid = process_id(&child).ok_or_else(not_ready)?;
+        if let Some(guard) = &self.context.guard {
             guard.register(pid);
         }
-        *slot.ending.lock().unwrap_or_else(PoisonError::into_inner) = false;
-        slot.life.send_replace(Life::On(pid));
-        self.front.set_address(number, Some(address));
-        self.became(number, ProcessState::Ready);
-        tokio::spawn(Arc::clone(self).watch(number, child, pid));
+        slot.set_running(pid);
+        self.context.pool.set_address(number, Some(address));
+        self.record_state(number, ProcessState::Ready);
+        tokio::spawn(Arc::clone(self).observe(number, child, pid));
         Ok(())
     }
 
-    /// What a line of a balancer's log tells of the others.
-    fn heard(&self, number: u32, line: &str) {
-        let Some((_, said)) = line.split_once("::members: ") else {
-            return;
+    fn config_text(&self, number: u32, start_count: u64) -> String {
+        let peer_links = self.context.peer_links.as_ref();
+        let inputs = ConfigInputs {
+            experiment: &self.context.experiment,
+            seed: self.context.seed,
+            number,
+            name: self.slot(number).name(),
+            start_count,
+            known_endpoints: (self.known_endpoints)(number),
+            discovery: self.discovery[number as usize],
+            peers: peer_links.map(|links| links.addresses_for(number)),
         };
-        if said.starts_with("yielded") {
-            self.history
-                .record(EventKind::NameYielded { balancer: number });
-        } else if let Some(saw) = saw(number, said) {
-            self.history.record(saw);
-        } else if let Some(address) = log_field(said, "peers").and_then(|a| a.parse().ok()) {
-            if let Some(peers) = &self.peers {
-                peers.set_address(number, address);
-            }
-            if let Some(page) = log_field(said, "page") {
-                let mut pages = self.pages.lock().unwrap_or_else(PoisonError::into_inner);
-                pages.insert(number, page.to_owned());
+        balancer_config(inputs).to_string()
+    }
+
+    fn on_log_line(&self, number: u32, line: &str) {
+        match parse_member_log(number, line) {
+            None => {}
+            Some(MemberLogLine::Event(kind)) => self.context.history.record(kind),
+            Some(MemberLogLine::Serving { peers, page }) => {
+                if let Some(peer_links) = &self.context.peer_links {
+                    peer_links.set_address(number, peers);
+                }
+                if let Some(page) = page {
+                    lock(&self.pages).insert(number, page);
+                }
             }
         }
     }
 
-    /// Waits for its end and says what it was; looks at its memory meanwhile.
-    async fn watch(self: Arc<Self>, number: u32, mut child: Child, pid: Pid) {
-        let slot = &self.slots[number as usize];
-        let most_kb = self.experiment.fleet.memory_mb * 1024;
-        let (mut over, start) = (false, Instant::now());
+    /// Samples the use of memory and processor until the process exits, and records its exit.
+    async fn observe(self: Arc<Self>, number: u32, mut child: Child, pid: Pid) {
+        let started_at = Instant::now();
+        let mut is_over_memory = false;
         loop {
             tokio::select! {
                 _ = child.wait() => break,
-                () = sleep(LOOK_EVERY) => {
-                    let took = memory_kb(pid).await.unwrap_or(0);
-                    if let Some(seconds) = processor_seconds(pid).await {
-                        let share = seconds / start.elapsed().as_secs_f64();
-                        self.cores.lock().unwrap_or_else(PoisonError::into_inner).insert(number, share);
-                    }
-                    let mut most = self.most_memory_kb.lock().unwrap_or_else(PoisonError::into_inner);
-                    *most = took.max(*most);
-                    if took > most_kb && !std::mem::replace(&mut over, true) {
-                        self.became(number, ProcessState::MemoryLimitExceeded);
-                    }
+                () = sleep(SAMPLE_INTERVAL) => {
+                    self.sample_usage(number, pid, started_at, &mut is_over_memory).await;
                 }
             }
         }
-        if let Some(guard) = &self.guard {
+        if let Some(guard) = &self.context.guard {
             guard.unregister(pid);
         }
-        let meant = *slot.ending.lock().unwrap_or_else(PoisonError::into_inner);
-        self.became(
-            number,
-            if meant {
-                ProcessState::Exited
-            } else {
-                ProcessState::Crashed
-            },
-        );
-        slot.life.send_replace(Life::Off);
-        if !meant {
-            self.unlist_late(number);
+        let slot = self.slot(number);
+        let is_expected = slot.is_ending();
+        let state = if is_expected {
+            ProcessState::Exited
+        } else {
+            ProcessState::Crashed
+        };
+        self.record_state(number, state);
+        slot.set_stopped();
+        if !is_expected {
+            self.remove_from_pool_late(number);
         }
     }
 
-    /// The front goes on sending to a dead one for a while.
-    fn unlist_late(self: &Arc<Self>, number: u32) {
-        let (balancers, dead) = (Arc::clone(self), self.front.address(number));
-        tokio::spawn(async move {
-            sleep(Duration::from_secs_f64(
-                balancers.experiment.load.failover_delay_s,
-            ))
-            .await;
-            // Back meanwhile, it has another address.
-            if balancers.front.address(number) == dead {
-                balancers.front.set_address(number, None);
-            }
-        });
-    }
-
-    fn signal(&self, number: u32, signal: Signal) -> bool {
-        let life = *self.slots[number as usize].life.borrow();
-        matches!(life, Life::On(pid) if kill_process(pid, signal).is_ok())
-    }
-
-    fn ending(&self, number: u32) {
-        *self.slots[number as usize]
-            .ending
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner) = true;
+    async fn sample_usage(
+        &self,
+        number: u32,
+        pid: Pid,
+        started_at: Instant,
+        is_over_memory: &mut bool,
+    ) {
+        let status = read_proc(pid, "status").await;
+        let memory_kb = status
+            .and_then(|text| resident_memory_kb(&text))
+            .unwrap_or(0);
+        if let Some(stat) = read_proc(pid, "stat").await {
+            let share = processor_seconds(&stat) / started_at.elapsed().as_secs_f64();
+            lock(&self.core_shares).insert(number, share);
+        }
+        {
+            let mut max_memory_kb = lock(&self.max_memory_kb);
+            *max_memory_kb = memory_kb.max(*max_memory_kb);
+        }
+        let limit_kb = self.context.experiment.fleet.memory_mb * 1024;
+        if memory_kb > limit_kb && !std::mem::replace(is_over_memory, true) {
+            self.record_state(number, ProcessState::MemoryLimitExceeded);
+        }
     }
 
-    async fn ended(&self, number: u32, within: Duration) -> bool {
-        let mut life = self.slots[number as usize].life.subscribe();
-        timeout(within, life.wait_for(|life| *life == Life::Off))
-            .await
-            .is_ok()
+    /// Clients go on sending to a dead balancer for a while.
+    fn remove_from_pool_late(&self, number: u32) {
+        let pool = Arc::clone(&self.context.pool);
+        let address = pool.address(number);
+        let delay = Duration::from_secs_f64(self.context.experiment.load.failover_delay_s);
+        tokio::spawn(async move {
+            sleep(delay).await;
+            // If it has been restarted meanwhile, it has another address.
+            pool.remove_address(number, address);
+        });
     }
 
-    /// SIGKILL; started again after `back`, by another name where one is given.
-    pub async fn kill(self: Arc<Self>, number: u32, back: Option<Duration>, name: Option<String>) {
-        self.ending(number);
-        if let Some(name) = name {
-            *self.slots[number as usize]
-                .name
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner) = name;
+    /// SIGKILL; started again after `restart_after`, under another name where one is given.
+    pub async fn kill(
+        self: Arc<Self>,
+        number: u32,
+        restart_after: Option<Duration>,
+        new_name: Option<String>,
+    ) {
+        let slot = self.slot(number);
+        slot.set_ending();
+        if let Some(name) = new_name {
+            slot.set_name(name);
         }
-        self.became(number, ProcessState::Killed);
-        if !self.signal(number, Signal::KILL) {
+        self.record_state(number, ProcessState::Killed);
+        if !slot.signal(Signal::KILL) {
             return;
         }
-        self.unlist_late(number);
-        if let Some(back) = back {
-            sleep(back).await;
-            self.again(number).await;
+        self.remove_from_pool_late(number);
+        if let Some(restart_after) = restart_after {
+            sleep(restart_after).await;
+            self.start_again(number).await;
         }
     }
 
-    /// SIGTERM, and SIGKILL where it takes too long; started again once it has ended.
-    pub async fn replace(self: Arc<Self>, number: u32) {
-        if self.leave(number).await {
-            self.again(number).await;
+    /// SIGTERM, and SIGKILL where it takes too long; started again once it has exited.
+    pub async fn restart(self: Arc<Self>, number: u32) {
+        if self.shut_down(number).await {
+            self.start_again(number).await;
         }
     }
 
-    /// SIGTERM, and SIGKILL where it takes too long; whether it has ended.
-    pub async fn leave(self: &Arc<Self>, number: u32) -> bool {
-        self.ending(number);
-        self.became(number, ProcessState::ShutdownRequested);
-        // A held process would only leave once it is let go on.
-        if !self.signal(number, Signal::TERM) || !self.signal(number, Signal::CONT) {
+    /// SIGTERM, and SIGKILL where it takes too long; returns whether it has exited.
+    pub async fn shut_down(&self, number: u32) -> bool {
+        let slot = self.slot(number);
+        slot.set_ending();
+        self.record_state(number, ProcessState::ShutdownRequested);
+        // A paused process handles SIGTERM only once it is resumed.
+        if !slot.signal(Signal::TERM) || !slot.signal(Signal::CONT) {
             return true;
         }
-        let (balancers, at) = (Arc::clone(self), self.front.address(number));
+        let (pool, address) = (
+            Arc::clone(&self.context.pool),
+            self.context.pool.address(number),
+        );
         tokio::spawn(async move {
-            sleep(FRONT_AFTER_TERM).await;
-            if balancers.front.address(number) == at {
-                balancers.front.set_address(number, None);
-            }
+            sleep(CONNECTIONS_AFTER_TERM).await;
+            pool.remove_address(number, address);
         });
-        if self.ended(number, KILL_AFTER_TERM).await {
+        if slot.wait_until_stopped(KILL_AFTER_TERM).await {
             return true;
         }
-        self.became(number, ProcessState::Killed);
-        self.signal(number, Signal::KILL);
-        let gone = self.ended(number, GONE).await;
-        if !gone {
-            self.became(number, ProcessState::SurvivedKill);
+        self.record_state(number, ProcessState::Killed);
+        slot.signal(Signal::KILL);
+        let has_exited = slot.wait_until_stopped(EXIT_TIMEOUT).await;
+        if !has_exited {
+            self.record_state(number, ProcessState::SurvivedKill);
         }
-        gone
+        has_exited
     }
 
     /// SIGSTOP, and SIGCONT after so long.
-    pub async fn hold(self: Arc<Self>, number: u32, lasts: Duration) {
-        if self.signal(number, Signal::STOP) {
-            let held = &self.slots[number as usize].held;
-            held.store(true, Ordering::Relaxed);
-            self.became(number, ProcessState::Paused);
-            sleep(lasts).await;
-            self.signal(number, Signal::CONT);
-            held.store(false, Ordering::Relaxed);
-            self.became(number, ProcessState::Resumed);
+    pub async fn pause(self: Arc<Self>, number: u32, duration: Duration) {
+        let slot = self.slot(number);
+        if slot.signal(Signal::STOP) {
+            slot.set_paused(true);
+            self.record_state(number, ProcessState::Paused);
+            sleep(duration).await;
+            slot.signal(Signal::CONT);
+            slot.set_paused(false);
+            self.record_state(number, ProcessState::Resumed);
         }
     }
 
-    async fn again(self: &Arc<Self>, number: u32) {
-        if self.ended(number, GONE).await
+    async fn start_again(self: &Arc<Self>, number: u32) {
+        if self.slot(number).wait_until_stopped(EXIT_TIMEOUT).await
             && let Err(e) = self.start(number).await
         {
             tracing::warn!("b{number} is not back: {e}");
-            self.became(number, ProcessState::Crashed);
+            self.record_state(number, ProcessState::Crashed);
         }
     }
 }
 
-/// A line that tells of a change of a balancer's view.
-fn saw(by: u32, said: &str) -> Option<EventKind> {
-    let number = |name| log_field(said, name).and_then(|n| n.parse::<u64>().ok());
-    let standing = match log_field(said, "standing")? {
-        "present" => MemberState::Present,
-        "suspect" => MemberState::Suspect,
-        "left" => MemberState::Left,
-        "gone" => MemberState::Gone,
-        _ => return None,
-    };
-    let name = Name::new(log_field(said, "name")?).ok()?;
-    let incarnation = number("incarnation")? + number("turn")?;
-    Some(EventKind::ViewChanged {
-        observer: by,
-        name,
-        incarnation,
-        state: standing,
-        version: number("version")?,
-    })
+/// Where a balancer listens, by the line of its log that says so.
+fn listen_address(line: &str) -> Option<SocketAddr> {
+    log_field(line, "listen")?.parse().ok()
 }
 
-/// Processor time that a process has taken, in seconds; `None` once it is gone.
-async fn processor_seconds(pid: Pid) -> Option<f64> {
-    let text = tokio::fs::read_to_string(format!("/proc/{}/stat", pid.as_raw_nonzero()))
+/// A file about a process under `/proc`; `None` once it has exited.
+async fn read_proc(pid: Pid, file: &str) -> Option<String> {
+    tokio::fs::read_to_string(format!("/proc/{}/{file}", pid.as_raw_nonzero()))
         .await
-        .ok()?;
-    Some(measurements::processor_seconds(&text))
-}
-
-/// What a process takes of memory now, in KB; `None` once it is gone.
-async fn memory_kb(pid: Pid) -> Option<u64> {
-    let path = format!("/proc/{}/status", pid.as_raw_nonzero());
-    let text = tokio::fs::read_to_string(path).await.ok()?;
-    measurements::resident_memory_kb(&text)
+        .ok()
 }
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -1,6 +1,6 @@
 //! The faults of a play: whom they meet, and what is done to them when they are due.
 
-use crate::balancers::balancer_process::Balancers;
+use crate::balancers::BalancerProcesses;
 use crate::experiment::{Experiment, Fault, FaultKind, LinkCondition, LinkConditions, Target};
 use crate::history::{EventKind, History};
 use crate::links::PeerLinks;
@@ -19,7 +19,7 @@
 pub struct Stage {
     pub experiment: Arc<Experiment>,
     pub history: Arc<History>,
-    pub balancers: Arc<Balancers>,
+    pub balancers: Arc<BalancerProcesses>,
     pub upstreams: Arc<Upstreams>,
     pub discovery: Arc<DiscoveryService>,
     pub links: Arc<Links>,
@@ -241,9 +241,9 @@
                     restart_after: back,
                     new_name: name,
                 } => running.spawn(balancers.kill(number, *back, name.clone())),
-                FaultKind::Terminate => running.spawn(balancers.replace(number)),
+                FaultKind::Terminate => running.spawn(balancers.restart(number)),
                 FaultKind::Pause { duration: lasts } => {
-                    running.spawn(balancers.hold(number, *lasts))
+                    running.spawn(balancers.pause(number, *lasts))
                 }
                 _ => continue,
             };
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! Upstreams are modelled by a pure state machine, [`standins::upstream_model::Machine`]; the load and every draw come from one seed.
 
-mod balancers;
+pub mod balancers;
 pub mod checks;
 mod error;
 pub mod experiment;
@@ -20,7 +20,6 @@
 pub mod runs;
 pub mod standins;
 
-pub use balancers::balancer_config::{Told, config};
 pub use checks::{balancer_rules as check, membership_checks as presence};
 pub use error::LabError;
 pub use faults::fault_injector::{DrawnFault, drawn_faults};
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -1,6 +1,6 @@
 //! One play of an experiment, from the first process to the last.
 
-use crate::balancers::balancer_process::{Balancers, Round};
+use crate::balancers::{BalancerProcesses, CoreUsage, RunContext};
 use crate::checks::balancer_rules::{self, Broken, Rule};
 use crate::checks::membership_checks::{self, Presence};
 use crate::error::LabError;
@@ -117,7 +117,7 @@
     /// The most memory that any balancer took, in MB.
     pub memory_mb: f64,
     /// The share of a core that balancers took: mean, and of the one that took most.
-    pub balancer_cores: (f64, f64),
+    pub balancer_cores: CoreUsage,
     /// What balancers knew of each other, where they did.
     pub members: Option<Members>,
     /// The lab.
@@ -219,21 +219,19 @@
     }
     let front = Arc::new(BalancerPool::new(experiment.fleet.balancers));
     let known = Arc::clone(&discovery);
-    let round = Round {
+    let context = RunContext {
         experiment: Arc::clone(&experiment),
         seed: options.seed,
         history: Arc::clone(&history),
-        front: Arc::clone(&front),
-        peers: peers.clone(),
-    };
-    let balancers = Balancers::new(
-        round,
-        &options.balancer,
+        pool: Arc::clone(&front),
+        peer_links: peers.clone(),
         guard,
-        &options.dir,
-        addresses,
-        move |balancer| known.snapshot_text(balancer),
-    );
+        dir: options.dir.clone(),
+    };
+    let balancers =
+        BalancerProcesses::new(context, &options.balancer, addresses, move |balancer| {
+            known.snapshot_text(balancer)
+        });
     start_all(&balancers, experiment.fleet.balancers).await?;
     if peers.is_some() {
         let pages = options.dir.join("pages");
@@ -273,7 +271,7 @@
             _ = stop.wait_for(|stop| *stop) => break true,
             () = sleep_until(next) => {
                 next += PROGRESS_EVERY;
-                let states = (0..).zip(balancers.standing());
+                let states = (0..).zip(balancers.statuses());
                 let states = states.map(|(b, state)| (state, front.response_count(b))).collect();
                 progress(Progress { at: history.now(), balancers: states, upstreams: upstreams.statuses() });
             }
@@ -373,15 +371,15 @@
         },
         missed,
         figures,
-        balancer_cores: balancers.cores(),
+        balancer_cores: balancers.core_usage(),
         members,
-        memory_mb: balancers.most_memory_kb() as f64 / 1024.0,
+        memory_mb: balancers.max_memory_kb() as f64 / 1024.0,
         lab,
         events,
     })
 }
 
-async fn start_all(balancers: &Arc<Balancers>, count: u32) -> Result<(), LabError> {
+async fn start_all(balancers: &Arc<BalancerProcesses>, count: u32) -> Result<(), LabError> {
     let mut starting = JoinSet::new();
     for number in 0..count {
         if starting.len() >= START_AT_ONCE
@@ -400,11 +398,11 @@
     Ok(())
 }
 
-async fn end_all(balancers: &Arc<Balancers>, count: u32) {
+async fn end_all(balancers: &Arc<BalancerProcesses>, count: u32) {
     let mut leaving = JoinSet::new();
     for number in 0..count {
         let balancers = Arc::clone(balancers);
-        leaving.spawn(async move { balancers.leave(number).await });
+        leaving.spawn(async move { balancers.shut_down(number).await });
     }
     while leaving.join_next().await.is_some() {}
 }
--- a/lab/tests/load_digest.rs
+++ b/lab/tests/load_digest.rs
@@ -1,10 +1,11 @@
 //! The load of every committed experiment: arrivals, faults with their targets and the balancers' configurations, as
 //! digests that must not change. Times are compared to the microsecond, as `ln` may differ in the last bit elsewhere.
 
+use frostkeel_lab::balancers::{ConfigInputs, balancer_config};
+use frostkeel_lab::drawn_faults;
 use frostkeel_lab::experiment::Experiment;
 use frostkeel_lab::simulated::simulate;
 use frostkeel_lab::standins::load::draw_load;
-use frostkeel_lab::{Told, config, drawn_faults};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -70,19 +71,19 @@
     let discovery: SocketAddr = "127.16.1.251:9".parse().expect("an address");
     let mut text = String::new();
     for (number, starts) in [(0, 1), (1, 1), (1, 2)] {
-        let told = Told {
+        let inputs = ConfigInputs {
             experiment,
             seed,
             number,
             name: format!("b{number}"),
-            starts,
-            known: "{\"rev\":1,\"all\":true,\"targets\":[]}".into(),
+            start_count: starts,
+            known_endpoints: "{\"rev\":1,\"all\":true,\"targets\":[]}".into(),
             discovery,
             peers: experiment
                 .membership
                 .map(|_| vec!["127.0.0.1:1".into(), "127.0.0.1:2".into()]),
         };
-        writeln!(text, "{}", config(told)).expect("written");
+        writeln!(text, "{}", balancer_config(inputs)).expect("written");
     }
     digest(&text)
 }
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -1,5 +1,6 @@
 //! What a play writes: `events.jsonl`, `result.json` and the page, byte for byte as committed.
 
+use frostkeel_lab::balancers::CoreUsage;
 use frostkeel_lab::check::{Broken, Rule};
 use frostkeel_lab::history::{
     AttemptFailure, EndpointState, Event, EventKind, ProcessState, UpstreamReply,
@@ -209,7 +210,10 @@
             seconds: (10..20).map(second).collect(),
         },
         memory_mb: 12.5,
-        balancer_cores: (0.125, 0.25),
+        balancer_cores: CoreUsage {
+            mean: 0.125,
+            max: 0.25,
+        },
         members: Some(Members {
             figures: membership_figures(),
             datagrams: 10.5,
