--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -1,424 +1,285 @@
-//! The faults of a play: whom they meet, and what is done to them when they are due.
+//! Injects the faults of a run when they are due.
 
+use super::{FaultOccurrence, ResolvedTargets, fault_schedule};
 use crate::balancers::BalancerProcesses;
-use crate::experiment::{Experiment, Fault, FaultKind, LinkCondition, LinkConditions, Target};
+use crate::experiment::{Experiment, FaultKind, LinkConditions};
 use crate::history::{EventKind, History};
-use crate::links::PeerLinks;
-use crate::links::{Link, LinkPeer, Links};
+use crate::links::{Link, LinkPeer, Links, PeerLinks};
 use crate::standins::discovery::DiscoveryService;
 use crate::standins::upstreams::Upstreams;
-use rand::SeedableRng;
-use rand::seq::SliceRandom;
-use rand_chacha::ChaCha8Rng;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
-/// What faults can meet.
-pub struct Stage {
+/// Everything that faults can meet.
+pub struct FaultInjector {
+    /// What is run.
     pub experiment: Arc<Experiment>,
+    /// The seed of the targets.
+    pub seed: u64,
+    /// The record of the run.
     pub history: Arc<History>,
+    /// The balancers.
     pub balancers: Arc<BalancerProcesses>,
+    /// The upstreams.
     pub upstreams: Arc<Upstreams>,
+    /// The discovery service.
     pub discovery: Arc<DiscoveryService>,
+    /// The links of connections.
     pub links: Arc<Links>,
-    pub peers: Option<Arc<PeerLinks>>,
+    /// The links of datagrams, where balancers have membership.
+    pub peer_links: Option<Arc<PeerLinks>>,
 }
 
-/// Who a target is, by number.
-#[derive(Default)]
-struct Met {
-    balancers: Vec<u32>,
-    upstreams: Vec<u32>,
-    discovery: bool,
-    clients: bool,
+/// A link, and whom it connects.
+struct AffectedLink {
+    balancer: u32,
+    peer: LinkPeer,
+    link: Arc<Link>,
 }
 
-/// A fault as it happens in a play, with whom it meets.
-#[derive(Clone, Debug, PartialEq)]
-pub struct DrawnFault {
-    /// When, from the start of the load.
-    pub at: Duration,
-    /// In words.
-    pub text: String,
-    /// Seconds until it ends, where it lasts.
-    pub lasts: Option<f64>,
-    /// By number, the balancers of its target, then those at the other ends.
-    pub balancers: [Vec<u32>; 2],
-    /// The same of upstreams.
-    pub upstreams: [Vec<u32>; 2],
-}
-
-/// Every fault of an experiment as it happens on a seed, in the order of time.
-pub fn drawn_faults(experiment: &Experiment, seed: u64) -> Vec<DrawnFault> {
-    let drawn = |(k, fault): (u64, Fault)| {
-        let mut draw = ChaCha8Rng::seed_from_u64(seed ^ (k + 1) << 40);
-        let target = met(experiment, &fault.target, &mut draw);
-        let with = fault
-            .peer
-            .as_ref()
-            .map_or_else(Met::default, |with| met(experiment, with, &mut draw));
-        DrawnFault {
-            at: fault.start,
-            text: words(&fault),
-            lasts: lasts(&fault.kind),
-            balancers: [target.balancers, with.balancers],
-            upstreams: [target.upstreams, with.upstreams],
-        }
-    };
-    occurrences(experiment).into_iter().map(drawn).collect()
-}
-
-/// A link, and whose it is.
-type Owned = (u32, LinkPeer, Arc<Link>);
-
-fn unlinked(history: &History, links: &[Owned]) {
-    for (balancer, ..) in links
-        .iter()
-        .filter(|(_, other, _)| *other == LinkPeer::Clients)
-    {
-        history.record(EventKind::ClientConnectionsReset {
-            balancer: *balancer,
-        });
-    }
-}
-
-impl Stage {
-    /// Plays the faults of the experiment when they are due.
-    pub async fn faults(self, seed: u64) {
+impl FaultInjector {
+    /// Injects the faults of the experiment when they are due.
+    pub async fn run(self) {
         let mut running = JoinSet::new();
-        for (k, fault) in occurrences(&self.experiment) {
-            sleep_until(self.history.instant_at(fault.start.as_secs_f64())).await;
+        for occurrence in fault_schedule(&self.experiment, self.seed) {
+            sleep_until(
+                self.history
+                    .instant_at(occurrence.fault.start.as_secs_f64()),
+            )
+            .await;
             self.history.record(EventKind::FaultStarted {
-                description: words(&fault),
-                duration_s: lasts(&fault.kind),
+                description: occurrence.description(),
+                duration_s: occurrence.duration_s(),
             });
-            let mut draw = ChaCha8Rng::seed_from_u64(seed ^ (k + 1) << 40);
-            let met = self.met(&fault.target, &mut draw);
-            match &fault.kind {
-                FaultKind::ImpairLinks {
-                    conditions: ways,
-                    duration: lasts,
-                } if matches!(&fault.peer, Some(with) if of_balancers(with)) => {
-                    if let (Some(peers), Some(with)) = (&self.peers, &fault.peer) {
-                        let others = match with {
-                            Target::OtherBalancers => {
-                                let all = 0..self.experiment.fleet.balancers;
-                                all.filter(|n| !met.balancers.contains(n)).collect()
-                            }
-                            with => self.met(with, &mut draw).balancers,
-                        };
-                        let (peers, some, lasts) = (Arc::clone(peers), met.balancers, *lasts);
-                        peers.set_conditions(&some, &others, *ways);
-                        running.spawn(async move {
-                            sleep(lasts).await;
-                            peers.set_conditions(&some, &others, LinkConditions::default());
-                        });
-                    }
+            self.inject(&occurrence, &mut running);
+        }
+        while running.join_next().await.is_some() {}
+    }
+
+    fn inject(&self, occurrence: &FaultOccurrence, running: &mut JoinSet<()>) {
+        let targets = &occurrence.targets;
+        match &occurrence.fault.kind {
+            FaultKind::ImpairLinks {
+                conditions,
+                duration,
+            } => {
+                if occurrence.fault.has_balancer_peers() {
+                    self.impair_peer_links(occurrence, *conditions, *duration, running);
+                } else {
+                    self.impair_connections(occurrence, *conditions, *duration, running);
                 }
-                FaultKind::ReplayDatagrams => {
-                    if let Some(peers) = &self.peers {
-                        peers.replay(&met.balancers);
-                    }
+            }
+            FaultKind::ResetConnections => {
+                let links = self.affected_links(occurrence);
+                record_client_resets(&self.history, &links);
+                links
+                    .iter()
+                    .for_each(|affected| affected.link.reset_connections());
+            }
+            FaultKind::ReplayDatagrams => {
+                if let Some(peer_links) = &self.peer_links {
+                    peer_links.replay(&targets.balancers);
                 }
-                FaultKind::InjectDatagrams {
-                    rate_per_s: rate,
-                    duration: lasts,
-                } => {
-                    if let Some(peers) = &self.peers {
-                        let storm = Arc::clone(peers).inject_corrupted(
-                            met.balancers,
-                            *rate,
-                            *lasts,
-                            seed ^ k,
-                        );
-                        running.spawn(storm);
-                    }
+            }
+            FaultKind::InjectDatagrams {
+                rate_per_s,
+                duration,
+            } => {
+                if let Some(peer_links) = &self.peer_links {
+                    let senders = targets.balancers.clone();
+                    let seed = self.seed ^ occurrence.number;
+                    let peer_links = Arc::clone(peer_links);
+                    running.spawn(peer_links.inject_corrupted(
+                        senders,
+                        *rate_per_s,
+                        *duration,
+                        seed,
+                    ));
+                }
+            }
+            FaultKind::Kill {
+                restart_after,
+                new_name,
+            } => {
+                self.kill(targets, *restart_after, new_name.as_ref(), running);
+            }
+            FaultKind::Terminate => {
+                for number in &targets.balancers {
+                    running.spawn(Arc::clone(&self.balancers).restart(*number));
                 }
-                FaultKind::ImpairLinks {
-                    conditions: ways,
-                    duration: lasts,
+            }
+            FaultKind::Pause { duration } => self.pause(targets, *duration, running),
+            FaultKind::SlowDown { .. }
+            | FaultKind::Unresponsive { .. }
+            | FaultKind::RollingReplacement { .. } => {
+                self.inject_upstream_fault(occurrence, running)
+            }
+        }
+    }
+
+    fn inject_upstream_fault(&self, occurrence: &FaultOccurrence, running: &mut JoinSet<()>) {
+        for (rank, number) in (0u32..).zip(occurrence.targets.upstreams.iter().copied()) {
+            let upstreams = Arc::clone(&self.upstreams);
+            match occurrence.fault.kind {
+                FaultKind::SlowDown { factor, duration } => {
+                    running.spawn(upstreams.slow_down(number, factor, duration));
+                }
+                FaultKind::Unresponsive { duration } => {
+                    running.spawn(upstreams.make_unresponsive(number, duration));
+                }
+                FaultKind::RollingReplacement {
+                    batch_size,
+                    interval,
+                    drain,
                 } => {
-                    let links = self.between(met, fault.peer.as_ref(), &mut draw);
-                    let (ways, lasts, history) = (*ways, *lasts, Arc::clone(&self.history));
-                    links
-                        .iter()
-                        .for_each(|(_, _, link)| link.set_conditions(ways));
                     running.spawn(async move {
-                        sleep(lasts).await;
-                        links
-                            .iter()
-                            .for_each(|(_, _, link)| link.set_conditions(Default::default()));
-                        // What came up while the way was cut is reset now.
-                        if ways.has_cut() {
-                            unlinked(&history, &links);
-                        }
+                        sleep(interval * (rank / batch_size)).await;
+                        upstreams.replace(number, drain).await;
                     });
                 }
-                FaultKind::ResetConnections => {
-                    let links = self.between(met, fault.peer.as_ref(), &mut draw);
-                    unlinked(&self.history, &links);
-                    links
-                        .iter()
-                        .for_each(|(_, _, link)| link.reset_connections());
-                }
-                act => self.strike(act, met, &mut running),
+                _ => {}
             }
         }
-        while running.join_next().await.is_some() {}
     }
 
-    fn met(&self, target: &Target, draw: &mut ChaCha8Rng) -> Met {
-        met(&self.experiment, target, draw)
+    fn impair_peer_links(
+        &self,
+        occurrence: &FaultOccurrence,
+        conditions: LinkConditions,
+        duration: Duration,
+        running: &mut JoinSet<()>,
+    ) {
+        let Some(peer_links) = &self.peer_links else {
+            return;
+        };
+        let targets = occurrence.targets.balancers.clone();
+        let peers = occurrence.peer_balancers(self.experiment.fleet.balancers);
+        peer_links.set_conditions(&targets, &peers, conditions);
+        let peer_links = Arc::clone(peer_links);
+        running.spawn(async move {
+            sleep(duration).await;
+            peer_links.set_conditions(&targets, &peers, LinkConditions::default());
+        });
     }
 
-    /// The links between whom a fault meets and those of `with`, or all others; clients' only where they are named.
-    fn between(&self, mut met: Met, with: Option<&Target>, draw: &mut ChaCha8Rng) -> Vec<Owned> {
-        match with {
-            Some(with) => {
-                let other = self.met(with, draw);
-                met.balancers.extend(other.balancers);
-                met.upstreams.extend(other.upstreams);
-                met.discovery |= other.discovery;
-                met.clients |= other.clients;
-            }
-            None if met.balancers.is_empty() => {
-                met.balancers.extend(0..self.experiment.fleet.balancers)
+    fn impair_connections(
+        &self,
+        occurrence: &FaultOccurrence,
+        conditions: LinkConditions,
+        duration: Duration,
+        running: &mut JoinSet<()>,
+    ) {
+        let links = self.affected_links(occurrence);
+        links
+            .iter()
+            .for_each(|affected| affected.link.set_conditions(conditions));
+        let history = Arc::clone(&self.history);
+        running.spawn(async move {
+            sleep(duration).await;
+            for affected in &links {
+                affected.link.set_conditions(LinkConditions::default());
             }
-            None => {
-                met.upstreams.extend(0..self.upstreams.count());
-                met.discovery = true;
+            // Connections that were opened while the link was cut are reset now.
+            if conditions.has_cut() {
+                record_client_resets(&history, &links);
             }
-        }
-        let others = met.upstreams.iter().map(|n| LinkPeer::Upstream(*n));
-        let others = others.chain(met.discovery.then_some(LinkPeer::Discovery));
-        let others: Vec<LinkPeer> = others
-            .chain(met.clients.then_some(LinkPeer::Clients))
-            .collect();
-        let pairs = met
-            .balancers
-            .iter()
-            .flat_map(|b| others.iter().map(|other| (*b, *other)));
-        pairs
-            .map(|(balancer, other)| (balancer, other, self.links.between(balancer, other)))
-            .collect()
+        });
     }
 
-    /// What happens to processes and stand-ins themselves.
-    fn strike(&self, act: &FaultKind, met: Met, running: &mut JoinSet<()>) {
-        if let (
-            true,
-            FaultKind::Kill {
-                restart_after: back,
-                ..
-            },
-        ) = (met.discovery, act)
-        {
-            let (discovery, back) = (Arc::clone(&self.discovery), *back);
-            running.spawn(async move {
-                if let Some(registrar) = discovery.registrations() {
-                    registrar.registry().kill(back).await;
-                    return;
-                }
-                discovery.set_available(false);
-                if let Some(back) = back {
-                    sleep(back).await;
-                    discovery.set_available(true);
-                }
-            });
-        }
-        if let (true, FaultKind::Pause { duration: lasts }, Some(registrar)) =
-            (met.discovery, act, self.discovery.registrations())
-        {
-            let (registrar, lasts) = (Arc::clone(registrar.registry()), *lasts);
-            running.spawn(async move { registrar.pause(lasts).await });
+    fn kill(
+        &self,
+        targets: &ResolvedTargets,
+        restart_after: Option<Duration>,
+        new_name: Option<&String>,
+        running: &mut JoinSet<()>,
+    ) {
+        if targets.has_discovery {
+            running.spawn(take_down(Arc::clone(&self.discovery), restart_after));
         }
-        for number in met.balancers {
+        for number in &targets.balancers {
             let balancers = Arc::clone(&self.balancers);
-            match act {
-                FaultKind::Kill {
-                    restart_after: back,
-                    new_name: name,
-                } => running.spawn(balancers.kill(number, *back, name.clone())),
-                FaultKind::Terminate => running.spawn(balancers.restart(number)),
-                FaultKind::Pause { duration: lasts } => {
-                    running.spawn(balancers.pause(number, *lasts))
-                }
-                _ => continue,
-            };
+            running.spawn(balancers.kill(*number, restart_after, new_name.cloned()));
         }
-        for (rank, number) in (0u32..).zip(met.upstreams) {
-            let upstreams = Arc::clone(&self.upstreams);
-            match *act {
-                FaultKind::Kill {
-                    restart_after: back,
-                    ..
-                } => running.spawn(upstreams.crash(number, back)),
-                FaultKind::SlowDown {
-                    factor,
-                    duration: lasts,
-                } => running.spawn(upstreams.slow_down(number, factor, lasts)),
-                FaultKind::Unresponsive { duration: lasts } => {
-                    running.spawn(upstreams.make_unresponsive(number, lasts))
-                }
-                FaultKind::RollingReplacement {
-                    batch_size: batch,
-                    interval: every,
-                    drain,
-                } => running.spawn(async move {
-                    sleep(every * (rank / batch)).await;
-                    upstreams.replace(number, drain).await;
-                }),
-                _ => continue,
-            };
+        for number in &targets.upstreams {
+            running.spawn(Arc::clone(&self.upstreams).crash(*number, restart_after));
         }
     }
-}
 
-fn words(fault: &Fault) -> String {
-    let whom = match &fault.target {
-        Target::Balancer(n) => format!("b{n}"),
-        Target::Upstream(n) => format!("u{n}"),
-        Target::BalancerRange { first, last } => format!("b{first} to b{last}"),
-        Target::OtherBalancers => "the other balancers".into(),
-        Target::BalancerShare(share) => format!("{:.0}% of balancers", share * 100.0),
-        Target::UpstreamShare(share) => format!("{:.0}% of upstreams", share * 100.0),
-        Target::Discovery => "discovery".into(),
-        Target::Clients => "clients".into(),
-    };
-    let what = match &fault.kind {
-        FaultKind::Kill {
-            restart_after: None,
-            ..
-        } => "killed".into(),
-        FaultKind::Kill {
-            restart_after: Some(back),
-            new_name: None,
-        } => format!("killed, back after {back:?}"),
-        FaultKind::Kill {
-            restart_after: Some(back),
-            new_name: Some(name),
-        } => {
-            format!("killed, back after {back:?} by the name of {name}")
+    fn pause(&self, targets: &ResolvedTargets, duration: Duration, running: &mut JoinSet<()>) {
+        if let (true, Some(registrations)) = (targets.has_discovery, self.discovery.registrations())
+        {
+            let registry = Arc::clone(registrations.registry());
+            running.spawn(async move { registry.pause(duration).await });
         }
-        FaultKind::Terminate => "asked to leave, started again".into(),
-        FaultKind::Pause { duration: lasts } => format!("stopped for {lasts:?}"),
-        FaultKind::SlowDown {
-            factor,
-            duration: lasts,
-        } => format!("{factor} times slower for {lasts:?}"),
-        FaultKind::Unresponsive { duration: lasts } => format!("silent for {lasts:?}"),
-        FaultKind::RollingReplacement {
-            batch_size: batch,
-            interval: every,
-            ..
-        } => format!("replaced, {batch} every {every:?}"),
-        FaultKind::ImpairLinks {
-            conditions,
-            duration: lasts,
-        } => {
-            let slow = |way: &LinkCondition| match way {
-                LinkCondition { is_cut: true, .. } => "cut".into(),
-                way if *way == LinkCondition::default() => "open".into(),
-                way if way.loss_share + way.duplicate_share > 0.0 => format!(
-                    "{:.0}% lost, {:.0}% twice, up to {:?} late",
-                    way.loss_share * 100.0,
-                    way.duplicate_share * 100.0,
-                    way.delay + way.jitter
-                ),
-                way => format!("{:?} later, up to {:?} more", way.delay, way.jitter),
-            };
-            format!(
-                "links from balancers {}, back {}, for {lasts:?}",
-                slow(&conditions.outbound),
-                slow(&conditions.inbound)
-            )
+        for number in &targets.balancers {
+            running.spawn(Arc::clone(&self.balancers).pause(*number, duration));
         }
-        FaultKind::ResetConnections => "all connections reset".into(),
-        FaultKind::ReplayDatagrams => "old datagrams come once more".into(),
-        FaultKind::InjectDatagrams {
-            rate_per_s: rate,
-            duration: lasts,
-        } => format!("{rate} bad datagrams a second for {lasts:?}"),
-    };
-    format!("{whom}: {what}")
-}
-
-fn met(experiment: &Experiment, target: &Target, draw: &mut ChaCha8Rng) -> Met {
-    let mut some = |share: f64, of: u32| {
-        let mut all: Vec<u32> = (0..of).collect();
-        all.shuffle(draw);
-        all.truncate((share * f64::from(of)).round() as usize);
-        all
-    };
-    let fleet = &experiment.fleet;
-    match target {
-        Target::Balancer(n) => Met {
-            balancers: vec![*n],
-            ..Met::default()
-        },
-        Target::Upstream(n) => Met {
-            upstreams: vec![*n],
-            ..Met::default()
-        },
-        Target::BalancerRange { first, last } => Met {
-            balancers: (*first..=*last).collect(),
-            ..Met::default()
-        },
-        // Whom it does not mean is said by the fault's target.
-        Target::OtherBalancers => Met::default(),
-        Target::BalancerShare(share) => Met {
-            balancers: some(*share, fleet.balancers),
-            ..Met::default()
-        },
-        Target::UpstreamShare(share) => Met {
-            upstreams: some(*share, fleet.upstreams),
-            ..Met::default()
-        },
-        Target::Discovery => Met {
-            discovery: true,
-            ..Met::default()
-        },
-        Target::Clients => Met {
-            clients: true,
-            ..Met::default()
-        },
     }
-}
-
-fn of_balancers(target: &Target) -> bool {
-    matches!(
-        target,
-        Target::Balancer(_)
-            | Target::BalancerShare(_)
-            | Target::BalancerRange { .. }
-            | Target::OtherBalancers
-    )
-}
 
-/// The faults as often as they happen, each with a number of its own, in the order of time.
-fn occurrences(experiment: &Experiment) -> Vec<(u64, Fault)> {
-    let mut all = Vec::new();
-    for fault in &experiment.faults {
-        let until = fault.repeat_until.unwrap_or(experiment.length);
-        let mut at = fault.start;
-        loop {
-            all.push(Fault {
-                start: at,
-                ..fault.clone()
-            });
-            match fault.repeat_interval {
-                Some(every) if at + every < until => at += every,
-                _ => break,
+    /// The links between whom a fault meets and its peers, or all others; the clients' only where
+    /// they are named.
+    fn affected_links(&self, occurrence: &FaultOccurrence) -> Vec<AffectedLink> {
+        let mut ends = occurrence.targets.clone();
+        match &occurrence.peers {
+            Some(peers) => {
+                ends.balancers.extend(&peers.balancers);
+                ends.upstreams.extend(&peers.upstreams);
+                ends.has_discovery |= peers.has_discovery;
+                ends.has_clients |= peers.has_clients;
+            }
+            None if ends.balancers.is_empty() => {
+                ends.balancers.extend(0..self.experiment.fleet.balancers);
+            }
+            None => {
+                ends.upstreams.extend(0..self.upstreams.count());
+                ends.has_discovery = true;
+            }
+        }
+        let upstreams = ends
+            .upstreams
+            .iter()
+            .map(|number| LinkPeer::Upstream(*number));
+        let peers: Vec<LinkPeer> = upstreams
+            .chain(ends.has_discovery.then_some(LinkPeer::Discovery))
+            .chain(ends.has_clients.then_some(LinkPeer::Clients))
+            .collect();
+        let mut links = Vec::new();
+        for balancer in ends.balancers {
+            for peer in peers.iter().copied() {
+                let link = self.links.between(balancer, peer);
+                links.push(AffectedLink {
+                    balancer,
+                    peer,
+                    link,
+                });
             }
         }
+        links
+    }
+}
+
+/// Takes the discovery service down, and up again after a while.
+async fn take_down(discovery: Arc<DiscoveryService>, restart_after: Option<Duration>) {
+    if let Some(registrations) = discovery.registrations() {
+        registrations.registry().kill(restart_after).await;
+        return;
+    }
+    discovery.set_available(false);
+    if let Some(restart_after) = restart_after {
+        sleep(restart_after).await;
+        discovery.set_available(true);
     }
-    all.sort_by_key(|fault| fault.start);
-    (0u64..).zip(all).collect()
 }
 
-/// Seconds for which it goes on, as far as that is known before.
-fn lasts(act: &FaultKind) -> Option<f64> {
-    act.duration().map(|lasts| lasts.as_secs_f64())
+fn record_client_resets(history: &History, links: &[AffectedLink]) {
+    for affected in links
+        .iter()
+        .filter(|affected| affected.peer == LinkPeer::Clients)
+    {
+        history.record(EventKind::ClientConnectionsReset {
+            balancer: affected.balancer,
+        });
+    }
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod checks;
 mod error;
 pub mod experiment;
-mod faults;
+pub mod faults;
 pub mod history;
 pub mod links;
 pub mod measurements;
@@ -22,7 +22,6 @@
 
 pub use checks::{balancer_rules as check, membership_checks as presence};
 pub use error::LabError;
-pub use faults::fault_injector::{DrawnFault, drawn_faults};
 pub use processes::guard;
 pub use reports::page as report;
 pub use runs::experiment_run::{LabItself, Members, Options, Played, Progress, play};
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -5,7 +5,7 @@
 use crate::checks::membership_checks::{self, Presence};
 use crate::error::LabError;
 use crate::experiment::{Experiment, Fault, FaultKind};
-use crate::faults::fault_injector::Stage;
+use crate::faults::FaultInjector;
 use crate::history::{Event, History, Recording};
 use crate::links::{DISCOVERY_HOST_NUMBER, Links, PeerLinks, Traffic, pair_address};
 use crate::measurements::figures::{Figures, Recovery, figures, recovery};
@@ -251,16 +251,17 @@
     let sent = peers.as_ref().map(|peers| peers.traffic());
     history.start_clock();
     tasks.spawn(Arc::clone(&upstreams).sample_load());
-    let stage = Stage {
+    let injector = FaultInjector {
+        seed: options.seed,
         experiment: Arc::clone(&experiment),
         history: Arc::clone(&history),
         balancers: Arc::clone(&balancers),
         upstreams: Arc::clone(&upstreams),
         discovery,
         links,
-        peers: peers.clone(),
+        peer_links: peers.clone(),
     };
-    tasks.spawn(stage.faults(options.seed));
+    tasks.spawn(injector.run());
     let mut stop = options.stop.clone();
     let load = Arc::clone(&clients).run(arrivals);
     tokio::pin!(load);
--- a/lab/tests/load_digest.rs
+++ b/lab/tests/load_digest.rs
@@ -1,120 +1,147 @@
-//! The load of every committed experiment: arrivals, faults with their targets and the balancers' configurations, as
-//! digests that must not change. Times are compared to the microsecond, as `ln` may differ in the last bit elsewhere.
+//! The load of every committed experiment: arrivals, faults with their targets and the balancers'
+//! configurations, as digests that must not change. Times are compared to the microsecond, as `ln`
+//! may differ in the last bit between processors.
 
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
+mod common;
+
+use common::assert_matches_fixture;
 use frostkeel_lab::balancers::{ConfigInputs, balancer_config};
-use frostkeel_lab::drawn_faults;
 use frostkeel_lab::experiment::Experiment;
-use frostkeel_lab::simulated::simulate;
+use frostkeel_lab::faults::{ResolvedTargets, fault_schedule};
+use frostkeel_lab::runs::simulation::simulate;
 use frostkeel_lab::standins::load::draw_load;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+/// Besides each experiment's own.
 const OTHER_SEED: u64 = 97;
+/// The longest simulation.
+const MAX_SIMULATED: Duration = Duration::from_secs(60);
+/// The largest fleet that is simulated.
+const MAX_SIMULATED_BALANCERS: u32 = 40;
 
 /// FNV-1a, 64 bits.
 fn digest(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    text.bytes().fold(OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
     })
 }
 
-fn experiments() -> Vec<(String, Experiment)> {
+struct NamedExperiment {
+    name: String,
+    experiment: Experiment,
+}
+
+fn experiments() -> Vec<NamedExperiment> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
     let files = std::fs::read_dir(folder).expect("the experiments");
     let mut files: Vec<PathBuf> = files.map(|file| file.expect("an entry").path()).collect();
     files.sort();
-    files
-        .into_iter()
-        .map(|file| {
-            let text = std::fs::read_to_string(&file).expect("an experiment");
-            let name = file
-                .file_stem()
-                .expect("a name")
-                .to_string_lossy()
-                .into_owned();
-            (name, Experiment::parse(&text).expect("a valid experiment"))
-        })
-        .collect()
+    let read = |file: PathBuf| {
+        let text = std::fs::read_to_string(&file).expect("an experiment");
+        let name = file
+            .file_stem()
+            .expect("a name")
+            .to_string_lossy()
+            .into_owned();
+        NamedExperiment {
+            name,
+            experiment: Experiment::parse(&text).expect("a valid experiment"),
+        }
+    };
+    files.into_iter().map(read).collect()
+}
+
+/// How many there are, and their digest.
+struct Digest {
+    count: usize,
+    digest: u64,
 }
 
-fn arrivals(experiment: &Experiment, seed: u64) -> (usize, u64) {
+fn arrivals(experiment: &Experiment, seed: u64) -> Digest {
     let (mut text, arrivals) = (String::new(), draw_load(experiment, seed));
-    for a in &arrivals {
-        let at = (a.at_s * 1e6).round() as u64;
-        writeln!(
-            text,
-            "{at} {} {} {} {} {}",
-            a.class, a.tenant, a.key, a.honors_retry_after, a.seed
-        )
-        .expect("written");
+    for arrival in &arrivals {
+        let at_us = (arrival.at_s * 1e6).round() as u64;
+        let (class, tenant, key) = (arrival.class, arrival.tenant, arrival.key);
+        let (honors, seed) = (arrival.honors_retry_after, arrival.seed);
+        writeln!(text, "{at_us} {class} {tenant} {key} {honors} {seed}").expect("written");
+    }
+    Digest {
+        count: arrivals.len(),
+        digest: digest(&text),
     }
-    (arrivals.len(), digest(&text))
 }
 
-fn faults(experiment: &Experiment, seed: u64) -> (usize, u64) {
-    let (mut text, faults) = (String::new(), drawn_faults(experiment, seed));
-    for f in &faults {
-        let at = f.at.as_micros();
+fn faults(experiment: &Experiment, seed: u64) -> Digest {
+    let (mut text, schedule) = (String::new(), fault_schedule(experiment, seed));
+    for occurrence in &schedule {
+        let at_us = occurrence.fault.start.as_micros();
+        let targets = occurrence.targets.clone();
+        let peers = occurrence
+            .peers
+            .clone()
+            .unwrap_or_else(ResolvedTargets::default);
+        let balancers = [targets.balancers, peers.balancers];
+        let upstreams = [targets.upstreams, peers.upstreams];
+        let (description, lasts) = (occurrence.description(), occurrence.duration_s());
         writeln!(
             text,
-            "{at} {} {:?} {:?} {:?}",
-            f.text, f.lasts, f.balancers, f.upstreams
+            "{at_us} {description} {lasts:?} {balancers:?} {upstreams:?}"
         )
         .expect("written");
     }
-    (faults.len(), digest(&text))
+    Digest {
+        count: schedule.len(),
+        digest: digest(&text),
+    }
 }
 
 fn configurations(experiment: &Experiment, seed: u64) -> u64 {
     let discovery: SocketAddr = "127.16.1.251:9".parse().expect("an address");
+    let peers = experiment
+        .membership
+        .map(|_| vec!["127.0.0.1:1".into(), "127.0.0.1:2".into()]);
     let mut text = String::new();
-    for (number, starts) in [(0, 1), (1, 1), (1, 2)] {
+    for (number, start_count) in [(0, 1), (1, 1), (1, 2)] {
         let inputs = ConfigInputs {
             experiment,
             seed,
             number,
             name: format!("b{number}"),
-            start_count: starts,
+            start_count,
             known_endpoints: "{\"rev\":1,\"all\":true,\"targets\":[]}".into(),
             discovery,
-            peers: experiment
-                .membership
-                .map(|_| vec!["127.0.0.1:1".into(), "127.0.0.1:2".into()]),
+            peers: peers.clone(),
         };
         writeln!(text, "{}", balancer_config(inputs)).expect("written");
     }
     digest(&text)
 }
 
-/// Holds what was computed against the committed text; what differs is left where it can be looked at.
-fn compare(name: &str, actual: &str, committed: &str) {
-    if actual != committed {
-        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::write(&path, actual).expect("written");
-        let differs = actual.lines().zip(committed.lines()).find(|(a, c)| a != c);
-        panic!("{name} has changed, see {}: {differs:?}", path.display());
-    }
-}
-
 #[test]
-fn a_seed_gives_the_load_that_it_always_gave() {
+fn load_matches_the_committed_digests() {
     let mut actual = String::new();
-    for (name, experiment) in experiments() {
+    for NamedExperiment { name, experiment } in experiments() {
         for seed in [experiment.seed, OTHER_SEED] {
-            let (arrivals, arrivals_digest) = arrivals(&experiment, seed);
-            let (faults, faults_digest) = faults(&experiment, seed);
+            let arrivals = arrivals(&experiment, seed);
+            let faults = faults(&experiment, seed);
             let configurations = configurations(&experiment, seed);
             writeln!(
                 actual,
-                "{name} seed {seed}: {arrivals} arrivals {arrivals_digest:016x}, {faults} faults \
-                 {faults_digest:016x}, configurations {configurations:016x}"
+                "{name} seed {seed}: {} arrivals {:016x}, {} faults {:016x}, configurations \
+                 {configurations:016x}",
+                arrivals.count, arrivals.digest, faults.count, faults.digest
             )
             .expect("written");
         }
     }
-    compare(
+    assert_matches_fixture(
         "load_digests.txt",
         &actual,
         include_str!("data/load_digests.txt"),
@@ -122,18 +149,23 @@
 }
 
 #[test]
-fn a_seed_gives_the_simulated_figures_that_it_always_gave() {
+fn simulated_figures_match_the_committed_ones() {
     let mut actual = String::new();
-    for (name, mut experiment) in experiments() {
-        if !name.starts_with("membership-") || experiment.fleet.balancers > 40 {
+    for NamedExperiment {
+        name,
+        mut experiment,
+    } in experiments()
+    {
+        if !name.starts_with("membership-") || experiment.fleet.balancers > MAX_SIMULATED_BALANCERS
+        {
             continue;
         }
-        experiment.length = experiment.length.min(Duration::from_secs(60));
-        let simulated = simulate(&experiment, 3, false).expect("it can be simulated");
-        let mut value = serde_json::to_value(&simulated).expect("a value");
-        // Which of two views of the same weight counts as the usual one is not settled.
+        experiment.length = experiment.length.min(MAX_SIMULATED);
+        let outcome = simulate(&experiment, 3, false).expect("a simulation");
+        let mut value = serde_json::to_value(&outcome).expect("a value");
+        // Which of two equally common views counts as the usual one is not defined.
         value["figures"]["differences"] = serde_json::Value::Null;
         writeln!(actual, "{name} {value}").expect("written");
     }
-    compare("simulated.txt", &actual, include_str!("data/simulated.txt"));
+    assert_matches_fixture("simulated.txt", &actual, include_str!("data/simulated.txt"));
 }
