--- a/frostkeel/src/lab.rs
+++ b/frostkeel/src/lab.rs
@@ -4,8 +4,10 @@
 use clap::{Args, Subcommand};
 use frostkeel_lab::checks::membership_figures::missed_expectations;
 use frostkeel_lab::experiment::Experiment;
+use frostkeel_lab::reports::{size_plot, write_report};
 use frostkeel_lab::runs::registry_run::{RegistryRunOptions, run_registry};
-use frostkeel_lab::{Options, play, report, simulated};
+use frostkeel_lab::runs::simulation;
+use frostkeel_lab::{RunOptions, run as run_experiment};
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -266,7 +268,7 @@
         let play = |seed| {
             let mut experiment = experiment.clone();
             experiment.fleet.balancers = *size;
-            simulated::simulate(&experiment, seed, known).map(|played| {
+            simulation::simulate(&experiment, seed, known).map(|played| {
                 let missed = missed_expectations(&experiment, &played.figures);
                 (played, missed)
             })
@@ -291,8 +293,8 @@
                 played.members,
                 played.seed,
                 played.seconds,
-                played.datagrams,
-                played.bytes,
+                played.datagrams_per_s,
+                played.bytes_per_s,
                 f.kill_count,
                 f.detection_p50_s,
                 f.detection_p99_s,
@@ -302,7 +304,7 @@
                 f.divergent_view_count
             );
             let wrong = if experiment.expect.no_false_failures {
-                &played.broken[..]
+                &played.violations[..]
             } else {
                 &[]
             };
@@ -314,7 +316,7 @@
         }
     }
     if let Some(path) = plot {
-        std::fs::write(path, report::over_sizes(&all))?;
+        std::fs::write(path, size_plot(&all))?;
     }
     Ok(if sound {
         ExitCode::SUCCESS
@@ -361,7 +363,7 @@
 
 async fn one(experiment: Experiment, place: Place) -> Done {
     let dir = folder(&place, &experiment.name);
-    let options = Options {
+    let options = RunOptions {
         balancer: balancer(&place)?,
         guard: Some(std::env::current_exe()?),
         seed: place.seed.unwrap_or(experiment.seed),
@@ -369,8 +371,8 @@
         stop: interrupted(),
     };
     let mut shown = Shown::new(&experiment);
-    let played = play(experiment, options, |progress| shown.show(&progress)).await?;
-    let page = report::write(&played, &dir)?;
+    let played = run_experiment(experiment, options, |progress| shown.show(&progress)).await?;
+    let page = write_report(&played, &dir)?;
     table(&played);
     println!("report: {}", page.display());
     Ok(if played.is_good() {
@@ -387,14 +389,14 @@
     let mut sound = true;
     for round in 0..u64::from(plays.max(1)) {
         for (k, (experiment, program)) in sides.iter().enumerate() {
-            let options = Options {
+            let options = RunOptions {
                 balancer: program.clone(),
                 guard: Some(std::env::current_exe()?),
                 seed: first + round,
                 dir: dir.join(format!("{}-{round}", ["before", "after"][k])),
                 stop: stop.clone(),
             };
-            let played = play(experiment.clone(), options, |_| ()).await?;
+            let played = run_experiment(experiment.clone(), options, |_| ()).await?;
             if *stop.borrow() {
                 return Err("interrupted: nothing is compared".into());
             }
@@ -405,15 +407,15 @@
                 f.served_share,
                 f.worst_class_share,
                 f.p99_ms,
-                played.broken.len(),
+                played.violations.len(),
                 played
-                    .void
+                    .void_reason
                     .as_ref()
                     .map(|why| format!(", VOID: {why}"))
                     .unwrap_or_default()
             );
-            sound &= played.void.is_none();
-            if played.void.is_none() {
+            sound &= played.void_reason.is_none();
+            if played.void_reason.is_none() {
                 served[k].push(f.served_share);
             }
         }
--- a/frostkeel/src/lab_output.rs
+++ b/frostkeel/src/lab_output.rs
@@ -1,14 +1,14 @@
 //! What the lab's commands print: how a play goes on, and what came of it.
 
 use frostkeel_lab::experiment::Experiment;
-use frostkeel_lab::{Played, Progress};
+use frostkeel_lab::{RunOutcome, RunProgress};
 use std::io::{IsTerminal, Write};
 
 /// Processes up to which a terminal shows a line for each.
 const TABLE_MOST: usize = 24;
 
 /// Prints the figures of a play and what broke.
-pub fn table(played: &Played) {
+pub fn table(played: &RunOutcome) {
     let f = &played.figures;
     println!(
         "{:16} {:>7} {:>8} {:>6} {:>8} {:>7}",
@@ -35,7 +35,7 @@
         "the lab: {:.1} ms late (99th percentile), {:.2} cores",
         lab.late_p99_ms, lab.cores
     );
-    if let Some(members) = &played.members {
+    if let Some(members) = &played.membership {
         let f = &members.figures;
         println!(
             "members: {} kills known to 99% after {:.2} s (median), {:.2} s at worst, {} never; {} leaves, {:.2} s at \
@@ -57,18 +57,21 @@
         );
         println!(
             "each sent {:.2} datagrams and {:.0} bytes a second; balancers took {:.4} cores (mean), {:.4} at most",
-            members.datagrams, members.bytes, played.balancer_cores.mean, played.balancer_cores.max
+            members.datagrams_per_s,
+            members.bytes_per_s,
+            played.balancer_cores.mean,
+            played.balancer_cores.max
         );
     }
-    match &played.void {
+    match &played.void_reason {
         Some(why) => println!("VOID: {why}"),
-        None if played.broken.is_empty() => println!("all rules kept"),
-        None => println!("{} BREACHES of the rules", played.broken.len()),
+        None if played.violations.is_empty() => println!("all rules kept"),
+        None => println!("{} BREACHES of the rules", played.violations.len()),
     }
-    for broken in played.broken.iter().take(10) {
+    for broken in played.violations.iter().take(10) {
         println!("  {}: {}", broken.rule, broken.description);
     }
-    for missed in &played.missed {
+    for missed in &played.missed_expectations {
         println!("  missed: {missed}");
     }
 }
@@ -106,8 +109,8 @@
     }
 
     /// Says how it goes on.
-    pub fn show(&mut self, progress: &Progress) {
-        let at = progress.at.as_secs_f64();
+    pub fn show(&mut self, progress: &RunProgress) {
+        let at = progress.elapsed.as_secs_f64();
         if !self.terminal && !(at as u64).is_multiple_of(5) {
             return;
         }
@@ -115,7 +118,7 @@
         let running = progress
             .balancers
             .iter()
-            .filter(|(state, _)| *state != "down")
+            .filter(|balancer| balancer.state != "down")
             .count();
         let up = progress
             .upstreams
@@ -149,17 +152,19 @@
     }
 
     /// One line for each process.
-    fn rows(&mut self, progress: &Progress) -> Vec<String> {
+    fn rows(&mut self, progress: &RunProgress) -> Vec<String> {
         let mut rows = Vec::new();
-        for (k, ((state, answered), before)) in progress
+        for (k, (balancer, before)) in progress
             .balancers
             .iter()
             .zip(&mut self.answered)
             .enumerate()
         {
-            let since = answered - std::mem::replace(before, *answered);
+            let answered = balancer.response_count;
+            let since = answered - std::mem::replace(before, answered);
             rows.push(format!(
-                "  b{k:<3} {state:8} {since:>4} answers in the last second"
+                "  b{k:<3} {:8} {since:>4} answers in the last second",
+                balancer.state
             ));
         }
         for row in &progress.upstreams {
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,11 +1,25 @@
-//! The lab: a fleet as real processes, with faults between them.
+//! The lab: a fleet of real balancers, with faults between them.
 //!
-//! One lab process holds what surrounds the balancers: clients, upstreams and the list service, as stand-ins that
-//! speak the published protocol on loopback addresses. The balancers are the real program, started as children. A
-//! play follows an [`Experiment`](experiment::Experiment), keeps the whole [`history`], judges it by the
-//! [`checks`] and writes a [`reports`].
+//! One lab process holds what surrounds the balancers: clients, upstreams and the discovery
+//! service, as stand-ins that speak the published protocol on loopback addresses. The balancers are
+//! the real program, started as children. A run follows an [`Experiment`](experiment::Experiment),
+//! records its whole [`history`], applies the [`checks`] and writes a [report](reports).
 //!
-//! Upstreams are modelled by a pure state machine, [`standins::upstream_model::Machine`]; the load and every draw come from one seed.
+//! The load and every draw come from one seed. Modules use only those above them in this order:
+//!
+//! | module | what it holds |
+//! | --- | --- |
+//! | [`experiment`] | the form of an experiment, and how it is parsed |
+//! | [`history`] | the events of a run |
+//! | [`measurements`] | latencies, the use of processor and memory, the figures of a run |
+//! | [`links`] | links between processes, and what they do to what travels on them |
+//! | [`processes`] | child processes, and the guard that ends them |
+//! | [`standins`] | clients and their load, upstreams, discovery, registration |
+//! | [`balancers`] | the balancers as children, and their configuration |
+//! | [`faults`] | whom faults meet, and their injection |
+//! | [`checks`] | the rules, judged over a history |
+//! | [`runs`] | runs with real processes, in simulated time, and of a registry |
+//! | [`reports`] | what is written about a run |
 
 pub mod balancers;
 pub mod checks;
@@ -22,6 +36,4 @@
 
 pub use error::LabError;
 pub use processes::guard;
-pub use reports::page as report;
-pub use runs::experiment_run::{LabItself, Members, Options, Played, Progress, play};
-pub use runs::simulation as simulated;
+pub use runs::{RunOptions, RunOutcome, RunProgress, run};
--- a/lab/src/reports/mod.rs
+++ b/lab/src/reports/mod.rs
@@ -1,3 +1,5 @@
 //! Reports of runs.
 
-pub mod page;
+mod page;
+
+pub use page::{over_sizes as size_plot, write as write_report};
--- a/lab/src/reports/page.rs
+++ b/lab/src/reports/page.rs
@@ -1,8 +1,8 @@
 //! The report of a play: its events as JSON lines, one result in JSON, and one page that holds its own plots.
 
 use crate::history::{Event, EventKind};
-use crate::runs::experiment_run::Played;
-use crate::runs::simulation::Simulated;
+use crate::runs::RunOutcome;
+use crate::runs::simulation::SimulationOutcome;
 use plotters::prelude::*;
 use std::fmt::Write as _;
 use std::io::{self, BufWriter, Write};
@@ -11,7 +11,7 @@
 const SIZE: (u32, u32) = (860, 240);
 
 /// Writes all three into a folder; returns the page's path.
-pub fn write(played: &Played, dir: &Path) -> io::Result<PathBuf> {
+pub fn write(played: &RunOutcome, dir: &Path) -> io::Result<PathBuf> {
     let mut lines = BufWriter::new(std::fs::File::create(dir.join("events.jsonl"))?);
     for event in &played.events {
         serde_json::to_writer(&mut lines, event)?;
@@ -28,7 +28,7 @@
 }
 
 /// The page.
-pub fn html(played: &Played) -> String {
+pub fn html(played: &RunOutcome) -> String {
     let f = &played.figures;
     let mut page = String::from(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>frostkeel lab</title>\
@@ -46,27 +46,27 @@
     let _ = write!(
         page,
         "{}.</p>",
-        if played.cut_short {
+        if played.is_interrupted {
             ", ended before its time"
         } else {
             ""
         }
     );
-    match &played.void {
+    match &played.void_reason {
         Some(why) => drop(write!(
             page,
             "<p class=bad>This play counts for nothing: {}.</p>",
             escaped(why)
         )),
-        None if played.broken.is_empty() => page.push_str("<p class=good>All rules kept.</p>"),
+        None if played.violations.is_empty() => page.push_str("<p class=good>All rules kept.</p>"),
         None => drop(write!(
             page,
             "<p class=bad>{} breaches of the rules.</p>",
-            played.broken.len()
+            played.violations.len()
         )),
     }
     page.push_str("<ul>");
-    for broken in played.broken.iter().take(50) {
+    for broken in played.violations.iter().take(50) {
         let _ = write!(
             page,
             "<li class=bad>{}: {}</li>",
@@ -74,7 +74,7 @@
             escaped(&broken.description)
         );
     }
-    for missed in &played.missed {
+    for missed in &played.missed_expectations {
         let _ = write!(page, "<li class=bad>{}</li>", escaped(missed));
     }
     page.push_str("</ul>");
@@ -87,7 +87,7 @@
         f.p99_ms,
         f.client_attempts,
         f.upstream_attempts,
-        played.memory_mb
+        played.max_memory_mb
     );
     page.push_str("<table><tr><th>class<th>asked<th>in time<th>late<th>refused<th>failed</tr>");
     for class in &f.classes {
@@ -159,8 +159,8 @@
 }
 
 /// A plot over the sizes of simulated fleets: how soon deaths are known, and what each member sends.
-pub fn over_sizes(all: &[Simulated]) -> String {
-    let of = |pick: &dyn Fn(&Simulated) -> f64| -> Vec<(f64, f64)> {
+pub fn over_sizes(all: &[SimulationOutcome]) -> String {
+    let of = |pick: &dyn Fn(&SimulationOutcome) -> f64| -> Vec<(f64, f64)> {
         all.iter()
             .map(|one| (f64::from(one.members).log10(), pick(one)))
             .collect()
@@ -176,8 +176,8 @@
             of(&|s| s.figures.detection_p99_s),
             RED,
         ),
-        ("datagrams a second", of(&|s| s.datagrams), GREY),
-        ("KB a second", of(&|s| s.bytes / 1000.0), ORANGE),
+        ("datagrams a second", of(&|s| s.datagrams_per_s), GREY),
+        ("KB a second", of(&|s| s.bytes_per_s / 1000.0), ORANGE),
     ];
     let right = all
         .iter()
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -1,445 +1,194 @@
-//! One play of an experiment, from the first process to the last.
+//! One run of an experiment, from the first process to the outcome.
 
-use crate::balancers::{BalancerProcesses, CoreUsage, RunContext};
+use super::outcome::{LabOverhead, MembershipOutcome, RunOutcome, missed_expectations};
+use super::test_bed::TestBed;
 use crate::checks::membership_checks::MembershipChecker;
-use crate::checks::membership_figures::{MembershipFigures, missed_expectations};
-use crate::checks::{Rule, Violation, balancer_rules};
+use crate::checks::{MembershipReport, Rule, Violation, balancer_rules};
 use crate::error::LabError;
-use crate::experiment::{Experiment, Fault, FaultKind};
-use crate::faults::FaultInjector;
-use crate::history::{Event, History, Recording};
-use crate::links::{DISCOVERY_HOST_NUMBER, Links, PeerLinks, Traffic, pair_address};
-use crate::measurements::figures::{Figures, Recovery, figures, recovery};
-use crate::measurements::{self, quantile_ms};
-use crate::processes::guard::Guard;
+use crate::experiment::Experiment;
+use crate::history::{Event, Recording};
+use crate::links::Traffic;
+use crate::measurements::figures::figures;
+use crate::measurements::processor_seconds;
 use crate::standins::UpstreamStatus;
-use crate::standins::balancer_pool::BalancerPool;
-use crate::standins::clients::Clients;
-use crate::standins::discovery::DiscoveryService;
 use crate::standins::load::draw_load;
-use crate::standins::registration::Registrations;
-use crate::standins::registry_process::RegistryProcess;
-use crate::standins::upstreams::Upstreams;
-use serde::Serialize;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
+use std::pin::Pin;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::net::TcpListener;
 use tokio::sync::watch;
-use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-/// Balancers started at a time.
-const START_AT_ONCE: usize = 16;
-/// A play whose requests were sent later than this, at the 99th percentile, measured the lab, in ms.
-const LATE_MOST_MS: f64 = 20.0;
-/// Share of what was served before that is served again where service is back.
-const BACK: f64 = 0.9;
-/// Events that one play may have: some 100 bytes each are held in memory.
-const EVENTS_MOST: usize = 20_000_000;
-/// Descriptors that the lab takes besides those it counts.
-const DESCRIPTORS_BESIDES: u64 = 200;
-/// How often progress is told.
-const PROGRESS_EVERY: Duration = Duration::from_secs(1);
+/// How often progress is reported.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How a play is made.
-pub struct Options {
+/// How a run is made.
+pub struct RunOptions {
     /// The balancers' program.
     pub balancer: PathBuf,
-    /// The program that guards the children, with `guard` as its first argument, and is the list service.
+    /// The program that guards the children, with `guard` as its first argument, and is the
+    /// registry.
     pub guard: Option<PathBuf>,
-    /// In place of the experiment's own.
+    /// The seed.
     pub seed: u64,
     /// Where logs and configurations go.
     pub dir: PathBuf,
-    /// Set to `true`, it ends the play early.
+    /// Set to `true`, it interrupts the run.
     pub stop: watch::Receiver<bool>,
 }
 
-/// How a running play stands.
+/// The status of a balancer in a run.
+#[derive(Clone, Copy, Debug)]
+pub struct BalancerStatus {
+    /// A word for its state.
+    pub state: &'static str,
+    /// How many responses clients have had from it.
+    pub response_count: u64,
+}
+
+/// The progress of a run.
 #[derive(Clone, Debug)]
-pub struct Progress {
+pub struct RunProgress {
     /// Time since the load began.
-    pub at: Duration,
-    /// How each balancer stands, in a word, and how many tries it has answered.
-    pub balancers: Vec<(&'static str, u64)>,
-    /// How each upstream stands.
+    pub elapsed: Duration,
+    /// The status of each balancer.
+    pub balancers: Vec<BalancerStatus>,
+    /// The status of each upstream that is not removed.
     pub upstreams: Vec<UpstreamStatus>,
 }
 
-/// What the lab itself was like.
-#[derive(Clone, Debug, Serialize)]
-pub struct LabItself {
-    /// Percentiles and maximum of how late requests were sent, in ms.
-    pub late_p50_ms: f64,
-    /// See `late_p50_ms`.
-    pub late_p99_ms: f64,
-    /// See `late_p50_ms`.
-    pub late_max_ms: f64,
-    /// Share of one core that it took.
-    pub cores: f64,
-    /// Events not kept for want of room.
-    pub dropped: u64,
-}
-
-/// What balancers knew of each other, and what that cost.
-#[derive(Clone, Debug, Serialize)]
-pub struct Members {
-    /// How soon deaths were known, and what was wrongly taken for one.
-    #[serde(flatten)]
-    pub figures: MembershipFigures,
-    /// Datagrams that each sent in a second.
-    pub datagrams: f64,
-    /// Bytes that each sent in a second.
-    pub bytes: f64,
-}
-
-/// A play that has ended.
-#[derive(Serialize)]
-pub struct Played {
-    /// The experiment's name.
-    pub experiment: String,
-    /// The seed.
-    pub seed: u64,
-    /// The balancers' program.
-    pub balancer: PathBuf,
-    /// Seconds of load that were played.
-    pub seconds: f64,
-    /// It was ended before its time.
-    pub cut_short: bool,
-    /// Why it counts for nothing, where it does.
-    pub void: Option<String>,
-    /// The rules that were broken.
-    pub broken: Vec<Violation>,
-    /// What of the expectations was missed.
-    pub missed: Vec<String>,
-    /// The figures.
-    pub figures: Figures,
-    /// The most memory that any balancer took, in MB.
-    pub memory_mb: f64,
-    /// The share of a core that balancers took: mean, and of the one that took most.
-    pub balancer_cores: CoreUsage,
-    /// What balancers knew of each other, where they did.
-    pub members: Option<Members>,
-    /// The lab.
-    pub lab: LabItself,
-    /// The whole history.
-    #[serde(skip)]
-    pub events: Vec<Event>,
-}
-
-impl Played {
-    /// Whether it counts, and all rules and expectations were kept.
-    pub fn is_good(&self) -> bool {
-        self.void.is_none() && self.broken.is_empty() && self.missed.is_empty()
-    }
+/// What was measured while the load was sent.
+struct LoadMeasurements {
+    is_interrupted: bool,
+    elapsed: Duration,
+    /// Processor time of the lab, in seconds.
+    processor_s: f64,
+    /// Between the balancers, where they have membership.
+    peer_traffic: Option<Traffic>,
 }
 
-/// Plays an experiment; `progress` is told of it every second.
-pub async fn play(
+/// Runs an experiment; its progress is reported every second.
+pub async fn run(
     experiment: Experiment,
-    options: Options,
-    mut progress: impl FnMut(Progress),
-) -> Result<Played, LabError> {
-    descriptors(&experiment)?;
-    let file = |path: &Path, source| LabError::File {
-        path: path.to_owned(),
-        source,
-    };
-    tokio::fs::create_dir_all(&options.dir)
-        .await
-        .map_err(|e| file(&options.dir, e))?;
-    let experiment = Arc::new(experiment);
-    let history = Arc::new(History::new(EVENTS_MOST));
-    let on_links = |f: &Fault| {
-        matches!(
-            f.kind,
-            FaultKind::ImpairLinks { .. } | FaultKind::ResetConnections
-        )
-    };
-    let links = Links::new(options.seed, !experiment.faults.iter().any(on_links));
-    let guard = options.guard.as_deref().map(Guard::start).transpose();
-    let guard = guard
-        .map_err(|source| LabError::Start {
-            program: options.guard.clone().unwrap_or_default(),
-            source,
-        })?
-        .map(Arc::new);
-    let registrar = match (&experiment.registry, &options.guard) {
-        (None, _) => None,
-        (Some(_), None) => return Err(LabError::NoRegistryProgram),
-        (Some(registry), Some(program)) => {
-            let (guard, history) = (guard.clone(), Arc::clone(&history));
-            let process = RegistryProcess::new(program, &options.dir, guard, history);
-            process.start().await?;
-            Some(Registrations::new(process, registry.lease()))
-        }
-    };
-    let discovery =
-        DiscoveryService::new(Arc::clone(&history), Arc::clone(&links), registrar.clone());
-    let upstreams = Upstreams::new(
-        Arc::clone(&experiment),
-        options.seed,
-        Arc::clone(&history),
-        Arc::clone(&discovery),
-        Arc::clone(&links),
-    );
-    let mut tasks = JoinSet::new();
-    let mut addresses = Vec::new();
-    for balancer in 0..experiment.fleet.balancers {
-        let listener = TcpListener::bind((pair_address(balancer, DISCOVERY_HOST_NUMBER), 0))
-            .await
-            .map_err(LabError::Address)?;
-        addresses.push(listener.local_addr().map_err(LabError::Address)?);
-        tasks.spawn(Arc::clone(&discovery).serve(balancer, listener));
-    }
-    for _ in 0..experiment.fleet.upstreams {
-        upstreams.add(false).await.map_err(LabError::Address)?;
-    }
-    let peers = match experiment.membership {
-        None => None,
-        Some(_) => {
-            let keeps = experiment.faults.iter().any(|f| {
-                matches!(
-                    f.kind,
-                    FaultKind::ReplayDatagrams | FaultKind::InjectDatagrams { .. }
-                )
-            });
-            let bound = PeerLinks::bind(experiment.fleet.balancers, options.seed, keeps).await;
-            Some(bound.map_err(LabError::Address)?)
-        }
-    };
-    if let Some(peers) = &peers {
-        peers.spawn_relays(&mut tasks);
-    }
-    if let Some(registrar) = &registrar {
-        registrar
-            .registry()
-            .wait_until_ready(experiment.fleet.upstreams as usize)
-            .await?;
-    }
-    let front = Arc::new(BalancerPool::new(experiment.fleet.balancers));
-    let known = Arc::clone(&discovery);
-    let context = RunContext {
-        experiment: Arc::clone(&experiment),
-        seed: options.seed,
-        history: Arc::clone(&history),
-        pool: Arc::clone(&front),
-        peer_links: peers.clone(),
-        guard,
-        dir: options.dir.clone(),
-    };
-    let balancers =
-        BalancerProcesses::new(context, &options.balancer, addresses, move |balancer| {
-            known.snapshot_text(balancer)
-        });
-    start_all(&balancers, experiment.fleet.balancers).await?;
-    if peers.is_some() {
-        let pages = options.dir.join("pages");
-        tokio::fs::write(&pages, balancers.pages())
-            .await
-            .map_err(|e| file(&pages, e))?;
-    }
-
-    let clients = Clients::new(
-        Arc::clone(&experiment),
-        Arc::clone(&history),
-        Arc::clone(&front),
-        Arc::clone(&links),
-    );
-    let arrivals = draw_load(&experiment, options.seed);
-    let processor = processor_seconds();
-    let sent = peers.as_ref().map(|peers| peers.traffic());
-    history.start_clock();
-    tasks.spawn(Arc::clone(&upstreams).sample_load());
-    let injector = FaultInjector {
-        seed: options.seed,
-        experiment: Arc::clone(&experiment),
-        history: Arc::clone(&history),
-        balancers: Arc::clone(&balancers),
-        upstreams: Arc::clone(&upstreams),
-        discovery,
-        links,
-        peer_links: peers.clone(),
-    };
-    tasks.spawn(injector.run());
-    let mut stop = options.stop.clone();
-    let load = Arc::clone(&clients).run(arrivals);
+    options: RunOptions,
+    mut on_progress: impl FnMut(RunProgress),
+) -> Result<RunOutcome, LabError> {
+    let mut test_bed = TestBed::start(experiment, &options).await?;
+    let arrivals = draw_load(&test_bed.experiment, options.seed);
+    // It lives until all processes have exited: the clients of an interrupted run get their last
+    // responses meanwhile.
+    let load = Arc::clone(&test_bed.clients).run(arrivals);
     tokio::pin!(load);
-    let mut next = Instant::now() + PROGRESS_EVERY;
-    let cut_short = loop {
+    let stop = options.stop.clone();
+    let measured = measure_load(&mut test_bed, load.as_mut(), stop, &mut on_progress).await;
+    test_bed.stop().await;
+    Ok(judge(&test_bed, options, &measured))
+}
+
+/// Sends the load, until all of it is done or the run is interrupted.
+async fn measure_load(
+    test_bed: &mut TestBed,
+    mut load: Pin<&mut impl Future<Output = ()>>,
+    mut stop: watch::Receiver<bool>,
+    on_progress: &mut impl FnMut(RunProgress),
+) -> LoadMeasurements {
+    let processor_before = own_processor_seconds();
+    let traffic_before = test_bed.peer_traffic().unwrap_or_default();
+    test_bed.begin();
+    let mut next_report = Instant::now() + PROGRESS_INTERVAL;
+    let is_interrupted = loop {
         tokio::select! {
             () = &mut load => break false,
             _ = stop.wait_for(|stop| *stop) => break true,
-            () = sleep_until(next) => {
-                next += PROGRESS_EVERY;
-                let states = (0..).zip(balancers.statuses());
-                let states = states.map(|(b, state)| (state, front.response_count(b))).collect();
-                progress(Progress { at: history.now(), balancers: states, upstreams: upstreams.statuses() });
+            () = sleep_until(next_report) => {
+                next_report += PROGRESS_INTERVAL;
+                on_progress(progress(test_bed));
             }
         }
     };
-    let seconds = history.now().min(experiment.length).as_secs_f64();
-    let sent = peers
-        .as_ref()
-        .map(|peers| peers.traffic().since(sent.unwrap_or_default()));
-    let (elapsed, spent) = (history.now().as_secs_f64(), processor_seconds() - processor);
-    tasks.abort_all();
-    end_all(&balancers, experiment.fleet.balancers).await;
-    if let Some(registrar) = &registrar {
-        registrar.registry().kill(None).await;
+    LoadMeasurements {
+        is_interrupted,
+        elapsed: test_bed.history.now(),
+        processor_s: own_processor_seconds() - processor_before,
+        peer_traffic: test_bed
+            .peer_traffic()
+            .map(|traffic| traffic.since(traffic_before)),
     }
+}
 
-    let Recording {
-        events,
-        dropped_count: dropped,
-    } = history.take();
-    let late = clients.lateness();
-    let lab = LabItself {
-        late_p50_ms: quantile_ms(&late, 0.5),
-        late_p99_ms: quantile_ms(&late, 0.99),
-        late_max_ms: late.max() as f64 / 1e3,
-        cores: spent / elapsed.max(1e-9),
-        dropped,
+fn progress(test_bed: &TestBed) -> RunProgress {
+    let states = (0..).zip(test_bed.balancers.statuses());
+    let status = |(balancer, state)| BalancerStatus {
+        state,
+        response_count: test_bed.pool.response_count(balancer),
     };
-    let figures = figures(&experiment, &events);
-    let void = if lab.late_p99_ms > LATE_MOST_MS {
-        Some(format!(
-            "the lab was late: p99 {:.1} ms of {LATE_MOST_MS} allowed",
-            lab.late_p99_ms
-        ))
-    } else {
-        (dropped > 0).then(|| format!("{dropped} events were not kept"))
-    };
-    let (members, mut wrong) = match sent {
-        None => (None, Vec::new()),
-        Some(Traffic { datagrams, bytes }) => {
-            let mut presence = MembershipChecker::default();
-            // What the end of the play does is no part of it.
-            let until = events
-                .iter()
-                .take_while(|e| e.at_us as f64 <= elapsed * 1e6);
-            until.for_each(|event| presence.observe(event.at_us, &event.kind));
-            let report = presence.finish();
-            let of_each = elapsed * f64::from(experiment.fleet.balancers);
-            let (datagrams, bytes) = (datagrams as f64 / of_each, bytes as f64 / of_each);
-            (
-                Some(Members {
-                    figures: report.figures,
-                    datagrams,
-                    bytes,
-                }),
-                report.violations,
-            )
-        }
-    };
-    let mut missed = Vec::new();
-    if let Some(members) = &members {
-        missed = missed_expectations(&experiment, &members.figures);
-    }
-    if figures.served_share < experiment.expect.min_served {
-        missed.push(format!(
-            "served {:.3} of {:.3} expected",
-            figures.served_share, experiment.expect.min_served
-        ));
+    RunProgress {
+        elapsed: test_bed.history.now(),
+        balancers: states.map(status).collect(),
+        upstreams: test_bed.upstreams.statuses(),
     }
-    if let Some(within) = experiment.expect.recovered_within_s {
-        match recovery(&experiment, &figures, within) {
-            Some(Recovery { before, after }) if after >= BACK * before => {}
-            Some(Recovery { before, after }) => missed.push(format!(
-                "{within} s after the last fault {after:.3} is served, {:.3} expected of {before:.3} before the first",
-                BACK * before
-            )),
-            None => missed.push(format!("nothing is asked for {within} s after the last fault, or before the first")),
+}
+
+/// Checks the history of a run and computes its figures.
+fn judge(test_bed: &TestBed, options: RunOptions, measured: &LoadMeasurements) -> RunOutcome {
+    let experiment = &test_bed.experiment;
+    let Recording {
+        events,
+        dropped_count,
+    } = test_bed.history.take();
+    let elapsed_s = measured.elapsed.as_secs_f64();
+    let cores = measured.processor_s / elapsed_s.max(1e-9);
+    let lab = LabOverhead::new(&test_bed.clients.lateness(), cores, dropped_count);
+    let figures = figures(experiment, &events);
+    let mut violations = balancer_rules::violations(experiment, &events);
+    let mut membership = None;
+    if let Some(traffic) = measured.peer_traffic {
+        let report = check_membership(&events, elapsed_s);
+        if experiment.expect.no_false_failures {
+            violations.extend(report.violations.into_iter().map(|found| Violation {
+                rule: Rule::MembershipAccurate,
+                at_us: found.at_us,
+                description: found.description,
+            }));
         }
+        let member_seconds = elapsed_s * f64::from(experiment.fleet.balancers);
+        membership = Some(MembershipOutcome {
+            figures: report.figures,
+            datagrams_per_s: traffic.datagrams as f64 / member_seconds,
+            bytes_per_s: traffic.bytes as f64 / member_seconds,
+        });
     }
-    Ok(Played {
+    RunOutcome {
         experiment: experiment.name.clone(),
         seed: options.seed,
         balancer: options.balancer,
-        seconds,
-        cut_short,
-        void,
-        broken: {
-            let mut broken = balancer_rules::violations(&experiment, &events);
-            if experiment.expect.no_false_failures {
-                broken.extend(wrong.drain(..).map(|found| Violation {
-                    rule: Rule::MembershipAccurate,
-                    at_us: found.at_us,
-                    description: found.description,
-                }));
-            }
-            broken
-        },
-        missed,
+        seconds: measured.elapsed.min(experiment.length).as_secs_f64(),
+        is_interrupted: measured.is_interrupted,
+        void_reason: lab.void_reason(),
+        violations,
+        missed_expectations: missed_expectations(experiment, &figures, membership.as_ref()),
         figures,
-        balancer_cores: balancers.core_usage(),
-        members,
-        memory_mb: balancers.max_memory_kb() as f64 / 1024.0,
+        max_memory_mb: test_bed.balancers.max_memory_kb() as f64 / 1024.0,
+        balancer_cores: test_bed.balancers.core_usage(),
+        membership,
         lab,
         events,
-    })
-}
-
-async fn start_all(balancers: &Arc<BalancerProcesses>, count: u32) -> Result<(), LabError> {
-    let mut starting = JoinSet::new();
-    for number in 0..count {
-        if starting.len() >= START_AT_ONCE
-            && let Some(Ok(started)) = starting.join_next().await
-        {
-            started?;
-        }
-        let balancers = Arc::clone(balancers);
-        starting.spawn(async move { balancers.start(number).await });
-    }
-    while let Some(started) = starting.join_next().await {
-        if let Ok(started) = started {
-            started?;
-        }
-    }
-    Ok(())
-}
-
-async fn end_all(balancers: &Arc<BalancerProcesses>, count: u32) {
-    let mut leaving = JoinSet::new();
-    for number in 0..count {
-        let balancers = Arc::clone(balancers);
-        leaving.spawn(async move { balancers.shut_down(number).await });
     }
-    while leaving.join_next().await.is_some() {}
 }
 
-/// Whether so many files may be open.
-fn descriptors(experiment: &Experiment) -> Result<(), LabError> {
-    let replaced = experiment
-        .faults
+/// Checks the views of the balancers up to the end of the load: the shutdown is no part of the run.
+fn check_membership(events: &[Event], elapsed_s: f64) -> MembershipReport {
+    let mut checker = MembershipChecker::default();
+    for event in events
         .iter()
-        .any(|f| matches!(f.kind, FaultKind::RollingReplacement { .. }));
-    let pairs = u64::from(experiment.fleet.balancers) * u64::from(experiment.fleet.upstreams);
-    // A listener and a connection for each pair, the clients' connections, pipes and logs.
-    let clients = (experiment.load.rate_per_s * 2.0) as u64;
-    let peers = experiment
-        .membership
-        .map_or(0, |_| PeerLinks::socket_count(experiment.fleet.balancers));
-    let need = peers
-        + pairs * if replaced { 3 } else { 2 }
-        + clients
-        + 4 * u64::from(experiment.fleet.balancers)
-        + DESCRIPTORS_BESIDES;
-    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile)
-        .current
-        .unwrap_or(u64::MAX);
-    if need > limit {
-        Err(LabError::Descriptors {
-            needed: need,
-            limit,
-        })
-    } else {
-        Ok(())
+        .take_while(|event| event.at_us as f64 <= elapsed_s * 1e6)
+    {
+        checker.observe(event.at_us, &event.kind);
     }
+    checker.finish()
 }
 
-/// Processor time that this process has taken, in seconds.
-fn processor_seconds() -> f64 {
-    measurements::processor_seconds(&std::fs::read_to_string("/proc/self/stat").unwrap_or_default())
+/// Processor time that this process has used, in seconds.
+fn own_processor_seconds() -> f64 {
+    processor_seconds(&std::fs::read_to_string("/proc/self/stat").unwrap_or_default())
 }
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -1,12 +1,13 @@
-//! Membership in simulated time: the state machines alone, with the faults that an experiment has for balancers.
+//! Membership in simulated time: the state machines alone, with the faults that an experiment has
+//! for balancers.
 
+use super::simulation_faults::FaultPeers;
 use crate::checks::membership_checks::MembershipChecker;
 use crate::checks::membership_figures::MembershipFigures;
-use crate::experiment::{Experiment, FaultKind, LinkConditions, Target};
+use crate::experiment::{Experiment, LinkConditions};
 use crate::history::{EventKind, ProcessState};
 use crate::links::{DatagramSamples, LinkMatrix, delivery_delays};
 use frostkeel_membership::{Config, ConfigError, Membership, Name, Output, Place};
-use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -14,146 +15,133 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// What a datagram takes at least.
-const DELAY: Duration = Duration::from_micros(300);
+/// The least delay of a datagram.
+const MIN_DELAY: Duration = Duration::from_micros(300);
 /// Processes start within so long of each other.
 const START_WITHIN: Duration = Duration::from_secs(1);
-/// Traffic is counted from here: before, the fleet comes together.
-const COUNT_FROM: Duration = Duration::from_secs(20);
-/// Wall time of the start.
+/// Traffic is counted from here: before, the members discover each other.
+const COUNT_TRAFFIC_FROM: Duration = Duration::from_secs(20);
+/// Wall time of the start, in milliseconds.
 const EPOCH_MS: u64 = 1_700_000_000_000;
 
-/// What a simulated play came to.
+/// What a simulated run came to.
 #[derive(Clone, Debug, Serialize)]
-pub struct Simulated {
-    /// Processes.
+pub struct SimulationOutcome {
+    /// Members.
     pub members: u32,
     /// The seed.
     pub seed: u64,
     /// Simulated seconds.
     pub seconds: f64,
     /// Datagrams sent by each member in a second.
-    pub datagrams: f64,
+    #[serde(rename = "datagrams")]
+    pub datagrams_per_s: f64,
     /// Bytes sent by each member in a second.
-    pub bytes: f64,
+    #[serde(rename = "bytes")]
+    pub bytes_per_s: f64,
     /// The figures.
     pub figures: MembershipFigures,
-    /// What was wrong.
-    pub broken: Vec<String>,
+    /// Descriptions of the violations.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
+/// Something that is due. The order of two at the same time is that of their numbers.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Arrives {
+pub(super) enum SimulationEvent {
+    DatagramArrives {
         to: u32,
         from: u32,
         datagram: Vec<u8>,
     },
-    Wakes {
+    TimerExpires {
         member: u32,
-        life: u32,
+        start_count: u32,
     },
-    Begins {
+    FaultBegins {
         fault: usize,
     },
-    Starts {
+    MemberStarts {
         member: u32,
     },
-    GoesOn {
+    MemberResumes {
         member: u32,
     },
-    Opens {
+    LinksOpen {
         fault: usize,
     },
-    Bad {
+    CorruptedDatagram {
         fault: usize,
     },
 }
 
-struct Node {
-    machine: Option<Membership>,
-    life: u32,
-    held: bool,
-    /// What came while it was held.
-    waiting: Vec<(u32, Vec<u8>)>,
-    wakes: Duration,
-    name: Name,
+/// A datagram that came while its receiver was paused.
+pub(super) struct PendingDatagram {
+    from: u32,
+    datagram: Vec<u8>,
 }
 
-struct Rig<'a> {
-    experiment: &'a Experiment,
+/// A simulated process.
+pub(super) struct SimulatedMember {
+    pub machine: Option<Membership>,
+    pub start_count: u32,
+    pub is_paused: bool,
+    /// What came while it was paused.
+    pub pending: Vec<PendingDatagram>,
+    /// When its timer expires.
+    pub timer: Duration,
+    pub name: Name,
+}
+
+/// A simulated fleet, its links and its clock.
+pub(super) struct Simulation<'a> {
+    pub experiment: &'a Experiment,
     seed: u64,
-    now: Duration,
-    queue: BinaryHeap<Reverse<(Duration, u64, Happening)>>,
-    number: u64,
-    nodes: Vec<Node>,
-    ways: LinkMatrix,
-    chance: ChaCha8Rng,
-    kept: DatagramSamples,
-    keeps: bool,
-    presence: MembershipChecker,
-    /// Whom each fault met.
-    met: Vec<(Vec<u32>, Vec<u32>)>,
-    sent: (u64, u64),
-    counted: Duration,
+    pub now: Duration,
+    queue: BinaryHeap<Reverse<(Duration, u64, SimulationEvent)>>,
+    event_count: u64,
+    pub members: Vec<SimulatedMember>,
+    pub links: LinkMatrix,
+    pub rng: ChaCha8Rng,
+    pub samples: DatagramSamples,
+    keeps_samples: bool,
+    checker: MembershipChecker,
+    /// By fault, whom it met last.
+    pub fault_peers: Vec<FaultPeers>,
+    sent_datagrams: u64,
+    sent_bytes: u64,
+    count_traffic_from: Duration,
 }
 
-/// Plays the faults of an experiment that meet balancers, over its length. With `known` all know each other from their
-/// first start on; without, they have to find each other.
-pub fn simulate(experiment: &Experiment, seed: u64, known: bool) -> Result<Simulated, ConfigError> {
+/// Runs the faults of an experiment that meet balancers, over its length. With `is_known` all
+/// members know each other from their first start on; without, they have to discover each other.
+pub fn simulate(
+    experiment: &Experiment,
+    seed: u64,
+    is_known: bool,
+) -> Result<SimulationOutcome, ConfigError> {
     let count = experiment.fleet.balancers;
-    let name = |n: u32| Name::new(&format!("b{n}"));
-    let node = |n: u32| Node {
-        machine: None,
-        life: 0,
-        held: false,
-        waiting: Vec::new(),
-        wakes: Duration::MAX,
-        name: name(n).unwrap_or_else(|e| unreachable!("{e}")),
-    };
-    let keeps = experiment.faults.iter().any(|f| {
-        matches!(
-            f.kind,
-            FaultKind::ReplayDatagrams | FaultKind::InjectDatagrams { .. }
-        )
-    });
-    let mut rig = Rig {
-        experiment,
-        seed,
-        now: Duration::ZERO,
-        queue: BinaryHeap::new(),
-        number: 0,
-        nodes: (0..count).map(node).collect(),
-        ways: LinkMatrix::new(count),
-        chance: ChaCha8Rng::seed_from_u64(seed),
-        kept: DatagramSamples::default(),
-        keeps,
-        presence: MembershipChecker::default(),
-        met: vec![Default::default(); experiment.faults.len()],
-        sent: (0, 0),
-        counted: COUNT_FROM.min(experiment.length / 2),
-    };
-    if known {
-        rig.start_known()?;
-    }
-    for member in 0..if known { 0 } else { count } {
-        let at = START_WITHIN.mul_f64(rig.chance.random::<f64>());
-        rig.push(at, Happening::Starts { member });
+    let mut simulation = Simulation::new(experiment, seed);
+    if is_known {
+        simulation.start_known()?;
+    } else {
+        simulation.schedule_starts();
     }
     for (fault, what) in experiment.faults.iter().enumerate() {
-        rig.push(what.start, Happening::Begins { fault });
+        simulation.schedule(what.start, SimulationEvent::FaultBegins { fault });
     }
-    rig.run()?;
-    let seconds = (experiment.length - rig.counted).as_secs_f64() * f64::from(count);
-    let report = rig.presence.finish();
-    Ok(Simulated {
+    simulation.run()?;
+    let counted_s = (experiment.length - simulation.count_traffic_from).as_secs_f64();
+    let member_seconds = counted_s * f64::from(count);
+    let report = simulation.checker.finish();
+    Ok(SimulationOutcome {
         members: count,
         seed,
         seconds: experiment.length.as_secs_f64(),
-        datagrams: rig.sent.0 as f64 / seconds,
-        bytes: rig.sent.1 as f64 / seconds,
+        datagrams_per_s: simulation.sent_datagrams as f64 / member_seconds,
+        bytes_per_s: simulation.sent_bytes as f64 / member_seconds,
         figures: report.figures,
-        broken: report
+        violations: report
             .violations
             .into_iter()
             .map(|found| found.description)
@@ -161,304 +149,230 @@
     })
 }
 
-impl Rig<'_> {
-    fn push(&mut self, at: Duration, what: Happening) {
-        self.number += 1;
-        self.queue.push(Reverse((at, self.number, what)));
+impl<'a> Simulation<'a> {
+    fn new(experiment: &'a Experiment, seed: u64) -> Self {
+        let count = experiment.fleet.balancers;
+        let member = |number: u32| SimulatedMember {
+            machine: None,
+            start_count: 0,
+            is_paused: false,
+            pending: Vec::new(),
+            timer: Duration::MAX,
+            name: Name::new(&format!("b{number}")).unwrap_or_else(|e| unreachable!("{e}")),
+        };
+        Self {
+            experiment,
+            seed,
+            now: Duration::ZERO,
+            queue: BinaryHeap::new(),
+            event_count: 0,
+            members: (0..count).map(member).collect(),
+            links: LinkMatrix::new(count),
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            samples: DatagramSamples::default(),
+            keeps_samples: experiment.resends_datagrams(),
+            checker: MembershipChecker::default(),
+            fault_peers: vec![FaultPeers::default(); experiment.faults.len()],
+            sent_datagrams: 0,
+            sent_bytes: 0,
+            count_traffic_from: COUNT_TRAFFIC_FROM.min(experiment.length / 2),
+        }
+    }
+
+    pub(super) fn schedule(&mut self, at: Duration, event: SimulationEvent) {
+        self.event_count += 1;
+        self.queue.push(Reverse((at, self.event_count, event)));
+    }
+
+    fn schedule_starts(&mut self) {
+        for member in 0..self.experiment.fleet.balancers {
+            let at = START_WITHIN.mul_f64(self.rng.random::<f64>());
+            self.schedule(at, SimulationEvent::MemberStarts { member });
+        }
     }
 
     fn run(&mut self) -> Result<(), ConfigError> {
-        while let Some(Reverse((at, _, what))) = self.queue.pop() {
+        while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if at >= self.experiment.length {
                 break;
             }
             self.now = at;
-            match what {
-                Happening::Arrives { to, from, datagram } => self.arrives(to, from, datagram),
-                Happening::Wakes { member, life } => self.wakes(member, life),
-                Happening::Starts { member } => self.start(member)?,
-                Happening::GoesOn { member } => self.go_on(member),
-                Happening::Begins { fault } => self.begin(fault),
-                Happening::Opens { fault } => {
-                    let (some, others) = &self.met[fault];
-                    self.ways
-                        .set_conditions(some, others, LinkConditions::default());
+            match event {
+                SimulationEvent::DatagramArrives { to, from, datagram } => {
+                    self.on_datagram(to, from, datagram);
                 }
-                Happening::Bad { fault } => self.bad(fault),
+                SimulationEvent::TimerExpires {
+                    member,
+                    start_count,
+                } => {
+                    self.on_timer(member, start_count);
+                }
+                SimulationEvent::MemberStarts { member } => self.start(member)?,
+                SimulationEvent::MemberResumes { member } => self.resume(member),
+                SimulationEvent::FaultBegins { fault } => self.begin_fault(fault),
+                SimulationEvent::LinksOpen { fault } => {
+                    let FaultPeers { targets, peers } = &self.fault_peers[fault];
+                    self.links
+                        .set_conditions(targets, peers, LinkConditions::default());
+                }
+                SimulationEvent::CorruptedDatagram { fault } => self.inject_corrupted(fault),
             }
         }
         Ok(())
     }
 
-    fn record(&mut self, what: &EventKind) {
-        self.presence.observe(self.now.as_micros() as u64, what);
+    fn record(&mut self, kind: &EventKind) {
+        self.checker.observe(self.now.as_micros() as u64, kind);
     }
 
-    fn became(&mut self, balancer: u32, became: ProcessState) {
-        self.record(&EventKind::BalancerState {
-            balancer,
-            state: became,
-        });
+    pub(super) fn record_state(&mut self, balancer: u32, state: ProcessState) {
+        self.record(&EventKind::BalancerState { balancer, state });
     }
 
     fn start_known(&mut self) -> Result<(), ConfigError> {
-        let all = 0..self.nodes.len() as u32;
-        all.clone().try_for_each(|member| self.start(member))?;
-        let lives: Vec<_> = self
-            .nodes
+        let numbers = 0..self.members.len() as u32;
+        numbers.clone().try_for_each(|member| self.start(member))?;
+        let identities: Vec<_> = self
+            .members
             .iter()
-            .filter_map(|node| Some(node.machine.as_ref()?.me()))
+            .filter_map(|member| Some(member.machine.as_ref()?.me()))
             .collect();
-        for member in all {
-            if let Some(machine) = &mut self.nodes[member as usize].machine {
-                machine.remember(self.now, lives.iter().copied());
+        for member in numbers {
+            if let Some(machine) = &mut self.members[member as usize].machine {
+                machine.remember(self.now, identities.iter().copied());
             }
-            self.after(member);
+            self.process_outputs(member);
         }
         Ok(())
     }
 
-    fn start(&mut self, member: u32) -> Result<(), ConfigError> {
-        let node = &mut self.nodes[member as usize];
-        if node.machine.is_some() {
+    fn start(&mut self, number: u32) -> Result<(), ConfigError> {
+        let member = &mut self.members[number as usize];
+        if member.machine.is_some() {
             return Ok(());
         }
-        node.life += 1;
+        member.start_count += 1;
         let places = self.experiment.fleet.balancers as u16;
+        let seed = self.seed ^ (u64::from(number) << 20) ^ (u64::from(member.start_count) << 50);
         let config = Config {
             fleet: "simulated".into(),
-            name: node.name,
-            place: Place(member as u16),
+            name: member.name,
+            place: Place(number as u16),
             places,
             boot: EPOCH_MS + self.now.as_millis() as u64,
             members_most: 2 * usize::from(places),
             forget_after: self.experiment.membership.unwrap_or_default().retention(),
-            seed: self.seed ^ (u64::from(member) << 20) ^ (u64::from(node.life) << 50),
+            seed,
         };
-        node.machine = Some(Membership::new(config, self.now)?);
-        node.held = false;
-        node.waiting.clear();
-        node.wakes = Duration::MAX;
-        self.after(member);
-        self.became(member, ProcessState::Ready);
+        member.machine = Some(Membership::new(config, self.now)?);
+        member.is_paused = false;
+        member.pending.clear();
+        member.timer = Duration::MAX;
+        self.process_outputs(number);
+        self.record_state(number, ProcessState::Ready);
         Ok(())
     }
 
-    /// Carries out what a machine wants, and sees to it that it wakes in time.
-    fn after(&mut self, member: u32) {
+    /// Carries out what a machine asks for, and schedules its timer.
+    pub(super) fn process_outputs(&mut self, number: u32) {
         loop {
-            let node = &mut self.nodes[member as usize];
-            let Some(output) = node.machine.as_mut().and_then(Membership::output) else {
+            let member = &mut self.members[number as usize];
+            let Some(output) = member.machine.as_mut().and_then(Membership::output) else {
                 break;
             };
             match output {
-                Output::Send { to, datagram } => self.send(member, u32::from(to.0), datagram),
+                Output::Send { to, datagram } => self.send(number, u32::from(to.0), &datagram),
                 Output::Changed(change) => self.record(&EventKind::ViewChanged {
-                    observer: member,
+                    observer: number,
                     name: change.now.id.name,
                     incarnation: change.now.id.boot + u64::from(change.now.id.turn),
                     state: change.now.standing,
                     version: change.version,
                 }),
                 Output::Outbid(_) => {}
-                Output::Yielded(_) => self.record(&EventKind::NameYielded { balancer: member }),
+                Output::Yielded(_) => self.record(&EventKind::NameYielded { balancer: number }),
             }
         }
-        let node = &mut self.nodes[member as usize];
-        let life = node.life;
-        if let Some(due) = node.machine.as_ref().and_then(Membership::due)
-            && !node.held
-            && due < node.wakes
+        self.schedule_timer(number);
+    }
+
+    fn schedule_timer(&mut self, number: u32) {
+        let member = &mut self.members[number as usize];
+        let start_count = member.start_count;
+        if let Some(due) = member.machine.as_ref().and_then(Membership::due)
+            && !member.is_paused
+            && due < member.timer
         {
-            node.wakes = due.max(self.now);
-            let at = node.wakes;
-            self.push(at, Happening::Wakes { member, life });
+            member.timer = due.max(self.now);
+            let at = member.timer;
+            self.schedule(
+                at,
+                SimulationEvent::TimerExpires {
+                    member: number,
+                    start_count,
+                },
+            );
         }
     }
 
-    fn send(&mut self, from: u32, to: u32, datagram: Vec<u8>) {
-        if self.now >= self.counted {
-            self.sent.0 += 1;
-            self.sent.1 += datagram.len() as u64;
+    fn send(&mut self, from: u32, to: u32, datagram: &[u8]) {
+        if self.now >= self.count_traffic_from {
+            self.sent_datagrams += 1;
+            self.sent_bytes += datagram.len() as u64;
         }
-        if self.keeps {
-            self.kept.add(&datagram);
+        if self.keeps_samples {
+            self.samples.add(datagram);
         }
-        let way = self.ways.condition(from, to);
-        for after in delivery_delays(&way, &mut self.chance).collect::<Vec<_>>() {
-            self.push(
-                self.now + DELAY + after,
-                Happening::Arrives {
-                    to,
-                    from,
-                    datagram: datagram.clone(),
-                },
-            );
+        let condition = self.links.condition(from, to);
+        for delay in delivery_delays(&condition, &mut self.rng).collect::<Vec<_>>() {
+            let datagram = datagram.to_vec();
+            let at = self.now + MIN_DELAY + delay;
+            self.schedule(at, SimulationEvent::DatagramArrives { to, from, datagram });
         }
     }
 
-    fn arrives(&mut self, to: u32, from: u32, datagram: Vec<u8>) {
-        let Some(node) = self.nodes.get_mut(to as usize) else {
+    pub(super) fn on_datagram(&mut self, to: u32, from: u32, datagram: Vec<u8>) {
+        let Some(member) = self.members.get_mut(to as usize) else {
             return;
         };
-        if node.held {
-            node.waiting.push((from, datagram));
+        if member.is_paused {
+            member.pending.push(PendingDatagram { from, datagram });
             return;
         }
-        if let Some(machine) = &mut node.machine {
-            // What is dropped is counted there.
+        if let Some(machine) = &mut member.machine {
+            // The machine counts what it drops.
             let _ = machine.datagram(self.now, Place(from as u16), &datagram);
-            self.after(to);
+            self.process_outputs(to);
         }
     }
 
-    fn wakes(&mut self, member: u32, life: u32) {
-        let node = &mut self.nodes[member as usize];
-        if node.life != life || node.held || node.wakes != self.now {
+    fn on_timer(&mut self, number: u32, start_count: u32) {
+        let member = &mut self.members[number as usize];
+        if member.start_count != start_count || member.is_paused || member.timer != self.now {
             return;
         }
-        node.wakes = Duration::MAX;
-        if let Some(machine) = &mut node.machine {
+        member.timer = Duration::MAX;
+        if let Some(machine) = &mut member.machine {
             if machine.due().is_some_and(|due| due <= self.now) {
                 machine.timeout(self.now);
             }
-            self.after(member);
-        }
-    }
-
-    fn go_on(&mut self, member: u32) {
-        let node = &mut self.nodes[member as usize];
-        if !std::mem::replace(&mut node.held, false) {
-            return;
-        }
-        self.became(member, ProcessState::Resumed);
-        for (from, datagram) in std::mem::take(&mut self.nodes[member as usize].waiting) {
-            self.arrives(member, from, datagram);
-        }
-        let node = &mut self.nodes[member as usize];
-        node.wakes = self.now;
-        let life = node.life;
-        self.wakes(member, life);
-    }
-
-    fn some(&mut self, target: &Target) -> Vec<u32> {
-        let count = self.experiment.fleet.balancers;
-        match target {
-            Target::Balancer(n) => vec![*n],
-            Target::BalancerRange { first, last } => (*first..=*last).collect(),
-            Target::BalancerShare(share) => {
-                let mut all: Vec<u32> = (0..count).collect();
-                all.shuffle(&mut self.chance);
-                all.truncate((share * f64::from(count)).round() as usize);
-                all
-            }
-            _ => Vec::new(),
+            self.process_outputs(number);
         }
     }
 
-    fn begin(&mut self, fault: usize) {
-        let experiment = self.experiment;
-        let what = &experiment.faults[fault];
-        let some = self.some(&what.target);
-        let others = match &what.peer {
-            Some(Target::OtherBalancers) => (0..experiment.fleet.balancers)
-                .filter(|n| !some.contains(n))
-                .collect(),
-            Some(with) => self.some(with),
-            None => Vec::new(),
-        };
-        self.met[fault] = (some.clone(), others);
-        match &what.kind {
-            FaultKind::Kill {
-                restart_after: back,
-                new_name: name,
-            } => {
-                for member in some {
-                    self.became(member, ProcessState::Killed);
-                    let node = &mut self.nodes[member as usize];
-                    node.machine = None;
-                    if let Some(name) = name.as_deref().and_then(|name| Name::new(name).ok()) {
-                        node.name = name;
-                    }
-                    if let Some(back) = back {
-                        self.push(self.now + *back, Happening::Starts { member });
-                    }
-                }
-            }
-            FaultKind::Terminate => {
-                for member in some {
-                    self.became(member, ProcessState::ShutdownRequested);
-                    if let Some(machine) = &mut self.nodes[member as usize].machine {
-                        machine.leave(self.now);
-                        self.after(member);
-                    }
-                    self.nodes[member as usize].machine = None;
-                    self.push(
-                        self.now + Duration::from_secs(1),
-                        Happening::Starts { member },
-                    );
-                }
-            }
-            FaultKind::Pause { duration: lasts } => {
-                for member in some {
-                    let node = &mut self.nodes[member as usize];
-                    if node.machine.is_some() && !std::mem::replace(&mut node.held, true) {
-                        self.became(member, ProcessState::Paused);
-                        self.push(self.now + *lasts, Happening::GoesOn { member });
-                    }
-                }
-            }
-            FaultKind::ImpairLinks {
-                conditions: ways,
-                duration: lasts,
-            } => {
-                let (some, others) = &self.met[fault];
-                self.ways.set_conditions(some, others, *ways);
-                self.push(self.now + *lasts, Happening::Opens { fault });
-            }
-            FaultKind::ReplayDatagrams => {
-                for datagram in self.kept.all().to_vec() {
-                    for to in 0..experiment.fleet.balancers {
-                        for from in some.iter().copied().filter(|from| *from != to) {
-                            self.arrives(to, from, datagram.clone());
-                        }
-                    }
-                }
-            }
-            FaultKind::InjectDatagrams { .. } => self.bad(fault),
-            _ => {}
-        }
-        if let Some(every) = what.repeat_interval {
-            let again = self.now + every;
-            if what.repeat_until.is_none_or(|until| again < until) {
-                self.push(again, Happening::Begins { fault });
-            }
-        }
-    }
-
-    /// One bad datagram of a storm, and the next.
-    fn bad(&mut self, fault: usize) {
-        let what = &self.experiment.faults[fault];
-        let FaultKind::InjectDatagrams {
-            rate_per_s: rate,
-            duration: lasts,
-        } = what.kind
-        else {
-            return;
-        };
-        let (some, count) = (&self.met[fault].0, self.experiment.fleet.balancers);
-        if some.is_empty() || self.now >= what.start + lasts {
+    fn resume(&mut self, number: u32) {
+        let member = &mut self.members[number as usize];
+        if !std::mem::replace(&mut member.is_paused, false) {
             return;
         }
-        let from = some[self.chance.random_range(0..some.len())];
-        let to = self.chance.random_range(0..count);
-        let datagram = self.kept.corrupted(&mut self.chance);
-        if from != to {
-            self.arrives(to, from, datagram);
+        self.record_state(number, ProcessState::Resumed);
+        let pending = std::mem::take(&mut self.members[number as usize].pending);
+        for PendingDatagram { from, datagram } in pending {
+            self.on_datagram(number, from, datagram);
         }
-        self.push(
-            self.now + Duration::from_secs_f64(1.0 / rate),
-            Happening::Bad { fault },
-        );
+        let member = &mut self.members[number as usize];
+        member.timer = self.now;
+        let start_count = member.start_count;
+        self.on_timer(number, start_count);
     }
 }
--- /dev/null
+++ b/lab/src/runs/test_bed.rs
@@ -0,0 +1,321 @@
+//! The test bed of a run: the stand-ins, the links and the balancers, from the first process to the
+//! last.
+
+use super::experiment_run::RunOptions;
+use crate::balancers::{BalancerProcesses, RunContext};
+use crate::error::LabError;
+use crate::experiment::Experiment;
+use crate::faults::FaultInjector;
+use crate::history::History;
+use crate::links::{DISCOVERY_HOST_NUMBER, Links, PeerLinks, Traffic, pair_address};
+use crate::processes::guard::Guard;
+use crate::processes::write_file;
+use crate::standins::balancer_pool::BalancerPool;
+use crate::standins::clients::Clients;
+use crate::standins::discovery::DiscoveryService;
+use crate::standins::registration::Registrations;
+use crate::standins::registry_process::RegistryProcess;
+use crate::standins::upstreams::Upstreams;
+use rustix::process::{Resource, getrlimit};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::task::JoinSet;
+
+/// Balancers that are started at a time.
+const MAX_STARTING: usize = 16;
+/// Events of one run: some 100 bytes each are held in memory.
+const MAX_EVENTS: usize = 20_000_000;
+/// Descriptors that the lab takes besides those it counts.
+const OTHER_DESCRIPTORS: u64 = 200;
+/// Descriptors of each balancer: its pipes, log and configuration.
+const DESCRIPTORS_PER_BALANCER: u64 = 4;
+/// Client connections for each request a second.
+const CONNECTIONS_PER_RATE: f64 = 2.0;
+
+/// Everything that surrounds the balancers.
+struct StandIns {
+    experiment: Arc<Experiment>,
+    history: Arc<History>,
+    guard: Option<Arc<Guard>>,
+    upstreams: Arc<Upstreams>,
+    discovery: Arc<DiscoveryService>,
+    /// By balancer, where it reaches the discovery service.
+    discovery_addresses: Vec<SocketAddr>,
+    links: Arc<Links>,
+    peer_links: Option<Arc<PeerLinks>>,
+    tasks: JoinSet<()>,
+}
+
+impl StandIns {
+    /// Starts all but the clients; all upstreams are listed when it returns.
+    async fn start(experiment: Experiment, options: &RunOptions) -> Result<Self, LabError> {
+        let experiment = Arc::new(experiment);
+        let history = Arc::new(History::new(MAX_EVENTS));
+        let links = Links::new(options.seed, !experiment.impairs_links());
+        let guard = start_guard(options)?;
+        let registrations = start_registry(&experiment, options, &guard, &history).await?;
+        let discovery =
+            DiscoveryService::new(Arc::clone(&history), Arc::clone(&links), registrations);
+        let upstreams = Upstreams::new(
+            Arc::clone(&experiment),
+            options.seed,
+            Arc::clone(&history),
+            Arc::clone(&discovery),
+            Arc::clone(&links),
+        );
+        let mut tasks = JoinSet::new();
+        let discovery_addresses = serve_discovery(&experiment, &discovery, &mut tasks).await?;
+        for _ in 0..experiment.fleet.upstreams {
+            upstreams.add(false).await.map_err(LabError::Address)?;
+        }
+        let peer_links = bind_peer_links(&experiment, options.seed, &mut tasks).await?;
+        if let Some(registrations) = discovery.registrations() {
+            let upstreams = experiment.fleet.upstreams as usize;
+            registrations.registry().wait_until_ready(upstreams).await?;
+        }
+        Ok(Self {
+            experiment,
+            history,
+            guard,
+            upstreams,
+            discovery,
+            discovery_addresses,
+            links,
+            peer_links,
+            tasks,
+        })
+    }
+}
+
+/// Everything that takes part in a run.
+pub(super) struct TestBed {
+    pub experiment: Arc<Experiment>,
+    seed: u64,
+    pub history: Arc<History>,
+    pub pool: Arc<BalancerPool>,
+    pub clients: Arc<Clients>,
+    pub upstreams: Arc<Upstreams>,
+    pub balancers: Arc<BalancerProcesses>,
+    discovery: Arc<DiscoveryService>,
+    links: Arc<Links>,
+    peer_links: Option<Arc<PeerLinks>>,
+    /// Everything that is aborted at the end.
+    tasks: JoinSet<()>,
+}
+
+impl TestBed {
+    /// Starts the stand-ins and the balancers; all serve when it returns.
+    pub async fn start(experiment: Experiment, options: &RunOptions) -> Result<Self, LabError> {
+        check_descriptor_limit(&experiment)?;
+        let created = tokio::fs::create_dir_all(&options.dir).await;
+        created.map_err(|source| LabError::File {
+            path: options.dir.clone(),
+            source,
+        })?;
+        let stand_ins = StandIns::start(experiment, options).await?;
+        let StandIns {
+            experiment,
+            history,
+            upstreams,
+            discovery,
+            links,
+            peer_links,
+            ..
+        } = stand_ins;
+        let pool = Arc::new(BalancerPool::new(experiment.fleet.balancers));
+        let context = RunContext {
+            experiment: Arc::clone(&experiment),
+            seed: options.seed,
+            history: Arc::clone(&history),
+            pool: Arc::clone(&pool),
+            peer_links: peer_links.clone(),
+            guard: stand_ins.guard,
+            dir: options.dir.clone(),
+        };
+        let list = Arc::clone(&discovery);
+        let balancers = BalancerProcesses::new(
+            context,
+            &options.balancer,
+            stand_ins.discovery_addresses,
+            move |balancer| list.snapshot_text(balancer),
+        );
+        start_all(&balancers, experiment.fleet.balancers).await?;
+        if peer_links.is_some() {
+            write_file(&options.dir.join("pages"), &balancers.pages()).await?;
+        }
+        let clients = Clients::new(
+            Arc::clone(&experiment),
+            Arc::clone(&history),
+            Arc::clone(&pool),
+            Arc::clone(&links),
+        );
+        Ok(Self {
+            experiment,
+            seed: options.seed,
+            history,
+            pool,
+            clients,
+            upstreams,
+            balancers,
+            discovery,
+            links,
+            peer_links,
+            tasks: stand_ins.tasks,
+        })
+    }
+
+    /// Starts the clock, the samples of load, and the faults.
+    pub fn begin(&mut self) {
+        self.history.start_clock();
+        self.tasks.spawn(Arc::clone(&self.upstreams).sample_load());
+        let injector = FaultInjector {
+            experiment: Arc::clone(&self.experiment),
+            seed: self.seed,
+            history: Arc::clone(&self.history),
+            balancers: Arc::clone(&self.balancers),
+            upstreams: Arc::clone(&self.upstreams),
+            discovery: Arc::clone(&self.discovery),
+            links: Arc::clone(&self.links),
+            peer_links: self.peer_links.clone(),
+        };
+        self.tasks.spawn(injector.run());
+    }
+
+    /// What balancers have sent to each other, where they have membership.
+    pub fn peer_traffic(&self) -> Option<Traffic> {
+        self.peer_links
+            .as_ref()
+            .map(|peer_links| peer_links.traffic())
+    }
+
+    /// Ends all processes.
+    pub async fn stop(&mut self) {
+        self.tasks.abort_all();
+        shut_down_all(&self.balancers, self.experiment.fleet.balancers).await;
+        if let Some(registrations) = self.discovery.registrations() {
+            registrations.registry().kill(None).await;
+        }
+    }
+}
+
+fn start_guard(options: &RunOptions) -> Result<Option<Arc<Guard>>, LabError> {
+    let Some(program) = &options.guard else {
+        return Ok(None);
+    };
+    let guard = Guard::start(program).map_err(|source| LabError::Start {
+        program: program.clone(),
+        source,
+    })?;
+    Ok(Some(Arc::new(guard)))
+}
+
+/// Starts the real registry, where the experiment has one.
+async fn start_registry(
+    experiment: &Experiment,
+    options: &RunOptions,
+    guard: &Option<Arc<Guard>>,
+    history: &Arc<History>,
+) -> Result<Option<Arc<Registrations>>, LabError> {
+    let Some(settings) = &experiment.registry else {
+        return Ok(None);
+    };
+    let program = options.guard.as_ref().ok_or(LabError::NoRegistryProgram)?;
+    let registry = RegistryProcess::new(program, &options.dir, guard.clone(), Arc::clone(history));
+    registry.start().await?;
+    Ok(Some(Registrations::new(registry, settings.lease())))
+}
+
+/// Serves the list to each balancer, at the returned addresses.
+async fn serve_discovery(
+    experiment: &Experiment,
+    discovery: &Arc<DiscoveryService>,
+    tasks: &mut JoinSet<()>,
+) -> Result<Vec<SocketAddr>, LabError> {
+    let mut addresses = Vec::new();
+    for balancer in 0..experiment.fleet.balancers {
+        let address = (pair_address(balancer, DISCOVERY_HOST_NUMBER), 0);
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(LabError::Address)?;
+        addresses.push(listener.local_addr().map_err(LabError::Address)?);
+        tasks.spawn(Arc::clone(discovery).serve(balancer, listener));
+    }
+    Ok(addresses)
+}
+
+/// Binds and relays the links between balancers, where they have membership.
+async fn bind_peer_links(
+    experiment: &Experiment,
+    seed: u64,
+    tasks: &mut JoinSet<()>,
+) -> Result<Option<Arc<PeerLinks>>, LabError> {
+    if experiment.membership.is_none() {
+        return Ok(None);
+    }
+    let balancers = experiment.fleet.balancers;
+    let peer_links = PeerLinks::bind(balancers, seed, experiment.resends_datagrams()).await;
+    let peer_links = peer_links.map_err(LabError::Address)?;
+    peer_links.spawn_relays(tasks);
+    Ok(Some(peer_links))
+}
+
+async fn start_all(balancers: &Arc<BalancerProcesses>, count: u32) -> Result<(), LabError> {
+    let mut starting = JoinSet::new();
+    for number in 0..count {
+        if starting.len() >= MAX_STARTING
+            && let Some(Ok(started)) = starting.join_next().await
+        {
+            started?;
+        }
+        let balancers = Arc::clone(balancers);
+        starting.spawn(async move { balancers.start(number).await });
+    }
+    while let Some(started) = starting.join_next().await {
+        if let Ok(started) = started {
+            started?;
+        }
+    }
+    Ok(())
+}
+
+async fn shut_down_all(balancers: &Arc<BalancerProcesses>, count: u32) {
+    let mut stopping = JoinSet::new();
+    for number in 0..count {
+        let balancers = Arc::clone(balancers);
+        stopping.spawn(async move { balancers.shut_down(number).await });
+    }
+    while stopping.join_next().await.is_some() {}
+}
+
+/// Checks that the run may open as many files as it needs.
+fn check_descriptor_limit(experiment: &Experiment) -> Result<(), LabError> {
+    let needed = needed_descriptors(experiment);
+    let limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
+    if needed > limit {
+        Err(LabError::Descriptors { needed, limit })
+    } else {
+        Ok(())
+    }
+}
+
+/// A listener and a connection for each pair of a balancer and an upstream, those of clients and of
+/// peers, and what each balancer takes.
+fn needed_descriptors(experiment: &Experiment) -> u64 {
+    let fleet = &experiment.fleet;
+    let pairs = u64::from(fleet.balancers) * u64::from(fleet.upstreams);
+    let descriptors_per_pair = if experiment.replaces_upstreams() {
+        3
+    } else {
+        2
+    };
+    let clients = (experiment.load.rate_per_s * CONNECTIONS_PER_RATE) as u64;
+    let peers = experiment
+        .membership
+        .map_or(0, |_| PeerLinks::socket_count(fleet.balancers));
+    peers
+        + pairs * descriptors_per_pair
+        + clients
+        + DESCRIPTORS_PER_BALANCER * u64::from(fleet.balancers)
+        + OTHER_DESCRIPTORS
+}
--- a/lab/tests/simulated.rs
+++ b/lab/tests/simulation.rs
@@ -1,22 +1,24 @@
 //! Experiments on membership in simulated time.
 
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
 use frostkeel_lab::checks::membership_figures::missed_expectations;
 use frostkeel_lab::experiment::Experiment;
-use frostkeel_lab::simulated::{Simulated, simulate};
+use frostkeel_lab::runs::simulation::{SimulationOutcome, simulate};
 
-fn played(name: &str, members: u32, seed: u64) -> (Simulated, Vec<String>) {
+fn run(name: &str, members: u32, seed: u64) -> (SimulationOutcome, Vec<String>) {
     let file = format!("{}/experiments/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(file).expect("the experiment");
-    let mut experiment = Experiment::parse(&text).expect("it can be meant");
+    let mut experiment = Experiment::parse(&text).expect("a valid experiment");
     experiment.fleet.balancers = members;
-    let played = simulate(&experiment, seed, false).expect("it can be simulated");
-    let missed = missed_expectations(&experiment, &played.figures);
-    (played, missed)
+    let outcome = simulate(&experiment, seed, false).expect("a simulation");
+    let missed = missed_expectations(&experiment, &outcome.figures);
+    (outcome, missed)
 }
 
 /// Simulated time: the bounds are those of the experiments, on any machine.
 #[test]
-fn experiments_hold_in_simulated_time() {
+fn experiments_meet_their_expectations_in_simulated_time() {
     for (name, members) in [
         ("membership-kill", 32),
         ("membership-stops", 32),
@@ -27,12 +29,12 @@
         ("membership-names", 8),
     ] {
         for seed in [1, 2] {
-            let (played, missed) = played(name, members, seed);
+            let (outcome, missed) = run(name, members, seed);
             assert_eq!(
                 missed,
                 Vec::<String>::new(),
                 "{name}, {members}, seed {seed}: {:?}",
-                played.figures
+                outcome.figures
             );
         }
     }
@@ -41,9 +43,12 @@
 #[test]
 fn a_seed_gives_one_history() {
     let (one, other) = (
-        played("membership-kill", 8, 4).0,
-        played("membership-kill", 8, 4).0,
+        run("membership-kill", 8, 4).0,
+        run("membership-kill", 8, 4).0,
     );
     assert_eq!(one.figures, other.figures);
-    assert_eq!((one.datagrams, one.bytes), (other.datagrams, other.bytes));
+    assert_eq!(
+        (one.datagrams_per_s, one.bytes_per_s),
+        (other.datagrams_per_s, other.bytes_per_s)
+    );
 }
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -1,5 +1,10 @@
-//! What a play writes: `events.jsonl`, `result.json` and the page, byte for byte as committed.
+//! What a run writes: `events.jsonl`, `result.json` and the page, byte for byte as committed.
 
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
+mod common;
+
+use common::assert_matches_fixture;
 use frostkeel_lab::balancers::CoreUsage;
 use frostkeel_lab::checks::membership_figures::MembershipFigures;
 use frostkeel_lab::checks::{Rule, Violation};
@@ -7,18 +12,49 @@
     AttemptFailure, EndpointState, Event, EventKind, ProcessState, UpstreamReply,
 };
 use frostkeel_lab::measurements::figures::{ClassCounts, Figures, RequestCounts, SecondFigures};
-use frostkeel_lab::simulated::Simulated;
-use frostkeel_lab::{LabItself, Members, Played, report};
+use frostkeel_lab::reports::{size_plot, write_report};
+use frostkeel_lab::runs::simulation::SimulationOutcome;
+use frostkeel_lab::runs::{LabOverhead, MembershipOutcome, RunOutcome};
 use frostkeel_membership::{MemberState, Name};
 use std::path::Path;
 
-fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
-}
+const PROCESS_STATES: [ProcessState; 12] = [
+    ProcessState::Ready,
+    ProcessState::Killed,
+    ProcessState::ShutdownRequested,
+    ProcessState::Paused,
+    ProcessState::Resumed,
+    ProcessState::Exited,
+    ProcessState::Crashed,
+    ProcessState::MemoryLimitExceeded,
+    ProcessState::SurvivedKill,
+    ProcessState::Overloaded,
+    ProcessState::Degraded,
+    ProcessState::Recovered,
+];
 
-/// Every kind of event, with every value of each of its enumerations.
-fn events() -> Vec<Event> {
-    let mut all = vec![
+const MEMBER_STATES: [MemberState; 4] = [
+    MemberState::Present,
+    MemberState::Suspect,
+    MemberState::Left,
+    MemberState::Gone,
+];
+
+const ENDPOINT_STATES: [EndpointState; 3] = [
+    EndpointState::Ready,
+    EndpointState::Terminating,
+    EndpointState::Removed,
+];
+
+const FAILURES: [AttemptFailure; 3] = [
+    AttemptFailure::NoConnection,
+    AttemptFailure::ConnectionClosed,
+    AttemptFailure::TimedOut,
+];
+
+/// One event of each kind that has no enumeration.
+fn plain_events() -> Vec<EventKind> {
+    vec![
         EventKind::RequestDue {
             request: 3,
             class: 1,
@@ -55,75 +91,39 @@
             description: "b1: asked to leave, started again".into(),
             duration_s: None,
         },
-    ];
-    all.extend(
-        [
-            AttemptFailure::NoConnection,
-            AttemptFailure::ConnectionClosed,
-            AttemptFailure::TimedOut,
-        ]
-        .map(|how| EventKind::AttemptFailed {
-            id: 25,
-            failure: how,
-        }),
-    );
+    ]
+}
+
+/// Every kind of event, with every value of each of its enumerations.
+fn events() -> Vec<Event> {
+    let mut all = plain_events();
+    all.extend(FAILURES.map(|failure| EventKind::AttemptFailed { id: 25, failure }));
     let replies = [UpstreamReply::Served, UpstreamReply::Rejected];
     all.extend(replies.map(|reply| EventKind::UpstreamReplied {
         id: 24,
         upstream: 4,
         reply,
     }));
-    let listed = [
-        EndpointState::Ready,
-        EndpointState::Terminating,
-        EndpointState::Removed,
-    ];
-    all.extend(listed.map(|listed| EventKind::EndpointNotified {
-        balancer: 1,
-        upstream: 4,
-        state: listed,
-    }));
-    let lifecycle = [
-        ProcessState::Ready,
-        ProcessState::Killed,
-        ProcessState::ShutdownRequested,
-        ProcessState::Paused,
-        ProcessState::Resumed,
-        ProcessState::Exited,
-        ProcessState::Crashed,
-        ProcessState::MemoryLimitExceeded,
-        ProcessState::SurvivedKill,
-        ProcessState::Overloaded,
-        ProcessState::Degraded,
-        ProcessState::Recovered,
-    ];
-    all.extend(lifecycle.map(|became| EventKind::BalancerState {
+    all.extend(ENDPOINT_STATES.map(|state| EventKind::EndpointNotified {
         balancer: 1,
-        state: became,
-    }));
-    all.extend(lifecycle.map(|became| EventKind::UpstreamState {
         upstream: 4,
-        state: became,
+        state,
     }));
-    all.extend(lifecycle.map(|became| EventKind::RegistryState { state: became }));
-    let states = [
-        MemberState::Present,
-        MemberState::Suspect,
-        MemberState::Left,
-        MemberState::Gone,
-    ];
-    all.extend(states.map(|standing| EventKind::ViewChanged {
+    all.extend(PROCESS_STATES.map(|state| EventKind::BalancerState { balancer: 1, state }));
+    all.extend(PROCESS_STATES.map(|state| EventKind::UpstreamState { upstream: 4, state }));
+    all.extend(PROCESS_STATES.map(|state| EventKind::RegistryState { state }));
+    all.extend(MEMBER_STATES.map(|state| EventKind::ViewChanged {
         observer: 0,
-        name: name("b1"),
+        name: Name::new("b1").expect("a name"),
         incarnation: 1_700_000_000_001,
-        state: standing,
+        state,
         version: 9,
     }));
     (0..)
         .zip(all)
-        .map(|(k, what)| Event {
+        .map(|(k, kind)| Event {
             at_us: 250_000 * k,
-            kind: what,
+            kind,
         })
         .collect()
 }
@@ -138,7 +138,7 @@
     }
 }
 
-fn breaches() -> Vec<Violation> {
+fn violations() -> Vec<Violation> {
     let rules = [
         Rule::ExactlyOneResponse,
         Rule::ServedByUpstream,
@@ -149,14 +149,15 @@
         Rule::MembershipAccurate,
         Rule::ProcessHealthy,
     ];
-    (0..)
-        .zip(rules)
-        .map(|(at, rule)| Violation {
+    let violation = |(at_us, rule)| {
+        let description = "b1: Crashed at 0.001 s".into();
+        Violation {
             rule,
-            at_us: at,
-            description: "b1: Crashed at 0.001 s".into(),
-        })
-        .collect()
+            at_us,
+            description,
+        }
+    };
+    (0..).zip(rules).map(violation).collect()
 }
 
 fn membership_figures() -> MembershipFigures {
@@ -178,99 +179,87 @@
     }
 }
 
-fn outcome() -> Played {
+fn figures() -> Figures {
     let second = |requested| SecondFigures {
         counts: counts(requested),
         p50_ms: 120.5,
         p99_ms: 850.25,
         utilization: 0.375,
     };
-    Played {
+    Figures {
+        served_share: 0.75,
+        worst_class_share: 0.5,
+        client_attempts: 1.25,
+        upstream_attempts: 1.5,
+        p50_ms: 100.5,
+        p90_ms: 400.25,
+        p99_ms: 900.125,
+        max_discovery_calls: 2,
+        classes: vec![ClassCounts {
+            class: "station-status".into(),
+            counts: counts(40),
+        }],
+        seconds: (10..20).map(second).collect(),
+    }
+}
+
+fn outcome() -> RunOutcome {
+    RunOutcome {
         experiment: "forms & <signs>".into(),
         seed: 7,
         balancer: "target/balancer".into(),
         seconds: 10.0,
-        cut_short: true,
-        void: Some("the lab was late: p99 21.0 ms of 20 allowed".into()),
-        broken: breaches(),
-        missed: vec!["served 0.500 of 0.950 expected".into()],
-        figures: Figures {
-            served_share: 0.75,
-            worst_class_share: 0.5,
-            client_attempts: 1.25,
-            upstream_attempts: 1.5,
-            p50_ms: 100.5,
-            p90_ms: 400.25,
-            p99_ms: 900.125,
-            max_discovery_calls: 2,
-            classes: vec![ClassCounts {
-                class: "station-status".into(),
-                counts: counts(40),
-            }],
-            seconds: (10..20).map(second).collect(),
-        },
-        memory_mb: 12.5,
+        is_interrupted: true,
+        void_reason: Some("the lab was late: p99 21.0 ms of 20 allowed".into()),
+        violations: violations(),
+        missed_expectations: vec!["served 0.500 of 0.950 expected".into()],
+        figures: figures(),
+        max_memory_mb: 12.5,
         balancer_cores: CoreUsage {
             mean: 0.125,
             max: 0.25,
         },
-        members: Some(Members {
+        membership: Some(MembershipOutcome {
             figures: membership_figures(),
-            datagrams: 10.5,
-            bytes: 900.25,
+            datagrams_per_s: 10.5,
+            bytes_per_s: 900.25,
         }),
-        lab: LabItself {
+        lab: LabOverhead {
             late_p50_ms: 0.5,
             late_p99_ms: 1.5,
             late_max_ms: 2.5,
             cores: 0.75,
-            dropped: 0,
+            dropped_event_count: 0,
         },
         events: events(),
     }
 }
 
-/// Holds a file against the committed one; what differs is left where it can be looked at.
-fn compare(name: &str, actual: &str, committed: &str) {
-    if actual != committed {
-        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::write(&path, actual).expect("written");
-        let differs = actual.lines().zip(committed.lines()).find(|(a, c)| a != c);
-        panic!("{name} has changed, see {}: {differs:?}", path.display());
-    }
-}
-
 #[test]
-fn files_of_a_play_keep_their_keys_and_forms() {
+fn files_of_a_run_match_the_committed_ones() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("forms");
     std::fs::create_dir_all(&folder).expect("a folder");
-    let page = report::write(&outcome(), &folder).expect("written");
+    let page = write_report(&outcome(), &folder).expect("written");
     let read = |name: &str| std::fs::read_to_string(folder.join(name)).expect("a file");
-    compare(
-        "forms-events.jsonl",
-        &read("events.jsonl"),
-        include_str!("data/events.jsonl"),
-    );
-    compare(
-        "forms-result.json",
-        &read("result.json"),
-        include_str!("data/result.json"),
-    );
+    let events = include_str!("data/events.jsonl");
+    assert_matches_fixture("forms-events.jsonl", &read("events.jsonl"), events);
+    let result = include_str!("data/result.json");
+    assert_matches_fixture("forms-result.json", &read("result.json"), result);
     let page = std::fs::read_to_string(page).expect("a page");
-    compare("forms-report.html", &page, include_str!("data/report.html"));
+    assert_matches_fixture("forms-report.html", &page, include_str!("data/report.html"));
 }
 
 #[test]
-fn the_plot_over_fleet_sizes_keeps_its_form() {
-    let of_size = |members: u32| Simulated {
+fn plot_over_fleet_sizes_matches_the_committed_one() {
+    let of_size = |members: u32| SimulationOutcome {
         members,
         seed: 1,
         seconds: 60.0,
-        datagrams: 2.5,
-        bytes: 400.0,
+        datagrams_per_s: 2.5,
+        bytes_per_s: 400.0,
         figures: membership_figures(),
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
-    let plot = report::over_sizes(&[of_size(10), of_size(100), of_size(1000)]);
-    compare("forms-sizes.svg", &plot, include_str!("data/sizes.svg"));
+    let plot = size_plot(&[of_size(10), of_size(100), of_size(1000)]);
+    assert_matches_fixture("forms-sizes.svg", &plot, include_str!("data/sizes.svg"));
 }
