--- a/frostkeel/examples/bad_balancer.rs
+++ b/frostkeel/examples/bad_balancer.rs
@@ -1,6 +1,10 @@
-//! A stand-in balancer for the tests of the lab: it does the least that a balancer must, and breaks the one rule that
-//! the environment's `BREAKS` names. With no such name it breaks none.
+//! A stand-in balancer for the tests of the lab: it does the least that a balancer must, and the one
+//! thing wrong that `MISBEHAVIOR` names in its environment. With no such name it does nothing wrong.
 
+#[path = "../tests/common/misbehavior.rs"]
+mod misbehavior;
+
+use misbehavior::Misbehavior;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -9,101 +13,85 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What it does wrong.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Breaks {
-    Nothing,
-    /// It ends every fifth client's connection with no answer.
-    OneAnswer,
-    /// It answers every fifth request by itself.
-    TrulyServed,
-    /// It sends everything to two upstreams.
-    NeverTwice,
-    /// It sends what is safe four times.
-    ThreeAttempts,
-    /// It is told of changes of the list and takes none.
-    Drained,
-    /// It sends everything to the newest upstream.
-    ColdSpared,
-    /// It ends by itself.
-    Crash,
-    /// It takes more memory than it may.
-    Memory,
-    /// It does not leave when asked.
-    Stays,
-}
-
-fn breaks() -> Breaks {
-    match std::env::var("BREAKS").unwrap_or_default().as_str() {
-        "one-answer" => Breaks::OneAnswer,
-        "truly-served" => Breaks::TrulyServed,
-        "never-twice" => Breaks::NeverTwice,
-        "three-attempts" => Breaks::ThreeAttempts,
-        "drained" => Breaks::Drained,
-        "cold-spared" => Breaks::ColdSpared,
-        "crash" => Breaks::Crash,
-        "memory" => Breaks::Memory,
-        "stays" => Breaks::Stays,
-        _ => Breaks::Nothing,
-    }
-}
+/// How often it polls the endpoint list.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// It misbehaves on every request of so many.
+const MISBEHAVIOR_PERIOD: u64 = 5;
+/// Requests that it serves before it crashes.
+const REQUESTS_BEFORE_CRASH: u64 = 20;
+/// Memory that is over the limit, in bytes.
+const EXCESS_MEMORY: usize = 100 << 20;
+const STATUS_OK: u16 = 200;
+const STATUS_BAD_GATEWAY: u16 = 502;
+const STATUS_UNAVAILABLE: u16 = 503;
 
-struct Bad {
-    breaks: Breaks,
+struct BadBalancer {
+    misbehavior: Misbehavior,
     /// Ready upstreams by number.
     ready: Mutex<BTreeMap<u32, SocketAddr>>,
-    turn: AtomicU64,
+    request_count: AtomicU64,
 }
 
 fn main() -> io::Result<()> {
     let path = std::env::var("NODE_CONFIG").map_err(io::Error::other)?;
     let config: Value = serde_json::from_str(&std::fs::read_to_string(path)?)?;
-    let breaks = breaks();
-    if breaks == Breaks::Stays {
-        stay()?;
+    let name = std::env::var("MISBEHAVIOR").unwrap_or_default();
+    let misbehavior = Misbehavior::ALL
+        .into_iter()
+        .find(|misbehavior| misbehavior.name() == name)
+        .unwrap_or(Misbehavior::Nothing);
+    if misbehavior == Misbehavior::IgnoresShutdown {
+        ignore_sigterm()?;
     }
-    let bad = Arc::new(Bad {
-        breaks,
+    let balancer = Arc::new(BadBalancer {
+        misbehavior,
         ready: Mutex::default(),
-        turn: AtomicU64::new(0),
+        request_count: AtomicU64::new(0),
     });
-    bad.take(&config["known"]);
+    balancer.apply_list(&config["known"]);
     let listener = TcpListener::bind("127.0.0.1:0")?;
     eprintln!("serving listen={} ", listener.local_addr()?);
     let discovery: SocketAddr = config["discovery"]
         .as_str()
-        .and_then(|a| a.parse().ok())
+        .and_then(|address| address.parse().ok())
         .ok_or(io::ErrorKind::InvalidInput)?;
-    let follower = Arc::clone(&bad);
-    std::thread::spawn(move || follower.follow(discovery));
-    let _held = (breaks == Breaks::Memory).then(|| vec![1u8; 100 << 20]);
+    let poller = Arc::clone(&balancer);
+    std::thread::spawn(move || poller.poll_list(discovery));
+    let _excess = (misbehavior == Misbehavior::ExceedsMemory).then(|| vec![1u8; EXCESS_MEMORY]);
     for stream in listener.incoming() {
-        let bad = Arc::clone(&bad);
-        std::thread::spawn(move || bad.serve(stream?));
+        let balancer = Arc::clone(&balancer);
+        std::thread::spawn(move || balancer.serve(stream?));
     }
     Ok(())
 }
 
-/// Takes SIGTERM and does nothing about it.
-fn stay() -> io::Result<()> {
+/// Handles SIGTERM and does nothing about it.
+fn ignore_sigterm() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let (ready, taken) = std::sync::mpsc::channel();
+    let (sender, is_handled) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         runtime.block_on(async {
-            let term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate());
-            let _ = ready.send(());
-            if let Ok(mut term) = term {
-                while term.recv().await.is_some() {}
+            let kind = tokio::signal::unix::SignalKind::terminate();
+            let signal = tokio::signal::unix::signal(kind);
+            let _ = sender.send(());
+            if let Ok(mut signal) = signal {
+                while signal.recv().await.is_some() {}
             }
         });
     });
-    taken.recv().map_err(io::Error::other)
+    is_handled.recv().map_err(io::Error::other)
+}
+
+/// A response to a request without a body.
+struct Response {
+    status: u16,
+    body: String,
 }
 
-/// Writes a request without a body and reads the status and the body of its answer.
-fn exchange(address: SocketAddr, head: &str) -> io::Result<(u16, String)> {
+/// Sends a request without a body and reads its response.
+fn exchange(address: SocketAddr, head: &str) -> io::Result<Response> {
     let mut stream = TcpStream::connect(address)?;
     write!(stream, "{head}host: app.svc\r\nconnection: close\r\n\r\n")?;
     let mut text = String::new();
@@ -111,91 +99,95 @@
     let status = text
         .split(' ')
         .nth(1)
-        .and_then(|s| s.parse().ok())
-        .ok_or(io::ErrorKind::InvalidData)?;
-    Ok((
-        status,
-        text.split_once("\r\n\r\n")
-            .map(|(_, body)| body.to_owned())
-            .unwrap_or_default(),
-    ))
+        .and_then(|status| status.parse().ok());
+    let body = text.split_once("\r\n\r\n").map(|(_, body)| body.to_owned());
+    Ok(Response {
+        status: status.ok_or(io::ErrorKind::InvalidData)?,
+        body: body.unwrap_or_default(),
+    })
 }
 
-impl Bad {
-    fn take(&self, list: &Value) {
-        let ready = list["targets"]
-            .as_array()
-            .into_iter()
-            .flatten()
-            .filter(|t| t["state"] == "Ready");
-        let ready = ready.filter_map(|t| {
-            let number = t["uid"].as_str()?.strip_prefix('u')?.parse().ok()?;
-            Some((number, t["endpoint"].as_str()?.parse().ok()?))
+/// The head of a request without the client's own host and connection; `None` at the end.
+fn read_head(lines: &mut impl BufRead) -> io::Result<Option<String>> {
+    let mut head = String::new();
+    loop {
+        let mut line = String::new();
+        if lines.read_line(&mut line)? == 0 {
+            return Ok(None);
+        }
+        if line == "\r\n" {
+            return Ok(Some(head));
+        }
+        if !line.starts_with("host:") && !line.starts_with("connection:") {
+            head.push_str(&line);
+        }
+    }
+}
+
+impl BadBalancer {
+    fn apply_list(&self, list: &Value) {
+        let targets = list["targets"].as_array().into_iter().flatten();
+        let ready = targets.filter(|target| target["state"] == "Ready");
+        let upstreams = ready.filter_map(|target| {
+            let number = target["uid"].as_str()?.strip_prefix('u')?.parse().ok()?;
+            Some((number, target["endpoint"].as_str()?.parse().ok()?))
         });
-        *self.ready.lock().unwrap_or_else(PoisonError::into_inner) = ready.collect();
+        *self.ready.lock().unwrap_or_else(PoisonError::into_inner) = upstreams.collect();
     }
 
-    fn follow(&self, discovery: SocketAddr) {
+    fn poll_list(&self, discovery: SocketAddr) {
         loop {
-            std::thread::sleep(Duration::from_millis(200));
-            if let Ok((200, body)) = exchange(discovery, "GET /registry/instances HTTP/1.1\r\n")
-                && self.breaks != Breaks::Drained
-                && let Ok(list) = serde_json::from_str(&body)
+            std::thread::sleep(POLL_INTERVAL);
+            if let Ok(response) = exchange(discovery, "GET /registry/instances HTTP/1.1\r\n")
+                && response.status == STATUS_OK
+                && self.misbehavior != Misbehavior::IgnoresDrains
+                && let Ok(list) = serde_json::from_str(&response.body)
             {
-                self.take(&list);
+                self.apply_list(&list);
             }
         }
     }
 
-    fn choose(&self, turn: u64) -> Option<SocketAddr> {
+    fn choose_upstream(&self, number: u64) -> Option<SocketAddr> {
         let ready = self.ready.lock().unwrap_or_else(PoisonError::into_inner);
-        let k = match self.breaks {
-            Breaks::ColdSpared => ready.len().checked_sub(1)?,
-            _ => turn.checked_rem(ready.len() as u64)? as usize,
+        let index = match self.misbehavior {
+            Misbehavior::OverloadsSlowStart => ready.len().checked_sub(1)?,
+            _ => number.checked_rem(ready.len() as u64)? as usize,
         };
-        ready.values().nth(k).copied()
+        ready.values().nth(index).copied()
     }
 
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
-        let (mut lines, mut out) = (BufReader::new(stream.try_clone()?), stream);
-        loop {
-            let mut head = String::new();
-            loop {
-                let mut line = String::new();
-                if lines.read_line(&mut line)? == 0 {
-                    return Ok(());
-                }
-                if line == "\r\n" {
-                    break;
-                }
-                // The client's host and connection are its own.
-                if !line.starts_with("host:") && !line.starts_with("connection:") {
-                    head.push_str(&line);
-                }
-            }
-            let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-            let status = match (self.breaks, turn % 5) {
-                (Breaks::OneAnswer, 4) => return Ok(()),
-                (Breaks::Crash, _) if turn > 20 => std::process::exit(3),
-                (Breaks::TrulyServed, 4) => 200,
-                _ => self.pass_on(&head, turn),
+        let mut lines = BufReader::new(stream.try_clone()?);
+        let mut client = stream;
+        while let Some(head) = read_head(&mut lines)? {
+            let number = self.request_count.fetch_add(1, Ordering::Relaxed);
+            let is_due = number % MISBEHAVIOR_PERIOD == MISBEHAVIOR_PERIOD - 1;
+            let status = match self.misbehavior {
+                Misbehavior::ClosesWithoutResponse if is_due => return Ok(()),
+                Misbehavior::Crashes if number > REQUESTS_BEFORE_CRASH => std::process::exit(3),
+                Misbehavior::RespondsByItself if is_due => STATUS_OK,
+                _ => self.forward(&head, number),
             };
-            write!(out, "HTTP/1.1 {status} x\r\ncontent-length: 0\r\n\r\n")?;
+            write!(client, "HTTP/1.1 {status} x\r\ncontent-length: 0\r\n\r\n")?;
         }
+        Ok(())
     }
 
-    fn pass_on(&self, head: &str, turn: u64) -> u16 {
-        let times = match self.breaks {
-            Breaks::NeverTwice => 2,
-            Breaks::ThreeAttempts if head.starts_with("GET") => 4,
+    /// Forwards a request, possibly too often; the status of the last response.
+    fn forward(&self, head: &str, number: u64) -> u16 {
+        let attempts = match self.misbehavior {
+            Misbehavior::SendsTwice => 2,
+            Misbehavior::ExceedsAttemptLimit if head.starts_with("GET") => 4,
             _ => 1,
         };
-        let mut status = 503;
-        for again in 0..times {
-            let Some(address) = self.choose(turn + again) else {
-                return 503;
+        let mut status = STATUS_UNAVAILABLE;
+        for attempt in 0..attempts {
+            let Some(address) = self.choose_upstream(number + attempt) else {
+                return STATUS_UNAVAILABLE;
             };
-            status = exchange(address, head).map_or(502, |(status, _)| status);
+            let response = exchange(address, head);
+            status = response.map_or(STATUS_BAD_GATEWAY, |response| response.status);
         }
         status
     }
--- a/frostkeel/tests/bad_balancer.rs
+++ b/frostkeel/tests/bad_balancer.rs
@@ -1,100 +1,115 @@
-//! Each check of the lab is seen to fail on a real process that breaks its rule, and on one that breaks none it is not.
+//! Each check of the lab fails on a real process that breaks its rule, and on one that breaks none it
+//! does not.
 
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
+#[path = "common/misbehavior.rs"]
+mod misbehavior;
+
+use frostkeel_lab::checks::Rule;
+use misbehavior::Misbehavior;
+use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A drain and a cold successor after 1.5 s, and two balancers that are asked to leave at the end. Only a load that is
-/// meant to can push the successor over.
-const EXPERIMENT: &str = "name = \"bad\"\nseconds = 6.0\nseed = 2\n[fleet]\nbalancers = 2\nupstreams = 4\n\
-    memory_mb = 80\n[load]\nrate = RATE\nretries = 0\nswing = 0.0\n[discovery]\nnotice_s = 0.1\n\
-    [[fault]]\nat_s = 1.5\nkind = \"replace\"\ntarget = \"u0\"\nbatch = 1\nevery_s = 1.0\ndrain_s = 1.0\n";
+/// A drain and a successor in slow start after 1.5 s, and two balancers that are asked to shut down at
+/// the end. Only a load that is meant to can overload the successor.
+const EXPERIMENT: &str = "name = \"bad\"\nseconds = 6.0\nseed = 2\n[fleet]\nbalancers = 2\n\
+    upstreams = 4\nmemory_mb = 80\n[load]\nrate = RATE\nretries = 0\nswing = 0.0\n[discovery]\n\
+    notice_s = 0.1\n[[fault]]\nat_s = 1.5\nkind = \"replace\"\ntarget = \"u0\"\nbatch = 1\n\
+    every_s = 1.0\ndrain_s = 1.0\n";
+
+/// What a run has written.
+struct Written {
+    result: Value,
+    events: String,
+}
 
-fn played(breaks: &str) -> (serde_json::Value, String) {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("bad-{breaks}"));
+fn run(misbehavior: Misbehavior) -> Written {
+    let name = misbehavior.name();
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("bad-{name}"));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("bad.toml");
-    let rate = if breaks == "cold-spared" {
-        "40.0"
-    } else {
-        "12.0"
+    let rate = match misbehavior {
+        Misbehavior::OverloadsSlowStart => "40.0",
+        _ => "12.0",
     };
     std::fs::write(&file, EXPERIMENT.replace("RATE", rate)).expect("written");
     let frostkeel = Path::new(env!("CARGO_BIN_EXE_frostkeel"));
-    let bad: PathBuf = frostkeel.with_file_name("examples").join("bad_balancer");
-    let done = Command::new(frostkeel)
+    let balancer: PathBuf = frostkeel.with_file_name("examples").join("bad_balancer");
+    let output = Command::new(frostkeel)
         .args(["lab", "run"])
-        .args([
-            file.as_os_str(),
-            "--balancer".as_ref(),
-            bad.as_os_str(),
-            "--out".as_ref(),
-            folder.as_os_str(),
-        ])
-        .env("BREAKS", breaks)
+        .arg(&file)
+        .arg("--balancer")
+        .arg(&balancer)
+        .arg("--out")
+        .arg(&folder)
+        .env("MISBEHAVIOR", name)
         .output()
         .expect("it starts");
     let result = std::fs::read_to_string(folder.join("result.json"));
-    let result = result
-        .unwrap_or_else(|e| panic!("{breaks}: {e}: {}", String::from_utf8_lossy(&done.stderr)));
-    let events = std::fs::read_to_string(folder.join("events.jsonl")).expect("events");
-    (serde_json::from_str(&result).expect("a result"), events)
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    let result = result.unwrap_or_else(|e| panic!("{name}: {e}: {stderr}"));
+    Written {
+        result: serde_json::from_str(&result).expect("a result"),
+        events: std::fs::read_to_string(folder.join("events.jsonl")).expect("events"),
+    }
+}
+
+/// The rule that a misbehavior breaks. One that ignores shutdown is killed, which breaks none.
+fn broken_rule(misbehavior: Misbehavior) -> Option<Rule> {
+    match misbehavior {
+        Misbehavior::Nothing | Misbehavior::IgnoresShutdown => None,
+        Misbehavior::ClosesWithoutResponse => Some(Rule::ExactlyOneResponse),
+        Misbehavior::RespondsByItself => Some(Rule::ServedByUpstream),
+        Misbehavior::SendsTwice => Some(Rule::AtMostOnce),
+        Misbehavior::ExceedsAttemptLimit => Some(Rule::AttemptLimit),
+        Misbehavior::IgnoresDrains => Some(Rule::DrainRespected),
+        Misbehavior::OverloadsSlowStart => Some(Rule::SlowStartRespected),
+        Misbehavior::Crashes | Misbehavior::ExceedsMemory => Some(Rule::ProcessHealthy),
+    }
 }
 
-/// The rules that were broken, each once.
-fn rules(result: &serde_json::Value) -> Vec<String> {
-    let broken = result["broken"].as_array().expect("a list").iter();
-    let mut rules: Vec<String> = broken
-        .filter_map(|b| b["rule"].as_str().map(str::to_owned))
-        .collect();
-    rules.sort();
+/// The rules that were broken, each once, by their names in the result.
+fn broken_rules(result: &Value) -> Vec<Value> {
+    let violations = result["broken"].as_array().expect("a list");
+    let mut rules: Vec<Value> = violations.iter().map(|v| v["rule"].clone()).collect();
+    rules.sort_by_key(Value::to_string);
     rules.dedup();
     rules
 }
 
 #[test]
-fn each_check_is_seen_to_fail_on_a_process_that_breaks_its_rule() {
-    let cases = [
-        ("nothing", None),
-        ("one-answer", Some("one-answer")),
-        ("truly-served", Some("truly-served")),
-        ("never-twice", Some("never-twice")),
-        ("three-attempts", Some("three-attempts")),
-        ("drained", Some("drained")),
-        ("cold-spared", Some("cold-spared")),
-        ("crash", Some("sound")),
-        ("memory", Some("sound")),
-    ];
+fn each_check_fails_on_a_process_that_breaks_its_rule() {
     std::thread::scope(|scope| {
-        for (breaks, rule) in cases {
+        let shuts_down = |misbehavior: &Misbehavior| *misbehavior != Misbehavior::IgnoresShutdown;
+        for misbehavior in Misbehavior::ALL.into_iter().filter(shuts_down) {
             scope.spawn(move || {
-                let (result, _) = played(breaks);
-                assert_eq!(
-                    rules(&result),
-                    Vec::from_iter(rule),
-                    "{breaks}: {}",
-                    result["broken"][0]
-                );
+                let result = run(misbehavior).result;
+                let name = |rule: Rule| serde_json::to_value(rule).expect("a name");
+                let expected = Vec::from_iter(broken_rule(misbehavior).map(name));
+                let first = &result["broken"][0];
+                assert_eq!(broken_rules(&result), expected, "{misbehavior:?}: {first}");
             });
         }
     });
 }
 
-/// SIGKILL follows where SIGTERM is not heeded: the lab ends all the same, and leaves nobody.
+/// SIGKILL follows where SIGTERM is ignored: the lab ends all the same, and leaves no process.
 #[test]
-fn a_child_that_does_not_leave_is_killed() {
-    let (result, events) = played("stays");
-    assert_eq!(rules(&result), Vec::<String>::new());
-    let became = |what: &str| {
-        let what = format!("\"became\":\"{what}\"");
-        events
-            .lines()
-            .filter(|line| line.contains("\"balancer\":") && line.contains(&what))
-            .count()
+fn a_child_that_ignores_shutdown_is_killed() {
+    let Written { result, events } = run(Misbehavior::IgnoresShutdown);
+    assert_eq!(broken_rules(&result), Vec::<Value>::new());
+    let state_count = |state: &str| {
+        let state = format!("\"became\":\"{state}\"");
+        let of_balancers = events.lines().filter(|line| line.contains("\"balancer\":"));
+        of_balancers.filter(|line| line.contains(&state)).count()
     };
-    assert_eq!(
-        (became("asked"), became("killed"), became("ended")),
-        (2, 2, 2),
-        "both had to be killed"
+    let counts = (
+        state_count("asked"),
+        state_count("killed"),
+        state_count("ended"),
     );
+    assert_eq!(counts, (2, 2, 2), "both had to be killed");
 }
