--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstream_attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts at upstreams on real sockets.
 
 use bytes::Bytes;
-use frostkeel_balancer::exchange::Outgoing;
-use frostkeel_balancer::upstream::{Ended, Place, Upstreams};
+use frostkeel_balancer::exchange::ForwardedRequest;
+use frostkeel_balancer::upstream::{AttemptResult, EndpointState, Upstreams};
 use frostkeel_policy::{Availability, Outcome, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -19,8 +19,8 @@
 /// Longer than a connection rests after an answer.
 const RESTED: Duration = Duration::from_millis(40);
 
-fn outgoing() -> Outgoing {
-    Outgoing {
+fn outgoing() -> ForwardedRequest {
+    ForwardedRequest {
         method: Method::POST,
         target: Uri::from_static("/book"),
         headers: HeaderMap::new(),
@@ -28,7 +28,7 @@
     }
 }
 
-async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, Place) {
+async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, EndpointState) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let settings = Settings {
         connect_timeout: LONG,
@@ -37,12 +37,12 @@
     };
     let upstreams = Rc::new(Upstreams::new(&settings, most_open));
     let endpoint = Some(listener.local_addr().unwrap());
-    let place = Place {
+    let place = EndpointState {
         endpoint,
         availability: Availability::Ready,
         boot_ms: 0,
     };
-    upstreams.place(ID, &place);
+    upstreams.apply_endpoint(ID, &place);
     (upstreams, listener, place)
 }
 
@@ -60,9 +60,9 @@
 async fn attempt(
     upstreams: &Upstreams,
     id: UpstreamId,
-    outgoing: &Outgoing,
+    outgoing: &ForwardedRequest,
     give_up: Instant,
-) -> Ended {
+) -> AttemptResult {
     upstreams
         .attempt(id, outgoing, give_up, &Cell::new(false))
         .await
@@ -70,7 +70,7 @@
 
 /// Guards the drain rule where an attempt was decided on before the news and has no connection yet.
 #[tokio::test(flavor = "local")]
-async fn an_attempt_that_waits_for_a_connection_heeds_a_drain() {
+async fn attempt_waiting_for_a_connection_is_not_sent_after_a_drain() {
     let (upstreams, listener, mut place) = upstreams(1).await;
     let held = Rc::clone(&upstreams);
     let first =
@@ -83,7 +83,7 @@
         spawn_local(async move { attempt(&waits, ID, &outgoing(), Instant::now() + LONG).await });
     tokio::task::yield_now().await;
     place.availability = Availability::Draining;
-    upstreams.place(ID, &place);
+    upstreams.apply_endpoint(ID, &place);
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         .await
@@ -104,7 +104,7 @@
 /// Guards against taking out an upstream whose process lives: only a connection that ends without an
 /// answer is a reset. What can't be read may have run all the same.
 #[tokio::test(flavor = "local")]
-async fn an_unreadable_answer_is_an_error_and_a_missing_one_a_reset() {
+async fn unreadable_response_is_an_error_and_a_missing_one_a_reset() {
     let (upstreams, listener, _) = upstreams(8).await;
     let long = format!(
         "HTTP/1.1 200 OK\r\nX-Long: {}\r\n\r\n",
@@ -161,7 +161,7 @@
 
 /// Guards against the moment between an upstream's close and this process's look at it.
 #[tokio::test(flavor = "local")]
-async fn a_connection_that_has_just_been_closed_is_not_written_to() {
+async fn does_not_write_to_a_connection_closed_by_the_upstream() {
     let (upstreams, listener, _) = upstreams(8).await;
     for _ in 0..20 {
         let answer = answer_next(&listener);
@@ -186,10 +186,10 @@
 /// Guards against running out of descriptors: an idle connection makes room, and where there is none
 /// the wait ends as not sent, which says nothing of the upstream.
 #[tokio::test(flavor = "local")]
-async fn connections_stay_under_the_limit() {
+async fn open_connections_stay_within_the_limit() {
     let (upstreams, listener, place) = upstreams(1).await;
     let other = UpstreamId(8);
-    upstreams.place(other, &place);
+    upstreams.apply_endpoint(other, &place);
     for id in [ID, other] {
         let answer = answer_next(&listener);
         let request = outgoing();
--- a/lab/src/balancers/member_log.rs
+++ b/lab/src/balancers/member_log.rs
@@ -40,10 +40,10 @@
 fn parse_view_change(observer: u32, message: &str) -> Option<EventKind> {
     let number = |field| log_field(message, field).and_then(|n| n.parse::<u64>().ok());
     let state = match log_field(message, "standing")? {
-        "present" => MemberState::Present,
+        "present" => MemberState::Alive,
         "suspect" => MemberState::Suspect,
         "left" => MemberState::Left,
-        "gone" => MemberState::Gone,
+        "gone" => MemberState::Dead,
         _ => return None,
     };
     let name = Name::new(log_field(message, "name")?).ok()?;
--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -207,13 +207,13 @@
         self.add_digest(observer);
         match change.state {
             MemberState::Suspect => self.figures.suspicion_count += 1,
-            MemberState::Present => {
+            MemberState::Alive => {
                 // A later incarnation tells of the end of the one before as well.
                 if previous.is_some_and(|previous| previous < change.incarnation) {
                     self.record_detection(change);
                 }
             }
-            MemberState::Left | MemberState::Gone => self.on_departure_seen(change),
+            MemberState::Left | MemberState::Dead => self.on_departure_seen(change),
         }
     }
 
@@ -222,7 +222,7 @@
         let view = self.views.entry(change.observer).or_default();
         let previous = view.members.remove(&change.name);
         view.digest ^= previous.map_or(0, |incarnation| member_digest(change.name, incarnation));
-        if change.state.is_there() {
+        if change.state.is_live() {
             view.members.insert(change.name, change.incarnation);
             view.digest ^= member_digest(change.name, change.incarnation);
         }
@@ -254,7 +254,7 @@
         let is_graceful = self
             .record_detection(change)
             .is_some_and(|departure| departure.is_graceful);
-        let is_failure = change.state == MemberState::Gone;
+        let is_failure = change.state == MemberState::Dead;
         self.figures.leave_as_failure_count += usize::from(is_graceful && is_failure);
     }
 
@@ -311,10 +311,10 @@
 /// The name of a member's state in the text of a violation.
 fn state_label(state: MemberState) -> &'static str {
     match state {
-        MemberState::Present => "Present",
+        MemberState::Alive => "Present",
         MemberState::Suspect => "Suspect",
         MemberState::Left => "Left",
-        MemberState::Gone => "Gone",
+        MemberState::Dead => "Gone",
     }
 }
 
--- a/lab/src/checks/watch_checks.rs
+++ b/lab/src/checks/watch_checks.rs
@@ -1,8 +1,7 @@
 //! The rules of a registry's watches: one function a rule, and the watcher that they are applied
 //! to.
 
-use frostkeel_registry::client::Text;
-use frostkeel_registry::list::State;
+use frostkeel_registry::endpoint::{EndpointRecord, EndpointState, EndpointUpdate};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
@@ -20,31 +19,30 @@
 
 impl WatchedList {
     /// A whole list.
-    pub fn from_snapshot(snapshot: Text) -> Self {
-        let weight =
-            |target: frostkeel_registry::list::Record| (target.uid, target.capacity_hint as u64);
-        let revision = snapshot.rev;
+    pub fn from_snapshot(snapshot: EndpointUpdate) -> Self {
+        let weight = |target: EndpointRecord| (target.uid, target.weight as u64);
+        let revision = snapshot.revision;
         Self {
             revision,
-            weights: snapshot.targets.into_iter().map(weight).collect(),
+            weights: snapshot.records.into_iter().map(weight).collect(),
         }
     }
 
     /// Applies a line of a watch; the weights that it changed.
-    fn apply(&mut self, line: Text) -> Vec<u64> {
-        self.revision = line.rev;
-        if line.all {
+    fn apply(&mut self, line: EndpointUpdate) -> Vec<u64> {
+        self.revision = line.revision;
+        if line.is_snapshot {
             self.weights.clear();
         }
         let mut changed = Vec::new();
-        for target in line.targets {
-            if target.state == State::Gone {
+        for target in line.records {
+            if target.state == EndpointState::Removed {
                 self.weights.remove(&target.uid);
                 continue;
             }
-            let weight = target.capacity_hint as u64;
+            let weight = target.weight as u64;
             self.weights.insert(target.uid, weight);
-            if !line.all {
+            if !line.is_snapshot {
                 changed.push(weight);
             }
         }
@@ -92,7 +90,7 @@
 
     /// Checks and applies a line.
     pub fn apply_line(&mut self, line: &[u8]) -> Result<AppliedLine, UnreadableLine> {
-        let line: Text = serde_json::from_slice(line).map_err(|_| UnreadableLine {
+        let line: EndpointUpdate = serde_json::from_slice(line).map_err(|_| UnreadableLine {
             watcher: self.number,
         })?;
         let violation = revision_goes_up(self.number, &self.list, &line);
@@ -107,10 +105,10 @@
 ///
 /// Source: `docs/registry.md`, "One version for the whole list, up by one with each change, never
 /// down over a restart".
-pub fn revision_goes_up(watcher: u32, list: &WatchedList, line: &Text) -> Option<String> {
+pub fn revision_goes_up(watcher: u32, list: &WatchedList, line: &EndpointUpdate) -> Option<String> {
     let known = list.revision;
-    let is_back = line.rev < known || (line.rev == known && !line.all);
-    is_back.then(|| format!("watcher {watcher}: version {} after {known}", line.rev))
+    let is_back = line.revision < known || (line.revision == known && !line.is_snapshot);
+    is_back.then(|| format!("watcher {watcher}: version {} after {known}", line.revision))
 }
 
 /// Each watcher that follows the changes ends with the list.
--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -12,7 +12,7 @@
 use crate::standins::registration::Registrations;
 use crate::standins::registry_process::RegistryProcess;
 use bytes::BytesMut;
-use frostkeel_registry::client::{begin, call};
+use frostkeel_registry::client::{call, send_request};
 use http_body_util::BodyExt;
 use hyper::Method;
 use hyper::body::Incoming;
@@ -243,7 +243,7 @@
             let Some(address) = self.registry.read_address() else {
                 continue;
             };
-            if let Ok(response) = begin(address, Method::GET, &target, String::new()).await
+            if let Ok(response) = send_request(address, Method::GET, &target, String::new()).await
                 && response.status() == 200
             {
                 self.follow(response.into_body(), &mut watcher).await;
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -7,7 +7,7 @@
 use crate::experiment::{Experiment, LinkConditions};
 use crate::history::{EventKind, ProcessState};
 use crate::links::{DatagramSamples, LinkMatrix, delivery_delays};
-use frostkeel_membership::{Config, ConfigError, Membership, Name, Output, Place};
+use frostkeel_membership::{Config, ConfigError, Membership, Name, Output, PeerIndex};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -235,11 +235,11 @@
         let identities: Vec<_> = self
             .members
             .iter()
-            .filter_map(|member| Some(member.machine.as_ref()?.me()))
+            .filter_map(|member| Some(member.machine.as_ref()?.identity()))
             .collect();
         for member in numbers {
             if let Some(machine) = &mut self.members[member as usize].machine {
-                machine.remember(self.now, identities.iter().copied());
+                machine.restore(self.now, identities.iter().copied());
             }
             self.process_outputs(member);
         }
@@ -252,15 +252,15 @@
             return Ok(());
         }
         member.start_count += 1;
-        let places = self.experiment.fleet.balancers as u16;
+        let peer_count = self.experiment.fleet.balancers as u16;
         let seed = self.seed ^ (u64::from(number) << 20) ^ (u64::from(member.start_count) << 50);
         let config = Config {
             fleet: "simulated".into(),
             name: member.name,
-            place: Place(number as u16),
-            places,
-            boot: EPOCH_MS + self.now.as_millis() as u64,
-            members_most: 2 * usize::from(places),
+            peer: PeerIndex(number as u16),
+            peer_count,
+            incarnation: EPOCH_MS + self.now.as_millis() as u64,
+            max_members: 2 * usize::from(peer_count),
             forget_after: self.experiment.membership.unwrap_or_default().retention(),
             seed,
         };
@@ -277,19 +277,20 @@
     pub(super) fn process_outputs(&mut self, number: u32) {
         loop {
             let member = &mut self.members[number as usize];
-            let Some(output) = member.machine.as_mut().and_then(Membership::output) else {
+            let Some(output) = member.machine.as_mut().and_then(Membership::poll_output) else {
                 break;
             };
             match output {
                 Output::Send { to, datagram } => self.send(number, u32::from(to.0), &datagram),
-                Output::Changed(change) => self.record(&EventKind::ViewChanged {
+                Output::ViewChanged(change) => self.record(&EventKind::ViewChanged {
                     observer: number,
-                    name: change.now.id.name,
-                    incarnation: change.now.id.boot + u64::from(change.now.id.turn),
-                    state: change.now.standing,
+                    name: change.member.id.name,
+                    incarnation: change.member.id.incarnation
+                        + u64::from(change.member.id.rejoin_count),
+                    state: change.member.state,
                     version: change.version,
                 }),
-                Output::Outbid(_) => {}
+                Output::Superseded(_) => {}
                 Output::Yielded(_) => self.record(&EventKind::NameYielded { balancer: number }),
             }
         }
@@ -299,7 +300,7 @@
     fn schedule_timer(&mut self, number: u32) {
         let member = &mut self.members[number as usize];
         let start_count = member.start_count;
-        if let Some(due) = member.machine.as_ref().and_then(Membership::due)
+        if let Some(due) = member.machine.as_ref().and_then(Membership::next_timeout)
             && !member.is_paused
             && due < member.timer
         {
@@ -341,7 +342,7 @@
         }
         if let Some(machine) = &mut member.machine {
             // The machine counts what it drops.
-            let _ = machine.datagram(self.now, Place(from as u16), &datagram);
+            let _ = machine.handle_datagram(self.now, PeerIndex(from as u16), &datagram);
             self.process_outputs(to);
         }
     }
@@ -353,8 +354,8 @@
         }
         member.timer = Duration::MAX;
         if let Some(machine) = &mut member.machine {
-            if machine.due().is_some_and(|due| due <= self.now) {
-                machine.timeout(self.now);
+            if machine.next_timeout().is_some_and(|due| due <= self.now) {
+                machine.handle_timeout(self.now);
             }
             self.process_outputs(number);
         }
--- a/lab/src/standins/forwarding.rs
+++ b/lab/src/standins/forwarding.rs
@@ -6,7 +6,7 @@
 };
 use crate::history::{EndpointState, EventKind};
 use bytes::{Bytes, BytesMut};
-use frostkeel_registry::client::begin;
+use frostkeel_registry::client::send_request;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
 use hyper::{Method, Request, Response};
@@ -46,7 +46,7 @@
             .uri()
             .path_and_query()
             .map_or("/", |target| target.as_str());
-        let response = begin(self.registry, Method::GET, target, String::new()).await;
+        let response = send_request(self.registry, Method::GET, target, String::new()).await;
         let (parts, body) = response.map_err(|_| no_response())?.into_parts();
         let mut response = if target.contains("stream=1") {
             let (lines, receiver) = mpsc::channel(MAX_PENDING_LINES);
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-/// Compares a computed text with a committed one. Where they differ, the computed one is left in the
-/// temporary folder of the build.
+/// Compares a computed text with a committed one. Where they differ, the computed one is left in
+/// the temporary folder of the build.
 pub fn assert_matches_fixture(name: &str, actual: &str, committed: &str) {
     if actual != committed {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
--- a/lab/tests/member_log.rs
+++ b/lab/tests/member_log.rs
@@ -17,7 +17,7 @@
             observer: 1,
             name: Name::new("b3").expect("a name"),
             incarnation: 42,
-            state: MemberState::Gone,
+            state: MemberState::Dead,
             version: 7,
         };
         assert_eq!(
--- a/lab/tests/membership_checks.rs
+++ b/lab/tests/membership_checks.rs
@@ -32,7 +32,7 @@
     for observer in 0..3 {
         let members = [observer, (observer + 1) % 3, (observer + 2) % 3];
         for (version, member) in (1..).zip(members) {
-            let change = view_change(observer, member, MemberState::Present, version);
+            let change = view_change(observer, member, MemberState::Alive, version);
             checker.observe(1_000_000, &change);
         }
     }
@@ -46,8 +46,8 @@
 fn a_kill_is_detected_once_all_survivors_know() {
     let (figures, violations) = judge(vec![
         (10, process_state(2, ProcessState::Killed)),
-        (13, view_change(0, 2, MemberState::Gone, 4)),
-        (15, view_change(1, 2, MemberState::Gone, 4)),
+        (13, view_change(0, 2, MemberState::Dead, 4)),
+        (15, view_change(1, 2, MemberState::Dead, 4)),
     ]);
     assert_eq!((figures.kill_count, figures.detection_max_s), (1, 5.0));
     assert_eq!((figures.undetected_count, violations), (0, 0));
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_live_process_taken_for_failed_is_a_violation() {
-    let (figures, violations) = judge(vec![(10, view_change(0, 2, MemberState::Gone, 4))]);
+    let (figures, violations) = judge(vec![(10, view_change(0, 2, MemberState::Dead, 4))]);
     assert_eq!((figures.false_failure_count, violations), (1, 1));
     assert_eq!(
         (figures.divergent_view_count, figures.converged_since_s),
@@ -71,7 +71,7 @@
 fn a_paused_process_taken_for_failed_is_counted_apart() {
     let (figures, _) = judge(vec![
         (9, process_state(2, ProcessState::Paused)),
-        (10, view_change(0, 2, MemberState::Gone, 4)),
+        (10, view_change(0, 2, MemberState::Dead, 4)),
     ]);
     assert_eq!(
         (figures.false_failure_count, figures.paused_failure_count),
@@ -89,7 +89,7 @@
 fn a_kill_that_a_survivor_never_knows_is_undetected() {
     let (figures, _) = judge(vec![
         (10, process_state(2, ProcessState::Killed)),
-        (13, view_change(0, 2, MemberState::Gone, 4)),
+        (13, view_change(0, 2, MemberState::Dead, 4)),
     ]);
     assert_eq!((figures.kill_count, figures.undetected_count), (1, 1));
 }
@@ -98,7 +98,7 @@
 fn a_graceful_leave_taken_for_a_failure_is_counted() {
     let (figures, _) = judge(vec![
         (10, process_state(2, ProcessState::ShutdownRequested)),
-        (13, view_change(0, 2, MemberState::Gone, 4)),
+        (13, view_change(0, 2, MemberState::Dead, 4)),
     ]);
     assert_eq!(
         (figures.leave_count, figures.leave_as_failure_count),
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -34,10 +34,10 @@
 ];
 
 const MEMBER_STATES: [MemberState; 4] = [
-    MemberState::Present,
+    MemberState::Alive,
     MemberState::Suspect,
     MemberState::Left,
-    MemberState::Gone,
+    MemberState::Dead,
 ];
 
 const ENDPOINT_STATES: [EndpointState; 3] = [
--- a/registry/src/config.rs
+++ b/registry/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a list service, in TOML.
 
-use crate::list::Rules;
+use crate::endpoint_registry::RegistryPolicy;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -46,17 +46,17 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        let Rules {
-            entries_most,
-            changes_kept,
+        let RegistryPolicy {
+            max_endpoints,
+            max_retained_changes,
             ..
-        } = Rules::default();
+        } = RegistryPolicy::default();
         Self {
             calls: 64,
             watches: 4096,
             writes: 1024,
-            entries: entries_most,
-            changes: changes_kept,
+            entries: max_endpoints,
+            changes: max_retained_changes,
         }
     }
 }
@@ -73,12 +73,14 @@
 
 impl Default for Leases {
     fn default() -> Self {
-        let Rules {
-            lapse_share, grace, ..
-        } = Rules::default();
+        let RegistryPolicy {
+            max_expired_share,
+            grace_period,
+            ..
+        } = RegistryPolicy::default();
         Self {
-            lapse_share,
-            grace_s: grace.as_secs_f64(),
+            lapse_share: max_expired_share,
+            grace_s: grace_period.as_secs_f64(),
         }
     }
 }
@@ -117,13 +119,13 @@
         Ok(config)
     }
 
-    pub(crate) fn rules(&self) -> Rules {
-        Rules {
-            entries_most: self.limits.entries,
-            changes_kept: self.limits.changes,
-            lapse_share: self.leases.lapse_share,
-            grace: Duration::from_secs_f64(self.leases.grace_s),
-            ..Rules::default()
+    pub(crate) fn rules(&self) -> RegistryPolicy {
+        RegistryPolicy {
+            max_endpoints: self.limits.entries,
+            max_retained_changes: self.limits.changes,
+            max_expired_share: self.leases.lapse_share,
+            grace_period: Duration::from_secs_f64(self.leases.grace_s),
+            ..RegistryPolicy::default()
         }
     }
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,29 +4,45 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 110;
 
-const FILES: [(&str, &str); 7] = [
+const FILES: [(&str, &str); 11] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
         include_str!("../src/policy/admission.rs"),
     ),
-    (
-        "src/policy/turns.rs",
-        include_str!("../src/policy/turns.rs"),
-    ),
     (
         "src/policy/attempts.rs",
         include_str!("../src/policy/attempts.rs"),
     ),
+    (
+        "src/policy/class_statistics.rs",
+        include_str!("../src/policy/class_statistics.rs"),
+    ),
     (
         "src/policy/doubt.rs",
         include_str!("../src/policy/doubt.rs"),
     ),
     (
-        "src/policy/lease.rs",
-        include_str!("../src/policy/lease.rs"),
+        "src/policy/endpoint_lease.rs",
+        include_str!("../src/policy/endpoint_lease.rs"),
+    ),
+    (
+        "src/policy/endpoint_polling.rs",
+        include_str!("../src/policy/endpoint_polling.rs"),
+    ),
+    (
+        "src/policy/idle_connections.rs",
+        include_str!("../src/policy/idle_connections.rs"),
     ),
     ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
+    (
+        "src/policy/turns.rs",
+        include_str!("../src/policy/turns.rs"),
+    ),
+    (
+        "src/policy/upstreams.rs",
+        include_str!("../src/policy/upstreams.rs"),
+    ),
 ];
 
 /// What of a file's text goes over the limits.
