--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -11,12 +11,13 @@
 use crate::processes::guard::Guard;
 use crate::processes::{log_field, process_id, spawn_logged, write_file};
 use crate::standins::balancer_pool::BalancerPool;
+use crate::sync::lock;
 use rustix::process::{Pid, Signal};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::process::{Child, Command};
 use tokio::sync::oneshot;
@@ -85,10 +86,6 @@
     pages: Mutex<BTreeMap<u32, String>>,
 }
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 impl BalancerProcesses {
     /// None is started yet.
     pub fn new(
--- a/lab/src/balancers/slot.rs
+++ b/lab/src/balancers/slot.rs
@@ -1,7 +1,8 @@
 //! The place of one balancer in a run, over all its starts.
 
+use crate::sync::lock;
 use rustix::process::{Pid, Signal, kill_process};
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::Mutex;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::timeout;
@@ -30,10 +31,6 @@
     name: Mutex<String>,
 }
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 impl Slot {
     pub fn new(name: String) -> Self {
         Self {
--- a/lab/src/history/recorder.rs
+++ b/lab/src/history/recorder.rs
@@ -1,7 +1,8 @@
 //! The recorder of events, and the clock of a run.
 
 use crate::history::{Event, EventKind};
-use std::sync::{Mutex, OnceLock, PoisonError};
+use crate::sync::lock;
+use std::sync::{Mutex, OnceLock};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -55,10 +56,7 @@
     /// Records what has just happened.
     pub fn record(&self, kind: EventKind) {
         // The lock covers the reading of the clock, so that events are in the order of their times.
-        let mut recording = self
-            .recording
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
+        let mut recording = lock(&self.recording);
         let at_us = self.now().as_micros() as u64;
         if recording.events.len() < self.max_events {
             recording.events.push(Event { at_us, kind });
@@ -69,11 +67,6 @@
 
     /// Takes the events so far out of the history.
     pub fn take(&self) -> Recording {
-        std::mem::take(
-            &mut *self
-                .recording
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner),
-        )
+        std::mem::take(&mut *lock(&self.recording))
     }
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -33,6 +33,7 @@
 pub mod reports;
 pub mod runs;
 pub mod standins;
+mod sync;
 
 pub use error::LabError;
 pub use processes::guard;
--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -4,11 +4,12 @@
 //! is cut. Nothing is lost or reordered, as TCP would see to that; only its timing suffers.
 
 use crate::experiment::{LinkCondition, LinkConditions};
+use crate::sync::lock;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, DuplexStream, duplex, split};
 use tokio::net::TcpStream;
@@ -230,7 +231,7 @@
             LinkPeer::Clients => u64::from(u16::MAX),
         };
         let seed = self.seed ^ (u64::from(balancer) << 32) ^ (number << 48);
-        let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut links = lock(&self.links);
         let link = links
             .entry((balancer, peer))
             .or_insert_with(|| Arc::new(Link::new(seed, self.is_transparent)));
--- a/lab/src/links/peer_links.rs
+++ b/lab/src/links/peer_links.rs
@@ -4,12 +4,13 @@
 
 use super::{DatagramSamples, LinkMatrix, delivery_delays, pair_address};
 use crate::experiment::LinkConditions;
+use crate::sync::lock;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::sync::Semaphore;
@@ -109,16 +110,13 @@
     /// Sets a balancer's own address.
     pub fn set_address(&self, balancer: u32, address: SocketAddr) {
         if let Some(current) = self.addresses.get(balancer as usize) {
-            *current.lock().unwrap_or_else(PoisonError::into_inner) = Some(address);
+            *lock(current) = Some(address);
         }
     }
 
     /// Sets the conditions between some balancers and their peers.
     pub fn set_conditions(&self, targets: &[u32], peers: &[u32], conditions: LinkConditions) {
-        let mut matrix = self
-            .conditions
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
+        let mut matrix = lock(&self.conditions);
         matrix.set_conditions(targets, peers, conditions);
     }
 
@@ -163,16 +161,9 @@
         self.sent_bytes
             .fetch_add(datagram.len() as u64, Ordering::Relaxed);
         if self.keeps_samples {
-            self.samples
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner)
-                .add(datagram);
+            lock(&self.samples).add(datagram);
         }
-        let condition = self
-            .conditions
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .condition(from, to);
+        let condition = lock(&self.conditions).condition(from, to);
         for delay in delivery_delays(&condition, rng) {
             if delay.is_zero() {
                 self.deliver(from, to, datagram);
@@ -189,7 +180,7 @@
 
     fn address(&self, balancer: u32) -> Option<SocketAddr> {
         let address = self.addresses.get(balancer as usize)?;
-        *address.lock().unwrap_or_else(PoisonError::into_inner)
+        *lock(address)
     }
 
     /// Delivers a datagram from the address at which its receiver knows the sender.
@@ -206,7 +197,7 @@
 
     /// Sends the first datagrams that passed once more, in the name of some to all.
     pub fn replay(&self, senders: &[u32]) {
-        let samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
+        let samples = lock(&self.samples);
         for datagram in samples.all() {
             for to in 0..self.addresses.len() as u32 {
                 for from in senders.iter().filter(|from| **from != to) {
@@ -232,7 +223,7 @@
                 owed -= 1.0;
                 let from = senders[rng.random_range(0..senders.len())];
                 let to = rng.random_range(0..self.addresses.len()) as u32;
-                let samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
+                let samples = lock(&self.samples);
                 let datagram = samples.corrupted(&mut rng);
                 drop(samples);
                 if from != to {
--- a/lab/src/processes/guard.rs
+++ b/lab/src/processes/guard.rs
@@ -2,12 +2,13 @@
 //! program, reads from a pipe which children live. When the pipe ends, it kills those that are
 //! left.
 
+use crate::sync::lock;
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeSet;
 use std::io::{self, BufRead, Write};
 use std::path::Path;
 use std::process::{Child, ChildStdin, Command, Stdio};
-use std::sync::{Mutex, PoisonError};
+use std::sync::Mutex;
 
 /// The lab's end of the pipe.
 pub struct Guard {
@@ -38,7 +39,7 @@
     }
 
     fn send(&self, line: &str) {
-        let mut pipe = self.pipe.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut pipe = lock(&self.pipe);
         if let Some(writer) = pipe.as_mut()
             && writer.write_all(line.as_bytes()).is_err()
         {
@@ -50,10 +51,7 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        self.pipe
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .take();
+        lock(&self.pipe).take();
         let _ = self.child.wait();
     }
 }
--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -11,6 +11,7 @@
 use crate::processes::guard::Guard;
 use crate::standins::registration::Registrations;
 use crate::standins::registry_process::RegistryProcess;
+use crate::sync::lock;
 use bytes::BytesMut;
 use frostkeel_registry::client::{call, send_request};
 use http_body_util::BodyExt;
@@ -19,7 +20,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
@@ -139,10 +140,6 @@
     violations: Mutex<Vec<String>>,
 }
 
-pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 /// Runs a registry that is started from `program`; its files go to `dir`.
 pub async fn run_registry(
     program: PathBuf,
--- a/lab/src/runs/registry_writer.rs
+++ b/lab/src/runs/registry_writer.rs
@@ -1,7 +1,8 @@
 //! Writers of changes to a registry.
 
-use super::registry_run::{RegistryRun, RegistryRunOptions, lock};
+use super::registry_run::{RegistryRun, RegistryRunOptions};
 use crate::checks::watch_checks::read_is_as_new_as_acknowledged;
+use crate::sync::lock;
 use frostkeel_registry::client::call;
 use hyper::Method;
 use rand::{Rng, SeedableRng};
--- a/lab/src/standins/balancer_pool.rs
+++ b/lab/src/standins/balancer_pool.rs
@@ -1,10 +1,11 @@
 //! The balancers as clients reach them: their addresses, and idle connections to them.
 
+use crate::sync::lock;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::SendRequest;
 use std::net::SocketAddr;
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::{Mutex, MutexGuard};
 
 /// A client's connection to a balancer.
 pub type ClientConnection = SendRequest<Full<Bytes>>;
@@ -41,7 +42,7 @@
 
     fn entry(&self, balancer: u32) -> Option<MutexGuard<'_, PoolEntry>> {
         let entry = self.entries.get(balancer as usize)?;
-        Some(entry.lock().unwrap_or_else(PoisonError::into_inner))
+        Some(lock(entry))
     }
 
     /// Sets a balancer's address; with `None` it is not sent to any more.
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -9,6 +9,7 @@
 };
 use crate::links::{Link, LinkPeer, Links};
 use crate::measurements::{LatencyHistogram, latency_histogram};
+use crate::sync::lock;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::http::response::Parts;
@@ -16,7 +17,7 @@
 use hyper_util::rt::TokioIo;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -120,10 +121,7 @@
 
     /// How late requests were sent, in microseconds.
     pub fn lateness(&self) -> LatencyHistogram {
-        self.lateness
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .clone()
+        lock(&self.lateness).clone()
     }
 
     /// Sends each request when it is due; returns when the last client has finished. Dropped, all
@@ -196,7 +194,7 @@
 
     fn record_lateness(&self, due: Instant) {
         let late_us = Instant::now().saturating_duration_since(due).as_micros() as u64;
-        let mut lateness = self.lateness.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut lateness = lock(&self.lateness);
         lateness.saturating_record(late_us.max(1));
     }
 
--- a/lab/src/standins/discovery.rs
+++ b/lab/src/standins/discovery.rs
@@ -5,6 +5,7 @@
 use super::registration::Registrations;
 use crate::history::{EndpointState, EventKind, History};
 use crate::links::{LinkPeer, Links};
+use crate::sync::lock;
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full, StreamBody};
@@ -15,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -75,7 +76,7 @@
     }
 
     pub(super) fn entries(&self) -> MutexGuard<'_, BTreeMap<u32, Entry>> {
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.entries)
     }
 
     /// Sets the state of an upstream.
--- a/lab/src/standins/registration.rs
+++ b/lab/src/standins/registration.rs
@@ -3,11 +3,12 @@
 
 use super::registry_process::RegistryProcess;
 use crate::history::EndpointState;
+use crate::sync::lock;
 use frostkeel_registry::client::call;
 use hyper::Method;
 use serde_json::json;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::timeout;
@@ -71,10 +72,7 @@
     /// Adds an upstream that announces nothing yet.
     pub fn add(self: &Arc<Self>, upstream: u32, endpoint: SocketAddr) {
         let (sender, receiver) = watch::channel(Announcement::Nothing);
-        self.announcements
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .push(sender);
+        lock(&self.announcements).push(sender);
         let registration = Registration {
             registrations: Arc::clone(self),
             upstream,
@@ -100,10 +98,7 @@
     }
 
     fn set(&self, upstream: u32, announcement: Announcement) {
-        let announcements = self
-            .announcements
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
+        let announcements = lock(&self.announcements);
         if let Some(sender) = announcements.get(upstream as usize) {
             sender.send_replace(announcement);
         }
--- a/lab/src/standins/registry_process.rs
+++ b/lab/src/standins/registry_process.rs
@@ -4,12 +4,13 @@
 use crate::history::{EventKind, History, ProcessState};
 use crate::processes::guard::Guard;
 use crate::processes::{log_field, process_id, spawn_logged, write_file};
+use crate::sync::lock;
 use frostkeel_registry::client::call;
 use hyper::Method;
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::process::{Child, Command};
 use tokio::sync::oneshot;
@@ -67,10 +68,7 @@
 
     /// Where it serves, once it has been started.
     pub fn addresses(&self) -> Option<RegistryAddresses> {
-        *self
-            .addresses
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+        *lock(&self.addresses)
     }
 
     /// Where it is read.
@@ -128,10 +126,7 @@
         let Ok(Ok(addresses)) = timeout(READY_TIMEOUT, serving).await else {
             return Err(self.not_ready());
         };
-        *self
-            .addresses
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner) = Some(addresses);
+        *lock(&self.addresses) = Some(addresses);
         let pid = process_id(&child).ok_or_else(|| self.not_ready())?;
         if let Some(guard) = &self.guard {
             guard.register(pid);
--- a/lab/src/standins/upstream.rs
+++ b/lab/src/standins/upstream.rs
@@ -1,9 +1,10 @@
 //! One stand-in of an upstream: its state, shared by its sockets.
 
 use super::upstream_model::UpstreamModel;
+use crate::sync::lock;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
 /// Whether an upstream serves.
@@ -58,7 +59,7 @@
     }
 
     pub fn model(&self) -> MutexGuard<'_, UpstreamModel> {
-        self.model.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.model)
     }
 
     pub fn phase(&self) -> Phase {
@@ -93,7 +94,7 @@
     }
 
     pub fn boot_ms(&self) -> u64 {
-        *self.boot_ms.lock().unwrap_or_else(PoisonError::into_inner)
+        *lock(&self.boot_ms)
     }
 
     /// Counts a restart; returns how many there have been.
@@ -103,7 +104,7 @@
 
     pub fn restart(&self, model: UpstreamModel, boot_ms: u64) {
         *self.model() = model;
-        *self.boot_ms.lock().unwrap_or_else(PoisonError::into_inner) = boot_ms;
+        *lock(&self.boot_ms) = boot_ms;
         self.set_phase(Phase::Up);
     }
 
--- a/lab/src/standins/upstreams.rs
+++ b/lab/src/standins/upstreams.rs
@@ -7,10 +7,11 @@
 use crate::experiment::Experiment;
 use crate::history::{EndpointState, EventKind, History, ProcessState};
 use crate::links::{LinkPeer, Links, pair_address};
+use crate::sync::lock;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::io;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -74,10 +75,7 @@
         let boot_ms = if is_cold { unix_ms() } else { 0 };
         let model = self.new_model(number, 0, is_cold);
         let upstream = Arc::new(Upstream::new(number, endpoints, model, boot_ms));
-        self.upstreams
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .push(Arc::clone(&upstream));
+        lock(&self.upstreams).push(Arc::clone(&upstream));
         for (balancer, listener) in (0u32..).zip(listeners) {
             let server = UpstreamServer {
                 experiment: Arc::clone(&self.experiment),
@@ -100,17 +98,11 @@
     }
 
     fn all(&self) -> Vec<Arc<Upstream>> {
-        self.upstreams
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .clone()
+        lock(&self.upstreams).clone()
     }
 
     fn get(&self, number: u32) -> Option<Arc<Upstream>> {
-        let upstreams = self
-            .upstreams
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
+        let upstreams = lock(&self.upstreams);
         upstreams.get(number as usize).cloned()
     }
 
