--- a/lab/src/checks/balancer_rules.rs
+++ b/lab/src/checks/balancer_rules.rs
@@ -4,7 +4,8 @@
 use super::{Rule, Violation};
 use crate::experiment::{Experiment, Idempotence};
 use crate::history::{
-    AttemptFailure, ClientAttemptId, EndpointState, Event, EventKind, ProcessState, UpstreamReply,
+    AttemptFailure, ClientAttemptId, EndpointState, Event, EventKind, ProcessState, ResponseClass,
+    UpstreamReply,
 };
 use std::collections::HashMap;
 
@@ -17,8 +18,6 @@
 const RECORDING_SLACK_US: u64 = 100_000;
 /// The longest graceful shutdown of a balancer, until it is killed, in microseconds.
 const MAX_SHUTDOWN_US: u64 = 5_500_000;
-/// The status of a request that was served.
-const STATUS_OK: u16 = 200;
 
 /// Every violation in a history, in the order of time.
 pub fn violations(experiment: &Experiment, events: &[Event]) -> Vec<Violation> {
@@ -101,7 +100,7 @@
     let success = attempt
         .responses
         .iter()
-        .find(|response| response.status == STATUS_OK)?;
+        .find(|response| ResponseClass::of(response.status) == ResponseClass::Served)?;
     if attempt
         .replies
         .iter()
--- a/lab/src/history/mod.rs
+++ b/lab/src/history/mod.rs
@@ -6,7 +6,9 @@
 mod attempt_id;
 mod event;
 mod recorder;
+mod response_class;
 
 pub use attempt_id::{ClientAttemptId, client_attempt_id, request_of};
 pub use event::{AttemptFailure, EndpointState, Event, EventKind, ProcessState, UpstreamReply};
 pub use recorder::{History, Recording};
+pub use response_class::ResponseClass;
--- a/lab/src/measurements/figures.rs
+++ b/lab/src/measurements/figures.rs
@@ -2,7 +2,9 @@
 
 use super::{LatencyHistogram, latency_histogram, quantile_ms};
 use crate::experiment::{Class, Experiment};
-use crate::history::{AttemptFailure, ClientAttemptId, Event, EventKind, request_of};
+use crate::history::{
+    AttemptFailure, ClientAttemptId, Event, EventKind, ResponseClass, request_of,
+};
 use serde::Serialize;
 use std::collections::HashMap;
 
@@ -10,9 +12,6 @@
 const SECOND_US: u64 = 1_000_000;
 /// Seconds left out at the start: balancers know nothing of their upstreams yet.
 const WARM_UP_S: usize = 3;
-const STATUS_OK: u16 = 200;
-const STATUS_TOO_MANY_REQUESTS: u16 = 429;
-const STATUS_UNAVAILABLE: u16 = 503;
 
 /// The outcomes of the requests of one class, or of one second, or of all; a request counts once
 /// with all its attempts. The serialized names are those of `result.json`.
@@ -175,8 +174,9 @@
         let Some(request) = self.by_number.get_mut(&request_of(id)) else {
             return;
         };
-        request.is_rejected = matches!(status, STATUS_TOO_MANY_REQUESTS | STATUS_UNAVAILABLE);
-        if status == STATUS_OK {
+        let class = ResponseClass::of(status);
+        request.is_rejected = class == ResponseClass::Rejected;
+        if class == ResponseClass::Served {
             request.served_us.get_or_insert(at_us);
         }
     }
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -5,7 +5,8 @@
 use super::load::Arrival;
 use crate::experiment::{Class, Experiment, Idempotence};
 use crate::history::{
-    AttemptFailure, ClientAttemptId, EventKind, History, client_attempt_id, request_of,
+    AttemptFailure, ClientAttemptId, EventKind, History, ResponseClass, client_attempt_id,
+    request_of,
 };
 use crate::links::{Link, LinkPeer, Links};
 use crate::measurements::{LatencyHistogram, latency_histogram};
@@ -59,17 +60,17 @@
 enum ResponseOutcome {
     Served,
     Rejected { retry_after: Option<Duration> },
-    Other,
+    Failed,
 }
 
 impl ResponseOutcome {
     fn of(response: &Parts) -> Self {
-        match response.status.as_u16() {
-            200 => Self::Served,
-            429 | 503 => Self::Rejected {
+        match ResponseClass::of(response.status.as_u16()) {
+            ResponseClass::Served => Self::Served,
+            ResponseClass::Rejected => Self::Rejected {
                 retry_after: retry_after(response),
             },
-            _ => Self::Other,
+            ResponseClass::Failed => Self::Failed,
         }
     }
 }
@@ -184,7 +185,7 @@
                 }
                 // A request that must not run twice may have run: the client does not repeat it.
                 _ if class.idempotence == Idempotence::AtMostOnce => return,
-                Some(ResponseOutcome::Other) | None => None,
+                Some(ResponseOutcome::Failed) | None => None,
             };
             let backoff_s =
                 load.backoff_ms / 1e3 * f64::from(1 << retry) * rng.random_range(0.5..1.5);
