--- a/frostkeel/examples/bad_balancer.rs
+++ b/frostkeel/examples/bad_balancer.rs
@@ -1,5 +1,5 @@
-//! A stand-in balancer for the tests of the lab: it does the least that a balancer must, and the one
-//! thing wrong that `MISBEHAVIOR` names in its environment. With no such name it does nothing wrong.
+//! A stand-in balancer for the tests of the lab: it does the least that a balancer must, and the
+//! one thing wrong that `MISBEHAVIOR` names in its environment. Without it, it does nothing wrong.
 
 #[path = "../tests/common/misbehavior.rs"]
 mod misbehavior;
--- a/lab/src/checks/attempts.rs
+++ b/lab/src/checks/attempts.rs
@@ -3,7 +3,7 @@
 use crate::history::{AttemptFailure, ClientAttemptId, Event, EventKind, UpstreamReply};
 use std::collections::BTreeMap;
 
-/// When a client sent an attempt, and to whom.
+/// When a client sent an attempt, and to which balancer.
 #[derive(Clone, Copy)]
 pub(super) struct Sent {
     pub at_us: u64,
--- a/lab/src/checks/balancer_rules.rs
+++ b/lab/src/checks/balancer_rules.rs
@@ -229,8 +229,8 @@
     notified
 }
 
-/// The last notification whose grace had ended at a time, where it said that the upstream takes
-/// nothing new and no later one has said that it is ready again.
+/// The last notification whose grace had ended at a time, if the upstream was not ready by it and
+/// no later one has made it ready again.
 fn drained_before(known: &[Notification], at_us: u64) -> Option<&Notification> {
     let in_force = |notified: &Notification| notified.at_us + DRAIN_GRACE_US < at_us;
     let last = known.iter().rev().find(|notified| in_force(notified))?;
--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -208,7 +208,7 @@
         match change.state {
             MemberState::Suspect => self.figures.suspicion_count += 1,
             MemberState::Alive => {
-                // A later incarnation tells of the end of the one before as well.
+                // A later incarnation implies the end of the one before.
                 if previous.is_some_and(|previous| previous < change.incarnation) {
                     self.record_detection(change);
                 }
--- a/lab/src/experiment/fault_parsing.rs
+++ b/lab/src/experiment/fault_parsing.rs
@@ -308,7 +308,7 @@
     )
 }
 
-/// Whether a kind of fault can meet a target.
+/// Whether a kind of fault applies to a target.
 fn applies_to(kind: &FaultKind, target: &Target, context: &FaultContext<'_>) -> bool {
     match kind {
         FaultKind::ImpairLinks { .. } | FaultKind::ResetConnections => true,
--- a/lab/src/experiment/faults.rs
+++ b/lab/src/experiment/faults.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Whom a fault meets.
+/// The processes that a fault affects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
     /// One balancer, by number.
@@ -84,11 +84,11 @@
 pub struct Fault {
     /// When it begins, from the start of the load.
     pub start: Duration,
-    /// Whom it meets.
+    /// The processes that it affects.
     pub target: Target,
     /// What happens.
     pub kind: FaultKind,
-    /// For faults of links, whom the other ends belong to; `None`: all that `target` has links
+    /// For faults of links, the processes at the other ends; `None`: all that `target` has links
     /// with.
     pub peer: Option<Target>,
     /// It begins again and again after so long ...
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -54,7 +54,7 @@
 }
 
 impl Experiment {
-    /// Whether a fault meets links that carry connections or datagrams.
+    /// Whether a fault affects links that carry connections or datagrams.
     pub fn impairs_links(&self) -> bool {
         self.faults.iter().any(|fault| {
             matches!(
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
-/// Everything that faults can meet.
+/// Everything that faults can affect.
 pub struct FaultInjector {
     /// What is run.
     pub experiment: Arc<Experiment>,
@@ -32,7 +32,7 @@
     pub peer_links: Option<Arc<PeerLinks>>,
 }
 
-/// A link, and whom it connects.
+/// A link and its ends.
 struct AffectedLink {
     balancer: u32,
     peer: LinkPeer,
@@ -218,8 +218,8 @@
         }
     }
 
-    /// The links between whom a fault meets and its peers, or all others; the clients' only where
-    /// they are named.
+    /// The links between the targets of a fault and its peers, or all others; the clients' only
+    /// where they are named.
     fn affected_links(&self, occurrence: &FaultOccurrence) -> Vec<AffectedLink> {
         let mut ends = occurrence.targets.clone();
         match &occurrence.peers {
--- a/lab/src/faults/fault_schedule.rs
+++ b/lab/src/faults/fault_schedule.rs
@@ -14,9 +14,9 @@
     pub number: u64,
     /// The fault, with the start of this occurrence.
     pub fault: Fault,
-    /// Whom it meets.
+    /// The processes that it affects.
     pub targets: ResolvedTargets,
-    /// Whom the other ends of links belong to, where the fault names them.
+    /// The processes at the other ends of links, where the fault names them.
     pub peers: Option<ResolvedTargets>,
 }
 
--- a/lab/src/faults/mod.rs
+++ b/lab/src/faults/mod.rs
@@ -1,4 +1,4 @@
-//! Fault injection: whom the faults of a run meet, and what is done to them when they are due.
+//! Fault injection: the processes that the faults of a run affect, and what is done to them.
 
 mod description;
 mod fault_injector;
--- a/lab/src/history/response_class.rs
+++ b/lab/src/history/response_class.rs
@@ -1,4 +1,4 @@
-//! What a status says to a client.
+//! The meaning of a status for a client.
 
 /// What a response is to the client, by its status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -16,7 +16,7 @@
 //! | [`processes`] | child processes, and the guard that ends them |
 //! | [`standins`] | clients and their load, upstreams, discovery, registration |
 //! | [`balancers`] | the balancers as children, and their configuration |
-//! | [`faults`] | whom faults meet, and their injection |
+//! | [`faults`] | the targets of faults, and their injection |
 //! | [`checks`] | the rules, judged over a history |
 //! | [`runs`] | runs with real processes, in simulated time, and of a registry |
 //! | [`reports`] | what is written about a run |
--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -59,8 +59,8 @@
     resets: watch::Sender<u64>,
     seed: u64,
     opened_count: AtomicU64,
-    /// No fault ever meets it: connections pass untouched, which spares the lab two copies of each
-    /// byte.
+    /// No fault ever affects it: connections pass untouched, which spares the lab two copies of
+    /// each byte.
     is_transparent: bool,
 }
 
@@ -99,7 +99,7 @@
         }
         let (near, far) = duplex(CHUNK_BYTES);
         let seed = self.seed ^ (self.opened_count.fetch_add(1, Ordering::Relaxed) << 20);
-        // Subscribed now, not when the task first runs: a cut or a reset in between must meet it.
+        // Subscribed now, not when the task first runs: a cut or a reset in between must affect it.
         let conditions = ConditionReceivers {
             outbound: self.outbound.subscribe(),
             inbound: self.inbound.subscribe(),
@@ -214,7 +214,7 @@
 }
 
 impl Links {
-    /// The links of a run with this seed; transparent where no fault of it meets a link.
+    /// The links of a run with this seed; transparent where no fault of it affects a link.
     pub fn new(seed: u64, is_transparent: bool) -> Arc<Self> {
         Arc::new(Self {
             seed,
--- a/lab/src/links/peer_links.rs
+++ b/lab/src/links/peer_links.rs
@@ -1,6 +1,6 @@
 //! Links for datagrams: a socket for each ordered pair of balancers, so that each reaches each
-//! other one at an address of its own, and what passes between them meets the conditions of the
-//! link.
+//! other one at an address of its own, and what passes between them is subject to the conditions of
+//! the link.
 
 use super::{DatagramSamples, LinkMatrix, delivery_delays, pair_address};
 use crate::experiment::LinkConditions;
--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -41,7 +41,7 @@
 const MAX_EVENTS: usize = 100_000;
 /// Share of the watchers that have to know a change before it counts as delivered.
 const DELIVERED_TO_SHARE: f64 = 0.99;
-/// The first weight that is written: each upstream begins with 1.
+/// The first weight that is written; each upstream begins with 1.
 const FIRST_WEIGHT: u64 = 2;
 /// The port of the first upstream; nobody listens there.
 const FIRST_PORT: u16 = 1024;
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -106,14 +106,14 @@
     pub samples: DatagramSamples,
     keeps_samples: bool,
     checker: MembershipChecker,
-    /// By fault, whom it met last.
+    /// By fault, the balancers that it affected last.
     pub fault_peers: Vec<FaultPeers>,
     sent_datagrams: u64,
     sent_bytes: u64,
     count_traffic_from: Duration,
 }
 
-/// Runs the faults of an experiment that meet balancers, over its length. With `is_known` all
+/// Runs the faults of an experiment that affect balancers, over its length. With `is_known` all
 /// members know each other from their first start on; without, they have to discover each other.
 pub fn simulate(
     experiment: &Experiment,
--- a/lab/src/runs/simulation_faults.rs
+++ b/lab/src/runs/simulation_faults.rs
@@ -11,7 +11,7 @@
 /// How long a balancer that was asked to shut down takes until it starts again.
 const RESTART_AFTER: Duration = Duration::from_secs(1);
 
-/// The balancers that an occurrence of a fault meets.
+/// The balancers that an occurrence of a fault affects.
 #[derive(Clone, Default)]
 pub(super) struct FaultPeers {
     pub targets: Vec<u32>,
@@ -27,7 +27,7 @@
         let targets = fault_peers.targets.clone();
         self.fault_peers[index] = fault_peers;
         for member in &targets {
-            self.strike_member(*member, &fault.kind);
+            self.apply_to_member(*member, &fault.kind);
         }
         match &fault.kind {
             FaultKind::ImpairLinks {
@@ -60,7 +60,7 @@
     }
 
     /// What a fault does to one member's process.
-    fn strike_member(&mut self, number: u32, kind: &FaultKind) {
+    fn apply_to_member(&mut self, number: u32, kind: &FaultKind) {
         match kind {
             FaultKind::Kill {
                 restart_after,
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -56,7 +56,7 @@
     random: u64,
 }
 
-/// What a response says to the client.
+/// What a response means for the client.
 enum ResponseOutcome {
     Served,
     Rejected { retry_after: Option<Duration> },
@@ -303,7 +303,7 @@
     }
 }
 
-/// Hands over each arrival when it is due, until all are or nobody takes them any more.
+/// Hands over each arrival when it is due, until all are sent or the receiver is closed.
 fn dispatch_when_due(
     arrivals: Vec<Arrival>,
     start: std::time::Instant,
--- a/lab/src/standins/discovery.rs
+++ b/lab/src/standins/discovery.rs
@@ -118,8 +118,8 @@
         registrations.announce(upstream, state, boot_ms);
     }
 
-    /// An upstream has crashed. With a real registry it announces nothing any more, and nobody else
-    /// tells of its crash; returns whether that is so.
+    /// An upstream has crashed. With a real registry it stops announcing itself and its lease
+    /// expires; returns whether there is one.
     pub fn stop_announcing(&self, upstream: u32) -> bool {
         self.registrations
             .as_ref()
--- a/lab/src/standins/load.rs
+++ b/lab/src/standins/load.rs
@@ -18,7 +18,7 @@
     pub key: u32,
     /// Whether the client complies with `Retry-After`.
     pub honors_retry_after: bool,
-    /// Seed of its own draws: which balancers it meets, and how long it waits before a retry.
+    /// Seed of its own draws: which balancers it is sent to, and how long it waits before a retry.
     pub seed: u64,
 }
 
--- a/lab/src/standins/registration.rs
+++ b/lab/src/standins/registration.rs
@@ -17,7 +17,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// A lease is renewed after this part of it.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Leases for which a drained upstream says nothing more.
+/// Leases for which a drained upstream sends nothing more.
 const LEASES_AFTER_DRAIN: u32 = 100;
 
 /// What an upstream announces.
--- a/lab/src/standins/upstreams.rs
+++ b/lab/src/standins/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams of a run: added, listed, and struck by faults.
+//! The upstreams of a run: added, listed, and subjected to faults.
 
 use super::discovery::DiscoveryService;
 use super::upstream::{Phase, Upstream, UpstreamStatus};
