--- a/frostkeel/src/lab.rs
+++ b/frostkeel/src/lab.rs
@@ -2,8 +2,12 @@
 
 use crate::lab_output::{Shown, table};
 use clap::{Args, Subcommand};
+use frostkeel_lab::checks::membership_figures::missed_expectations;
 use frostkeel_lab::experiment::Experiment;
-use frostkeel_lab::{Options, play, presence, report, simulated, watching};
+use frostkeel_lab::reports::{size_plot, write_report};
+use frostkeel_lab::runs::registry_run::{RegistryRunOptions, run_registry};
+use frostkeel_lab::runs::simulation;
+use frostkeel_lab::{RunOptions, run as run_experiment};
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -170,34 +174,36 @@
                 );
             }
             let seed = place.seed.unwrap_or(1);
-            let plan = watching::Plan {
+            let plan = RegistryRunOptions {
                 watchers,
                 upstreams,
-                changes,
+                changes_per_s: changes,
                 writers,
-                lasts,
+                duration: lasts,
                 kills,
                 seed,
             };
             let dir = folder(&place, "registry");
             let program = std::env::current_exe()?;
-            let watched = runtime()?.block_on(watching::watch_registry(program, &dir, plan))?;
-            let (p50, p99, worst) = watched.reached_ms;
+            let watched = runtime()?.block_on(run_registry(program, &dir, plan))?;
             println!(
                 "{} changes acknowledged after {:.1} ms (median), {:.1} ms (99th percentile), {} without an answer; \
-                 99% of the watchers had them after {p50:.1} ms (median), {p99:.1} ms (99th percentile), {worst:.1} ms \
+                 99% of the watchers had them after {:.1} ms (median), {:.1} ms (99th percentile), {:.1} ms \
                  at worst; {} lines",
-                watched.acknowledged,
-                watched.acknowledged_ms.0,
-                watched.acknowledged_ms.1,
-                watched.unanswered,
-                watched.lines
+                watched.acknowledged_count,
+                watched.acknowledgement.p50_ms,
+                watched.acknowledgement.p99_ms,
+                watched.failed_count,
+                watched.delivery.p50_ms,
+                watched.delivery.p99_ms,
+                watched.delivery.max_ms,
+                watched.line_count
             );
             watched
-                .broken
+                .violations
                 .iter()
                 .for_each(|text| println!("  BROKEN: {text}"));
-            Ok(if watched.broken.is_empty() {
+            Ok(if watched.violations.is_empty() {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
@@ -262,8 +268,8 @@
         let play = |seed| {
             let mut experiment = experiment.clone();
             experiment.fleet.balancers = *size;
-            simulated::simulate(&experiment, seed, known).map(|played| {
-                let missed = presence::missed(&experiment, &played.figures);
+            simulation::simulate(&experiment, seed, known).map(|played| {
+                let missed = missed_expectations(&experiment, &played.figures);
                 (played, missed)
             })
         };
@@ -280,25 +286,25 @@
             let (played, missed) = one?;
             let f = &played.figures;
             let equal = f
-                .equal_since_s
+                .converged_since_s
                 .map_or_else(|| "never".into(), |s| format!("{s:.1}"));
             println!(
                 "{:>7} {:>5} {:>9.0} {:>6.2} {:>7.1} {:>5} {:>6.2} {:>6.2} {:>6.2} {:>6} {:>6} {equal:>8} {:>8}",
                 played.members,
                 played.seed,
                 played.seconds,
-                played.datagrams,
-                played.bytes,
-                f.kills,
-                f.known_p50_s,
-                f.known_p99_s,
-                f.known_worst_s,
-                f.false_gone,
-                f.false_gone_held,
-                f.unequal
+                played.datagrams_per_s,
+                played.bytes_per_s,
+                f.kill_count,
+                f.detection_p50_s,
+                f.detection_p99_s,
+                f.detection_max_s,
+                f.false_failure_count,
+                f.paused_failure_count,
+                f.divergent_view_count
             );
-            let wrong = if experiment.expect.none_taken_for_gone {
-                &played.broken[..]
+            let wrong = if experiment.expect.no_false_failures {
+                &played.violations[..]
             } else {
                 &[]
             };
@@ -310,7 +316,7 @@
         }
     }
     if let Some(path) = plot {
-        std::fs::write(path, report::over_sizes(&all))?;
+        std::fs::write(path, size_plot(&all))?;
     }
     Ok(if sound {
         ExitCode::SUCCESS
@@ -357,7 +363,7 @@
 
 async fn one(experiment: Experiment, place: Place) -> Done {
     let dir = folder(&place, &experiment.name);
-    let options = Options {
+    let options = RunOptions {
         balancer: balancer(&place)?,
         guard: Some(std::env::current_exe()?),
         seed: place.seed.unwrap_or(experiment.seed),
@@ -365,8 +371,8 @@
         stop: interrupted(),
     };
     let mut shown = Shown::new(&experiment);
-    let played = play(experiment, options, |progress| shown.show(&progress)).await?;
-    let page = report::write(&played, &dir)?;
+    let played = run_experiment(experiment, options, |progress| shown.show(&progress)).await?;
+    let page = write_report(&played, &dir)?;
     table(&played);
     println!("report: {}", page.display());
     Ok(if played.is_good() {
@@ -383,14 +389,14 @@
     let mut sound = true;
     for round in 0..u64::from(plays.max(1)) {
         for (k, (experiment, program)) in sides.iter().enumerate() {
-            let options = Options {
+            let options = RunOptions {
                 balancer: program.clone(),
                 guard: Some(std::env::current_exe()?),
                 seed: first + round,
                 dir: dir.join(format!("{}-{round}", ["before", "after"][k])),
                 stop: stop.clone(),
             };
-            let played = play(experiment.clone(), options, |_| ()).await?;
+            let played = run_experiment(experiment.clone(), options, |_| ()).await?;
             if *stop.borrow() {
                 return Err("interrupted: nothing is compared".into());
             }
@@ -398,19 +404,19 @@
             let name = ["before", "after"][k];
             println!(
                 "{name:6} seed {seed}: served {:.3}, worst class {:.3}, p99 {:.0} ms, {} breaches{}",
-                f.served,
-                f.worst_class,
+                f.served_share,
+                f.worst_class_share,
                 f.p99_ms,
-                played.broken.len(),
+                played.violations.len(),
                 played
-                    .void
+                    .void_reason
                     .as_ref()
                     .map(|why| format!(", VOID: {why}"))
                     .unwrap_or_default()
             );
-            sound &= played.void.is_none();
-            if played.void.is_none() {
-                served[k].push(f.served);
+            sound &= played.void_reason.is_none();
+            if played.void_reason.is_none() {
+                served[k].push(f.served_share);
             }
         }
     }
