--- a/balancer/tests/common/upstream_pool.rs
+++ b/balancer/tests/common/upstream_pool.rs
@@ -2,8 +2,7 @@
 
 use super::{EMPTY_RESPONSE, TIMEOUT};
 use bytes::Bytes;
-use frostkeel_balancer::exchange::ForwardedRequest;
-use frostkeel_balancer::upstream::{AttemptResult, EndpointState, Upstreams};
+use frostkeel_balancer::upstream::{AttemptResult, EndpointState, ForwardedRequest, Upstreams};
 use frostkeel_policy::{Availability, Settings, UpstreamId};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -34,7 +33,7 @@
 /// The state of a ready endpoint.
 pub fn ready_endpoint(address: SocketAddr) -> EndpointState {
     EndpointState {
-        endpoint: Some(address),
+        address: Some(address),
         availability: Availability::Ready,
         boot_ms: 5,
     }
@@ -126,6 +125,6 @@
     };
     let give_up_at = Instant::now() + time_limit;
     upstreams
-        .attempt(id, &request, give_up_at, &Cell::new(false))
+        .attempt(id, &request, give_up_at, &Cell::default())
         .await
 }
--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -12,23 +12,24 @@
 fn connection_limits_add_up_to_the_descriptor_limit() {
     let config = Config::parse(VALID).unwrap();
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
-    let total = config.upstream_connections() + config.client_connections() + RESERVED_SOCKETS;
+    let total =
+        config.max_upstream_connections() + config.max_client_connections() + RESERVED_SOCKETS;
     assert_eq!(total, 1024);
-    assert!(config.known.contains("targets"));
+    assert!(config.cached_list.contains("targets"));
 }
 
 #[test]
 fn membership_is_off_by_default_and_invalid_membership_is_rejected() {
-    assert!(Config::parse(VALID).unwrap().members.is_none());
+    assert!(Config::parse(VALID).unwrap().membership.is_none());
     let membership = r#""peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:5", "127.0.0.1:6"],
         "membership": {"fleet": "f", "page": "127.0.0.1:0"}, "settings": {"me": 1,"#;
     let with_membership = VALID.replace(r#""settings": {"#, membership);
     let members = Config::parse(&with_membership)
         .unwrap()
-        .members
+        .membership
         .expect("membership is on");
     assert_eq!(
-        (members.place, members.peers.len(), members.name.as_str()),
+        (members.peer, members.peers.len(), members.name.as_str()),
         (PeerIndex(1), 2, "n0")
     );
     for (from, to, named) in [
--- a/balancer/tests/races_upstream_connections.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -83,7 +83,7 @@
         let respond = respond_in_part(&pool, part, then);
         let (ended, _open) = tokio::join!(pool.attempt(1, time_limit), respond);
         assert_eq!(ended.outcome, outcome, "{part:?}, then {then:?}");
-        assert_eq!(ended.served.is_some(), outcome == Outcome::Ok);
+        assert_eq!(ended.response.is_some(), outcome == Outcome::Ok);
     }
 }
 
--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -5,11 +5,11 @@
 mod common;
 
 use common::{idempotent_request, into_async, raw_listener, unreachable_address};
+use frostkeel_balancer::client::{Phase, Server};
 use frostkeel_balancer::discovery::Discovery;
-use frostkeel_balancer::endpoint_list::{EndpointEntry, EndpointUpdate};
+use frostkeel_balancer::discovery::{EndpointEntry, EndpointUpdate};
 use frostkeel_balancer::event_loop::EventLoop;
 use frostkeel_balancer::request_counters::RequestCounters;
-use frostkeel_balancer::server::{Phase, Server};
 use frostkeel_balancer::upstream::{EndpointState, Upstreams};
 use frostkeel_policy::{
     Availability, Balancer, CellId, Class, Effect, KindId, Settings, UpdateScope, UpstreamId,
@@ -49,7 +49,7 @@
 /// A list of one ready endpoint.
 fn cached_list(address: SocketAddr) -> EndpointUpdate {
     let state = EndpointState {
-        endpoint: Some(address),
+        address: Some(address),
         availability: Availability::Ready,
         boot_ms: 0,
     };
@@ -59,7 +59,7 @@
         kind: KindId(0),
         cell: CellId(0),
         weight: 1.0,
-        place: state,
+        state,
     };
     EndpointUpdate {
         scope: UpdateScope::Cached,
--- a/balancer/tests/upstream_attempts.rs
+++ b/balancer/tests/upstream_attempts.rs
@@ -72,7 +72,7 @@
         let (ended, ()) = tokio::join!(pool.attempt(1, TIMEOUT), respond);
         let shown = &response[..response.len().min(60)];
         assert_eq!(ended.outcome, outcome, "{shown:?}");
-        assert!(ended.served.is_none(), "{shown:?}");
+        assert!(ended.response.is_none(), "{shown:?}");
     }
 }
 
