--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -7,7 +7,7 @@
 
 /// Bucket size: a second of the guarantee or this share of the tenant's demand, whichever is more,
 /// and this many tokens, so that a small tenant's chance pairs are not rejected.
-const BUCKET_DEMAND_SHARE: f64 = 0.2;
+const BUCKET_DEMAND_FRACTION: f64 = 0.2;
 const MIN_BUCKET_SIZE: f64 = 3.0;
 /// Seconds and requests over which demand is counted at least: a tick sees too few to go by.
 const MIN_DEMAND_WINDOW_S: f64 = 1.0;
@@ -52,7 +52,7 @@
 
     /// T_i.
     fn size(&self) -> f64 {
-        MIN_BUCKET_SIZE + (BUCKET_DEMAND_SHARE * self.demand_per_s).max(self.guarantee_per_s)
+        MIN_BUCKET_SIZE + (BUCKET_DEMAND_FRACTION * self.demand_per_s).max(self.guarantee_per_s)
     }
 
     /// Adds u_i: the guarantee, less what a shortage cuts from it, and the tenant's share of W.
@@ -63,7 +63,7 @@
         } else {
             WITHIN_GUARANTEE_CUT * (refill.shortage - WITHIN_GUARANTEE_CUT_FROM)
         };
-        let demand_share = if refill.total_demand_per_s > 0.0 {
+        let demand_fraction = if refill.total_demand_per_s > 0.0 {
             self.demand_per_s / refill.total_demand_per_s
         } else {
             0.0
@@ -72,7 +72,7 @@
         // one.
         let open = (refill.spare_capacity - self.tokens.floor()).max(0.0);
         let guaranteed = (1.0 - cut).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
-        let grant = guaranteed + demand_share * open;
+        let grant = guaranteed + demand_fraction * open;
         self.tokens += grant.min((size - self.tokens).max(0.0));
     }
 
@@ -128,7 +128,7 @@
         self.bucket(tenant).tokens >= 1.0
     }
 
-    pub(super) fn take_token(&mut self, tenant: usize) {
+    pub(super) fn consume_token(&mut self, tenant: usize) {
         self.bucket(tenant).tokens -= 1.0;
     }
 
--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -5,7 +5,7 @@
 use super::clock::JitteredClock;
 use super::requests::{Attempt, AttemptState, EndedAttempt, OverdueAttempt, Request, RequestState};
 use super::round_robin::Deficit;
-use super::upstream_health::{Fault, FleetConditions};
+use super::upstream_health::{Fault, SuspicionContext};
 use super::upstreams::Upstream;
 use crate::interface::{Action, AttemptNo, Effect, FailureReason, Outcome, RequestId};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// A retry is sent only if so much is left until the deadline, and this share of a usual latency
 /// while a response is still of use.
 const MIN_RETRY_TIME_S: f64 = 1e-3;
-const MIN_RETRY_LATENCY_SHARE: f64 = 0.5;
+const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
 /// Spare capacity under which nothing is hedged: the overdue attempt itself counts as in flight.
 const MIN_HEDGE_CAPACITY: f64 = -1.0;
 /// Bounds of a time limit in seconds.
@@ -104,7 +104,7 @@
     }
 
     fn may_retry(&self, request: &Request, cost: f64) -> bool {
-        let latency_s = MIN_RETRY_LATENCY_SHARE * self.classes.latency_s(request.class);
+        let latency_s = MIN_RETRY_LATENCY_FRACTION * self.classes.latency_s(request.class);
         request.state == RequestState::Waiting
             && request.attempts.len() < usize::from(self.settings.max_attempts)
             && self.now_s + MIN_RETRY_TIME_S < request.deadline_s
@@ -199,12 +199,12 @@
         } else if was_completed && is_last {
             self.requests.remove(id);
         } else if is_last {
-            self.retry_or_give_up(id, &attempt);
+            self.retry_or_end(id, &attempt);
         }
     }
 
     /// The last attempt in flight of a request has ended, and its client still waits.
-    fn retry_or_give_up(&mut self, id: RequestId, attempt: &EndedAttempt) {
+    fn retry_or_end(&mut self, id: RequestId, attempt: &EndedAttempt) {
         let never_ran = attempt.outcome.never_ran();
         let cost = if never_ran {
             UNPROCESSED_RETRY_COST
@@ -212,7 +212,7 @@
             RETRY_COST
         };
         if !self.retry_elsewhere(id, cost) {
-            self.give_up(id, self.failure_reason(attempt));
+            self.end_without_response(id, self.failure_reason(attempt));
         }
     }
 
@@ -244,10 +244,10 @@
             self.capacity.record_completion();
             Some(LatencySample::Answered)
         } else {
-            attempt.is_given_up().then_some(LatencySample::GivenUp)
+            attempt.is_abandoned().then_some(LatencySample::Abandoned)
         };
         let latency_ratio = sample.map(|sample| {
-            let was_unanswered = sample == LatencySample::GivenUp;
+            let was_unanswered = sample == LatencySample::Abandoned;
             self.idle_connections
                 .record(attempt.connection_idle_s, was_unanswered, self.now_s);
             self.classes
@@ -284,7 +284,7 @@
             upstream.load.record_rejected(self.now_s);
         }
         // Where the fault is the upstream's own, it says nothing of the capacity elsewhere.
-        if attempt.is_given_up() && !upstream.health.is_ejected_for(attempt.class) {
+        if attempt.is_abandoned() && !upstream.health.is_ejected_for(attempt.class) {
             upstream.load.record_abandoned();
         }
         let is_ejected = fault.is_some_and(|fault| self.suspect(slot, fault));
@@ -302,7 +302,7 @@
 
     /// Adds a fault to the suspicion of an upstream. Returns whether it is ejected for it.
     fn suspect(&mut self, slot: usize, fault: Fault) -> bool {
-        let conditions = FleetConditions {
+        let conditions = SuspicionContext {
             mean_latency_s: self.classes.mean_latency_s(),
             balancers_per_upstream: self.subset.balancers_per_upstream(),
         };
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -12,9 +12,9 @@
 const UNSTRAINED_RATE_MEMORY_S: f64 = 30.0;
 /// Share of the objective that work may spend in the fleet on average before no capacity is spare;
 /// past it, many responses are late.
-pub(super) const QUEUE_OBJECTIVE_SHARE: f64 = 0.4;
+pub(super) const QUEUE_OBJECTIVE_FRACTION: f64 = 0.4;
 /// The same where reports tell the utilization, so that latency need only guard.
-const REPORTED_QUEUE_OBJECTIVE_SHARE: f64 = 0.55;
+const REPORTED_QUEUE_OBJECTIVE_FRACTION: f64 = 0.55;
 /// Share of the upstreams' cores that may be kept in use where reports tell, and what is added for
 /// demand over the quotas, by its weight: where it is worth little, so is the risk.
 const BASE_UTILIZATION_BOUND: f64 = 0.62;
@@ -66,7 +66,7 @@
     /// Weight of the rotation, smoothed.
     rotation_weight: f64,
     /// Share of requests that pacing rejects, fading.
-    paced_share: f64,
+    paced_fraction: f64,
     /// Share of the upstreams' cores in use, by their reports; zero: not known.
     utilization: f64,
     /// The same, but for the first seconds of reports.
@@ -100,7 +100,7 @@
             completions: 0.0,
             completions_per_s,
             rotation_weight: 0.0,
-            paced_share: 0.0,
+            paced_fraction: 0.0,
             utilization,
             settled_utilization: utilization,
             reported_for_s: 0.0,
@@ -139,7 +139,7 @@
 
     /// Pacing has rejected a request.
     pub(super) fn record_paced(&mut self) {
-        self.paced_share += PACED_NEWEST_WEIGHT * (1.0 - self.paced_share);
+        self.paced_fraction += PACED_NEWEST_WEIGHT * (1.0 - self.paced_fraction);
     }
 
     /// The rotation has grown by this factor: that is no more for this balancer, as others send
@@ -152,12 +152,12 @@
     /// Looks at the upstreams again, each tick.
     pub(super) fn update(&mut self, inputs: &CapacityInputs<'_>) {
         self.update_utilization(inputs);
-        let objective_share = if self.knows_utilization() {
-            REPORTED_QUEUE_OBJECTIVE_SHARE
+        let objective_fraction = if self.knows_utilization() {
+            REPORTED_QUEUE_OBJECTIVE_FRACTION
         } else {
-            QUEUE_OBJECTIVE_SHARE
+            QUEUE_OBJECTIVE_FRACTION
         };
-        let slack_s = inputs.classes.queue_slack_s(objective_share);
+        let slack_s = inputs.classes.queue_slack_s(objective_fraction);
         let latency_s = inputs.classes.mean_latency_s();
         let queue_s = (latency_s + slack_s).max(0.0);
         self.update_service_rate(inputs, slack_s);
@@ -203,7 +203,7 @@
         let per_s = self.completions / elapsed_s.max(1e-6);
         self.completions_per_s += newest_weight * (per_s - self.completions_per_s);
         self.completions = 0.0;
-        self.paced_share -= newest_weight * self.paced_share;
+        self.paced_fraction -= newest_weight * self.paced_fraction;
         let observed = self.completions_per_s / self.smoothed_weight(inputs).max(1e-9);
         if self.knows_utilization() {
             self.follow_utilization(observed, elapsed_s);
@@ -241,13 +241,13 @@
     fn follow_utilization(&mut self, observed: f64, elapsed_s: f64) {
         let headroom =
             self.utilization_bound / self.settled_utilization.max(MIN_SCALED_UTILIZATION);
-        let possible = observed * headroom.min(MAX_UTILIZATION_SCALE);
+        let achievable = observed * headroom.min(MAX_UTILIZATION_SCALE);
         // Where pacing rejects, completions only show what was let through.
         let idle = (headroom - 1.0).clamp(0.0, 1.0);
-        self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH * self.paced_share * idle;
-        let change = (elapsed_s / RATE_MEMORY_S).min(1.0) * (possible - self.service_rate);
+        self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH * self.paced_fraction * idle;
+        let change = (elapsed_s / RATE_MEMORY_S).min(1.0) * (achievable - self.service_rate);
         // Nor is it under what they do now, if that keeps them no busier.
-        self.service_rate = (self.service_rate + change).max(observed.min(possible));
+        self.service_rate = (self.service_rate + change).max(observed.min(achievable));
     }
 
     /// W = sum of (tau C_j + (Q_j - q_j)) in this balancer's own share.
@@ -259,7 +259,7 @@
             // An upstream whose attempts are overdue has no capacity, in part or all, but what it
             // has in flight counts: else, when all are stuck, W and the shortage are zero together
             // and no quota is cut.
-            let responsive = upstream.load.responsive_share();
+            let responsive = upstream.load.responsive_fraction();
             let queue = self.queue_limit(inputs, upstream, rate * queue_s) * responsive;
             self.spare += inputs.elapsed_s * rate * responsive + queue - own;
             self.in_flight += own;
@@ -269,7 +269,7 @@
     /// Q_j: what an upstream may have in flight of this balancer.
     fn queue_limit(&self, inputs: &CapacityInputs<'_>, upstream: &Upstream, served: f64) -> f64 {
         // One place in all at least: where no quota is stated a start from nothing takes long.
-        let least = upstream.weight.weight() / self.balancers;
+        let min_limit = upstream.weight.weight() / self.balancers;
         // Nor is it less than an equal part of what the cores reported idle can hold, however
         // little this balancer has admitted, and so heard of, lately.
         let reports = upstream.load.has_utilization(inputs.now_s);
@@ -280,6 +280,8 @@
         } else {
             0.0
         };
-        served.max(least).max(idle / inputs.balancers_per_upstream)
+        served
+            .max(min_limit)
+            .max(idle / inputs.balancers_per_upstream)
     }
 }
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,7 +1,7 @@
 //! What is usual for each class of requests: latency, its upper quantile, share of the admitted.
 
 use super::TICK_S;
-use super::capacity::QUEUE_OBJECTIVE_SHARE;
+use super::capacity::QUEUE_OBJECTIVE_FRACTION;
 use crate::interface::{Class, Settings};
 
 /// Seconds over which a class's latency is averaged where responses are few, and the least and the
@@ -21,17 +21,17 @@
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
 /// An attempt is overdue at this share of the objective at the latest, so that a hedge still has
 /// time.
-const OVERDUE_OBJECTIVE_SHARE: f64 = 0.6;
+const OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
 /// Share of the objective that a class's latency is taken for before its first answer.
-const INITIAL_LATENCY_SHARE: f64 = 0.3;
+const INITIAL_LATENCY_FRACTION: f64 = 0.3;
 /// Weight of the newest request in the classes' shares of the admitted.
-const SHARE_NEWEST_WEIGHT: f64 = 0.01;
+const ADMITTED_NEWEST_WEIGHT: f64 = 0.01;
 /// Share of the admitted under which a class does not set how long queues may be.
-const MIN_SHARE: f64 = 0.02;
+const MIN_ADMITTED_FRACTION: f64 = 0.02;
 /// Seconds after which the latency of a class without answers fades, over as long again ...
 const LATENCY_VALID_S: f64 = 5.0;
 /// ... down to this share of its objective.
-const FADED_LATENCY_SHARE: f64 = 0.5 * QUEUE_OBJECTIVE_SHARE;
+const FADED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
 /// The shortest time that a request is taken to need.
 const MIN_LATENCY_S: f64 = TICK_S;
 
@@ -41,7 +41,7 @@
     /// It was answered after its latency.
     Answered,
     /// It was given up then, overdue.
-    GivenUp,
+    Abandoned,
 }
 
 /// One class.
@@ -53,7 +53,7 @@
     /// The quantile [`OVERDUE_QUANTILE`] of the latencies.
     usual_latency_s: f64,
     /// Of the admitted requests.
-    share: f64,
+    admitted_fraction: f64,
 }
 
 /// All classes, as in the settings.
@@ -70,10 +70,10 @@
             ClassRecord {
                 objective_s,
                 priority_weight: class.priority_weight,
-                mean_latency_s: objective_s * INITIAL_LATENCY_SHARE,
+                mean_latency_s: objective_s * INITIAL_LATENCY_FRACTION,
                 last_sample_at_s: 0.0,
-                usual_latency_s: objective_s * OVERDUE_OBJECTIVE_SHARE,
-                share: 1.0,
+                usual_latency_s: objective_s * OVERDUE_OBJECTIVE_FRACTION,
+                admitted_fraction: 1.0,
             }
         };
         Self {
@@ -84,11 +84,15 @@
 
     /// Mean latency of an attempt, over the classes as they are admitted.
     pub(super) fn mean_latency_s(&self) -> f64 {
-        let shares: f64 = self.classes.iter().map(|class| class.share).sum();
+        let shares: f64 = self
+            .classes
+            .iter()
+            .map(|class| class.admitted_fraction)
+            .sum();
         let weighted = self
             .classes
             .iter()
-            .map(|class| class.mean_latency_s * class.share);
+            .map(|class| class.mean_latency_s * class.admitted_fraction);
         weighted.sum::<f64>() / shares.max(1e-9)
     }
 
@@ -106,7 +110,7 @@
         let class = &self.classes[class];
         class
             .usual_latency_s
-            .min(OVERDUE_OBJECTIVE_SHARE * class.objective_s)
+            .min(OVERDUE_OBJECTIVE_FRACTION * class.objective_s)
     }
 
     /// What a class earns for the capacity it takes, as a share of what the best one earns: a heavy
@@ -130,10 +134,13 @@
 
     /// By how much queues may still grow, in seconds of latency, or (negative) are too long. All
     /// classes share them: the class whose latency comes closest to its objective decides.
-    pub(super) fn queue_slack_s(&self, objective_share: f64) -> f64 {
-        let counted = self.classes.iter().filter(|class| class.share > MIN_SHARE);
+    pub(super) fn queue_slack_s(&self, objective_fraction: f64) -> f64 {
+        let counted = self
+            .classes
+            .iter()
+            .filter(|class| class.admitted_fraction > MIN_ADMITTED_FRACTION);
         let slack_s =
-            |class: &ClassRecord| objective_share * class.objective_s - class.mean_latency_s;
+            |class: &ClassRecord| objective_fraction * class.objective_s - class.mean_latency_s;
         counted.map(slack_s).fold(f64::INFINITY, f64::min)
     }
 
@@ -141,7 +148,8 @@
     pub(super) fn record_admission(&mut self, class: usize) {
         for (k, record) in self.classes.iter_mut().enumerate() {
             let newest = f64::from(u8::from(k == class));
-            record.share += SHARE_NEWEST_WEIGHT * (newest - record.share);
+            record.admitted_fraction +=
+                ADMITTED_NEWEST_WEIGHT * (newest - record.admitted_fraction);
         }
     }
 
@@ -160,7 +168,7 @@
                 record.update_quantile(latency_s);
                 latency_s
             }
-            LatencySample::GivenUp => TIMEOUT_LATENCY_MULTIPLE * latency_s,
+            LatencySample::Abandoned => TIMEOUT_LATENCY_MULTIPLE * latency_s,
         };
         record.update_mean(counted_s, now_s);
         ratio
@@ -171,7 +179,7 @@
     pub(super) fn fade(&mut self, elapsed_s: f64, now_s: f64) {
         let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
         for class in self.classes.iter_mut().filter(stale) {
-            let excess_s = class.mean_latency_s - FADED_LATENCY_SHARE * class.objective_s;
+            let excess_s = class.mean_latency_s - FADED_LATENCY_FRACTION * class.objective_s;
             class.mean_latency_s -= (elapsed_s / LATENCY_VALID_S).min(1.0) * excess_s.max(0.0);
         }
     }
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -8,7 +8,7 @@
 /// poll that has waited for too long fails and is repeated.
 const POLL_SERVICE_S: f64 = 0.05;
 /// Share of the poll interval over which the polls of all balancers are spread at most.
-const MAX_SPREAD_SHARE: f64 = 0.5;
+const MAX_SPREAD_FRACTION: f64 = 0.5;
 /// Seconds after which a change counts as notified, whatever happened to the polls for it. Of
 /// these: what an answered poll takes from its connection on, and what it takes to see that a watch
 /// has gone silent.
@@ -19,9 +19,9 @@
 const MAX_REJECTED_BACKOFF_S: f64 = 2.0;
 /// Shortest backoff, and the longest over which many balancers spread their polls.
 const MIN_BACKOFF_S: f64 = 0.25;
-const MAX_CROWD_SPREAD_S: f64 = 3.0;
+const MAX_BACKOFF_SPREAD_S: f64 = 3.0;
 /// Longest doubling backoff, as a share of the poll interval; it starts at a sixteenth of that.
-const MAX_BACKOFF_SHARE: f64 = 0.8;
+const MAX_BACKOFF_FRACTION: f64 = 0.8;
 const MAX_DOUBLINGS: u32 = 4;
 /// Seconds after which an unanswered poll is given up for another; a local agent answers at once.
 const MIN_POLL_TIMEOUT_S: f64 = 4.0;
@@ -82,7 +82,7 @@
         Self {
             target: PollTarget::new(settings),
             interval_s,
-            spread_s: (POLL_SERVICE_S * balancers).min(MAX_SPREAD_SHARE * interval_s),
+            spread_s: (POLL_SERVICE_S * balancers).min(MAX_SPREAD_FRACTION * interval_s),
             is_watching: false,
             is_receiving: false,
             next_poll_at_s: 0.0,
@@ -139,13 +139,13 @@
     /// Doubling backoff, as all must not meet a discovery that was down at once; but none so long
     /// that a change made meanwhile is known later than it counts as notified.
     fn backoff_s(&self, failure: &PollFailure, now_s: f64) -> f64 {
-        let crowd_s = self.spread_s.min(MAX_CROWD_SPREAD_S);
+        let spread_s = self.spread_s.min(MAX_BACKOFF_SPREAD_S);
         let backoff_s = if self.target == PollTarget::LocalAgent {
             MIN_BACKOFF_S
         } else {
-            self.doubled_s(self.interval_s * MAX_BACKOFF_SHARE / 16.0)
-                .max(crowd_s)
-                .min(self.time_left_s(crowd_s, now_s))
+            self.doubled_s(self.interval_s * MAX_BACKOFF_FRACTION / 16.0)
+                .max(spread_s)
+                .min(self.remaining_s(spread_s, now_s))
         };
         // Nothing may be sent by the list in hand soon, and no other balancer is affected.
         let backoff_s = if failure.was_partial {
@@ -156,7 +156,7 @@
         // Rejecting polls costs an overloaded discovery time as well: none is repeated soon, and
         // none late.
         if failure.was_rejected {
-            backoff_s.min(crowd_s.max(MAX_REJECTED_BACKOFF_S))
+            backoff_s.min(spread_s.max(MAX_REJECTED_BACKOFF_S))
         } else {
             backoff_s
         }
@@ -167,19 +167,19 @@
     }
 
     /// Time left for a backoff, if the next poll is answered.
-    fn time_left_s(&self, crowd_s: f64, now_s: f64) -> f64 {
-        let spent_s = if self.is_watching {
+    fn remaining_s(&self, spread_s: f64, now_s: f64) -> f64 {
+        let elapsed_s = if self.is_watching {
             WATCH_SILENCE_S
         } else {
             now_s - self.last_poll_at_s
         };
         // The largest fleets keep their spread: few of them would reach a discovery that all poll
         // at once.
-        let least_s = if crowd_s < MAX_CROWD_SPREAD_S {
+        let min_s = if spread_s < MAX_BACKOFF_SPREAD_S {
             MIN_BACKOFF_S
         } else {
-            MAX_CROWD_SPREAD_S
+            MAX_BACKOFF_SPREAD_S
         };
-        (NOTIFIED_WITHIN_S - POLL_DURATION_S - spent_s).max(least_s)
+        (NOTIFIED_WITHIN_S - POLL_DURATION_S - elapsed_s).max(min_s)
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether nothing of it is left to wait for.
-    fn is_gone(&self) -> bool {
+    fn is_removable(&self) -> bool {
         self.endpoint.availability == Availability::Removed && self.load.in_flight() == 0
     }
 
@@ -116,13 +116,13 @@
         });
         is_changed |= context.apply_endpoint(&mut upstreams[slot], endpoint, started_at_s);
     }
-    let gone = upstreams
+    let removable = upstreams
         .iter()
-        .filter(|upstream| upstream.is_gone())
+        .filter(|upstream| upstream.is_removable())
         .count();
-    if upstreams.len() > known || gone > upstreams.len() / MAX_REMOVED_PART {
+    if upstreams.len() > known || removable > upstreams.len() / MAX_REMOVED_PART {
         // The gone leave: else a changing fleet would grow state as long as a balancer lives.
-        upstreams.retain(|upstream| !upstream.is_gone());
+        upstreams.retain(|upstream| !upstream.is_removable());
         is_changed = true;
     }
     is_changed
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -9,7 +9,7 @@
 const NEWEST_WEIGHT: f64 = 0.05;
 /// Share of unanswered attempts on idle connections from which on they are suspected, and how many
 /// times the share on connections in use it has to be.
-const MIN_UNANSWERED_SHARE: f64 = 0.3;
+const MIN_UNANSWERED_FRACTION: f64 = 0.3;
 const UNANSWERED_RATIO: f64 = 2.0;
 
 /// When the connections to one upstream were last used.
@@ -54,13 +54,14 @@
     /// An attempt on a connection that was idle for so long was answered, or never.
     pub(super) fn record(&mut self, idle_s: f64, was_unanswered: bool, now_s: f64) {
         let was_idle = idle_s > MIN_IDLE_S;
-        let share = if was_idle {
+        let fraction = if was_idle {
             &mut self.unanswered_idle
         } else {
             &mut self.unanswered_in_use
         };
-        *share += NEWEST_WEIGHT * (f64::from(u8::from(was_unanswered)) - *share);
-        let is_suspect = self.unanswered_idle > MIN_UNANSWERED_SHARE && self.are_lost_when_idle();
+        *fraction += NEWEST_WEIGHT * (f64::from(u8::from(was_unanswered)) - *fraction);
+        let is_suspect =
+            self.unanswered_idle > MIN_UNANSWERED_FRACTION && self.are_lost_when_idle();
         if was_unanswered && was_idle && is_suspect {
             let is_valid = now_s < self.max_idle_valid_until_s;
             let before_s = if is_valid {
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -15,8 +15,8 @@
 /// Seconds for which a report of utilization stands without another of the same upstream.
 pub(super) const UTILIZATION_VALID_S: f64 = 3.0;
 /// Utilization between which a report tells what is in flight at full utilization, and its weight.
-const MIN_TELLING_UTILIZATION: f64 = 0.2;
-const MAX_TELLING_UTILIZATION: f64 = 0.8;
+const MIN_INFORMATIVE_UTILIZATION: f64 = 0.2;
+const MAX_INFORMATIVE_UTILIZATION: f64 = 0.8;
 const FULL_NEWEST_WEIGHT: f64 = 0.02;
 /// The largest value of a report that is believed.
 const MAX_REPORTED: f64 = 1e4;
@@ -51,7 +51,7 @@
     }
 
     /// Share of its own attempts that are neither overdue nor given up.
-    pub(super) fn responsive_share(&self) -> f64 {
+    pub(super) fn responsive_fraction(&self) -> f64 {
         1.0 - (f64::from(self.overdue) + self.abandoned_attempts) / self.own().max(1.0)
     }
 
@@ -115,7 +115,7 @@
     fields: Vec<LoadField>,
     /// Share of a report's attempts that are not this balancer's own: reports are old, so that its
     /// own attempts of now, subtracted, would say nothing of the others.
-    others_share: f64,
+    others_fraction: f64,
     /// What upstreams in the rotation have in flight of others for their capacity.
     mean_others_in_flight: f64,
     /// What one of unit size has in flight with all its cores in use, and nothing waiting.
@@ -126,7 +126,7 @@
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             fields: settings.report_fields.clone(),
-            others_share: 1.0 - 1.0 / f64::from(settings.balancers.max(1)),
+            others_fraction: 1.0 - 1.0 / f64::from(settings.balancers.max(1)),
             mean_others_in_flight: 0.0,
             in_flight_at_full: 0.0,
         }
@@ -140,7 +140,7 @@
     /// Takes in a load report of an upstream.
     pub(super) fn record(&mut self, upstream: &mut Upstream, report: &[f32], now_s: f64) {
         let (load, size) = (&mut upstream.load, upstream.endpoint.size);
-        let mut most_in_flight: Option<f64> = None;
+        let mut max_in_flight: Option<f64> = None;
         let fields = self
             .fields
             .iter()
@@ -150,7 +150,7 @@
             let value = f64::from(*value).clamp(0.0, MAX_REPORTED);
             match field {
                 LoadField::InFlight | LoadField::Queue => {
-                    most_in_flight = Some(value.max(most_in_flight.unwrap_or(0.0)));
+                    max_in_flight = Some(value.max(max_in_flight.unwrap_or(0.0)));
                 }
                 LoadField::Utilization => {
                     load.utilization = value.min(1.0);
@@ -159,25 +159,25 @@
                 _ => {}
             }
         }
-        let Some(in_flight) = most_in_flight else {
+        let Some(in_flight) = max_in_flight else {
             return;
         };
         load.reported_in_flight = in_flight;
         if load.utilization_reported_at_s >= now_s {
             self.learn_in_flight_at_full(in_flight, load.utilization, size);
         }
-        load.record_others(in_flight * self.others_share, now_s);
+        load.record_others(in_flight * self.others_fraction, now_s);
     }
 
     /// Takes in what a live weight tells: the requests that each core has in flight.
     pub(super) fn record_live_weight(&self, load: &mut UpstreamLoad, in_flight: f64, now_s: f64) {
-        load.record_others(in_flight * self.others_share, now_s);
+        load.record_others(in_flight * self.others_fraction, now_s);
     }
 
     fn learn_in_flight_at_full(&mut self, in_flight: f64, utilization: f64, size: f64) {
         let at_full = in_flight / (utilization * size).max(1e-9);
-        let telling = MIN_TELLING_UTILIZATION..MAX_TELLING_UTILIZATION;
-        if telling.contains(&utilization) && at_full > 0.0 {
+        let informative = MIN_INFORMATIVE_UTILIZATION..MAX_INFORMATIVE_UTILIZATION;
+        if informative.contains(&utilization) && at_full > 0.0 {
             let newest_weight = if self.in_flight_at_full > 0.0 {
                 FULL_NEWEST_WEIGHT
             } else {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -50,7 +50,7 @@
 use round_robin::Rotation;
 use std::time::Duration;
 use subset::Subset;
-use upstream_health::suspicion_left;
+use upstream_health::suspicion_decay;
 use upstreams::{Upstream, Upstreams};
 use weights::Weights;
 
@@ -320,7 +320,7 @@
     fn choose_subset(&mut self) {
         let choice = self.subset.choose(&mut self.upstreams, self.now_s);
         let close = |upstream| Action::CloseIdleConnections { upstream };
-        self.actions.extend(choice.left.into_iter().map(close));
+        self.actions.extend(choice.removed.into_iter().map(close));
         let before = self.rotation.members().len();
         let growth = choice.members.len() as f64 / before.max(1) as f64;
         if choice.is_part && before > 0 && growth > 1.0 {
@@ -338,23 +338,23 @@
         let now_s = self.now_s;
         let ready = || self.members().filter(|u| u.endpoint.is_ready());
         let ejected = ready().filter(|u| u.health.is_ejected(now_s)).count();
-        let ejections_hold = may_be_ejected(ejected, ready().count());
-        let suspicion_left = suspicion_left(elapsed_s);
-        let abandoned_left = (-elapsed_s / self.classes.shortest_objective_s()).exp();
+        let ejections_apply = may_be_ejected(ejected, ready().count());
+        let suspicion_decay = suspicion_decay(elapsed_s);
+        let abandoned_decay = (-elapsed_s / self.classes.shortest_objective_s()).exp();
         let (upstreams, members) = (&mut self.upstreams, self.rotation.members());
         for slot in members {
-            upstreams[*slot].health.fade(suspicion_left);
-            upstreams[*slot].load.fade_abandoned(abandoned_left);
+            upstreams[*slot].health.fade(suspicion_decay);
+            upstreams[*slot].load.fade_abandoned(abandoned_decay);
         }
         self.weights
-            .update(upstreams, members, ejections_hold, elapsed_s, now_s);
+            .update(upstreams, members, ejections_apply, elapsed_s, now_s);
         self.load_reports.update_mean(upstreams, members, now_s);
         let service_rate = self.capacity.service_rate();
         let slow_start = self
             .weights
             .slow_start_rate(upstreams, members, service_rate);
         self.rotation
-            .earn_slow_start_turns(upstreams, slow_start, elapsed_s);
+            .earn_slow_start_deficit(upstreams, slow_start, elapsed_s);
         let rates = PacingRates {
             service_rate,
             slow_start,
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -11,12 +11,12 @@
 const MAX_TRIAL_DOUBLINGS: u32 = 4;
 /// Share of the ready upstreams that may be ejected: when more seem unhealthy, the fault is not
 /// theirs.
-const MAX_EJECTED_SHARE: f64 = 0.6;
+const MAX_EJECTED_FRACTION: f64 = 0.6;
 /// Faults in a row after which an upstream is ejected for the class that met them.
 const MAX_CLASS_FAULTS: u32 = 2;
 /// Share of the other upstreams with errors from which on the fault is on the way. Then an error
 /// counts for this part of itself at the least, and so many times as many in a row make a fault.
-const COMMON_ERROR_SHARE: f64 = 0.5;
+const COMMON_ERROR_FRACTION: f64 = 0.5;
 const MIN_ERROR_WEIGHT: f64 = 0.3;
 const COMMON_ERROR_FAULTS: u32 = 4;
 
@@ -51,11 +51,11 @@
 /// Whether so many of all upstreams may be ejected: when more seem unhealthy, the fault is not
 /// theirs.
 pub(super) fn may_be_ejected(ejected: usize, all: usize) -> bool {
-    ejected as f64 <= MAX_EJECTED_SHARE * all as f64
+    ejected as f64 <= MAX_EJECTED_FRACTION * all as f64
 }
 
 /// Share of the other upstreams of the rotation that have answered with an error of late.
-fn common_error_share(upstreams: &Upstreams, rotation: &[usize], but: usize, now_s: f64) -> f64 {
+fn common_error_fraction(upstreams: &Upstreams, rotation: &[usize], but: usize, now_s: f64) -> f64 {
     let others = || rotation.iter().filter(|slot| **slot != but);
     let erring = others()
         .filter(|slot| upstreams[**slot].health.has_erred_recently(now_s))
@@ -71,7 +71,7 @@
             Some(Fault::Error { weight })
         }
         Outcome::Rejected => Some(Fault::Rejected),
-        Outcome::ConnectFailed | Outcome::Reset => Some(Fault::BrokenConnection),
+        Outcome::ConnectFailed | Outcome::Reset => Some(Fault::ConnectionFailure),
         Outcome::Ok | Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => None,
     }
 }
@@ -99,7 +99,7 @@
         clock: &mut JitteredClock<'_>,
     ) -> Option<Fault> {
         let now_s = clock.now_s;
-        let common_errors = common_error_share(upstreams, rotation, slot, now_s);
+        let common_errors = common_error_fraction(upstreams, rotation, slot, now_s);
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected_for(attempt.class);
         let ejected = rotation.iter().filter(is_ejected).count() + 1;
         let may_eject = may_be_ejected(ejected, rotation.len());
@@ -115,7 +115,7 @@
         } else if attempt.is_fault(!health.is_ejected(now_s)) {
             health.record_class_fault(attempt.class);
         }
-        let is_common = common_errors > COMMON_ERROR_SHARE;
+        let is_common = common_errors > COMMON_ERROR_FRACTION;
         let max_faults = MAX_CLASS_FAULTS * if is_common { COMMON_ERROR_FAULTS } else { 1 };
         if may_eject && health.is_faulty_for(attempt.class, max_faults) {
             health.eject_for(attempt.class, now_s);
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -6,10 +6,10 @@
 use super::weights::SlowStartRate;
 
 /// Sends to one upstream that can be saved up, where many share it.
-const MAX_SAVED_SENDS_EACH: f64 = 1.5;
+const MAX_UPSTREAM_BUDGET: f64 = 1.5;
 /// Sends to all of them that can be saved up: so many, and so many seconds' worth.
-const MIN_SAVED_SENDS: f64 = 3.0;
-const SAVED_SENDS_S: f64 = 0.1;
+const MIN_BURST: f64 = 3.0;
+const BURST_S: f64 = 0.1;
 /// How many times as much is allowed where few balancers share an upstream, at the most.
 const MAX_UNSHARED_MULTIPLE: f64 = 1e3;
 /// Part of what can be saved that is kept for first attempts of clients: a retry may be too late
@@ -31,7 +31,7 @@
 impl SendBudget {
     pub(super) fn full() -> Self {
         Self {
-            sends: MAX_SAVED_SENDS_EACH,
+            sends: MAX_UPSTREAM_BUDGET,
         }
     }
 }
@@ -50,8 +50,8 @@
 
 /// The sends that all upstreams together have left.
 pub(super) struct SendPacing {
-    saved_sends: f64,
-    max_saved_sends: f64,
+    available_sends: f64,
+    burst: f64,
     /// Upstreams report their utilization: only then sends are paced.
     is_active: bool,
 }
@@ -59,8 +59,8 @@
 impl SendPacing {
     pub(super) fn new(is_active: bool) -> Self {
         Self {
-            saved_sends: 1.0,
-            max_saved_sends: 0.0,
+            available_sends: 1.0,
+            burst: 0.0,
             is_active,
         }
     }
@@ -87,25 +87,25 @@
             if upstream.weight.is_warming_up() {
                 let slow_start = rates.slow_start;
                 sends_per_s +=
-                    slow_start.warm_rate * slow_start.multiple * upstream.weight.weight();
+                    slow_start.steady_rate * slow_start.multiple * upstream.weight.weight();
                 continue;
             }
             let rate = rates.upstream_rate(upstream, now_s);
             upstream.send_budget.sends = (upstream.send_budget.sends
                 + elapsed_s * unshared_multiple * rate)
-                .min(MAX_SAVED_SENDS_EACH * unshared_multiple);
+                .min(MAX_UPSTREAM_BUDGET * unshared_multiple);
             let is_weighted = upstream.weight.weight() > 0.0;
             sends_per_s += unshared_multiple * rate * f64::from(u8::from(is_weighted));
         }
-        self.max_saved_sends = MIN_SAVED_SENDS + SAVED_SENDS_S * sends_per_s;
-        self.saved_sends = (self.saved_sends + elapsed_s * sends_per_s)
-            .clamp(-self.max_saved_sends, self.max_saved_sends);
+        self.burst = MIN_BURST + BURST_S * sends_per_s;
+        self.available_sends =
+            (self.available_sends + elapsed_s * sends_per_s).clamp(-self.burst, self.burst);
     }
 
     /// An attempt goes to an upstream.
     pub(super) fn record_send(&mut self, budget: &mut SendBudget) {
         budget.sends = (budget.sends - 1.0).max(0.0);
-        self.saved_sends -= 1.0;
+        self.available_sends -= 1.0;
     }
 
     /// Whether too few sends are saved up for a request: some are kept for first attempts, and for
@@ -117,8 +117,8 @@
         } else {
             reserved_for_value
         };
-        let reserved = (self.max_saved_sends - 1.0) * share;
-        self.is_active && self.saved_sends < 1.0 + reserved
+        let reserved = (self.burst - 1.0) * share;
+        self.is_active && self.available_sends < 1.0 + reserved
     }
 
     /// Whether an upstream has had its sends for now. One in slow start earns its turns by time
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -10,9 +10,9 @@
 
 /// Share of the objective after which an attempt whose late response is of no use is given up: just
 /// before it, not as late.
-const USEFUL_OBJECTIVE_SHARE: f64 = 0.98;
+const USEFUL_OBJECTIVE_FRACTION: f64 = 0.98;
 /// The longest time left that a rejection goes by.
-const MAX_TIME_LEFT_S: f64 = 1e6;
+const MAX_REMAINING_S: f64 = 1e6;
 
 /// A request that has come.
 #[derive(Clone, Copy)]
@@ -60,7 +60,7 @@
         let slot = if is_short {
             None
         } else {
-            self.next_turn(arrival.class)
+            self.next_upstream(arrival.class)
         };
         slot.ok_or_else(|| {
             if self.has_paced_upstream(arrival.class, is_short) {
@@ -74,7 +74,7 @@
 
     /// The upstream whose turn it is for a class; a due trial of one that is ejected for it comes
     /// first.
-    fn next_turn(&mut self, class: usize) -> Option<usize> {
+    fn next_upstream(&mut self, class: usize) -> Option<usize> {
         let upstreams = &mut self.upstreams;
         self.rotation.drop_unusable(upstreams);
         let members = self.rotation.members();
@@ -117,7 +117,7 @@
     }
 
     fn admit(&mut self, arrival: &Arrival, slot: usize) {
-        self.admission.take_token(arrival.tenant);
+        self.admission.consume_token(arrival.tenant);
         if !self.settings.retries_marked {
             self.subset.record_first_attempt();
         }
@@ -128,7 +128,7 @@
         let useful_until_s = if is_useful_when_late(class) {
             deadline_s
         } else {
-            let useful_s = USEFUL_OBJECTIVE_SHARE * class.latency_objective.as_secs_f64();
+            let useful_s = USEFUL_OBJECTIVE_FRACTION * class.latency_objective.as_secs_f64();
             deadline_s.min(self.now_s + useful_s)
         };
         let request = Request::new(arrival.class, useful_until_s, deadline_s);
@@ -150,14 +150,14 @@
 
     /// The final response where no attempt is in flight and none may follow: a rejection only if
     /// nothing can have run, or may run again.
-    pub(super) fn give_up(&mut self, id: RequestId, reason: FailureReason) {
+    pub(super) fn end_without_response(&mut self, id: RequestId, reason: FailureReason) {
         let Some(request) = self.requests.remove(id) else {
             return;
         };
         let is_idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
         if is_idempotent || request.never_ran() {
-            let left_s = (request.deadline_s - self.now_s).max(0.0);
-            let time_left = Duration::from_secs_f64(left_s.min(MAX_TIME_LEFT_S));
+            let remaining_s = (request.deadline_s - self.now_s).max(0.0);
+            let time_left = Duration::from_secs_f64(remaining_s.min(MAX_REMAINING_S));
             self.reject(id, time_left, reason);
         } else {
             self.actions.push(Action::Fail { id, reason });
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -9,7 +9,7 @@
 
 /// Retries earned by each request admitted, and how many of them can be saved up.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-const MAX_SAVED_RETRIES: f64 = 10.0;
+const MAX_RETRY_BUDGET: f64 = 10.0;
 /// Time left for the way to an upstream, beside a new connection, until it forgets an idempotency
 /// key.
 const KEY_MARGIN_S: f64 = 0.05;
@@ -66,14 +66,14 @@
 
 impl EndedAttempt {
     /// Whether it was given up though no answer had come for longer than is usual.
-    pub(super) fn is_given_up(&self) -> bool {
+    pub(super) fn is_abandoned(&self) -> bool {
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
 
     /// Whether it speaks against its upstream; silence does only of one that is not ejected.
     pub(super) fn is_fault(&self, silence_counts: bool) -> bool {
         matches!(self.outcome, Outcome::Error | Outcome::Rejected)
-            || (self.is_given_up() && silence_counts)
+            || (self.is_abandoned() && silence_counts)
     }
 }
 
@@ -158,12 +158,12 @@
 impl RetryBudget {
     pub(super) fn full() -> Self {
         Self {
-            retries: MAX_SAVED_RETRIES,
+            retries: MAX_RETRY_BUDGET,
         }
     }
 
     pub(super) fn record_admission(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
     pub(super) fn affords(&self, cost: f64) -> bool {
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -18,12 +18,12 @@
 
 /// Turns that one upstream has earned and not taken.
 pub(super) struct Deficit {
-    turns: f64,
+    amount: f64,
 }
 
 impl Deficit {
-    pub(super) fn new(turns: f64) -> Self {
-        Self { turns }
+    pub(super) fn new(amount: f64) -> Self {
+        Self { amount }
     }
 }
 
@@ -57,7 +57,7 @@
     }
 
     /// Upstreams in slow start earn turns by time: where others are skipped the rotation is faster.
-    pub(super) fn earn_slow_start_turns(
+    pub(super) fn earn_slow_start_deficit(
         &self,
         upstreams: &mut Upstreams,
         rate: SlowStartRate,
@@ -66,9 +66,10 @@
         for slot in &self.members {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let earned = elapsed_s * rate.warm_rate * rate.multiple * upstream.weight.weight();
-                let turns = upstream.deficit.turns + earned;
-                upstream.deficit.turns = turns.min(MAX_SLOW_START_DEFICIT);
+                let earned =
+                    elapsed_s * rate.steady_rate * rate.multiple * upstream.weight.weight();
+                let amount = upstream.deficit.amount + earned;
+                upstream.deficit.amount = amount.min(MAX_SLOW_START_DEFICIT);
             }
         }
     }
@@ -89,15 +90,15 @@
         accepts: impl Fn(&Upstream) -> bool,
         in_flight: impl Fn(&Upstream) -> f64,
     ) -> Option<usize> {
-        self.look_ahead(upstreams, &accepts);
+        self.fill_lookahead(upstreams, &accepts);
         let accepted = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]));
-        let in_sight = accepted
+        let visible = accepted
             .take(LOOKAHEAD)
             .map(|slot| in_flight(&upstreams[*slot]));
-        let least = in_sight.fold(f64::INFINITY, f64::min);
+        let min_in_flight = visible.fold(f64::INFINITY, f64::min);
         let mut position = 0;
         while let Some(&slot) = self.lookahead.get(position) {
             if !accepts(&upstreams[slot]) {
@@ -105,7 +106,7 @@
                 continue;
             }
             self.lookahead.remove(position);
-            if in_flight(&upstreams[slot]) <= least * SKIP_MULTIPLE + SKIP_MARGIN {
+            if in_flight(&upstreams[slot]) <= min_in_flight * SKIP_MULTIPLE + SKIP_MARGIN {
                 return Some(slot);
             }
         }
@@ -113,19 +114,19 @@
     }
 
     /// Takes turns in until enough accepted ones are in sight.
-    fn look_ahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
+    fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
         let longest = LOOKAHEAD + self.members.len();
-        let mut in_sight = self
+        let mut visible = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]))
             .count();
-        while in_sight < LOOKAHEAD && self.lookahead.len() < longest {
+        while visible < LOOKAHEAD && self.lookahead.len() < longest {
             let Some(slot) = self.step(upstreams) else {
                 break;
             };
             self.lookahead.push_back(slot);
-            in_sight += usize::from(accepts(&upstreams[slot]));
+            visible += usize::from(accepts(&upstreams[slot]));
         }
         if self.lookahead.len() >= longest {
             self.lookahead.pop_front();
@@ -142,7 +143,7 @@
             if weight <= 0.0 {
                 continue;
             }
-            let deficit = &mut upstream.deficit.turns;
+            let deficit = &mut upstream.deficit.amount;
             if !upstream.weight.is_warming_up() {
                 *deficit = (*deficit + weight).min(MAX_DEFICIT);
             }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -58,7 +58,7 @@
 pub(super) struct SubsetChoice {
     pub(super) members: Vec<usize>,
     /// Upstreams that are no members any more, though they are ready.
-    pub(super) left: Vec<UpstreamId>,
+    pub(super) removed: Vec<UpstreamId>,
     /// Not all ready upstreams are members.
     pub(super) is_part: bool,
 }
@@ -70,7 +70,7 @@
     /// Of what this balancer gets.
     wanted: usize,
     /// It takes all of them.
-    takes_all: bool,
+    includes_all: bool,
 }
 
 /// The size of the subset, and when it is chosen anew.
@@ -146,7 +146,7 @@
         let ready = |slot: &usize| upstreams[*slot].endpoint.is_ready();
         let mut order: Vec<usize> = (0..upstreams.len()).filter(ready).collect();
         let size = self.size_of(order.len());
-        if !size.takes_all {
+        if !size.includes_all {
             self.sort(&mut order, upstreams, &size);
         }
         // When more seem unhealthy, the fault is not theirs.
@@ -164,14 +164,14 @@
         self.review_at_s = ends
             .filter(|end_s| *end_s > now_s)
             .fold(f64::INFINITY, f64::min);
-        let left = fill(&order, upstreams, &size, ejected_at_s);
+        let removed = fill(&order, upstreams, &size, ejected_at_s);
         let part = size.equal.min(order.len()) as f64 / order.len().max(1) as f64;
         self.balancers_per_upstream = (f64::from(self.balancers) * part).max(1.0);
         order.retain(|slot| upstreams[*slot].membership.is_member);
         SubsetChoice {
             members: order,
-            left,
-            is_part: !size.takes_all,
+            removed,
+            is_part: !size.includes_all,
         }
     }
 
@@ -181,11 +181,11 @@
             .min_size
             .max(MIN_SUBSETS_PER_UPSTREAM * ready / balancers);
         let wanted = equal.max(self.size);
-        let takes_all = wanted * ALL_DENOMINATOR >= ready * ALL_NUMERATOR;
+        let includes_all = wanted * ALL_DENOMINATOR >= ready * ALL_NUMERATOR;
         SubsetSize {
             equal,
             wanted,
-            takes_all,
+            includes_all,
         }
     }
 
@@ -219,7 +219,7 @@
         // A member stays one, so that connections stay warm; newcomers have their place by the
         // order.
         let joins = is_usable && membership.is_new && rank < size.wanted;
-        membership.is_member = size.takes_all || membership.is_member || joins;
+        membership.is_member = size.includes_all || membership.is_member || joins;
         membership.is_new &= !is_usable;
         members += usize::from(membership.is_member);
         unusable += usize::from(membership.is_member && !is_usable);
@@ -235,14 +235,14 @@
             members += 1;
         }
     }
-    let mut left = Vec::new();
+    let mut removed = Vec::new();
     for slot in order.iter().rev() {
         let upstream = &mut upstreams[*slot];
-        if members > wanted && upstream.membership.is_member && !size.takes_all {
+        if members > wanted && upstream.membership.is_member && !size.includes_all {
             upstream.membership.is_member = false;
             members -= 1;
-            left.push(upstream.endpoint.id);
+            removed.push(upstream.endpoint.id);
         }
     }
-    left
+    removed
 }
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -9,7 +9,7 @@
 /// leaves of it.
 const FAULT_SUSPICION: f64 = 0.4;
 const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
-const SUSPICION_LEFT_BY_ANSWER: f64 = 0.6;
+const ANSWER_SUSPICION_FACTOR: f64 = 0.6;
 /// Suspicion from which on an upstream gets one attempt at a time and nothing that can't be
 /// repeated; and suspicion at which it is ejected: two faults in a row, or three broken connections
 /// without a response.
@@ -28,7 +28,7 @@
 const RECENT_ERROR_S: f64 = 5.0;
 
 /// What is left of a suspicion after so many seconds.
-pub(super) fn suspicion_left(elapsed_s: f64) -> f64 {
+pub(super) fn suspicion_decay(elapsed_s: f64) -> f64 {
     (-elapsed_s / SUSPICION_MEMORY_S).exp()
 }
 
@@ -42,7 +42,7 @@
     /// An attempt is overdue, and nothing has come back since it was sent.
     Unresponsive,
     /// A connection broke or never came up.
-    BrokenConnection,
+    ConnectionFailure,
 }
 
 impl Fault {
@@ -50,13 +50,13 @@
         match self {
             Self::Error { weight } => FAULT_SUSPICION * weight,
             Self::Rejected | Self::Unresponsive => FAULT_SUSPICION,
-            Self::BrokenConnection => CONNECTION_FAULT_SUSPICION,
+            Self::ConnectionFailure => CONNECTION_FAULT_SUSPICION,
         }
     }
 }
 
 /// What a suspicion goes by, of the rest of the balancer.
-pub(super) struct FleetConditions {
+pub(super) struct SuspicionContext {
     /// Mean latency of an attempt.
     pub(super) mean_latency_s: f64,
     /// Balancers that send to each upstream.
@@ -120,7 +120,7 @@
         self.classes.fill(ClassHealth::default());
     }
 
-    /// Lets suspicion fade: `left` of it stays, of [`suspicion_left`].
+    /// Lets suspicion fade: `left` of it stays, of [`suspicion_decay`].
     pub(super) fn fade(&mut self, left: f64) {
         self.suspicion *= left;
     }
@@ -207,7 +207,7 @@
             self.last_error_at_s = now_s;
         }
         if outcome == Outcome::Ok {
-            self.suspicion *= SUSPICION_LEFT_BY_ANSWER;
+            self.suspicion *= ANSWER_SUSPICION_FACTOR;
             if self.suspicion <= PROBATION_SUSPICION {
                 self.consecutive_ejections = 0;
             }
@@ -218,12 +218,12 @@
     pub(super) fn suspect(
         &mut self,
         fault: Fault,
-        conditions: &FleetConditions,
+        conditions: &SuspicionContext,
         clock: &mut JitteredClock<'_>,
     ) -> bool {
         self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
         // A process that has died breaks every connection, a poor network a few.
-        let responds = matches!(fault, Fault::BrokenConnection)
+        let responds = matches!(fault, Fault::ConnectionFailure)
             && self.last_response_at_s + conditions.mean_latency_s >= clock.now_s;
         let is_outlier = match self.state(clock.now_s) {
             EjectionState::Ejected => false,
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -12,7 +12,7 @@
 const MAX_SAMPLE_RATIO: f64 = 5.0;
 const MIN_CAPACITY: f64 = 1e-3;
 /// Share of what would overload a warming upstream that it is sent for each unit of capacity.
-const SLOW_START_LOAD_SHARE: f64 = 0.4;
+const SLOW_START_LOAD_FRACTION: f64 = 0.4;
 /// Cross-zone price at which other zones get no ordinary turns; less in proportion.
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
 
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct SlowStartRate {
     /// The service rate of a warm upstream, on average.
-    pub(super) warm_rate: f64,
+    pub(super) steady_rate: f64,
     /// Multiple of it for each unit of capacity.
     pub(super) multiple: f64,
 }
@@ -90,7 +90,7 @@
 pub(super) struct Weights {
     zone: ZoneId,
     /// Share of their turns that upstreams of other zones get.
-    other_zone_share: f64,
+    other_zone_fraction: f64,
     slow_start_initial_share: f64,
     slow_start_duration_s: f64,
     overload_multiple: f64,
@@ -100,7 +100,7 @@
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             zone: settings.zone,
-            other_zone_share: (1.0 - settings.prices.cross_zone / MAX_CROSS_ZONE_PRICE).max(0.0),
+            other_zone_fraction: (1.0 - settings.prices.cross_zone / MAX_CROSS_ZONE_PRICE).max(0.0),
             slow_start_initial_share: settings.slow_start_initial_share.min(1.0),
             slow_start_duration_s: settings.slow_start_duration.as_secs_f64(),
             overload_multiple: settings.overload_multiple,
@@ -113,12 +113,12 @@
     }
 
     /// Weighs the upstreams of the rotation anew. Those ejected get no turns while
-    /// `ejections_hold`.
+    /// `ejections_apply`.
     pub(super) fn update(
         &self,
         upstreams: &mut Upstreams,
         rotation: &[usize],
-        ejections_hold: bool,
+        ejections_apply: bool,
         elapsed_s: f64,
         now_s: f64,
     ) {
@@ -131,18 +131,18 @@
             let upstream = &mut upstreams[*slot];
             upstream.weight.answer_count *= fade;
             let warmth = self.advance_slow_start(&mut upstream.weight, now_s);
-            let size_share = upstream.endpoint.size / largest_size;
-            let capacity = size_share * warmth / upstream.weight.believed_latency_ratio();
+            let relative_size = upstream.endpoint.size / largest_size;
+            let capacity = relative_size * warmth / upstream.weight.believed_latency_ratio();
             upstream.weight.capacity = capacity.max(MIN_CAPACITY);
-            let is_out = ejections_hold && upstream.health.is_ejected(now_s);
+            let is_out = ejections_apply && upstream.health.is_ejected(now_s);
             let is_usable = upstream.endpoint.is_ready() && !is_out;
-            let zone_share = if self.is_near(upstream) || !has_near {
+            let zone_factor = if self.is_near(upstream) || !has_near {
                 1.0
             } else {
-                self.other_zone_share
+                self.other_zone_fraction
             };
-            let usable_share = f64::from(u8::from(is_usable));
-            upstream.weight.weight = upstream.weight.capacity * zone_share * usable_share;
+            let usable_factor = f64::from(u8::from(is_usable));
+            upstream.weight.weight = upstream.weight.capacity * zone_factor * usable_factor;
         }
     }
 
@@ -173,21 +173,21 @@
         rotation: &[usize],
         service_rate: f64,
     ) -> SlowStartRate {
-        let (mut warm_weight, mut warm_count) = (0.0, 0.0);
+        let (mut steady_weight, mut steady_count) = (0.0, 0.0);
         for weight in rotation.iter().map(|slot| &upstreams[*slot].weight) {
             if weight.weight > 0.0 && !weight.is_warming_up() {
-                warm_count += 1.0;
-                warm_weight += weight.weight;
+                steady_count += 1.0;
+                steady_weight += weight.weight;
             }
         }
-        let warm_rate = if warm_count > 0.0 {
-            service_rate * warm_weight / warm_count
+        let steady_rate = if steady_count > 0.0 {
+            service_rate * steady_weight / steady_count
         } else {
             service_rate
         };
         SlowStartRate {
-            warm_rate,
-            multiple: SLOW_START_LOAD_SHARE * self.overload_multiple,
+            steady_rate,
+            multiple: SLOW_START_LOAD_FRACTION * self.overload_multiple,
         }
     }
 }
