--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,12 +1,14 @@
 //! Admission: one token bucket a tenant, refilled by a guaranteed rate and by a share, in
 //! proportion to demand, of the spare capacity.
 
+use super::smoothing::{newest_weight, per_second};
 use crate::interface::{RequestId, Settings};
 use crate::random::Random;
 use std::time::Duration;
 
-/// Bucket size: a second of the guarantee or this share of the tenant's demand, whichever is more,
-/// and this many tokens, so that a small tenant's chance pairs are not rejected.
+/// Bucket size: a second of the guarantee or this fraction of the tenant's demand, whichever is
+/// more, and this many tokens, so that two requests of a small tenant that happen to come together
+/// are not rejected.
 const BUCKET_DEMAND_FRACTION: f64 = 0.2;
 const MIN_BUCKET_SIZE: f64 = 3.0;
 /// Seconds and requests over which demand is counted at least: a tick sees too few to go by.
@@ -15,8 +17,8 @@
 /// Guarantees grow with the median tenant's demand and this much more, up to so many equal parts.
 const GUARANTEE_MARGIN: f64 = 1.3;
 const MAX_GUARANTEE_GROWTH: f64 = 4.0;
-/// Part of a guarantee lost for each part of what is in flight that is too much, for demand over it
-/// ...
+/// Fraction of a guarantee that is cut for each fraction of what is in flight that is too much, for
+/// demand over it ...
 const OVER_GUARANTEE_CUT: f64 = 20.0;
 /// ... and, from a shortage on, for demand within it.
 const WITHIN_GUARANTEE_CUT: f64 = 2.0;
@@ -26,7 +28,7 @@
 
 /// The token bucket of a tenant.
 struct TokenBucket {
-    /// mu_i
+    /// mu_i: the tokens left.
     tokens: f64,
     /// V_i of the running tick.
     arrivals: f64,
@@ -68,7 +70,7 @@
         } else {
             0.0
         };
-        // Only whole tokens count against a share of W under one request: else it stops short of
+        // Only whole tokens count against a share of W under one request: else it would never reach
         // one.
         let open = (refill.spare_capacity - self.tokens.floor()).max(0.0);
         let guaranteed = (1.0 - cut).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
@@ -78,8 +80,8 @@
 
     /// Takes the arrivals of the tick into the demand.
     fn update_demand(&mut self, window_s: f64, elapsed_s: f64) {
-        let per_s = self.arrivals / elapsed_s.max(1e-6);
-        self.demand_per_s += (elapsed_s / window_s).min(1.0) * (per_s - self.demand_per_s);
+        let per_s = per_second(self.arrivals, elapsed_s);
+        self.demand_per_s += newest_weight(elapsed_s, window_s) * (per_s - self.demand_per_s);
         self.arrivals = 0.0;
     }
 }
@@ -90,7 +92,7 @@
     spare_capacity: f64,
     shortage: f64,
     total_demand_per_s: f64,
-    /// tau.
+    /// tau: the time since the last tick.
     elapsed_s: f64,
 }
 
@@ -132,19 +134,19 @@
         self.bucket(tenant).tokens -= 1.0;
     }
 
-    /// Requests a second that are asked for.
+    /// Demand of all tenants, in requests a second.
     pub(super) fn demand_per_s(&self) -> f64 {
         self.buckets.iter().map(|bucket| bucket.demand_per_s).sum()
     }
 
-    /// Refills the buckets, each tick. In a shortage tenants over their guarantee lose it first;
-    /// the rest too in a large one, as after the loss of half the fleet: nobody is served from full
-    /// queues.
+    /// Refills the buckets, each tick. In a shortage tenants over their guarantee lose it first; in
+    /// a large one, as after the loss of half the fleet, the others do as well: full queues serve
+    /// nobody.
     pub(super) fn refill(&mut self, spare_capacity: f64, shortage: f64, elapsed_s: f64) {
         let total_demand_per_s = self.demand_per_s();
         let growth = self.guarantee_growth(shortage);
-        // Long enough for a few requests: a tenant that happened to be silent is not without
-        // demand.
+        // Long enough for a few requests: a tenant that sent nothing for a moment still
+        // has demand.
         let window_s = MIN_DEMAND_WINDOW_S.max(MIN_DEMAND_COUNT / total_demand_per_s.max(0.1));
         let refill = Refill {
             spare_capacity,
@@ -159,8 +161,9 @@
         }
     }
 
-    /// Where the median tenant asks for more than its part, this balancer carries more, and no
-    /// tenant surges; unless there is a large shortage: then all surge, as with retries in a jam.
+    /// Where the median tenant asks for more than its part, this balancer gets more traffic than
+    /// others, and no single tenant surges. Not in a large shortage: there retries raise all
+    /// demand.
     fn guarantee_growth(&self, shortage: f64) -> f64 {
         let demand =
             |bucket: &TokenBucket| bucket.demand_per_s / bucket.base_guarantee_per_s.max(1e-9);
@@ -172,7 +175,7 @@
     }
 }
 
-/// How long a client that is rejected should stay away: no less than an attempt takes, however
+/// How long a rejected client should wait before a retry: no less than an attempt takes, however
 /// little of this one's time is left, as the client may have another. The moment is spread by the
 /// request's own number, so that clients rejected together do not return together.
 pub(super) fn retry_after(
--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use super::class_statistics::LatencySample;
 use super::clock::JitteredClock;
-use super::requests::{Attempt, AttemptState, EndedAttempt, OverdueAttempt, Request, RequestState};
+use super::requests::{Attempt, AttemptState, EndedAttempt, OverdueAttempt, Request};
 use super::round_robin::Deficit;
 use super::upstream_health::{Fault, SuspicionContext};
 use super::upstreams::Upstream;
@@ -16,7 +16,7 @@
 /// work.
 const RETRY_COST: f64 = 1.0;
 const UNPROCESSED_RETRY_COST: f64 = 0.1;
-/// A retry is sent only if so much is left until the deadline, and this share of a usual latency
+/// A retry is sent only if so much is left until the deadline, and this fraction of a usual latency
 /// while a response is still of use.
 const MIN_RETRY_TIME_S: f64 = 1e-3;
 const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
@@ -44,7 +44,7 @@
             .idle_s(self.now_s, upstream.load.in_flight());
         if self.idle_connections.is_suspect(idle_s, self.now_s) {
             self.actions.push(Action::CloseIdleConnections {
-                upstream: upstream.endpoint.id,
+                upstream: upstream.endpoint.id(),
             });
             idle_s = 0.0;
         }
@@ -53,13 +53,13 @@
         self.pacing.record_send(&mut upstream.send_budget);
         self.actions.push(Action::Attempt {
             id,
-            upstream: upstream.endpoint.id,
+            upstream: upstream.endpoint.id(),
             timeout,
         });
         let attempt = Attempt {
-            upstream: upstream.endpoint.id,
-            zone: upstream.endpoint.zone,
-            cell: upstream.endpoint.cell,
+            upstream: upstream.endpoint.id(),
+            zone: upstream.endpoint.zone(),
+            cell: upstream.endpoint.cell(),
             sent_at_s: self.now_s,
             state: AttemptState::InFlight,
             connection_idle_s: idle_s,
@@ -67,10 +67,10 @@
         self.requests.add_attempt(id, attempt, self.now + overdue);
     }
 
-    /// When an attempt is given up; `None`: at the client's deadline.
+    /// When an attempt is abandoned; `None`: at the client's deadline.
     fn attempt_timeout(&self, request: &Request, overdue: Duration) -> Option<Duration> {
         let class = &self.settings.classes[request.class];
-        // Where no hedge may run beside the first attempt, what can be retried is given up when
+        // Where no hedge may run beside the first attempt, what can be retried is abandoned when
         // overdue.
         let is_last = request.attempts.len() + 1 >= usize::from(self.settings.max_attempts);
         let is_retryable = class.effect != Effect::AtMostOnce && !class.streamed;
@@ -105,7 +105,7 @@
 
     fn may_retry(&self, request: &Request, cost: f64) -> bool {
         let latency_s = MIN_RETRY_LATENCY_FRACTION * self.classes.latency_s(request.class);
-        request.state == RequestState::Waiting
+        request.is_waiting()
             && request.attempts.len() < usize::from(self.settings.max_attempts)
             && self.now_s + MIN_RETRY_TIME_S < request.deadline_s
             && self.now_s + latency_s < request.useful_until_s
@@ -121,7 +121,7 @@
         let others = (0..count).map(|step| (step + start % count) % count);
         let rank = |slot: usize| {
             let upstream = &self.upstreams[slot];
-            let is_far = u8::from(upstream.endpoint.zone != self.settings.zone);
+            let is_far = u8::from(upstream.endpoint.zone() != self.settings.zone);
             let is_outside = u8::from(!upstream.membership.is_member());
             DISTANCE_PENALTY * f64::from(is_far + 2 * is_outside)
                 + self
@@ -146,7 +146,7 @@
             && !upstream.health.is_ejected(self.now_s)
             && !upstream.health.is_ejected_for(request.class)
             && !self.pacing.is_exhausted(upstream)
-            && !request.was_sent_to(upstream.endpoint.id)
+            && !request.was_sent_to(upstream.endpoint.id())
             && request.may_run_at(upstream, class, connect_timeout, self.now_s)
     }
 
@@ -192,7 +192,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let was_completed = request.state == RequestState::Completed;
+        let was_completed = request.is_completed();
         let is_last = !request.has_attempt_in_flight();
         if is_finished {
             self.complete(id);
@@ -283,16 +283,15 @@
         if attempt.outcome == Outcome::Rejected {
             upstream.load.record_rejected(self.now_s);
         }
-        // Where the fault is the upstream's own, it says nothing of the capacity elsewhere.
+        // A fault of this upstream alone says nothing about capacity elsewhere.
         if attempt.is_abandoned() && !upstream.health.is_ejected_for(attempt.class) {
             upstream.load.record_abandoned();
         }
         let is_ejected = fault.is_some_and(|fault| self.suspect(slot, fault));
         if is_ejected && attempt.outcome == Outcome::ConnectFailed {
-            // Nobody listens there: its process has died, and the next one is in slow start. It
-            // comes back from a first turn at a random time: a slow trial by all balancers. One
-            // that takes connections, if only to break them, has not restarted and has no less to
-            // give.
+            // Nothing listens there: the process has died, and its successor will be in slow start.
+            // Each balancer returns to it at a random time. An upstream that accepts connections,
+            // if only to reset them, has not restarted and keeps its capacity.
             let upstream = &mut self.upstreams[slot];
             upstream
                 .weight
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -3,6 +3,7 @@
 
 use super::class_statistics::ClassStatistics;
 use super::load::{LoadReportTracker, UTILIZATION_VALID_S};
+use super::smoothing::{newest_weight, per_second};
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{EndpointWeights, LoadField, LoadReports, Settings};
 
@@ -10,13 +11,13 @@
 /// forgotten otherwise.
 pub(super) const RATE_MEMORY_S: f64 = 2.0;
 const UNSTRAINED_RATE_MEMORY_S: f64 = 30.0;
-/// Share of the objective that work may spend in the fleet on average before no capacity is spare;
-/// past it, many responses are late.
+/// Fraction of the objective that work may spend in the fleet on average before no capacity is
+/// spare; past it, many responses are late.
 pub(super) const QUEUE_OBJECTIVE_FRACTION: f64 = 0.4;
 /// The same where reports tell the utilization, so that latency need only guard.
 const REPORTED_QUEUE_OBJECTIVE_FRACTION: f64 = 0.55;
-/// Share of the upstreams' cores that may be kept in use where reports tell, and what is added for
-/// demand over the quotas, by its weight: where it is worth little, so is the risk.
+/// Fraction of the upstreams' cores that may be kept in use where reports tell, and what is added
+/// for demand over the quotas, by its weight: where it is worth little, so is the risk.
 const BASE_UTILIZATION_BOUND: f64 = 0.62;
 const OVER_QUOTA_UTILIZATION: f64 = 0.4;
 const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
@@ -29,7 +30,7 @@
 const MIN_SCALED_UTILIZATION: f64 = 0.1;
 const MAX_UTILIZATION_SCALE: f64 = 2.0;
 
-/// Share of the upstreams' cores that may be kept in use.
+/// Fraction of the upstreams' cores that may be kept in use.
 fn utilization_bound(settings: &Settings) -> f64 {
     let over_quota_weight = settings.over_quota_weight_share.min(MAX_OVER_QUOTA_WEIGHT);
     BASE_UTILIZATION_BOUND + OVER_QUOTA_UTILIZATION * over_quota_weight
@@ -43,7 +44,7 @@
     pub(super) load_reports: &'a LoadReportTracker,
     /// Balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
-    /// tau.
+    /// tau: the time since the last tick.
     pub(super) elapsed_s: f64,
     pub(super) now_s: f64,
 }
@@ -65,9 +66,9 @@
     completions_per_s: f64,
     /// Weight of the rotation, smoothed.
     rotation_weight: f64,
-    /// Share of requests that pacing rejects, fading.
+    /// Fraction of requests that pacing rejects, fading.
     paced_fraction: f64,
-    /// Share of the upstreams' cores in use, by their reports; zero: not known.
+    /// Fraction of the upstreams' cores in use, by their reports; zero: not known.
     utilization: f64,
     /// The same, but for the first seconds of reports.
     settled_utilization: f64,
@@ -79,7 +80,7 @@
 }
 
 impl Capacity {
-    /// Before there is anything to go by, `expected_per_s` requests are taken to be served.
+    /// At the start, `expected_per_s` requests a second are assumed to be served.
     pub(super) fn new(settings: &Settings, expected_per_s: f64) -> Self {
         let bound = utilization_bound(settings);
         // Where reports will tell the utilization: as high as it may be, until then.
@@ -114,7 +115,7 @@
         self.service_rate
     }
 
-    /// Share of the upstreams' cores in use; zero: not known.
+    /// Fraction of the upstreams' cores in use; zero: not known.
     pub(super) fn utilization(&self) -> f64 {
         self.utilization
     }
@@ -149,7 +150,7 @@
         self.rotation_weight *= factor;
     }
 
-    /// Looks at the upstreams again, each tick.
+    /// Updates all estimates, each tick.
     pub(super) fn update(&mut self, inputs: &CapacityInputs<'_>) {
         self.update_utilization(inputs);
         let objective_fraction = if self.knows_utilization() {
@@ -169,41 +170,40 @@
         self.update_spare(inputs, queue_s);
     }
 
-    /// What each upstream reported last counts alike, however few of them answer this balancer in a
-    /// second.
+    /// Averages the last reports of all upstreams, however few of them respond to this balancer in
+    /// a second.
     fn update_utilization(&mut self, inputs: &CapacityInputs<'_>) {
         let (mut cores_in_use, mut cores) = (0.0, 0.0);
         for upstream in inputs
             .members()
             .filter(|u| u.load.has_utilization(inputs.now_s))
         {
-            let size = upstream.endpoint.size;
+            let size = upstream.endpoint.size();
             cores_in_use += size * upstream.load.utilization();
             cores += size;
         }
         if cores <= 0.0 {
             return;
         }
-        // The first reports are of a fleet that nobody had sent to yet: no rate is set by them
-        // alone.
+        // The first reports are of an idle fleet: no rate is set by them alone.
         self.reported_for_s += inputs.elapsed_s;
-        let newest_weight = if self.reported_for_s < UTILIZATION_VALID_S {
-            (inputs.elapsed_s / RATE_MEMORY_S).min(1.0)
+        let weight_of_newest = if self.reported_for_s < UTILIZATION_VALID_S {
+            newest_weight(inputs.elapsed_s, RATE_MEMORY_S)
         } else {
             1.0
         };
         self.utilization = cores_in_use / cores;
-        let change = newest_weight * (self.utilization - self.settled_utilization);
+        let change = weight_of_newest * (self.utilization - self.settled_utilization);
         self.settled_utilization = self.utilization.max(self.settled_utilization + change);
     }
 
     fn update_service_rate(&mut self, inputs: &CapacityInputs<'_>, slack_s: f64) {
         let elapsed_s = inputs.elapsed_s;
-        let newest_weight = (elapsed_s / RATE_MEMORY_S).min(1.0);
-        let per_s = self.completions / elapsed_s.max(1e-6);
-        self.completions_per_s += newest_weight * (per_s - self.completions_per_s);
+        let weight_of_newest = newest_weight(elapsed_s, RATE_MEMORY_S);
+        let per_s = per_second(self.completions, elapsed_s);
+        self.completions_per_s += weight_of_newest * (per_s - self.completions_per_s);
         self.completions = 0.0;
-        self.paced_fraction -= newest_weight * self.paced_fraction;
+        self.paced_fraction -= weight_of_newest * self.paced_fraction;
         let observed = self.completions_per_s / self.smoothed_weight(inputs).max(1e-9);
         if self.knows_utilization() {
             self.follow_utilization(observed, elapsed_s);
@@ -213,13 +213,13 @@
             } else {
                 UNSTRAINED_RATE_MEMORY_S
             };
-            let change = (elapsed_s / memory_s).min(1.0) * (observed - self.service_rate);
+            let change = newest_weight(elapsed_s, memory_s) * (observed - self.service_rate);
             self.service_rate = (self.service_rate + change).max(observed);
         }
     }
 
-    /// The weight that what was completed meanwhile belongs to: the rate of the upstreams left is
-    /// not more as soon as others drop out.
+    /// The weight behind the completions of the window: the rate of the remaining upstreams must
+    /// not rise as soon as others drop out.
     fn smoothed_weight(&mut self, inputs: &CapacityInputs<'_>) -> f64 {
         let weight = inputs
             .members()
@@ -231,13 +231,13 @@
         } else {
             0.0
         };
-        let newest_weight = (inputs.elapsed_s / memory_s).min(1.0);
-        self.rotation_weight += newest_weight * (weight - self.rotation_weight);
+        let weight_of_newest = newest_weight(inputs.elapsed_s, memory_s);
+        self.rotation_weight += weight_of_newest * (weight - self.rotation_weight);
         self.rotation_weight
     }
 
-    /// A rate once reached under load would go on admitting what makes a crowded upstream slow:
-    /// where the utilization is known, it decides.
+    /// Follows the utilization where it is known: a rate once reached under load would go on
+    /// admitting requests that slow an overloaded upstream down.
     fn follow_utilization(&mut self, observed: f64, elapsed_s: f64) {
         let headroom =
             self.utilization_bound / self.settled_utilization.max(MIN_SCALED_UTILIZATION);
@@ -245,8 +245,8 @@
         // Where pacing rejects, completions only show what was let through.
         let idle = (headroom - 1.0).clamp(0.0, 1.0);
         self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH * self.paced_fraction * idle;
-        let change = (elapsed_s / RATE_MEMORY_S).min(1.0) * (achievable - self.service_rate);
-        // Nor is it under what they do now, if that keeps them no busier.
+        let change = newest_weight(elapsed_s, RATE_MEMORY_S) * (achievable - self.service_rate);
+        // It is no less than what they do now, if that keeps the utilization within its bound.
         self.service_rate = (self.service_rate + change).max(observed.min(achievable));
     }
 
@@ -268,14 +268,14 @@
 
     /// Q_j: what an upstream may have in flight of this balancer.
     fn queue_limit(&self, inputs: &CapacityInputs<'_>, upstream: &Upstream, served: f64) -> f64 {
-        // One place in all at least: where no quota is stated a start from nothing takes long.
+        // At least one attempt over all balancers: without stated quotas a start from zero is slow.
         let min_limit = upstream.weight.weight() / self.balancers;
-        // Nor is it less than an equal part of what the cores reported idle can hold, however
-        // little this balancer has admitted, and so heard of, lately.
+        // And an equal part of what the idle cores can process, however little this balancer has
+        // admitted recently.
         let reports = upstream.load.has_utilization(inputs.now_s);
         let idle = if reports && !upstream.weight.is_warming_up() {
             let at_full = inputs.load_reports.in_flight_at_full();
-            self.utilization_bound * at_full * upstream.endpoint.size
+            self.utilization_bound * at_full * upstream.endpoint.size()
                 - upstream.load.reported_in_flight()
         } else {
             0.0
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,7 +1,8 @@
-//! What is usual for each class of requests: latency, its upper quantile, share of the admitted.
+//! Statistics of each class of requests: latency, its upper quantile, fraction of the admitted.
 
 use super::TICK_S;
 use super::capacity::QUEUE_OBJECTIVE_FRACTION;
+use super::smoothing::newest_weight;
 use crate::interface::{Class, Settings};
 
 /// Seconds over which a class's latency is averaged where responses are few, and the least and the
@@ -11,7 +12,7 @@
 const MAX_NEWEST_WEIGHT: f64 = 0.2;
 /// A latency counts for this multiple of the objective at the most.
 const MAX_LATENCY_MULTIPLE: f64 = 2.0;
-/// What an attempt given up counts for, in the time it was waited for: it would have taken longer.
+/// What an abandoned attempt counts for, in the time it was waited for: it would have taken longer.
 const TIMEOUT_LATENCY_MULTIPLE: f64 = 1.5;
 /// Quantile of the latencies after which an attempt is overdue, and by what part an answer moves
 /// it.
@@ -19,28 +20,28 @@
 const QUANTILE_STEP: f64 = 0.05;
 /// The quantile is no less than two ticks, as overdue attempts are looked for on each.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
-/// An attempt is overdue at this share of the objective at the latest, so that a hedge still has
+/// An attempt is overdue at this fraction of the objective at the latest, so that a hedge still has
 /// time.
 const OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
-/// Share of the objective that a class's latency is taken for before its first answer.
+/// Fraction of the objective that a class's latency is taken for before its first answer.
 const INITIAL_LATENCY_FRACTION: f64 = 0.3;
-/// Weight of the newest request in the classes' shares of the admitted.
+/// Weight of the newest request in the classes' fractions of the admitted.
 const ADMITTED_NEWEST_WEIGHT: f64 = 0.01;
-/// Share of the admitted under which a class does not set how long queues may be.
+/// Fraction of the admitted under which a class does not set how long queues may be.
 const MIN_ADMITTED_FRACTION: f64 = 0.02;
 /// Seconds after which the latency of a class without answers fades, over as long again ...
 const LATENCY_VALID_S: f64 = 5.0;
-/// ... down to this share of its objective.
+/// ... down to this fraction of its objective.
 const FADED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
 /// The shortest time that a request is taken to need.
 const MIN_LATENCY_S: f64 = TICK_S;
 
-/// How an attempt that tells of latency ended.
+/// How an attempt that tells recentlyncy ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LatencySample {
-    /// It was answered after its latency.
+    /// The response came after its latency.
     Answered,
-    /// It was given up then, overdue.
+    /// It was abandoned then, overdue.
     Abandoned,
 }
 
@@ -113,8 +114,8 @@
             .min(OVERDUE_OBJECTIVE_FRACTION * class.objective_s)
     }
 
-    /// What a class earns for the capacity it takes, as a share of what the best one earns: a heavy
-    /// request is worth less than its priority weight says, as others could be served in its place.
+    /// What a class earns for the capacity it uses, as a fraction of what the best one earns: an
+    /// expensive request displaces several cheap ones.
     pub(super) fn relative_value(&self, class: usize) -> f64 {
         let best = self
             .classes
@@ -132,7 +133,7 @@
         }
     }
 
-    /// By how much queues may still grow, in seconds of latency, or (negative) are too long. All
+    /// By how much queues may still grow, in seconds recentlyncy, or (negative) are too long. All
     /// classes share them: the class whose latency comes closest to its objective decides.
     pub(super) fn queue_slack_s(&self, objective_fraction: f64) -> f64 {
         let counted = self
@@ -174,13 +175,13 @@
         ratio
     }
 
-    /// Lets the latency of classes fade that nothing new is heard of: else no spare capacity would
-    /// admit nothing that could show otherwise.
+    /// Fades the latency of classes without recent responses: else a lack of spare capacity would
+    /// admit nothing that could correct it.
     pub(super) fn fade(&mut self, elapsed_s: f64, now_s: f64) {
         let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
         for class in self.classes.iter_mut().filter(stale) {
             let excess_s = class.mean_latency_s - FADED_LATENCY_FRACTION * class.objective_s;
-            class.mean_latency_s -= (elapsed_s / LATENCY_VALID_S).min(1.0) * excess_s.max(0.0);
+            class.mean_latency_s -= newest_weight(elapsed_s, LATENCY_VALID_S) * excess_s.max(0.0);
         }
     }
 }
@@ -199,9 +200,9 @@
     fn update_mean(&mut self, latency_s: f64, now_s: f64) {
         let latency_s = latency_s.min(MAX_LATENCY_MULTIPLE * self.objective_s);
         let since_s = now_s - self.last_sample_at_s;
-        let newest_weight =
+        let weight_of_newest =
             (since_s / LATENCY_MEMORY_S).clamp(MIN_NEWEST_WEIGHT, MAX_NEWEST_WEIGHT);
         self.last_sample_at_s = now_s;
-        self.mean_latency_s += newest_weight * (latency_s - self.mean_latency_s);
+        self.mean_latency_s += weight_of_newest * (latency_s - self.mean_latency_s);
     }
 }
--- /dev/null
+++ b/src/policy/endpoint_flow.rs
@@ -0,0 +1,64 @@
+//! The way of an endpoint update: polling, the lease, the upstreams, the subset.
+
+use super::Balancer;
+use super::endpoint_polling::PollFailure;
+use super::endpoints::{UpdateContext, apply_update};
+use crate::interface::{Action, Endpoint, UpdateScope, WatchEvent};
+
+impl Balancer {
+    /// Takes in an update of the endpoint list, or that there is none.
+    pub(super) fn on_endpoints(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
+        self.polling.on_response_end();
+        if scope == UpdateScope::Failed {
+            let failure = PollFailure {
+                was_partial: self.lease.has_partial_response(),
+                was_rejected: self.lease.polls_are_rejected(),
+            };
+            self.polling
+                .on_failure(&failure, self.now_s, &mut self.random);
+            return;
+        }
+        if scope != UpdateScope::Cached {
+            self.polling.on_update();
+        }
+        let log_event = self.lease.renew(self.now_s);
+        self.actions.extend(log_event.map(Action::Log));
+        let mut context = UpdateContext {
+            endpoint_weights: self.settings.endpoint_weights,
+            class_count: self.settings.classes.len(),
+            weights: &self.weights,
+            load_reports: &self.load_reports,
+            random: &mut self.random,
+            now_s: self.now_s,
+        };
+        if apply_update(&mut self.upstreams, scope, endpoints, &mut context) {
+            self.choose_subset();
+        } else {
+            self.update_weights(0.0);
+        }
+    }
+
+    /// Takes in what happened to the endpoint watch or a poll.
+    pub(super) fn on_watch_event(&mut self, event: WatchEvent) {
+        self.lease.on_watch_event(event, self.now_s);
+        if matches!(event, WatchEvent::Partial { .. }) {
+            self.polling.on_partial_response();
+        }
+    }
+
+    /// Chooses the upstreams that take turns, and starts their round robin anew.
+    pub(super) fn choose_subset(&mut self) {
+        let choice = self.subset.choose(&mut self.upstreams, self.now_s);
+        let close = |upstream| Action::CloseIdleConnections { upstream };
+        self.actions.extend(choice.removed.into_iter().map(close));
+        let before = self.rotation.members().len();
+        let growth = choice.members.len() as f64 / before.max(1) as f64;
+        if choice.is_part && before > 0 && growth > 1.0 {
+            self.capacity.on_rotation_grown(growth);
+        }
+        let mut members = choice.members;
+        self.random.shuffle(&mut members);
+        self.rotation.replace(members);
+        self.update_weights(0.0);
+    }
+}
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -4,10 +4,10 @@
 use crate::interface::Settings;
 use crate::random::Random;
 
-/// Seconds of discovery's time left to each balancer's poll: it serves one after another, and a
-/// poll that has waited for too long fails and is repeated.
+/// Time of discovery planned for each balancer's poll: it serves one after another, and a poll
+/// that has waited for too long fails and is repeated.
 const POLL_SERVICE_S: f64 = 0.05;
-/// Share of the poll interval over which the polls of all balancers are spread at most.
+/// Fraction of the poll interval over which the polls of all balancers are spread at most.
 const MAX_SPREAD_FRACTION: f64 = 0.5;
 /// Seconds after which a change counts as notified, whatever happened to the polls for it. Of
 /// these: what an answered poll takes from its connection on, and what it takes to see that a watch
@@ -20,10 +20,10 @@
 /// Shortest backoff, and the longest over which many balancers spread their polls.
 const MIN_BACKOFF_S: f64 = 0.25;
 const MAX_BACKOFF_SPREAD_S: f64 = 3.0;
-/// Longest doubling backoff, as a share of the poll interval; it starts at a sixteenth of that.
+/// Longest doubling backoff, as a fraction of the poll interval; it starts at a sixteenth of that.
 const MAX_BACKOFF_FRACTION: f64 = 0.8;
 const MAX_DOUBLINGS: u32 = 4;
-/// Seconds after which an unanswered poll is given up for another; a local agent answers at once.
+/// Seconds after which an unanswered poll is replaced by another; a local agent answers at once.
 const MIN_POLL_TIMEOUT_S: f64 = 4.0;
 const LOCAL_AGENT_POLL_TIMEOUT_S: f64 = 1.0;
 
@@ -50,7 +50,7 @@
 
 /// What the lease knows of the failure that a backoff follows.
 pub(super) struct PollFailure {
-    /// A response broke off.
+    /// A response was truncated.
     pub(super) was_partial: bool,
     /// Discovery rejects polls at once.
     pub(super) was_rejected: bool,
@@ -147,7 +147,7 @@
                 .max(spread_s)
                 .min(self.remaining_s(spread_s, now_s))
         };
-        // Nothing may be sent by the list in hand soon, and no other balancer is affected.
+        // Sends will have to pause soon, and no other balancer is affected.
         let backoff_s = if failure.was_partial {
             backoff_s.min(self.doubled_s(MIN_BACKOFF_S))
         } else {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -18,15 +18,32 @@
 
 /// What the list says of one upstream.
 pub(super) struct EndpointRecord {
-    pub(super) id: UpstreamId,
-    pub(super) zone: ZoneId,
-    pub(super) cell: CellId,
+    id: UpstreamId,
+    zone: ZoneId,
+    cell: CellId,
     availability: Availability,
     /// Listed size; with live weights the largest seen.
-    pub(super) size: f64,
+    size: f64,
 }
 
 impl EndpointRecord {
+    pub(super) fn id(&self) -> UpstreamId {
+        self.id
+    }
+
+    pub(super) fn zone(&self) -> ZoneId {
+        self.zone
+    }
+
+    pub(super) fn cell(&self) -> CellId {
+        self.cell
+    }
+
+    /// Its capacity beside the others', while it is warm.
+    pub(super) fn size(&self) -> f64 {
+        self.size
+    }
+
     pub(super) fn is_ready(&self) -> bool {
         self.availability == Availability::Ready
     }
@@ -59,12 +76,12 @@
         }
     }
 
-    /// Whether nothing of it is left to wait for.
+    /// Whether it is removed and has nothing in flight.
     fn is_removable(&self) -> bool {
         self.endpoint.availability == Availability::Removed && self.load.in_flight() == 0
     }
 
-    /// Its process has restarted: what was held against it is void, and it is in slow start.
+    /// Its process has restarted: its history is discarded, and it is in slow start.
     fn restart(&mut self, started_at_s: f64, turns: f64) {
         self.weight.begin_slow_start(started_at_s);
         self.health.reset();
@@ -121,7 +138,7 @@
         .filter(|upstream| upstream.is_removable())
         .count();
     if upstreams.len() > known || removable > upstreams.len() / MAX_REMOVED_PART {
-        // The gone leave: else a changing fleet would grow state as long as a balancer lives.
+        // Removed upstreams are forgotten: else a changing fleet would grow state without bound.
         upstreams.retain(|upstream| !upstream.is_removable());
         is_changed = true;
     }
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -7,8 +7,8 @@
 /// Weight of the newest attempt in the shares of unanswered ones: two long requests in a row are
 /// chance.
 const NEWEST_WEIGHT: f64 = 0.05;
-/// Share of unanswered attempts on idle connections from which on they are suspected, and how many
-/// times the share on connections in use it has to be.
+/// Fraction of unanswered attempts on idle connections from which on they are suspected, and how
+/// many times the share on connections in use it has to be.
 const MIN_UNANSWERED_FRACTION: f64 = 0.3;
 const UNANSWERED_RATIO: f64 = 2.0;
 
@@ -37,7 +37,7 @@
 /// What is known of idle connections. A wrong belief costs a handshake a use, for a while.
 #[derive(Default)]
 pub(super) struct IdleConnections {
-    /// Share of attempts never answered, on connections in use and on idle ones.
+    /// Fraction of attempts never answered, on connections in use and on idle ones.
     unanswered_in_use: f64,
     unanswered_idle: f64,
     /// Idle time after which a connection may be dead, and until when that is believed.
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -7,7 +7,7 @@
 /// What an overdue attempt counts for, in attempts in flight: its upstream is stuck or
 /// unresponsive.
 const OVERDUE_IN_FLIGHT: f64 = 4.0;
-/// Attempts of others that an upstream which rejects one is taken to have: it looks the emptiest.
+/// Attempts of others that an upstream which rejects one is taken to have: it would look idle.
 const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_IN_FLIGHT;
 /// Seconds over which a report of what is in flight fades, and for which it counts in the mean.
 const REPORT_FADE_S: f64 = 1.0;
@@ -28,14 +28,14 @@
     in_flight: u32,
     /// Of these, out for longer than usual.
     overdue: u32,
-    /// Given up, and perhaps still at work there; fading over the shortest objective.
+    /// Abandoned, and perhaps still being processed; fading over the shortest objective.
     abandoned_attempts: f64,
     /// Those of other balancers, by the latest report.
     others_in_flight: f64,
     others_reported_at_s: f64,
     /// All of them, by the same.
     reported_in_flight: f64,
-    /// Share of its cores in use, by the latest report.
+    /// Fraction of its cores in use, by the latest report.
     utilization: f64,
     utilization_reported_at_s: f64,
 }
@@ -45,12 +45,12 @@
         self.in_flight
     }
 
-    /// This balancer's attempts, with those given up that may still run.
+    /// This balancer's attempts, with abandoned ones that may still run.
     pub(super) fn own(&self) -> f64 {
         f64::from(self.in_flight) + self.abandoned_attempts
     }
 
-    /// Share of its own attempts that are neither overdue nor given up.
+    /// Fraction of its own attempts that are neither overdue nor abandoned.
     pub(super) fn responsive_fraction(&self) -> f64 {
         1.0 - (f64::from(self.overdue) + self.abandoned_attempts) / self.own().max(1.0)
     }
@@ -63,7 +63,7 @@
         self.utilization
     }
 
-    /// Whether its utilization was reported of late.
+    /// Whether its utilization was reported recently.
     pub(super) fn has_utilization(&self, now_s: f64) -> bool {
         self.utilization_reported_at_s > 0.0 && self.utilization_is_recent(now_s)
     }
@@ -89,7 +89,7 @@
         self.abandoned_attempts += 1.0;
     }
 
-    /// It rejected an attempt: whatever the reason, it would look the emptiest.
+    /// It rejected an attempt: whatever the reason, it would look idle.
     pub(super) fn record_rejected(&mut self, now_s: f64) {
         self.others_in_flight = self.others_in_flight.max(REJECTING_IN_FLIGHT);
         self.others_reported_at_s = now_s;
@@ -100,7 +100,7 @@
         (self.others_in_flight, self.others_reported_at_s) = (in_flight, now_s);
     }
 
-    /// Lets attempts given up fade: `kept` of them are left.
+    /// Lets abandoned attempts fade: `kept` of them are left.
     pub(super) fn fade_abandoned(&mut self, kept: f64) {
         self.abandoned_attempts *= kept;
     }
@@ -113,8 +113,8 @@
 /// What load reports tell of all upstreams together.
 pub(super) struct LoadReportTracker {
     fields: Vec<LoadField>,
-    /// Share of a report's attempts that are not this balancer's own: reports are old, so that its
-    /// own attempts of now, subtracted, would say nothing of the others.
+    /// Fraction of a report's attempts that are not this balancer's own: reports are old, so that
+    /// its own attempts of now, subtracted, would say nothing of the others.
     others_fraction: f64,
     /// What upstreams in the rotation have in flight of others for their capacity.
     mean_others_in_flight: f64,
@@ -139,7 +139,7 @@
 
     /// Takes in a load report of an upstream.
     pub(super) fn record(&mut self, upstream: &mut Upstream, report: &[f32], now_s: f64) {
-        let (load, size) = (&mut upstream.load, upstream.endpoint.size);
+        let (load, size) = (&mut upstream.load, upstream.endpoint.size());
         let mut max_in_flight: Option<f64> = None;
         let fields = self
             .fields
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Means what others have in flight over the upstreams of the rotation.
+    /// Updates the mean of what others have in flight at the upstreams of the rotation.
     pub(super) fn update_mean(&mut self, upstreams: &Upstreams, rotation: &[usize], now_s: f64) {
         let (mut sum, mut count) = (0.0, 0.0);
         for upstream in rotation.iter().map(|slot| &upstreams[*slot]) {
@@ -200,8 +200,8 @@
     }
 
     /// What an upstream has in flight for its capacity: own attempts, and reported ones. With its
-    /// age a report fades to what the others have: taken for empty, an upstream without reports
-    /// would draw the turns of all balancers.
+    /// age a report fades to what the others have: an upstream without reports, were it taken for
+    /// idle, would attract all balancers.
     pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, tick_s: f64) -> f64 {
         let (load, capacity) = (&upstream.load, upstream.weight.capacity());
         let age_s = (tick_s - load.others_reported_at_s).max(0.0);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,14 +7,16 @@
 //! ones. Everything else here is an exception to that path and says what it guards against.
 //!
 //! Each part owns its state, its constants and what it keeps of each upstream; [`Balancer`] hands
-//! it what it needs of others. The ways of a request and of an attempt through the parts are in
-//! `request_flow.rs` and `attempt_flow.rs`. Times are seconds (`_s`) on the embedder's clock.
+//! it what it needs of others. The ways of a request, of an attempt and of an endpoint update
+//! through the parts are in `request_flow.rs`, `attempt_flow.rs` and `endpoint_flow.rs`. Times are
+//! seconds (`_s`) on the embedder's clock.
 
 mod admission;
 mod attempt_flow;
 mod capacity;
 mod class_statistics;
 mod clock;
+mod endpoint_flow;
 mod endpoint_lease;
 mod endpoint_polling;
 mod endpoints;
@@ -25,22 +27,21 @@
 mod request_flow;
 mod requests;
 mod round_robin;
+mod smoothing;
 mod subset;
 mod upstream_health;
 mod upstreams;
 mod weights;
 
 use crate::interface::{
-    Action, Endpoint, Event, SendPause, Settings, SettingsError, StatusSnapshot, Tenant, TimerId,
-    UpdateScope, UpstreamId, WatchEvent,
+    Action, Event, SendPause, Settings, SettingsError, StatusSnapshot, Tenant, TimerId, UpstreamId,
 };
 use crate::random::Random;
 use admission::Admission;
 use capacity::{Capacity, CapacityInputs};
 use class_statistics::ClassStatistics;
 use endpoint_lease::EndpointLease;
-use endpoint_polling::{EndpointPolling, PollFailure};
-use endpoints::{UpdateContext, apply_update};
+use endpoint_polling::EndpointPolling;
 use idle_connections::IdleConnections;
 use load::LoadReportTracker;
 use outlier_detection::{OutlierDetection, may_be_ejected};
@@ -261,46 +262,6 @@
         self.schedule_tick(TICK_S);
     }
 
-    /// Takes in an update of the endpoint list, or that there is none.
-    fn on_endpoints(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
-        self.polling.on_response_end();
-        if scope == UpdateScope::Failed {
-            let failure = PollFailure {
-                was_partial: self.lease.has_partial_response(),
-                was_rejected: self.lease.polls_are_rejected(),
-            };
-            self.polling
-                .on_failure(&failure, self.now_s, &mut self.random);
-            return;
-        }
-        if scope != UpdateScope::Cached {
-            self.polling.on_update();
-        }
-        let log_event = self.lease.renew(self.now_s);
-        self.actions.extend(log_event.map(Action::Log));
-        let mut context = UpdateContext {
-            endpoint_weights: self.settings.endpoint_weights,
-            class_count: self.settings.classes.len(),
-            weights: &self.weights,
-            load_reports: &self.load_reports,
-            random: &mut self.random,
-            now_s: self.now_s,
-        };
-        if apply_update(&mut self.upstreams, scope, endpoints, &mut context) {
-            self.choose_subset();
-        } else {
-            self.update_weights(0.0);
-        }
-    }
-
-    /// Takes in what happened to the endpoint watch or a poll.
-    fn on_watch_event(&mut self, event: WatchEvent) {
-        self.lease.on_watch_event(event, self.now_s);
-        if matches!(event, WatchEvent::Partial { .. }) {
-            self.polling.on_partial_response();
-        }
-    }
-
     fn on_load_report(&mut self, id: UpstreamId, report: &[f32]) {
         if let Some(slot) = self.upstreams.slot(id) {
             self.load_reports
@@ -316,22 +277,6 @@
             .map(|slot| &self.upstreams[*slot])
     }
 
-    /// Chooses the upstreams that take turns, and starts their round robin anew.
-    fn choose_subset(&mut self) {
-        let choice = self.subset.choose(&mut self.upstreams, self.now_s);
-        let close = |upstream| Action::CloseIdleConnections { upstream };
-        self.actions.extend(choice.removed.into_iter().map(close));
-        let before = self.rotation.members().len();
-        let growth = choice.members.len() as f64 / before.max(1) as f64;
-        if choice.is_part && before > 0 && growth > 1.0 {
-            self.capacity.on_rotation_grown(growth);
-        }
-        let mut members = choice.members;
-        self.random.shuffle(&mut members);
-        self.rotation.replace(members);
-        self.update_weights(0.0);
-    }
-
     /// Weighs the upstreams of the rotation anew: what each can do now, and the turns and sends it
     /// gets.
     fn update_weights(&mut self, elapsed_s: f64) {
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -9,13 +9,14 @@
 
 /// Doublings of the span between trials of upstreams that are ejected for a class, at the most.
 const MAX_TRIAL_DOUBLINGS: u32 = 4;
-/// Share of the ready upstreams that may be ejected: when more seem unhealthy, the fault is not
-/// theirs.
+/// Fraction of the ready upstreams that may be ejected: when more seem unhealthy, the cause is
+/// common.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
 /// Faults in a row after which an upstream is ejected for the class that met them.
 const MAX_CLASS_FAULTS: u32 = 2;
-/// Share of the other upstreams with errors from which on the fault is on the way. Then an error
-/// counts for this part of itself at the least, and so many times as many in a row make a fault.
+/// Fraction of the other upstreams with errors from which on the cause is common, such as the
+/// network. Then an error counts for this part of itself at the least, and so many times as many in
+/// a row make a fault.
 const COMMON_ERROR_FRACTION: f64 = 0.5;
 const MIN_ERROR_WEIGHT: f64 = 0.3;
 const COMMON_ERROR_FAULTS: u32 = 4;
@@ -48,13 +49,12 @@
     }
 }
 
-/// Whether so many of all upstreams may be ejected: when more seem unhealthy, the fault is not
-/// theirs.
+/// Whether so many of all upstreams may be ejected: when more seem unhealthy, the cause is common.
 pub(super) fn may_be_ejected(ejected: usize, all: usize) -> bool {
     ejected as f64 <= MAX_EJECTED_FRACTION * all as f64
 }
 
-/// Share of the other upstreams of the rotation that have answered with an error of late.
+/// Fraction of the other upstreams of the rotation that have answered with an error recently.
 fn common_error_fraction(upstreams: &Upstreams, rotation: &[usize], but: usize, now_s: f64) -> f64 {
     let others = || rotation.iter().filter(|slot| **slot != but);
     let erring = others()
@@ -108,7 +108,7 @@
         health.record_response(attempt.outcome, now_s);
         if attempt.outcome == Outcome::Ok {
             if health.record_class_answer(attempt.class, attempt.was_overdue) {
-                // Its fault may have been the others' too: they are tried at once.
+                // The cause may have been common: the others are tried at once.
                 trials.unsuccessful = 0;
                 trials.next_at_s = now_s;
             }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -138,7 +138,7 @@
             // Less where it reports a higher utilization than the others, or that more waits.
             rate *= (self.utilization / upstream.load.utilization().max(0.1))
                 .clamp(MIN_UTILIZATION_FACTOR, MAX_UTILIZATION_FACTOR);
-            let expected = in_flight_at_full * upstream.endpoint.size;
+            let expected = in_flight_at_full * upstream.endpoint.size();
             rate /= (upstream.load.reported_in_flight() / expected).clamp(1.0, MAX_QUEUE_FACTOR);
         }
         rate
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -2,14 +2,14 @@
 
 use super::admission::retry_after;
 use super::clock::JitteredClock;
-use super::requests::{Request, RequestState};
+use super::requests::Request;
 use super::upstreams::Upstream;
 use super::{Balancer, TICK_S};
 use crate::interface::{Action, AttemptNo, Class, Effect, FailureReason, RequestId};
 use std::time::Duration;
 
-/// Share of the objective after which an attempt whose late response is of no use is given up: just
-/// before it, not as late.
+/// Fraction of the objective after which an attempt whose late response is of no use is abandoned:
+/// just before it, not as late.
 const USEFUL_OBJECTIVE_FRACTION: f64 = 0.98;
 /// The longest time left that a rejection goes by.
 const MAX_REMAINING_S: f64 = 1e6;
@@ -166,10 +166,8 @@
 
     /// A streamed response has started.
     pub(super) fn on_stream_started(&mut self, id: RequestId) {
-        if let Some(request) = self.requests.get_mut(id)
-            && request.state == RequestState::Waiting
-        {
-            request.state = RequestState::Streaming;
+        if let Some(request) = self.requests.get_mut(id) {
+            request.start_streaming();
         }
     }
 
@@ -179,8 +177,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let state = std::mem::replace(&mut request.state, RequestState::Completed);
-        if state != RequestState::Completed && self.settings.cancellation {
+        if request.complete() && self.settings.cancellation {
             for (number, attempt) in request.attempts.iter().enumerate() {
                 if attempt.is_in_flight() {
                     let attempt = AttemptNo(number as u8);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -65,7 +65,7 @@
 }
 
 impl EndedAttempt {
-    /// Whether it was given up though no answer had come for longer than is usual.
+    /// Whether it was abandoned though no response had come for longer than is usual.
     pub(super) fn is_abandoned(&self) -> bool {
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
@@ -79,7 +79,7 @@
 
 /// Where a request stands.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum RequestState {
+enum RequestState {
     /// A final response is owed.
     Waiting,
     /// Its response streams: no other attempt may follow.
@@ -95,7 +95,7 @@
     pub(super) useful_until_s: f64,
     pub(super) deadline_s: f64,
     pub(super) attempts: Vec<Attempt>,
-    pub(super) state: RequestState,
+    state: RequestState,
 }
 
 impl Request {
@@ -110,6 +110,28 @@
         }
     }
 
+    /// Whether a final response is owed that does not stream yet.
+    pub(super) fn is_waiting(&self) -> bool {
+        self.state == RequestState::Waiting
+    }
+
+    pub(super) fn is_completed(&self) -> bool {
+        self.state == RequestState::Completed
+    }
+
+    /// Its response streams from now on, unless it has ended.
+    pub(super) fn start_streaming(&mut self) {
+        if self.state == RequestState::Waiting {
+            self.state = RequestState::Streaming;
+        }
+    }
+
+    /// It ends. Returns whether it had not before.
+    pub(super) fn complete(&mut self) -> bool {
+        let before = std::mem::replace(&mut self.state, RequestState::Completed);
+        before != RequestState::Completed
+    }
+
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
@@ -135,8 +157,8 @@
         };
         let shares_keys = match group {
             DedupGroup::All => true,
-            DedupGroup::Zone => upstream.endpoint.zone == first.zone,
-            DedupGroup::Cell => upstream.endpoint.cell == first.cell,
+            DedupGroup::Zone => upstream.endpoint.zone() == first.zone,
+            DedupGroup::Cell => upstream.endpoint.cell() == first.cell,
         };
         // A connection may have to be made first.
         let margin_s = connect_timeout.as_secs_f64() + KEY_MARGIN_S;
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -7,13 +7,14 @@
 
 /// Turns looked ahead by the skip rule; two is the design's.
 const LOOKAHEAD: usize = 3;
-/// This many times what another in sight has in flight, and half an attempt more, is clearly more.
+/// An upstream is skipped if it has more in flight than this multiple of the least looked at, and
+/// half an attempt more.
 const SKIP_MULTIPLE: f64 = 1.5;
 const SKIP_MARGIN: f64 = 0.5;
 /// Turns that an upstream can save up; one in slow start saves fewer.
 const MAX_DEFICIT: f64 = 2.0;
 const MAX_SLOW_START_DEFICIT: f64 = 1.5;
-/// Rounds after which the search for an upstream with a turn is given up.
+/// Rounds after which the search for an upstream with a turn ends.
 const MAX_ROUNDS: usize = 8;
 
 /// Turns that one upstream has earned and not taken.
@@ -30,7 +31,7 @@
 /// The order in which the upstreams of the subset take turns.
 #[derive(Default)]
 pub(super) struct Rotation {
-    /// In this balancer's own order: balancers' cursors must not march in step.
+    /// In this balancer's own order: the cursors of balancers must not be synchronized.
     members: Vec<usize>,
     /// sigma: the member that was looked at last.
     cursor: usize,
@@ -56,7 +57,8 @@
         self.lookahead.clear();
     }
 
-    /// Upstreams in slow start earn turns by time: where others are skipped the rotation is faster.
+    /// Adds the turns of upstreams in slow start, by time: they must not get more where others are
+    /// skipped.
     pub(super) fn earn_slow_start_deficit(
         &self,
         upstreams: &mut Upstreams,
@@ -83,7 +85,7 @@
     }
 
     /// The next upstream in turn that `accepts` holds for and that has not clearly more in flight
-    /// than the least of those in sight. Who is passed over by `accepts` keeps its turn.
+    /// than the least of those looked at. An upstream that `accepts` rejects keeps its turn.
     pub(super) fn next(
         &mut self,
         upstreams: &mut Upstreams,
@@ -113,7 +115,7 @@
         None
     }
 
-    /// Takes turns in until enough accepted ones are in sight.
+    /// Looks ahead until enough upstreams are accepted.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
         let longest = LOOKAHEAD + self.members.len();
         let mut visible = self
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Moves the cursor to the next upstream that has earned a turn, and takes the turn.
+    /// Moves the cursor to the next upstream with a turn, and takes the turn off its deficit.
     fn step(&mut self, upstreams: &mut Upstreams) -> Option<usize> {
         for _ in 0..self.members.len() * MAX_ROUNDS {
             self.cursor = (self.cursor + 1) % self.members.len();
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -8,6 +8,7 @@
 
 use super::capacity::RATE_MEMORY_S;
 use super::outlier_detection::may_be_ejected;
+use super::smoothing::{newest_weight, per_second};
 use super::upstreams::Upstreams;
 use crate::interface::{Settings, UpstreamId};
 use crate::random::Random;
@@ -26,8 +27,6 @@
 const GROWTH_NUMERATOR: usize = 3;
 const GROWTH_DENOMINATOR: usize = 2;
 const SHRINK_DENOMINATOR: usize = 3;
-/// Seconds of a tick are at least these, where something is counted by them.
-const MIN_ELAPSED_S: f64 = 1e-6;
 
 /// What the subset keeps of one upstream.
 #[derive(Clone, Copy)]
@@ -128,9 +127,9 @@
     /// the upstreams would crowd them as others idle. `has_others`: there are upstreams outside the
     /// subset.
     pub(super) fn update_size(&mut self, has_others: bool, elapsed_s: f64, now_s: f64) {
-        let per_s = self.first_attempts / elapsed_s.max(MIN_ELAPSED_S);
-        let newest_weight = (elapsed_s / RATE_MEMORY_S).min(1.0);
-        self.first_attempts_per_s += newest_weight * (per_s - self.first_attempts_per_s);
+        let per_s = per_second(self.first_attempts, elapsed_s);
+        let weight_of_newest = newest_weight(elapsed_s, RATE_MEMORY_S);
+        self.first_attempts_per_s += weight_of_newest * (per_s - self.first_attempts_per_s);
         self.first_attempts = 0.0;
         let size = UPSTREAMS_PER_RATE * self.first_attempts_per_s;
         let size = size.clamp(self.min_size as f64, MAX_SIZE) as usize;
@@ -149,7 +148,7 @@
         if !size.includes_all {
             self.sort(&mut order, upstreams, &size);
         }
-        // When more seem unhealthy, the fault is not theirs.
+        // When more seem unhealthy, the cause is common.
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected(now_s);
         let ejected = order.iter().filter(is_ejected).count();
         let may_eject = may_be_ejected(ejected, order.len());
@@ -157,7 +156,7 @@
         for upstream in upstreams.iter_mut() {
             upstream.membership.is_member &= upstream.endpoint.is_ready();
         }
-        // Who comes back from ejection is looked at again then.
+        // The subset is chosen again when an ejection ends.
         let ends = upstreams
             .iter()
             .map(|upstream| upstream.health.ejected_until_s());
@@ -196,7 +195,7 @@
         let index = self.index as usize;
         let (round, start) = (index / parts, index % parts * size.equal);
         let key = |slot: &usize| {
-            let id = upstreams[*slot].endpoint.id;
+            let id = upstreams[*slot].endpoint.id();
             Random::with_seed(id.0 ^ (round as u64) << 48).u64(..)
         };
         order.sort_by_cached_key(key);
@@ -224,8 +223,8 @@
         members += usize::from(membership.is_member);
         unusable += usize::from(membership.is_member && !is_usable);
     }
-    // Up to half of the members keep their place while ejected: else all who share them move their
-    // load to others at once, and these are the next to fail.
+    // Up to half of the members keep their place while ejected: else all balancers that share them
+    // move their load to others at once, and those fail next.
     let wanted = size.wanted.max(unusable + size.wanted.div_ceil(2));
     for slot in order {
         let upstream = &mut upstreams[*slot];
@@ -241,7 +240,7 @@
         if members > wanted && upstream.membership.is_member && !size.includes_all {
             upstream.membership.is_member = false;
             members -= 1;
-            removed.push(upstream.endpoint.id);
+            removed.push(upstream.endpoint.id());
         }
     }
     removed
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -18,9 +18,8 @@
 /// Seconds over which suspicion fades.
 const SUSPICION_MEMORY_S: f64 = 10.0;
 /// Seconds of the first ejection, and of the longest; each one more without an answer doubles it.
-/// All who send to an upstream try it again on their own: the first grows with the root of their
-/// number, between the load that they are to it together and how late each then learns that it is
-/// healthy.
+/// Balancers probe an upstream independently: the first ejection grows with the square root of
+/// their number, a compromise between their joint load and how late each learns that it is healthy.
 pub(super) const FIRST_EJECTION_S: f64 = 1.5;
 const MAX_EJECTION_S: f64 = 12.0;
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
@@ -110,7 +109,7 @@
         }
     }
 
-    /// Its process has restarted: what was held against it is void.
+    /// Its process has restarted: its history is discarded.
     pub(super) fn reset(&mut self) {
         (
             self.suspicion,
@@ -222,7 +221,7 @@
         clock: &mut JitteredClock<'_>,
     ) -> bool {
         self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
-        // A process that has died breaks every connection, a poor network a few.
+        // A dead process breaks every connection, a lossy network only some.
         let responds = matches!(fault, Fault::ConnectionFailure)
             && self.last_response_at_s + conditions.mean_latency_s >= clock.now_s;
         let is_outlier = match self.state(clock.now_s) {
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -60,7 +60,7 @@
 
     pub(super) fn push(&mut self, upstream: Upstream) -> usize {
         let slot = self.upstreams.len();
-        self.slots.insert(upstream.endpoint.id, slot);
+        self.slots.insert(upstream.endpoint.id(), slot);
         self.upstreams.push(upstream);
         slot
     }
@@ -70,7 +70,7 @@
         self.upstreams.retain(is_kept);
         let ids = self.upstreams.iter().enumerate();
         self.slots = ids
-            .map(|(slot, upstream)| (upstream.endpoint.id, slot))
+            .map(|(slot, upstream)| (upstream.endpoint.id(), slot))
             .collect();
     }
 }
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -11,7 +11,7 @@
 const MAX_LATENCY_RATIO: f64 = 4.0;
 const MAX_SAMPLE_RATIO: f64 = 5.0;
 const MIN_CAPACITY: f64 = 1e-3;
-/// Share of what would overload a warming upstream that it is sent for each unit of capacity.
+/// Fraction of what would overload a warming upstream that it is sent for each unit of capacity.
 const SLOW_START_LOAD_FRACTION: f64 = 0.4;
 /// Cross-zone price at which other zones get no ordinary turns; less in proportion.
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
@@ -19,13 +19,13 @@
 /// What one upstream can do.
 #[derive(Default)]
 pub(super) struct UpstreamWeight {
-    /// Share of a full-size upstream's work that it can do now.
+    /// Fraction of a full-size upstream's work that it can do now.
     capacity: f64,
     /// Turns it gets each round of the rotation; its rate C_j is the service rate times this.
     weight: f64,
     /// When its slow start began; `None`: it is warm.
     slow_start_since_s: Option<f64>,
-    /// Mean of latency over what is usual for the class.
+    /// Mean recentlyncy over what is usual for the class.
     latency_ratio: f64,
     /// Answers behind that, fading.
     answer_count: f64,
@@ -89,7 +89,7 @@
 /// What weights go by in the settings.
 pub(super) struct Weights {
     zone: ZoneId,
-    /// Share of their turns that upstreams of other zones get.
+    /// Fraction of their turns that upstreams of other zones get.
     other_zone_fraction: f64,
     slow_start_initial_share: f64,
     slow_start_duration_s: f64,
@@ -123,7 +123,7 @@
         now_s: f64,
     ) {
         let members = || rotation.iter().map(|slot| &upstreams[*slot]);
-        let largest_size = members().map(|u| u.endpoint.size).fold(1e-9, f64::max);
+        let largest_size = members().map(|u| u.endpoint.size()).fold(1e-9, f64::max);
         let is_near = |u: &Upstream| self.is_near(u) && !u.health.is_ejected(now_s);
         let has_near = members().any(|u| u.endpoint.is_ready() && is_near(u));
         let fade = (-elapsed_s / LATENCY_RATIO_MEMORY_S).exp();
@@ -131,7 +131,7 @@
             let upstream = &mut upstreams[*slot];
             upstream.weight.answer_count *= fade;
             let warmth = self.advance_slow_start(&mut upstream.weight, now_s);
-            let relative_size = upstream.endpoint.size / largest_size;
+            let relative_size = upstream.endpoint.size() / largest_size;
             let capacity = relative_size * warmth / upstream.weight.believed_latency_ratio();
             upstream.weight.capacity = capacity.max(MIN_CAPACITY);
             let is_out = ejections_apply && upstream.health.is_ejected(now_s);
@@ -147,11 +147,11 @@
     }
 
     fn is_near(&self, upstream: &Upstream) -> bool {
-        upstream.endpoint.zone == self.zone
+        upstream.endpoint.zone() == self.zone
     }
 
-    /// Share of its work that an upstream can do so long after its start; ends a slow start that is
-    /// over.
+    /// Fraction of its work that an upstream can do so long after its start; ends a slow start that
+    /// is over.
     fn advance_slow_start(&self, weight: &mut UpstreamWeight, now_s: f64) -> f64 {
         let Some(since_s) = weight.slow_start_since_s else {
             return 1.0;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 const FILE_MOST: usize = 400;
 const CHARACTERS_MOST: usize = 100;
 
-const FILES: [(&str, &str); 20] = [
+const FILES: [(&str, &str); 22] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
@@ -26,6 +26,10 @@
         "src/policy/clock.rs",
         include_str!("../src/policy/clock.rs"),
     ),
+    (
+        "src/policy/endpoint_flow.rs",
+        include_str!("../src/policy/endpoint_flow.rs"),
+    ),
     (
         "src/policy/endpoint_lease.rs",
         include_str!("../src/policy/endpoint_lease.rs"),
@@ -63,6 +67,10 @@
         "src/policy/round_robin.rs",
         include_str!("../src/policy/round_robin.rs"),
     ),
+    (
+        "src/policy/smoothing.rs",
+        include_str!("../src/policy/smoothing.rs"),
+    ),
     (
         "src/policy/subset.rs",
         include_str!("../src/policy/subset.rs"),
