--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -36,7 +36,7 @@
 /// The shortest time that a request is taken to need.
 const MIN_LATENCY_S: f64 = TICK_S;
 
-/// How an attempt that tells recentlyncy ended.
+/// How an attempt that tells of latency ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LatencySample {
     /// The response came after its latency.
@@ -133,7 +133,7 @@
         }
     }
 
-    /// By how much queues may still grow, in seconds recentlyncy, or (negative) are too long. All
+    /// By how much queues may still grow, in seconds of latency, or (negative) are too long. All
     /// classes share them: the class whose latency comes closest to its objective decides.
     pub(super) fn queue_slack_s(&self, objective_fraction: f64) -> f64 {
         let counted = self
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -25,7 +25,7 @@
     weight: f64,
     /// When its slow start began; `None`: it is warm.
     slow_start_since_s: Option<f64>,
-    /// Mean recentlyncy over what is usual for the class.
+    /// Mean of latency over what is usual for the class.
     latency_ratio: f64,
     /// Answers behind that, fading.
     answer_count: f64,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -254,10 +254,17 @@
 }
 
 impl Settings {
-    /// Checks all values; the error names the first that is not usable.
+    /// Checks all values; the error names the first that is not usable, as the pages do.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let out = |what| Err(SettingsError::OutOfRange(what));
-        let real = |x: f64| x >= 0.0 && x.is_finite();
+        self.check_counts()?;
+        self.check_figures()?;
+        self.classes.iter().try_for_each(Class::check)?;
+        self.tenants
+            .iter()
+            .try_for_each(|tenant| check_figure(tenant.quota_per_s, "tenant allowance_per_s"))
+    }
+
+    fn check_counts(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
@@ -265,50 +272,48 @@
             return Err(SettingsError::NoBalancers);
         }
         if self.max_attempts == 0 {
-            return out("max_attempts");
+            return Err(SettingsError::OutOfRange("max_attempts"));
         }
         if self.index >= self.balancers {
-            return out("index");
+            return Err(SettingsError::OutOfRange("index"));
         }
         if self.max_streams == 0 {
-            return out("max_streams");
-        }
-        for (x, what) in [
-            (self.over_quota_weight_share, "over_share_worth"),
-            (self.slow_start_initial_share, "cold_from"),
-            (self.overload_multiple, "fall_multiple"),
-            (self.prices.cross_zone, "prices.cross_zone"),
-            (self.prices.connection, "prices.connection"),
-            (self.prices.handshake, "prices.handshake"),
-            (self.prices.late_failure, "prices.late_fail"),
-            (self.tail_miss.unwrap_or(0.0), "tail_miss"),
-            (self.prices.health_check, "prices.probe"),
-            (self.prices.waste, "prices.waste"),
-        ] {
-            if !real(x) {
-                return out(what);
-            }
-        }
-        for class in &self.classes {
-            if class.latency_objective.is_zero() {
-                return out("class aim");
-            }
-            for (x, what) in [
-                (class.priority_weight, "class worth"),
-                (class.late_weight_share, "class late_worth"),
-                (class.objective_work_multiple, "class aim_stretch"),
-            ] {
-                if !real(x) {
-                    return out(what);
-                }
-            }
+            return Err(SettingsError::OutOfRange("max_streams"));
         }
-        for tenant in &self.tenants {
-            if !real(tenant.quota_per_s) {
-                return out("tenant allowance_per_s");
-            }
+        Ok(())
+    }
+
+    fn check_figures(&self) -> Result<(), SettingsError> {
+        check_figure(self.over_quota_weight_share, "over_share_worth")?;
+        check_figure(self.slow_start_initial_share, "cold_from")?;
+        check_figure(self.overload_multiple, "fall_multiple")?;
+        check_figure(self.prices.cross_zone, "prices.cross_zone")?;
+        check_figure(self.prices.connection, "prices.connection")?;
+        check_figure(self.prices.handshake, "prices.handshake")?;
+        check_figure(self.prices.late_failure, "prices.late_fail")?;
+        check_figure(self.tail_miss.unwrap_or(0.0), "tail_miss")?;
+        check_figure(self.prices.health_check, "prices.probe")?;
+        check_figure(self.prices.waste, "prices.waste")
+    }
+}
+
+impl Class {
+    fn check(&self) -> Result<(), SettingsError> {
+        if self.latency_objective.is_zero() {
+            return Err(SettingsError::OutOfRange("class aim"));
         }
+        check_figure(self.priority_weight, "class worth")?;
+        check_figure(self.late_weight_share, "class late_worth")?;
+        check_figure(self.objective_work_multiple, "class aim_stretch")
+    }
+}
+
+/// Checks that a figure is a number that is not negative; `name` is the pages' name for it.
+fn check_figure(figure: f64, name: &'static str) -> Result<(), SettingsError> {
+    if figure >= 0.0 && figure.is_finite() {
         Ok(())
+    } else {
+        Err(SettingsError::OutOfRange(name))
     }
 }
 
