--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -11,20 +11,22 @@
 /// are not rejected.
 const BUCKET_DEMAND_FRACTION: f64 = 0.2;
 const MIN_BUCKET_SIZE: f64 = 3.0;
-/// Seconds and requests over which demand is counted at least: a tick sees too few to go by.
+/// Shortest window of the demand, in seconds and in requests: one tick sees too few requests.
 const MIN_DEMAND_WINDOW_S: f64 = 1.0;
 const MIN_DEMAND_COUNT: f64 = 10.0;
-/// Guarantees grow with the median tenant's demand and this much more, up to so many equal parts.
+/// Guarantees grow with the median tenant's demand, times this margin, up to this multiple.
 const GUARANTEE_MARGIN: f64 = 1.3;
 const MAX_GUARANTEE_GROWTH: f64 = 4.0;
-/// Fraction of a guarantee that is cut for each fraction of what is in flight that is too much, for
-/// demand over it ...
+/// How much of a guarantee is cut for each unit of shortage, for demand over it ...
 const OVER_GUARANTEE_CUT: f64 = 20.0;
-/// ... and, from a shortage on, for demand within it.
+/// ... and for demand within it, from this shortage on.
 const WITHIN_GUARANTEE_CUT: f64 = 2.0;
 const WITHIN_GUARANTEE_CUT_FROM: f64 = 0.25;
 /// The guarantee of a tenant whose quota is not stated, in requests a second.
 const DEFAULT_GUARANTEE: f64 = 1.0;
+/// Jitter of Retry-After: it is at least this fraction of its longest.
+const MIN_RETRY_AFTER_JITTER: f64 = 0.5;
+const RETRY_AFTER_JITTER: f64 = 0.5;
 
 /// The token bucket of a tenant.
 struct TokenBucket {
@@ -41,7 +43,7 @@
 }
 
 impl TokenBucket {
-    /// A full one.
+    /// A full bucket.
     fn new(guarantee_per_s: f64) -> Self {
         Self {
             tokens: MIN_BUCKET_SIZE + guarantee_per_s,
@@ -78,7 +80,7 @@
         self.tokens += grant.min((size - self.tokens).max(0.0));
     }
 
-    /// Takes the arrivals of the tick into the demand.
+    /// Adds the arrivals of the tick to the demand.
     fn update_demand(&mut self, window_s: f64, elapsed_s: f64) {
         let per_s = per_second(self.arrivals, elapsed_s);
         self.demand_per_s += newest_weight(elapsed_s, window_s) * (per_s - self.demand_per_s);
@@ -86,7 +88,7 @@
     }
 }
 
-/// What a refill of all buckets goes by.
+/// The inputs of a refill, the same for all buckets.
 struct Refill {
     /// W.
     spare_capacity: f64,
@@ -184,7 +186,8 @@
     attempt_s: f64,
     longest: Duration,
 ) -> Duration {
-    let least = Duration::from_secs_f64(attempt_s);
-    let longest = longest.min(least.max(time_left / 2));
-    longest.mul_f64(0.5 + 0.5 * Random::with_seed(u64::from(id.0)).f64())
+    let shortest = Duration::from_secs_f64(attempt_s);
+    let longest = longest.min(shortest.max(time_left / 2));
+    let jitter = Random::with_seed(u64::from(id.0)).f64();
+    longest.mul_f64(MIN_RETRY_AFTER_JITTER + RETRY_AFTER_JITTER * jitter)
 }
--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -1,4 +1,4 @@
-//! The way of an attempt: its send, retries and hedges, its end, and what its end says.
+//! The way of an attempt: its send, retries and hedges, its end, and what follows from its outcome.
 
 use super::Balancer;
 use super::class_statistics::LatencySample;
@@ -12,12 +12,12 @@
 
 /// Upstreams that a retry looks at for the one with the least in flight.
 const MAX_RETRY_CANDIDATES: usize = 6;
-/// What a retry takes from the retry budget; less where the attempt before never ran: it adds no
-/// work.
+/// What a retry costs of the retry budget; less if the attempt before was not processed: the retry
+/// adds no work.
 const RETRY_COST: f64 = 1.0;
 const UNPROCESSED_RETRY_COST: f64 = 0.1;
-/// A retry is sent only if so much is left until the deadline, and this fraction of a usual latency
-/// while a response is still of use.
+/// A retry needs this much time until the deadline, and this fraction of the class's mean latency
+/// until its response is of no more use.
 const MIN_RETRY_TIME_S: f64 = 1e-3;
 const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
 /// Spare capacity under which nothing is hedged: the overdue attempt itself counts as in flight.
@@ -150,7 +150,7 @@
             && request.may_run_at(upstream, class, connect_timeout, self.now_s)
     }
 
-    /// Looks for attempts that have become overdue.
+    /// Processes the attempts that have become overdue.
     pub(super) fn handle_overdue_attempts(&mut self) {
         while let Some(attempt) = self.requests.next_overdue(self.now) {
             self.handle_overdue(&attempt);
@@ -238,7 +238,8 @@
         }
     }
 
-    /// What the end of an attempt says of its class, the fleet, the network and its upstream.
+    /// Records the outcome of an attempt for its class, the capacity, the connections and its
+    /// upstream.
     fn record_outcome(&mut self, attempt: &EndedAttempt) {
         let sample = if attempt.outcome == Outcome::Ok {
             self.capacity.record_completion();
@@ -265,7 +266,7 @@
         self.judge(slot, attempt);
     }
 
-    /// What the end of an attempt says of its upstream's health.
+    /// Records the outcome of an attempt in the health of its upstream.
     fn judge(&mut self, slot: usize, attempt: &EndedAttempt) {
         let mut clock = JitteredClock {
             now_s: self.now_s,
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -7,26 +7,27 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{EndpointWeights, LoadField, LoadReports, Settings};
 
-/// Seconds over which the service rate is counted under strain, and a rate once reached is
-/// forgotten otherwise.
+/// Seconds over which the service rate is averaged under strain, and over which a rate once reached
+/// fades otherwise.
 pub(super) const RATE_MEMORY_S: f64 = 2.0;
 const UNSTRAINED_RATE_MEMORY_S: f64 = 30.0;
 /// Fraction of the objective that work may spend in the fleet on average before no capacity is
 /// spare; past it, many responses are late.
 pub(super) const QUEUE_OBJECTIVE_FRACTION: f64 = 0.4;
-/// The same where reports tell the utilization, so that latency need only guard.
+/// The same where reports tell the utilization, and latency is only a second limit.
 const REPORTED_QUEUE_OBJECTIVE_FRACTION: f64 = 0.55;
 /// Fraction of the upstreams' cores that may be kept in use where reports tell, and what is added
-/// for demand over the quotas, by its weight: where it is worth little, so is the risk.
+/// for demand over the quotas, by its weight: demand of little weight justifies little risk.
 const BASE_UTILIZATION_BOUND: f64 = 0.62;
 const OVER_QUOTA_UTILIZATION: f64 = 0.4;
 const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
 /// Growth of the service rate a second where pacing rejects, for each part that the utilization is
-/// under its bound: slow against the second or so that reports are old.
+/// under its bound: slow, as reports are about a second old.
 const PACED_GROWTH: f64 = 0.7;
 /// Weight of the newest request in the share that pacing rejects.
 const PACED_NEWEST_WEIGHT: f64 = 0.1;
-/// The least utilization that a rate is scaled up by, and the most that it is scaled by.
+/// Limits of scaling a rate up to the utilization bound: the lowest utilization that counts, and
+/// the largest factor.
 const MIN_SCALED_UTILIZATION: f64 = 0.1;
 const MAX_UTILIZATION_SCALE: f64 = 2.0;
 
@@ -36,7 +37,7 @@
     BASE_UTILIZATION_BOUND + OVER_QUOTA_UTILIZATION * over_quota_weight
 }
 
-/// What a tick of the capacity goes by.
+/// The inputs of an update.
 pub(super) struct CapacityInputs<'a> {
     pub(super) upstreams: &'a Upstreams,
     pub(super) rotation: &'a [usize],
@@ -75,7 +76,7 @@
     reported_for_s: f64,
     /// W, in requests; negative where more is in flight than there is capacity for.
     spare: f64,
-    /// Attempts in flight when it was last looked at.
+    /// Attempts in flight at the last update.
     in_flight: f64,
 }
 
@@ -83,11 +84,11 @@
     /// At the start, `expected_per_s` requests a second are assumed to be served.
     pub(super) fn new(settings: &Settings, expected_per_s: f64) -> Self {
         let bound = utilization_bound(settings);
-        // Where reports will tell the utilization: as high as it may be, until then.
+        // Until the first report the utilization is assumed to be at its bound.
         let will_report = settings.load_reports == LoadReports::Inline
             && settings.report_fields.contains(&LoadField::Utilization);
         let utilization = if will_report { bound } else { 0.0 };
-        // Where the list says nothing of their sizes the small ones would be full first.
+        // Without listed sizes the small upstreams would be overloaded first: start lower.
         let are_sizes_unknown = settings.endpoint_weights == EndpointWeights::Off;
         let completions_per_s = if will_report && are_sizes_unknown {
             utilization * expected_per_s
@@ -129,7 +130,7 @@
         self.spare
     }
 
-    /// What is in flight beyond the capacity, as a part of what is in flight.
+    /// What is in flight beyond the capacity, as a fraction of what is in flight.
     pub(super) fn shortage(&self) -> f64 {
         (-self.spare / f64::max(self.in_flight, 1e-9)).max(0.0)
     }
@@ -143,8 +144,8 @@
         self.paced_fraction += PACED_NEWEST_WEIGHT * (1.0 - self.paced_fraction);
     }
 
-    /// The rotation has grown by this factor: that is no more for this balancer, as others send
-    /// there too.
+    /// The rotation has grown by this factor. The total rate of this balancer stays: others send to
+    /// the new upstreams too.
     pub(super) fn on_rotation_grown(&mut self, factor: f64) {
         self.service_rate /= factor;
         self.rotation_weight *= factor;
@@ -256,9 +257,9 @@
         for upstream in inputs.members().filter(|u| u.weight.weight() > 0.0) {
             let rate = self.service_rate * upstream.weight.weight();
             let own = upstream.load.own();
-            // An upstream whose attempts are overdue has no capacity, in part or all, but what it
-            // has in flight counts: else, when all are stuck, W and the shortage are zero together
-            // and no quota is cut.
+            // Overdue attempts reduce an upstream's capacity, but what it has in flight counts in
+            // full: else W and the shortage would both be zero when all upstreams are stuck, and
+            // no guarantee would be cut.
             let responsive = upstream.load.responsive_fraction();
             let queue = self.queue_limit(inputs, upstream, rate * queue_s) * responsive;
             self.spare += inputs.elapsed_s * rate * responsive + queue - own;
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -5,38 +5,37 @@
 use super::smoothing::newest_weight;
 use crate::interface::{Class, Settings};
 
-/// Seconds over which a class's latency is averaged where responses are few, and the least and the
-/// most that the newest one weighs.
+/// Seconds over which a class's latency is averaged where responses are rare, and the bounds of the
+/// newest one's weight.
 const LATENCY_MEMORY_S: f64 = 3.0;
 const MIN_NEWEST_WEIGHT: f64 = 0.02;
 const MAX_NEWEST_WEIGHT: f64 = 0.2;
 /// A latency counts for this multiple of the objective at the most.
 const MAX_LATENCY_MULTIPLE: f64 = 2.0;
-/// What an abandoned attempt counts for, in the time it was waited for: it would have taken longer.
+/// An abandoned attempt counts for this multiple of its latency: it would have taken longer.
 const TIMEOUT_LATENCY_MULTIPLE: f64 = 1.5;
-/// Quantile of the latencies after which an attempt is overdue, and by what part an answer moves
-/// it.
+/// Quantile of the latencies after which an attempt is overdue, and the step of its estimate.
 const OVERDUE_QUANTILE: f64 = 0.95;
 const QUANTILE_STEP: f64 = 0.05;
-/// The quantile is no less than two ticks, as overdue attempts are looked for on each.
+/// The quantile is at least two ticks, as each tick looks for overdue attempts.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
 /// An attempt is overdue at this fraction of the objective at the latest, so that a hedge still has
 /// time.
 const OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
-/// Fraction of the objective that a class's latency is taken for before its first answer.
+/// Latency of a class before its first response, as a fraction of the objective.
 const INITIAL_LATENCY_FRACTION: f64 = 0.3;
-/// Weight of the newest request in the classes' fractions of the admitted.
+/// Weight of the newest request in the fractions of the admitted requests.
 const ADMITTED_NEWEST_WEIGHT: f64 = 0.01;
-/// Fraction of the admitted under which a class does not set how long queues may be.
+/// A class with a smaller fraction of the admitted requests does not limit the queues.
 const MIN_ADMITTED_FRACTION: f64 = 0.02;
-/// Seconds after which the latency of a class without answers fades, over as long again ...
+/// Seconds after which the latency of a class without responses fades, over as long again ...
 const LATENCY_VALID_S: f64 = 5.0;
 /// ... down to this fraction of its objective.
 const FADED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
-/// The shortest time that a request is taken to need.
+/// Lower limit of a latency that a value is divided by.
 const MIN_LATENCY_S: f64 = TICK_S;
 
-/// How an attempt that tells of latency ended.
+/// What kind of end a latency was measured at.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LatencySample {
     /// The response came after its latency.
@@ -45,7 +44,7 @@
     Abandoned,
 }
 
-/// One class.
+/// The statistics of one class.
 struct ClassRecord {
     objective_s: f64,
     priority_weight: f64,
@@ -57,10 +56,10 @@
     admitted_fraction: f64,
 }
 
-/// All classes, as in the settings.
+/// The statistics of all classes, in the order of the settings.
 pub(super) struct ClassStatistics {
     classes: Vec<ClassRecord>,
-    /// Priority weights are in proportion to the work already.
+    /// Priority weights are already in proportion to the work.
     weight_by_work: bool,
 }
 
@@ -133,7 +132,7 @@
         }
     }
 
-    /// By how much queues may still grow, in seconds of latency, or (negative) are too long. All
+    /// How much queues may still grow, in seconds of latency; negative: they are too long. All
     /// classes share them: the class whose latency comes closest to its objective decides.
     pub(super) fn queue_slack_s(&self, objective_fraction: f64) -> f64 {
         let counted = self
@@ -154,7 +153,7 @@
         }
     }
 
-    /// Takes in a latency. Returns it as a multiple of the mean before.
+    /// Adds a latency. Returns it as a multiple of the previous mean.
     pub(super) fn record_latency(
         &mut self,
         class: usize,
--- a/src/policy/endpoint_flow.rs
+++ b/src/policy/endpoint_flow.rs
@@ -6,7 +6,7 @@
 use crate::interface::{Action, Endpoint, UpdateScope, WatchEvent};
 
 impl Balancer {
-    /// Takes in an update of the endpoint list, or that there is none.
+    /// Processes an update of the endpoint list, or the failure of one.
     pub(super) fn on_endpoints(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
         self.polling.on_response_end();
         if scope == UpdateScope::Failed {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes in what happened to the endpoint watch or a poll.
+    /// Processes a change in the state of the endpoint watch or a poll.
     pub(super) fn on_watch_event(&mut self, event: WatchEvent) {
         self.lease.on_watch_event(event, self.now_s);
         if matches!(event, WatchEvent::Partial { .. }) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Chooses the upstreams that take turns, and starts their round robin anew.
+    /// Chooses the subset again, and restarts the round robin.
     pub(super) fn choose_subset(&mut self) {
         let choice = self.subset.choose(&mut self.upstreams, self.now_s);
         let close = |upstream| Action::CloseIdleConnections { upstream };
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -15,16 +15,23 @@
 const NOTIFIED_WITHIN_S: f64 = 6.0;
 const POLL_DURATION_S: f64 = 1.5;
 const WATCH_SILENCE_S: f64 = 3.0;
-/// Longest wait after a poll that was rejected at once, where few balancers poll.
+/// Longest backoff after a poll that was rejected at once, where few balancers poll.
 const MAX_REJECTED_BACKOFF_S: f64 = 2.0;
 /// Shortest backoff, and the longest over which many balancers spread their polls.
 const MIN_BACKOFF_S: f64 = 0.25;
 const MAX_BACKOFF_SPREAD_S: f64 = 3.0;
 /// Longest doubling backoff, as a fraction of the poll interval; it starts at a sixteenth of that.
 const MAX_BACKOFF_FRACTION: f64 = 0.8;
+const FIRST_BACKOFF_DIVISOR: f64 = 16.0;
 const MAX_DOUBLINGS: u32 = 4;
+/// Jitter: a backoff is at least this fraction of its length.
+const MIN_BACKOFF_JITTER: f64 = 0.1;
+const BACKOFF_JITTER: f64 = 0.9;
 /// Seconds after which an unanswered poll is replaced by another; a local agent answers at once.
 const MIN_POLL_TIMEOUT_S: f64 = 4.0;
+/// The same as a fraction of the poll interval, with its jitter.
+const POLL_TIMEOUT_FRACTION: f64 = 0.4;
+const POLL_TIMEOUT_JITTER: f64 = 0.2;
 const LOCAL_AGENT_POLL_TIMEOUT_S: f64 = 1.0;
 
 /// Who is polled.
@@ -48,7 +55,7 @@
     }
 }
 
-/// What the lease knows of the failure that a backoff follows.
+/// How a poll or a watch failed, as far as the lease knows.
 pub(super) struct PollFailure {
     /// A response was truncated.
     pub(super) was_partial: bool,
@@ -91,7 +98,7 @@
         }
     }
 
-    /// The balancer's life begins: the first polls of many are spread.
+    /// Schedules the first poll; those of many balancers are spread.
     pub(super) fn start(&mut self, now_s: f64, random: &mut Random) {
         self.next_poll_at_s = now_s + self.spread_s * random.f64();
     }
@@ -103,7 +110,8 @@
             return false;
         }
         // An unanswered poll is repeated well before silence counts as having been notified.
-        let timeout_s = self.interval_s * (0.4 + 0.2 * random.f64());
+        let timeout_s =
+            self.interval_s * (POLL_TIMEOUT_FRACTION + POLL_TIMEOUT_JITTER * random.f64());
         let timeout_s = if self.target == PollTarget::LocalAgent {
             LOCAL_AGENT_POLL_TIMEOUT_S
         } else {
@@ -133,17 +141,18 @@
         let backoff_s = self.backoff_s(failure, now_s);
         self.consecutive_failures += 1;
         self.is_watching = false;
-        self.next_poll_at_s = now_s + backoff_s * (0.1 + 0.9 * random.f64());
+        self.next_poll_at_s =
+            now_s + backoff_s * (MIN_BACKOFF_JITTER + BACKOFF_JITTER * random.f64());
     }
 
-    /// Doubling backoff, as all must not meet a discovery that was down at once; but none so long
-    /// that a change made meanwhile is known later than it counts as notified.
+    /// Doubles with each failure, so that not all balancers poll a discovery that comes back at the
+    /// same time; but no backoff lets a change be known later than it counts as notified.
     fn backoff_s(&self, failure: &PollFailure, now_s: f64) -> f64 {
         let spread_s = self.spread_s.min(MAX_BACKOFF_SPREAD_S);
         let backoff_s = if self.target == PollTarget::LocalAgent {
             MIN_BACKOFF_S
         } else {
-            self.doubled_s(self.interval_s * MAX_BACKOFF_FRACTION / 16.0)
+            self.doubled_s(self.interval_s * MAX_BACKOFF_FRACTION / FIRST_BACKOFF_DIVISOR)
                 .max(spread_s)
                 .min(self.remaining_s(spread_s, now_s))
         };
@@ -153,8 +162,8 @@
         } else {
             backoff_s
         };
-        // Rejecting polls costs an overloaded discovery time as well: none is repeated soon, and
-        // none late.
+        // Rejections cost an overloaded discovery time as well: the next poll comes neither soon
+        // nor late.
         if failure.was_rejected {
             backoff_s.min(spread_s.max(MAX_REJECTED_BACKOFF_S))
         } else {
@@ -173,8 +182,7 @@
         } else {
             now_s - self.last_poll_at_s
         };
-        // The largest fleets keep their spread: few of them would reach a discovery that all poll
-        // at once.
+        // The largest fleets keep their spread: a discovery that all poll at once serves few.
         let min_s = if spread_s < MAX_BACKOFF_SPREAD_S {
             MIN_BACKOFF_S
         } else {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: takes updates of it into the upstreams known.
+//! The endpoint list: applies its updates to the known upstreams.
 
 use super::idle_connections::ConnectionUse;
 use super::load::{LoadReportTracker, UpstreamLoad};
@@ -13,7 +13,7 @@
 };
 use crate::random::Random;
 
-/// The removed upstreams leave when they are more than this part of all.
+/// Removed upstreams are forgotten when they are more than one in so many.
 const MAX_REMOVED_PART: usize = 4;
 
 /// What the list says of one upstream.
@@ -39,7 +39,7 @@
         self.cell
     }
 
-    /// Its capacity beside the others', while it is warm.
+    /// Its capacity relative to the others, outside slow start.
     pub(super) fn size(&self) -> f64 {
         self.size
     }
@@ -50,7 +50,7 @@
 }
 
 impl Upstream {
-    /// A newcomer to the list, before its entry is taken in.
+    /// A newcomer to the list, before its entry is applied.
     fn new(
         id: UpstreamId,
         class_count: usize,
@@ -90,7 +90,7 @@
     }
 }
 
-/// What an update of the list goes by.
+/// The inputs of an update, beside the list.
 pub(super) struct UpdateContext<'a> {
     pub(super) endpoint_weights: EndpointWeights,
     pub(super) class_count: usize,
@@ -100,7 +100,7 @@
     pub(super) now_s: f64,
 }
 
-/// Takes an update of the list in. Returns whether the subset has to be chosen anew.
+/// Applies an update of the list. Returns whether the subset has to be chosen anew.
 pub(super) fn apply_update(
     upstreams: &mut Upstreams,
     scope: UpdateScope,
@@ -146,7 +146,7 @@
 }
 
 impl UpdateContext<'_> {
-    /// Takes an entry of the list in. Returns whether the subset has to be chosen anew.
+    /// Applies an entry of the list. Returns whether the subset has to be chosen anew.
     fn apply_endpoint(
         &mut self,
         upstream: &mut Upstream,
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -4,11 +4,11 @@
 /// Seconds after which an idle connection may have been dropped, and for which that is believed.
 const MIN_IDLE_S: f64 = 0.3;
 const MAX_IDLE_VALID_S: f64 = 15.0;
-/// Weight of the newest attempt in the shares of unanswered ones: two long requests in a row are
-/// chance.
+/// Weight of the newest attempt in the fractions of unanswered ones: two long requests in a row are
+/// no evidence.
 const NEWEST_WEIGHT: f64 = 0.05;
 /// Fraction of unanswered attempts on idle connections from which on they are suspected, and how
-/// many times the share on connections in use it has to be.
+/// many times the fraction on connections in use it has to be.
 const MIN_UNANSWERED_FRACTION: f64 = 0.3;
 const UNANSWERED_RATIO: f64 = 2.0;
 
@@ -34,7 +34,8 @@
     }
 }
 
-/// What is known of idle connections. A wrong belief costs a handshake a use, for a while.
+/// What is known of idle connections. A wrong suspicion costs a handshake for each use, for a
+/// while.
 #[derive(Default)]
 pub(super) struct IdleConnections {
     /// Fraction of attempts never answered, on connections in use and on idle ones.
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,5 +1,5 @@
-//! What each upstream has in flight: this balancer's own attempts, and those of others as load
-//! reports and live weights tell.
+//! The load of each upstream: this balancer's own attempts, and those of others by load reports and
+//! live weights.
 
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{LoadField, Settings};
@@ -100,9 +100,9 @@
         (self.others_in_flight, self.others_reported_at_s) = (in_flight, now_s);
     }
 
-    /// Lets abandoned attempts fade: `kept` of them are left.
-    pub(super) fn fade_abandoned(&mut self, kept: f64) {
-        self.abandoned_attempts *= kept;
+    /// Reduces the abandoned attempts by a factor.
+    pub(super) fn fade_abandoned(&mut self, decay: f64) {
+        self.abandoned_attempts *= decay;
     }
 
     fn others_are_recent(&self, now_s: f64) -> bool {
@@ -110,7 +110,7 @@
     }
 }
 
-/// What load reports tell of all upstreams together.
+/// What load reports say about all upstreams together.
 pub(super) struct LoadReportTracker {
     fields: Vec<LoadField>,
     /// Fraction of a report's attempts that are not this balancer's own: reports are old, so that
@@ -137,7 +137,7 @@
         self.in_flight_at_full
     }
 
-    /// Takes in a load report of an upstream.
+    /// Records a load report of an upstream.
     pub(super) fn record(&mut self, upstream: &mut Upstream, report: &[f32], now_s: f64) {
         let (load, size) = (&mut upstream.load, upstream.endpoint.size());
         let mut max_in_flight: Option<f64> = None;
@@ -169,7 +169,7 @@
         load.record_others(in_flight * self.others_fraction, now_s);
     }
 
-    /// Takes in what a live weight tells: the requests that each core has in flight.
+    /// Records what a live weight says: the requests that each core has in flight.
     pub(super) fn record_live_weight(&self, load: &mut UpstreamLoad, in_flight: f64, now_s: f64) {
         load.record_others(in_flight * self.others_fraction, now_s);
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -10,6 +10,10 @@
 //! it what it needs of others. The ways of a request, of an attempt and of an endpoint update
 //! through the parts are in `request_flow.rs`, `attempt_flow.rs` and `endpoint_flow.rs`. Times are
 //! seconds (`_s`) on the embedder's clock.
+//!
+//! The paper's symbols are named beside what each is: V_i, mu_i, u_g_i, u_i and T_i in
+//! `admission.rs`; W, C_j and Q_j in `capacity.rs`; q_j in `load.rs`; sigma in `round_robin.rs`;
+//! tau is the time since the last tick, `elapsed_s`.
 
 mod admission;
 mod attempt_flow;
@@ -55,36 +59,36 @@
 use upstreams::{Upstream, Upstreams};
 use weights::Weights;
 
-/// Seconds between ticks: short against any objective, long against one look over the fleet.
+/// Seconds between ticks: short against any objective, long against one pass over all upstreams.
 const TICK_S: f64 = 0.025;
 /// A tick counts for so many seconds at the most, however late it comes.
 const MAX_TICK_S: f64 = 1.0;
 const TICK_TIMER: TimerId = TimerId(0);
 
-/// One balancer's decisions. See the crate's page for its use.
+/// The decisions of one balancer. See the crate's documentation for its use.
 pub struct Balancer {
     settings: Settings,
-    /// The time of the event in hand; in seconds as well.
+    /// The time of the present event; in seconds as well.
     now: Duration,
     now_s: f64,
     actions: Vec<Action>,
     random: Random,
     is_started: bool,
     last_tick_s: f64,
-    // Who is there, and whom this balancer sends to.
+    // The upstreams, and the subset of them that this balancer sends to.
     polling: EndpointPolling,
     lease: EndpointLease,
     upstreams: Upstreams,
     subset: Subset,
     rotation: Rotation,
-    // What is in flight, and what it has shown.
+    // Requests in flight, and what their outcomes have shown.
     requests: Requests,
     retry_budget: RetryBudget,
     classes: ClassStatistics,
     load_reports: LoadReportTracker,
     outliers: OutlierDetection,
     idle_connections: IdleConnections,
-    // How much is taken in and sent.
+    // How much is admitted and sent.
     weights: Weights,
     capacity: Capacity,
     admission: Admission,
@@ -174,7 +178,7 @@
         self.lease.send_pause()
     }
 
-    /// Takes in one event and adds what is to be done about it.
+    /// Processes one event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
         (self.now, self.now_s) = (now, now.as_secs_f64());
@@ -225,7 +229,7 @@
         std::mem::swap(&mut self.actions, actions);
     }
 
-    /// Begins at the first event: ticks and polls of many balancers are spread.
+    /// Starts ticks and polls at the first event; those of many balancers are spread.
     fn start(&mut self) {
         if std::mem::replace(&mut self.is_started, true) {
             return;
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,5 +1,6 @@
-//! Outlier detection: what the end of an attempt says of its upstream beside the others, ejection
-//! for one class and the trials that end it, and which upstreams a class may be sent to.
+//! Outlier detection: compares an upstream's outcomes with those of the others, ejects it for one
+//! class, schedules the trials that end such an ejection, and decides which upstreams a class may
+//! be sent to.
 
 use super::clock::JitteredClock;
 use super::requests::EndedAttempt;
@@ -63,7 +64,7 @@
     erring as f64 / others().count().max(1) as f64
 }
 
-/// What the end of an attempt says against its upstream for all classes.
+/// The fault that the end of an attempt is, for all classes.
 fn fault_of(outcome: Outcome, common_errors: f64) -> Option<Fault> {
     match outcome {
         Outcome::Error => {
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Takes in the end of an attempt at one upstream: its health for the attempt's class, and what
-    /// it says against the upstream for all classes.
+    /// Records the end of an attempt in the health of its upstream for the attempt's class. Returns
+    /// the fault that it is for all classes.
     pub(super) fn record_outcome(
         &mut self,
         upstreams: &mut Upstreams,
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -5,20 +5,20 @@
 use super::upstreams::{Upstream, Upstreams};
 use super::weights::SlowStartRate;
 
-/// Sends to one upstream that can be saved up, where many share it.
+/// Largest budget of one upstream, in sends, where many balancers share it.
 const MAX_UPSTREAM_BUDGET: f64 = 1.5;
-/// Sends to all of them that can be saved up: so many, and so many seconds' worth.
+/// Largest number of sends available for all upstreams together: this many, and what they earn in
+/// this time.
 const MIN_BURST: f64 = 3.0;
 const BURST_S: f64 = 0.1;
-/// How many times as much is allowed where few balancers share an upstream, at the most.
+/// Budgets are larger where few balancers share an upstream, up to this multiple.
 const MAX_UNSHARED_MULTIPLE: f64 = 1e3;
-/// Part of what can be saved that is kept for first attempts of clients: a retry may be too late
-/// already, and each one admitted in a shortage rejects a first attempt, which then becomes a
-/// retry.
+/// Fraction of the burst that is reserved for first attempts of clients: a retry may be too late
+/// already, and each one admitted in a shortage turns a first attempt into another retry.
 const RESERVED_FROM_RETRIES: f64 = 0.6;
-/// The same that is kept for the class with the highest value, from one of no value.
+/// Fraction of the burst that a class without value leaves to the class with the highest.
 const RESERVED_FOR_VALUE: f64 = 0.4;
-/// Bounds of how an upstream's utilization, and what waits in it, moves its rate.
+/// Limits of the factors by which an upstream's utilization and its queue change its rate.
 const MIN_UTILIZATION_FACTOR: f64 = 0.5;
 const MAX_UTILIZATION_FACTOR: f64 = 1.5;
 const MAX_QUEUE_FACTOR: f64 = 4.0;
@@ -36,7 +36,7 @@
     }
 }
 
-/// What sends are paced by at a tick.
+/// The inputs of a refill.
 pub(super) struct PacingRates<'a> {
     /// For each unit of weight.
     pub(super) service_rate: f64,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Paces sends, or no more.
+    /// Switches pacing on or off.
     pub(super) fn set_active(&mut self, is_active: bool) {
         self.is_active = is_active;
     }
@@ -108,8 +108,8 @@
         self.available_sends -= 1.0;
     }
 
-    /// Whether too few sends are saved up for a request: some are kept for first attempts, and for
-    /// the classes with the highest `relative_value`.
+    /// Whether too few sends are available for a request: some are reserved for first attempts, and
+    /// for classes with a high `relative_value`.
     pub(super) fn is_short(&self, relative_value: f64, is_retry: bool) -> bool {
         let reserved_for_value = RESERVED_FOR_VALUE * (1.0 - relative_value);
         let share = if is_retry {
@@ -121,8 +121,7 @@
         self.is_active && self.available_sends < 1.0 + reserved
     }
 
-    /// Whether an upstream has had its sends for now. One in slow start earns its turns by time
-    /// anyway.
+    /// Whether an upstream's budget is used up. Slow start is limited by its turns instead.
     pub(super) fn is_exhausted(&self, upstream: &Upstream) -> bool {
         self.is_active && !upstream.weight.is_warming_up() && upstream.send_budget.sends < 1.0
     }
@@ -135,7 +134,7 @@
         let mut rate = (self.service_rate * weight).max(weight / self.balancers_per_upstream);
         let in_flight_at_full = self.load_reports.in_flight_at_full();
         if upstream.load.utilization_is_recent(now_s) && in_flight_at_full > 0.0 {
-            // Less where it reports a higher utilization than the others, or that more waits.
+            // Less if it reports a higher utilization than the others, or a longer queue.
             rate *= (self.utilization / upstream.load.utilization().max(0.1))
                 .clamp(MIN_UTILIZATION_FACTOR, MAX_UTILIZATION_FACTOR);
             let expected = in_flight_at_full * upstream.endpoint.size();
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -8,13 +8,13 @@
 use crate::interface::{Action, AttemptNo, Class, Effect, FailureReason, RequestId};
 use std::time::Duration;
 
-/// Fraction of the objective after which an attempt whose late response is of no use is abandoned:
-/// just before it, not as late.
+/// An attempt whose late response is of no use is abandoned at this fraction of the objective: just
+/// before the objective, not after it.
 const USEFUL_OBJECTIVE_FRACTION: f64 = 0.98;
-/// The longest time left that a rejection goes by.
+/// Upper limit of the time left that a rejection counts with.
 const MAX_REMAINING_S: f64 = 1e6;
 
-/// A request that has come.
+/// A request that has arrived.
 #[derive(Clone, Copy)]
 pub(super) struct Arrival {
     pub(super) id: RequestId,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The upstream that a request goes to first, or why there is none.
+    /// The upstream for the first attempt of a request, or why there is none.
     fn select_upstream(&mut self, arrival: &Arrival) -> Result<usize, FailureReason> {
         if self.lease.is_expired(self.now_s) {
             return Err(FailureReason::StaleEndpoints);
@@ -136,7 +136,7 @@
         self.send(arrival.id, slot);
     }
 
-    /// A rejection always says when to come back.
+    /// Rejects a request; the response always has a Retry-After.
     fn reject(&mut self, id: RequestId, time_left: Duration, reason: FailureReason) {
         let attempt_s = self.classes.mean_latency_s().max(TICK_S);
         let longest = self.settings.max_retry_after;
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -10,11 +10,10 @@
 /// Retries earned by each request admitted, and how many of them can be saved up.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 const MAX_RETRY_BUDGET: f64 = 10.0;
-/// Time left for the way to an upstream, beside a new connection, until it forgets an idempotency
-/// key.
+/// Margin for the network, beside a new connection, until an upstream forgets an idempotency key.
 const KEY_MARGIN_S: f64 = 0.05;
 
-/// Where an attempt stands.
+/// The state of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
     /// Sent, and not ended.
@@ -53,7 +52,7 @@
     }
 }
 
-/// How an attempt ended.
+/// An attempt that has ended.
 pub(super) struct EndedAttempt {
     pub(super) class: usize,
     pub(super) upstream: UpstreamId,
@@ -70,14 +69,14 @@
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
 
-    /// Whether it speaks against its upstream; silence does only of one that is not ejected.
+    /// Whether it is a fault of its upstream; silence is only if the upstream is not ejected.
     pub(super) fn is_fault(&self, silence_counts: bool) -> bool {
         matches!(self.outcome, Outcome::Error | Outcome::Rejected)
             || (self.is_abandoned() && silence_counts)
     }
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RequestState {
     /// A final response is owed.
@@ -126,7 +125,7 @@
         }
     }
 
-    /// It ends. Returns whether it had not before.
+    /// Ends it. Returns whether it had not ended before.
     pub(super) fn complete(&mut self) -> bool {
         let before = std::mem::replace(&mut self.state, RequestState::Completed);
         before != RequestState::Completed
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -5,13 +5,13 @@
 use super::weights::SlowStartRate;
 use std::collections::VecDeque;
 
-/// Turns looked ahead by the skip rule; two is the design's.
+/// Turns that the skip rule compares; the design has two.
 const LOOKAHEAD: usize = 3;
 /// An upstream is skipped if it has more in flight than this multiple of the least looked at, and
 /// half an attempt more.
 const SKIP_MULTIPLE: f64 = 1.5;
 const SKIP_MARGIN: f64 = 0.5;
-/// Turns that an upstream can save up; one in slow start saves fewer.
+/// Largest deficits, in turns.
 const MAX_DEFICIT: f64 = 2.0;
 const MAX_SLOW_START_DEFICIT: f64 = 1.5;
 /// Rounds after which the search for an upstream with a turn ends.
@@ -33,9 +33,9 @@
 pub(super) struct Rotation {
     /// In this balancer's own order: the cursors of balancers must not be synchronized.
     members: Vec<usize>,
-    /// sigma: the member that was looked at last.
+    /// sigma: the position of the last member that was considered.
     cursor: usize,
-    /// Turns that come next, already taken off the deficits.
+    /// The next turns, already taken off the deficits.
     lookahead: VecDeque<usize>,
 }
 
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -26,7 +26,7 @@
 /// Seconds for which an error counts as recent.
 const RECENT_ERROR_S: f64 = 5.0;
 
-/// What is left of a suspicion after so many seconds.
+/// The factor by which suspicion fades in a span.
 pub(super) fn suspicion_decay(elapsed_s: f64) -> f64 {
     (-elapsed_s / SUSPICION_MEMORY_S).exp()
 }
@@ -62,18 +62,18 @@
     pub(super) balancers_per_upstream: f64,
 }
 
-/// Whether an upstream gets requests.
+/// Whether an upstream receives requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectionState {
-    /// It does.
+    /// It receives requests.
     Serving,
-    /// It gets none.
+    /// It receives none.
     Ejected,
     /// Back from ejection: the next fault ejects it again, unless an answer comes first.
     HalfOpen,
 }
 
-/// What one class has met at one upstream.
+/// The health of one upstream for one class.
 #[derive(Clone, Default)]
 struct ClassHealth {
     /// Since the last answer.
@@ -86,9 +86,9 @@
 
 /// The health of one upstream.
 pub(super) struct UpstreamHealth {
-    /// By faults of whatever class, less by answers.
+    /// Grows with the faults of all classes, shrinks with answers and with time.
     suspicion: f64,
-    /// Without an answer that has cleared it.
+    /// Since the last answer that ended the probation.
     consecutive_ejections: u32,
     ejected_until_s: f64,
     last_error_at_s: f64,
@@ -119,9 +119,9 @@
         self.classes.fill(ClassHealth::default());
     }
 
-    /// Lets suspicion fade: `left` of it stays, of [`suspicion_decay`].
-    pub(super) fn fade(&mut self, left: f64) {
-        self.suspicion *= left;
+    /// Reduces the suspicion by a factor, [`suspicion_decay`].
+    pub(super) fn fade(&mut self, decay: f64) {
+        self.suspicion *= decay;
     }
 
     pub(super) fn state(&self, now_s: f64) -> EjectionState {
@@ -196,8 +196,7 @@
         self.last_error_at_s > 0.0 && now_s - self.last_error_at_s < RECENT_ERROR_S
     }
 
-    /// Takes in what an outcome says for all classes; what it says against the upstream comes as a
-    /// fault.
+    /// Records a response for all classes; a fault is added by [`Self::suspect`].
     pub(super) fn record_response(&mut self, outcome: Outcome, now_s: f64) {
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.last_response_at_s = now_s;
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -3,7 +3,7 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{Settings, ZoneId};
 
-/// Seconds over which the latency ratio of an upstream fades, and answers it takes to believe it.
+/// Seconds over which the samples of a latency ratio fade, and the weight of the prior in samples.
 const LATENCY_RATIO_MEMORY_S: f64 = 10.0;
 const LATENCY_RATIO_PRIOR: f64 = 4.0;
 /// Bounds of the latency ratio that counts, and of one latency in it.
@@ -11,7 +11,7 @@
 const MAX_LATENCY_RATIO: f64 = 4.0;
 const MAX_SAMPLE_RATIO: f64 = 5.0;
 const MIN_CAPACITY: f64 = 1e-3;
-/// Fraction of what would overload a warming upstream that it is sent for each unit of capacity.
+/// Fraction of the overload limit that an upstream in slow start is sent.
 const SLOW_START_LOAD_FRACTION: f64 = 0.4;
 /// Cross-zone price at which other zones get no ordinary turns; less in proportion.
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
@@ -69,8 +69,8 @@
         self.latency_ratio += (ratio - self.latency_ratio) / self.answer_count.max(1.0);
     }
 
-    /// The latency ratio, as far as there are answers to believe it by.
-    fn believed_latency_ratio(&self) -> f64 {
+    /// The latency ratio, weighted with a prior of one.
+    fn weighted_latency_ratio(&self) -> f64 {
         let ratio = (self.latency_ratio * self.answer_count + LATENCY_RATIO_PRIOR)
             / (self.answer_count + LATENCY_RATIO_PRIOR);
         ratio.clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO)
@@ -86,7 +86,7 @@
     pub(super) multiple: f64,
 }
 
-/// What weights go by in the settings.
+/// The settings that weights depend on.
 pub(super) struct Weights {
     zone: ZoneId,
     /// Fraction of their turns that upstreams of other zones get.
@@ -132,7 +132,7 @@
             upstream.weight.answer_count *= fade;
             let warmth = self.advance_slow_start(&mut upstream.weight, now_s);
             let relative_size = upstream.endpoint.size() / largest_size;
-            let capacity = relative_size * warmth / upstream.weight.believed_latency_ratio();
+            let capacity = relative_size * warmth / upstream.weight.weighted_latency_ratio();
             upstream.weight.capacity = capacity.max(MIN_CAPACITY);
             let is_out = ejections_apply && upstream.health.is_ejected(now_s);
             let is_usable = upstream.endpoint.is_ready() && !is_out;
