--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -3,39 +3,41 @@
 
 use super::class_statistics::ClassStatistics;
 use super::load::{LoadReportTracker, UTILIZATION_VALID_S};
+use super::smoothing::{newest_weight, per_second};
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{EndpointWeights, LoadField, LoadReports, Settings};
 
-/// Seconds over which the service rate is counted under strain, and a rate once reached is
-/// forgotten otherwise.
+/// Seconds over which the service rate is averaged under strain, and over which a rate once reached
+/// fades otherwise.
 pub(super) const RATE_MEMORY_S: f64 = 2.0;
 const UNSTRAINED_RATE_MEMORY_S: f64 = 30.0;
-/// Share of the objective that work may spend in the fleet on average before no capacity is spare;
-/// past it, many responses are late.
-pub(super) const QUEUE_OBJECTIVE_SHARE: f64 = 0.4;
-/// The same where reports tell the utilization, so that latency need only guard.
-const REPORTED_QUEUE_OBJECTIVE_SHARE: f64 = 0.55;
-/// Share of the upstreams' cores that may be kept in use where reports tell, and what is added for
-/// demand over the quotas, by its weight: where it is worth little, so is the risk.
+/// Fraction of the objective that work may spend in the fleet on average before no capacity is
+/// spare; past it, many responses are late.
+pub(super) const QUEUE_OBJECTIVE_FRACTION: f64 = 0.4;
+/// The same where reports tell the utilization, and latency is only a second limit.
+const REPORTED_QUEUE_OBJECTIVE_FRACTION: f64 = 0.55;
+/// Fraction of the upstreams' cores that may be kept in use where reports tell, and what is added
+/// for demand over the quotas, by its weight: demand of little weight justifies little risk.
 const BASE_UTILIZATION_BOUND: f64 = 0.62;
 const OVER_QUOTA_UTILIZATION: f64 = 0.4;
 const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
 /// Growth of the service rate a second where pacing rejects, for each part that the utilization is
-/// under its bound: slow against the second or so that reports are old.
+/// under its bound: slow, as reports are about a second old.
 const PACED_GROWTH: f64 = 0.7;
 /// Weight of the newest request in the share that pacing rejects.
 const PACED_NEWEST_WEIGHT: f64 = 0.1;
-/// The least utilization that a rate is scaled up by, and the most that it is scaled by.
+/// Limits of scaling a rate up to the utilization bound: the lowest utilization that counts, and
+/// the largest factor.
 const MIN_SCALED_UTILIZATION: f64 = 0.1;
 const MAX_UTILIZATION_SCALE: f64 = 2.0;
 
-/// Share of the upstreams' cores that may be kept in use.
+/// Fraction of the upstreams' cores that may be kept in use.
 fn utilization_bound(settings: &Settings) -> f64 {
     let over_quota_weight = settings.over_quota_weight_share.min(MAX_OVER_QUOTA_WEIGHT);
     BASE_UTILIZATION_BOUND + OVER_QUOTA_UTILIZATION * over_quota_weight
 }
 
-/// What a tick of the capacity goes by.
+/// The inputs of an update.
 pub(super) struct CapacityInputs<'a> {
     pub(super) upstreams: &'a Upstreams,
     pub(super) rotation: &'a [usize],
@@ -43,7 +45,7 @@
     pub(super) load_reports: &'a LoadReportTracker,
     /// Balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
-    /// tau.
+    /// tau: the time since the last tick.
     pub(super) elapsed_s: f64,
     pub(super) now_s: f64,
 }
@@ -65,28 +67,28 @@
     completions_per_s: f64,
     /// Weight of the rotation, smoothed.
     rotation_weight: f64,
-    /// Share of requests that pacing rejects, fading.
-    paced_share: f64,
-    /// Share of the upstreams' cores in use, by their reports; zero: not known.
+    /// Fraction of requests that pacing rejects, fading.
+    paced_fraction: f64,
+    /// Fraction of the upstreams' cores in use, by their reports; zero: not known.
     utilization: f64,
     /// The same, but for the first seconds of reports.
     settled_utilization: f64,
     reported_for_s: f64,
     /// W, in requests; negative where more is in flight than there is capacity for.
     spare: f64,
-    /// Attempts in flight when it was last looked at.
+    /// Attempts in flight at the last update.
     in_flight: f64,
 }
 
 impl Capacity {
-    /// Before there is anything to go by, `expected_per_s` requests are taken to be served.
+    /// At the start, `expected_per_s` requests a second are assumed to be served.
     pub(super) fn new(settings: &Settings, expected_per_s: f64) -> Self {
         let bound = utilization_bound(settings);
-        // Where reports will tell the utilization: as high as it may be, until then.
+        // Until the first report the utilization is assumed to be at its bound.
         let will_report = settings.load_reports == LoadReports::Inline
             && settings.report_fields.contains(&LoadField::Utilization);
         let utilization = if will_report { bound } else { 0.0 };
-        // Where the list says nothing of their sizes the small ones would be full first.
+        // Without listed sizes the small upstreams would be overloaded first: start lower.
         let are_sizes_unknown = settings.endpoint_weights == EndpointWeights::Off;
         let completions_per_s = if will_report && are_sizes_unknown {
             utilization * expected_per_s
@@ -100,7 +102,7 @@
             completions: 0.0,
             completions_per_s,
             rotation_weight: 0.0,
-            paced_share: 0.0,
+            paced_fraction: 0.0,
             utilization,
             settled_utilization: utilization,
             reported_for_s: 0.0,
@@ -114,7 +116,7 @@
         self.service_rate
     }
 
-    /// Share of the upstreams' cores in use; zero: not known.
+    /// Fraction of the upstreams' cores in use; zero: not known.
     pub(super) fn utilization(&self) -> f64 {
         self.utilization
     }
@@ -128,7 +130,7 @@
         self.spare
     }
 
-    /// What is in flight beyond the capacity, as a part of what is in flight.
+    /// What is in flight beyond the capacity, as a fraction of what is in flight.
     pub(super) fn shortage(&self) -> f64 {
         (-self.spare / f64::max(self.in_flight, 1e-9)).max(0.0)
     }
@@ -139,25 +141,25 @@
 
     /// Pacing has rejected a request.
     pub(super) fn record_paced(&mut self) {
-        self.paced_share += PACED_NEWEST_WEIGHT * (1.0 - self.paced_share);
+        self.paced_fraction += PACED_NEWEST_WEIGHT * (1.0 - self.paced_fraction);
     }
 
-    /// The rotation has grown by this factor: that is no more for this balancer, as others send
-    /// there too.
+    /// The rotation has grown by this factor. The total rate of this balancer stays: others send to
+    /// the new upstreams too.
     pub(super) fn on_rotation_grown(&mut self, factor: f64) {
         self.service_rate /= factor;
         self.rotation_weight *= factor;
     }
 
-    /// Looks at the upstreams again, each tick.
+    /// Updates all estimates, each tick.
     pub(super) fn update(&mut self, inputs: &CapacityInputs<'_>) {
         self.update_utilization(inputs);
-        let objective_share = if self.knows_utilization() {
-            REPORTED_QUEUE_OBJECTIVE_SHARE
+        let objective_fraction = if self.knows_utilization() {
+            REPORTED_QUEUE_OBJECTIVE_FRACTION
         } else {
-            QUEUE_OBJECTIVE_SHARE
+            QUEUE_OBJECTIVE_FRACTION
         };
-        let slack_s = inputs.classes.queue_slack_s(objective_share);
+        let slack_s = inputs.classes.queue_slack_s(objective_fraction);
         let latency_s = inputs.classes.mean_latency_s();
         let queue_s = (latency_s + slack_s).max(0.0);
         self.update_service_rate(inputs, slack_s);
@@ -169,41 +171,40 @@
         self.update_spare(inputs, queue_s);
     }
 
-    /// What each upstream reported last counts alike, however few of them answer this balancer in a
-    /// second.
+    /// Averages the last reports of all upstreams, however few of them respond to this balancer in
+    /// a second.
     fn update_utilization(&mut self, inputs: &CapacityInputs<'_>) {
         let (mut cores_in_use, mut cores) = (0.0, 0.0);
         for upstream in inputs
             .members()
             .filter(|u| u.load.has_utilization(inputs.now_s))
         {
-            let size = upstream.endpoint.size;
+            let size = upstream.endpoint.size();
             cores_in_use += size * upstream.load.utilization();
             cores += size;
         }
         if cores <= 0.0 {
             return;
         }
-        // The first reports are of a fleet that nobody had sent to yet: no rate is set by them
-        // alone.
+        // The first reports are of an idle fleet: no rate is set by them alone.
         self.reported_for_s += inputs.elapsed_s;
-        let newest_weight = if self.reported_for_s < UTILIZATION_VALID_S {
-            (inputs.elapsed_s / RATE_MEMORY_S).min(1.0)
+        let weight_of_newest = if self.reported_for_s < UTILIZATION_VALID_S {
+            newest_weight(inputs.elapsed_s, RATE_MEMORY_S)
         } else {
             1.0
         };
         self.utilization = cores_in_use / cores;
-        let change = newest_weight * (self.utilization - self.settled_utilization);
+        let change = weight_of_newest * (self.utilization - self.settled_utilization);
         self.settled_utilization = self.utilization.max(self.settled_utilization + change);
     }
 
     fn update_service_rate(&mut self, inputs: &CapacityInputs<'_>, slack_s: f64) {
         let elapsed_s = inputs.elapsed_s;
-        let newest_weight = (elapsed_s / RATE_MEMORY_S).min(1.0);
-        let per_s = self.completions / elapsed_s.max(1e-6);
-        self.completions_per_s += newest_weight * (per_s - self.completions_per_s);
+        let weight_of_newest = newest_weight(elapsed_s, RATE_MEMORY_S);
+        let per_s = per_second(self.completions, elapsed_s);
+        self.completions_per_s += weight_of_newest * (per_s - self.completions_per_s);
         self.completions = 0.0;
-        self.paced_share -= newest_weight * self.paced_share;
+        self.paced_fraction -= weight_of_newest * self.paced_fraction;
         let observed = self.completions_per_s / self.smoothed_weight(inputs).max(1e-9);
         if self.knows_utilization() {
             self.follow_utilization(observed, elapsed_s);
@@ -213,13 +214,13 @@
             } else {
                 UNSTRAINED_RATE_MEMORY_S
             };
-            let change = (elapsed_s / memory_s).min(1.0) * (observed - self.service_rate);
+            let change = newest_weight(elapsed_s, memory_s) * (observed - self.service_rate);
             self.service_rate = (self.service_rate + change).max(observed);
         }
     }
 
-    /// The weight that what was completed meanwhile belongs to: the rate of the upstreams left is
-    /// not more as soon as others drop out.
+    /// The weight behind the completions of the window: the rate of the remaining upstreams must
+    /// not rise as soon as others drop out.
     fn smoothed_weight(&mut self, inputs: &CapacityInputs<'_>) -> f64 {
         let weight = inputs
             .members()
@@ -231,23 +232,23 @@
         } else {
             0.0
         };
-        let newest_weight = (inputs.elapsed_s / memory_s).min(1.0);
-        self.rotation_weight += newest_weight * (weight - self.rotation_weight);
+        let weight_of_newest = newest_weight(inputs.elapsed_s, memory_s);
+        self.rotation_weight += weight_of_newest * (weight - self.rotation_weight);
         self.rotation_weight
     }
 
-    /// A rate once reached under load would go on admitting what makes a crowded upstream slow:
-    /// where the utilization is known, it decides.
+    /// Follows the utilization where it is known: a rate once reached under load would go on
+    /// admitting requests that slow an overloaded upstream down.
     fn follow_utilization(&mut self, observed: f64, elapsed_s: f64) {
         let headroom =
             self.utilization_bound / self.settled_utilization.max(MIN_SCALED_UTILIZATION);
-        let possible = observed * headroom.min(MAX_UTILIZATION_SCALE);
+        let achievable = observed * headroom.min(MAX_UTILIZATION_SCALE);
         // Where pacing rejects, completions only show what was let through.
         let idle = (headroom - 1.0).clamp(0.0, 1.0);
-        self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH * self.paced_share * idle;
-        let change = (elapsed_s / RATE_MEMORY_S).min(1.0) * (possible - self.service_rate);
-        // Nor is it under what they do now, if that keeps them no busier.
-        self.service_rate = (self.service_rate + change).max(observed.min(possible));
+        self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH * self.paced_fraction * idle;
+        let change = newest_weight(elapsed_s, RATE_MEMORY_S) * (achievable - self.service_rate);
+        // It is no less than what they do now, if that keeps the utilization within its bound.
+        self.service_rate = (self.service_rate + change).max(observed.min(achievable));
     }
 
     /// W = sum of (tau C_j + (Q_j - q_j)) in this balancer's own share.
@@ -256,10 +257,10 @@
         for upstream in inputs.members().filter(|u| u.weight.weight() > 0.0) {
             let rate = self.service_rate * upstream.weight.weight();
             let own = upstream.load.own();
-            // An upstream whose attempts are overdue has no capacity, in part or all, but what it
-            // has in flight counts: else, when all are stuck, W and the shortage are zero together
-            // and no quota is cut.
-            let responsive = upstream.load.responsive_share();
+            // Overdue attempts reduce an upstream's capacity, but what it has in flight counts in
+            // full: else W and the shortage would both be zero when all upstreams are stuck, and
+            // no guarantee would be cut.
+            let responsive = upstream.load.responsive_fraction();
             let queue = self.queue_limit(inputs, upstream, rate * queue_s) * responsive;
             self.spare += inputs.elapsed_s * rate * responsive + queue - own;
             self.in_flight += own;
@@ -268,18 +269,20 @@
 
     /// Q_j: what an upstream may have in flight of this balancer.
     fn queue_limit(&self, inputs: &CapacityInputs<'_>, upstream: &Upstream, served: f64) -> f64 {
-        // One place in all at least: where no quota is stated a start from nothing takes long.
-        let least = upstream.weight.weight() / self.balancers;
-        // Nor is it less than an equal part of what the cores reported idle can hold, however
-        // little this balancer has admitted, and so heard of, lately.
+        // At least one attempt over all balancers: without stated quotas a start from zero is slow.
+        let min_limit = upstream.weight.weight() / self.balancers;
+        // And an equal part of what the idle cores can process, however little this balancer has
+        // admitted recently.
         let reports = upstream.load.has_utilization(inputs.now_s);
         let idle = if reports && !upstream.weight.is_warming_up() {
             let at_full = inputs.load_reports.in_flight_at_full();
-            self.utilization_bound * at_full * upstream.endpoint.size
+            self.utilization_bound * at_full * upstream.endpoint.size()
                 - upstream.load.reported_in_flight()
         } else {
             0.0
         };
-        served.max(least).max(idle / inputs.balancers_per_upstream)
+        served
+            .max(min_limit)
+            .max(idle / inputs.balancers_per_upstream)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,14 +7,20 @@
 //! ones. Everything else here is an exception to that path and says what it guards against.
 //!
 //! Each part owns its state, its constants and what it keeps of each upstream; [`Balancer`] hands
-//! it what it needs of others. The ways of a request and of an attempt through the parts are in
-//! `request_flow.rs` and `attempt_flow.rs`. Times are seconds (`_s`) on the embedder's clock.
+//! it what it needs of others. The ways of a request, of an attempt and of an endpoint update
+//! through the parts are in `request_flow.rs`, `attempt_flow.rs` and `endpoint_flow.rs`. Times are
+//! seconds (`_s`) on the embedder's clock.
+//!
+//! The paper's symbols are named beside what each is: V_i, mu_i, u_g_i, u_i and T_i in
+//! `admission.rs`; W, C_j and Q_j in `capacity.rs`; q_j in `load.rs`; sigma in `round_robin.rs`;
+//! tau is the time since the last tick, `elapsed_s`.
 
 mod admission;
 mod attempt_flow;
 mod capacity;
 mod class_statistics;
 mod clock;
+mod endpoint_flow;
 mod endpoint_lease;
 mod endpoint_polling;
 mod endpoints;
@@ -25,22 +31,21 @@
 mod request_flow;
 mod requests;
 mod round_robin;
+mod smoothing;
 mod subset;
 mod upstream_health;
 mod upstreams;
 mod weights;
 
 use crate::interface::{
-    Action, Endpoint, Event, SendPause, Settings, SettingsError, StatusSnapshot, Tenant, TimerId,
-    UpdateScope, UpstreamId, WatchEvent,
+    Action, Event, SendPause, Settings, SettingsError, StatusSnapshot, Tenant, TimerId, UpstreamId,
 };
 use crate::random::Random;
 use admission::Admission;
 use capacity::{Capacity, CapacityInputs};
 use class_statistics::ClassStatistics;
 use endpoint_lease::EndpointLease;
-use endpoint_polling::{EndpointPolling, PollFailure};
-use endpoints::{UpdateContext, apply_update};
+use endpoint_polling::EndpointPolling;
 use idle_connections::IdleConnections;
 use load::LoadReportTracker;
 use outlier_detection::{OutlierDetection, may_be_ejected};
@@ -50,40 +55,40 @@
 use round_robin::Rotation;
 use std::time::Duration;
 use subset::Subset;
-use upstream_health::suspicion_left;
+use upstream_health::suspicion_decay;
 use upstreams::{Upstream, Upstreams};
 use weights::Weights;
 
-/// Seconds between ticks: short against any objective, long against one look over the fleet.
+/// Seconds between ticks: short against any objective, long against one pass over all upstreams.
 const TICK_S: f64 = 0.025;
 /// A tick counts for so many seconds at the most, however late it comes.
 const MAX_TICK_S: f64 = 1.0;
 const TICK_TIMER: TimerId = TimerId(0);
 
-/// One balancer's decisions. See the crate's page for its use.
+/// The decisions of one balancer. See the crate's documentation for its use.
 pub struct Balancer {
     settings: Settings,
-    /// The time of the event in hand; in seconds as well.
+    /// The time of the present event; in seconds as well.
     now: Duration,
     now_s: f64,
     actions: Vec<Action>,
     random: Random,
     is_started: bool,
     last_tick_s: f64,
-    // Who is there, and whom this balancer sends to.
+    // The upstreams, and the subset of them that this balancer sends to.
     polling: EndpointPolling,
     lease: EndpointLease,
     upstreams: Upstreams,
     subset: Subset,
     rotation: Rotation,
-    // What is in flight, and what it has shown.
+    // Requests in flight, and what their outcomes have shown.
     requests: Requests,
     retry_budget: RetryBudget,
     classes: ClassStatistics,
     load_reports: LoadReportTracker,
     outliers: OutlierDetection,
     idle_connections: IdleConnections,
-    // How much is taken in and sent.
+    // How much is admitted and sent.
     weights: Weights,
     capacity: Capacity,
     admission: Admission,
@@ -173,7 +178,7 @@
         self.lease.send_pause()
     }
 
-    /// Takes in one event and adds what is to be done about it.
+    /// Processes one event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
         (self.now, self.now_s) = (now, now.as_secs_f64());
@@ -224,7 +229,7 @@
         std::mem::swap(&mut self.actions, actions);
     }
 
-    /// Begins at the first event: ticks and polls of many balancers are spread.
+    /// Starts ticks and polls at the first event; those of many balancers are spread.
     fn start(&mut self) {
         if std::mem::replace(&mut self.is_started, true) {
             return;
@@ -261,46 +266,6 @@
         self.schedule_tick(TICK_S);
     }
 
-    /// Takes in an update of the endpoint list, or that there is none.
-    fn on_endpoints(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
-        self.polling.on_response_end();
-        if scope == UpdateScope::Failed {
-            let failure = PollFailure {
-                was_partial: self.lease.has_partial_response(),
-                was_rejected: self.lease.polls_are_rejected(),
-            };
-            self.polling
-                .on_failure(&failure, self.now_s, &mut self.random);
-            return;
-        }
-        if scope != UpdateScope::Cached {
-            self.polling.on_update();
-        }
-        let log_event = self.lease.renew(self.now_s);
-        self.actions.extend(log_event.map(Action::Log));
-        let mut context = UpdateContext {
-            endpoint_weights: self.settings.endpoint_weights,
-            class_count: self.settings.classes.len(),
-            weights: &self.weights,
-            load_reports: &self.load_reports,
-            random: &mut self.random,
-            now_s: self.now_s,
-        };
-        if apply_update(&mut self.upstreams, scope, endpoints, &mut context) {
-            self.choose_subset();
-        } else {
-            self.update_weights(0.0);
-        }
-    }
-
-    /// Takes in what happened to the endpoint watch or a poll.
-    fn on_watch_event(&mut self, event: WatchEvent) {
-        self.lease.on_watch_event(event, self.now_s);
-        if matches!(event, WatchEvent::Partial { .. }) {
-            self.polling.on_partial_response();
-        }
-    }
-
     fn on_load_report(&mut self, id: UpstreamId, report: &[f32]) {
         if let Some(slot) = self.upstreams.slot(id) {
             self.load_reports
@@ -316,45 +281,29 @@
             .map(|slot| &self.upstreams[*slot])
     }
 
-    /// Chooses the upstreams that take turns, and starts their round robin anew.
-    fn choose_subset(&mut self) {
-        let choice = self.subset.choose(&mut self.upstreams, self.now_s);
-        let close = |upstream| Action::CloseIdleConnections { upstream };
-        self.actions.extend(choice.left.into_iter().map(close));
-        let before = self.rotation.members().len();
-        let growth = choice.members.len() as f64 / before.max(1) as f64;
-        if choice.is_part && before > 0 && growth > 1.0 {
-            self.capacity.on_rotation_grown(growth);
-        }
-        let mut members = choice.members;
-        self.random.shuffle(&mut members);
-        self.rotation.replace(members);
-        self.update_weights(0.0);
-    }
-
     /// Weighs the upstreams of the rotation anew: what each can do now, and the turns and sends it
     /// gets.
     fn update_weights(&mut self, elapsed_s: f64) {
         let now_s = self.now_s;
         let ready = || self.members().filter(|u| u.endpoint.is_ready());
         let ejected = ready().filter(|u| u.health.is_ejected(now_s)).count();
-        let ejections_hold = may_be_ejected(ejected, ready().count());
-        let suspicion_left = suspicion_left(elapsed_s);
-        let abandoned_left = (-elapsed_s / self.classes.shortest_objective_s()).exp();
+        let ejections_apply = may_be_ejected(ejected, ready().count());
+        let suspicion_decay = suspicion_decay(elapsed_s);
+        let abandoned_decay = (-elapsed_s / self.classes.shortest_objective_s()).exp();
         let (upstreams, members) = (&mut self.upstreams, self.rotation.members());
         for slot in members {
-            upstreams[*slot].health.fade(suspicion_left);
-            upstreams[*slot].load.fade_abandoned(abandoned_left);
+            upstreams[*slot].health.fade(suspicion_decay);
+            upstreams[*slot].load.fade_abandoned(abandoned_decay);
         }
         self.weights
-            .update(upstreams, members, ejections_hold, elapsed_s, now_s);
+            .update(upstreams, members, ejections_apply, elapsed_s, now_s);
         self.load_reports.update_mean(upstreams, members, now_s);
         let service_rate = self.capacity.service_rate();
         let slow_start = self
             .weights
             .slow_start_rate(upstreams, members, service_rate);
         self.rotation
-            .earn_slow_start_turns(upstreams, slow_start, elapsed_s);
+            .earn_slow_start_deficit(upstreams, slow_start, elapsed_s);
         let rates = PacingRates {
             service_rate,
             slow_start,
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,5 +1,6 @@
-//! Outlier detection: what the end of an attempt says of its upstream beside the others, ejection
-//! for one class and the trials that end it, and which upstreams a class may be sent to.
+//! Outlier detection: compares an upstream's outcomes with those of the others, ejects it for one
+//! class, schedules the trials that end such an ejection, and decides which upstreams a class may
+//! be sent to.
 
 use super::clock::JitteredClock;
 use super::requests::EndedAttempt;
@@ -9,14 +10,15 @@
 
 /// Doublings of the span between trials of upstreams that are ejected for a class, at the most.
 const MAX_TRIAL_DOUBLINGS: u32 = 4;
-/// Share of the ready upstreams that may be ejected: when more seem unhealthy, the fault is not
-/// theirs.
-const MAX_EJECTED_SHARE: f64 = 0.6;
+/// Fraction of the ready upstreams that may be ejected: when more seem unhealthy, the cause is
+/// common.
+const MAX_EJECTED_FRACTION: f64 = 0.6;
 /// Faults in a row after which an upstream is ejected for the class that met them.
 const MAX_CLASS_FAULTS: u32 = 2;
-/// Share of the other upstreams with errors from which on the fault is on the way. Then an error
-/// counts for this part of itself at the least, and so many times as many in a row make a fault.
-const COMMON_ERROR_SHARE: f64 = 0.5;
+/// Fraction of the other upstreams with errors from which on the cause is common, such as the
+/// network. Then an error counts for this part of itself at the least, and so many times as many in
+/// a row make a fault.
+const COMMON_ERROR_FRACTION: f64 = 0.5;
 const MIN_ERROR_WEIGHT: f64 = 0.3;
 const COMMON_ERROR_FAULTS: u32 = 4;
 
@@ -48,14 +50,13 @@
     }
 }
 
-/// Whether so many of all upstreams may be ejected: when more seem unhealthy, the fault is not
-/// theirs.
+/// Whether so many of all upstreams may be ejected: when more seem unhealthy, the cause is common.
 pub(super) fn may_be_ejected(ejected: usize, all: usize) -> bool {
-    ejected as f64 <= MAX_EJECTED_SHARE * all as f64
+    ejected as f64 <= MAX_EJECTED_FRACTION * all as f64
 }
 
-/// Share of the other upstreams of the rotation that have answered with an error of late.
-fn common_error_share(upstreams: &Upstreams, rotation: &[usize], but: usize, now_s: f64) -> f64 {
+/// Fraction of the other upstreams of the rotation that have answered with an error recently.
+fn common_error_fraction(upstreams: &Upstreams, rotation: &[usize], but: usize, now_s: f64) -> f64 {
     let others = || rotation.iter().filter(|slot| **slot != but);
     let erring = others()
         .filter(|slot| upstreams[**slot].health.has_erred_recently(now_s))
@@ -63,7 +64,7 @@
     erring as f64 / others().count().max(1) as f64
 }
 
-/// What the end of an attempt says against its upstream for all classes.
+/// The fault that the end of an attempt is, for all classes.
 fn fault_of(outcome: Outcome, common_errors: f64) -> Option<Fault> {
     match outcome {
         Outcome::Error => {
@@ -71,7 +72,7 @@
             Some(Fault::Error { weight })
         }
         Outcome::Rejected => Some(Fault::Rejected),
-        Outcome::ConnectFailed | Outcome::Reset => Some(Fault::BrokenConnection),
+        Outcome::ConnectFailed | Outcome::Reset => Some(Fault::ConnectionFailure),
         Outcome::Ok | Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => None,
     }
 }
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Takes in the end of an attempt at one upstream: its health for the attempt's class, and what
-    /// it says against the upstream for all classes.
+    /// Records the end of an attempt in the health of its upstream for the attempt's class. Returns
+    /// the fault that it is for all classes.
     pub(super) fn record_outcome(
         &mut self,
         upstreams: &mut Upstreams,
@@ -99,7 +100,7 @@
         clock: &mut JitteredClock<'_>,
     ) -> Option<Fault> {
         let now_s = clock.now_s;
-        let common_errors = common_error_share(upstreams, rotation, slot, now_s);
+        let common_errors = common_error_fraction(upstreams, rotation, slot, now_s);
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected_for(attempt.class);
         let ejected = rotation.iter().filter(is_ejected).count() + 1;
         let may_eject = may_be_ejected(ejected, rotation.len());
@@ -108,14 +109,14 @@
         health.record_response(attempt.outcome, now_s);
         if attempt.outcome == Outcome::Ok {
             if health.record_class_answer(attempt.class, attempt.was_overdue) {
-                // Its fault may have been the others' too: they are tried at once.
+                // The cause may have been common: the others are tried at once.
                 trials.unsuccessful = 0;
                 trials.next_at_s = now_s;
             }
         } else if attempt.is_fault(!health.is_ejected(now_s)) {
             health.record_class_fault(attempt.class);
         }
-        let is_common = common_errors > COMMON_ERROR_SHARE;
+        let is_common = common_errors > COMMON_ERROR_FRACTION;
         let max_faults = MAX_CLASS_FAULTS * if is_common { COMMON_ERROR_FAULTS } else { 1 };
         if may_eject && health.is_faulty_for(attempt.class, max_faults) {
             health.eject_for(attempt.class, now_s);
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -3,7 +3,7 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{Settings, ZoneId};
 
-/// Seconds over which the latency ratio of an upstream fades, and answers it takes to believe it.
+/// Seconds over which the samples of a latency ratio fade, and the weight of the prior in samples.
 const LATENCY_RATIO_MEMORY_S: f64 = 10.0;
 const LATENCY_RATIO_PRIOR: f64 = 4.0;
 /// Bounds of the latency ratio that counts, and of one latency in it.
@@ -11,15 +11,15 @@
 const MAX_LATENCY_RATIO: f64 = 4.0;
 const MAX_SAMPLE_RATIO: f64 = 5.0;
 const MIN_CAPACITY: f64 = 1e-3;
-/// Share of what would overload a warming upstream that it is sent for each unit of capacity.
-const SLOW_START_LOAD_SHARE: f64 = 0.4;
+/// Fraction of the overload limit that an upstream in slow start is sent.
+const SLOW_START_LOAD_FRACTION: f64 = 0.4;
 /// Cross-zone price at which other zones get no ordinary turns; less in proportion.
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
 
 /// What one upstream can do.
 #[derive(Default)]
 pub(super) struct UpstreamWeight {
-    /// Share of a full-size upstream's work that it can do now.
+    /// Fraction of a full-size upstream's work that it can do now.
     capacity: f64,
     /// Turns it gets each round of the rotation; its rate C_j is the service rate times this.
     weight: f64,
@@ -69,8 +69,8 @@
         self.latency_ratio += (ratio - self.latency_ratio) / self.answer_count.max(1.0);
     }
 
-    /// The latency ratio, as far as there are answers to believe it by.
-    fn believed_latency_ratio(&self) -> f64 {
+    /// The latency ratio, weighted with a prior of one.
+    fn weighted_latency_ratio(&self) -> f64 {
         let ratio = (self.latency_ratio * self.answer_count + LATENCY_RATIO_PRIOR)
             / (self.answer_count + LATENCY_RATIO_PRIOR);
         ratio.clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO)
@@ -81,16 +81,16 @@
 #[derive(Clone, Copy)]
 pub(super) struct SlowStartRate {
     /// The service rate of a warm upstream, on average.
-    pub(super) warm_rate: f64,
+    pub(super) steady_rate: f64,
     /// Multiple of it for each unit of capacity.
     pub(super) multiple: f64,
 }
 
-/// What weights go by in the settings.
+/// The settings that weights depend on.
 pub(super) struct Weights {
     zone: ZoneId,
-    /// Share of their turns that upstreams of other zones get.
-    other_zone_share: f64,
+    /// Fraction of their turns that upstreams of other zones get.
+    other_zone_fraction: f64,
     slow_start_initial_share: f64,
     slow_start_duration_s: f64,
     overload_multiple: f64,
@@ -100,7 +100,7 @@
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             zone: settings.zone,
-            other_zone_share: (1.0 - settings.prices.cross_zone / MAX_CROSS_ZONE_PRICE).max(0.0),
+            other_zone_fraction: (1.0 - settings.prices.cross_zone / MAX_CROSS_ZONE_PRICE).max(0.0),
             slow_start_initial_share: settings.slow_start_initial_share.min(1.0),
             slow_start_duration_s: settings.slow_start_duration.as_secs_f64(),
             overload_multiple: settings.overload_multiple,
@@ -113,17 +113,17 @@
     }
 
     /// Weighs the upstreams of the rotation anew. Those ejected get no turns while
-    /// `ejections_hold`.
+    /// `ejections_apply`.
     pub(super) fn update(
         &self,
         upstreams: &mut Upstreams,
         rotation: &[usize],
-        ejections_hold: bool,
+        ejections_apply: bool,
         elapsed_s: f64,
         now_s: f64,
     ) {
         let members = || rotation.iter().map(|slot| &upstreams[*slot]);
-        let largest_size = members().map(|u| u.endpoint.size).fold(1e-9, f64::max);
+        let largest_size = members().map(|u| u.endpoint.size()).fold(1e-9, f64::max);
         let is_near = |u: &Upstream| self.is_near(u) && !u.health.is_ejected(now_s);
         let has_near = members().any(|u| u.endpoint.is_ready() && is_near(u));
         let fade = (-elapsed_s / LATENCY_RATIO_MEMORY_S).exp();
@@ -131,27 +131,27 @@
             let upstream = &mut upstreams[*slot];
             upstream.weight.answer_count *= fade;
             let warmth = self.advance_slow_start(&mut upstream.weight, now_s);
-            let size_share = upstream.endpoint.size / largest_size;
-            let capacity = size_share * warmth / upstream.weight.believed_latency_ratio();
+            let relative_size = upstream.endpoint.size() / largest_size;
+            let capacity = relative_size * warmth / upstream.weight.weighted_latency_ratio();
             upstream.weight.capacity = capacity.max(MIN_CAPACITY);
-            let is_out = ejections_hold && upstream.health.is_ejected(now_s);
+            let is_out = ejections_apply && upstream.health.is_ejected(now_s);
             let is_usable = upstream.endpoint.is_ready() && !is_out;
-            let zone_share = if self.is_near(upstream) || !has_near {
+            let zone_factor = if self.is_near(upstream) || !has_near {
                 1.0
             } else {
-                self.other_zone_share
+                self.other_zone_fraction
             };
-            let usable_share = f64::from(u8::from(is_usable));
-            upstream.weight.weight = upstream.weight.capacity * zone_share * usable_share;
+            let usable_factor = f64::from(u8::from(is_usable));
+            upstream.weight.weight = upstream.weight.capacity * zone_factor * usable_factor;
         }
     }
 
     fn is_near(&self, upstream: &Upstream) -> bool {
-        upstream.endpoint.zone == self.zone
+        upstream.endpoint.zone() == self.zone
     }
 
-    /// Share of its work that an upstream can do so long after its start; ends a slow start that is
-    /// over.
+    /// Fraction of its work that an upstream can do so long after its start; ends a slow start that
+    /// is over.
     fn advance_slow_start(&self, weight: &mut UpstreamWeight, now_s: f64) -> f64 {
         let Some(since_s) = weight.slow_start_since_s else {
             return 1.0;
@@ -173,21 +173,21 @@
         rotation: &[usize],
         service_rate: f64,
     ) -> SlowStartRate {
-        let (mut warm_weight, mut warm_count) = (0.0, 0.0);
+        let (mut steady_weight, mut steady_count) = (0.0, 0.0);
         for weight in rotation.iter().map(|slot| &upstreams[*slot].weight) {
             if weight.weight > 0.0 && !weight.is_warming_up() {
-                warm_count += 1.0;
-                warm_weight += weight.weight;
+                steady_count += 1.0;
+                steady_weight += weight.weight;
             }
         }
-        let warm_rate = if warm_count > 0.0 {
-            service_rate * warm_weight / warm_count
+        let steady_rate = if steady_count > 0.0 {
+            service_rate * steady_weight / steady_count
         } else {
             service_rate
         };
         SlowStartRate {
-            warm_rate,
-            multiple: SLOW_START_LOAD_SHARE * self.overload_multiple,
+            steady_rate,
+            multiple: SLOW_START_LOAD_FRACTION * self.overload_multiple,
         }
     }
 }
