--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,5 +1,10 @@
 //! The balancer as a process, and small peers for it on loopback. Ports are the system's choice; waits are on
 //! conditions, up to `LONG`.
+#![expect(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 #![allow(dead_code, unused_imports)]
 
 mod node;
--- a/balancer/tests/endpoint_lease.rs
+++ b/balancer/tests/endpoint_lease.rs
@@ -1,6 +1,10 @@
 //! How long a list is sent by that discovery no longer confirms. What discovery had counts as notified some seconds
 //! later whatever the calls for it met, and as soon as it was written on an answer; a grace after that, nothing may go
 //! to an upstream that could have begun to drain.
+#![expect(
+    clippy::unwrap_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 
 mod common;
 
--- a/balancer/tests/endpoint_watch.rs
+++ b/balancer/tests/endpoint_watch.rs
@@ -1,4 +1,8 @@
 //! The watch on the list, crossed by silence, moves, broken lines and what comes out of order.
+#![expect(
+    clippy::unwrap_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 
 mod common;
 
--- a/balancer/tests/fleet_size.rs
+++ b/balancer/tests/fleet_size.rs
@@ -1,5 +1,9 @@
 //! What one balancer needs as its fleet grows sixteenfold: the same traffic, capacity and limits for each balancer, 900
 //! of them with 3,200 upstreams in place of 300 with 200, and a list that goes on changing.
+#![expect(
+    clippy::expect_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 
 mod common;
 
--- a/balancer/tests/races_simultaneous_events.rs
+++ b/balancer/tests/races_simultaneous_events.rs
@@ -1,4 +1,8 @@
 //! Two events in one instant: the balancer is stopped, both happen, and it goes on with both before it.
+#![expect(
+    clippy::expect_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 
 mod common;
 
--- a/balancer/tests/races_upstream_connections.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -1,4 +1,8 @@
 //! Connections to upstreams, crossed by restarts, late answers and answers that break off.
+#![expect(
+    clippy::unwrap_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 
 mod common;
 
--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -1,5 +1,9 @@
 //! A client's connection at its end, with the balancer in the test's own process, so that the clock and the sizes of
 //! the system's buffers are the test's.
+#![expect(
+    clippy::unwrap_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 
 mod common;
 
--- a/balancer/tests/upstream_attempts.rs
+++ b/balancer/tests/upstream_attempts.rs
@@ -1,4 +1,8 @@
 //! Attempts at upstreams on real sockets.
+#![expect(
+    clippy::unwrap_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 
 use bytes::Bytes;
 use frostkeel_balancer::upstream::{AttemptResult, EndpointState, ForwardedRequest, Upstreams};
--- a/balancer/tests/wall_clock_skew.rs
+++ b/balancer/tests/wall_clock_skew.rs
@@ -1,5 +1,10 @@
 //! Starts of upstreams, which the list tells by the wall clock, where that clock is an hour off: this balancer's or the
 //! others' may have been stepped.
+#![expect(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 
 mod common;
 
--- a/balancer/tests/wire_fixtures.rs
+++ b/balancer/tests/wire_fixtures.rs
@@ -11,6 +11,11 @@
 //! - the port in a `host` of 127.0.0.1 becomes `<port>`.
 //!
 //! `WIRE_FIXTURES=write` writes the files in place of comparing them; the tests fail then, as nothing was compared.
+#![expect(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails where its peers cannot be set up"
+)]
 
 mod common;
 
@@ -348,56 +353,59 @@
     transcript.check();
 }
 
+/// Bad requests: what is wrong, and the text of a good request with its replacement.
+const BAD_REQUESTS: [(&str, &str, &str); 18] = [
+    ("unknown class", "/book/day", "/nothing"),
+    ("another method", "POST", "GET"),
+    ("unknown method", "POST", "DELETE"),
+    ("no correlation id", "X-Correlation-Id: 9b1f03aa\r\n", ""),
+    ("empty correlation id", "9b1f03aa", ""),
+    ("no idempotency key", "/book/day", "/keyed"),
+    ("unknown account", "acme", "nobody"),
+    ("no account", "X-Account: acme\r\n", ""),
+    ("no time left", "X-Time-Left-Ms: 5000\r\n", ""),
+    ("unreadable time left", ": 5000", ": soon"),
+    (
+        "unreadable weight hint",
+        "Host",
+        "X-Weight-Hint: heavy\r\nHost",
+    ),
+    (
+        "body too long, by its length",
+        "Content-Length: 1\r\n\r\nx",
+        "Content-Length: 99999999\r\n\r\n",
+    ),
+    (
+        "body does not come",
+        "Content-Length: 1\r\n\r\nx",
+        "Content-Length: 9\r\n\r\nx",
+    ),
+    (
+        "unreadable length",
+        "Content-Length: 1",
+        "Content-Length: one",
+    ),
+    ("no version", " HTTP/1.1", ""),
+    ("unknown version", "HTTP/1.1", "HTTP/7.0"),
+    (
+        "broken chunk",
+        "Content-Length: 1\r\n\r\nx",
+        "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+    ),
+    (
+        "expects to go on",
+        "Content-Length: 1\r\n\r\nx",
+        "Expect: 100-continue\r\nContent-Length: 9\r\n\r\n",
+    ),
+];
+
 #[test]
 fn responses_to_bad_requests_are_as_committed() {
     let upstream = Recorder::start(WITH_LENGTH);
     let node = Setup::with(&[upstream.address]).start();
     let mut transcript = Transcript::new("bad_requests.txt");
     let good = post("/book/day", "", "x");
-    for (case, from, to) in [
-        ("unknown class", "/book/day", "/nothing"),
-        ("another method", "POST", "GET"),
-        ("unknown method", "POST", "DELETE"),
-        ("no correlation id", "X-Correlation-Id: 9b1f03aa\r\n", ""),
-        ("empty correlation id", "9b1f03aa", ""),
-        ("no idempotency key", "/book/day", "/keyed"),
-        ("unknown account", "acme", "nobody"),
-        ("no account", "X-Account: acme\r\n", ""),
-        ("no time left", "X-Time-Left-Ms: 5000\r\n", ""),
-        ("unreadable time left", ": 5000", ": soon"),
-        (
-            "unreadable weight hint",
-            "Host",
-            "X-Weight-Hint: heavy\r\nHost",
-        ),
-        (
-            "body too long, by its length",
-            "Content-Length: 1\r\n\r\nx",
-            "Content-Length: 99999999\r\n\r\n",
-        ),
-        (
-            "body does not come",
-            "Content-Length: 1\r\n\r\nx",
-            "Content-Length: 9\r\n\r\nx",
-        ),
-        (
-            "unreadable length",
-            "Content-Length: 1",
-            "Content-Length: one",
-        ),
-        ("no version", " HTTP/1.1", ""),
-        ("unknown version", "HTTP/1.1", "HTTP/7.0"),
-        (
-            "broken chunk",
-            "Content-Length: 1\r\n\r\nx",
-            "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
-        ),
-        (
-            "expects to go on",
-            "Content-Length: 1\r\n\r\nx",
-            "Expect: 100-continue\r\nContent-Length: 9\r\n\r\n",
-        ),
-    ] {
+    for (case, from, to) in BAD_REQUESTS {
         let request = good.replacen(from, to, 1);
         assert_ne!(request, good, "{case}");
         refused(&mut transcript, case, &request, &node);
