--- /dev/null
+++ b/balancer/tests/operations_page.rs
@@ -0,0 +1,92 @@
+//! Holds the pages for on-call to the code: the repository paths on `docs/ARCHITECTURE.md` exist.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
+}
+
+fn page(name: &str) -> String {
+    let path = root().join("docs").join(name);
+    fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// The texts of a page that stand in backticks, but for its code blocks.
+fn quoted(page: &str) -> Vec<String> {
+    let prose: Vec<&str> = page.split("```").step_by(2).collect();
+    let texts = prose
+        .iter()
+        .flat_map(|prose| prose.split('`').skip(1).step_by(2));
+    texts.map(str::to_owned).collect()
+}
+
+/// Whether a text looks like the path of a file or folder of the repository. One that begins with a slash belongs to
+/// an address or to the machine.
+fn is_repository_path(text: &str) -> bool {
+    const EXTENSIONS: [&str; 5] = [".rs", ".toml", ".md", ".sh", ".svg"];
+    let is_path = text
+        .chars()
+        .all(|c| c.is_ascii_alphanumeric() || "/._-".contains(c));
+    let has_extension = EXTENSIONS.iter().any(|extension| text.ends_with(extension));
+    is_path && !text.starts_with('/') && (text.contains('/') || has_extension)
+}
+
+#[test]
+fn paths_on_the_architecture_page_exist() {
+    let text = page("ARCHITECTURE.md");
+    let paths: Vec<String> = quoted(&text)
+        .into_iter()
+        .filter(|text| is_repository_path(text))
+        .collect();
+    assert!(paths.len() > 50, "only {} paths were found", paths.len());
+    let missing: Vec<&String> = paths
+        .iter()
+        .filter(|path| !root().join(path).exists())
+        .collect();
+    assert!(
+        missing.is_empty(),
+        "ARCHITECTURE.md names paths that do not exist: {missing:?}"
+    );
+}
+
+/// The names of source files in the code blocks of a page.
+fn source_names_in_diagrams(page: &str) -> Vec<&str> {
+    let blocks = page.split("```").skip(1).step_by(2);
+    let words = blocks
+        .flat_map(|block| block.split(|c: char| !c.is_ascii_alphanumeric() && !"_./".contains(c)));
+    words.filter(|word| word.ends_with(".rs")).collect()
+}
+
+#[test]
+fn diagrams_name_source_files_that_the_text_names_by_path() {
+    let text = page("ARCHITECTURE.md");
+    let names = source_names_in_diagrams(&text);
+    assert!(names.len() > 10, "only {} names were found", names.len());
+    let paths = quoted(&text);
+    let is_known = |name: &str| {
+        paths
+            .iter()
+            .any(|path| path == name || path.ends_with(&format!("/{name}")))
+    };
+    let unknown: Vec<&str> = names.into_iter().filter(|name| !is_known(name)).collect();
+    assert!(
+        unknown.is_empty(),
+        "diagrams name files that no path on the page ends with: {unknown:?}"
+    );
+}
+
+#[test]
+fn repository_paths_are_told_from_other_texts() {
+    for path in ["src/policy/", "Cargo.toml", "balancer/tests/sockets.rs"] {
+        assert!(is_repository_path(path), "{path}");
+    }
+    for other in [
+        "/health/ready",
+        "Event::Watch",
+        "frostkeel registry",
+        "known",
+    ] {
+        assert!(!is_repository_path(other), "{other}");
+    }
+}
