--- a/balancer/tests/operations_page.rs
+++ b/balancer/tests/operations_page/architecture.rs
@@ -1,36 +1,6 @@
-//! Holds the pages for on-call to the code: the repository paths on `docs/ARCHITECTURE.md` exist.
+//! Holds the repository paths on `docs/ARCHITECTURE.md` to what is there.
 
-use std::fs;
-use std::path::{Path, PathBuf};
-
-fn root() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
-}
-
-fn page(name: &str) -> String {
-    let path = root().join("docs").join(name);
-    fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
-}
-
-/// The texts of a page that stand in backticks, but for its code blocks.
-fn quoted(page: &str) -> Vec<String> {
-    let prose: Vec<&str> = page.split("```").step_by(2).collect();
-    let texts = prose
-        .iter()
-        .flat_map(|prose| prose.split('`').skip(1).step_by(2));
-    texts.map(str::to_owned).collect()
-}
-
-/// Whether a text looks like the path of a file or folder of the repository. One that begins with a slash belongs to
-/// an address or to the machine.
-fn is_repository_path(text: &str) -> bool {
-    const EXTENSIONS: [&str; 5] = [".rs", ".toml", ".md", ".sh", ".svg"];
-    let is_path = text
-        .chars()
-        .all(|c| c.is_ascii_alphanumeric() || "/._-".contains(c));
-    let has_extension = EXTENSIONS.iter().any(|extension| text.ends_with(extension));
-    is_path && !text.starts_with('/') && (text.contains('/') || has_extension)
-}
+use super::page::{is_repository_path, page, quoted, root};
 
 #[test]
 fn paths_on_the_architecture_page_exist() {
@@ -62,6 +32,14 @@
 fn diagrams_name_source_files_that_the_text_names_by_path() {
     let text = page("ARCHITECTURE.md");
     let names = source_names_in_diagrams(&text);
+    let mut diagrams = text
+        .split("```mermaid")
+        .skip(1)
+        .map(|rest| rest.split("```").next());
+    assert!(
+        diagrams.all(|diagram| diagram.is_some_and(|diagram| !diagram.contains(';'))),
+        "a semicolon ends a statement in Mermaid"
+    );
     assert!(names.len() > 10, "only {} names were found", names.len());
     let paths = quoted(&text);
     let is_known = |name: &str| {
--- /dev/null
+++ b/balancer/tests/operations_page/page.rs
@@ -0,0 +1,70 @@
+//! Pages as texts: their sections, tables and names.
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+pub fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
+}
+
+pub fn page(name: &str) -> String {
+    let path = root().join("docs").join(name);
+    fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// The texts of a page that stand in backticks, but for its code blocks.
+pub fn quoted(page: &str) -> Vec<String> {
+    let prose: Vec<&str> = page.split("```").step_by(2).collect();
+    let texts = prose
+        .iter()
+        .flat_map(|prose| prose.split('`').skip(1).step_by(2));
+    texts.map(str::to_owned).collect()
+}
+
+/// Whether a text looks like the path of a file or folder of the repository. One that begins with a slash belongs to
+/// an address or to the machine.
+pub fn is_repository_path(text: &str) -> bool {
+    const EXTENSIONS: [&str; 5] = [".rs", ".toml", ".md", ".sh", ".svg"];
+    let is_path = text
+        .chars()
+        .all(|c| c.is_ascii_alphanumeric() || "/._-".contains(c));
+    let has_extension = EXTENSIONS.iter().any(|extension| text.ends_with(extension));
+    is_path && !text.starts_with('/') && (text.contains('/') || has_extension)
+}
+
+/// The text between a heading and the next one of the same level or above.
+pub fn section<'a>(page: &'a str, heading: &str) -> &'a str {
+    let level = heading.bytes().take_while(|b| *b == b'#').count();
+    let start = page.find(&format!("\n{heading}\n"));
+    let start = start.unwrap_or_else(|| panic!("the page has no {heading:?}"));
+    let body = &page[start + heading.len() + 1..];
+    let next = body.match_indices("\n#").find(|(at, _)| {
+        let hashes = body[at + 1..].bytes().take_while(|b| *b == b'#').count();
+        hashes <= level
+    });
+    next.map_or(body, |(at, _)| &body[..at])
+}
+
+/// The cells of the table rows of a section that begin with a name.
+pub fn rows(section: &str) -> Vec<Vec<&str>> {
+    let lines = section.lines().filter(|line| line.starts_with("| `"));
+    lines
+        .map(|line| line.trim_matches('|').split(" | ").map(str::trim).collect())
+        .collect()
+}
+
+/// The names in the first column of a section's tables; none stands twice.
+pub fn names_in(section: &str) -> BTreeSet<String> {
+    let mut names = BTreeSet::new();
+    for row in rows(section) {
+        assert!(
+            row.iter().all(|cell| !cell.is_empty()),
+            "an empty cell: {row:?}"
+        );
+        for name in quoted(row[0]) {
+            assert!(names.insert(name.clone()), "{name:?} is on the page twice");
+        }
+    }
+    names
+}
