--- a/balancer/tests/operations_page/logging_calls.rs
+++ b/balancer/tests/operations_page/logging_calls.rs
@@ -51,8 +51,8 @@
     text
 }
 
-/// The arguments of a macro, from behind its opening parenthesis on.
-fn macro_arguments(text: &str) -> Vec<String> {
+/// The arguments of a macro or a function, from behind its opening parenthesis on.
+pub fn macro_arguments(text: &str) -> Vec<String> {
     let (mut arguments, mut argument, mut depth) = (Vec::new(), String::new(), 0_u32);
     let mut characters = text.chars().peekable();
     while let Some(c) = characters.next() {
--- a/balancer/tests/operations_page/main.rs
+++ b/balancer/tests/operations_page/main.rs
@@ -9,7 +9,9 @@
 use frostkeel_policy::{
     Balancer, Class, ClassId, FailureReason, LogEvent, Outcome, Settings, StalenessCause,
 };
-use logging_calls::{Events, event_of, events_in_code, level_named, logging_calls, sources};
+use logging_calls::{
+    Events, event_of, events_in_code, level_named, logging_calls, macro_arguments, sources,
+};
 use page::{is_repository_path, names_in, page, quoted, root, rows, section};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -164,6 +166,19 @@
     );
 }
 
+#[test]
+fn page_describes_each_metric_of_the_registry() {
+    const CALL: &str = "registry.register(";
+    let code = sources(&["registry/src"]).concat();
+    let calls = code.match_indices(CALL).map(|(at, _)| {
+        let arguments = macro_arguments(&code[at + CALL.len()..]);
+        arguments[0].trim_matches('"').to_owned()
+    });
+    let text = page("OPERATIONS.md");
+    let described = names_in(section(&text, "## Registry metrics"));
+    assert_eq!(described, calls.collect());
+}
+
 /// A name as the code writes it: a command's option is a field there.
 fn as_in_code(name: &str) -> String {
     match name.strip_prefix("--") {
