--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,8 +1,8 @@
 //! Each file of the decision module stays small enough to be read whole: 400 lines, 100 characters
 //! each. How many lines they have together is not limited.
 
-const FILE_MOST: usize = 400;
-const CHARACTERS_MOST: usize = 100;
+const MAX_FILE_LINES: usize = 400;
+const MAX_LINE_CHARACTERS: usize = 100;
 
 const FILES: [(&str, &str); 22] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
@@ -93,13 +93,13 @@
 fn breaches(text: &str) -> Vec<String> {
     let mut found = Vec::new();
     let lines = text.lines().count();
-    if lines > FILE_MOST {
-        found.push(format!("{lines} lines, {FILE_MOST} at most"));
+    if lines > MAX_FILE_LINES {
+        found.push(format!("{lines} lines, {MAX_FILE_LINES} at most"));
     }
     for (n, line) in text
         .lines()
         .enumerate()
-        .filter(|(_, l)| l.chars().count() > CHARACTERS_MOST)
+        .filter(|(_, l)| l.chars().count() > MAX_LINE_CHARACTERS)
     {
         found.push(format!(
             "line {} has {} characters",
@@ -136,12 +136,12 @@
 
 #[test]
 fn one_line_or_one_character_too_many_is_seen() {
-    let full = "x\n".repeat(FILE_MOST);
+    let full = "x\n".repeat(MAX_FILE_LINES);
     assert!(breaches(&full).is_empty());
     assert_eq!(breaches(&(full + "\n")).len(), 1, "blank lines count");
     assert!(
-        breaches(&"é".repeat(CHARACTERS_MOST)).is_empty(),
+        breaches(&"é".repeat(MAX_LINE_CHARACTERS)).is_empty(),
         "characters, not bytes"
     );
-    assert_eq!(breaches(&"x".repeat(CHARACTERS_MOST + 1)).len(), 1);
+    assert_eq!(breaches(&"x".repeat(MAX_LINE_CHARACTERS + 1)).len(), 1);
 }
