--- a/balancer/src/client/connection.rs
+++ b/balancer/src/client/connection.rs
@@ -51,7 +51,7 @@
 }
 
 /// A client's connection.
-pub(super) struct Client {
+pub(super) struct ClientConnection {
     state: ClientState,
     activity: Cell<Activity>,
     /// Notified when the connection is to be closed after the response in hand, or at once.
@@ -59,7 +59,7 @@
     is_close_requested: Cell<bool>,
 }
 
-impl Client {
+impl ClientConnection {
     /// A client whose connection has just been accepted.
     pub(super) fn new(state: ClientState) -> Rc<Self> {
         Rc::new(Self {
--- a/balancer/src/client/server.rs
+++ b/balancer/src/client/server.rs
@@ -1,6 +1,6 @@
 //! Accepts clients, and responds to their requests.
 
-use super::connection::Client;
+use super::connection::ClientConnection;
 use super::request::{RequestError, RequestReader};
 use super::response::{plain_response, response_of};
 use super::{Phase, stream};
@@ -29,7 +29,6 @@
 const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause after an accept has failed: when descriptors have run out, an immediate retry only spins.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-
 /// How long what a client still sends is discarded after the last response.
 const LINGER: Duration = Duration::from_millis(150);
 
@@ -38,7 +37,7 @@
     event_loop: Rc<EventLoop>,
     requests: RequestReader,
     phase: watch::Receiver<Phase>,
-    clients: RefCell<FxHashMap<u64, Rc<Client>>>,
+    clients: RefCell<FxHashMap<u64, Rc<ClientConnection>>>,
     next_client: Cell<u64>,
     accept_log: RateLimitedLog,
 }
@@ -136,7 +135,7 @@
         let _ = stream.set_nodelay(true);
         let (stream, mut watch, state) = stream::split(stream);
         let number = self.next_client.replace(self.next_client.get() + 1);
-        let client = Client::new(state);
+        let client = ClientConnection::new(state);
         self.clients.borrow_mut().insert(number, Rc::clone(&client));
         client.serve(stream, &mut watch, &self).await;
         self.clients.borrow_mut().remove(&number);
@@ -153,7 +152,7 @@
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
-        client: &Client,
+        client: &ClientConnection,
     ) -> Response<Full<Bytes>> {
         let is_draining = || *self.phase.borrow() != Phase::Serving;
         let mut response = match request.uri().path() {
@@ -171,7 +170,11 @@
         response
     }
 
-    async fn forward(&self, request: Request<Incoming>, client: &Client) -> Response<Full<Bytes>> {
+    async fn forward(
+        &self,
+        request: Request<Incoming>,
+        client: &ClientConnection,
+    ) -> Response<Full<Bytes>> {
         let request = match self.requests.read(request).await {
             Ok(_) if client.has_disconnected() => {
                 return RequestError::ClientDisconnected.response();
--- a/balancer/src/event_loop/actions.rs
+++ b/balancer/src/event_loop/actions.rs
@@ -1,11 +1,9 @@
 //! What the decision module wants done.
 
-use super::{EventLoop, LoopState, QueuedEvent};
+use super::{EventLoop, LoopState};
 use crate::in_flight::FinalResponse;
-use frostkeel_policy::{Action, TimerId, UpstreamId};
+use frostkeel_policy::Action;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::time::{Instant, sleep};
 
 impl EventLoop {
     pub(super) fn perform(self: &Rc<Self>, state: &mut LoopState, action: Action) {
@@ -44,25 +42,4 @@
             Action::Log(event) => tracing::info!("{event}"),
         }
     }
-
-    fn start_timer(self: &Rc<Self>, after: Duration, timer: TimerId) {
-        let event_loop = Rc::clone(self);
-        self.tasks.spawn(async move {
-            sleep(after).await;
-            event_loop.enqueue(QueuedEvent::TimerDue(timer));
-        });
-    }
-
-    fn start_health_check(self: &Rc<Self>, upstream: UpstreamId) {
-        let (event_loop, started_at) = (Rc::clone(self), Instant::now());
-        self.tasks.spawn(async move {
-            let result = event_loop.upstreams.health_check(upstream).await;
-            let latency = started_at.elapsed();
-            event_loop.enqueue(QueuedEvent::HealthCheckEnded {
-                upstream,
-                latency,
-                result,
-            });
-        });
-    }
 }
--- a/balancer/src/event_loop/mod.rs
+++ b/balancer/src/event_loop/mod.rs
@@ -8,7 +8,9 @@
 mod attempts;
 mod background;
 mod endpoints;
+mod health_checks;
 mod requests;
+mod timers;
 
 use crate::clock::Clock;
 use crate::discovery::{Discovery, DiscoveryEvent, EndpointUpdate};
@@ -26,20 +28,27 @@
 
 /// What the loop processes next.
 enum QueuedEvent {
+    /// Something has come of a watch on the endpoint list.
     Discovery(DiscoveryEvent),
+    /// Discovery has another address.
     DiscoveryMoved,
+    /// A client's request was submitted.
     RequestReceived(RequestId),
+    /// An attempt has ended, by itself or because it was cancelled.
     AttemptEnded {
         id: RequestId,
         attempt: AttemptNo,
         result: AttemptResult,
     },
+    /// A health check has ended.
     HealthCheckEnded {
         upstream: UpstreamId,
         latency: Duration,
         result: AttemptResult,
     },
+    /// The client of a request disconnected before its final response.
     ClientDisconnected(RequestId),
+    /// A timer of the decision module is due.
     TimerDue(TimerId),
 }
 
@@ -140,27 +149,14 @@
                 id,
                 attempt,
                 result,
-            } => {
-                self.on_attempt_ended(state, now, id, attempt, result);
-            }
+            } => self.on_attempt_ended(state, now, id, attempt, result),
             QueuedEvent::HealthCheckEnded {
                 upstream,
                 latency,
                 result,
-            } => {
-                let (outcome, report) = (result.outcome, &result.load_report[..]);
-                state.decide(
-                    now,
-                    Event::HealthCheckEnded {
-                        upstream,
-                        outcome,
-                        latency,
-                        report,
-                    },
-                );
-            }
+            } => self.on_health_check_ended(state, now, upstream, &result, latency),
             QueuedEvent::ClientDisconnected(id) => self.on_client_disconnected(state, now, id),
-            QueuedEvent::TimerDue(timer) => state.decide(now, Event::Timer { timer }),
+            QueuedEvent::TimerDue(timer) => self.on_timer(state, now, timer),
         }
         let mut actions = std::mem::take(&mut state.actions);
         for action in actions.drain(..) {
--- a/balancer/src/upstream/attempt.rs
+++ b/balancer/src/upstream/attempt.rs
@@ -5,8 +5,8 @@
 
 use super::Upstreams;
 use super::checkout::CheckedOutConnection;
+use super::endpoint_state::Upstream;
 use super::exchange::{ExchangeError, ForwardedRequest, exchange};
-use super::server::Upstream;
 use crate::connection::wire_length;
 use crate::headers::{self, CORRELATION_ID, LOAD_REPORT, UNPROCESSED};
 use bytes::Bytes;
--- a/balancer/src/upstream/checkout.rs
+++ b/balancer/src/upstream/checkout.rs
@@ -1,7 +1,7 @@
 //! Connections for attempts: an idle one, or else a new one.
 
 use super::Upstreams;
-use super::server::Upstream;
+use super::endpoint_state::Upstream;
 use crate::connection::Connection;
 use crate::error_origin::ErrorOrigin;
 use frostkeel_policy::Outcome;
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -3,20 +3,20 @@
 mod attempt;
 mod checkout;
 mod connection_limit;
+mod endpoint_state;
 mod exchange;
 mod health_check;
 mod idle_pool;
-mod server;
 
 pub use attempt::{AttemptResult, AttemptState, UpstreamResponse};
+pub use endpoint_state::EndpointState;
 pub use exchange::ForwardedRequest;
-pub use server::EndpointState;
 
 use crate::rate_limited_log::RateLimitedLog;
 use connection_limit::ConnectionLimit;
+use endpoint_state::Upstream;
 use frostkeel_policy::{Availability, LoadField, LoadReports, Settings, UpstreamId};
 use rustc_hash::FxHashMap;
-use server::Upstream;
 use std::cell::RefCell;
 use std::ops::Range;
 use std::rc::Rc;
