--- a/balancer/src/event_loop/actions.rs
+++ b/balancer/src/event_loop/actions.rs
@@ -2,7 +2,7 @@
 
 use super::{EventLoop, LoopState};
 use crate::in_flight::FinalResponse;
-use frostkeel_policy::Action;
+use frostkeel_policy::{Action, LogEvent, StalenessCause};
 use std::rc::Rc;
 
 impl EventLoop {
@@ -39,7 +39,31 @@
             Action::WatchEndpoints => self.start_watch(),
             Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
             Action::HealthCheck { upstream } => self.start_health_check(upstream),
-            Action::Log(event) => tracing::info!("{event}"),
+            Action::Log(event) => log_policy_event(&event),
         }
     }
 }
+
+fn log_policy_event(event: &LogEvent) {
+    match event {
+        LogEvent::EndpointsConfirmed {
+            paused_for_s,
+            cause,
+        } => {
+            let reason = staleness_reason(*cause);
+            let paused_for_s = format_args!("{paused_for_s:.2}");
+            tracing::info!(%paused_for_s, reason, "sends resumed");
+        }
+    }
+}
+
+/// The log's word for why sends were paused.
+fn staleness_reason(cause: StalenessCause) -> &'static str {
+    match cause {
+        StalenessCause::WatchSilent => "watch-silent",
+        StalenessCause::WatchEnded => "watch-ended",
+        StalenessCause::PollsRejected => "polls-rejected",
+        StalenessCause::DiscoveryMoved => "discovery-moved",
+        StalenessCause::PartialResponse => "partial-response",
+    }
+}
