--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -3,9 +3,12 @@
 #![allow(
     dead_code,
     unused_imports,
+    reason = "each test binary uses a part of this module"
+)]
+#![expect(
     clippy::expect_used,
     clippy::unwrap_used,
-    reason = "each test binary uses a part of this module; a step that fails fails the test"
+    reason = "a step that fails fails the test"
 )]
 
 mod client;
--- a/balancer/tests/endpoint_lease.rs
+++ b/balancer/tests/endpoint_lease.rs
@@ -2,7 +2,7 @@
 //! had counts as notified some seconds later whatever the polls for it met, and as soon as it was
 //! written on a response; a grace period after that, nothing may go to an upstream that could have
 //! begun to drain.
-#![allow(clippy::unwrap_used, reason = "a step that fails fails the test")]
+#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
 
 mod common;
 
--- a/balancer/tests/endpoint_watch.rs
+++ b/balancer/tests/endpoint_watch.rs
@@ -1,6 +1,6 @@
 //! The watch on the endpoint list: silence, heartbeats, and lists that are split, long, slow or
 //! partly unreadable.
-#![allow(clippy::unwrap_used, reason = "a step that fails fails the test")]
+#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
 
 mod common;
 
--- a/balancer/tests/races_simultaneous_events.rs
+++ b/balancer/tests/races_simultaneous_events.rs
@@ -1,6 +1,6 @@
 //! Two events at the same time: the balancer is suspended, both happen, and it resumes with both
 //! before it.
-#![allow(clippy::expect_used, reason = "a step that fails fails the test")]
+#![expect(clippy::expect_used, reason = "a step that fails fails the test")]
 
 mod common;
 
--- a/balancer/tests/races_upstream_connections.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -1,5 +1,5 @@
 //! Connections to upstreams, in a race with restarts, late responses and truncated responses.
-#![allow(clippy::unwrap_used, reason = "a step that fails fails the test")]
+#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
 
 mod common;
 
--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -1,6 +1,6 @@
 //! Clients that read their responses slowly or never, with the balancer in the test's own process,
 //! so that the clock and the sizes of the system's buffers are the test's.
-#![allow(clippy::unwrap_used, reason = "a step that fails fails the test")]
+#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
 
 mod common;
 
--- a/balancer/tests/wall_clock_skew.rs
+++ b/balancer/tests/wall_clock_skew.rs
@@ -1,6 +1,6 @@
 //! Start times of upstreams, which the list states by the wall clock, where that clock is an hour
 //! off: this balancer's or the others' may have been stepped.
-#![allow(clippy::unwrap_used, reason = "a step that fails fails the test")]
+#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
 
 mod common;
 
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,50 +1,50 @@
-//! What is usual for each class of requests: latency, its upper quantile, share of the admitted.
+//! Statistics of each class of requests: latency, its upper quantile, fraction of the admitted.
 
 use super::TICK_S;
-use super::capacity::QUEUE_OBJECTIVE_SHARE;
+use super::capacity::QUEUE_OBJECTIVE_FRACTION;
+use super::smoothing::newest_weight;
 use crate::interface::{Class, Settings};
 
-/// Seconds over which a class's latency is averaged where responses are few, and the least and the
-/// most that the newest one weighs.
+/// Seconds over which a class's latency is averaged where responses are rare, and the bounds of the
+/// newest one's weight.
 const LATENCY_MEMORY_S: f64 = 3.0;
 const MIN_NEWEST_WEIGHT: f64 = 0.02;
 const MAX_NEWEST_WEIGHT: f64 = 0.2;
 /// A latency counts for this multiple of the objective at the most.
 const MAX_LATENCY_MULTIPLE: f64 = 2.0;
-/// What an attempt given up counts for, in the time it was waited for: it would have taken longer.
+/// An abandoned attempt counts for this multiple of its latency: it would have taken longer.
 const TIMEOUT_LATENCY_MULTIPLE: f64 = 1.5;
-/// Quantile of the latencies after which an attempt is overdue, and by what part an answer moves
-/// it.
+/// Quantile of the latencies after which an attempt is overdue, and the step of its estimate.
 const OVERDUE_QUANTILE: f64 = 0.95;
 const QUANTILE_STEP: f64 = 0.05;
-/// The quantile is no less than two ticks, as overdue attempts are looked for on each.
+/// The quantile is at least two ticks, as each tick looks for overdue attempts.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
-/// An attempt is overdue at this share of the objective at the latest, so that a hedge still has
+/// An attempt is overdue at this fraction of the objective at the latest, so that a hedge still has
 /// time.
-const OVERDUE_OBJECTIVE_SHARE: f64 = 0.6;
-/// Share of the objective that a class's latency is taken for before its first answer.
-const INITIAL_LATENCY_SHARE: f64 = 0.3;
-/// Weight of the newest request in the classes' shares of the admitted.
-const SHARE_NEWEST_WEIGHT: f64 = 0.01;
-/// Share of the admitted under which a class does not set how long queues may be.
-const MIN_SHARE: f64 = 0.02;
-/// Seconds after which the latency of a class without answers fades, over as long again ...
+const OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
+/// Latency of a class before its first response, as a fraction of the objective.
+const INITIAL_LATENCY_FRACTION: f64 = 0.3;
+/// Weight of the newest request in the fractions of the admitted requests.
+const ADMITTED_NEWEST_WEIGHT: f64 = 0.01;
+/// A class with a smaller fraction of the admitted requests does not limit the queues.
+const MIN_ADMITTED_FRACTION: f64 = 0.02;
+/// Seconds after which the latency of a class without responses fades, over as long again ...
 const LATENCY_VALID_S: f64 = 5.0;
-/// ... down to this share of its objective.
-const FADED_LATENCY_SHARE: f64 = 0.5 * QUEUE_OBJECTIVE_SHARE;
-/// The shortest time that a request is taken to need.
+/// ... down to this fraction of its objective.
+const FADED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
+/// Lower limit of a latency that a value is divided by.
 const MIN_LATENCY_S: f64 = TICK_S;
 
-/// How an attempt that tells of latency ended.
+/// What kind of end a latency was measured at.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LatencySample {
-    /// It was answered after its latency.
+    /// The response came after its latency.
     Answered,
-    /// It was given up then, overdue.
-    GivenUp,
+    /// It was abandoned then, overdue.
+    Abandoned,
 }
 
-/// One class.
+/// The statistics of one class.
 struct ClassRecord {
     objective_s: f64,
     priority_weight: f64,
@@ -53,13 +53,13 @@
     /// The quantile [`OVERDUE_QUANTILE`] of the latencies.
     usual_latency_s: f64,
     /// Of the admitted requests.
-    share: f64,
+    admitted_fraction: f64,
 }
 
-/// All classes, as in the settings.
+/// The statistics of all classes, in the order of the settings.
 pub(super) struct ClassStatistics {
     classes: Vec<ClassRecord>,
-    /// Priority weights are in proportion to the work already.
+    /// Priority weights are already in proportion to the work.
     weight_by_work: bool,
 }
 
@@ -70,10 +70,10 @@
             ClassRecord {
                 objective_s,
                 priority_weight: class.priority_weight,
-                mean_latency_s: objective_s * INITIAL_LATENCY_SHARE,
+                mean_latency_s: objective_s * INITIAL_LATENCY_FRACTION,
                 last_sample_at_s: 0.0,
-                usual_latency_s: objective_s * OVERDUE_OBJECTIVE_SHARE,
-                share: 1.0,
+                usual_latency_s: objective_s * OVERDUE_OBJECTIVE_FRACTION,
+                admitted_fraction: 1.0,
             }
         };
         Self {
@@ -84,11 +84,15 @@
 
     /// Mean latency of an attempt, over the classes as they are admitted.
     pub(super) fn mean_latency_s(&self) -> f64 {
-        let shares: f64 = self.classes.iter().map(|class| class.share).sum();
+        let shares: f64 = self
+            .classes
+            .iter()
+            .map(|class| class.admitted_fraction)
+            .sum();
         let weighted = self
             .classes
             .iter()
-            .map(|class| class.mean_latency_s * class.share);
+            .map(|class| class.mean_latency_s * class.admitted_fraction);
         weighted.sum::<f64>() / shares.max(1e-9)
     }
 
@@ -106,11 +110,11 @@
         let class = &self.classes[class];
         class
             .usual_latency_s
-            .min(OVERDUE_OBJECTIVE_SHARE * class.objective_s)
+            .min(OVERDUE_OBJECTIVE_FRACTION * class.objective_s)
     }
 
-    /// What a class earns for the capacity it takes, as a share of what the best one earns: a heavy
-    /// request is worth less than its priority weight says, as others could be served in its place.
+    /// What a class earns for the capacity it uses, as a fraction of what the best one earns: an
+    /// expensive request displaces several cheap ones.
     pub(super) fn relative_value(&self, class: usize) -> f64 {
         let best = self
             .classes
@@ -128,12 +132,15 @@
         }
     }
 
-    /// By how much queues may still grow, in seconds of latency, or (negative) are too long. All
+    /// How much queues may still grow, in seconds of latency; negative: they are too long. All
     /// classes share them: the class whose latency comes closest to its objective decides.
-    pub(super) fn queue_slack_s(&self, objective_share: f64) -> f64 {
-        let counted = self.classes.iter().filter(|class| class.share > MIN_SHARE);
+    pub(super) fn queue_slack_s(&self, objective_fraction: f64) -> f64 {
+        let counted = self
+            .classes
+            .iter()
+            .filter(|class| class.admitted_fraction > MIN_ADMITTED_FRACTION);
         let slack_s =
-            |class: &ClassRecord| objective_share * class.objective_s - class.mean_latency_s;
+            |class: &ClassRecord| objective_fraction * class.objective_s - class.mean_latency_s;
         counted.map(slack_s).fold(f64::INFINITY, f64::min)
     }
 
@@ -141,11 +148,12 @@
     pub(super) fn record_admission(&mut self, class: usize) {
         for (k, record) in self.classes.iter_mut().enumerate() {
             let newest = f64::from(u8::from(k == class));
-            record.share += SHARE_NEWEST_WEIGHT * (newest - record.share);
+            record.admitted_fraction +=
+                ADMITTED_NEWEST_WEIGHT * (newest - record.admitted_fraction);
         }
     }
 
-    /// Takes in a latency. Returns it as a multiple of the mean before.
+    /// Adds a latency. Returns it as a multiple of the previous mean.
     pub(super) fn record_latency(
         &mut self,
         class: usize,
@@ -160,19 +168,19 @@
                 record.update_quantile(latency_s);
                 latency_s
             }
-            LatencySample::GivenUp => TIMEOUT_LATENCY_MULTIPLE * latency_s,
+            LatencySample::Abandoned => TIMEOUT_LATENCY_MULTIPLE * latency_s,
         };
         record.update_mean(counted_s, now_s);
         ratio
     }
 
-    /// Lets the latency of classes fade that nothing new is heard of: else no spare capacity would
-    /// admit nothing that could show otherwise.
+    /// Fades the latency of classes without recent responses: else a lack of spare capacity would
+    /// admit nothing that could correct it.
     pub(super) fn fade(&mut self, elapsed_s: f64, now_s: f64) {
         let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
         for class in self.classes.iter_mut().filter(stale) {
-            let excess_s = class.mean_latency_s - FADED_LATENCY_SHARE * class.objective_s;
-            class.mean_latency_s -= (elapsed_s / LATENCY_VALID_S).min(1.0) * excess_s.max(0.0);
+            let excess_s = class.mean_latency_s - FADED_LATENCY_FRACTION * class.objective_s;
+            class.mean_latency_s -= newest_weight(elapsed_s, LATENCY_VALID_S) * excess_s.max(0.0);
         }
     }
 }
@@ -191,9 +199,9 @@
     fn update_mean(&mut self, latency_s: f64, now_s: f64) {
         let latency_s = latency_s.min(MAX_LATENCY_MULTIPLE * self.objective_s);
         let since_s = now_s - self.last_sample_at_s;
-        let newest_weight =
+        let weight_of_newest =
             (since_s / LATENCY_MEMORY_S).clamp(MIN_NEWEST_WEIGHT, MAX_NEWEST_WEIGHT);
         self.last_sample_at_s = now_s;
-        self.mean_latency_s += newest_weight * (latency_s - self.mean_latency_s);
+        self.mean_latency_s += weight_of_newest * (latency_s - self.mean_latency_s);
     }
 }
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -2,19 +2,19 @@
 
 use super::admission::retry_after;
 use super::clock::JitteredClock;
-use super::requests::{Request, RequestState};
+use super::requests::Request;
 use super::upstreams::Upstream;
 use super::{Balancer, TICK_S};
 use crate::interface::{Action, AttemptNo, Class, Effect, FailureReason, RequestId};
 use std::time::Duration;
 
-/// Share of the objective after which an attempt whose late response is of no use is given up: just
-/// before it, not as late.
-const USEFUL_OBJECTIVE_SHARE: f64 = 0.98;
-/// The longest time left that a rejection goes by.
-const MAX_TIME_LEFT_S: f64 = 1e6;
+/// An attempt whose late response is of no use is abandoned at this fraction of the objective: just
+/// before the objective, not after it.
+const USEFUL_OBJECTIVE_FRACTION: f64 = 0.98;
+/// Upper limit of the time left that a rejection counts with.
+const MAX_REMAINING_S: f64 = 1e6;
 
-/// A request that has come.
+/// A request that has arrived.
 #[derive(Clone, Copy)]
 pub(super) struct Arrival {
     pub(super) id: RequestId,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The upstream that a request goes to first, or why there is none.
+    /// The upstream for the first attempt of a request, or why there is none.
     fn select_upstream(&mut self, arrival: &Arrival) -> Result<usize, FailureReason> {
         if self.lease.is_expired(self.now_s) {
             return Err(FailureReason::StaleEndpoints);
@@ -60,7 +60,7 @@
         let slot = if is_short {
             None
         } else {
-            self.next_turn(arrival.class)
+            self.next_upstream(arrival.class)
         };
         slot.ok_or_else(|| {
             if self.has_paced_upstream(arrival.class, is_short) {
@@ -74,7 +74,7 @@
 
     /// The upstream whose turn it is for a class; a due trial of one that is ejected for it comes
     /// first.
-    fn next_turn(&mut self, class: usize) -> Option<usize> {
+    fn next_upstream(&mut self, class: usize) -> Option<usize> {
         let upstreams = &mut self.upstreams;
         self.rotation.drop_unusable(upstreams);
         let members = self.rotation.members();
@@ -117,7 +117,7 @@
     }
 
     fn admit(&mut self, arrival: &Arrival, slot: usize) {
-        self.admission.take_token(arrival.tenant);
+        self.admission.consume_token(arrival.tenant);
         if !self.settings.retries_marked {
             self.subset.record_first_attempt();
         }
@@ -128,7 +128,7 @@
         let useful_until_s = if is_useful_when_late(class) {
             deadline_s
         } else {
-            let useful_s = USEFUL_OBJECTIVE_SHARE * class.latency_objective.as_secs_f64();
+            let useful_s = USEFUL_OBJECTIVE_FRACTION * class.latency_objective.as_secs_f64();
             deadline_s.min(self.now_s + useful_s)
         };
         let request = Request::new(arrival.class, useful_until_s, deadline_s);
@@ -136,7 +136,7 @@
         self.send(arrival.id, slot);
     }
 
-    /// A rejection always says when to come back.
+    /// Rejects a request; the response always has a Retry-After.
     fn reject(&mut self, id: RequestId, time_left: Duration, reason: FailureReason) {
         let attempt_s = self.classes.mean_latency_s().max(TICK_S);
         let longest = self.settings.max_retry_after;
@@ -150,14 +150,14 @@
 
     /// The final response where no attempt is in flight and none may follow: a rejection only if
     /// nothing can have run, or may run again.
-    pub(super) fn give_up(&mut self, id: RequestId, reason: FailureReason) {
+    pub(super) fn end_without_response(&mut self, id: RequestId, reason: FailureReason) {
         let Some(request) = self.requests.remove(id) else {
             return;
         };
         let is_idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
         if is_idempotent || request.never_ran() {
-            let left_s = (request.deadline_s - self.now_s).max(0.0);
-            let time_left = Duration::from_secs_f64(left_s.min(MAX_TIME_LEFT_S));
+            let remaining_s = (request.deadline_s - self.now_s).max(0.0);
+            let time_left = Duration::from_secs_f64(remaining_s.min(MAX_REMAINING_S));
             self.reject(id, time_left, reason);
         } else {
             self.actions.push(Action::Fail { id, reason });
@@ -166,10 +166,8 @@
 
     /// A streamed response has started.
     pub(super) fn on_stream_started(&mut self, id: RequestId) {
-        if let Some(request) = self.requests.get_mut(id)
-            && request.state == RequestState::Waiting
-        {
-            request.state = RequestState::Streaming;
+        if let Some(request) = self.requests.get_mut(id) {
+            request.start_streaming();
         }
     }
 
@@ -179,8 +177,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let state = std::mem::replace(&mut request.state, RequestState::Completed);
-        if state != RequestState::Completed && self.settings.cancellation {
+        if request.complete() && self.settings.cancellation {
             for (number, attempt) in request.attempts.iter().enumerate() {
                 if attempt.is_in_flight() {
                     let attempt = AttemptNo(number as u8);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -9,12 +9,11 @@
 
 /// Retries earned by each request admitted, and how many of them can be saved up.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Time left for the way to an upstream, beside a new connection, until it forgets an idempotency
-/// key.
+const MAX_RETRY_BUDGET: f64 = 10.0;
+/// Margin for the network, beside a new connection, until an upstream forgets an idempotency key.
 const KEY_MARGIN_S: f64 = 0.05;
 
-/// Where an attempt stands.
+/// The state of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
     /// Sent, and not ended.
@@ -53,7 +52,7 @@
     }
 }
 
-/// How an attempt ended.
+/// An attempt that has ended.
 pub(super) struct EndedAttempt {
     pub(super) class: usize,
     pub(super) upstream: UpstreamId,
@@ -65,21 +64,21 @@
 }
 
 impl EndedAttempt {
-    /// Whether it was given up though no answer had come for longer than is usual.
-    pub(super) fn is_given_up(&self) -> bool {
+    /// Whether it was abandoned though no response had come for longer than is usual.
+    pub(super) fn is_abandoned(&self) -> bool {
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
 
-    /// Whether it speaks against its upstream; silence does only of one that is not ejected.
+    /// Whether it is a fault of its upstream; silence is only if the upstream is not ejected.
     pub(super) fn is_fault(&self, silence_counts: bool) -> bool {
         matches!(self.outcome, Outcome::Error | Outcome::Rejected)
-            || (self.is_given_up() && silence_counts)
+            || (self.is_abandoned() && silence_counts)
     }
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum RequestState {
+enum RequestState {
     /// A final response is owed.
     Waiting,
     /// Its response streams: no other attempt may follow.
@@ -95,7 +94,7 @@
     pub(super) useful_until_s: f64,
     pub(super) deadline_s: f64,
     pub(super) attempts: Vec<Attempt>,
-    pub(super) state: RequestState,
+    state: RequestState,
 }
 
 impl Request {
@@ -110,6 +109,28 @@
         }
     }
 
+    /// Whether a final response is owed that does not stream yet.
+    pub(super) fn is_waiting(&self) -> bool {
+        self.state == RequestState::Waiting
+    }
+
+    pub(super) fn is_completed(&self) -> bool {
+        self.state == RequestState::Completed
+    }
+
+    /// Its response streams from now on, unless it has ended.
+    pub(super) fn start_streaming(&mut self) {
+        if self.state == RequestState::Waiting {
+            self.state = RequestState::Streaming;
+        }
+    }
+
+    /// Ends it. Returns whether it had not ended before.
+    pub(super) fn complete(&mut self) -> bool {
+        let before = std::mem::replace(&mut self.state, RequestState::Completed);
+        before != RequestState::Completed
+    }
+
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
@@ -135,8 +156,8 @@
         };
         let shares_keys = match group {
             DedupGroup::All => true,
-            DedupGroup::Zone => upstream.endpoint.zone == first.zone,
-            DedupGroup::Cell => upstream.endpoint.cell == first.cell,
+            DedupGroup::Zone => upstream.endpoint.zone() == first.zone,
+            DedupGroup::Cell => upstream.endpoint.cell() == first.cell,
         };
         // A connection may have to be made first.
         let margin_s = connect_timeout.as_secs_f64() + KEY_MARGIN_S;
@@ -158,12 +179,12 @@
 impl RetryBudget {
     pub(super) fn full() -> Self {
         Self {
-            retries: MAX_SAVED_RETRIES,
+            retries: MAX_RETRY_BUDGET,
         }
     }
 
     pub(super) fn record_admission(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
     pub(super) fn affords(&self, cost: f64) -> bool {
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -9,7 +9,7 @@
 /// leaves of it.
 const FAULT_SUSPICION: f64 = 0.4;
 const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
-const SUSPICION_LEFT_BY_ANSWER: f64 = 0.6;
+const ANSWER_SUSPICION_FACTOR: f64 = 0.6;
 /// Suspicion from which on an upstream gets one attempt at a time and nothing that can't be
 /// repeated; and suspicion at which it is ejected: two faults in a row, or three broken connections
 /// without a response.
@@ -18,17 +18,16 @@
 /// Seconds over which suspicion fades.
 const SUSPICION_MEMORY_S: f64 = 10.0;
 /// Seconds of the first ejection, and of the longest; each one more without an answer doubles it.
-/// All who send to an upstream try it again on their own: the first grows with the root of their
-/// number, between the load that they are to it together and how late each then learns that it is
-/// healthy.
+/// Balancers probe an upstream independently: the first ejection grows with the square root of
+/// their number, a compromise between their joint load and how late each learns that it is healthy.
 pub(super) const FIRST_EJECTION_S: f64 = 1.5;
 const MAX_EJECTION_S: f64 = 12.0;
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Seconds for which an error counts as recent.
 const RECENT_ERROR_S: f64 = 5.0;
 
-/// What is left of a suspicion after so many seconds.
-pub(super) fn suspicion_left(elapsed_s: f64) -> f64 {
+/// The factor by which suspicion fades in a span.
+pub(super) fn suspicion_decay(elapsed_s: f64) -> f64 {
     (-elapsed_s / SUSPICION_MEMORY_S).exp()
 }
 
@@ -42,7 +41,7 @@
     /// An attempt is overdue, and nothing has come back since it was sent.
     Unresponsive,
     /// A connection broke or never came up.
-    BrokenConnection,
+    ConnectionFailure,
 }
 
 impl Fault {
@@ -50,31 +49,31 @@
         match self {
             Self::Error { weight } => FAULT_SUSPICION * weight,
             Self::Rejected | Self::Unresponsive => FAULT_SUSPICION,
-            Self::BrokenConnection => CONNECTION_FAULT_SUSPICION,
+            Self::ConnectionFailure => CONNECTION_FAULT_SUSPICION,
         }
     }
 }
 
 /// What a suspicion goes by, of the rest of the balancer.
-pub(super) struct FleetConditions {
+pub(super) struct SuspicionContext {
     /// Mean latency of an attempt.
     pub(super) mean_latency_s: f64,
     /// Balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
 }
 
-/// Whether an upstream gets requests.
+/// Whether an upstream receives requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectionState {
-    /// It does.
+    /// It receives requests.
     Serving,
-    /// It gets none.
+    /// It receives none.
     Ejected,
     /// Back from ejection: the next fault ejects it again, unless an answer comes first.
     HalfOpen,
 }
 
-/// What one class has met at one upstream.
+/// The health of one upstream for one class.
 #[derive(Clone, Default)]
 struct ClassHealth {
     /// Since the last answer.
@@ -87,9 +86,9 @@
 
 /// The health of one upstream.
 pub(super) struct UpstreamHealth {
-    /// By faults of whatever class, less by answers.
+    /// Grows with the faults of all classes, shrinks with answers and with time.
     suspicion: f64,
-    /// Without an answer that has cleared it.
+    /// Since the last answer that ended the probation.
     consecutive_ejections: u32,
     ejected_until_s: f64,
     last_error_at_s: f64,
@@ -110,7 +109,7 @@
         }
     }
 
-    /// Its process has restarted: what was held against it is void.
+    /// Its process has restarted: its history is discarded.
     pub(super) fn reset(&mut self) {
         (
             self.suspicion,
@@ -120,9 +119,9 @@
         self.classes.fill(ClassHealth::default());
     }
 
-    /// Lets suspicion fade: `left` of it stays, of [`suspicion_left`].
-    pub(super) fn fade(&mut self, left: f64) {
-        self.suspicion *= left;
+    /// Reduces the suspicion by a factor, [`suspicion_decay`].
+    pub(super) fn fade(&mut self, decay: f64) {
+        self.suspicion *= decay;
     }
 
     pub(super) fn state(&self, now_s: f64) -> EjectionState {
@@ -197,8 +196,7 @@
         self.last_error_at_s > 0.0 && now_s - self.last_error_at_s < RECENT_ERROR_S
     }
 
-    /// Takes in what an outcome says for all classes; what it says against the upstream comes as a
-    /// fault.
+    /// Records a response for all classes; a fault is added by [`Self::suspect`].
     pub(super) fn record_response(&mut self, outcome: Outcome, now_s: f64) {
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.last_response_at_s = now_s;
@@ -207,7 +205,7 @@
             self.last_error_at_s = now_s;
         }
         if outcome == Outcome::Ok {
-            self.suspicion *= SUSPICION_LEFT_BY_ANSWER;
+            self.suspicion *= ANSWER_SUSPICION_FACTOR;
             if self.suspicion <= PROBATION_SUSPICION {
                 self.consecutive_ejections = 0;
             }
@@ -218,12 +216,12 @@
     pub(super) fn suspect(
         &mut self,
         fault: Fault,
-        conditions: &FleetConditions,
+        conditions: &SuspicionContext,
         clock: &mut JitteredClock<'_>,
     ) -> bool {
         self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
-        // A process that has died breaks every connection, a poor network a few.
-        let responds = matches!(fault, Fault::BrokenConnection)
+        // A dead process breaks every connection, a lossy network only some.
+        let responds = matches!(fault, Fault::ConnectionFailure)
             && self.last_response_at_s + conditions.mean_latency_s >= clock.now_s;
         let is_outlier = match self.state(clock.now_s) {
             EjectionState::Ejected => false,
--- a/tests/invariants/world.rs
+++ b/tests/invariants/world.rs
@@ -1,5 +1,5 @@
 //! The world round a balancer: requests, attempts, endpoints and time. It checks every action.
-#![allow(clippy::expect_used, reason = "a step that fails fails the test")]
+#![expect(clippy::expect_used, reason = "a step that fails fails the test")]
 
 use crate::common::{endpoint, ms};
 use crate::operations::{EndpointChange, Operation};
