--- /dev/null
+++ b/frostkeel/src/commands/agent.rs
@@ -0,0 +1,315 @@
+//! `frostkeel agent`: runs a command and keeps it on a registry's endpoint list for as long as it runs.
+
+use crate::error::CommandError;
+use crate::exit::{CommandOutcome, CommandResult};
+use crate::runtime;
+use clap::Args;
+use frostkeel_registry::client::{ClientError, CompleteResponse, call};
+use hyper::Method;
+use serde_json::json;
+use std::io;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use std::process::ExitStatus;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::process::{Child, Command};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::time::{Instant, sleep_until, timeout};
+
+/// The wait before a failed request is sent again, at first and at most.
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
+/// How long the command may take to end after SIGTERM; then it is killed.
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the registry may take for the requests of a shutdown.
+const SHUTDOWN_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Renewals in the time of a lease.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// Possible values of `--ttl-s` and of `--drain-s`.
+const LEASE_RANGE_S: RangeInclusive<f64> = 1.0..=3600.0;
+const DRAIN_RANGE_S: RangeInclusive<f64> = 0.0..=3600.0;
+
+/// Runs a command and keeps it on the list: registered once it runs, renewed, drained at SIGTERM, gone when it ends.
+#[derive(Args)]
+pub struct AgentArgs {
+    /// The list service's writing address.
+    #[arg(long)]
+    write: SocketAddr,
+    /// Who the upstream is; it lasts over restarts.
+    #[arg(long)]
+    uid: String,
+    /// Where it is reached.
+    #[arg(long)]
+    endpoint: SocketAddr,
+    /// Its zone.
+    #[arg(long, default_value = "")]
+    az: String,
+    /// Its kind.
+    #[arg(long, default_value = "")]
+    model: String,
+    /// Seconds of its lease; it is renewed after a third.
+    #[arg(long, default_value_t = 10.0)]
+    ttl_s: f64,
+    /// Seconds for which it finishes what it has before it is asked to end.
+    #[arg(long, default_value_t = 5.0)]
+    drain_s: f64,
+    /// The command, and its arguments.
+    #[arg(last = true, required = true)]
+    command: Vec<String>,
+}
+
+/// Runs the command until it ends or the agent is asked to.
+pub fn run(args: AgentArgs) -> CommandResult {
+    if !LEASE_RANGE_S.contains(&args.ttl_s) || !DRAIN_RANGE_S.contains(&args.drain_s) {
+        return Err(CommandError::AgentTimes);
+    }
+    runtime::single_threaded()?.block_on(supervise(args))
+}
+
+async fn supervise(args: AgentArgs) -> CommandResult {
+    let mut signals = ShutdownSignals::listen()?;
+    let mut child = spawn(&args.command)?;
+    let boot_ms = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis() as u64;
+    let agent = Agent { args, boot_ms };
+    let ended = tokio::select! {
+        status = child.wait() => Some(status?),
+        () = signals.received() => None,
+        error = agent.keep_registered() => return Err(error),
+    };
+    let status = match ended {
+        Some(status) => status,
+        None => agent.drain_and_terminate(&mut child).await?,
+    };
+    agent.deregister().await;
+    Ok(CommandOutcome::ChildEnded(status))
+}
+
+fn spawn(command: &[String]) -> Result<Child, CommandError> {
+    let (program, arguments) = command.split_first().ok_or(CommandError::NoCommand)?;
+    let spawned = Command::new(program)
+        .args(arguments)
+        .kill_on_drop(true)
+        .spawn();
+    spawned.map_err(|source| CommandError::StartProgram {
+        program: program.clone(),
+        source,
+    })
+}
+
+/// The signals that ask the agent to end.
+struct ShutdownSignals {
+    terminate: Signal,
+    interrupt: Signal,
+}
+
+impl ShutdownSignals {
+    fn listen() -> io::Result<Self> {
+        let terminate = signal(SignalKind::terminate())?;
+        let interrupt = signal(SignalKind::interrupt())?;
+        Ok(Self {
+            terminate,
+            interrupt,
+        })
+    }
+
+    async fn received(&mut self) {
+        tokio::select! {
+            _ = self.terminate.recv() => {}
+            _ = self.interrupt.recv() => {}
+        }
+    }
+}
+
+/// One incarnation of the upstream.
+struct Agent {
+    args: AgentArgs,
+    /// When it has started.
+    boot_ms: u64,
+}
+
+/// What a registration or a renewal has come to.
+enum RegistrationResult {
+    Accepted,
+    /// The registry doesn't list the upstream.
+    NotListed,
+    /// Another incarnation has taken its place, or the registry will never list it.
+    Rejected {
+        message: String,
+    },
+    /// The registry can't be reached, or can't answer now.
+    Failed {
+        reason: String,
+    },
+}
+
+impl RegistrationResult {
+    fn from_response(response: Result<CompleteResponse, ClientError>) -> Self {
+        match response {
+            Ok(CompleteResponse { status: 200, .. }) => Self::Accepted,
+            Ok(CompleteResponse { status: 404, .. }) => Self::NotListed,
+            Ok(CompleteResponse {
+                status: 400 | 409,
+                body,
+            }) => Self::Rejected {
+                message: String::from_utf8_lossy(&body).trim().to_owned(),
+            },
+            Ok(CompleteResponse { status, .. }) => Self::Failed {
+                reason: format!("it answered {status}"),
+            },
+            Err(error) => Self::Failed {
+                reason: error.to_string(),
+            },
+        }
+    }
+}
+
+impl Agent {
+    fn target(&self, action: &str) -> String {
+        format!("/upstreams/{}{action}", self.args.uid)
+    }
+
+    /// Registers and renews the lease; returns only if the registry will never list this incarnation (again).
+    async fn keep_registered(&self) -> CommandError {
+        let uid = &self.args.uid;
+        let lease = Duration::from_secs_f64(self.args.ttl_s);
+        let mut is_registered = false;
+        let mut backoff = MIN_BACKOFF;
+        loop {
+            let sent_at = Instant::now();
+            let response = if is_registered {
+                self.renew().await
+            } else {
+                self.register().await
+            };
+            let wait = match RegistrationResult::from_response(response) {
+                RegistrationResult::Accepted => {
+                    if !std::mem::replace(&mut is_registered, true) {
+                        tracing::info!("{uid}: on the list");
+                    }
+                    backoff = MIN_BACKOFF;
+                    lease / RENEWALS_PER_LEASE
+                }
+                RegistrationResult::NotListed if is_registered => {
+                    is_registered = false;
+                    MIN_BACKOFF
+                }
+                RegistrationResult::Rejected { message } => {
+                    return CommandError::RegistrationRejected {
+                        uid: uid.clone(),
+                        message,
+                    };
+                }
+                RegistrationResult::NotListed => {
+                    tracing::warn!("{uid}: not heard by the list service: it answered 404");
+                    backoff = next_backoff(backoff);
+                    with_jitter(backoff, sent_at)
+                }
+                RegistrationResult::Failed { reason } => {
+                    tracing::warn!("{uid}: not heard by the list service: {reason}");
+                    backoff = next_backoff(backoff);
+                    with_jitter(backoff, sent_at)
+                }
+            };
+            sleep_until(sent_at + wait).await;
+        }
+    }
+
+    async fn register(&self) -> Result<CompleteResponse, ClientError> {
+        let body = json!({
+            "endpoint": self.args.endpoint.to_string(),
+            "az": self.args.az,
+            "model": self.args.model,
+            "boot_ms": self.boot_ms,
+            "ttl_s": self.args.ttl_s,
+        });
+        call(
+            self.args.write,
+            Method::PUT,
+            &self.target(""),
+            body.to_string(),
+        )
+        .await
+    }
+
+    async fn renew(&self) -> Result<CompleteResponse, ClientError> {
+        let target = self.target("/renew");
+        call(
+            self.args.write,
+            Method::POST,
+            &target,
+            self.incarnation_body(),
+        )
+        .await
+    }
+
+    /// The body of requests that are for this incarnation only.
+    fn incarnation_body(&self) -> String {
+        json!({ "boot_ms": self.boot_ms }).to_string()
+    }
+
+    /// Takes the upstream off the list. If the registry can't be reached the lease ends by itself.
+    async fn deregister(&self) {
+        let target = self.target("");
+        let request = call(
+            self.args.write,
+            Method::DELETE,
+            &target,
+            self.incarnation_body(),
+        );
+        let response = timeout(SHUTDOWN_REQUEST_TIMEOUT, request).await;
+        if !matches!(response, Ok(Ok(CompleteResponse { status: 200, .. }))) {
+            tracing::warn!(
+                "{}: the list service was not told of the end; its lease ends by itself",
+                self.args.uid
+            );
+        }
+    }
+
+    /// Drains the upstream, waits for its requests, and ends the command.
+    async fn drain_and_terminate(&self, child: &mut Child) -> io::Result<ExitStatus> {
+        self.drain().await;
+        let drained_at = Instant::now() + Duration::from_secs_f64(self.args.drain_s);
+        tokio::select! {
+            status = child.wait() => return status,
+            () = sleep_until(drained_at) => {}
+        }
+        terminate(child).await
+    }
+
+    async fn drain(&self) {
+        let target = self.target("/drain");
+        let request = call(self.args.write, Method::POST, &target, String::new());
+        match timeout(SHUTDOWN_REQUEST_TIMEOUT, request).await {
+            Ok(Ok(_)) => {}
+            Ok(Err(error)) => tracing::warn!("{}: not drained: {error}", self.args.uid),
+            Err(_) => tracing::warn!("{}: not drained: no answer", self.args.uid),
+        }
+    }
+}
+
+fn next_backoff(backoff: Duration) -> Duration {
+    (backoff * 2).min(MAX_BACKOFF)
+}
+
+/// The backoff times 0.5 to 1.5, drawn from the clock: the agents of one registry must not all retry together.
+fn with_jitter(backoff: Duration, sent_at: Instant) -> Duration {
+    let fraction = f64::from(sent_at.elapsed().subsec_nanos() % 1000) / 1000.0;
+    backoff.mul_f64(0.5 + fraction)
+}
+
+/// Sends SIGTERM, and SIGKILL if that isn't heeded in time.
+async fn terminate(child: &mut Child) -> io::Result<ExitStatus> {
+    let pid = child
+        .id()
+        .and_then(|id| rustix::process::Pid::from_raw(id as i32));
+    if let Some(pid) = pid {
+        let _ = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
+    }
+    match timeout(TERMINATION_TIMEOUT, child.wait()).await {
+        Ok(status) => status,
+        Err(_) => {
+            child.start_kill()?;
+            child.wait().await
+        }
+    }
+}
--- /dev/null
+++ b/frostkeel/src/commands/drain.rs
@@ -0,0 +1,37 @@
+//! `frostkeel drain`: asks a registry to drain an upstream.
+
+use crate::error::CommandError;
+use crate::exit::{CommandOutcome, CommandResult};
+use crate::runtime;
+use clap::Args;
+use frostkeel_registry::client::{CompleteResponse, call};
+use hyper::{Method, StatusCode};
+use std::net::SocketAddr;
+
+/// Lets an upstream get nothing new.
+#[derive(Args)]
+pub struct DrainArgs {
+    /// Whom.
+    uid: String,
+    /// The list service's writing address.
+    #[arg(long)]
+    write: SocketAddr,
+}
+
+/// Sends the request and prints the registry's answer.
+pub fn run(args: &DrainArgs) -> CommandResult {
+    let target = format!("/upstreams/{}/drain", args.uid);
+    let response =
+        runtime::multi_threaded()?.block_on(call(args.write, Method::POST, &target, String::new()));
+    let CompleteResponse { status, body } = response?;
+    let body = String::from_utf8_lossy(&body);
+    let message = body.trim();
+    if status != StatusCode::OK {
+        return Err(CommandError::RegistryRejected {
+            subject: args.uid.clone(),
+            message: message.to_owned(),
+        });
+    }
+    println!("{}: draining, {message}", args.uid);
+    Ok(CommandOutcome::Passed)
+}
--- /dev/null
+++ b/frostkeel/src/commands/members/tables.rs
@@ -0,0 +1,115 @@
+//! The tables that show one view, or compare several.
+
+use super::page::{FetchedPage, View, ViewError};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Balancers that are named for each way in which a member is seen.
+const MAX_NAMED_BALANCERS: usize = 8;
+
+/// Balancers by what they see of a member.
+type BalancersBySight<'a> = BTreeMap<String, Vec<&'a str>>;
+
+/// The table of one view.
+pub fn single_view(view: &Result<View, ViewError>) -> String {
+    let view = match view {
+        Ok(view) => view,
+        Err(error) => return format!("{error}\n"),
+    };
+    let mut text = format!(
+        "{} of {} ({}): version {}, {} there, digest {}\n",
+        view.name, view.fleet, view.phase, view.version, view.present_count, view.digest
+    );
+    text += &format!(
+        "{:16} {:8} {:>10} {:>16} from\n",
+        "name", "standing", "for s", "life"
+    );
+    for member in &view.members {
+        let reported_by = member.reported_by.as_deref().unwrap_or("itself");
+        text += &format!(
+            "{:16} {:8} {:>10.1} {:>16} {reported_by}\n",
+            member.name,
+            member.state,
+            member.since_s,
+            member.full_incarnation()
+        );
+    }
+    text
+}
+
+/// One line for each balancer; below, for each member that they see differently, who sees what.
+pub fn comparison(pages: &[FetchedPage]) -> String {
+    let views: Vec<&View> = pages
+        .iter()
+        .filter_map(|page| page.view.as_ref().ok())
+        .collect();
+    let mut text = balancer_lines(&views);
+    for error in pages.iter().filter_map(|page| page.view.as_ref().err()) {
+        text += &format!("{error}\n");
+    }
+    let differences = differences(&views);
+    if differences.is_empty() {
+        return text + "all views are alike\n";
+    }
+    for (member, sights) in &differences {
+        for (sight, balancers) in sights {
+            text += &difference_line(member, sight, balancers);
+        }
+    }
+    text
+}
+
+fn balancer_lines(views: &[&View]) -> String {
+    let mut text = format!(
+        "{:16} {:8} {:>8} {:>6} digest\n",
+        "view of", "phase", "version", "there"
+    );
+    for view in views {
+        text += &format!(
+            "{:16} {:8} {:>8} {:>6} {}\n",
+            view.name, view.phase, view.version, view.present_count, view.digest
+        );
+    }
+    text
+}
+
+/// What the balancers that have joined see of the members on which they don't agree.
+fn differences<'a>(views: &[&'a View]) -> BTreeMap<&'a str, BalancersBySight<'a>> {
+    let joined: Vec<&View> = views
+        .iter()
+        .copied()
+        .filter(|view| view.has_joined())
+        .collect();
+    let members = joined.iter().flat_map(|view| &view.members);
+    let names: BTreeSet<&str> = members.map(|member| member.name.as_str()).collect();
+    let mut differences = BTreeMap::new();
+    for name in names {
+        let mut sights = BalancersBySight::new();
+        for view in &joined {
+            sights
+                .entry(sight(view, name))
+                .or_default()
+                .push(&view.name);
+        }
+        if sights.len() > 1 {
+            differences.insert(name, sights);
+        }
+    }
+    differences
+}
+
+/// What a balancer sees of a member.
+fn sight(view: &View, name: &str) -> String {
+    match view.members.iter().find(|member| member.name == name) {
+        Some(member) if member.is_present() => format!("there, life {}", member.full_incarnation()),
+        _ => "not there".to_owned(),
+    }
+}
+
+fn difference_line(member: &str, sight: &str, balancers: &[&str]) -> String {
+    let named = &balancers[..balancers.len().min(MAX_NAMED_BALANCERS)];
+    let more = match balancers.len() - named.len() {
+        0 => String::new(),
+        count => format!(" and {count} more"),
+    };
+    format!("{member}: {sight}, say {}{more}\n", named.join(" "))
+}
--- a/frostkeel/src/main.rs
+++ b/frostkeel/src/main.rs
@@ -1,12 +1,15 @@
-//! `frostkeel`: the command line. It starts the others; what they do lies in their own crates.
+//! `frostkeel`: the command line. Each command is a module of [`commands`]; what a command starts lies in the other
+//! crates. Errors are [`error::CommandError`], exit codes are [`exit`]'s.
 
-mod agent;
-mod lab;
-mod lab_output;
-mod members;
-mod registry;
+mod commands;
+mod error;
+mod exit;
+mod output;
+mod runtime;
 
 use clap::{Parser, Subcommand, ValueEnum};
+use commands::{agent, demo, drain, guard, lab, list, members, registry};
+use exit::CommandResult;
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
 
@@ -35,50 +38,53 @@
 #[derive(Subcommand)]
 enum Command {
     /// Show the balancer at work: three of them, ten upstreams, one killed, some replaced; 20 seconds.
-    Demo(lab::Place),
+    Demo(lab::RunArgs),
     /// Play experiments on a fleet of real processes.
     #[command(subcommand)]
-    Lab(lab::Lab),
+    Lab(lab::LabCommand),
     /// Show who is present, as one balancer sees it, or as all do and where they differ.
-    Members(members::Members),
+    Members(members::MembersArgs),
     /// Run a list service, or ask one how it stands.
-    Registry(registry::Registry),
+    Registry(registry::RegistryArgs),
     /// Show the list of a list service.
-    List(registry::List),
+    List(list::ListArgs),
     /// Let an upstream get nothing new.
-    Drain(registry::Drain),
+    Drain(drain::DrainArgs),
     /// Run a command and keep it on the list of a list service.
-    Agent(agent::Agent),
+    Agent(agent::AgentArgs),
     /// End the children of a lab that is gone; started by the lab itself.
     #[command(hide = true)]
     Guard,
 }
 
-fn main() -> ExitCode {
-    let cli = Cli::parse();
+impl Command {
+    fn run(self) -> CommandResult {
+        match self {
+            Self::Demo(args) => demo::run(args),
+            Self::Lab(command) => lab::run(command),
+            Self::Members(args) => members::run(&args),
+            Self::Registry(args) => registry::run(args),
+            Self::List(args) => list::run(&args),
+            Self::Drain(args) => drain::run(&args),
+            Self::Agent(args) => agent::run(args),
+            Self::Guard => guard::run(),
+        }
+    }
+}
+
+fn start_logging(level: LevelFilter, form: LogForm) {
     let log = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
-        .with_max_level(cli.log);
-    match cli.log_form {
+        .with_max_level(level);
+    match form {
         LogForm::Text => log.init(),
         LogForm::Json => log.json().init(),
     }
-    let done = match cli.command {
-        Command::Demo(place) => lab::demo(place),
-        Command::Lab(command) => lab::run(command),
-        Command::Members(command) => members::run(command),
-        Command::Registry(command) => registry::run(command),
-        Command::List(command) => registry::list(command),
-        Command::Drain(command) => registry::drain(command),
-        Command::Agent(command) => agent::run(command),
-        Command::Guard => {
-            frostkeel_lab::guard::watch(std::io::stdin().lock());
-            Ok(ExitCode::SUCCESS)
-        }
-    };
-    done.unwrap_or_else(|e| {
-        eprintln!("frostkeel: {e}");
-        ExitCode::FAILURE
-    })
+}
+
+fn main() -> ExitCode {
+    let cli = Cli::parse();
+    start_logging(cli.log, cli.log_form);
+    exit::exit_code(cli.command.run())
 }
