--- a/frostkeel/tests/command_line.rs
+++ b/frostkeel/tests/command_line.rs
@@ -4,6 +4,8 @@
 //! A file of `data/command_line` has for each call a line `$ frostkeel ARGUMENTS`, its exit code, and each line that it
 //! printed after `out|` or `err|`. Names in braces stand for addresses and folders, which differ between runs.
 
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -125,7 +127,7 @@
     command.output().expect("it starts")
 }
 
-/// The call and what came of it, as the files have it.
+/// A call and its result in the form of the files.
 fn transcript(line: &str, addresses: &[(&str, String)]) -> String {
     let replaced = addresses
         .iter()
@@ -140,18 +142,18 @@
         .map_or_else(|| "none".to_owned(), |code| code.to_string());
     let mut text = format!("{line}\nexit {code}\n");
     for (mark, bytes) in [("out", output.stdout), ("err", output.stderr)] {
-        let said = String::from_utf8(bytes).expect("text");
-        let said = addresses
+        let printed = String::from_utf8(bytes).expect("text");
+        let printed = addresses
             .iter()
-            .fold(said, |text, (name, address)| text.replace(address, name));
-        said.lines().for_each(|line| {
+            .fold(printed, |text, (name, address)| text.replace(address, name));
+        printed.lines().for_each(|line| {
             writeln!(text, "{}", format!("{mark}| {line}").trim_end()).expect("a string")
         });
     }
     text
 }
 
-/// Makes each call of a file again and compares; what has been printed instead lies beside the test's other output.
+/// Repeats each call of a file and compares; what is printed instead is written to the folder of the test's output.
 fn compare(name: &str, expected: &str) {
     let addresses = addresses();
     let calls = expected
@@ -318,8 +320,8 @@
                 let printed = String::from_utf8(output.stdout)
                     .expect("text")
                     .replace(out, "{out}");
-                let said = String::from_utf8_lossy(&output.stderr);
-                assert!(!printed.is_empty(), "{name}: {said}");
+                let errors = String::from_utf8_lossy(&output.stderr);
+                assert!(!printed.is_empty(), "{name}: {errors}");
                 in_order(&printed, expected, name);
             });
         }
--- a/frostkeel/tests/lab.rs
+++ b/frostkeel/tests/lab.rs
@@ -1,5 +1,7 @@
 //! The lab by its command line, with the real balancer as children.
 
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -19,67 +21,90 @@
     folder
 }
 
-/// Plays an experiment; returns the folder with its results, what it said, and its result.
-fn played(experiment: &str) -> (PathBuf, String, serde_json::Value) {
-    let out = folder(experiment);
+/// What a run of an experiment has left.
+struct Run {
+    folder: PathBuf,
+    printed: String,
+    result: serde_json::Value,
+}
+
+impl Run {
+    fn events(&self) -> String {
+        std::fs::read_to_string(self.folder.join("events.jsonl")).expect("events")
+    }
+}
+
+fn run_experiment(name: &str) -> Run {
+    let folder = folder(name);
     let file = format!(
-        "{}/../lab/experiments/{experiment}.toml",
+        "{}/../lab/experiments/{name}.toml",
         env!("CARGO_MANIFEST_DIR")
     );
-    let done = frostkeel(&["lab", "run", &file, "--out", out.to_str().expect("a path")]);
-    let said = String::from_utf8_lossy(&done.stdout).into_owned();
-    let result = std::fs::read_to_string(out.join("result.json")).expect(&said);
+    let out = folder.to_str().expect("a path");
+    let output = frostkeel(&["lab", "run", &file, "--out", out]);
+    let printed = String::from_utf8_lossy(&output.stdout).into_owned();
+    let result = std::fs::read_to_string(folder.join("result.json")).expect(&printed);
     let result = serde_json::from_str(&result).expect("a result");
-    (out, said, result)
+    Run {
+        folder,
+        printed,
+        result,
+    }
 }
 
-/// Guards the whole way: children start, are killed and come back, requests are answered, no rule is broken, and the
+/// Guards the whole path: children start, are killed and come back, requests are answered, no rule is broken, and the
 /// report says so. How late a busy machine made the lab is no part of the verdict.
 #[test]
-fn a_short_play_with_faults_keeps_every_rule() {
-    let (out, said, result) = played("balancer-short");
-    assert_eq!(result["broken"], serde_json::json!([]), "{said}");
-    let asked = result["figures"]["classes"].as_array().expect("classes");
-    let asked: u64 = asked
-        .iter()
-        .filter_map(|class| class["asked"].as_u64())
-        .sum();
-    assert!(asked > 150, "{asked} requests of some 240 drawn");
-    let events = std::fs::read_to_string(out.join("events.jsonl")).expect("events");
-    for (what, least) in [
+fn short_experiment_with_faults_keeps_every_rule() {
+    let run = run_experiment("balancer-short");
+    assert_eq!(
+        run.result["broken"],
+        serde_json::json!([]),
+        "{}",
+        run.printed
+    );
+    let classes = run.result["figures"]["classes"]
+        .as_array()
+        .expect("classes");
+    let requests = classes.iter().filter_map(|class| class["asked"].as_u64());
+    let request_count: u64 = requests.sum();
+    assert!(
+        request_count > 150,
+        "{request_count} requests of some 240 drawn"
+    );
+    let events = run.events();
+    for (event, min_count) in [
         ("\"what\":\"fault\"", 3),
         ("\"became\":\"killed\"", 2),
         ("\"what\":\"arrived\"", 100),
     ] {
         assert!(
-            events.matches(what).count() >= least,
-            "{what} in the events"
+            events.matches(event).count() >= min_count,
+            "{event} in the events"
         );
     }
-    assert!(
-        std::fs::read_to_string(out.join("report.html"))
-            .expect("a page")
-            .contains("<svg")
-    );
+    let report = std::fs::read_to_string(run.folder.join("report.html")).expect("a page");
+    assert!(report.contains("<svg"));
 }
 
-/// Guards requests that come while a balancer stands still, on connections whose time is over when it wakes.
+/// Guards requests that arrive while a balancer is paused, on connections that have timed out when it resumes.
 #[test]
-fn a_balancer_that_stood_still_answers_what_came_meanwhile() {
-    let (out, said, result) = played("balancer-stopped");
-    assert_eq!(result["broken"], serde_json::json!([]), "{said}");
-    let events = std::fs::read_to_string(out.join("events.jsonl")).expect("events");
+fn paused_balancer_answers_requests_that_arrived_meanwhile() {
+    let run = run_experiment("balancer-stopped");
     assert_eq!(
-        events.matches("\"became\":\"released\"").count(),
-        2,
-        "two were stopped"
+        run.result["broken"],
+        serde_json::json!([]),
+        "{}",
+        run.printed
     );
+    let resumed = run.events().matches("\"became\":\"released\"").count();
+    assert_eq!(resumed, 2, "two were paused");
 }
 
-/// Guards the whole way of membership: real balancers find each other, know of a kill and of a leave, show their views, and
+/// Guards the whole path of membership: real balancers find each other, detect a kill and a leave, show their views, and
 /// serve meanwhile.
 #[test]
-fn balancers_know_of_a_kill_and_of_a_leave() {
+fn balancers_detect_a_kill_and_a_graceful_leave() {
     let out = folder("members");
     let file = concat!(
         env!("CARGO_MANIFEST_DIR"),
@@ -93,18 +118,18 @@
     let pages = out.join("pages");
     let pages = pages.to_str().expect("a path");
     let start = std::time::Instant::now();
-    let shown = loop {
-        let shown = frostkeel(&["members", "--all", "--file", pages]);
-        let said = String::from_utf8_lossy(&shown.stdout).into_owned();
-        // As long as the play runs; what is judged is what it says of itself at its end.
-        if said.contains("all views are alike") || lab.try_wait().expect("a child").is_some() {
-            break said;
+    let views = loop {
+        let output = frostkeel(&["members", "--all", "--file", pages]);
+        let views = String::from_utf8_lossy(&output.stdout).into_owned();
+        // The views may differ at first; the run's own result is judged at its end.
+        if views.contains("all views are alike") || lab.try_wait().expect("a child").is_some() {
+            break views;
         }
-        assert!(start.elapsed().as_secs() < 60, "in vain: {said}");
+        assert!(start.elapsed().as_secs() < 60, "timed out: {views}");
         std::thread::sleep(std::time::Duration::from_millis(50));
     };
     lab.wait().expect("ended");
-    assert!(shown.contains("all views are alike"), "{shown}");
+    assert!(views.contains("all views are alike"), "{views}");
     let result = std::fs::read_to_string(out.join("result.json")).expect("a result");
     let result: serde_json::Value = serde_json::from_str(&result).expect("a result");
     assert_eq!(result["broken"], serde_json::json!([]));
@@ -121,7 +146,7 @@
 }
 
 #[test]
-fn what_cannot_be_meant_is_refused_with_file_line_and_reason() {
+fn rejects_invalid_experiment_with_file_line_and_reason() {
     let file = folder("refused").join("wrong.toml");
     let text = "name = \"x\"\nseconds = 5.0\n[fleet]\nbalancers = 0\nupstreams = 1\n";
     std::fs::write(&file, text).expect("written");
--- a/frostkeel/tests/registry.rs
+++ b/frostkeel/tests/registry.rs
@@ -1,4 +1,6 @@
-//! The list service by its command line: a real process with its folder, written to, read, killed and started again.
+//! The registry by its command line: a real process with its folder, written to, read, killed and started again.
+
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -63,25 +65,32 @@
     }
 }
 
-fn call(address: &str, head: &str, body: &str) -> (u16, String) {
+struct Response {
+    status: u16,
+    body: String,
+}
+
+fn call(address: &str, head: &str, body: &str) -> Response {
     let mut stream = TcpStream::connect(address).expect("it listens");
     let length = body.len();
-    write!(
-        stream,
-        "{head} HTTP/1.1\r\nhost: r\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
-    )
-    .expect("written");
+    let fields = format!("host: r\r\nconnection: close\r\ncontent-length: {length}");
+    write!(stream, "{head} HTTP/1.1\r\n{fields}\r\n\r\n{body}").expect("written");
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("read");
     let status = text
         .split(' ')
         .nth(1)
-        .and_then(|s| s.parse().ok())
-        .expect("a status");
-    (
-        status,
-        text.split_once("\r\n\r\n").expect("a head").1.to_owned(),
-    )
+        .and_then(|status| status.parse().ok());
+    let (_, body) = text.split_once("\r\n\r\n").expect("a head");
+    Response {
+        status: status.expect("a status"),
+        body: body.to_owned(),
+    }
+}
+
+/// The endpoint list as readers get it.
+fn list(service: &Service) -> String {
+    call(&service.read, "GET /registry/instances", "").body
 }
 
 fn frostkeel(arguments: &[&str]) -> Output {
@@ -91,121 +100,93 @@
         .expect("it starts")
 }
 
-#[test]
-fn what_was_acknowledged_is_there_after_a_kill_and_watches_go_on() {
-    let folder = folder("registry");
-    let service = start(&folder);
+/// Registers u1 to u3, drains u2 and removes u3; checks what is accepted and what is rejected.
+fn write_endpoints(service: &Service) {
     for n in 1..=3 {
         let body = format!(
             r#"{{"endpoint":"10.0.0.{n}:80","boot_ms":{n},"ttl_s":60,"az":"a","model":"m"}}"#
         );
-        let (status, said) = call(&service.write, &format!("PUT /upstreams/u{n}"), &body);
+        let response = call(&service.write, &format!("PUT /upstreams/u{n}"), &body);
         assert_eq!(
-            (status, said.trim()),
+            (response.status, response.body.trim()),
             (200, format!(r#"{{"rev":{n}}}"#).as_str())
         );
     }
+    let too_long = "x".repeat(20_000);
+    for (head, body, status) in [
+        ("POST /upstreams/u1/renew", r#"{"boot_ms":1}"#, 200),
+        ("POST /upstreams/u1/renew", r#"{"boot_ms":7}"#, 409),
+        ("POST /upstreams/u9/renew", r#"{"boot_ms":7}"#, 404),
+        ("PUT /upstreams/u1", "nonsense", 400),
+        ("PUT /upstreams/u1", &too_long, 413),
+    ] {
+        assert_eq!(
+            call(&service.write, head, body).status,
+            status,
+            "{head} {body:.20}"
+        );
+    }
+    let drained = frostkeel(&["drain", "u2", "--write", &service.write]);
+    assert!(drained.status.success());
+    assert_eq!(call(&service.write, "DELETE /upstreams/u3", "").status, 200);
+}
+
+/// What a second registry on the same folder says as it ends.
+fn error_of_second_registry(folder: &Path, name: &str) -> String {
+    let config = config(folder, name);
+    let output = frostkeel(&["registry", "--config", config.to_str().expect("a path")]);
+    assert!(!output.status.success());
+    String::from_utf8_lossy(&output.stderr).into_owned()
+}
+
+/// Watches from revision 5 and checks that the change that follows comes.
+fn assert_watch_resumes(service: &Service) {
+    let mut watch = TcpStream::connect(&service.read).expect("it listens");
+    let request = "GET /registry/instances?stream=1&index=5 HTTP/1.1\r\nhost: r\r\n\r\n";
+    watch.write_all(request.as_bytes()).expect("written");
+    let weight = r#"{"capacity_hint":2.5}"#;
     assert_eq!(
-        call(
-            &service.write,
-            "POST /upstreams/u1/renew",
-            r#"{"boot_ms":1}"#
-        )
-        .0,
+        call(&service.write, "PUT /upstreams/u1/weight", weight).status,
         200
     );
-    assert_eq!(
-        call(
-            &service.write,
-            "POST /upstreams/u1/renew",
-            r#"{"boot_ms":7}"#
-        )
-        .0,
-        409
-    );
-    assert_eq!(
-        call(
-            &service.write,
-            "POST /upstreams/u9/renew",
-            r#"{"boot_ms":7}"#
-        )
-        .0,
-        404
-    );
-    assert_eq!(call(&service.write, "PUT /upstreams/u1", "nonsense").0, 400);
-    assert_eq!(
-        call(&service.write, "PUT /upstreams/u1", &"x".repeat(20_000)).0,
-        413
-    );
-    assert!(
-        frostkeel(&["drain", "u2", "--write", &service.write])
-            .status
-            .success()
-    );
-    assert_eq!(call(&service.write, "DELETE /upstreams/u3", "").0, 200);
-    let list = call(&service.read, "GET /registry/instances", "").1;
-    let want = r#"{"rev":5,"all":true,"targets":[{"uid":"u1","endpoint":"10.0.0.1:80","az":"a","model":"m","pod_group":0,"state":"Ready","capacity_hint":1.0,"boot_ms":1},{"uid":"u2","endpoint":"10.0.0.2:80","az":"a","model":"m","pod_group":0,"state":"Terminating","capacity_hint":1.0,"boot_ms":2}]}"#;
-    assert_eq!(list, want);
+    let mut lines = BufReader::new(watch).lines().map_while(Result::ok);
+    let change = lines.find(|line| line.contains("rev")).expect("a change");
+    let is_of_u1 = change.starts_with(r#"{"rev":6,"all":false,"targets":[{"uid":"u1""#);
+    assert!(is_of_u1 && change.contains("2.5"), "{change}");
+}
 
-    let refused = Command::new(FROSTKEEL)
-        .args(["registry", "--config"])
-        .arg(config(&folder, "r0"))
-        .output();
-    let refused = String::from_utf8_lossy(&refused.expect("it starts").stderr).into_owned();
-    assert!(refused.contains("in use by another process"), "{refused}");
+#[test]
+fn acknowledged_writes_survive_a_kill_and_watches_resume() {
+    let folder = folder("registry");
+    let service = start(&folder);
+    write_endpoints(&service);
+    let expected = r#"{"rev":5,"all":true,"targets":[{"uid":"u1","endpoint":"10.0.0.1:80","az":"a","model":"m","pod_group":0,"state":"Ready","capacity_hint":1.0,"boot_ms":1},{"uid":"u2","endpoint":"10.0.0.2:80","az":"a","model":"m","pod_group":0,"state":"Terminating","capacity_hint":1.0,"boot_ms":2}]}"#;
+    assert_eq!(list(&service), expected);
+
+    let error = error_of_second_registry(&folder, "r0");
+    assert!(error.contains("in use by another process"), "{error}");
     drop(service);
-    let refused = Command::new(FROSTKEEL)
-        .args(["registry", "--config"])
-        .arg(config(&folder, "r1"))
-        .output();
-    let refused = String::from_utf8_lossy(&refused.expect("it starts").stderr).into_owned();
-    assert!(refused.contains("belongs to r0"), "{refused}");
+    let error = error_of_second_registry(&folder, "r1");
+    assert!(error.contains("belongs to r0"), "{error}");
 
     let service = start(&folder);
-    assert_eq!(
-        call(&service.read, "GET /registry/instances", "").1,
-        want,
-        "after a kill"
-    );
-    let shown = frostkeel(&["list", "--read", &service.read]);
-    assert!(String::from_utf8_lossy(&shown.stdout).contains("Terminating"));
-    let mut watch = TcpStream::connect(&service.read).expect("it listens");
-    write!(
-        watch,
-        "GET /registry/instances?stream=1&index=5 HTTP/1.1\r\nhost: r\r\n\r\n"
-    )
-    .expect("written");
-    assert_eq!(
-        call(
-            &service.write,
-            "PUT /upstreams/u1/weight",
-            r#"{"capacity_hint":2.5}"#
-        )
-        .0,
-        200
-    );
-    let lines = BufReader::new(watch).lines().map_while(Result::ok);
-    let told = lines
-        .into_iter()
-        .find(|line| line.contains("rev"))
-        .expect("a change");
-    assert!(
-        told.starts_with(r#"{"rev":6,"all":false,"targets":[{"uid":"u1""#) && told.contains("2.5"),
-        "{told}"
-    );
-    let metrics = call(&service.write, "GET /metrics", "").1;
+    assert_eq!(list(&service), expected, "after a kill");
+    let printed = frostkeel(&["list", "--read", &service.read]);
+    assert!(String::from_utf8_lossy(&printed.stdout).contains("Terminating"));
+    assert_watch_resumes(&service);
+    let metrics = call(&service.write, "GET /metrics", "").body;
     assert!(
         metrics.contains("frostkeel_registry_version 6"),
         "{metrics}"
     );
 }
 
-/// An agent keeps its command on the list, drains it when it is asked to leave, and takes it off.
+/// An agent registers its command, drains it at SIGTERM, and takes it off the list.
 #[test]
-fn an_agent_keeps_its_command_on_the_list() {
+fn agent_keeps_its_command_on_the_endpoint_list() {
     let folder = folder("agent");
     let service = start(&folder);
-    let list = || call(&service.read, "GET /registry/instances", "").1;
+    let list = || list(&service);
     let until = |what: &str| {
         let start = std::time::Instant::now();
         while !list().contains(what) {
@@ -254,9 +235,9 @@
     assert_eq!(short.wait().expect("ended").code(), Some(7));
 }
 
-/// Who holds a connection and says nothing, or never ends what it says, does not keep the service from others.
+/// Clients that hold a connection and send nothing, or never end their request, do not keep the registry from others.
 #[test]
-fn callers_that_say_nothing_or_never_end_are_let_go() {
+fn silent_and_endless_callers_are_disconnected() {
     let folder = folder("silent");
     let service = start(&folder);
     let mut silent: Vec<TcpStream> = [&service.read, &service.write]
@@ -270,25 +251,18 @@
     .expect("written");
     let body = r#"{"endpoint":"10.0.0.1:80","boot_ms":1,"ttl_s":60}"#;
     assert_eq!(
-        call(&service.write, "PUT /upstreams/u2", body).0,
+        call(&service.write, "PUT /upstreams/u2", body).status,
         200,
         "others go on"
     );
     for stream in &mut silent {
-        let mut said = Vec::new();
-        stream.read_to_end(&mut said).expect("closed");
-        assert!(
-            said.is_empty() || said.starts_with(b"HTTP/1.1 4"),
-            "{}",
-            String::from_utf8_lossy(&said)
-        );
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response).expect("closed");
+        let is_rejection = response.is_empty() || response.starts_with(b"HTTP/1.1 4");
+        assert!(is_rejection, "{}", String::from_utf8_lossy(&response));
     }
-    let mut said = [0; 12];
-    endless.read_exact(&mut said).expect("an answer");
-    assert_eq!(&said, b"HTTP/1.1 408");
-    assert!(
-        call(&service.read, "GET /registry/instances", "")
-            .1
-            .contains("\"u2\"")
-    );
+    let mut response = [0; 12];
+    endless.read_exact(&mut response).expect("a response");
+    assert_eq!(&response, b"HTTP/1.1 408");
+    assert!(list(&service).contains("\"u2\""));
 }
