--- a/frostkeel/src/commands/agent.rs
+++ b/frostkeel/src/commands/agent.rs
@@ -74,7 +74,7 @@
     let ended = tokio::select! {
         status = child.wait() => Some(status?),
         () = signals.received() => None,
-        error = agent.keep_registered() => return Err(error),
+        error = agent.maintain_registration() => return Err(error),
     };
     let status = match ended {
         Some(status) => status,
@@ -169,7 +169,7 @@
     }
 
     /// Registers and renews the lease; returns only if the registry will never list this incarnation (again).
-    async fn keep_registered(&self) -> CommandError {
+    async fn maintain_registration(&self) -> CommandError {
         let uid = &self.args.uid;
         let lease = Duration::from_secs_f64(self.args.ttl_s);
         let mut is_registered = false;
--- a/frostkeel/src/commands/lab/simulate.rs
+++ b/frostkeel/src/commands/lab/simulate.rs
@@ -58,21 +58,21 @@
     };
     print_header();
     let mut outcomes = Vec::new();
-    let mut all_met = true;
+    let mut expectations_held = true;
     for size in sizes {
         experiment.fleet.balancers = *size;
         for simulated in simulate_seeds(&experiment, args) {
             let simulated = simulated?;
             print_row(&simulated.outcome);
             print_deviations(&experiment, &simulated);
-            all_met &= simulated.missed.is_empty();
+            expectations_held &= simulated.missed.is_empty();
             outcomes.push(simulated.outcome);
         }
     }
     if let Some(path) = &args.plot {
         std::fs::write(path, size_plot(&outcomes))?;
     }
-    Ok(CommandOutcome::from_check(all_met))
+    Ok(CommandOutcome::from_check(expectations_held))
 }
 
 /// Simulates an experiment on all seeds at the same time; the results are in the order of the seeds.
--- a/frostkeel/src/commands/members/tables.rs
+++ b/frostkeel/src/commands/members/tables.rs
@@ -7,7 +7,7 @@
 const MAX_NAMED_BALANCERS: usize = 8;
 
 /// Balancers by what they see of a member.
-type BalancersBySight<'a> = BTreeMap<String, Vec<&'a str>>;
+type BalancersByObservation<'a> = BTreeMap<String, Vec<&'a str>>;
 
 /// The table of one view.
 pub fn single_view(view: &Result<View, ViewError>) -> String {
@@ -50,9 +50,9 @@
     if differences.is_empty() {
         return text + "all views are alike\n";
     }
-    for (member, sights) in &differences {
-        for (sight, balancers) in sights {
-            text += &difference_line(member, sight, balancers);
+    for (member, observations) in &differences {
+        for (observation, balancers) in observations {
+            text += &difference_line(member, observation, balancers);
         }
     }
     text
@@ -73,7 +73,7 @@
 }
 
 /// What the balancers that have joined see of the members on which they don't agree.
-fn differences<'a>(views: &[&'a View]) -> BTreeMap<&'a str, BalancersBySight<'a>> {
+fn differences<'a>(views: &[&'a View]) -> BTreeMap<&'a str, BalancersByObservation<'a>> {
     let joined: Vec<&View> = views
         .iter()
         .copied()
@@ -83,33 +83,33 @@
     let names: BTreeSet<&str> = members.map(|member| member.name.as_str()).collect();
     let mut differences = BTreeMap::new();
     for name in names {
-        let mut sights = BalancersBySight::new();
+        let mut observations = BalancersByObservation::new();
         for view in &joined {
-            sights
-                .entry(sight(view, name))
+            observations
+                .entry(observation(view, name))
                 .or_default()
                 .push(&view.name);
         }
-        if sights.len() > 1 {
-            differences.insert(name, sights);
+        if observations.len() > 1 {
+            differences.insert(name, observations);
         }
     }
     differences
 }
 
 /// What a balancer sees of a member.
-fn sight(view: &View, name: &str) -> String {
+fn observation(view: &View, name: &str) -> String {
     match view.members.iter().find(|member| member.name == name) {
         Some(member) if member.is_present() => format!("there, life {}", member.full_incarnation()),
         _ => "not there".to_owned(),
     }
 }
 
-fn difference_line(member: &str, sight: &str, balancers: &[&str]) -> String {
+fn difference_line(member: &str, observation: &str, balancers: &[&str]) -> String {
     let named = &balancers[..balancers.len().min(MAX_NAMED_BALANCERS)];
     let more = match balancers.len() - named.len() {
         0 => String::new(),
         count => format!(" and {count} more"),
     };
-    format!("{member}: {sight}, say {}{more}\n", named.join(" "))
+    format!("{member}: {observation}, say {}{more}\n", named.join(" "))
 }
--- a/frostkeel/tests/lab.rs
+++ b/frostkeel/tests/lab.rs
@@ -147,19 +147,19 @@
 
 #[test]
 fn rejects_invalid_experiment_with_file_line_and_reason() {
-    let file = folder("refused").join("wrong.toml");
+    let file = folder("rejected").join("wrong.toml");
     let text = "name = \"x\"\nseconds = 5.0\n[fleet]\nbalancers = 0\nupstreams = 1\n";
     std::fs::write(&file, text).expect("written");
-    let done = frostkeel(&["lab", "check", file.to_str().expect("a path")]);
-    let said = String::from_utf8_lossy(&done.stderr);
-    assert!(!done.status.success());
+    let output = frostkeel(&["lab", "check", file.to_str().expect("a path")]);
+    let error = String::from_utf8_lossy(&output.stderr);
+    assert!(!output.status.success());
     assert!(
-        said.contains("wrong.toml: line 3: balancers is 0"),
-        "{said}"
+        error.contains("wrong.toml: line 3: balancers is 0"),
+        "{error}"
     );
 }
 
-/// A lab that is killed outright must leave nobody behind.
+/// A lab that is killed must leave no processes behind.
 #[test]
 fn children_end_when_the_lab_is_killed() {
     let out = folder("killed");
@@ -184,18 +184,18 @@
         };
         processes.map(|p| p.path()).filter(named).collect()
     };
-    let until = |what: &str, holds: &dyn Fn() -> bool| {
+    let wait_until = |what: &str, condition: &dyn Fn() -> bool| {
         let start = std::time::Instant::now();
-        while !holds() {
-            assert!(start.elapsed().as_secs() < 30, "in vain: {what}");
+        while !condition() {
+            assert!(start.elapsed().as_secs() < 30, "timed out: {what}");
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     };
-    until("a balancer serves", &|| {
+    wait_until("a balancer serves", &|| {
         std::fs::read_to_string(out.join("b1.log")).is_ok_and(|log| log.contains("listen="))
     });
     assert_eq!(children().len(), 1);
     lab.kill().expect("killed");
     lab.wait().expect("ended");
-    until("the balancer has ended", &|| children().is_empty());
+    wait_until("the balancer has ended", &|| children().is_empty());
 }
--- a/frostkeel/tests/registry.rs
+++ b/frostkeel/tests/registry.rs
@@ -17,7 +17,7 @@
 
 impl Drop for Service {
     fn drop(&mut self) {
-        // Killed outright: what it has acknowledged must be there all the same.
+        // SIGKILL: what it has acknowledged must survive that.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -48,14 +48,14 @@
         .spawn()
         .expect("it starts");
     let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
-    let said = lines
+    let serving = lines
         .find_map(|line| line.ok().filter(|line| line.contains("serving")))
         .expect("it serves");
     std::thread::spawn(move || lines.for_each(drop));
     let field = |name: &str| {
-        let value = said.split(' ').find_map(|word| word.strip_prefix(name));
+        let value = serving.split(' ').find_map(|word| word.strip_prefix(name));
         value
-            .unwrap_or_else(|| panic!("{name} in {said}"))
+            .unwrap_or_else(|| panic!("{name} in {serving}"))
             .to_owned()
     };
     Service {
@@ -187,12 +187,12 @@
     let folder = folder("agent");
     let service = start(&folder);
     let list = || list(&service);
-    let until = |what: &str| {
+    let wait_for = |text: &str| {
         let start = std::time::Instant::now();
-        while !list().contains(what) {
+        while !list().contains(text) {
             assert!(
                 start.elapsed().as_secs() < 30,
-                "in vain for {what}: {}",
+                "timed out waiting for {text}: {}",
                 list()
             );
             std::thread::sleep(std::time::Duration::from_millis(20));
@@ -215,8 +215,8 @@
             .expect("it starts")
     };
     let mut running = agent(&["sleep", "60"]);
-    until("\"a1\"");
-    until("Ready");
+    wait_for("\"a1\"");
+    wait_for("Ready");
     let id = running.id().to_string();
     assert!(
         Command::new("kill")
@@ -225,7 +225,7 @@
             .expect("a kill")
             .success()
     );
-    until("Terminating");
+    wait_for("Terminating");
     assert!(
         !running.wait().expect("ended").success(),
         "its command was ended by a signal"
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -140,14 +140,14 @@
 /// Guards the data of the test above: a key that is misspelt there, or that has its default value, would not be noticed.
 #[test]
 fn removing_any_key_changes_the_result() {
-    let whole: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
-    let site = parsed(&whole);
+    let document: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    let site = parsed(&document);
     let mut keys = Vec::new();
-    leaves(&whole, "", &mut keys);
+    leaves(&document, "", &mut keys);
     assert_eq!(keys.len(), 66);
     for key in keys {
         let (parent, last) = key.rsplit_once('/').expect("a pointer");
-        let mut without = whole.clone();
+        let mut without = document.clone();
         match without.pointer_mut(parent).expect("its parent") {
             Value::Object(map) => drop(map.remove(last).expect("the key")),
             Value::Array(list) => drop(list.remove(last.parse().expect("a position"))),
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -35,7 +35,7 @@
     }
 
     /// The actions since the last call, in order.
-    pub fn take_actions(&mut self) -> impl Iterator<Item = InstanceAction> {
+    pub fn drain_actions(&mut self) -> impl Iterator<Item = InstanceAction> {
         self.pending.drain(..)
     }
 
--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -18,7 +18,7 @@
             host.apply(batch.clock, record)?;
         }
         reply.begin();
-        for pending in host.take_actions() {
+        for pending in host.drain_actions() {
             reply.push(pending.instance, &pending.action);
         }
         output
--- a/simulator-adapter/tests/session.rs
+++ b/simulator-adapter/tests/session.rs
@@ -108,10 +108,10 @@
 
 #[test]
 fn reports_a_truncated_frame() {
-    let whole = batch(105.0, &[request(INSTANCE)]);
-    let truncated = &whole[..whole.len() - 5];
+    let complete = batch(105.0, &[request(INSTANCE)]);
+    let truncated = &complete[..complete.len() - 5];
     assert_malformed(truncated, truncated.len(), "cut short");
-    assert_malformed(&whole[..2], 2, "cut short");
+    assert_malformed(&complete[..2], 2, "cut short");
 }
 
 #[test]
