--- /dev/null
+++ b/balancer/tests/operations_page/architecture.rs
@@ -0,0 +1,70 @@
+//! Holds the repository paths on `docs/ARCHITECTURE.md` to what is there.
+
+use super::page::{is_repository_path, page, quoted, root};
+
+#[test]
+fn paths_on_the_architecture_page_exist() {
+    let text = page("ARCHITECTURE.md");
+    let paths: Vec<String> = quoted(&text)
+        .into_iter()
+        .filter(|text| is_repository_path(text))
+        .collect();
+    assert!(paths.len() > 50, "only {} paths were found", paths.len());
+    let missing: Vec<&String> = paths
+        .iter()
+        .filter(|path| !root().join(path).exists())
+        .collect();
+    assert!(
+        missing.is_empty(),
+        "ARCHITECTURE.md names paths that do not exist: {missing:?}"
+    );
+}
+
+/// The names of source files in the code blocks of a page.
+fn source_names_in_diagrams(page: &str) -> Vec<&str> {
+    let blocks = page.split("```").skip(1).step_by(2);
+    let words = blocks
+        .flat_map(|block| block.split(|c: char| !c.is_ascii_alphanumeric() && !"_./".contains(c)));
+    words.filter(|word| word.ends_with(".rs")).collect()
+}
+
+#[test]
+fn diagrams_name_source_files_that_the_text_names_by_path() {
+    let text = page("ARCHITECTURE.md");
+    let names = source_names_in_diagrams(&text);
+    let mut diagrams = text
+        .split("```mermaid")
+        .skip(1)
+        .map(|rest| rest.split("```").next());
+    assert!(
+        diagrams.all(|diagram| diagram.is_some_and(|diagram| !diagram.contains(';'))),
+        "a semicolon ends a statement in Mermaid"
+    );
+    assert!(names.len() > 10, "only {} names were found", names.len());
+    let paths = quoted(&text);
+    let is_known = |name: &str| {
+        paths
+            .iter()
+            .any(|path| path == name || path.ends_with(&format!("/{name}")))
+    };
+    let unknown: Vec<&str> = names.into_iter().filter(|name| !is_known(name)).collect();
+    assert!(
+        unknown.is_empty(),
+        "diagrams name files that no path on the page ends with: {unknown:?}"
+    );
+}
+
+#[test]
+fn repository_paths_are_told_from_other_texts() {
+    for path in ["src/policy/", "Cargo.toml", "balancer/tests/sockets.rs"] {
+        assert!(is_repository_path(path), "{path}");
+    }
+    for other in [
+        "/health/ready",
+        "Event::Watch",
+        "frostkeel registry",
+        "known",
+    ] {
+        assert!(!is_repository_path(other), "{other}");
+    }
+}
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: takes updates of it into the upstreams known.
+//! The endpoint list: applies its updates to the known upstreams.
 
 use super::idle_connections::ConnectionUse;
 use super::load::{LoadReportTracker, UpstreamLoad};
@@ -13,27 +13,44 @@
 };
 use crate::random::Random;
 
-/// The removed upstreams leave when they are more than this part of all.
+/// Removed upstreams are forgotten when they are more than one in so many.
 const MAX_REMOVED_PART: usize = 4;
 
 /// What the list says of one upstream.
 pub(super) struct EndpointRecord {
-    pub(super) id: UpstreamId,
-    pub(super) zone: ZoneId,
-    pub(super) cell: CellId,
+    id: UpstreamId,
+    zone: ZoneId,
+    cell: CellId,
     availability: Availability,
     /// Listed size; with live weights the largest seen.
-    pub(super) size: f64,
+    size: f64,
 }
 
 impl EndpointRecord {
+    pub(super) fn id(&self) -> UpstreamId {
+        self.id
+    }
+
+    pub(super) fn zone(&self) -> ZoneId {
+        self.zone
+    }
+
+    pub(super) fn cell(&self) -> CellId {
+        self.cell
+    }
+
+    /// Its capacity relative to the others, outside slow start.
+    pub(super) fn size(&self) -> f64 {
+        self.size
+    }
+
     pub(super) fn is_ready(&self) -> bool {
         self.availability == Availability::Ready
     }
 }
 
 impl Upstream {
-    /// A newcomer to the list, before its entry is taken in.
+    /// A newcomer to the list, before its entry is applied.
     fn new(
         id: UpstreamId,
         class_count: usize,
@@ -59,12 +76,12 @@
         }
     }
 
-    /// Whether nothing of it is left to wait for.
-    fn is_gone(&self) -> bool {
+    /// Whether it is removed and has nothing in flight.
+    fn is_removable(&self) -> bool {
         self.endpoint.availability == Availability::Removed && self.load.in_flight() == 0
     }
 
-    /// Its process has restarted: what was held against it is void, and it is in slow start.
+    /// Its process has restarted: its history is discarded, and it is in slow start.
     fn restart(&mut self, started_at_s: f64, turns: f64) {
         self.weight.begin_slow_start(started_at_s);
         self.health.reset();
@@ -73,7 +90,7 @@
     }
 }
 
-/// What an update of the list goes by.
+/// The inputs of an update, beside the list.
 pub(super) struct UpdateContext<'a> {
     pub(super) endpoint_weights: EndpointWeights,
     pub(super) class_count: usize,
@@ -83,7 +100,7 @@
     pub(super) now_s: f64,
 }
 
-/// Takes an update of the list in. Returns whether the subset has to be chosen anew.
+/// Applies an update of the list. Returns whether the subset has to be chosen anew.
 pub(super) fn apply_update(
     upstreams: &mut Upstreams,
     scope: UpdateScope,
@@ -116,20 +133,20 @@
         });
         is_changed |= context.apply_endpoint(&mut upstreams[slot], endpoint, started_at_s);
     }
-    let gone = upstreams
+    let removable = upstreams
         .iter()
-        .filter(|upstream| upstream.is_gone())
+        .filter(|upstream| upstream.is_removable())
         .count();
-    if upstreams.len() > known || gone > upstreams.len() / MAX_REMOVED_PART {
-        // The gone leave: else a changing fleet would grow state as long as a balancer lives.
-        upstreams.retain(|upstream| !upstream.is_gone());
+    if upstreams.len() > known || removable > upstreams.len() / MAX_REMOVED_PART {
+        // Removed upstreams are forgotten: else a changing fleet would grow state without bound.
+        upstreams.retain(|upstream| !upstream.is_removable());
         is_changed = true;
     }
     is_changed
 }
 
 impl UpdateContext<'_> {
-    /// Takes an entry of the list in. Returns whether the subset has to be chosen anew.
+    /// Applies an entry of the list. Returns whether the subset has to be chosen anew.
     fn apply_endpoint(
         &mut self,
         upstream: &mut Upstream,
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -5,36 +5,37 @@
 use super::weights::SlowStartRate;
 use std::collections::VecDeque;
 
-/// Turns looked ahead by the skip rule; two is the design's.
+/// Turns that the skip rule compares; the design has two.
 const LOOKAHEAD: usize = 3;
-/// This many times what another in sight has in flight, and half an attempt more, is clearly more.
+/// An upstream is skipped if it has more in flight than this multiple of the least looked at, and
+/// half an attempt more.
 const SKIP_MULTIPLE: f64 = 1.5;
 const SKIP_MARGIN: f64 = 0.5;
-/// Turns that an upstream can save up; one in slow start saves fewer.
+/// Largest deficits, in turns.
 const MAX_DEFICIT: f64 = 2.0;
 const MAX_SLOW_START_DEFICIT: f64 = 1.5;
-/// Rounds after which the search for an upstream with a turn is given up.
+/// Rounds after which the search for an upstream with a turn ends.
 const MAX_ROUNDS: usize = 8;
 
 /// Turns that one upstream has earned and not taken.
 pub(super) struct Deficit {
-    turns: f64,
+    amount: f64,
 }
 
 impl Deficit {
-    pub(super) fn new(turns: f64) -> Self {
-        Self { turns }
+    pub(super) fn new(amount: f64) -> Self {
+        Self { amount }
     }
 }
 
 /// The order in which the upstreams of the subset take turns.
 #[derive(Default)]
 pub(super) struct Rotation {
-    /// In this balancer's own order: balancers' cursors must not march in step.
+    /// In this balancer's own order: the cursors of balancers must not be synchronized.
     members: Vec<usize>,
-    /// sigma: the member that was looked at last.
+    /// sigma: the position of the last member that was considered.
     cursor: usize,
-    /// Turns that come next, already taken off the deficits.
+    /// The next turns, already taken off the deficits.
     lookahead: VecDeque<usize>,
 }
 
@@ -56,8 +57,9 @@
         self.lookahead.clear();
     }
 
-    /// Upstreams in slow start earn turns by time: where others are skipped the rotation is faster.
-    pub(super) fn earn_slow_start_turns(
+    /// Adds the turns of upstreams in slow start, by time: they must not get more where others are
+    /// skipped.
+    pub(super) fn earn_slow_start_deficit(
         &self,
         upstreams: &mut Upstreams,
         rate: SlowStartRate,
@@ -66,9 +68,10 @@
         for slot in &self.members {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let earned = elapsed_s * rate.warm_rate * rate.multiple * upstream.weight.weight();
-                let turns = upstream.deficit.turns + earned;
-                upstream.deficit.turns = turns.min(MAX_SLOW_START_DEFICIT);
+                let earned =
+                    elapsed_s * rate.steady_rate * rate.multiple * upstream.weight.weight();
+                let amount = upstream.deficit.amount + earned;
+                upstream.deficit.amount = amount.min(MAX_SLOW_START_DEFICIT);
             }
         }
     }
@@ -82,22 +85,22 @@
     }
 
     /// The next upstream in turn that `accepts` holds for and that has not clearly more in flight
-    /// than the least of those in sight. Who is passed over by `accepts` keeps its turn.
+    /// than the least of those looked at. An upstream that `accepts` rejects keeps its turn.
     pub(super) fn next(
         &mut self,
         upstreams: &mut Upstreams,
         accepts: impl Fn(&Upstream) -> bool,
         in_flight: impl Fn(&Upstream) -> f64,
     ) -> Option<usize> {
-        self.look_ahead(upstreams, &accepts);
+        self.fill_lookahead(upstreams, &accepts);
         let accepted = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]));
-        let in_sight = accepted
+        let visible = accepted
             .take(LOOKAHEAD)
             .map(|slot| in_flight(&upstreams[*slot]));
-        let least = in_sight.fold(f64::INFINITY, f64::min);
+        let min_in_flight = visible.fold(f64::INFINITY, f64::min);
         let mut position = 0;
         while let Some(&slot) = self.lookahead.get(position) {
             if !accepts(&upstreams[slot]) {
@@ -105,34 +108,34 @@
                 continue;
             }
             self.lookahead.remove(position);
-            if in_flight(&upstreams[slot]) <= least * SKIP_MULTIPLE + SKIP_MARGIN {
+            if in_flight(&upstreams[slot]) <= min_in_flight * SKIP_MULTIPLE + SKIP_MARGIN {
                 return Some(slot);
             }
         }
         None
     }
 
-    /// Takes turns in until enough accepted ones are in sight.
-    fn look_ahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
+    /// Looks ahead until enough upstreams are accepted.
+    fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
         let longest = LOOKAHEAD + self.members.len();
-        let mut in_sight = self
+        let mut visible = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]))
             .count();
-        while in_sight < LOOKAHEAD && self.lookahead.len() < longest {
+        while visible < LOOKAHEAD && self.lookahead.len() < longest {
             let Some(slot) = self.step(upstreams) else {
                 break;
             };
             self.lookahead.push_back(slot);
-            in_sight += usize::from(accepts(&upstreams[slot]));
+            visible += usize::from(accepts(&upstreams[slot]));
         }
         if self.lookahead.len() >= longest {
             self.lookahead.pop_front();
         }
     }
 
-    /// Moves the cursor to the next upstream that has earned a turn, and takes the turn.
+    /// Moves the cursor to the next upstream with a turn, and takes the turn off its deficit.
     fn step(&mut self, upstreams: &mut Upstreams) -> Option<usize> {
         for _ in 0..self.members.len() * MAX_ROUNDS {
             self.cursor = (self.cursor + 1) % self.members.len();
@@ -142,7 +145,7 @@
             if weight <= 0.0 {
                 continue;
             }
-            let deficit = &mut upstream.deficit.turns;
+            let deficit = &mut upstream.deficit.amount;
             if !upstream.weight.is_warming_up() {
                 *deficit = (*deficit + weight).min(MAX_DEFICIT);
             }
