--- a/balancer/tests/wire_fixtures.rs
+++ b/balancer/tests/wire_fixtures.rs
@@ -203,7 +203,7 @@
 impl RawClient {
     fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Self(BufReader::new(stream))
     }
 
@@ -217,7 +217,11 @@
 
     /// What the connection does after a response: another request on it is answered, or it ends with no further byte.
     fn after_response(mut self) -> &'static [u8] {
-        let sent = self.0.get_mut().write_all(HEALTH.as_bytes()).is_ok();
+        let sent = self
+            .0
+            .get_mut()
+            .write_all(LIVENESS_REQUEST.as_bytes())
+            .is_ok();
         let further = if sent { self.response() } else { Vec::new() };
         if further.is_empty() {
             return b"the connection is closed";
@@ -242,7 +246,7 @@
 
 /// One request through the balancer: what is sent, what the upstreams receive, and the response.
 fn exchange(transcript: &mut Transcript, case: &str, request: &str, upstream: &Recorder) {
-    let node = Setup::with(&[upstream.address]).start();
+    let node = TestConfig::with_upstreams(&[upstream.address]).start();
     let mut client = RawClient::connect(node.address);
     client.send(request.as_bytes());
     let response = client.response();
@@ -265,13 +269,15 @@
         "Transfer-Encoding: chunked\r\n\r\n",
     ) + "3\r\none\r\n4\r\n two\r\n0\r\n\r\n";
     let keyed = post("/keyed/a", "Idempotency-Key: \"k-1\"\r\n", "x");
-    let old = look(TIME_LEFT_MS).replace("HTTP/1.1", "HTTP/1.0");
+    let old = idempotent_request(TIME_LEFT_MS).replace("HTTP/1.1", "HTTP/1.0");
     let old_kept = old.replace("Host", "Connection: keep-alive\r\nHost");
-    let with_body = look(TIME_LEFT_MS).replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\nabc");
-    let last = look(TIME_LEFT_MS).replace("Host", "Connection: close\r\nHost");
-    let absolute = look(TIME_LEFT_MS).replace("/look", "http://app.svc:80/look/a%20b?q=%7e#part");
+    let with_body =
+        idempotent_request(TIME_LEFT_MS).replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\nabc");
+    let last = idempotent_request(TIME_LEFT_MS).replace("Host", "Connection: close\r\nHost");
+    let absolute = idempotent_request(TIME_LEFT_MS)
+        .replace("/look", "http://app.svc:80/look/a%20b?q=%7e#part");
     for (case, request) in [
-        ("GET", &look(TIME_LEFT_MS)),
+        ("GET", &idempotent_request(TIME_LEFT_MS)),
         ("GET with a body", &with_body),
         ("GET with an absolute target", &absolute),
         ("GET, the last on its connection", &last),
@@ -312,7 +318,7 @@
         exchange(
             &mut transcript,
             case,
-            &look(TIME_LEFT_MS),
+            &idempotent_request(TIME_LEFT_MS),
             &Recorder::start(response),
         );
     }
@@ -330,24 +336,24 @@
         exchange(
             &mut transcript,
             case,
-            &book(TIME_LEFT_MS, "x"),
+            &at_most_once_request(TIME_LEFT_MS, "x"),
             &Recorder::start(response),
         );
     }
     let unreachable = Recorder {
-        address: nobody(),
+        address: unreachable_address(),
         received: Arc::default(),
     };
     exchange(
         &mut transcript,
         "no upstream listens",
-        &book(TIME_LEFT_MS, "x"),
+        &at_most_once_request(TIME_LEFT_MS, "x"),
         &unreachable,
     );
     exchange(
         &mut transcript,
         "no response",
-        &book(400, "x"),
+        &at_most_once_request(400, "x"),
         &Recorder::start(""),
     );
     transcript.check();
@@ -402,7 +408,7 @@
 #[test]
 fn responses_to_bad_requests_are_as_committed() {
     let upstream = Recorder::start(WITH_LENGTH);
-    let node = Setup::with(&[upstream.address]).start();
+    let node = TestConfig::with_upstreams(&[upstream.address]).start();
     let mut transcript = Transcript::new("bad_requests.txt");
     let good = post("/book/day", "", "x");
     for (case, from, to) in BAD_REQUESTS {
@@ -427,7 +433,7 @@
 }
 
 /// A request that goes nowhere, and all that its client receives until the connection has a response and no more.
-fn refused(transcript: &mut Transcript, case: &str, request: &str, node: &Node) {
+fn refused(transcript: &mut Transcript, case: &str, request: &str, node: &BalancerProcess) {
     let mut client = RawClient::connect(node.address);
     client.send(request.as_bytes());
     let mut response = client.response();
@@ -446,21 +452,21 @@
 fn the_responses_of_a_shutdown_are_as_committed() {
     let mut transcript = Transcript::new("shutdown.txt");
     let silent = Recorder::start("");
-    let mut setup = Setup::with(&[silent.address]);
+    let mut setup = TestConfig::with_upstreams(&[silent.address]);
     setup.deadline_ms = 60_000;
     let mut node = setup.start();
     let ready = "GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
     let mut probe = RawClient::connect(node.address);
-    for (case, request) in [("live", HEALTH), ("ready", ready)] {
+    for (case, request) in [("live", LIVENESS_REQUEST), ("ready", ready)] {
         probe.send(request.as_bytes());
         transcript.add_received(&format!("{case}: the client receives"), &probe.response());
     }
     let mut waiting = RawClient::connect(node.address);
-    waiting.send(book(60_000, "x").as_bytes());
-    until("the upstream has it", || silent.received().len() == 1);
+    waiting.send(at_most_once_request(60_000, "x").as_bytes());
+    wait_until("the upstream has it", || silent.received().len() == 1);
     node.terminate();
     let mut draining = Vec::new();
-    until("not ready any more", || {
+    wait_until("not ready any more", || {
         let mut client = RawClient::connect(node.address);
         client.send(ready.as_bytes());
         draining = client.response();
@@ -472,24 +478,27 @@
         not_ready
     });
     let mut client = RawClient::connect(node.address);
-    client.send(HEALTH.as_bytes());
+    client.send(LIVENESS_REQUEST.as_bytes());
     transcript.add_received("draining, live: the client receives", &client.response());
     transcript.add_received("forced close: the client receives", &waiting.response());
     transcript.add("forced close: then", waiting.after_response());
     transcript.add_received("idle connection: the client receives", &probe.response());
-    assert!(node.wait().success());
+    assert!(node.wait_for_exit().success());
     transcript.check();
 }
 
 #[test]
 fn the_response_after_a_flood_is_as_committed() {
     let mut transcript = Transcript::new("flood.txt");
-    let (address, streams) = raw_peer();
-    let node = Setup::with(&[address]).start();
+    let RawPeer {
+        address,
+        connections: streams,
+    } = RawPeer::start();
+    let node = TestConfig::with_upstreams(&[address]).start();
     let mut client = RawClient::connect(node.address);
-    client.send(look(TIME_LEFT_MS).as_bytes());
-    let upstream = streams.recv_timeout(LONG).expect("an attempt");
-    assert!(next_request(&upstream).is_some());
+    client.send(idempotent_request(TIME_LEFT_MS).as_bytes());
+    let upstream = streams.recv_timeout(TIMEOUT).expect("an attempt");
+    assert!(read_request(&upstream).is_some());
     client.send(&[b'x'; 100_000]);
     node.round_trip();
     (&upstream).write_all(WITH_LENGTH.as_bytes()).unwrap();
@@ -505,19 +514,22 @@
 fn the_call_to_discovery_is_as_committed() {
     let mut transcript = Transcript::new("discovery_call.txt");
     let upstream = Recorder::start(WITH_LENGTH);
-    let (address, calls) = raw_peer();
-    let mut setup = Setup::with(&[upstream.address]);
-    (setup.discovery, setup.asks) = (address, true);
+    let RawPeer {
+        address,
+        connections: calls,
+    } = RawPeer::start();
+    let mut setup = TestConfig::with_upstreams(&[upstream.address]);
+    (setup.discovery, setup.polls_endpoints) = (address, true);
     let _node = setup.start();
-    let call = calls.recv_timeout(LONG).expect("a call");
+    let call = calls.recv_timeout(TIMEOUT).expect("a call");
     transcript.add_received("discovery receives", &read_raw(&mut BufReader::new(&call)));
-    let line = list(7, true, &[entry("s-0", upstream.address, "Ready")]);
+    let line = endpoint_list_json(7, true, &[endpoint_json("s-0", upstream.address, "Ready")]);
     (&call)
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .unwrap();
-    tell(&call, &line);
+    send_chunked_line(&call, &line);
     (&call).write_all(b"0\r\n\r\n").unwrap();
-    let further = calls.recv_timeout(LONG).expect("a further call");
+    let further = calls.recv_timeout(TIMEOUT).expect("a further call");
     transcript.add_received(
         "discovery receives next",
         &read_raw(&mut BufReader::new(&further)),
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,5 +1,5 @@
 //! Which upstreams are ejected, for how long, and which are not.
-#![allow(clippy::expect_used, reason = "a step that fails fails the test")]
+#![expect(clippy::expect_used, reason = "a step that fails fails the test")]
 
 mod common;
 
