--- a/balancer/src/client/connection.rs
+++ b/balancer/src/client/connection.rs
@@ -17,27 +17,27 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long a connection that is to be closed may take over the rest of a head it has begun.
+/// How long a closing connection waits for the rest of a partial request head.
 const HEAD_GRACE: Duration = Duration::from_millis(250);
-/// How often a connection that is to be closed is checked for the rest of such a head.
+/// How often a closing connection checks for the rest of a partial head.
 const HEAD_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// A close within this time after a response could reset the connection and take the response with it.
+/// A close within this time after a response could cause a reset that discards the response.
 const RESET_RISK_TIME: Duration = Duration::from_millis(500);
-/// A connection whose client takes no byte of its response for so long is closed.
+/// A connection is closed if its client reads no byte of its response for this long.
 const MAX_WRITE_STALL: Duration = Duration::from_secs(10);
-/// How often a connection is checked whose response is not taken.
+/// How often a connection with a blocked write is checked.
 const WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Size of a connection's buffer, the longest head.
+/// Size of a connection's buffer, and so the longest accepted head.
 const MAX_HEAD: usize = 32 * 1024;
 
-/// What a connection is doing.
+/// The current activity of a connection.
 #[derive(Clone, Copy)]
 enum Activity {
-    /// No request has come on it yet, since then.
+    /// No request has been received since this moment, when the connection was accepted.
     AwaitingFirst(Instant),
-    /// A request is on it.
+    /// A request is in progress.
     Busy,
-    /// It is between requests, since then.
+    /// Idle between requests since this moment.
     Idle(Instant),
 }
 
@@ -46,7 +46,7 @@
     ClientDisconnected,
     Completed,
     ProtocolError(hyper::Error),
-    /// It was to be closed, and part of a head at most was in hand.
+    /// It was due to close, and at most a partial head had been received.
     ClosedWhileIdle,
 }
 
@@ -54,13 +54,13 @@
 pub(super) struct ClientConnection {
     state: ClientState,
     activity: Cell<Activity>,
-    /// Notified when the connection is to be closed after the response in hand, or at once.
+    /// Notified when the connection must close: after the current response, or immediately if it is idle.
     close: Notify,
     is_close_requested: Cell<bool>,
 }
 
 impl ClientConnection {
-    /// A client whose connection has just been accepted.
+    /// Creates the state of a newly accepted connection.
     pub(super) fn new(state: ClientState) -> Rc<Self> {
         Rc::new(Self {
             state,
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Serves requests until the connection is closed; nothing more is sent then.
+    /// Serves requests until the connection is closed; nothing is sent after that.
     pub(super) async fn serve(
         self: &Rc<Self>,
         stream: ClientStream,
@@ -94,7 +94,7 @@
         tokio::pin!(close);
         let mut is_closing = false;
         let reason = loop {
-            // The watch goes first, so that all that has come is with the server when it is told to close.
+            // The watch is polled first, so that the server has all received bytes before its graceful shutdown starts.
             tokio::select! {
                 biased;
                 () = self.disconnected_in_request(watch) => break CloseReason::ClientDisconnected,
@@ -105,7 +105,7 @@
                     is_closing = true;
                     tracing::debug!("client connection closing");
                     connection.as_mut().graceful_shutdown();
-                    // Before anything more is read: what comes now would be read and never answered.
+                    // Poll once before the watch reads more: later bytes would be read but never answered.
                     if poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx).is_ready())).await {
                         break CloseReason::Completed;
                     }
@@ -116,18 +116,18 @@
         reason.log();
     }
 
-    /// Whether the connection may be closed in favour of another: no response on it waits to be taken.
+    /// Whether the connection may be closed in favour of another: it is not closing, and no write is blocked.
     pub(super) fn may_be_closed(&self) -> bool {
         !self.is_close_requested.get() && self.state.write_blocked_since().is_none()
     }
 
-    /// Asks for the connection to be closed.
+    /// Requests that the connection be closed.
     pub(super) fn request_close(&self) {
         self.is_close_requested.set(true);
         self.close.notify_one();
     }
 
-    /// Since when no request has been on the connection.
+    /// When the connection became idle; `None` while a request is in progress.
     pub(super) fn idle_since(&self) -> Option<Instant> {
         match self.activity.get() {
             Activity::AwaitingFirst(since) | Activity::Idle(since) => Some(since),
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Whether the client has closed the connection or ended its sending.
+    /// Whether the client has closed the connection or shut down its sending side.
     pub(super) fn has_disconnected(&self) -> bool {
         self.state.has_disconnected()
     }
@@ -145,12 +145,12 @@
         self.state.is_flooded()
     }
 
-    /// The request in hand is read completely.
+    /// Records that the current request has been read completely.
     pub(super) fn begin_response(&self) {
         self.state.set_responding(true);
     }
 
-    /// Whether a response was sent so lately that a reset of the connection could overtake it.
+    /// Whether a response was sent so recently that closing the connection could discard it.
     pub(super) fn is_reset_risky(&self) -> bool {
         let may_have_response = self.has_had_request() || self.state.head_since().is_some();
         let idle_since = self.idle_since().filter(|_| may_have_response);
@@ -170,50 +170,50 @@
         !matches!(self.activity.get(), Activity::AwaitingFirst(_))
     }
 
-    /// Waits until the client disconnects while it is owed a response.
+    /// Waits until the client disconnects while a response is pending.
     async fn disconnected_in_request(&self, watch: &mut ClientWatch) {
         watch.disconnected().await;
-        // Without a request in hand the HTTP server itself reaches the end of what was sent. It is polled behind this in
-        // the same task, and a request that it reads then is rejected.
+        // Without a request in progress, the HTTP server itself detects the end of the stream. It is polled after this
+        // future in the same task, and a request that it reads then is rejected.
         if self.idle_since().is_some() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Waits until the connection is to be closed with the response in hand, or at once where there is none.
+    /// Waits until the connection must close: after the current response, or immediately if there is none.
     async fn close_due(&self, mut phase: watch::Receiver<Phase>) {
         tokio::select! {
             () = self.close.notified() => (),
             _ = phase.wait_for(|phase| *phase == Phase::Closing) => (),
             () = self.idle_timeout() => return,
         }
-        // The poller goes first, and the connection is looked at: a close over a request that has come, or comes just
-        // now, costs a response.
+        // Let the poller run, then check the connection: closing it over a request that has just arrived would lose a
+        // response.
         yield_now().await;
-        let until = Instant::now() + HEAD_GRACE;
+        let deadline = Instant::now() + HEAD_GRACE;
         while self.idle_since().is_some()
             && self.state.head_since().is_some()
-            && Instant::now() < until
+            && Instant::now() < deadline
         {
             sleep(HEAD_CHECK_INTERVAL).await;
         }
     }
 
-    /// By when a request has to begin.
+    /// The deadline for the start of the next request.
     fn request_due_at(&self) -> Instant {
-        // With a request on the connection, it is checked again later.
+        // While a request is in progress, the deadline is computed again later.
         let idle_since = self.idle_since().unwrap_or_else(Instant::now);
-        // A client that has sent a request before may take as long over the next one from its first byte on.
+        // After the first request, the timeout of a head starts at its first byte.
         let head_since = self.state.head_since().filter(|_| self.has_had_request());
         head_since.map_or(idle_since, |since| idle_since.max(since)) + READ_TIMEOUT
     }
 
-    /// Waits until no request has begun for the time that a head may take, and no response waits to be taken. The HTTP
-    /// server's own timer would not do: after a stop of the process it fires before anybody has read what has come.
+    /// Waits until no request has started within the read timeout, and no write is blocked. The HTTP server's own timer
+    /// is unsuitable: after the process was suspended, it fires before the received bytes are read.
     async fn idle_timeout(&self) {
         loop {
             sleep_until(self.request_due_at()).await;
-            // What has come by now counts, however late this process runs.
+            // Bytes received by now count, even if this process runs late.
             yield_now().await;
             if self.state.write_blocked_since().is_some() && !self.write_completes().await {
                 return;
@@ -224,8 +224,7 @@
         }
     }
 
-    /// Waits until a response that the client is slow to take has left; `false` if the client takes nothing for too
-    /// long.
+    /// Waits until a blocked response has been written; `false` if the client reads nothing for [`MAX_WRITE_STALL`].
     async fn write_completes(&self) -> bool {
         while let Some(since) = self.state.write_blocked_since() {
             if since.elapsed() >= MAX_WRITE_STALL {
@@ -242,7 +241,7 @@
         true
     }
 
-    /// Waits until a connection that is to be closed holds nothing that is owed: part of a head at most.
+    /// Waits until a closing connection has no pending response; at most a partial head has been received.
     async fn idle_after_grace(&self) {
         loop {
             sleep(HEAD_GRACE).await;
--- a/balancer/src/client/mod.rs
+++ b/balancer/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: connections from their first byte to their close, requests, and responses.
+//! The client side: connections, requests and responses.
 
 mod connection;
 mod request;
@@ -10,13 +10,13 @@
 pub use response::{plain_response, response_of};
 pub use server::Server;
 
-/// How far the graceful shutdown has come.
+/// The phase of the graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has not begun.
+    /// The shutdown has not started.
     Serving,
-    /// Not ready any more; connections end with their next response.
+    /// Readiness checks fail; each connection closes after its next response.
     Draining,
-    /// Nothing new is accepted; connections end between requests.
+    /// No new connections are accepted; idle connections are closed.
     Closing,
 }
--- a/balancer/src/client/request.rs
+++ b/balancer/src/client/request.rs
@@ -1,4 +1,4 @@
-//! Clients' requests: read for the decision module, or answered with what is wrong with them.
+//! Reads and validates client requests.
 
 use super::response::plain_response;
 use crate::headers::{self, CORRELATION_ID, IDEMPOTENCY_KEY, RETRY, TENANT, TIME_LEFT, WORK_HINT};
@@ -15,35 +15,35 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The longest body of a request.
+/// The longest accepted request body.
 const MAX_BODY: usize = 64 * 1024;
-/// What is subtracted from a client's time left: the way of the request here and of the response back, and the timers.
+/// Subtracted from a client's time left, for network transit in both directions and timer delays.
 const TRANSIT_TIME: Duration = Duration::from_millis(4);
-/// The longest time left that is accepted, in milliseconds; a longer one is cut to it.
+/// The longest accepted time left, in milliseconds; a longer one is reduced to it.
 const MAX_TIME_LEFT_MS: u64 = 3_600_000;
-/// How long a head, or a body, may take to arrive: a peer that sends no proper request is owed an error or a close
-/// within 3 s of connecting.
+/// The timeout for receiving a head or a body. A peer that sends no valid request must get an error response or a
+/// close within 3 s of connecting.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Why a request is not submitted to the decision module. The client is told so, and nothing is forwarded.
+/// Why a request is not submitted to the decision module. The client gets an error, and nothing is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.message())]
 pub enum RequestError {
-    /// The path names no class.
+    /// The path matches no class.
     UnknownClass,
-    /// The method is not the one of the class.
+    /// The method does not match the class.
     WrongMethod,
-    /// There is no correlation id, or it is empty.
+    /// The correlation id is missing or empty.
     MissingCorrelationId,
-    /// The class needs an idempotency key.
+    /// The class requires an idempotency key, and there is none.
     MissingIdempotencyKey,
-    /// The tenant is none of the site's.
+    /// The tenant is not configured for the site.
     UnknownTenant,
-    /// The time left is missing or no number.
+    /// The time left is missing or not a number.
     UnreadableTimeLeft,
-    /// The work hint is no number.
+    /// The work hint is not a number.
     UnreadableWorkHint,
-    /// The body is longer than the balancer forwards.
+    /// The body exceeds the limit for forwarded bodies.
     BodyTooLong,
     /// The body ended early, or its framing is invalid.
     BodyTruncated,
@@ -54,7 +54,7 @@
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The HTTP status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             Self::UnknownClass => StatusCode::NOT_FOUND,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The body of the response.
+    /// The text of the response body.
     pub fn message(self) -> &'static str {
         match self {
             Self::UnknownClass => "unknown class",
@@ -88,27 +88,27 @@
         }
     }
 
-    /// The response.
+    /// The response to the client.
     pub fn response(self) -> Response<Full<Bytes>> {
         plain_response(self.status(), self.message())
     }
 }
 
-/// What the head of a request is checked against.
+/// The rules against which a request head is validated.
 #[derive(Clone, Copy)]
 struct ClassRules {
     id: ClassId,
     effect: Effect,
 }
 
-/// Reads requests with the classes and tenants of a site.
+/// Reads requests and validates them against the classes and tenants of a site.
 pub struct RequestReader {
     classes: FxHashMap<String, ClassRules>,
     tenants: FxHashMap<String, TenantId>,
 }
 
 impl RequestReader {
-    /// A reader for a site's classes and tenants.
+    /// Creates a reader for a site's classes and tenants.
     pub fn new(site: &Site) -> Self {
         let effects = site.settings.classes.iter().map(|class| class.effect);
         let classes = site.names.classes.iter().cloned().zip(effects).enumerate();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Reads a request, its body included.
+    /// Reads a request, including its body.
     pub async fn read(&self, request: Request<Incoming>) -> Result<ClientRequest, RequestError> {
         let received_at = Instant::now();
         let (parts, body) = request.into_parts();
@@ -162,7 +162,7 @@
         })
     }
 
-    /// The class that a path names, where the rest of the head fits it.
+    /// The class that matches the path, if the rest of the head is valid for it.
     fn class(
         &self,
         uri: &Uri,
@@ -218,7 +218,7 @@
     Ok(Duration::from_millis(left_ms.min(MAX_TIME_LEFT_MS)))
 }
 
-/// The expected work in milliseconds, where the client states it, in microseconds.
+/// The expected work in milliseconds, if the client states it; the header is in microseconds.
 fn work_hint_ms(headers: &HeaderMap) -> Result<Option<f64>, RequestError> {
     let Some(hint) = headers.get(WORK_HINT) else {
         return Ok(None);
--- a/balancer/src/client/server.rs
+++ b/balancer/src/client/server.rs
@@ -1,4 +1,4 @@
-//! Accepts clients, and responds to their requests.
+//! Accepts client connections and responds to their requests.
 
 use super::connection::ClientConnection;
 use super::request::{RequestError, RequestReader};
@@ -25,11 +25,11 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// How often a full server looks for a connection to close in favour of a new one.
+/// How often a server at its connection limit looks for a connection to close in favour of a new one.
 const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause after an accept has failed: when descriptors have run out, an immediate retry only spins.
+/// Pause after a failed accept: if descriptors have run out, an immediate retry would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long what a client still sends is discarded after the last response.
+/// How long remaining client data is discarded after the last response.
 const LINGER: Duration = Duration::from_millis(150);
 
 /// The server for clients.
@@ -43,7 +43,7 @@
 }
 
 impl Server {
-    /// A server that submits requests to `event_loop`.
+    /// Creates a server that submits requests to `event_loop`.
     pub fn new(event_loop: Rc<EventLoop>, site: &Site, phase: watch::Receiver<Phase>) -> Rc<Self> {
         Rc::new(Self {
             event_loop,
@@ -55,8 +55,8 @@
         })
     }
 
-    /// Accepts clients, at most `max_clients` at a time, until the process is closing; returns when the last of them
-    /// has gone.
+    /// Accepts clients, at most `max_clients` at a time, until the process is closing; returns when the last connection
+    /// has closed.
     pub async fn run(self: Rc<Self>, listener: TcpListener, max_clients: usize) {
         let permits = Arc::new(Semaphore::new(max_clients));
         let connections = TaskGroup::default();
@@ -68,8 +68,8 @@
             };
             self.on_accept(accepted, &permits, &connections).await;
         }
-        // The system has accepted these connections already: a request on one of them is owed its response, also where
-        // an accept fails. The caller bounds how long this takes.
+        // The kernel has already accepted these connections: requests on them need a response, even if an accept fails.
+        // The caller limits how long this takes.
         while let Some(accepted) = accept_waiting(&listener).await {
             self.on_accept(accepted, &permits, &connections).await;
         }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Pauses after an accept that failed by this machine's fault; otherwise the next one may succeed at once.
+    /// Pauses if an accept failed because of a local fault; otherwise the next one may succeed immediately.
     async fn on_accept_error(&self, error: &io::Error) {
         self.accept_log
             .warn(|suppressed| tracing::warn!(suppressed, %error, "accept failed"));
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Waits for a permit for a connection, and closes idle connections as long as there is none.
+    /// Waits for a connection permit, and closes idle connections until there is one.
     async fn permit(&self, permits: &Arc<Semaphore>) -> OwnedSemaphorePermit {
-        // Repeatedly: all clients may be busy now, and keep their connections once they are not.
+        // Retried in a loop: all clients may be busy now and become idle later.
         loop {
             if permits.available_permits() == 0 {
                 self.close_longest_idle();
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for the longest: its client can open another.
+    /// Closes the connection that has been idle for the longest; its client can open another.
     fn close_longest_idle(&self) {
         let clients = self.clients.borrow();
         let candidates = clients.values().filter(|client| client.may_be_closed());
@@ -131,7 +131,7 @@
     }
 
     async fn serve_client(self: Rc<Self>, stream: TcpStream) {
-        // Without this option responses take longer, and nothing else changes.
+        // Without TCP_NODELAY responses are delayed; a failure to set it has no other effect.
         let _ = stream.set_nodelay(true);
         let (stream, mut watch, state) = stream::split(stream);
         let number = self.next_client.replace(self.next_client.get() + 1);
@@ -148,7 +148,7 @@
         self.phase.clone()
     }
 
-    /// Responds to one request.
+    /// Responds to one request, or to a health check of the balancer.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -187,7 +187,7 @@
     }
 }
 
-/// A connection that waits to be accepted, or why that failed; `None`: none waits.
+/// A connection from the accept queue, or why the accept failed; `None` if the queue is empty.
 async fn accept_waiting(listener: &TcpListener) -> Option<io::Result<TcpStream>> {
     tokio::select! {
         biased;
--- a/balancer/src/client/stream.rs
+++ b/balancer/src/client/stream.rs
@@ -1,7 +1,7 @@
-//! A client's connection as the HTTP server sees it, read ahead of the server.
+//! A client's connection as the HTTP server sees it, with read-ahead.
 //!
-//! The server reads only what it needs for the request in hand. Bytes that wait behind that request would hide the
-//! end of the connection, so the watch reads ahead, up to a limit, and notices the end at once.
+//! The server reads only what it needs for the current request. Unread bytes after that request would hide the end of
+//! the stream. The watch therefore reads ahead, up to a limit, and detects a disconnect immediately.
 
 use crate::error_origin::retry_if_interrupted;
 use bytes::{Buf, BytesMut};
@@ -17,54 +17,54 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::{Instant, timeout};
 
-/// The most that is read ahead of the server.
+/// The read-ahead limit.
 const MAX_READ_AHEAD: usize = 32 * 1024;
-/// The most that one read takes.
+/// The size of one read.
 const READ_SIZE: usize = 4 * 1024;
-/// The most that is discarded on one connection, behind a request in hand or after the last response.
+/// The most bytes discarded on one connection, after the current request or after the last response.
 const MAX_DISCARDED: usize = 1024 * 1024;
 
-/// What is done with bytes that come.
+/// How received bytes are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadMode {
-    /// They are buffered; when the buffer is full, reading waits for the server.
+    /// Bytes are buffered; when the buffer is full, reading waits for the server.
     Buffering,
-    /// The same while a response is owed, when the server takes nothing: a full buffer means a flood.
+    /// Bytes are buffered while a response is pending. The server reads nothing then, so a full buffer means a flood.
     Responding,
-    /// The client has sent more than is buffered, or nothing more is read from it: they are discarded.
+    /// Bytes are discarded: the client has exceeded the buffer, or no further request will be read.
     Discarding,
 }
 
-/// What both sides of a connection know of it.
+/// State shared by both sides of a connection.
 struct Shared {
     buffer: RefCell<BytesMut>,
-    /// How reading ended, once it has: cleanly, or by what error.
+    /// How reading ended: cleanly, or with an error; `None` while it continues.
     ended: RefCell<Option<Result<(), io::ErrorKind>>>,
-    /// The server, where it waits for bytes.
+    /// Wakes the server when bytes have been received.
     server_waker: RefCell<Option<Waker>>,
-    /// The watch, where it waits for space in the buffer.
+    /// Wakes the watch when the buffer has space.
     watch_waker: RefCell<Option<Waker>>,
     mode: Cell<ReadMode>,
-    /// When the first byte came of a head that is not complete yet.
+    /// When the first byte of an incomplete head was received.
     head_since: Cell<Option<Instant>>,
-    /// Since when the client has taken no byte of a response that waits to be written.
+    /// Since when the client has read no byte of a pending write.
     write_blocked_since: Cell<Option<Instant>>,
 }
 
-/// The side of the connection that the HTTP server reads and writes. Dropping it ends the sending.
+/// The side that the HTTP server reads and writes. Dropping it shuts down the sending side.
 pub(super) struct ClientStream {
     shared: Rc<Shared>,
     writer: OwnedWriteHalf,
 }
 
-/// The side that reads ahead and notices that the client disconnects.
+/// The side that reads ahead and detects that the client disconnects.
 pub(super) struct ClientWatch {
     shared: Rc<Shared>,
     reader: OwnedReadHalf,
     discarded_bytes: usize,
 }
 
-/// The state of the connection, for whoever serves it.
+/// A view of the connection's state, for the task that serves it.
 #[derive(Clone)]
 pub(super) struct ClientState(Rc<Shared>);
 
@@ -97,12 +97,12 @@
 }
 
 impl ClientState {
-    /// Whether the client has closed the connection or ended its sending.
+    /// Whether the client has closed the connection or shut down its sending side.
     pub(super) fn has_disconnected(&self) -> bool {
         self.0.ended.borrow().is_some()
     }
 
-    /// Notes that a request has been read completely, or responded to: what comes from here on belongs to the next one.
+    /// Records that a request has been read completely or responded to: later bytes belong to the next request.
     pub(super) fn set_responding(&self, is_responding: bool) {
         if self.0.mode.get() != ReadMode::Discarding {
             self.0.mode.set(if is_responding {
@@ -116,17 +116,17 @@
         self.0.head_since.set(has_bytes.then(Instant::now));
     }
 
-    /// When the first byte came of a further request that has not begun yet.
+    /// When the first byte of a further, incomplete head was received.
     pub(super) fn head_since(&self) -> Option<Instant> {
         self.0.head_since.get()
     }
 
-    /// Whether part of what the client sent was discarded: no further request can be read.
+    /// Whether bytes from the client were discarded: no further request can be read.
     pub(super) fn is_flooded(&self) -> bool {
         self.0.mode.get() == ReadMode::Discarding
     }
 
-    /// Since when the client has taken nothing of a response that waits to be written.
+    /// Since when the client has read no byte of a pending write.
     pub(super) fn write_blocked_since(&self) -> Option<Instant> {
         self.0.write_blocked_since.get()
     }
@@ -152,7 +152,7 @@
 }
 
 impl ClientWatch {
-    /// Reads ahead until the client has closed the connection or ended its sending.
+    /// Reads ahead until the client has closed the connection or shut down its sending side.
     pub(super) async fn disconnected(&mut self) {
         poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
@@ -176,8 +176,8 @@
         Poll::Ready(())
     }
 
-    /// Buffers what has come for the server. A client that sends more behind a request in hand than is buffered is
-    /// flooding: the rest is discarded, as the end of the connection would not be noticed behind it.
+    /// Buffers received bytes for the server. A client that exceeds the buffer during a request is flooding: the rest
+    /// is discarded, because a full buffer would hide the end of the stream.
     fn on_bytes(&mut self, bytes: &[u8]) {
         let shared = &self.shared;
         let is_full = shared.buffer.borrow().len() + bytes.len() > MAX_READ_AHEAD;
@@ -198,10 +198,10 @@
         shared.wake_server();
     }
 
-    /// Discards what still comes, until the client closes or the time is over: a connection that is closed over unread
-    /// bytes is reset, and the reset may take the last response with it. The sending must have ended.
+    /// Discards further bytes until the client closes or the time is over: closing a connection with unread bytes
+    /// resets it, and the reset may discard the last response. The sending side must be shut down before.
     pub(super) async fn discard_rest(mut self, max_time: Duration) {
-        // A client that goes on sending, or keeps the connection, is closed upon.
+        // A client that keeps sending, or keeps the connection open, is closed after the timeout.
         let _ = timeout(max_time, poll_fn(|cx| self.poll_discard(cx))).await;
     }
 
