--- a/balancer/src/discovery/endpoint_list.rs
+++ b/balancer/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the form in which discovery states it: complete lists and changes.
+//! The endpoint list in discovery's format: snapshots and deltas.
 
 use crate::upstream::EndpointState;
 use frostkeel_policy::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
@@ -6,17 +6,17 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The longest line, and the longest list.
+/// The maximum length of a line, and so of a list.
 pub const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
 /// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A listed endpoint, for the decision module and for the connections.
+/// A listed endpoint: its properties for the decision module, and its state for the connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Its id, made of its uid alone: the same in every balancer, and wherever it listens.
+    /// Its id, derived from its uid alone: the same in every balancer, and independent of its address.
     pub id: UpstreamId,
     /// Its zone.
     pub zone: ZoneId,
@@ -33,14 +33,14 @@
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// How complete it is.
+    /// Whether it is a snapshot, a delta, cached or a failure.
     pub scope: UpdateScope,
     /// The entries.
     pub entries: Vec<EndpointEntry>,
 }
 
 impl EndpointUpdate {
-    /// Nothing has changed.
+    /// An update without changes.
     pub fn unchanged() -> Self {
         Self {
             scope: UpdateScope::Delta,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A call failed, or a watch has ended.
+    /// An update that reports a failed call, or the end of a watch.
     pub fn failed() -> Self {
         Self {
             scope: UpdateScope::Failed,
@@ -57,28 +57,28 @@
     }
 }
 
-/// A list as it was read.
+/// A parsed list.
 #[derive(Debug)]
 pub struct EndpointList {
     /// Its revision.
     pub revision: u64,
-    /// Whether it is the complete list, or else changes.
+    /// Whether it is a complete list (a snapshot), as opposed to changes (a delta).
     pub is_snapshot: bool,
-    /// The entries. One that names its upstream and is unreadable otherwise counts as draining.
+    /// The entries. One with a valid uid that is otherwise unreadable counts as draining.
     pub entries: Vec<EndpointEntry>,
-    /// How many entries do not name their upstream.
+    /// How many entries have no uid.
     pub unnamed_count: usize,
-    /// The first unreadable entry.
+    /// The error of the first unreadable entry.
     pub first_error: Option<EntryError>,
 }
 
-/// Why a text is not a list. The complete list is requested then, as what could not be read may have been a drain.
+/// Why a text is not a list. The complete list is requested next, because the unreadable text may contain a drain.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
     /// The text is not JSON in the form of a list.
     #[error("no list: {0}")]
     Json(#[from] serde_json::Error),
-    /// A line ended, or another began, inside a list.
+    /// A line ended, or another started, inside a list.
     #[error("a list is truncated")]
     Truncated,
     /// The list is longer than [`MAX_LIST_BYTES`].
@@ -86,32 +86,32 @@
     TooLong,
 }
 
-/// Why an entry of a list is unreadable. It concerns that entry alone.
+/// Why an entry of a list is unreadable. The other entries of the list remain valid.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// The entry does not name its upstream.
+    /// The entry has no uid.
     #[error("an entry without a uid")]
     MissingUid,
-    /// The entry has not the form of one.
+    /// The entry does not have the expected form.
     #[error("{uid}: {source}")]
     Json {
-        /// The upstream that it names.
+        /// The uid of the upstream.
         uid: String,
-        /// What is wrong.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// The state is none of the known ones.
+    /// The state is unknown.
     #[error("{uid}: unknown state {state:?}")]
     UnknownState {
-        /// The upstream that it names.
+        /// The uid of the upstream.
         uid: String,
-        /// The state.
+        /// The unknown state.
         state: String,
     },
-    /// The upstream takes requests, and its address is missing or unreadable.
+    /// The upstream accepts requests, but its address is missing or unreadable.
     #[error("{uid}: no address")]
     MissingAddress {
-        /// The upstream that it names.
+        /// The uid of the upstream.
         uid: String,
     },
 }
@@ -153,24 +153,24 @@
     }
 }
 
-/// The id of an upstream: the FNV-1a hash of its uid, the same in every process and build.
+/// The id of an upstream: the FNV-1a hash of its uid, stable across processes and builds.
 fn stable_id(uid: &str) -> UpstreamId {
     let hash = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     UpstreamId(uid.bytes().fold(FNV_OFFSET_BASIS, hash))
 }
 
-/// Reads lists with the names of a site's zones and kinds.
+/// Parses lists with the zone and kind names of a site.
 pub struct EndpointListReader {
     names: Names,
 }
 
 impl EndpointListReader {
-    /// A reader; `names` map zones and kinds to their ids.
+    /// Creates a reader; `names` map zones and kinds to their ids.
     pub fn new(names: Names) -> Self {
         Self { names }
     }
 
-    /// Reads the text of a list.
+    /// Parses the text of a list.
     pub fn read(&self, text: &[u8]) -> Result<EndpointList, EndpointListError> {
         let raw: RawList<'_> = serde_json::from_slice(text)?;
         let mut list = EndpointList {
@@ -259,11 +259,11 @@
     }
 }
 
-/// Zone and kind of an upstream whose list entry names none of the settings'.
+/// The zone or kind of an upstream whose entry names one that is not in the settings.
 const UNKNOWN_ZONE: ZoneId = ZoneId(u8::MAX);
 const UNKNOWN_KIND: KindId = KindId(u16::MAX);
 
-/// What stands in for an entry that names its upstream and cannot be read: it may have been a drain.
+/// Replaces an unreadable entry that has a uid: the upstream may be draining.
 fn unreadable_entry(uid: &str) -> EndpointEntry {
     EndpointEntry {
         id: stable_id(uid),
--- a/balancer/src/discovery/error.rs
+++ b/balancer/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a watch on the endpoint list ends.
+//! Errors of the watch on the endpoint list.
 
 use super::endpoint_list::EndpointListError;
 use crate::error_origin::ErrorOrigin;
@@ -6,49 +6,49 @@
 use std::io;
 use tokio::time::error::Elapsed;
 
-/// Why a call for a watch failed, or the watch has ended. The caller polls again; the list that it has stays in force.
+/// Why a call for a watch failed, or the watch has ended. The caller polls again; the current list stays in effect.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// No connection could be made. It says nothing of discovery where the fault is this machine's.
+    /// The connection could not be established. If the fault is local, this is no evidence about discovery.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    /// The connection took too long.
+    /// The connection timed out.
     #[error("no connection in time")]
     ConnectTimeout(#[source] Elapsed),
-    /// Discovery has taken the call and does not respond.
+    /// Discovery accepted the call but does not respond.
     #[error("no response in time")]
     Unresponsive(#[source] Elapsed),
     /// Discovery has rejected the call.
     #[error("rejected with status {0}")]
     Rejected(StatusCode),
-    /// The call could not be written down.
+    /// The request could not be built.
     #[error("invalid request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The connection ended, or what came on it is not HTTP.
+    /// The connection ended, or the received data is not valid HTTP.
     #[error("the connection failed: {0}")]
     Http(#[from] hyper::Error),
-    /// Nothing has come for too long, or a line has stopped in the middle.
+    /// No data was received for too long, or a line was truncated.
     #[error("the watch is stalled")]
     Stalled(#[source] Elapsed),
-    /// A line is not a list.
+    /// A line could not be parsed as a list.
     #[error(transparent)]
     List(#[from] EndpointListError),
-    /// A change of a version before the one in hand.
+    /// A change with a lower revision than the current list.
     #[error("changes of revision {received}, older than {current}")]
     OutdatedRevision {
         /// The revision received.
         received: u64,
-        /// The revision in hand.
+        /// The current revision.
         current: u64,
     },
-    /// A change that does not name its upstream.
+    /// A change without the uid of its upstream.
     #[error("a change of an upstream that is not named")]
     UnnamedChange,
 }
 
 impl DiscoveryError {
-    /// Whether a call that had no response means that discovery cannot be reached. A fault of this machine says
-    /// nothing of discovery, and one that takes calls and does not respond is unresponsive.
+    /// Whether a call without a response means that discovery is unreachable. A local fault is no evidence of that, and
+    /// discovery that accepts calls without responding is unresponsive rather than unreachable.
     pub(super) fn is_unreachable(&self) -> bool {
         match self {
             Self::Unresponsive(_) => false,
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Discovery: the watch on the endpoint list. It is the only call there is: a watch from revision 0 begins with the
-//! complete list.
+//! Discovery: the watch on the endpoint list. There is no separate call for the list: a watch from revision 0 starts
+//! with a snapshot.
 
 mod endpoint_list;
 mod error;
@@ -30,43 +30,43 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use watch_progress::WatchProgress;
 
-/// How long a call may take to be answered: discovery serves one after another, and fails those that wait too long.
+/// The timeout of a call. Discovery serves calls one after another, and fails those that wait too long.
 const CALL_TIMEOUT: Duration = Duration::from_millis(3500);
-/// How long a connection to discovery may take.
+/// The timeout for connecting to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Numbers the watches of a process.
+/// Identifies a watch within the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchId(u64);
 
-/// What has come of a watch, or of the call for one. The moments are those of the monotonic clock.
+/// An event of a watch, or of the call for one. The moments are on the monotonic clock.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// A list, changes, or that the watch has ended.
+    /// A snapshot, a delta, or the end of the watch.
     Update(EndpointUpdate),
-    /// Nothing has come since then, and the watch or the call is given up.
+    /// No data has been received since this moment; the watch or the call has timed out.
     Silent(Instant),
     /// Discovery has ended the watch.
     Ended,
-    /// Part of a response or of a line has come, the first of it then, and not its end.
+    /// Part of a response or of a line has been received, its first byte at this moment.
     Partial(Instant),
-    /// The call made then was rejected.
+    /// The call made at this moment was rejected.
     Rejected(Instant),
-    /// The call made then has reached nobody, or was ended without a response.
+    /// The call made at this moment did not reach discovery, or was closed without a response.
     Unreachable(Instant),
 }
 
-/// What one line of a watch says.
+/// The content of one line of a watch.
 enum WatchMessage {
     Heartbeat,
     Update(EndpointUpdate),
 }
 
-/// Where discovery is, and which list this balancer has.
+/// The address of discovery, and the revision of this balancer's list.
 pub struct Discovery {
     address: Cell<SocketAddr>,
     reader: EndpointListReader,
-    /// The revision of the list in hand; 0: none.
+    /// The revision of the current list; 0 if there is none.
     revision: Cell<u64>,
     watch_task: RefCell<Option<AbortHandle>>,
     current_watch: Cell<WatchId>,
@@ -74,7 +74,7 @@
 }
 
 impl Discovery {
-    /// Discovery at an address; `names` map zones and kinds to their ids.
+    /// Creates a client of discovery; `names` map zones and kinds to their ids.
     pub fn new(address: SocketAddr, names: Names) -> Self {
         Self {
             address: Cell::new(address),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The list of the configuration, as [`UpdateScope::Cached`].
+    /// The list in the configuration, as [`UpdateScope::Cached`].
     pub fn cached_list(&self, text: &str) -> EndpointUpdate {
         let mut update = EndpointUpdate {
             scope: UpdateScope::Cached,
@@ -101,46 +101,46 @@
         update
     }
 
-    /// Sets the address of discovery. Returns whether it has changed under a watch, which must then be replaced.
+    /// Sets the address of discovery. Returns whether it has changed during a watch, which must then be replaced.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         self.address.replace(address) != address && self.watch_task.borrow().is_some()
     }
 
-    /// Begins a watch, in place of the one before, which says nothing more.
+    /// Starts a watch in place of the previous one, which reports no further events.
     pub fn begin_watch(&self) -> WatchId {
         let watch = WatchId(self.current_watch.get().0 + 1);
         self.current_watch.set(watch);
         watch
     }
 
-    /// Takes over the task that runs the watch, and ends the one before.
+    /// Sets the task that runs the watch, and aborts the previous one.
     pub fn set_watch_task(&self, task: AbortHandle) {
-        if let Some(before) = self.watch_task.borrow_mut().replace(task) {
-            before.abort();
+        if let Some(previous) = self.watch_task.borrow_mut().replace(task) {
+            previous.abort();
         }
     }
 
-    /// Ends the watch.
+    /// Aborts the watch.
     pub fn stop(&self) {
         if let Some(task) = self.watch_task.borrow_mut().take() {
             task.abort();
         }
     }
 
-    /// Runs a watch until it ends, and reports what comes; the last event is that it has failed. A watch that another
-    /// has replaced reports nothing more, though its task may still run.
+    /// Runs a watch until it ends, and reports its events; the last one is a failure. A replaced watch reports no
+    /// further events, even if its task still runs.
     pub async fn watch(&self, watch: WatchId, mut report: impl FnMut(DiscoveryEvent)) {
         let mut report = |event| {
             if self.is_current(watch) {
                 report(event);
             }
         };
-        let ended = self.run_watch(watch, &mut report).await;
+        let result = self.run_watch(watch, &mut report).await;
         if !self.is_current(watch) {
             tracing::info!(watch = watch.0, "watch replaced");
             return;
         }
-        match ended {
+        match result {
             Ok(()) => tracing::info!(watch = watch.0, "watch ended"),
             Err(error) => tracing::warn!(watch = watch.0, %error, "watch failed"),
         }
@@ -172,7 +172,7 @@
         self.read_watch(watch, body, report).await
     }
 
-    /// Calls for a watch on what is newer than a revision; `first_byte` notes when its response begins.
+    /// Requests a watch on changes after a revision; `first_byte` records when its response starts.
     async fn request_watch(
         &self,
         revision: u64,
@@ -218,7 +218,7 @@
                 progress.on_line();
                 match message {
                     WatchMessage::Update(update) => report(DiscoveryEvent::Update(update)),
-                    // In place of a first list it says that nothing has changed.
+                    // A heartbeat in place of the first list means that the list is unchanged.
                     WatchMessage::Heartbeat if is_first_line => {
                         report(DiscoveryEvent::Update(EndpointUpdate::unchanged()));
                     }
@@ -233,8 +233,8 @@
         Ok(())
     }
 
-    /// The next complete line of a watch. One that cannot be read may have told of a drain, so the complete list is
-    /// requested next.
+    /// The next complete line of a watch. After an unreadable line the complete list is requested, because the line may
+    /// have contained a drain.
     fn next_message(&self, lines: &mut WatchLines) -> Result<Option<WatchMessage>, DiscoveryError> {
         let line = lines.next_line().map_err(DiscoveryError::from);
         let message = line.and_then(|line| match line {
@@ -255,7 +255,7 @@
         message.inspect_err(|_| self.revision.set(0))
     }
 
-    /// Reads a list and takes its revision for the one in hand.
+    /// Parses a list and sets its revision as the current one.
     fn accept(&self, text: &[u8]) -> Result<EndpointList, DiscoveryError> {
         let list = self.reader.read(text)?;
         if let Some(error) = &list.first_error {
@@ -289,7 +289,7 @@
     }
 }
 
-/// Reports what the call for a watch says of discovery.
+/// Reports the outcome of the call for a watch.
 fn report_call(
     error: Option<&DiscoveryError>,
     requested_at: Instant,
@@ -301,7 +301,7 @@
     }
     match (error, first_byte_at) {
         (Some(DiscoveryError::Rejected(_)), _) => report(DiscoveryEvent::Rejected(requested_at)),
-        // Whatever has come of a response was written by discovery.
+        // Any byte of a response shows that discovery is reachable.
         (_, Some(since)) => report(DiscoveryEvent::Partial(since)),
         (Some(error), None) if error.is_unreachable() => {
             report(DiscoveryEvent::Unreachable(requested_at))
@@ -310,7 +310,7 @@
     }
 }
 
-/// The next data of a watch; `None`: discovery has ended it.
+/// The next data of a watch; `None` if discovery has ended it.
 async fn next_data(
     body: &mut Incoming,
     progress: &WatchProgress,
--- a/balancer/src/discovery/watch_lines.rs
+++ b/balancer/src/discovery/watch_lines.rs
@@ -1,4 +1,4 @@
-//! The lines of a watch.
+//! Splits the data of a watch into lines.
 
 use super::endpoint_list::{EndpointListError, MAX_LIST_BYTES};
 use bytes::{Bytes, BytesMut};
@@ -7,44 +7,44 @@
 /// One line of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchLine {
-    /// An empty line: nothing has changed.
+    /// An empty line: no changes.
     Heartbeat,
     /// The text of a list.
     List(Bytes),
 }
 
-/// Where in a JSON text the scan is.
+/// The state of the scan in a JSON text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ScanState {
     #[default]
     OutsideString,
     InString,
-    /// Behind a backslash in a string.
+    /// After a backslash in a string.
     InEscape,
 }
 
-/// Splits what comes on a watch into its lines. A list may go over several lines of text, none of them empty.
+/// Splits received data into the lines of a watch. A list may span several lines of text, none of them empty.
 #[derive(Default)]
 pub struct WatchLines {
     buffer: BytesMut,
-    /// How much of the buffer has been scanned.
+    /// How many bytes of the buffer have been scanned.
     scanned: usize,
     scan_state: ScanState,
-    /// Braces and brackets that are open there.
+    /// How many braces and brackets are open at that position.
     depth: usize,
-    /// Text lines of the list in hand that have ended.
+    /// The number of complete text lines of the current list.
     ended_lines: usize,
-    /// Whether the text line in hand holds anything but white space.
+    /// Whether the current text line contains anything but white space.
     has_content: bool,
 }
 
 impl WatchLines {
-    /// Whether part of a list is in hand; white space alone is none.
+    /// Whether part of a list has been received; white space alone does not count.
     pub fn has_partial_list(&self) -> bool {
         self.has_content || self.ended_lines > 0
     }
 
-    /// Adds what has come.
+    /// Adds received data.
     pub fn push(&mut self, data: &[u8]) {
         self.buffer.extend_from_slice(data);
     }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A text line has ended: it was empty, or it ends a list, or the list goes on.
+    /// Handles the end of a text line: it is a heartbeat, it completes a list, or the list continues.
     fn on_text_line_end(&mut self) -> Result<Option<WatchLine>, EndpointListError> {
         let had_content = std::mem::take(&mut self.has_content);
         self.ended_lines += 1;
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether no text that goes on from here can be a list.
+    /// Whether the text is invalid JSON, whatever follows it.
     fn is_invalid_so_far(&self) -> bool {
         let parsed = serde_json::from_slice::<&RawValue>(&self.buffer[..self.scanned]);
         parsed.is_err_and(|error| !error.is_eof())
--- a/balancer/src/discovery/watch_progress.rs
+++ b/balancer/src/discovery/watch_progress.rs
@@ -1,27 +1,27 @@
-//! How long a watch may go without a line, or a line without its end.
+//! Timeouts of a watch: the time without a line, and the time to complete a line.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A watch sends a line every 2 s. Without one for this long it is dead, whatever its connection looks like; the
-/// rest of the 6 s after which a change counts as notified is for opening another.
+/// A watch sends a line every 2 s. Without one for this long it has failed, even if its connection is still open. A
+/// change counts as notified after 6 s; the remaining time is for opening another watch.
 pub const MAX_SILENCE: Duration = Duration::from_millis(3000);
-/// A line that has begun and does not go on for this long is truncated: the list is requested anew while the change
-/// may still be learned within the grace time of a drain.
+/// A line that makes no progress for this long is truncated. The list is then requested again while the change can
+/// still be learned within the grace time of a drain.
 const MAX_STALL: Duration = Duration::from_millis(500);
-/// The longest that one line may take to arrive: meanwhile nothing is sent by the list before it.
+/// The longest time to receive one line: meanwhile no request is sent based on the previous list.
 const MAX_LINE_TIME: Duration = Duration::from_secs(12);
 
-/// How far the lines of a watch have come.
+/// The progress of a watch.
 pub(super) struct WatchProgress {
     last_line_at: Instant,
     last_byte_at: Instant,
-    /// Since when part of a line has been in hand.
+    /// When the first part of the current, incomplete line was received.
     line_began_at: Option<Instant>,
 }
 
 impl WatchProgress {
-    /// The response has begun, and its first line is still to come.
+    /// Starts when the response has begun; its first line is outstanding.
     pub(super) fn new(responded_at: Instant) -> Self {
         Self {
             last_line_at: responded_at,
@@ -39,14 +39,14 @@
         self.line_began_at = None;
     }
 
-    /// Notes that part of a line is in hand; returns whether it is the first part.
+    /// Records that part of a line has been received; returns whether it is the first part.
     pub(super) fn on_partial_line(&mut self) -> bool {
         let is_first = self.line_began_at.is_none();
         self.line_began_at.get_or_insert(self.last_byte_at);
         is_first
     }
 
-    /// When the watch is given up if nothing comes.
+    /// When the watch times out if no data is received.
     pub(super) fn give_up_at(&self) -> Instant {
         match self.line_began_at {
             None => self.last_line_at + MAX_SILENCE,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Since when the watch has been silent; `None`: part of a line is in hand.
+    /// Since when the watch has sent no line; `None` while a line is incomplete.
     pub(super) fn silent_since(&self) -> Option<Instant> {
         self.line_began_at.is_none().then_some(self.last_line_at)
     }
