--- a/balancer/src/event_loop/actions.rs
+++ b/balancer/src/event_loop/actions.rs
@@ -1,4 +1,4 @@
-//! What the decision module wants done.
+//! Performs the actions that the decision module returns.
 
 use super::{EventLoop, LoopState};
 use crate::in_flight::FinalResponse;
--- a/balancer/src/event_loop/attempts.rs
+++ b/balancer/src/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: each runs as a task of its own, which ends with one event.
+//! Attempts: each runs as its own task, which ends with one event.
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use crate::in_flight::{Attempt, FinalResponse};
@@ -64,7 +64,7 @@
         self.abort_attempt(state, id, attempt, Outcome::Cancelled);
     }
 
-    /// Ends the task of an attempt that has not ended, and queues its outcome.
+    /// Aborts the task of an attempt that has not ended, and queues its outcome.
     pub(super) fn abort_attempt(
         &self,
         state: &LoopState,
@@ -97,7 +97,7 @@
         let Some(in_flight) = state.in_flight.get_mut(id) else {
             return;
         };
-        // One event for each attempt: one that is cancelled may have ended by itself just before.
+        // One event per attempt: a cancelled attempt may have completed just before.
         let Some(open) = in_flight.open_attempt(attempt) else {
             return;
         };
@@ -119,14 +119,14 @@
             ?load_report,
             "attempt ended"
         );
-        // The response of a hedge comes to a request that has its own already, and is dropped.
+        // The request already has its final response, so that the response of the hedge is dropped.
         if let Some(response) = response
             && let Some(reply) = in_flight.reply.take()
         {
             state
                 .counters
                 .count_forwarded(class, in_flight.received_at.elapsed());
-            // Where the client has just disconnected, nobody waits for it.
+            // The client may have just disconnected, so that there is no receiver.
             let _ = reply.send(FinalResponse::Forwarded(response));
         }
         let finished = in_flight.reply.is_none();
--- a/balancer/src/event_loop/background.rs
+++ b/balancer/src/event_loop/background.rs
@@ -1,4 +1,4 @@
-//! What runs beside the events: expired connections are closed, and the log is given the balancer's status.
+//! Periodic background work: closes expired connections and logs the balancer's status.
 
 use super::EventLoop;
 use std::rc::Rc;
--- a/balancer/src/event_loop/endpoints.rs
+++ b/balancer/src/event_loop/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what discovery says, for the decision module and for the upstreams.
+//! Applies updates from discovery to the decision module and to the upstreams.
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use crate::discovery::{DiscoveryEvent, EndpointEntry, EndpointUpdate};
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 
 impl EventLoop {
-    /// Sets the address of discovery; a watch goes on there.
+    /// Sets the address of discovery; an active watch is restarted there.
     pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.set_address(address) {
             self.enqueue(QueuedEvent::DiscoveryMoved);
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Starts a watch, in place of the one before.
+    /// Starts a watch in place of the previous one.
     pub(super) fn start_watch(self: &Rc<Self>) {
         let event_loop = Rc::clone(self);
         let watch = self.discovery.begin_watch();
@@ -70,7 +70,7 @@
         self.apply_send_pause(state);
     }
 
-    /// Tells the upstreams when the module's lease on the list allows no sends.
+    /// Passes the module's send pause, which depends on its lease on the list, to the upstreams.
     fn apply_send_pause(&self, state: &LoopState) {
         let pause = state.balancer.send_pause();
         let instants =
--- a/balancer/src/event_loop/health_checks.rs
+++ b/balancer/src/event_loop/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: each runs as a task of its own, which ends with one event.
+//! Health checks: each runs as its own task, which ends with one event.
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use crate::upstream::AttemptResult;
--- a/balancer/src/event_loop/mod.rs
+++ b/balancer/src/event_loop/mod.rs
@@ -1,8 +1,8 @@
-//! The event loop round the decision module: it turns what happens into the module's events, and performs the actions
-//! that the module returns, in their order. It decides nothing.
+//! The event loop of the decision module: it converts I/O into the module's events, and performs the actions that the
+//! module returns, in their order. It makes no decisions itself.
 //!
-//! Whatever happens is queued and processed from the queue, one event at a time, so that the module is never entered
-//! twice. Tasks only add to the queue.
+//! All events are queued and processed one at a time, so that the module is never re-entered. Tasks only add to the
+//! queue.
 
 mod actions;
 mod attempts;
@@ -26,11 +26,11 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What the loop processes next.
+/// An event in the queue.
 enum QueuedEvent {
-    /// Something has come of a watch on the endpoint list.
+    /// An event of a watch on the endpoint list.
     Discovery(DiscoveryEvent),
-    /// Discovery has another address.
+    /// The address of discovery has changed.
     DiscoveryMoved,
     /// A client's request was submitted.
     RequestReceived(RequestId),
@@ -52,12 +52,12 @@
     TimerDue(TimerId),
 }
 
-/// What only the event in hand may change.
+/// State that only the processing of an event may change.
 struct LoopState {
     balancer: Balancer,
     in_flight: InFlightTable,
     counters: RequestCounters,
-    /// The actions of the event in hand.
+    /// The actions of the current event.
     actions: Vec<Action>,
 }
 
@@ -76,13 +76,13 @@
     upstreams: Upstreams,
     incarnations: RefCell<Incarnations>,
     discovery: Discovery,
-    /// Set when all attempts must end.
+    /// Set when all attempts must be aborted.
     force_close: watch::Sender<bool>,
     tasks: TaskGroup,
 }
 
 impl EventLoop {
-    /// Starts the loop with the list known before the start and the counters of its classes.
+    /// Starts the loop with the cached endpoint list and the counters of its classes.
     pub fn start(
         balancer: Balancer,
         counters: RequestCounters,
@@ -112,19 +112,19 @@
         event_loop
     }
 
-    /// Ends all attempts, and each that may follow, so that the module gives every request in flight its final
-    /// response: the process is about to end.
+    /// Aborts all current and future attempts before the process exits, so that the module gives every request in
+    /// flight its final response.
     pub fn force_close(&self) {
         self.force_close.send_replace(true);
     }
 
-    /// Ends the tasks of the loop.
+    /// Aborts the tasks of the loop.
     pub fn stop(&self) {
         self.discovery.stop();
         self.tasks.abort_all();
     }
 
-    /// Queues an event, and processes the queue unless that is being done already.
+    /// Queues an event, and processes the queue unless it is already being processed.
     fn enqueue(self: &Rc<Self>, event: QueuedEvent) {
         self.queue.borrow_mut().push_back(event);
         if self.is_processing.replace(true) {
@@ -138,7 +138,7 @@
         self.is_processing.set(false);
     }
 
-    /// Hands one event to the module and performs its actions.
+    /// Passes one event to the module and performs its actions.
     fn process_event(self: &Rc<Self>, state: &mut LoopState, event: QueuedEvent) {
         let now = self.clock.now();
         match event {
--- a/balancer/src/event_loop/requests.rs
+++ b/balancer/src/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: from their arrival to their final response.
+//! Requests: from submission to their final response.
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use crate::headers::CORRELATION_ID;
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 
 impl EventLoop {
-    /// Submits a request to the decision module. Dropping what is returned before the final response means that the
+    /// Submits a request to the decision module. Dropping the returned value before the final response means that the
     /// client has disconnected.
     pub fn submit(self: &Rc<Self>, request: ClientRequest) -> PendingResponse {
         let (reply, response) = oneshot::channel();
@@ -19,7 +19,7 @@
         PendingResponse::new(Rc::clone(self), id, response)
     }
 
-    /// The client of a request that is owed its final response has disconnected.
+    /// Handles the disconnect of a client whose request has no final response.
     pub(crate) fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         self.enqueue(QueuedEvent::ClientDisconnected(id));
     }
@@ -69,7 +69,7 @@
         self.release(state, id);
     }
 
-    /// Gives a request a final response that is not an upstream's.
+    /// Completes a request with a final response that is not from an upstream.
     pub(super) fn respond(
         &self,
         state: &mut LoopState,
@@ -81,14 +81,14 @@
             && let Some(reply) = in_flight.reply.take()
         {
             state.counters.count_failed(in_flight.request.class, reason);
-            // Where the client has just disconnected, nobody waits for it.
+            // The client may have just disconnected, so that there is no receiver.
             let _ = reply.send(response);
         }
         self.release(state, id);
     }
 
-    /// Removes a request that has its final response and no open attempt. Attempts of which nothing was written are
-    /// dropped, also where the site does not allow cancellation: nobody waits for them, and nothing of them has left.
+    /// Removes a request that has its final response and no attempt in progress. Attempts of which nothing was written
+    /// are dropped even if the site does not allow cancellation: no byte was sent, and no client waits for them.
     pub(super) fn release(&self, state: &mut LoopState, id: RequestId) {
         let Some(in_flight) = state
             .in_flight
