--- a/balancer/src/upstream/attempt.rs
+++ b/balancer/src/upstream/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt: a request to one upstream, and its outcome.
 //!
-//! That an attempt never ran is claimed only where it can be proved: no connection was made, the kernel did not take
-//! the request's last byte before the connection ended, or the upstream says so itself.
+//! An attempt is reported as not executed only if that can be proved: no connection was established, the kernel did
+//! not accept the request's last byte before the connection ended, or the upstream itself reports it.
 
 use super::Upstreams;
 use super::checkout::CheckedOutConnection;
@@ -19,13 +19,13 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, timeout_at};
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Nothing of it has been written: it can be dropped as though it had never been started.
+    /// Nothing has been written: the attempt can be dropped without any effect.
     #[default]
     WaitingForConnection,
-    /// Something of it may have been written.
+    /// Part of the request may have been written.
     Written,
     /// It has ended.
     Ended,
@@ -47,7 +47,7 @@
     pub outcome: Outcome,
     /// The response, with [`Outcome::Ok`].
     pub response: Option<UpstreamResponse>,
-    /// The values of a load report, in the order of the settings; empty if none came.
+    /// The values of a load report, in the order of the settings; empty if there was none.
     pub load_report: Vec<f32>,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// How much of a request the kernel took.
+/// How much of a request the kernel has accepted.
 struct WriteProgress {
     written: u64,
     length: u64,
@@ -74,7 +74,7 @@
 }
 
 impl Upstreams {
-    /// Sends a request to an upstream and waits for the response until `give_up_at`. `state` becomes
+    /// Sends a request to an upstream and waits for the response until `give_up_at`. `state` is set to
     /// [`AttemptState::Written`] before the first byte is written.
     pub async fn attempt(
         &self,
@@ -89,8 +89,8 @@
         };
         loop {
             state.set(AttemptState::WaitingForConnection);
-            // The poller goes first: an idle connection may have ended, on which a request would end as a reset, or
-            // the client may have disconnected.
+            // Let the poller run first: an idle connection may have ended, and a request on it would end as a reset;
+            // or the client may have disconnected.
             yield_now().await;
             let checked_out = match self.check_out(&upstream, give_up_at).await {
                 Ok(checked_out) => checked_out,
@@ -98,7 +98,7 @@
             };
             let now = Instant::now();
             let time_left = give_up_at.saturating_duration_since(now);
-            // The upstream may have begun to drain while the connection was made.
+            // The upstream may have started to drain while the connection was being established.
             if !upstream.is_ready() || time_left.is_zero() || self.is_paused(now) {
                 upstream.check_in(checked_out);
                 return Outcome::NotSent.into();
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Runs one exchange on a connection. `None`: nothing of the request has left, and it goes on another connection.
+    /// Runs one exchange on a connection. `None` if no byte was sent: the attempt continues on another connection.
     async fn run_exchange(
         &self,
         id: UpstreamId,
@@ -163,11 +163,11 @@
         progress: &WriteProgress,
         response: Response<Bytes>,
     ) -> AttemptResult {
-        // A response that came before the request had left completely leaves the rest in the way.
+        // A connection with an incompletely written request cannot be reused, even after a response.
         if progress.is_complete() {
             upstream.check_in(checked_out);
         } else if response.status() == StatusCode::OK {
-            // An upstream starts with the last byte: this responds to something else, perhaps an earlier request.
+            // An upstream processes a request only when it is complete: this response may be to an earlier request.
             self.response_log.warn(|suppressed| {
                 tracing::warn!(suppressed, upstream = id.0, "response before request");
             });
@@ -183,7 +183,7 @@
         error: &ExchangeError,
     ) -> Outcome {
         if error.has_responded() {
-            // The upstream's process is alive, so that this is no connection error.
+            // The upstream's process is alive, so that this does not count as a connection error.
             self.response_log.warn(|suppressed| {
                 tracing::warn!(suppressed, upstream = id.0, %error, "response unreadable");
             });
--- a/balancer/src/upstream/checkout.rs
+++ b/balancer/src/upstream/checkout.rs
@@ -1,4 +1,4 @@
-//! Connections for attempts: an idle one, or else a new one.
+//! Connection checkout for attempts: an idle connection, or else a new one.
 
 use super::Upstreams;
 use super::endpoint_state::Upstream;
@@ -12,7 +12,7 @@
     pub(super) connection: Connection,
     /// Whether it has carried a request before.
     pub(super) is_reused: bool,
-    /// The start of the process that it leads to, as listed when it was checked out.
+    /// When the upstream's process started, as listed at checkout.
     pub(super) boot_ms: u64,
 }
 
@@ -39,7 +39,7 @@
         })
     }
 
-    /// An idle connection that is still open. At the connection limit even one in its cooldown is waited for.
+    /// An idle connection that is still open. At the connection limit, one in its cooldown is awaited.
     async fn idle_connection(
         &self,
         upstream: &Upstream,
@@ -68,13 +68,13 @@
         let Some(address) = upstream.address() else {
             return Err(Outcome::NotSent);
         };
-        let until = give_up_at.min(Instant::now() + self.connect_timeout);
-        // A lack of descriptors or time on this machine says nothing of the upstream.
+        let deadline = give_up_at.min(Instant::now() + self.connect_timeout);
+        // A shortage of descriptors or time on this machine is no evidence of a fault of the upstream.
         let permit = self.connection_limit.acquire(|| self.close_any_idle());
-        let Ok(permit) = timeout_at(until, permit).await else {
+        let Ok(permit) = timeout_at(deadline, permit).await else {
             return Err(Outcome::NotSent);
         };
-        match timeout_at(until, Connection::open(address, permit)).await {
+        match timeout_at(deadline, Connection::open(address, permit)).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(error)) => {
                 let origin = ErrorOrigin::of(&error);
@@ -84,7 +84,7 @@
                     ErrorOrigin::Local | ErrorOrigin::Transient => Outcome::NotSent,
                 })
             }
-            Err(_) if until == give_up_at => Err(Outcome::NotSent),
+            Err(_) if deadline == give_up_at => Err(Outcome::NotSent),
             Err(_) => Err(Outcome::ConnectFailed),
         }
     }
--- a/balancer/src/upstream/connection_limit.rs
+++ b/balancer/src/upstream/connection_limit.rs
@@ -1,10 +1,10 @@
-//! The limit on connections open to all upstreams together.
+//! The limit on open connections to all upstreams.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The limit, and how many connections are open.
+/// The limit, and the number of open connections.
 pub struct ConnectionLimit {
     max_open: usize,
     open_count: Cell<usize>,
@@ -15,7 +15,7 @@
 pub struct ConnectionPermit(Rc<ConnectionLimit>);
 
 impl ConnectionLimit {
-    /// At most `max_open` connections at a time.
+    /// Creates a limit of `max_open` connections at a time.
     pub fn new(max_open: usize) -> Rc<Self> {
         Rc::new(Self {
             max_open,
@@ -24,17 +24,17 @@
         })
     }
 
-    /// How many connections are open now.
+    /// The number of open connections.
     pub fn open_count(&self) -> usize {
         self.open_count.get()
     }
 
-    /// Whether no further connection may be opened now.
+    /// Whether the limit is reached.
     pub fn is_reached(&self) -> bool {
         self.open_count.get() >= self.max_open
     }
 
-    /// Waits for a permit; as long as there is none, `close_idle` is called to close an idle connection.
+    /// Waits for a permit. While none is available, it calls `close_idle` to close an idle connection.
     pub async fn acquire(self: &Rc<Self>, close_idle: impl Fn()) -> ConnectionPermit {
         while self.is_reached() {
             close_idle();
--- a/balancer/src/upstream/endpoint_state.rs
+++ b/balancer/src/upstream/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! One upstream: what the endpoint list says of it, and its idle connections.
+//! One upstream: its listed state and its idle connections.
 
 use super::checkout::CheckedOutConnection;
 use super::idle_pool::IdlePool;
@@ -6,25 +6,25 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// What the endpoint list says of an upstream, as far as connections go.
+/// The listed state of an upstream, as far as it matters for connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointState {
-    /// Where it listens; `None` if the list does not say so in a readable way.
+    /// The address on which it listens; `None` if the entry has no readable address.
     pub address: Option<SocketAddr>,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub availability: Availability,
-    /// When its process last started, in Unix milliseconds by the list.
+    /// When its process last started, in Unix milliseconds, as listed.
     pub boot_ms: u64,
 }
 
-/// One upstream. Attempts that wait for a connection hold it, and look at its state before they write.
+/// One upstream. Attempts that wait for a connection share it, and check its state before they write.
 pub(super) struct Upstream {
     state: Cell<EndpointState>,
     pub(super) idle: IdlePool,
 }
 
 impl Upstream {
-    /// An upstream that takes no requests before a state is applied.
+    /// Creates an upstream that accepts no requests until a state is applied.
     pub(super) fn new(boot_ms: u64) -> Self {
         let state = EndpointState {
             address: None,
@@ -37,24 +37,24 @@
         }
     }
 
-    /// Applies a listed state; an address that is not stated stays as it was. Returns whether the upstream has become
-    /// ready, or is ready no more.
+    /// Applies a listed state; a missing address leaves the current one unchanged. Returns whether the upstream became
+    /// ready, or stopped being ready.
     pub(super) fn apply(&self, listed: &EndpointState) -> bool {
-        let before = self.state.get();
-        let now = EndpointState {
-            address: listed.address.or(before.address),
+        let previous = self.state.get();
+        let current = EndpointState {
+            address: listed.address.or(previous.address),
             ..*listed
         };
-        self.state.set(now);
-        // Connections to a process that has ended, or that takes no more requests, are of no use.
-        let restarted = now.boot_ms != before.boot_ms;
-        if restarted || now.address != before.address || !self.is_ready() {
+        self.state.set(current);
+        // Connections to a process that has ended, or no longer accepts requests, are useless.
+        let has_restarted = current.boot_ms != previous.boot_ms;
+        if has_restarted || current.address != previous.address || !self.is_ready() {
             self.idle.clear();
         }
-        (before.availability == Availability::Ready) != self.is_ready()
+        (previous.availability == Availability::Ready) != self.is_ready()
     }
 
-    /// Sends nothing new there any more.
+    /// Marks the upstream as removed: nothing new is sent to it.
     pub(super) fn retire(&self) {
         self.state.set(EndpointState {
             availability: Availability::Removed,
@@ -63,7 +63,7 @@
         self.idle.clear();
     }
 
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub(super) fn is_ready(&self) -> bool {
         self.state.get().availability == Availability::Ready
     }
@@ -76,7 +76,7 @@
         self.state.get().boot_ms
     }
 
-    /// Keeps a connection for reuse if it still leads to the listed process, and that takes requests.
+    /// Keeps a connection for reuse if it leads to the currently listed process, and that accepts requests.
     pub(super) fn check_in(&self, checked_out: CheckedOutConnection) {
         let CheckedOutConnection {
             connection,
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on a connection to an upstream.
+//! One request and its response on an upstream connection.
 
 use crate::connection::Connection;
 use crate::headers::TIME_LEFT;
@@ -8,10 +8,10 @@
 use hyper::{Method, Request, Response, Uri};
 use std::time::Duration;
 
-/// The longest body of a response.
+/// The longest accepted response body.
 const MAX_BODY: usize = 64 * 1024;
 
-/// A client's request in the form in which it is forwarded.
+/// A client's request in the form that is forwarded.
 pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
@@ -24,7 +24,7 @@
 }
 
 impl ForwardedRequest {
-    /// The request of one attempt, which states how long the balancer will wait.
+    /// Builds the request of one attempt, which states how long the balancer will wait.
     pub fn for_attempt(&self, time_left: Duration) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         headers.insert(TIME_LEFT, HeaderValue::from(time_left.as_millis() as u64));
@@ -39,26 +39,26 @@
     }
 }
 
-/// Why an exchange has no response.
+/// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection ended before the head of a response. Whether the request may have run depends on how much of it
-    /// was written.
+    /// The connection ended before the response head. Whether the request may have been executed depends on how much of
+    /// it was written.
     #[error("the connection ended: {0}")]
     ConnectionEnded(#[source] hyper::Error),
-    /// The upstream sent something that is no head of a response.
+    /// The upstream sent something that is not a response head.
     #[error("no HTTP response: {0}")]
     InvalidHead(#[source] hyper::Error),
     /// The body was truncated, or its framing is invalid.
     #[error("the body is not complete: {0}")]
     InvalidBody(#[source] hyper::Error),
-    /// The body is longer than the balancer forwards.
+    /// The body exceeds the limit for forwarded bodies.
     #[error("the body is longer than {MAX_BODY} bytes")]
     BodyTooLong,
 }
 
 impl ExchangeError {
-    /// Whether the upstream's process has responded, though not with something that can be forwarded.
+    /// Whether the upstream's process responded, even if the response cannot be forwarded.
     pub fn has_responded(&self) -> bool {
         !matches!(self, Self::ConnectionEnded(_))
     }
--- a/balancer/src/upstream/health_check.rs
+++ b/balancer/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks, and the load reports that come with them or with responses.
+//! Health checks, and the load reports in their responses and in others.
 
 use super::Upstreams;
 use super::attempt::AttemptResult;
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a health check may take.
+/// The timeout of a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Where a health check goes, without load reports and with them.
+/// The paths of a health check without and with load reports.
 const LIVENESS_PATH: &str = "/health/live";
 const LOAD_REPORT_PATH: &str = "/stats";
-/// How much of an unreadable report is logged.
+/// How much of an unreadable load report is logged.
 const MAX_LOGGED_REPORT: usize = 80;
 
 impl Upstreams {
--- a/balancer/src/upstream/idle_pool.rs
+++ b/balancer/src/upstream/idle_pool.rs
@@ -1,25 +1,25 @@
-//! The connections to one upstream that are kept for reuse.
+//! The pool of idle connections to one upstream.
 
 use crate::connection::Connection;
 use std::cell::RefCell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection stays unused after a response: an upstream may send a second response some milliseconds late,
-/// and nothing on the wire tells to which request it belongs.
+/// The cooldown of a connection after a response: an upstream may send a second response some milliseconds late, and
+/// HTTP/1.1 does not identify the request to which a response belongs.
 const COOLDOWN: Duration = Duration::from_millis(30);
 
-/// A connection between requests.
+/// An idle connection.
 struct IdleConnection {
     connection: Connection,
     idle_since: Instant,
 }
 
-/// A connection that may be used once its cooldown is over.
+/// A connection that is usable once its cooldown is over.
 pub struct CoolingConnection {
-    /// The connection.
+    /// The idle connection.
     pub connection: Connection,
-    /// When its cooldown is over.
+    /// When its cooldown ends.
     pub usable_at: Instant,
 }
 
@@ -28,7 +28,7 @@
 pub struct IdlePool(RefCell<Vec<IdleConnection>>);
 
 impl IdlePool {
-    /// Adds a connection that is between requests.
+    /// Adds a connection that has completed a request.
     pub fn put(&self, connection: Connection) {
         self.0.borrow_mut().push(IdleConnection {
             connection,
@@ -68,7 +68,7 @@
         self.0.borrow_mut().retain(in_use);
     }
 
-    /// Closes all.
+    /// Closes all connections.
     pub fn clear(&self) {
         self.0.borrow_mut().clear();
     }
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -23,13 +23,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Share of the upstreams' idle timeout after which a connection is closed or not used any more: a request that
-/// crosses the upstream's own close ends as a reset, and one that is not idempotent is lost to its client then.
+/// Fraction of the upstreams' idle timeout after which a connection is closed or no longer reused. A request sent
+/// while the upstream closes the connection ends as a reset; if it is not idempotent, it cannot be retried.
 const MAX_IDLE_SHARE: f64 = 0.8;
 /// How often idle connections are checked.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// All upstreams that are listed.
+/// All listed upstreams.
 pub struct Upstreams {
     upstreams: RefCell<FxHashMap<UpstreamId, Rc<Upstream>>>,
     connection_limit: Rc<ConnectionLimit>,
@@ -37,14 +37,14 @@
     max_idle: Duration,
     load_reports: LoadReports,
     report_fields: Vec<LoadField>,
-    /// When nothing new may be sent, as the endpoint list may be out of date.
+    /// When sends are paused because the endpoint list may be stale.
     send_pause: RefCell<Option<Range<Instant>>>,
     report_log: RateLimitedLog,
     response_log: RateLimitedLog,
 }
 
 impl Upstreams {
-    /// No upstreams yet; at most `max_connections` will be open to them together.
+    /// Creates an empty set of upstreams; at most `max_connections` to them are open in total.
     pub fn new(settings: &Settings, max_connections: usize) -> Self {
         Self {
             upstreams: RefCell::default(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Applies what the endpoint list says of one upstream.
+    /// Applies the listed state of one upstream.
     pub fn apply_endpoint(&self, id: UpstreamId, listed: &EndpointState) {
         let mut upstreams = self.upstreams.borrow_mut();
         if listed.availability == Availability::Removed {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Removes all upstreams that `is_listed` does not name.
+    /// Removes all upstreams for which `is_listed` returns `false`.
     pub fn retain_listed(&self, is_listed: impl Fn(UpstreamId) -> bool) {
         self.upstreams.borrow_mut().retain(|id, upstream| {
             let retained = is_listed(*id);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, until the task is ended.
+    /// Closes connections that have been idle for too long, until the task is aborted.
     pub async fn close_expired_periodically(&self) {
         loop {
             sleep(IDLE_CHECK_INTERVAL).await;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Sets when no attempt may be written.
+    /// Sets when attempts must not be written.
     pub fn pause_sends(&self, pause: Option<Range<Instant>>) {
         self.send_pause.replace(pause);
     }
@@ -127,7 +127,7 @@
             .is_some_and(|pause| pause.contains(&now))
     }
 
-    /// How many connections are open now, to all upstreams together.
+    /// The number of open connections to all upstreams.
     pub fn open_connections(&self) -> usize {
         self.connection_limit.open_count()
     }
