--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,4 +1,4 @@
-//! What the platform gives a balancer at its start: the JSON file that `NODE_CONFIG` names.
+//! The configuration of a balancer: the JSON file that `NODE_CONFIG` names.
 
 use frostkeel_membership::{Name, NameError, PeerIndex};
 use frostkeel_settings::{SettingsParseError, Site};
@@ -12,41 +12,41 @@
 
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
-/// Descriptors reserved for what is neither a client nor an upstream: standard streams, the poller, the listener,
+/// Descriptors reserved for uses other than clients and upstreams: standard streams, the poller, the listener,
 /// signals, calls to discovery.
 pub const RESERVED_SOCKETS: usize = 24;
-/// A balancer with fewer descriptors cannot start.
+/// The fewest descriptors with which a balancer starts.
 const MIN_SOCKETS: usize = 2 * RESERVED_SOCKETS;
-/// Share of the other descriptors that connections to upstreams may take.
+/// Fraction of the remaining descriptors that connections to upstreams may use.
 const UPSTREAM_SHARE: f64 = 0.45;
 /// Default for `limits.sockets`.
 const DEFAULT_SOCKETS: usize = 1024;
 /// Default for `membership.forget_s`.
 const DEFAULT_FORGET_S: u64 = 600;
-/// Default for `membership.members_most`: this many for each peer, and for at least so many peers.
+/// Default for `membership.members_most`: this many for each peer, with a minimum number of peers.
 const DEFAULT_MEMBERS_PER_PEER: usize = 2;
 const MIN_PEERS_FOR_DEFAULT: usize = 64;
 
 /// A balancer's configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// The address on which it accepts clients.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
     /// The seed of all random choices.
     pub seed: u64,
-    /// How many descriptors the process may hold.
+    /// The maximum number of open descriptors of the process.
     pub sockets: usize,
-    /// The endpoint list last known, in discovery's form; empty if there is none.
+    /// The last known endpoint list, in discovery's format; empty if there is none.
     pub cached_list: String,
     /// The settings of the site.
     pub site: Site,
-    /// The membership, where the configuration names it.
+    /// The membership, if it is configured.
     pub membership: Option<MembershipConfig>,
 }
 
-/// How a balancer takes part in its fleet's membership.
+/// The configuration of a balancer's participation in the membership.
 #[derive(Debug)]
 pub struct MembershipConfig {
     /// The fleet's name.
@@ -55,22 +55,22 @@
     pub name: Name,
     /// Its position among the peers.
     pub peer: PeerIndex,
-    /// Where it receives datagrams.
+    /// The address on which it receives datagrams.
     pub listen: SocketAddr,
-    /// By position, where the others are reached, and where what they send comes from.
+    /// The address of each peer, by position: the destination of datagrams to it, and the source of those from it.
     pub peers: Vec<SocketAddr>,
-    /// Where the view of the members can be read.
+    /// The address of the page with the view of the members.
     pub page: Option<SocketAddr>,
-    /// How many members are kept at most.
+    /// The maximum number of members in the view.
     pub max_members: usize,
-    /// How long a member that has left or failed is remembered.
+    /// How long a member that has left or failed is retained.
     pub forget_after: Duration,
 }
 
-/// Why a configuration cannot be used. The balancer does not start by it; one that runs keeps the configuration it has.
+/// Why a configuration is invalid. A balancer does not start with it; a running one keeps its current configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// The environment variable is not set.
     #[error("{CONFIG_VARIABLE} names no configuration file")]
     NoFile,
     /// The file cannot be read.
@@ -78,27 +78,27 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The read error.
         source: io::Error,
     },
-    /// The file's text is not a configuration.
+    /// The file's content is not a valid configuration.
     #[error("{}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong with the text.
+        /// The error in the content.
         source: Box<ConfigError>,
     },
     /// The text is not JSON of the expected form.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number.
     #[error("seed: {0}")]
     Seed(#[source] ParseIntError),
     /// The settings of the site are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsParseError),
-    /// Too few descriptors to serve with.
+    /// Too few descriptors to serve clients.
     #[error("limits.sockets: {0} are too few")]
     TooFewSockets(usize),
     /// The membership is invalid.
@@ -106,7 +106,7 @@
     Membership(#[from] MembershipConfigError),
 }
 
-/// Why a membership cannot be used.
+/// Why a membership configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipConfigError {
     /// The position of this balancer is unreadable.
@@ -115,12 +115,12 @@
     /// The address for datagrams is missing.
     #[error("peer_listen is missing")]
     MissingListen,
-    /// This balancer is not among the peers.
+    /// This balancer's position is outside the list of peers.
     #[error("settings.me is {position}, and peers names {peer_count} addresses")]
     PositionOutOfRange {
         /// The position.
         position: u16,
-        /// How many peers there are.
+        /// The number of peers.
         peer_count: usize,
     },
     /// The page would be reachable from other machines.
@@ -167,7 +167,7 @@
     }
 }
 
-/// The position of this balancer, which the settings state as well.
+/// The position of this balancer, read from the site's settings.
 #[derive(Deserialize)]
 struct RawPosition {
     #[serde(default)]
@@ -207,7 +207,7 @@
         let raw: RawConfig<'_> = serde_json::from_str(text)?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(ConfigError::Seed)?;
         let mut site = frostkeel_settings::parse(raw.settings.get())?;
-        // Where lists are pushed, an agent beside this balancer has them, and on sockets they come over its watch.
+        // In push mode a local agent receives the lists; on real sockets, the balancer watches that agent.
         site.settings.has_local_agent = !site.settings.polls_endpoints;
         site.settings.polls_endpoints = true;
         if raw.limits.sockets < MIN_SOCKETS {
@@ -226,12 +226,12 @@
         })
     }
 
-    /// How many connections to upstreams may be open.
+    /// The maximum number of open connections to upstreams.
     pub fn max_upstream_connections(&self) -> usize {
         ((self.sockets - RESERVED_SOCKETS) as f64 * UPSTREAM_SHARE) as usize
     }
 
-    /// How many clients' connections may be open.
+    /// The maximum number of open client connections.
     pub fn max_client_connections(&self) -> usize {
         self.sockets - RESERVED_SOCKETS - self.max_upstream_connections()
     }
--- a/balancer/src/connection.rs
+++ b/balancer/src/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection to an upstream or to discovery: it counts how much of a request the kernel has taken.
+//! One HTTP connection to an upstream or to discovery. It counts how many bytes the kernel has accepted.
 
 use crate::error_origin::retry_if_interrupted;
 use bytes::Bytes;
@@ -18,15 +18,15 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Size of a connection's buffer, the longest head: peers must not fill this machine's memory.
+/// Size of a connection's buffer, and so the longest head. It limits the memory that a peer can occupy.
 const MAX_HEAD: usize = 32 * 1024;
 
-/// When the first byte was received on a connection, for the task that opened it.
+/// Records when the first byte was received on a connection, for the task that opened it.
 #[derive(Clone, Default)]
 pub struct FirstByte(Rc<Cell<Option<Instant>>>);
 
 impl FirstByte {
-    /// When it was received, if it was.
+    /// When it was received; `None` if it was not.
     pub fn at(&self) -> Option<Instant> {
         self.0.get()
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// A stream that counts the bytes written to it, and drops `permit` when its descriptor is closed.
+/// A stream that counts the bytes written to it, and releases `permit` when its descriptor is closed.
 struct CountingStream<S> {
     stream: TcpStream,
     written: Rc<Cell<u64>>,
@@ -61,9 +61,9 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let poll = retry_if_interrupted(Pin::new(&mut self.stream).poll_read(cx, buf), cx);
-        if buf.filled().len() > before {
+        if buf.filled().len() > filled_before {
             self.first_byte.note();
         }
         poll
@@ -102,7 +102,7 @@
     }
 }
 
-/// An open connection. Dropping it closes it, whatever is in flight on it.
+/// An open connection. Dropping it closes it, even during an exchange.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
@@ -111,12 +111,12 @@
 }
 
 impl Connection {
-    /// Opens a connection; `permit` is held until its descriptor is closed.
+    /// Opens a connection; `permit` is retained until its descriptor is closed.
     pub async fn open<S: Unpin + 'static>(peer: SocketAddr, permit: S) -> io::Result<Self> {
         Self::open_timed(peer, permit, FirstByte::default()).await
     }
 
-    /// Opens a connection; `first_byte` notes when the first byte is received on it.
+    /// Opens a connection; `first_byte` records when its first byte is received.
     pub async fn open_timed<S: Unpin + 'static>(
         peer: SocketAddr,
         permit: S,
@@ -136,7 +136,7 @@
             .handshake(io)
             .await
             .map_err(io::Error::other)?;
-        // How it ends is seen at the sender.
+        // The sender reports how the connection ended.
         let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(Self {
             sender,
@@ -151,22 +151,22 @@
         self.peer
     }
 
-    /// Whether it is known to have ended.
+    /// Whether it is known to be closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until it accepts a request; `false` if it has ended instead.
+    /// Waits until it is ready for a request; `false` if it has closed instead.
     pub async fn is_usable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// How many bytes the kernel has taken so far.
+    /// The number of bytes that the kernel has accepted so far.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Sends a request and waits for the head of its response.
+    /// Sends a request and waits for its response head.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -181,7 +181,7 @@
     }
 }
 
-/// The bytes that hyper writes for a request which states its own length: line, headers, body.
+/// The number of bytes that hyper writes for a request with a content length: request line, headers and body.
 pub fn wire_length(request: &Request<Full<Bytes>>) -> u64 {
     use hyper::body::Body;
     let path = request
--- a/balancer/src/error_origin.rs
+++ b/balancer/src/error_origin.rs
@@ -1,9 +1,9 @@
-//! Where an error of a system call originates: in this machine, at the peer, or in neither.
+//! The origin of a system call error: this machine, the peer, or neither.
 
 use std::io;
 use std::task::{Context, Poll};
 
-/// Error numbers of Linux, for which `std` has no kind of its own or one that is too coarse.
+/// Linux error numbers for which `std` has no kind, or only one that is too coarse.
 mod errno {
     pub const EPERM: i32 = 1;
     pub const EINTR: i32 = 4;
@@ -26,14 +26,14 @@
     pub const EHOSTUNREACH: i32 = 113;
 }
 
-/// Where an error originates.
+/// The origin of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorOrigin {
-    /// In this machine: descriptors, memory, buffers, ports, routes or permissions. It says nothing of a peer.
+    /// This machine: descriptors, memory, buffers, ports, routes or permissions. It is no evidence about a peer.
     Local,
-    /// At the peer, or on the network path to it.
+    /// The peer, or the network path to it.
     Peer,
-    /// In neither: the call can be retried at once.
+    /// Neither: the call can be retried immediately.
     Transient,
 }
 
@@ -52,8 +52,8 @@
         }
     }
 
-    /// The origin of an error of `accept`, which also returns errors of the connection that it would have accepted:
-    /// those concern that connection alone, and the next one may be waiting.
+    /// The origin of an error of `accept`. That call also returns errors of the connection that it would have accepted;
+    /// these concern that connection alone, and the next one may be ready.
     pub fn of_accept(error: &io::Error) -> Self {
         use errno::{
             ECONNABORTED, EHOSTDOWN, EHOSTUNREACH, EINTR, ENETDOWN, ENETUNREACH, ENONET,
@@ -67,8 +67,8 @@
     }
 }
 
-/// Retries a read or write that a signal has interrupted when the task is next polled: it has done nothing, and says
-/// nothing of the connection.
+/// Schedules a retry of a read or write that was interrupted by a signal. Such a call had no effect, and is no
+/// evidence about the connection.
 pub fn retry_if_interrupted<T>(poll: Poll<io::Result<T>>, cx: &Context<'_>) -> Poll<io::Result<T>> {
     match poll {
         Poll::Ready(Err(e)) if e.kind() == io::ErrorKind::Interrupted => {
--- a/balancer/src/headers.rs
+++ b/balancer/src/headers.rs
@@ -1,4 +1,4 @@
-//! Names and forms of headers, and which of them are not forwarded.
+//! Header names and formats, and the headers that are not forwarded.
 
 use frostkeel_policy::LoadField;
 use hyper::header::{
@@ -6,17 +6,17 @@
     TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// The id of a request, new with each of a client's retries.
+/// The id of a request; a client's retry has a new one.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 /// The tenant.
 pub const TENANT: HeaderName = HeaderName::from_static("x-account");
-/// How long the sender still waits, in whole milliseconds.
+/// How long the sender will still wait, in whole milliseconds.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
 /// Marks a client's retry.
 pub const RETRY: HeaderName = HeaderName::from_static("x-repeat");
 /// The expected work, in microseconds.
 pub const WORK_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
-/// The key by which upstreams recognise a request that they have seen.
+/// The idempotency key, by which upstreams recognise a repeated request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Set to 1: the upstream rejected the request without processing it.
 pub const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
@@ -27,7 +27,7 @@
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const EXPECT: HeaderName = HeaderName::from_static("expect");
 
-/// Removes the headers that concern one connection, or framing.
+/// Removes hop-by-hop and framing headers.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -54,8 +54,8 @@
     }
 }
 
-/// Reads a load report, `name=value,name=value`, as the values of `fields`. A value that is missing or no number is
-/// NaN, which the decision module ignores; `None` if there is no value at all.
+/// Parses a load report, `name=value,name=value`, into the values of `fields`. A missing or invalid value becomes NaN,
+/// which the decision module ignores; `None` if there are no valid values.
 pub fn load_report(text: &str, fields: &[LoadField]) -> Option<Vec<f32>> {
     let mut values = vec![f32::NAN; fields.len()];
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
--- a/balancer/src/in_flight.rs
+++ b/balancer/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: what the client asked for, the attempts that were made, and the response that is owed.
+//! Requests in flight: the client's request, its attempts and its pending response.
 
 use crate::upstream::{AttemptState, ForwardedRequest, UpstreamResponse};
 use frostkeel_policy::{AttemptNo, ClassId, RequestId, TenantId, UpstreamId};
@@ -15,16 +15,16 @@
 pub enum FinalResponse {
     /// An upstream's response.
     Forwarded(UpstreamResponse),
-    /// The request was not taken; a retry is harmless.
+    /// The request was rejected; a retry is safe.
     Rejected {
         /// How long the client should wait before it retries.
         retry_after: Option<Duration>,
     },
-    /// The request failed; it may have taken effect.
+    /// The request failed; it may have been executed.
     Failed,
 }
 
-/// A client's request, for the decision module.
+/// A client's request, as submitted to the decision module.
 pub struct ClientRequest {
     /// Its class.
     pub class: ClassId,
@@ -34,14 +34,14 @@
     pub deadline: Instant,
     /// The expected work in milliseconds, where the client states it.
     pub work_ms: Option<f64>,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// What is forwarded.
+    /// The request as it is forwarded.
     pub forwarded: ForwardedRequest,
 }
 
 impl ClientRequest {
-    /// How long the client still waits.
+    /// How long the client will still wait.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
@@ -52,12 +52,12 @@
     pub(crate) upstream: UpstreamId,
     pub(crate) started_at: Instant,
     pub(crate) task: AbortHandle,
-    /// Shared with the task, which sets it until the attempt has ended.
+    /// Shared with the attempt's task, which updates it until the attempt has ended.
     pub(crate) state: Rc<Cell<AttemptState>>,
 }
 
 impl Attempt {
-    /// Marks the attempt as ended; `false` if it was already.
+    /// Marks the attempt as ended; `false` if it had already ended.
     pub(crate) fn end(&self) -> bool {
         self.state.replace(AttemptState::Ended) != AttemptState::Ended
     }
@@ -67,17 +67,17 @@
     }
 }
 
-/// A request that is owed its response, or has attempts that have not ended.
+/// A request with a pending response, or with attempts that have not ended.
 pub(crate) struct InFlightRequest {
     pub(crate) request: Rc<ClientRequest>,
     pub(crate) received_at: Instant,
-    /// Taken with the final response.
+    /// Removed when the final response is sent.
     pub(crate) reply: Option<oneshot::Sender<FinalResponse>>,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl InFlightRequest {
-    /// The attempt of this number, unless it has ended.
+    /// The attempt with this number, unless it has ended.
     pub(crate) fn open_attempt(&self, attempt: AttemptNo) -> Option<&Attempt> {
         self.attempts
             .get(usize::from(attempt.0))
@@ -93,7 +93,7 @@
             .map(|(k, _)| AttemptNo(k as u8))
     }
 
-    /// Whether the response has been given and every attempt has ended.
+    /// Whether the final response was sent and every attempt has ended.
     pub(crate) fn is_complete(&self) -> bool {
         self.reply.is_none() && self.attempts.iter().all(Attempt::is_ended)
     }
@@ -113,7 +113,7 @@
         request: ClientRequest,
         reply: oneshot::Sender<FinalResponse>,
     ) -> RequestId {
-        // Ids are not reused while one may be in use: they wrap only after 2^32 requests.
+        // Ids in use are not reused in practice: they wrap only after 2^32 requests.
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1);
         let request = InFlightRequest {
--- a/balancer/src/incarnations.rs
+++ b/balancer/src/incarnations.rs
@@ -1,16 +1,16 @@
-//! When upstreams started, on this balancer's own clock.
+//! The start times of upstreams on this balancer's own clock.
 //!
-//! The endpoint list dates a start by the wall clock, and the wall clocks of two machines may differ by any amount. So
-//! a start counts from the moment at which it is first observed. The wall clock only says how long before that it was,
-//! where its answer fits the time that a list takes to arrive.
+//! The endpoint list gives start times by the wall clock, and the wall clocks of two machines may differ by any amount.
+//! A start is therefore dated by the time of its first observation. The wall clock is used only to estimate how long
+//! before that it was, and only if the estimate is within the delay with which a list may arrive.
 
 use crate::discovery::EndpointEntry;
 use frostkeel_policy::{Availability, UpstreamId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
 
-/// A start is observed at most so long after it was: the list may learn late of an upstream that restarted. A start
-/// that looks older, or lies ahead, is dated by a wrong clock, unless it is in the first list of the process.
+/// The longest delay between a start and its observation: the list may be updated late after a restart. A start that
+/// seems older, or in the future, was dated by a wrong clock, unless it is in the first list of the process.
 const MAX_OBSERVATION_DELAY: Duration = Duration::from_secs(15);
 
 /// The latest start of one upstream.
@@ -19,13 +19,13 @@
     started_at: Option<Duration>,
 }
 
-/// How a start is dated.
+/// The times used to date a start.
 pub struct StartTimes {
     /// The time of the observation.
     pub now: Duration,
-    /// The start by the wall clock; `None`: long ago.
+    /// The start by the wall clock; `None` if it is before the clock's zero.
     pub by_wall_clock: Option<Duration>,
-    /// Whether it is in the first list of the process, which names starts of any age.
+    /// Whether it is in the first list of the process, which may contain starts of any age.
     pub is_first_list: bool,
 }
 
@@ -39,7 +39,7 @@
         self.0.is_empty()
     }
 
-    /// Records a listed upstream and returns when it started; `None`: long ago.
+    /// Records a listed upstream and returns its start time; `None` if it is unknown or before the clock's zero.
     pub fn observe(&mut self, entry: &EndpointEntry, times: &StartTimes) -> Option<Duration> {
         if entry.state.availability == Availability::Removed {
             self.0.remove(&entry.id);
@@ -76,12 +76,12 @@
 
 impl StartTimes {
     fn started_at(&self) -> Option<Duration> {
-        let plausible = |at: Duration| {
+        let is_plausible = |at: Duration| {
             at <= self.now && (self.is_first_list || self.now - at <= MAX_OBSERVATION_DELAY)
         };
         match self.by_wall_clock {
             None if self.is_first_list => None,
-            Some(at) if plausible(at) => Some(at),
+            Some(at) if is_plausible(at) => Some(at),
             _ => Some(self.now),
         }
     }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,9 +1,9 @@
-//! The balancer: a load balancer on real sockets, on one thread. Every decision is made by `frostkeel-policy`; this
-//! crate does the input and output round it.
+//! The balancer: a load balancer on real sockets, on one thread. `frostkeel-policy` makes every decision; this crate
+//! performs the I/O.
 //!
-//! A client's request is accepted by [`client`], submitted to the [`event_loop`], forwarded by [`upstream`] and answered
-//! by [`client`]. [`discovery`] watches the endpoint list, and [`members`] takes part in the fleet's membership where
-//! that is configured. [`process`] starts all of it and ends it.
+//! [`client`] accepts a client's request and submits it to the [`event_loop`], [`upstream`] forwards it, and [`client`]
+//! sends the response. [`discovery`] watches the endpoint list. [`members`] participates in the fleet's membership if
+//! that is configured. [`process`] starts and stops all of them.
 
 pub mod client;
 pub mod clock;
--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads its configuration, writes its log to standard error and serves until it is told to end.
+//! The program: reads its configuration, logs to standard error and serves until it is terminated.
 
 use frostkeel_balancer::config::{Config, ConfigError};
 use frostkeel_balancer::process::{self, StartError};
@@ -7,7 +7,7 @@
 use tokio::runtime::LocalOptions;
 use tracing::level_filters::LevelFilter;
 
-/// Why the program ends with a failure.
+/// Why the program exits with a failure.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
--- a/balancer/src/members/mod.rs
+++ b/balancer/src/members/mod.rs
@@ -1,7 +1,7 @@
-//! The membership of the fleet: the membership's state machine between a datagram socket, the clock, the log and a page.
+//! The fleet's membership: connects its state machine to a datagram socket, the clock, the log and a status page.
 //!
-//! It takes no part in the balancer's decisions, and runs only where the configuration names it. The log lines of this
-//! module are an interface: the lab reads them.
+//! It does not affect the balancer's decisions, and runs only if it is configured. The log lines of this module are an
+//! interface: the lab parses them.
 
 mod page;
 
@@ -20,45 +20,45 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// Longer than any valid datagram: one that fills the buffer is too long.
+/// Longer than any valid datagram, so that a datagram that fills the buffer is too long.
 const BUFFER_SIZE: usize = 512;
-/// Datagrams that are read before timers are checked again.
+/// How many datagrams are read before timers are checked again.
 const MAX_DATAGRAMS_AT_ONCE: usize = 256;
 
 /// Why the membership cannot be joined.
 #[derive(Debug, thiserror::Error)]
 pub enum MembersError {
-    /// The state machine does not accept the configuration.
+    /// The state machine rejects the configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The address for datagrams cannot be bound.
+    /// The datagram socket cannot be bound.
     #[error("membership: peer_listen {address}: {source}")]
     BindPeers {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The bind error.
         source: io::Error,
     },
-    /// The address of the page cannot be listened on.
+    /// The listener of the page cannot be bound.
     #[error("membership: page {address}: {source}")]
     BindPage {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The bind error.
         source: io::Error,
     },
-    /// The system does not state a socket's own address.
+    /// The system does not report a socket's local address.
     #[error(transparent)]
     LocalAddress(#[from] io::Error),
 }
 
-/// This balancer's part in the membership. Dropping it ends its tasks.
+/// This balancer's participation in the membership. Dropping it aborts its tasks.
 pub struct Members {
     driver: Rc<Driver>,
     _tasks: TaskGroup,
 }
 
-/// Feeds the state machine with datagrams and time, and does what it asks for.
+/// Passes datagrams and timeouts to the state machine, and performs its outputs.
 struct Driver {
     machine: RefCell<Membership>,
     socket: UdpSocket,
@@ -66,12 +66,12 @@
     peer_by_address: FxHashMap<SocketAddr, PeerIndex>,
     fleet: String,
     start: Instant,
-    /// Notified when the machine may be due sooner than it was.
+    /// Notified when the machine's next timeout may be earlier than before.
     due_changed: Notify,
 }
 
 impl Members {
-    /// Joins, and takes part until it is dropped.
+    /// Joins the membership, and participates until it is dropped.
     pub async fn start(config: &MembershipConfig, seed: u64) -> Result<Self, MembersError> {
         let machine = Membership::new(machine_config(config, seed), Duration::ZERO)?;
         let address = config.listen;
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Announces to the others that this balancer leaves.
+    /// Announces to the peers that this balancer is leaving.
     pub fn leave(&self) {
         let driver = &self.driver;
         driver.machine.borrow_mut().leave(driver.start.elapsed());
@@ -145,7 +145,7 @@
         loop {
             let due = self.machine.borrow().next_timeout();
             let Some(due) = due else {
-                // It takes part no more, and only reads what would pile up.
+                // The machine is inactive. Datagrams are still read, so that they do not fill the socket's buffer.
                 if self.socket.readable().await.is_ok() {
                     self.read_datagrams();
                 }
@@ -159,21 +159,21 @@
                 () = sleep_until(self.start + due) => {}
                 () = self.due_changed.notified() => {}
             }
-            // Datagrams first: what was answered in time must not look late.
+            // Datagrams are read first, so that a response received in time is not treated as late.
             self.read_datagrams();
             self.run_timers();
             self.perform_outputs();
         }
     }
 
-    /// Reads what has come, up to a limit.
+    /// Reads the received datagrams, up to a limit.
     fn read_datagrams(&self) {
         let mut buffer = [0; BUFFER_SIZE];
         for _ in 0..MAX_DATAGRAMS_AT_ONCE {
             match self.socket.try_recv_from(&mut buffer) {
                 Ok((length, from)) => self.on_datagram(from, &buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // An ICMP error for an earlier datagram, to a peer that is not there.
+                // An ICMP error for an earlier datagram to an unreachable peer.
                 Err(_) => {}
             }
         }
@@ -182,7 +182,7 @@
     fn on_datagram(&self, from: SocketAddr, datagram: &[u8]) {
         let (mut machine, now) = (self.machine.borrow_mut(), self.start.elapsed());
         match self.peer_by_address.get(&from) {
-            // Why a datagram was dropped is counted there, and shown on the page.
+            // The machine counts the reasons for dropped datagrams, and the page shows them.
             Some(peer) => {
                 let _ = machine.handle_datagram(now, *peer, datagram);
             }
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Sends what is to be sent, and logs what has changed.
+    /// Sends outgoing datagrams, and logs changes.
     fn perform_outputs(&self) {
         loop {
             let output = self.machine.borrow_mut().poll_output();
@@ -205,7 +205,7 @@
                 None => return,
                 Some(Output::Send { to, datagram }) => {
                     if let Some(address) = self.peers.get(usize::from(to.0)) {
-                        // A full buffer loses it, as the network may. The protocol makes up for it.
+                        // A full buffer loses the datagram, as the network may. The protocol tolerates that.
                         let _ = self.socket.try_send_to(&datagram, *address);
                     }
                 }
@@ -237,7 +237,7 @@
     );
 }
 
-/// An earlier start of this balancer had a later incarnation, so that one above it is taken.
+/// Logs that an earlier process of this balancer had a higher incarnation, so that a new one above it is used.
 fn log_superseded(other: &Identity) {
     tracing::warn!(
         incarnation = other.incarnation,
@@ -246,7 +246,7 @@
     );
 }
 
-/// A later process has this balancer's name, so that this one takes part no more.
+/// Logs that a later process has this balancer's name, so that this one no longer participates.
 fn log_yielded(other: &Identity) {
     tracing::error!(
         name = %other.name,
--- a/balancer/src/members/page.rs
+++ b/balancer/src/members/page.rs
@@ -1,4 +1,4 @@
-//! The page that shows this balancer's view of the members, in JSON.
+//! The status page with this balancer's view of the members, in JSON.
 
 use super::Driver;
 use crate::task_group::TaskGroup;
@@ -19,9 +19,9 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// Where the page is.
+/// The path of the page.
 const PATH: &str = "/members";
-/// How many readers are served at once, and how long one may take.
+/// How many readers are served concurrently, and the timeout of one.
 const MAX_READERS: usize = 4;
 const READER_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -34,7 +34,7 @@
     #[serde(rename = "slowness")]
     health_score: u32,
     version: u64,
-    /// Equal for equal views of who is present.
+    /// Equal for equal views of the members that are present.
     digest: String,
     #[serde(rename = "there")]
     present_count: usize,
@@ -57,7 +57,7 @@
     reported_by: Option<&'a str>,
 }
 
-/// Serves the page to whoever asks.
+/// Serves the page.
 pub(super) async fn serve(driver: Rc<Driver>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(MAX_READERS));
     let readers = TaskGroup::default();
@@ -70,7 +70,7 @@
         };
         let driver = Rc::clone(&driver);
         readers.spawn(async move {
-            // A reader that disconnects or sends nothing fails alone.
+            // A reader that disconnects or sends nothing does not affect the others.
             let _ = timeout(READER_TIMEOUT, serve_reader(&driver, stream)).await;
             drop(permit);
         });
@@ -106,7 +106,7 @@
     let (machine, now) = (driver.machine.borrow(), driver.start.elapsed());
     let own = machine.identity();
     let view = machine.view();
-    // Copied first: the rows borrow the names.
+    // Copied first, because the rows borrow the names.
     let members: Vec<MemberRecord> = view.members().copied().collect();
     let page = Page {
         fleet: &driver.fleet,
--- a/balancer/src/pending_response.rs
+++ b/balancer/src/pending_response.rs
@@ -1,4 +1,4 @@
-//! The client connection's side of a request in flight.
+//! The client connection's handle of a request in flight.
 
 use crate::event_loop::EventLoop;
 use crate::in_flight::FinalResponse;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that is owed its final response. Dropping it before means that the client has disconnected.
+/// A request without a final response. Dropping it before that means that the client has disconnected.
 pub struct PendingResponse {
     event_loop: Rc<EventLoop>,
     id: RequestId,
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: its start, its end at SIGTERM, and the reload at SIGHUP beside both.
+//! The process: startup, shutdown at SIGTERM, and configuration reload at SIGHUP.
 
 use crate::client::{Phase, Server};
 use crate::config::Config;
@@ -20,35 +20,35 @@
 /// Why a balancer cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The decision module does not accept the settings.
+    /// The decision module rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The address for clients cannot be listened on.
+    /// The listener for clients cannot be bound.
     #[error("listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The bind error.
         source: io::Error,
     },
     /// The membership cannot be joined.
     #[error(transparent)]
     Members(#[from] MembersError),
-    /// The system refuses a signal handler, or the listener's own address.
+    /// A signal handler cannot be installed, or the listener's local address is unavailable.
     #[error(transparent)]
     System(#[from] io::Error),
 }
 
-/// A balancer that accepts clients.
+/// A running balancer.
 pub(crate) struct RunningBalancer {
     pub(crate) event_loop: Rc<EventLoop>,
-    /// What the server is told about the shutdown.
+    /// Publishes the phase of the shutdown to the server.
     pub(crate) phase: watch::Sender<Phase>,
-    /// Ends when the last client has gone, in [`Phase::Closing`].
+    /// Completes when the last client has disconnected, in [`Phase::Closing`].
     pub(crate) server: JoinHandle<()>,
 }
 
-/// Serves clients until SIGTERM, and then until the requests in flight have their final responses.
+/// Serves clients until SIGTERM, then drains until the requests in flight have their final responses.
 pub async fn serve(config: Config) -> Result<(), StartError> {
     let balancer = Balancer::new(config.site.settings.clone(), config.seed)?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -72,7 +72,7 @@
     let event_loop = Rc::clone(&running.event_loop);
     tokio::select! {
         () = shutdown::drain(&config, &mut running) => (),
-        // Discovery may move while requests in flight are still being answered.
+        // Reloads continue while draining: the address of discovery may change while requests are in flight.
         () = reload::reload_on(&mut hangup, &event_loop) => (),
     }
     event_loop.stop();
--- a/balancer/src/rate_limited_log.rs
+++ b/balancer/src/rate_limited_log.rs
@@ -1,12 +1,12 @@
-//! Warnings about what peers send, at a bounded rate: a peer can send faster than a log should grow.
+//! Rate-limited warnings about peers, which could otherwise fill the log.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// At most one warning in this time.
+/// The minimum interval between two warnings.
 const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lets one warning a second pass and counts the others.
+/// Passes at most one warning a second, and counts the suppressed ones.
 #[derive(Default)]
 pub struct RateLimitedLog {
     last: Cell<Option<Instant>>,
--- a/balancer/src/reload.rs
+++ b/balancer/src/reload.rs
@@ -1,4 +1,4 @@
-//! The reload of the configuration at SIGHUP.
+//! Configuration reload at SIGHUP.
 
 use crate::config::Config;
 use crate::event_loop::EventLoop;
@@ -8,7 +8,7 @@
 use tokio::signal::unix::Signal;
 use tokio::time::sleep;
 
-/// How often, and how many times, a configuration file is read that is not complete after SIGHUP.
+/// How often, and how many times, an incomplete configuration file is read again after SIGHUP.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 const MAX_READS: u32 = 240;
 
@@ -16,7 +16,7 @@
 pub(crate) async fn reload_on(hangup: &mut Signal, event_loop: &Rc<EventLoop>) {
     while hangup.recv().await.is_some() {
         let mut running = pin!(reload(event_loop));
-        // A further signal begins anew: the file may have been replaced since it was read.
+        // A further signal restarts the reload: the file may have been replaced after it was read.
         while tokio::select! { () = &mut running => false, again = hangup.recv() => again.is_some() }
         {
             running.set(reload(event_loop));
@@ -25,8 +25,8 @@
     std::future::pending().await
 }
 
-/// Applies the address of discovery in the configuration file; the rest of a configuration holds until the process
-/// ends. A file that cannot be read, or is half written, is read again for a while.
+/// Applies the address of discovery from the configuration file; other changes take effect only after a restart. A
+/// file that is unreadable or incomplete is read again a limited number of times.
 async fn reload(event_loop: &Rc<EventLoop>) {
     for read in 0..MAX_READS {
         match Config::from_env() {
--- a/balancer/src/request_counters.rs
+++ b/balancer/src/request_counters.rs
@@ -1,4 +1,4 @@
-//! What became of requests, by class, since the log last said so.
+//! Counters of request outcomes by class since the last status log.
 
 use frostkeel_policy::{Class, ClassId, FailureReason, Outcome};
 use frostkeel_settings::Site;
@@ -14,7 +14,7 @@
     late: u32,
     /// The client disconnected before the response.
     client_disconnected: u32,
-    /// Attempts that ended, and those of them without a response that can be forwarded.
+    /// Attempts that ended, and those without a response that can be forwarded.
     attempts: u32,
     failed_attempts: u32,
     by_reason: [u32; FailureReason::ALL.len()],
@@ -26,12 +26,12 @@
     counts: Counts,
 }
 
-/// What became of the requests of each class. Its form shows only what is not zero:
+/// The counters of all classes. The displayed form omits counters that are zero:
 /// `pay: received 9, in-time 6, no-spare-capacity 2, upstream-unresponsive 1, attempts 7, failed-attempts 1`.
 pub struct RequestCounters(Vec<ClassCounters>);
 
 impl RequestCounters {
-    /// Counters at zero for the classes of a site.
+    /// Creates counters for the classes of a site.
     pub fn new(site: &Site) -> Self {
         let classes = site.names.classes.iter().zip(&site.settings.classes);
         let class = |(name, class): (&String, &Class)| ClassCounters {
@@ -122,7 +122,7 @@
         for class in self.0.iter().filter(|class| !class.counts.is_zero()) {
             write!(f, "{class_separator}{}: ", class.name)?;
             let mut separator = "";
-            // The number received is shown also where it is zero: attempts may outlive their requests.
+            // The received count is shown even if it is zero: attempts may outlive their requests.
             for (k, (label, count)) in class.counts.labelled().enumerate() {
                 if count > 0 || k == 0 {
                     write!(f, "{separator}{label} {count}")?;
--- a/balancer/src/shutdown.rs
+++ b/balancer/src/shutdown.rs
@@ -6,17 +6,17 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// After SIGTERM the platform's front sends new connections for another 0.4 s at most.
+/// After SIGTERM, the platform's front end sends new connections for at most another 0.4 s.
 const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(600);
-/// SIGKILL may follow SIGTERM after the longest deadline, of which 3 s count at most, and another 0.7 s; this is
-/// slightly before.
+/// SIGKILL may follow SIGTERM after the longest deadline, capped at 3 s, plus 0.7 s; the forced close is slightly
+/// earlier.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(600);
-/// For the responses to the requests that are in flight at the forced close.
+/// The time to send the responses of requests in flight at the forced close.
 const FORCE_CLOSE_TIME: Duration = Duration::from_millis(200);
 
-/// Drains: connections end with their next response, then between requests, and what is still in flight shortly before
-/// SIGKILL is closed by force.
+/// Drains the balancer: connections close after their next response, then when they are idle. Requests still in flight
+/// shortly before SIGKILL are forced to close.
 pub(crate) async fn drain(config: &Config, running: &mut RunningBalancer) {
     running.phase.send_replace(Phase::Draining);
     sleep(ACCEPT_AFTER_TERM).await;
--- a/balancer/src/task_group.rs
+++ b/balancer/src/task_group.rs
@@ -1,4 +1,4 @@
-//! Tasks with an owner: they end at the latest when it is dropped.
+//! Tasks with an owner: they are aborted when it is dropped, if not earlier.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -12,12 +12,12 @@
     /// Starts a task.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         let mut tasks = self.0.borrow_mut();
-        // A task that has ended is kept by the set until it is joined.
+        // The set retains a completed task until it is joined.
         while tasks.try_join_next().is_some() {}
         tasks.spawn_local(task);
     }
 
-    /// Ends all tasks. One that holds its owner must be ended so, or neither is ever dropped.
+    /// Aborts all tasks. Needed where a task references its owner: otherwise neither would ever be dropped.
     pub(crate) fn abort_all(&self) {
         self.0.borrow_mut().abort_all();
     }
