--- /dev/null
+++ b/balancer/tests/wire_fixtures/forwarding.rs
@@ -0,0 +1,123 @@
+//! Requests and responses that the balancer forwards, and its own responses if no upstream response can be forwarded.
+
+use crate::common::{Setup, book, look};
+use crate::peers::{RawClient, Recorder, UNTIL_CLOSE, WITH_LENGTH};
+use crate::transcript::Transcript;
+use crate::{TIME_LEFT_MS, post};
+
+const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Late\r\nX-Own: kept\r\n\r\n\
+    4\r\ndone\r\n5\r\n twic\r\n0\r\nX-Late: 1\r\n\r\n";
+const EMPTY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nDate: Thu, 01 Jan 1970 00:00:00 GMT\r\n\
+    Set-Cookie: a=1\r\nSet-Cookie: b=2\r\n\r\n";
+const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 4\r\nX-Own: kept\r\n\r\nlost";
+const REJECTED: &str = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+
+/// Records one request through the balancer: as sent, as received by the upstream, and its response.
+fn record_exchange(transcript: &mut Transcript, case: &str, request: &str, upstream: &Recorder) {
+    let balancer = Setup::with(&[upstream.address]).start();
+    let mut client = RawClient::connect(balancer.address);
+    client.send(request.as_bytes());
+    let response = client.response();
+    transcript.add(&format!("{case}: the client sends"), request.as_bytes());
+    for received in upstream.received() {
+        transcript.add_received(&format!("{case}: the upstream receives"), &received);
+    }
+    transcript.add_received(&format!("{case}: the client receives"), &response);
+    transcript.add(&format!("{case}: then"), client.after_response());
+}
+
+#[test]
+fn forwarded_requests_are_as_committed() {
+    let mut transcript = Transcript::new("forwarded_requests.txt");
+    let every_header = "Cookie: user=7f\r\nX-Repeat: 1\r\nX-Weight-Hint: 1500\r\nAccept: */*\r\nTE: trailers\r\n\
+        Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nProxy-Authorization: none\r\n\
+        Proxy-Connection: keep-alive\r\nUpgrade: h2c\r\nExpect: nothing\r\nX-Twice: a\r\nX-Twice: b\r\n";
+    let chunked = post("/book/day", "", "").replace(
+        "Content-Length: 0\r\n\r\n",
+        "Transfer-Encoding: chunked\r\n\r\n",
+    ) + "3\r\none\r\n4\r\n two\r\n0\r\n\r\n";
+    let idempotent = post("/keyed/a", "Idempotency-Key: \"k-1\"\r\n", "x");
+    let http_1_0 = look(TIME_LEFT_MS).replace("HTTP/1.1", "HTTP/1.0");
+    let http_1_0_kept = http_1_0.replace("Host", "Connection: keep-alive\r\nHost");
+    let with_body = look(TIME_LEFT_MS).replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\nabc");
+    let connection_close = look(TIME_LEFT_MS).replace("Host", "Connection: close\r\nHost");
+    let absolute_target =
+        look(TIME_LEFT_MS).replace("/look", "http://app.svc:80/look/a%20b?q=%7e#part");
+    for (case, request) in [
+        ("GET", &look(TIME_LEFT_MS)),
+        ("GET with a body", &with_body),
+        ("GET with an absolute target", &absolute_target),
+        ("GET, the last on its connection", &connection_close),
+        ("GET of HTTP/1.0", &http_1_0),
+        ("GET of HTTP/1.0, kept", &http_1_0_kept),
+        ("POST", &post("/book/day?n=1", "", "a day")),
+        ("POST with an empty body", &post("/book", "", "")),
+        (
+            "POST with every header",
+            &post("/book/day?n=1&m=%20", every_header, "a day"),
+        ),
+        ("POST in chunks", &chunked),
+        ("POST with an idempotency key", &idempotent),
+    ] {
+        record_exchange(
+            &mut transcript,
+            case,
+            request,
+            &Recorder::start(WITH_LENGTH),
+        );
+    }
+    transcript.check();
+}
+
+#[test]
+fn forwarded_responses_are_as_committed() {
+    let mut transcript = Transcript::new("forwarded_responses.txt");
+    for (case, response) in [
+        ("with a length", WITH_LENGTH),
+        ("in chunks", CHUNKED),
+        ("up to the close", UNTIL_CLOSE),
+        ("empty", EMPTY),
+    ] {
+        transcript.add(
+            &format!("{case}: the upstream answers"),
+            response.as_bytes(),
+        );
+        record_exchange(
+            &mut transcript,
+            case,
+            &look(TIME_LEFT_MS),
+            &Recorder::start(response),
+        );
+    }
+    transcript.check();
+}
+
+#[test]
+fn rejections_and_failures_are_as_committed() {
+    let mut transcript = Transcript::new("rejections_and_failures.txt");
+    for (case, response) in [("an error", ERROR), ("rejected unprocessed", REJECTED)] {
+        transcript.add(
+            &format!("{case}: the upstream answers"),
+            response.as_bytes(),
+        );
+        record_exchange(
+            &mut transcript,
+            case,
+            &book(TIME_LEFT_MS, "x"),
+            &Recorder::start(response),
+        );
+    }
+    record_exchange(
+        &mut transcript,
+        "no upstream listens",
+        &book(TIME_LEFT_MS, "x"),
+        &Recorder::unreachable(),
+    );
+    record_exchange(
+        &mut transcript,
+        "no response",
+        &book(400, "x"),
+        &Recorder::start(""),
+    );
+    transcript.check();
+}
--- /dev/null
+++ b/balancer/tests/wire_fixtures/outgoing_calls.rs
@@ -0,0 +1,71 @@
+//! The requests that the balancer itself makes: watches on the endpoint list, and health checks.
+
+use crate::common::{LONG, Setup, entry, list, raw_peer, tell};
+use crate::peers::{Recorder, WITH_LENGTH, read_raw};
+use crate::transcript::Transcript;
+use frostkeel_balancer::upstream::{EndpointState, Upstreams};
+use frostkeel_policy::{Availability, LoadReports, Settings, UpstreamId};
+use std::io::{BufReader, Write};
+
+const MAX_CONNECTIONS: usize = 8;
+
+#[test]
+fn the_call_to_discovery_is_as_committed() {
+    let mut transcript = Transcript::new("discovery_call.txt");
+    let upstream = Recorder::start(WITH_LENGTH);
+    let (address, calls) = raw_peer();
+    let mut setup = Setup::with(&[upstream.address]);
+    setup.discovery = address;
+    setup.asks = true;
+    let _balancer = setup.start();
+    let call = calls.recv_timeout(LONG).expect("a call");
+    transcript.add_received("discovery receives", &read_raw(&mut BufReader::new(&call)));
+    let line = list(7, true, &[entry("s-0", upstream.address, "Ready")]);
+    (&call)
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
+    tell(&call, &line);
+    (&call).write_all(b"0\r\n\r\n").unwrap();
+    let next_call = calls.recv_timeout(LONG).expect("a second call");
+    transcript.add_received(
+        "discovery receives next",
+        &read_raw(&mut BufReader::new(&next_call)),
+    );
+    transcript.check();
+}
+
+/// The bytes that an upstream receives as a health check.
+async fn received_health_check(load_reports: LoadReports) -> Vec<u8> {
+    let upstream = Recorder::start(WITH_LENGTH);
+    let settings = Settings {
+        load_reports,
+        ..Settings::default()
+    };
+    let upstreams = Upstreams::new(&settings, MAX_CONNECTIONS);
+    let id = UpstreamId(7);
+    upstreams.apply_endpoint(
+        id,
+        &EndpointState {
+            address: Some(upstream.address),
+            availability: Availability::Ready,
+            boot_ms: 0,
+        },
+    );
+    let result = upstreams.health_check(id).await;
+    assert!(result.response.is_some(), "{result:?}");
+    upstream.received().concat()
+}
+
+#[tokio::test(flavor = "local")]
+async fn health_checks_are_as_committed() {
+    let mut transcript = Transcript::new("health_checks.txt");
+    transcript.add_received(
+        "without load reports: the upstream receives",
+        &received_health_check(LoadReports::Off).await,
+    );
+    transcript.add_received(
+        "with load reports: the upstream receives",
+        &received_health_check(LoadReports::OnHealthCheck).await,
+    );
+    transcript.check();
+}
