--- a/balancer/src/connection.rs
+++ b/balancer/src/connection.rs
@@ -31,7 +31,7 @@
         self.0.get()
     }
 
-    fn note(&self) {
+    fn record(&self) {
         if self.0.get().is_none() {
             self.0.set(Some(Instant::now()));
         }
@@ -64,7 +64,7 @@
         let filled_before = buf.filled().len();
         let poll = retry_if_interrupted(Pin::new(&mut self.stream).poll_read(cx, buf), cx);
         if buf.filled().len() > filled_before {
-            self.first_byte.note();
+            self.first_byte.record();
         }
         poll
     }
@@ -187,7 +187,7 @@
     let path = request
         .uri()
         .path_and_query()
-        .map_or(1, |p| p.as_str().len());
+        .map_or(1, |path| path.as_str().len());
     let line = request.method().as_str().len() + path + " ".len() + " HTTP/1.1\r\n".len();
     let headers = request.headers().iter();
     let headers: usize = headers
--- a/balancer/src/headers.rs
+++ b/balancer/src/headers.rs
@@ -61,9 +61,11 @@
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         let field = frostkeel_settings::parse_load_field(name.trim());
         let value = value.trim().parse().ok().filter(|v: &f32| v.is_finite());
-        if let (Some(k), Some(value)) = (fields.iter().position(|f| *f == field), value) {
-            values[k] = value;
+        if let (Some(index), Some(value)) =
+            (fields.iter().position(|listed| *listed == field), value)
+        {
+            values[index] = value;
         }
     }
-    values.iter().any(|v| !v.is_nan()).then_some(values)
+    values.iter().any(|value| !value.is_nan()).then_some(values)
 }
