--- a/balancer/tests/request_counters.rs
+++ b/balancer/tests/request_counters.rs
@@ -1,4 +1,4 @@
-//! What the log says became of requests.
+//! Request counters as they are shown in the log.
 
 use frostkeel_balancer::request_counters::RequestCounters;
 use frostkeel_policy::{ClassId, FailureReason, Outcome};
--- a/balancer/tests/wire_fixtures/bad_requests.rs
+++ b/balancer/tests/wire_fixtures/bad_requests.rs
@@ -1,6 +1,6 @@
 //! The responses to invalid requests, of which none is forwarded.
 
-use crate::common::{Node, Setup};
+use crate::common::{BalancerProcess, TestConfig};
 use crate::peers::{RawClient, Recorder, WITH_LENGTH};
 use crate::post;
 use crate::transcript::Transcript;
@@ -113,7 +113,7 @@
 #[test]
 fn responses_to_bad_requests_are_as_committed() {
     let upstream = Recorder::start(WITH_LENGTH);
-    let balancer = Setup::with(&[upstream.address]).start();
+    let balancer = TestConfig::with_upstreams(&[upstream.address]).start();
     let mut transcript = Transcript::new("bad_requests.txt");
     let valid = post("/book/day", "", "x");
     for BadRequest {
@@ -149,7 +149,12 @@
 }
 
 /// Records a request that is not forwarded, and its response, with an interim response before it if there is one.
-fn record_rejection(transcript: &mut Transcript, case: &str, request: &str, balancer: &Node) {
+fn record_rejection(
+    transcript: &mut Transcript,
+    case: &str,
+    request: &str,
+    balancer: &BalancerProcess,
+) {
     let mut client = RawClient::connect(balancer.address);
     client.send(request.as_bytes());
     let mut response = client.response();
--- a/balancer/tests/wire_fixtures/connections.rs
+++ b/balancer/tests/wire_fixtures/connections.rs
@@ -1,7 +1,10 @@
 //! Responses that depend on the state of their connection: during a shutdown, and after a flood.
 
 use crate::TIME_LEFT_MS;
-use crate::common::{HEALTH, LONG, Setup, book, look, next_request, raw_peer, until};
+use crate::common::{
+    LIVENESS_REQUEST, READINESS_REQUEST, RawPeer, TestConfig, at_most_once_request,
+    idempotent_request, wait_until,
+};
 use crate::peers::{RawClient, Recorder, WITH_LENGTH};
 use crate::transcript::Transcript;
 use std::io::Write;
@@ -15,25 +18,24 @@
 fn the_responses_of_a_shutdown_are_as_committed() {
     let mut transcript = Transcript::new("shutdown.txt");
     let unresponsive = Recorder::start("");
-    let mut setup = Setup::with(&[unresponsive.address]);
-    setup.deadline_ms = DEADLINE_MS;
-    let mut balancer = setup.start();
-    let ready = "GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
+    let mut config = TestConfig::with_upstreams(&[unresponsive.address]);
+    config.deadline_ms = DEADLINE_MS;
+    let mut balancer = config.start();
     let mut idle = RawClient::connect(balancer.address);
-    for (case, request) in [("live", HEALTH), ("ready", ready)] {
+    for (case, request) in [("live", LIVENESS_REQUEST), ("ready", READINESS_REQUEST)] {
         idle.send(request.as_bytes());
         transcript.add_received(&format!("{case}: the client receives"), &idle.response());
     }
     let mut in_flight = RawClient::connect(balancer.address);
-    in_flight.send(book(DEADLINE_MS, "x").as_bytes());
-    until("the upstream has received the request", || {
+    in_flight.send(at_most_once_request(DEADLINE_MS, "x").as_bytes());
+    wait_until("the upstream has received the request", || {
         unresponsive.received().len() == 1
     });
     balancer.terminate();
     let mut draining = Vec::new();
-    until("the balancer is not ready", || {
+    wait_until("the balancer is not ready", || {
         let mut client = RawClient::connect(balancer.address);
-        client.send(ready.as_bytes());
+        client.send(READINESS_REQUEST.as_bytes());
         draining = client.response();
         let is_not_ready = draining.starts_with(b"HTTP/1.1 503");
         if is_not_ready {
@@ -43,24 +45,23 @@
         is_not_ready
     });
     let mut client = RawClient::connect(balancer.address);
-    client.send(HEALTH.as_bytes());
+    client.send(LIVENESS_REQUEST.as_bytes());
     transcript.add_received("draining, live: the client receives", &client.response());
     transcript.add_received("forced close: the client receives", &in_flight.response());
     transcript.add("forced close: then", in_flight.after_response());
     transcript.add_received("idle connection: the client receives", &idle.response());
-    assert!(balancer.wait().success());
+    assert!(balancer.wait_for_exit().success());
     transcript.check();
 }
 
 #[test]
 fn the_response_after_a_flood_is_as_committed() {
     let mut transcript = Transcript::new("flood.txt");
-    let (address, streams) = raw_peer();
-    let balancer = Setup::with(&[address]).start();
+    let peer = RawPeer::start();
+    let balancer = TestConfig::with_upstreams(&[peer.address]).start();
     let mut client = RawClient::connect(balancer.address);
-    client.send(look(TIME_LEFT_MS).as_bytes());
-    let upstream = streams.recv_timeout(LONG).expect("an attempt");
-    assert!(next_request(&upstream).is_some());
+    client.send(idempotent_request(TIME_LEFT_MS).as_bytes());
+    let upstream = peer.next_requested();
     client.send(&[b'x'; FLOOD_SIZE]);
     balancer.round_trip();
     (&upstream).write_all(WITH_LENGTH.as_bytes()).unwrap();
--- a/balancer/tests/wire_fixtures/forwarding.rs
+++ b/balancer/tests/wire_fixtures/forwarding.rs
@@ -1,6 +1,6 @@
 //! Requests and responses that the balancer forwards, and its own responses if no upstream response can be forwarded.
 
-use crate::common::{Setup, book, look};
+use crate::common::{TestConfig, at_most_once_request, idempotent_request};
 use crate::peers::{RawClient, Recorder, UNTIL_CLOSE, WITH_LENGTH};
 use crate::transcript::Transcript;
 use crate::{TIME_LEFT_MS, post};
@@ -14,7 +14,7 @@
 
 /// Records one request through the balancer: as sent, as received by the upstream, and its response.
 fn record_exchange(transcript: &mut Transcript, case: &str, request: &str, upstream: &Recorder) {
-    let balancer = Setup::with(&[upstream.address]).start();
+    let balancer = TestConfig::with_upstreams(&[upstream.address]).start();
     let mut client = RawClient::connect(balancer.address);
     client.send(request.as_bytes());
     let response = client.response();
@@ -37,14 +37,16 @@
         "Transfer-Encoding: chunked\r\n\r\n",
     ) + "3\r\none\r\n4\r\n two\r\n0\r\n\r\n";
     let idempotent = post("/keyed/a", "Idempotency-Key: \"k-1\"\r\n", "x");
-    let http_1_0 = look(TIME_LEFT_MS).replace("HTTP/1.1", "HTTP/1.0");
+    let http_1_0 = idempotent_request(TIME_LEFT_MS).replace("HTTP/1.1", "HTTP/1.0");
     let http_1_0_kept = http_1_0.replace("Host", "Connection: keep-alive\r\nHost");
-    let with_body = look(TIME_LEFT_MS).replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\nabc");
-    let connection_close = look(TIME_LEFT_MS).replace("Host", "Connection: close\r\nHost");
-    let absolute_target =
-        look(TIME_LEFT_MS).replace("/look", "http://app.svc:80/look/a%20b?q=%7e#part");
+    let with_body =
+        idempotent_request(TIME_LEFT_MS).replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\nabc");
+    let connection_close =
+        idempotent_request(TIME_LEFT_MS).replace("Host", "Connection: close\r\nHost");
+    let absolute_target = idempotent_request(TIME_LEFT_MS)
+        .replace("/look", "http://app.svc:80/look/a%20b?q=%7e#part");
     for (case, request) in [
-        ("GET", &look(TIME_LEFT_MS)),
+        ("GET", &idempotent_request(TIME_LEFT_MS)),
         ("GET with a body", &with_body),
         ("GET with an absolute target", &absolute_target),
         ("GET, the last on its connection", &connection_close),
@@ -85,7 +87,7 @@
         record_exchange(
             &mut transcript,
             case,
-            &look(TIME_LEFT_MS),
+            &idempotent_request(TIME_LEFT_MS),
             &Recorder::start(response),
         );
     }
@@ -103,20 +105,20 @@
         record_exchange(
             &mut transcript,
             case,
-            &book(TIME_LEFT_MS, "x"),
+            &at_most_once_request(TIME_LEFT_MS, "x"),
             &Recorder::start(response),
         );
     }
     record_exchange(
         &mut transcript,
         "no upstream listens",
-        &book(TIME_LEFT_MS, "x"),
+        &at_most_once_request(TIME_LEFT_MS, "x"),
         &Recorder::unreachable(),
     );
     record_exchange(
         &mut transcript,
         "no response",
-        &book(400, "x"),
+        &at_most_once_request(400, "x"),
         &Recorder::start(""),
     );
     transcript.check();
--- a/balancer/tests/wire_fixtures/outgoing_calls.rs
+++ b/balancer/tests/wire_fixtures/outgoing_calls.rs
@@ -1,6 +1,6 @@
 //! The requests that the balancer itself makes: watches on the endpoint list, and health checks.
 
-use crate::common::{LONG, Setup, entry, list, raw_peer, tell};
+use crate::common::{RawPeer, TestConfig, endpoint_json, endpoint_list_json, send_chunked_line};
 use crate::peers::{Recorder, WITH_LENGTH, read_raw};
 use crate::transcript::Transcript;
 use frostkeel_balancer::upstream::{EndpointState, Upstreams};
@@ -13,20 +13,20 @@
 fn the_call_to_discovery_is_as_committed() {
     let mut transcript = Transcript::new("discovery_call.txt");
     let upstream = Recorder::start(WITH_LENGTH);
-    let (address, calls) = raw_peer();
-    let mut setup = Setup::with(&[upstream.address]);
-    setup.discovery = address;
-    setup.asks = true;
-    let _balancer = setup.start();
-    let call = calls.recv_timeout(LONG).expect("a call");
+    let discovery = RawPeer::start();
+    let mut config = TestConfig::with_upstreams(&[upstream.address]);
+    config.discovery = discovery.address;
+    config.polls_endpoints = true;
+    let _balancer = config.start();
+    let call = discovery.next_connection();
     transcript.add_received("discovery receives", &read_raw(&mut BufReader::new(&call)));
-    let line = list(7, true, &[entry("s-0", upstream.address, "Ready")]);
+    let line = endpoint_list_json(7, true, &[endpoint_json("s-0", upstream.address, "Ready")]);
     (&call)
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .unwrap();
-    tell(&call, &line);
+    send_chunked_line(&call, &line);
     (&call).write_all(b"0\r\n\r\n").unwrap();
-    let next_call = calls.recv_timeout(LONG).expect("a second call");
+    let next_call = discovery.next_connection();
     transcript.add_received(
         "discovery receives next",
         &read_raw(&mut BufReader::new(&next_call)),
--- a/balancer/tests/wire_fixtures/peers.rs
+++ b/balancer/tests/wire_fixtures/peers.rs
@@ -1,6 +1,6 @@
 //! The peers of the balancer, as raw bytes: upstreams that record what they receive, and clients.
 
-use crate::common::{HEALTH, LONG, nobody};
+use crate::common::{LIVENESS_REQUEST, TIMEOUT, unreachable_address};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -58,7 +58,7 @@
     /// A recorder that never started: nothing listens on its address.
     pub fn unreachable() -> Self {
         Self {
-            address: nobody(),
+            address: unreachable_address(),
             received: Arc::default(),
         }
     }
@@ -90,7 +90,7 @@
 impl RawClient {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Self(BufReader::new(stream))
     }
 
@@ -105,7 +105,11 @@
     /// Whether the connection is kept after a response, so that another request on it is answered, or is closed without
     /// further bytes.
     pub fn after_response(mut self) -> &'static [u8] {
-        let sent = self.0.get_mut().write_all(HEALTH.as_bytes()).is_ok();
+        let sent = self
+            .0
+            .get_mut()
+            .write_all(LIVENESS_REQUEST.as_bytes())
+            .is_ok();
         let next_response = if sent { self.response() } else { Vec::new() };
         if next_response.is_empty() {
             return b"the connection is closed";
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,9 +2,9 @@
 #![allow(
     dead_code,
     unused_imports,
-    clippy::expect_used,
-    reason = "each test binary uses a part of this module; invalid settings fail the test"
+    reason = "each test binary uses a part of this module"
 )]
+#![expect(clippy::expect_used, reason = "invalid settings fail the test")]
 
 mod builders;
 mod harness;
