--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Everything a change has to pass; see README.md. The limits of the decision module are in tests/limits.rs.
+# Everything a change has to pass; see CONTRIBUTING.md. The limits of the decision module are in tests/limits.rs.
 # Each step prints its name and its time; the first that fails ends the run and is named on standard error.
 # Tests that KNOWN-RED.txt names ("test: cause, issue") are run on their own and have to fail: one that passes must be
 # taken off the list.
