--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -290,11 +290,11 @@
     pub(super) async fn read_list(&self) -> Option<WatchedList> {
         let address = self.registry.read_address()?;
         let target = "/registry/instances";
-        let (_, body) = call(address, Method::GET, target, String::new())
+        let response = call(address, Method::GET, target, String::new())
             .await
             .ok()?;
         Some(WatchedList::from_snapshot(
-            serde_json::from_slice(&body).ok()?,
+            serde_json::from_slice(&response.body).ok()?,
         ))
     }
 
--- a/lab/src/runs/registry_writer.rs
+++ b/lab/src/runs/registry_writer.rs
@@ -91,7 +91,7 @@
 async fn write_weight(address: SocketAddr, uid: &str, weight: u64) -> Option<u64> {
     let body = format!("{{\"capacity_hint\":{weight}}}");
     let target = format!("/upstreams/{uid}/weight");
-    let (status, body) = call(address, Method::PUT, &target, body).await.ok()?;
-    let body: serde_json::Value = serde_json::from_slice(&body).ok()?;
-    body["rev"].as_u64().filter(|_| status == 200)
+    let response = call(address, Method::PUT, &target, body).await.ok()?;
+    let body: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
+    body["rev"].as_u64().filter(|_| response.status == 200)
 }
--- a/lab/src/standins/registration.rs
+++ b/lab/src/standins/registration.rs
@@ -133,7 +133,7 @@
                 body,
             } = next_call;
             let response = call(address, method, &target, body).await;
-            let status = response.ok().map(|(status, _)| status);
+            let status = response.ok().map(|response| response.status);
             match self.on_response(announcement, status) {
                 Next::Left => self.registrations.set(self.upstream, Announcement::Nothing),
                 Next::Wait(wait) => {
--- a/lab/src/standins/registry_process.rs
+++ b/lab/src/standins/registry_process.rs
@@ -205,9 +205,9 @@
 
 /// How many upstreams a registry lists as ready.
 async fn ready_count(address: SocketAddr) -> Option<u64> {
-    let (status, body) = call(address, Method::GET, "/status", String::new())
+    let response = call(address, Method::GET, "/status", String::new())
         .await
         .ok()?;
-    let body: serde_json::Value = serde_json::from_slice(&body).ok()?;
-    body["ready"].as_u64().filter(|_| status == 200)
+    let body: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
+    body["ready"].as_u64().filter(|_| response.status == 200)
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,26 +1,30 @@
-//! Each file of the decision module stays small enough to be read whole: 400 lines, 110 characters each. How many lines
-//! they have together is not limited.
+//! Each file of the decision module stays small enough to be read whole: 400 lines, 100 characters
+//! each. How many lines they have together is not limited.
 
 const FILE_MOST: usize = 400;
-const CHARACTERS_MOST: usize = 110;
+const CHARACTERS_MOST: usize = 100;
 
-const FILES: [(&str, &str); 11] = [
+const FILES: [(&str, &str); 20] = [
     ("src/policy/mod.rs", include_str!("../src/policy/mod.rs")),
     (
         "src/policy/admission.rs",
         include_str!("../src/policy/admission.rs"),
     ),
     (
-        "src/policy/attempts.rs",
-        include_str!("../src/policy/attempts.rs"),
+        "src/policy/attempt_flow.rs",
+        include_str!("../src/policy/attempt_flow.rs"),
+    ),
+    (
+        "src/policy/capacity.rs",
+        include_str!("../src/policy/capacity.rs"),
     ),
     (
         "src/policy/class_statistics.rs",
         include_str!("../src/policy/class_statistics.rs"),
     ),
     (
-        "src/policy/doubt.rs",
-        include_str!("../src/policy/doubt.rs"),
+        "src/policy/clock.rs",
+        include_str!("../src/policy/clock.rs"),
     ),
     (
         "src/policy/endpoint_lease.rs",
@@ -30,19 +34,51 @@
         "src/policy/endpoint_polling.rs",
         include_str!("../src/policy/endpoint_polling.rs"),
     ),
+    (
+        "src/policy/endpoints.rs",
+        include_str!("../src/policy/endpoints.rs"),
+    ),
     (
         "src/policy/idle_connections.rs",
         include_str!("../src/policy/idle_connections.rs"),
     ),
-    ("src/policy/list.rs", include_str!("../src/policy/list.rs")),
+    ("src/policy/load.rs", include_str!("../src/policy/load.rs")),
+    (
+        "src/policy/outlier_detection.rs",
+        include_str!("../src/policy/outlier_detection.rs"),
+    ),
+    (
+        "src/policy/pacing.rs",
+        include_str!("../src/policy/pacing.rs"),
+    ),
+    (
+        "src/policy/request_flow.rs",
+        include_str!("../src/policy/request_flow.rs"),
+    ),
+    (
+        "src/policy/requests.rs",
+        include_str!("../src/policy/requests.rs"),
+    ),
+    (
+        "src/policy/round_robin.rs",
+        include_str!("../src/policy/round_robin.rs"),
+    ),
     (
-        "src/policy/turns.rs",
-        include_str!("../src/policy/turns.rs"),
+        "src/policy/subset.rs",
+        include_str!("../src/policy/subset.rs"),
+    ),
+    (
+        "src/policy/upstream_health.rs",
+        include_str!("../src/policy/upstream_health.rs"),
     ),
     (
         "src/policy/upstreams.rs",
         include_str!("../src/policy/upstreams.rs"),
     ),
+    (
+        "src/policy/weights.rs",
+        include_str!("../src/policy/weights.rs"),
+    ),
 ];
 
 /// What of a file's text goes over the limits.
