--- a/balancer/src/event_loop/actions.rs
+++ b/balancer/src/event_loop/actions.rs
@@ -1,11 +1,9 @@
 //! What the decision module wants done.
 
-use super::{EventLoop, LoopState, QueuedEvent};
+use super::{EventLoop, LoopState};
 use crate::in_flight::FinalResponse;
-use frostkeel_policy::{Action, TimerId, UpstreamId};
+use frostkeel_policy::{Action, LogEvent};
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::time::{Instant, sleep};
 
 impl EventLoop {
     pub(super) fn perform(self: &Rc<Self>, state: &mut LoopState, action: Action) {
@@ -41,28 +39,19 @@
             Action::WatchEndpoints => self.start_watch(),
             Action::CloseIdleConnections { upstream } => self.upstreams.close_idle(upstream),
             Action::HealthCheck { upstream } => self.start_health_check(upstream),
-            Action::Log(event) => tracing::info!("{event}"),
+            Action::Log(event) => log_policy_event(&event),
         }
     }
+}
 
-    fn start_timer(self: &Rc<Self>, after: Duration, timer: TimerId) {
-        let event_loop = Rc::clone(self);
-        self.tasks.spawn(async move {
-            sleep(after).await;
-            event_loop.enqueue(QueuedEvent::TimerDue(timer));
-        });
-    }
-
-    fn start_health_check(self: &Rc<Self>, upstream: UpstreamId) {
-        let (event_loop, started_at) = (Rc::clone(self), Instant::now());
-        self.tasks.spawn(async move {
-            let result = event_loop.upstreams.health_check(upstream).await;
-            let latency = started_at.elapsed();
-            event_loop.enqueue(QueuedEvent::HealthCheckEnded {
-                upstream,
-                latency,
-                result,
-            });
-        });
+fn log_policy_event(event: &LogEvent) {
+    match event {
+        LogEvent::EndpointsConfirmed {
+            paused_for_s,
+            cause,
+        } => {
+            let paused_for_s = format_args!("{paused_for_s:.2}");
+            tracing::info!(%paused_for_s, reason = cause.as_str(), "sends resumed");
+        }
     }
 }
