--- a/src/interface.rs
+++ b/src/interface.rs
@@ -39,7 +39,7 @@
 pub enum Availability {
     /// It accepts requests.
     Ready,
-    /// It completes what is in flight; nothing new is sent there.
+    /// It completes the requests in flight; no new attempt is sent to it.
     Draining,
     /// It is no longer part of the service.
     Removed,
@@ -94,7 +94,7 @@
     Reset,
     /// Cancelled; the request may have been processed.
     Cancelled,
-    /// Not sent at all.
+    /// The attempt was not sent.
     NotSent,
 }
 
@@ -127,7 +127,7 @@
     Timeout,
     /// The connection of its last attempt failed or could not be made.
     ConnectionError,
-    /// Its last attempt was answered with an error.
+    /// Its last attempt ended with an error response.
     UpstreamError,
     /// The upstream rejected its last attempt without processing it.
     UpstreamRejected,
@@ -154,7 +154,7 @@
         Self::StaleEndpoints,
     ];
 
-    /// The reason as it stands in the log.
+    /// The reason as the log writes it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownClass => "unknown-class",
@@ -183,7 +183,7 @@
     },
     /// Discovery closed the watch: in place of an update, or while shutting down.
     Ended,
-    /// The beginning of a list was received, and not its end: the response may be truncated.
+    /// The beginning of a list was received but not its end: the response may be truncated.
     Partial {
         /// When its first part was received.
         since: Duration,
@@ -314,7 +314,7 @@
         /// Why.
         reason: FailureReason,
     },
-    /// Ask for [`Event::Timer`] after some time.
+    /// Deliver [`Event::Timer`] after some time.
     Timer {
         /// How long from now.
         after: Duration,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a reverse proxy that spreads requests over HTTP upstreams: which request is
 //! admitted, which upstream it goes to, and what happens when an attempt fails.
 //!
-//! The crate does no I/O and reads no clock. The embedder tells [`Balancer`] what happens, as
-//! [`Event`]s with the time, and carries out the [`Action`]s it answers. The same settings, seed
-//! and events always give the same actions.
+//! The crate does no I/O and reads no clock. The embedder passes [`Event`]s with their time to
+//! [`Balancer`] and executes the [`Action`]s that it returns. The same settings, seed and events
+//! always give the same actions.
 //!
 //! ```
 //! use frostkeel_policy::*;
@@ -22,7 +22,7 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // A balancer's life starts with the list of upstreams it knows.
+//! // The first event is the endpoint list that the balancer has cached.
 //! let endpoints = [Endpoint {
 //!     id: UpstreamId(7),
 //!     zone: ZoneId(0),
@@ -65,10 +65,9 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! Two things an embedder must do: deliver the timers that [`Action::Timer`] asks for (the
-//! balancer's tick is one of them), and end an attempt as [`Outcome::TimedOut`] at its time-out or,
-//! at the latest, at the client's deadline. `Balancer` gives each request exactly one final answer
-//! on these terms.
+//! An embedder must do two things: deliver the timers that [`Action::Timer`] sets (the balancer's
+//! tick is one of them), and end an attempt as [`Outcome::TimedOut`] at its time-out or, at the
+//! latest, at the client's deadline. `Balancer` then gives each request exactly one final response.
 
 mod interface;
 mod log_event;
@@ -79,7 +78,7 @@
 pub use interface::*;
 pub use policy::Balancer;
 
-/// README's embedding example, kept honest by the tests.
+/// The README's embedding example, compiled and run as a documentation test.
 #[doc = include_str!("../README.md")]
 #[cfg(doctest)]
 struct Readme;
--- a/src/log_event.rs
+++ b/src/log_event.rs
@@ -1,13 +1,13 @@
-//! What a balancer has to say in the log.
+//! The events that a balancer writes to the log.
 
 use std::fmt;
 
-/// A line for the operators' log; its text is what it displays as.
+/// A line for the operators' log; its `Display` form is the text.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
     /// Discovery has confirmed the endpoint list again, after a pause of sends.
     EndpointsConfirmed {
-        /// How long nothing new was sent, in seconds.
+        /// How long no attempt was sent, in seconds.
         paused_for_s: f64,
         /// Why.
         cause: StalenessCause,
@@ -31,7 +31,7 @@
 /// Why the endpoint list may be out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalenessCause {
-    /// A watch, or a poll for one, fell silent.
+    /// Nothing was received on a watch, or on a poll for one, for too long.
     WatchSilent,
     /// Discovery ended the watch.
     WatchEnded,
@@ -39,7 +39,7 @@
     PollsRejected,
     /// Discovery has moved to another address.
     DiscoveryMoved,
-    /// A response arrived in part.
+    /// A response was truncated.
     PartialResponse,
 }
 
@@ -53,7 +53,7 @@
         Self::PartialResponse,
     ];
 
-    /// The cause as it stands in the balancer's log.
+    /// The cause as the log writes it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::WatchSilent => "watch-silent",
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 /// Bucket size: a second of the guarantee or this fraction of the tenant's demand, whichever is
-/// more, and this many tokens, so that two requests of a small tenant that happen to come together
-/// are not rejected.
+/// more, and this many tokens, so that two simultaneous requests of a small tenant are not
+/// rejected.
 const BUCKET_DEMAND_FRACTION: f64 = 0.2;
 const MIN_BUCKET_SIZE: f64 = 3.0;
 /// Shortest window of the demand, in seconds and in requests: one tick sees too few requests.
@@ -72,8 +72,8 @@
         } else {
             0.0
         };
-        // Only whole tokens count against a share of W under one request: else it would never reach
-        // one.
+        // Only whole tokens are subtracted from W: otherwise the bucket would never reach one where
+        // W is under one request.
         let open = (refill.spare_capacity - self.tokens.floor()).max(0.0);
         let guaranteed = (1.0 - cut).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
         let grant = guaranteed + demand_fraction * open;
@@ -141,9 +141,9 @@
         self.buckets.iter().map(|bucket| bucket.demand_per_s).sum()
     }
 
-    /// Refills the buckets, each tick. In a shortage tenants over their guarantee lose it first; in
-    /// a large one, as after the loss of half the fleet, the others do as well: full queues serve
-    /// nobody.
+    /// Refills the buckets, each tick. In a shortage, tenants over their guarantee are cut first.
+    /// In a large one, as after the loss of half the upstreams, the others are cut as well: with
+    /// full queues all responses would be late.
     pub(super) fn refill(&mut self, spare_capacity: f64, shortage: f64, elapsed_s: f64) {
         let total_demand_per_s = self.demand_per_s();
         let growth = self.guarantee_growth(shortage);
@@ -163,9 +163,9 @@
         }
     }
 
-    /// Where the median tenant asks for more than its part, this balancer gets more traffic than
-    /// others, and no single tenant surges. Not in a large shortage: there retries raise all
-    /// demand.
+    /// Raises the guarantees where the median tenant's demand is above its part: this balancer then
+    /// gets more traffic than others, and no single tenant surges. Not in a large shortage, where
+    /// retries raise all demand.
     fn guarantee_growth(&self, shortage: f64) -> f64 {
         let demand =
             |bucket: &TokenBucket| bucket.demand_per_s / bucket.base_guarantee_per_s.max(1e-9);
@@ -177,9 +177,9 @@
     }
 }
 
-/// How long a rejected client should wait before a retry: no less than an attempt takes, however
-/// little of this one's time is left, as the client may have another. The moment is spread by the
-/// request's own number, so that clients rejected together do not return together.
+/// How long a rejected client should wait before a retry: no less than an attempt takes, even if
+/// less of this request's time is left, as the client may send another. The jitter follows from the
+/// request's id, so that clients rejected together do not retry together.
 pub(super) fn retry_after(
     id: RequestId,
     time_left: Duration,
--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -1,4 +1,4 @@
-//! The way of an attempt: its send, retries and hedges, its end, and what follows from its outcome.
+//! The flow of an attempt: its send, retries and hedges, its end, and the effects of its outcome.
 
 use super::Balancer;
 use super::class_statistics::LatencySample;
@@ -78,8 +78,8 @@
         if !self.settings.hedging && may_retry {
             return Some(overdue);
         }
-        // A response that is of no use is not waited for: upstreams that drop cancelled requests
-        // have capacity for others, and an unresponsive one is known sooner.
+        // An attempt whose response would earn nothing is abandoned: upstreams that drop cancelled
+        // requests get capacity for others, and an unresponsive one is detected sooner.
         let useful_s = (request.useful_until_s - self.now_s).clamp(MIN_TIMEOUT_S, MAX_TIMEOUT_S);
         let ends_early = request.useful_until_s < request.deadline_s;
         ends_early.then(|| Duration::from_secs_f64(useful_s))
@@ -137,7 +137,7 @@
     }
 
     /// Whether an upstream may take a retry of a request. Not in slow start: the retries after a
-    /// failure come together, and are the burst that overloads it.
+    /// failure arrive in one burst, which would overload it.
     fn accepts_retry(&self, request: &Request, upstream: &Upstream) -> bool {
         let class = &self.settings.classes[request.class];
         let connect_timeout = self.settings.connect_timeout;
@@ -157,9 +157,9 @@
         }
     }
 
-    /// An attempt is in flight for longer than is usual. If nothing has come back from its upstream
-    /// since it was sent, that is suspected, and a hedge may go out; else the request is a long
-    /// one, and would take as long elsewhere.
+    /// An attempt is in flight for longer than is usual. If its upstream has not responded to
+    /// anything since it was sent, the upstream is suspected, and a hedge may be sent. Otherwise
+    /// the request is an expensive one, and would take as long elsewhere.
     fn handle_overdue(&mut self, attempt: &OverdueAttempt) {
         let Some(slot) = self.upstreams.slot(attempt.upstream) else {
             return;
@@ -284,15 +284,15 @@
         if attempt.outcome == Outcome::Rejected {
             upstream.load.record_rejected(self.now_s);
         }
-        // A fault of this upstream alone says nothing about capacity elsewhere.
+        // A fault of this upstream alone is no evidence about capacity elsewhere.
         if attempt.is_abandoned() && !upstream.health.is_ejected_for(attempt.class) {
             upstream.load.record_abandoned();
         }
         let is_ejected = fault.is_some_and(|fault| self.suspect(slot, fault));
         if is_ejected && attempt.outcome == Outcome::ConnectFailed {
-            // Nothing listens there: the process has died, and its successor will be in slow start.
-            // Each balancer returns to it at a random time. An upstream that accepts connections,
-            // if only to reset them, has not restarted and keeps its capacity.
+            // No process listens there: it has died, and its successor will be in slow start. Each
+            // balancer returns to it at a random time. An upstream that accepts connections, if
+            // only to reset them, has not restarted and retains its capacity.
             let upstream = &mut self.upstreams[slot];
             upstream
                 .weight
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -7,17 +7,18 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{EndpointWeights, LoadField, LoadReports, Settings};
 
-/// Seconds over which the service rate is averaged under strain, and over which a rate once reached
-/// fades otherwise.
+/// Seconds over which the service rate is averaged in overload, and over which a previously
+/// reached rate decays otherwise.
 pub(super) const RATE_MEMORY_S: f64 = 2.0;
 const UNSTRAINED_RATE_MEMORY_S: f64 = 30.0;
-/// Fraction of the objective that work may spend in the fleet on average before no capacity is
-/// spare; past it, many responses are late.
+/// Mean latency, as a fraction of the objective, from which on no capacity is spare; above it many
+/// responses are late.
 pub(super) const QUEUE_OBJECTIVE_FRACTION: f64 = 0.4;
-/// The same where reports tell the utilization, and latency is only a second limit.
+/// The same where load reports contain the utilization, and latency is only a second limit.
 const REPORTED_QUEUE_OBJECTIVE_FRACTION: f64 = 0.55;
-/// Fraction of the upstreams' cores that may be kept in use where reports tell, and what is added
-/// for demand over the quotas, by its weight: demand of little weight justifies little risk.
+/// Fraction of the upstreams' cores that may be in use where load reports contain the utilization,
+/// and what is added for demand over the quotas, by its weight: demand of little weight justifies
+/// little risk.
 const BASE_UTILIZATION_BOUND: f64 = 0.62;
 const OVER_QUOTA_UTILIZATION: f64 = 0.4;
 const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
@@ -31,7 +32,7 @@
 const MIN_SCALED_UTILIZATION: f64 = 0.1;
 const MAX_UTILIZATION_SCALE: f64 = 2.0;
 
-/// Fraction of the upstreams' cores that may be kept in use.
+/// Fraction of the upstreams' cores that may be in use.
 fn utilization_bound(settings: &Settings) -> f64 {
     let over_quota_weight = settings.over_quota_weight_share.min(MAX_OVER_QUOTA_WEIGHT);
     BASE_UTILIZATION_BOUND + OVER_QUOTA_UTILIZATION * over_quota_weight
@@ -56,7 +57,7 @@
     }
 }
 
-/// What the upstreams can do together.
+/// The total capacity of the upstreams.
 pub(super) struct Capacity {
     utilization_bound: f64,
     balancers: f64,
@@ -67,7 +68,7 @@
     completions_per_s: f64,
     /// Weight of the rotation, smoothed.
     rotation_weight: f64,
-    /// Fraction of requests that pacing rejects, fading.
+    /// Fraction of requests that pacing rejects, as a decaying mean.
     paced_fraction: f64,
     /// Fraction of the upstreams' cores in use, by their reports; zero: not known.
     utilization: f64,
@@ -186,7 +187,7 @@
         if cores <= 0.0 {
             return;
         }
-        // The first reports are of an idle fleet: no rate is set by them alone.
+        // The first reports are from idle upstreams: no rate is set by them alone.
         self.reported_for_s += inputs.elapsed_s;
         let weight_of_newest = if self.reported_for_s < UTILIZATION_VALID_S {
             newest_weight(inputs.elapsed_s, RATE_MEMORY_S)
@@ -237,17 +238,17 @@
         self.rotation_weight
     }
 
-    /// Follows the utilization where it is known: a rate once reached under load would go on
-    /// admitting requests that slow an overloaded upstream down.
+    /// Adapts the rate to the utilization where it is known: a rate previously reached would
+    /// continue to admit requests that slow an overloaded upstream down.
     fn follow_utilization(&mut self, observed: f64, elapsed_s: f64) {
         let headroom =
             self.utilization_bound / self.settled_utilization.max(MIN_SCALED_UTILIZATION);
         let achievable = observed * headroom.min(MAX_UTILIZATION_SCALE);
-        // Where pacing rejects, completions only show what was let through.
+        // Where pacing rejects requests, completions only show the rate that was admitted.
         let idle = (headroom - 1.0).clamp(0.0, 1.0);
         self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH * self.paced_fraction * idle;
         let change = newest_weight(elapsed_s, RATE_MEMORY_S) * (achievable - self.service_rate);
-        // It is no less than what they do now, if that keeps the utilization within its bound.
+        // No less than the present rate, if that leaves the utilization within its bound.
         self.service_rate = (self.service_rate + change).max(observed.min(achievable));
     }
 
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -28,19 +28,19 @@
 const ADMITTED_NEWEST_WEIGHT: f64 = 0.01;
 /// A class with a smaller fraction of the admitted requests does not limit the queues.
 const MIN_ADMITTED_FRACTION: f64 = 0.02;
-/// Seconds after which the latency of a class without responses fades, over as long again ...
+/// Seconds after which the latency of a class without responses decays, over the same time ...
 const LATENCY_VALID_S: f64 = 5.0;
 /// ... down to this fraction of its objective.
 const FADED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
 /// Lower limit of a latency that a value is divided by.
 const MIN_LATENCY_S: f64 = TICK_S;
 
-/// What kind of end a latency was measured at.
+/// The event at which a latency was measured.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LatencySample {
-    /// The response came after its latency.
+    /// The response.
     Answered,
-    /// It was abandoned then, overdue.
+    /// The attempt was abandoned as overdue.
     Abandoned,
 }
 
--- a/src/policy/endpoint_flow.rs
+++ b/src/policy/endpoint_flow.rs
@@ -1,4 +1,4 @@
-//! The way of an endpoint update: polling, the lease, the upstreams, the subset.
+//! The flow of an endpoint update: polling, the lease, the upstreams, the subset.
 
 use super::Balancer;
 use super::endpoint_polling::PollFailure;
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -1,26 +1,26 @@
-//! The lease on the endpoint list: for how long it may be sent by once discovery no longer confirms
+//! The lease on the endpoint list: for how long the list is valid once discovery no longer confirms
 //! it.
 //!
-//! A change counts as notified some seconds after a watch has broken, and as soon as it is written
-//! on a response, whatever happens to the polls for another list. From a grace period after that
-//! on, any upstream could be a draining one: nothing new is sent until a list, or a heartbeat, has
-//! arrived in full. While discovery is down it knows of no change: polls that time out or find
-//! nobody listening end such a cause of staleness, others do not.
+//! A change counts as notified some seconds after a watch has failed, and as soon as it is written
+//! to a response, whatever happens to the polls for another list. When a grace period after that
+//! has passed, any upstream could be draining: no attempt is sent until a list, or a heartbeat, has
+//! been received completely. While discovery is down it notifies no change: polls that time out or
+//! are not accepted end such a cause of staleness, others do not.
 
 use crate::interface::{LogEvent, SendPause, StalenessCause, WatchEvent};
 use std::time::Duration;
 
-/// Seconds after which what was missed counts as notified: by a watch that fell silent or can't be
-/// established, by one that discovery ended, and where discovery has moved.
+/// Seconds after which missed changes count as notified: by a watch without heartbeats or one that
+/// can't be established, by one that discovery ended, and where discovery has moved.
 const NOTIFIED_AFTER_SILENCE_S: f64 = 6.0;
 const NOTIFIED_AFTER_END_S: f64 = 2.0;
 const NOTIFIED_AFTER_MOVE_S: f64 = 4.0;
 /// Subtracted from the lease: for a pause between a look at the clock and a write, and for the
 /// network.
 const SAFETY_MARGIN_S: f64 = 0.2;
-/// Seconds within which an overloaded discovery rejects a poll; one that is down lets it wait.
+/// Seconds within which an overloaded discovery rejects a poll; one that is down does not respond.
 const IMMEDIATE_REJECTION_S: f64 = 0.5;
-/// Longest pause of sends: a balancer that is cut off for longer serves with an old list.
+/// Longest pause of sends: a balancer that is partitioned for longer serves with a stale list.
 const MAX_PAUSE_S: f64 = 24.0;
 
 /// All causes, in the order of their numbers.
@@ -32,7 +32,7 @@
     StalenessCause::PartialResponse,
 ];
 
-/// Seconds after which what was missed counts as notified.
+/// Seconds after which missed changes count as notified.
 fn notified_after_s(cause: StalenessCause) -> f64 {
     match cause {
         StalenessCause::WatchSilent | StalenessCause::PollsRejected => NOTIFIED_AFTER_SILENCE_S,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Whether a discovery that is down ends it: it has notified nobody meanwhile.
+/// Whether an outage of discovery ends the cause: it notifies no change meanwhile.
 fn ends_with_outage(cause: StalenessCause) -> bool {
     matches!(
         cause,
@@ -61,8 +61,8 @@
 pub(super) struct EndpointLease {
     /// How long after a notification sends to a draining upstream may go on.
     drain_grace_s: f64,
-    /// An agent of this balancer's own answers at once and is silent only where it knows of
-    /// nothing: with one, only a partial response makes the list stale.
+    /// A local agent responds at once, and without a response there is no change: with one, only
+    /// a partial response makes the list stale.
     has_local_agent: bool,
     /// Since when each of [`CAUSES`] exists.
     stale_since_s: [Option<f64>; CAUSES.len()],
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Takes in what happened to the watch or a poll.
+    /// Processes a change in the state of the watch or a poll.
     pub(super) fn on_watch_event(&mut self, event: WatchEvent, now_s: f64) {
         match event {
             WatchEvent::Partial { since } => {
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Discovery has confirmed the list: a new lease begins. Tells of the pause of sends that this
-    /// ends.
+    /// Discovery has confirmed the list: a new lease begins. Returns the log event for the pause of
+    /// sends that this ends.
     pub(super) fn renew(&mut self, now_s: f64) -> Option<LogEvent> {
         let expired = self.expiry().filter(|expiry| expiry.at_s <= now_s);
         self.stale_since_s = [None; CAUSES.len()];
@@ -118,7 +118,7 @@
         })
     }
 
-    /// Whether nothing new may be sent now.
+    /// Whether no attempt may be sent now.
     pub(super) fn is_expired(&self, now_s: f64) -> bool {
         self.expiry().is_some_and(|expiry| {
             let pause = expiry.at_s..expiry.at_s + MAX_PAUSE_S;
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Whether a response arrived in part, and its end did not.
+    /// Whether a response was truncated.
     pub(super) fn has_partial_response(&self) -> bool {
         self.has_cause(StalenessCause::PartialResponse)
     }
@@ -136,7 +136,7 @@
         self.has_cause(StalenessCause::PollsRejected)
     }
 
-    /// When nothing new may be sent, unless a list arrives before; `None`: the list is confirmed.
+    /// When no attempt may be sent, unless a list is received first; `None`: it is confirmed.
     pub(super) fn send_pause(&self) -> Option<SendPause> {
         let from_s = self.expiry()?.at_s;
         let point = |at_s: f64| Duration::from_secs_f64(at_s.clamp(0.0, 1e9));
@@ -163,7 +163,7 @@
         }
     }
 
-    /// When the list stops to be sent by, and why; `None`: the list is confirmed.
+    /// When the lease on the list ends, and why; `None`: the list is confirmed.
     fn expiry(&self) -> Option<Expiry> {
         let notified = |cause: &StalenessCause| {
             let since_s = self.stale_since_s[*cause as usize]?;
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -4,14 +4,14 @@
 use crate::interface::Settings;
 use crate::random::Random;
 
-/// Time of discovery planned for each balancer's poll: it serves one after another, and a poll
-/// that has waited for too long fails and is repeated.
+/// Time that discovery needs for each balancer's poll: it serves polls one after another, and a
+/// poll that has waited for too long fails and is retried.
 const POLL_SERVICE_S: f64 = 0.05;
 /// Fraction of the poll interval over which the polls of all balancers are spread at most.
 const MAX_SPREAD_FRACTION: f64 = 0.5;
 /// Seconds after which a change counts as notified, whatever happened to the polls for it. Of
-/// these: what an answered poll takes from its connection on, and what it takes to see that a watch
-/// has gone silent.
+/// these: the duration of a successful poll with its connection, and the time until a watch without
+/// heartbeats is detected.
 const NOTIFIED_WITHIN_S: f64 = 6.0;
 const POLL_DURATION_S: f64 = 1.5;
 const WATCH_SILENCE_S: f64 = 3.0;
@@ -27,7 +27,8 @@
 /// Jitter: a backoff is at least this fraction of its length.
 const MIN_BACKOFF_JITTER: f64 = 0.1;
 const BACKOFF_JITTER: f64 = 0.9;
-/// Seconds after which an unanswered poll is replaced by another; a local agent answers at once.
+/// Seconds after which a poll without a response is replaced by another; a local agent responds at
+/// once.
 const MIN_POLL_TIMEOUT_S: f64 = 4.0;
 /// The same as a fraction of the poll interval, with its jitter.
 const POLL_TIMEOUT_FRACTION: f64 = 0.4;
@@ -37,11 +38,11 @@
 /// Who is polled.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollTarget {
-    /// Nobody: the list is pushed.
+    /// No polls: the list is pushed.
     Nobody,
     /// Discovery, together with all other balancers.
     Discovery,
-    /// An agent of this balancer's own.
+    /// A local agent that serves this balancer alone.
     LocalAgent,
 }
 
@@ -71,7 +72,7 @@
     /// once.
     spread_s: f64,
     is_watching: bool,
-    /// Part of a response is here, and its end may follow.
+    /// Part of a response was received, and the rest may follow.
     is_receiving: bool,
     next_poll_at_s: f64,
     last_poll_at_s: f64,
@@ -109,7 +110,7 @@
         if self.target == PollTarget::Nobody || is_answered || now_s < self.next_poll_at_s {
             return false;
         }
-        // An unanswered poll is repeated well before silence counts as having been notified.
+        // A poll without a response is retried well before a change counts as notified.
         let timeout_s =
             self.interval_s * (POLL_TIMEOUT_FRACTION + POLL_TIMEOUT_JITTER * random.f64());
         let timeout_s = if self.target == PollTarget::LocalAgent {
@@ -121,7 +122,7 @@
         true
     }
 
-    /// Part of a response has arrived: no poll beside it.
+    /// Part of a response was received: no other poll is made meanwhile.
     pub(super) fn on_partial_response(&mut self) {
         self.is_receiving = true;
     }
@@ -136,7 +137,7 @@
         (self.is_watching, self.consecutive_failures) = (true, 0);
     }
 
-    /// A poll failed, or the watch ended: the next poll comes after a backoff.
+    /// A poll failed, or the watch ended: the next poll is made after a backoff.
     pub(super) fn on_failure(&mut self, failure: &PollFailure, now_s: f64, random: &mut Random) {
         let backoff_s = self.backoff_s(failure, now_s);
         self.consecutive_failures += 1;
@@ -145,8 +146,9 @@
             now_s + backoff_s * (MIN_BACKOFF_JITTER + BACKOFF_JITTER * random.f64());
     }
 
-    /// Doubles with each failure, so that not all balancers poll a discovery that comes back at the
-    /// same time; but no backoff lets a change be known later than it counts as notified.
+    /// Doubles with each failure, so that a discovery that has recovered is not polled by all
+    /// balancers at the same time; but no backoff is so long that a change is received later than
+    /// it counts as notified.
     fn backoff_s(&self, failure: &PollFailure, now_s: f64) -> f64 {
         let spread_s = self.spread_s.min(MAX_BACKOFF_SPREAD_S);
         let backoff_s = if self.target == PollTarget::LocalAgent {
@@ -162,8 +164,8 @@
         } else {
             backoff_s
         };
-        // Rejections cost an overloaded discovery time as well: the next poll comes neither soon
-        // nor late.
+        // Rejections cost an overloaded discovery time as well: the backoff is neither short nor
+        // long.
         if failure.was_rejected {
             backoff_s.min(spread_s.max(MAX_REJECTED_BACKOFF_S))
         } else {
@@ -175,14 +177,14 @@
         first_s * f64::from(1u32 << self.consecutive_failures.min(MAX_DOUBLINGS))
     }
 
-    /// Time left for a backoff, if the next poll is answered.
+    /// Time left for a backoff, if the next poll succeeds.
     fn remaining_s(&self, spread_s: f64, now_s: f64) -> f64 {
         let elapsed_s = if self.is_watching {
             WATCH_SILENCE_S
         } else {
             now_s - self.last_poll_at_s
         };
-        // The largest fleets keep their spread: a discovery that all poll at once serves few.
+        // With the most balancers the spread remains: a discovery that all poll at once serves few.
         let min_s = if spread_s < MAX_BACKOFF_SPREAD_S {
             MIN_BACKOFF_S
         } else {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -16,7 +16,7 @@
 /// Removed upstreams are forgotten when they are more than one in so many.
 const MAX_REMOVED_PART: usize = 4;
 
-/// What the list says of one upstream.
+/// The entry of one upstream in the list.
 pub(super) struct EndpointRecord {
     id: UpstreamId,
     zone: ZoneId,
@@ -50,7 +50,7 @@
 }
 
 impl Upstream {
-    /// A newcomer to the list, before its entry is applied.
+    /// An upstream that is new in the list, before its entry is applied.
     fn new(
         id: UpstreamId,
         class_count: usize,
@@ -100,7 +100,7 @@
     pub(super) now_s: f64,
 }
 
-/// Applies an update of the list. Returns whether the subset has to be chosen anew.
+/// Applies an update of the list. Returns whether the subset has to be chosen again.
 pub(super) fn apply_update(
     upstreams: &mut Upstreams,
     scope: UpdateScope,
@@ -109,12 +109,13 @@
 ) -> bool {
     let mut is_changed = scope != UpdateScope::Delta;
     if is_changed {
-        // What a snapshot no longer names is removed.
+        // An upstream that is missing from a snapshot is removed.
         upstreams
             .iter_mut()
             .for_each(|u| u.endpoint.availability = Availability::Removed);
     }
-    // A newcomer to a list already known has just started, whatever the list says.
+    // An upstream that is new in an update of a known list has just started, whatever its entry
+    // contains.
     let is_first_list = upstreams.is_empty();
     let known = upstreams.len();
     for endpoint in endpoints {
@@ -138,7 +139,7 @@
         .filter(|upstream| upstream.is_removable())
         .count();
     if upstreams.len() > known || removable > upstreams.len() / MAX_REMOVED_PART {
-        // Removed upstreams are forgotten: else a changing fleet would grow state without bound.
+        // Removed upstreams are forgotten: otherwise the state would grow without bound.
         upstreams.retain(|upstream| !upstream.is_removable());
         is_changed = true;
     }
@@ -146,7 +147,7 @@
 }
 
 impl UpdateContext<'_> {
-    /// Applies an entry of the list. Returns whether the subset has to be chosen anew.
+    /// Applies an entry of the list. Returns whether the subset has to be chosen again.
     fn apply_endpoint(
         &mut self,
         upstream: &mut Upstream,
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -1,7 +1,7 @@
-//! Idle connections that the network drops unseen: where requests are lost on them, and not on
+//! Idle connections that the network drops silently: where requests are lost on them, and not on
 //! those in use, they are closed before they are used again.
 
-/// Seconds after which an idle connection may have been dropped, and for which that is believed.
+/// Seconds after which an idle connection may have been dropped, and for which it is suspected.
 const MIN_IDLE_S: f64 = 0.3;
 const MAX_IDLE_VALID_S: f64 = 15.0;
 /// Weight of the newest attempt in the fractions of unanswered ones: two long requests in a row are
@@ -15,7 +15,7 @@
 /// When the connections to one upstream were last used.
 #[derive(Default)]
 pub(super) struct ConnectionUse {
-    /// Something was sent or came back; zero: never.
+    /// When something was last sent or received; zero: never.
     last_used_at_s: f64,
 }
 
@@ -38,10 +38,10 @@
 /// while.
 #[derive(Default)]
 pub(super) struct IdleConnections {
-    /// Fraction of attempts never answered, on connections in use and on idle ones.
+    /// Fraction of attempts without a response, on connections in use and on idle ones.
     unanswered_in_use: f64,
     unanswered_idle: f64,
-    /// Idle time after which a connection may be dead, and until when that is believed.
+    /// Idle time after which a connection may be dead, and until when it is suspected.
     max_idle_s: f64,
     max_idle_valid_until_s: f64,
 }
@@ -52,7 +52,7 @@
         idle_s > self.max_idle_s && now_s < self.max_idle_valid_until_s && self.are_lost_when_idle()
     }
 
-    /// An attempt on a connection that was idle for so long was answered, or never.
+    /// Records whether an attempt on a connection that was idle for so long got a response.
     pub(super) fn record(&mut self, idle_s: f64, was_unanswered: bool, now_s: f64) {
         let was_idle = idle_s > MIN_IDLE_S;
         let fraction = if was_idle {
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -7,18 +7,20 @@
 /// What an overdue attempt counts for, in attempts in flight: its upstream is stuck or
 /// unresponsive.
 const OVERDUE_IN_FLIGHT: f64 = 4.0;
-/// Attempts of others that an upstream which rejects one is taken to have: it would look idle.
+/// Attempts of others that are assumed at an upstream which rejects one: it would seem idle.
 const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_IN_FLIGHT;
-/// Seconds over which a report of what is in flight fades, and for which it counts in the mean.
+/// Seconds over which a report of the requests in flight decays, and for which it counts in the
+/// mean.
 const REPORT_FADE_S: f64 = 1.0;
 const REPORT_VALID_S: f64 = 3.0;
-/// Seconds for which a report of utilization stands without another of the same upstream.
+/// Seconds for which a report of utilization is valid without another of the same upstream.
 pub(super) const UTILIZATION_VALID_S: f64 = 3.0;
-/// Utilization between which a report tells what is in flight at full utilization, and its weight.
+/// Utilization within which a report counts for the estimate of the requests in flight at full
+/// utilization, and its weight.
 const MIN_INFORMATIVE_UTILIZATION: f64 = 0.2;
 const MAX_INFORMATIVE_UTILIZATION: f64 = 0.8;
 const FULL_NEWEST_WEIGHT: f64 = 0.02;
-/// The largest value of a report that is believed.
+/// The largest plausible value of a report.
 const MAX_REPORTED: f64 = 1e4;
 
 /// What one upstream has in flight.
@@ -26,9 +28,9 @@
 pub(super) struct UpstreamLoad {
     /// q_j: this balancer's own.
     in_flight: u32,
-    /// Of these, out for longer than usual.
+    /// Of these, the overdue ones.
     overdue: u32,
-    /// Abandoned, and perhaps still being processed; fading over the shortest objective.
+    /// Abandoned, and perhaps still being processed; decays over the shortest objective.
     abandoned_attempts: f64,
     /// Those of other balancers, by the latest report.
     others_in_flight: f64,
@@ -89,7 +91,7 @@
         self.abandoned_attempts += 1.0;
     }
 
-    /// It rejected an attempt: whatever the reason, it would look idle.
+    /// Records that it rejected an attempt: whatever the reason, it would seem idle.
     pub(super) fn record_rejected(&mut self, now_s: f64) {
         self.others_in_flight = self.others_in_flight.max(REJECTING_IN_FLIGHT);
         self.others_reported_at_s = now_s;
@@ -110,11 +112,11 @@
     }
 }
 
-/// What load reports say about all upstreams together.
+/// Estimates from the load reports of all upstreams.
 pub(super) struct LoadReportTracker {
     fields: Vec<LoadField>,
-    /// Fraction of a report's attempts that are not this balancer's own: reports are old, so that
-    /// its own attempts of now, subtracted, would say nothing of the others.
+    /// Fraction of a report's attempts that are not this balancer's own. Reports are old: with its
+    /// present attempts subtracted they would not show the others.
     others_fraction: f64,
     /// What upstreams in the rotation have in flight of others for their capacity.
     mean_others_in_flight: f64,
@@ -169,7 +171,7 @@
         load.record_others(in_flight * self.others_fraction, now_s);
     }
 
-    /// Records what a live weight says: the requests that each core has in flight.
+    /// Records a live weight: the requests that each core has in flight.
     pub(super) fn record_live_weight(&self, load: &mut UpstreamLoad, in_flight: f64, now_s: f64) {
         load.record_others(in_flight * self.others_fraction, now_s);
     }
@@ -199,9 +201,9 @@
         self.mean_others_in_flight = sum / f64::max(count, 1.0);
     }
 
-    /// What an upstream has in flight for its capacity: own attempts, and reported ones. With its
-    /// age a report fades to what the others have: an upstream without reports, were it taken for
-    /// idle, would attract all balancers.
+    /// What an upstream has in flight for its capacity: own attempts, and reported ones. A report
+    /// decays with its age to the mean of the others: an upstream without reports would seem idle
+    /// and attract all balancers.
     pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, tick_s: f64) -> f64 {
         let (load, capacity) = (&upstream.load, upstream.weight.capacity());
         let age_s = (tick_s - load.others_reported_at_s).max(0.0);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,14 +1,15 @@
 //! All decisions of a balancer. Their types, events and actions are in `interface.rs`.
 //!
-//! The ordinary path is the paper's: every tick refills one token bucket a tenant by a guaranteed
-//! rate and a share, in proportion to demand, of the spare capacity W of the upstreams; a request
-//! that finds a token is admitted, any other is rejected on arrival; admitted requests take turns
-//! round robin over the ready upstreams, skipping one that has clearly more in flight than the next
-//! ones. Everything else here is an exception to that path and says what it guards against.
+//! The ordinary path follows the paper. Every tick refills one token bucket a tenant by a
+//! guaranteed rate and by a share, in proportion to demand, of the spare capacity W of the
+//! upstreams. A request that finds a token is admitted, any other is rejected on arrival. Admitted
+//! requests are distributed round robin over the ready upstreams; one that has clearly more in
+//! flight than the next ones is skipped. Everything else is an exception to that path, and its
+//! comment states what it guards against.
 //!
-//! Each part owns its state, its constants and what it keeps of each upstream; [`Balancer`] hands
-//! it what it needs of others. The ways of a request, of an attempt and of an endpoint update
-//! through the parts are in `request_flow.rs`, `attempt_flow.rs` and `endpoint_flow.rs`. Times are
+//! Each part owns its state, its constants and its state of each upstream; [`Balancer`] passes it
+//! the inputs from other parts. The flow of a request, of an attempt and of an endpoint update
+//! through the parts is in `request_flow.rs`, `attempt_flow.rs` and `endpoint_flow.rs`. Times are
 //! seconds (`_s`) on the embedder's clock.
 //!
 //! The paper's symbols are named beside what each is: V_i, mu_i, u_g_i, u_i and T_i in
@@ -61,7 +62,7 @@
 
 /// Seconds between ticks: short against any objective, long against one pass over all upstreams.
 const TICK_S: f64 = 0.025;
-/// A tick counts for so many seconds at the most, however late it comes.
+/// A tick counts for so many seconds at the most, however late it is.
 const MAX_TICK_S: f64 = 1.0;
 const TICK_TIMER: TimerId = TimerId(0);
 
@@ -173,7 +174,7 @@
     }
 
     /// When no new attempt may be sent, unless the endpoint list is confirmed before; `None`: it is
-    /// confirmed. An embedder looks here again just before it writes an attempt.
+    /// confirmed. An embedder checks it again just before it writes an attempt.
     pub fn send_pause(&self) -> Option<SendPause> {
         self.lease.send_pause()
     }
@@ -212,7 +213,8 @@
                 finished,
                 report,
             } => {
-                // One given up as overdue ends before the tick that would have found it so.
+                // An attempt that was abandoned at its overdue time ends before the tick that would
+                // have found it overdue.
                 self.handle_overdue_attempts();
                 self.on_load_report(upstream, report);
                 self.on_attempt_ended(id, attempt, outcome, latency, finished);
@@ -281,8 +283,8 @@
             .map(|slot| &self.upstreams[*slot])
     }
 
-    /// Weighs the upstreams of the rotation anew: what each can do now, and the turns and sends it
-    /// gets.
+    /// Updates the weights of the upstreams in the rotation: the present capacity of each, and the
+    /// turns and sends it gets.
     fn update_weights(&mut self, elapsed_s: f64) {
         let now_s = self.now_s;
         let ready = || self.members().filter(|u| u.endpoint.is_ready());
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -25,7 +25,7 @@
 /// Trials of upstreams that are ejected for one class.
 #[derive(Clone, Default)]
 struct ClassTrials {
-    /// Since the last one that was answered.
+    /// Since the last one that got a response.
     unsuccessful: u32,
     next_at_s: f64,
 }
@@ -55,7 +55,7 @@
     ejected as f64 <= MAX_EJECTED_FRACTION * all as f64
 }
 
-/// Fraction of the other upstreams of the rotation that have answered with an error recently.
+/// Fraction of the other upstreams of the rotation that have responded with an error recently.
 fn common_error_fraction(upstreams: &Upstreams, rotation: &[usize], but: usize, now_s: f64) -> f64 {
     let others = || rotation.iter().filter(|slot| **slot != but);
     let erring = others()
@@ -148,8 +148,8 @@
         eligibility
     }
 
-    /// The upstream that is tried again for a class it was ejected for, if a trial is due: one at a
-    /// time, ever more seldom, as each may cost a request that can't be retried.
+    /// The upstream that gets a trial for a class it was ejected for, if one is due: one at a time
+    /// with a backoff, as each may cost a request that can't be retried.
     pub(super) fn due_trial(
         &mut self,
         upstreams: &mut Upstreams,
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,5 +1,6 @@
-//! Send pacing: bounds what is sent to each upstream by what it can do. Load reports show late what
-//! other balancers send; where few share an upstream, this balancer's own attempts show it at once.
+//! Send pacing: limits the send rate to each upstream by its capacity. Load reports show the load
+//! by other balancers late; where few share an upstream, this balancer's own attempts show it at
+//! once.
 
 use super::load::LoadReportTracker;
 use super::upstreams::{Upstream, Upstreams};
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -1,4 +1,4 @@
-//! The way of a request: admission, its first attempt, its final response.
+//! The flow of a request: admission, its first attempt, its final response.
 
 use super::admission::retry_after;
 use super::clock::JitteredClock;
@@ -72,8 +72,7 @@
         })
     }
 
-    /// The upstream whose turn it is for a class; a due trial of one that is ejected for it comes
-    /// first.
+    /// The upstream whose turn it is for a class; a due trial of an ejected one has precedence.
     fn next_upstream(&mut self, class: usize) -> Option<usize> {
         let upstreams = &mut self.upstreams;
         self.rotation.drop_unusable(upstreams);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -69,7 +69,8 @@
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
 
-    /// Whether it is a fault of its upstream; silence is only if the upstream is not ejected.
+    /// Whether it is a fault of its upstream; a missing response is one only if the upstream is not
+    /// ejected.
     pub(super) fn is_fault(&self, silence_counts: bool) -> bool {
         matches!(self.outcome, Outcome::Error | Outcome::Rejected)
             || (self.is_abandoned() && silence_counts)
@@ -79,7 +80,7 @@
 /// The state of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RequestState {
-    /// A final response is owed.
+    /// Its final response is pending.
     Waiting,
     /// Its response streams: no other attempt may follow.
     Streaming,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Whether a final response is owed that does not stream yet.
+    /// Whether its final response is pending and does not stream yet.
     pub(super) fn is_waiting(&self) -> bool {
         self.state == RequestState::Waiting
     }
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -51,7 +51,7 @@
         (1..=count).map(move |step| self.members[(self.cursor + step) % count])
     }
 
-    /// Starts anew with other members.
+    /// Restarts with other members.
     pub(super) fn replace(&mut self, members: Vec<usize>) {
         (self.members, self.cursor) = (members, 0);
         self.lookahead.clear();
@@ -84,8 +84,8 @@
         });
     }
 
-    /// The next upstream in turn that `accepts` holds for and that has not clearly more in flight
-    /// than the least of those looked at. An upstream that `accepts` rejects keeps its turn.
+    /// The next upstream in turn that `accepts` is true for and that has not clearly more in flight
+    /// than the least of those compared. An upstream that `accepts` rejects retains its turn.
     pub(super) fn next(
         &mut self,
         upstreams: &mut Upstreams,
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,10 +1,9 @@
 //! The subset of the upstreams that one balancer sends to: all that are ready, or a part where it
-//! sees too little traffic to keep a connection to each in use and to learn what it needs of each.
+//! has too little traffic to use a connection to each regularly and to estimate the state of each.
 //!
-//! Balancers share a shuffled order of the upstreams and take neighbouring parts of it, so that
-//! each upstream is in about as many subsets as any other. This guards against upstreams that run
-//! out of connections and against decisions by old information. Its cost: fewer upstreams to choose
-//! from.
+//! Balancers share a shuffled order of the upstreams and take adjacent parts of it, so that each
+//! upstream is in about as many subsets as any other. This guards against upstreams that exhaust
+//! their connections and against decisions by stale data. Its cost: fewer upstreams to choose from.
 
 use super::capacity::RATE_MEMORY_S;
 use super::outlier_detection::may_be_ejected;
@@ -23,12 +22,13 @@
 /// Where the subset would be as much of all as this, as a fraction, it is all of them.
 const ALL_NUMERATOR: usize = 4;
 const ALL_DENOMINATOR: usize = 5;
-/// The size changes when it would grow to three halves, or shrink to a third: chance moves nothing.
+/// The size changes when it would grow to three halves or shrink to a third, so that random
+/// variation does not change it.
 const GROWTH_NUMERATOR: usize = 3;
 const GROWTH_DENOMINATOR: usize = 2;
 const SHRINK_DENOMINATOR: usize = 3;
 
-/// What the subset keeps of one upstream.
+/// The state of one upstream in the subset.
 #[derive(Clone, Copy)]
 pub(super) struct SubsetMembership {
     is_member: bool,
@@ -72,7 +72,7 @@
     includes_all: bool,
 }
 
-/// The size of the subset, and when it is chosen anew.
+/// The size of the subset, and when it is chosen again.
 pub(super) struct Subset {
     balancers: u32,
     index: u32,
@@ -114,7 +114,7 @@
         self.first_attempts += 1.0;
     }
 
-    /// Has the subset chosen anew at the next tick.
+    /// Schedules another choice of the subset at the next tick.
     pub(super) fn request_review(&mut self, now_s: f64) {
         self.review_at_s = now_s;
     }
@@ -123,9 +123,9 @@
         now_s >= self.review_at_s
     }
 
-    /// Follows the traffic, each tick: it is uneven, and several times the mean on an equal part of
-    /// the upstreams would crowd them as others idle. `has_others`: there are upstreams outside the
-    /// subset.
+    /// Adapts the size to the traffic, each tick. Traffic is uneven: a balancer with several times
+    /// the mean would overload an equal part of the upstreams as others idle. `has_others`: there
+    /// are upstreams outside the subset.
     pub(super) fn update_size(&mut self, has_others: bool, elapsed_s: f64, now_s: f64) {
         let per_s = per_second(self.first_attempts, elapsed_s);
         let weight_of_newest = newest_weight(elapsed_s, RATE_MEMORY_S);
@@ -203,7 +203,7 @@
     }
 }
 
-/// Makes members of upstreams, and of some no more. Returns the latter.
+/// Sets which upstreams are members. Returns those that were removed from the subset.
 fn fill(
     order: &[usize],
     upstreams: &mut Upstreams,
@@ -215,7 +215,7 @@
         let upstream = &mut upstreams[*slot];
         let is_usable = !upstream.health.is_ejected(ejected_at_s);
         let membership = &mut upstream.membership;
-        // A member stays one, so that connections stay warm; newcomers have their place by the
+        // A member remains one, so that its connections are reused; new members are chosen by the
         // order.
         let joins = is_usable && membership.is_new && rank < size.wanted;
         membership.is_member = size.includes_all || membership.is_member || joins;
@@ -223,8 +223,8 @@
         members += usize::from(membership.is_member);
         unusable += usize::from(membership.is_member && !is_usable);
     }
-    // Up to half of the members keep their place while ejected: else all balancers that share them
-    // move their load to others at once, and those fail next.
+    // Up to half of the members remain in the subset while ejected: otherwise all balancers that
+    // share them would move their load to others at once, and overload those.
     let wanted = size.wanted.max(unusable + size.wanted.div_ceil(2));
     for slot in order {
         let upstream = &mut upstreams[*slot];
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -1,32 +1,33 @@
 //! The health of one upstream: suspicion by the faults of its attempts, ejection for all classes,
-//! and the way back on probation.
+//! and the return on probation.
 
 use super::clock::JitteredClock;
 use crate::interface::Outcome;
 
-/// Suspicion of an upstream, over all classes: part of what is left that an error, or an overdue
-/// attempt since which nothing came back, adds; the same of a broken connection; and what an answer
-/// leaves of it.
+/// Suspicion of an upstream, over all classes. The first two: the fraction of the distance to one
+/// that is added by an error, or an overdue attempt since which there was no response, and by a
+/// connection error. The third: the factor by which a response reduces it.
 const FAULT_SUSPICION: f64 = 0.4;
 const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
 const ANSWER_SUSPICION_FACTOR: f64 = 0.6;
-/// Suspicion from which on an upstream gets one attempt at a time and nothing that can't be
-/// repeated; and suspicion at which it is ejected: two faults in a row, or three broken connections
+/// Suspicion from which on an upstream gets one attempt at a time and only requests that may be
+/// retried; and suspicion at which it is ejected: two faults in a row, or three connection errors
 /// without a response.
 const PROBATION_SUSPICION: f64 = 0.35;
 const MAX_SUSPICION: f64 = 0.6;
-/// Seconds over which suspicion fades.
+/// Seconds over which suspicion decays.
 const SUSPICION_MEMORY_S: f64 = 10.0;
-/// Seconds of the first ejection, and of the longest; each one more without an answer doubles it.
-/// Balancers probe an upstream independently: the first ejection grows with the square root of
-/// their number, a compromise between their joint load and how late each learns that it is healthy.
+/// Seconds of the first ejection, and of the longest; each further one without a response doubles
+/// it. Balancers probe an upstream independently: the first ejection grows with the square root of
+/// their number, a compromise between their joint load and the delay until each detects that it is
+/// healthy.
 pub(super) const FIRST_EJECTION_S: f64 = 1.5;
 const MAX_EJECTION_S: f64 = 12.0;
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Seconds for which an error counts as recent.
 const RECENT_ERROR_S: f64 = 5.0;
 
-/// The factor by which suspicion fades in a span.
+/// The factor by which suspicion decays in a span.
 pub(super) fn suspicion_decay(elapsed_s: f64) -> f64 {
     (-elapsed_s / SUSPICION_MEMORY_S).exp()
 }
@@ -34,13 +35,13 @@
 /// A fault that counts against an upstream for all classes.
 #[derive(Clone, Copy)]
 pub(super) enum Fault {
-    /// It answered with an error, which counts for this part.
+    /// It responded with an error, which counts for this part.
     Error { weight: f64 },
     /// It rejected an attempt.
     Rejected,
-    /// An attempt is overdue, and nothing has come back since it was sent.
+    /// An attempt is overdue, and there was no response since it was sent.
     Unresponsive,
-    /// A connection broke or never came up.
+    /// A connection failed or could not be established.
     ConnectionFailure,
 }
 
@@ -54,7 +55,7 @@
     }
 }
 
-/// What a suspicion goes by, of the rest of the balancer.
+/// The inputs of a suspicion from other parts of the balancer.
 pub(super) struct SuspicionContext {
     /// Mean latency of an attempt.
     pub(super) mean_latency_s: f64,
@@ -69,14 +70,14 @@
     Serving,
     /// It receives none.
     Ejected,
-    /// Back from ejection: the next fault ejects it again, unless an answer comes first.
+    /// Half-open after an ejection: the next fault ejects it again, unless it responds before.
     HalfOpen,
 }
 
 /// The health of one upstream for one class.
 #[derive(Clone, Default)]
 struct ClassHealth {
-    /// Since the last answer.
+    /// Since the last response.
     consecutive_faults: u32,
     /// For this class alone.
     is_ejected: bool,
@@ -86,13 +87,13 @@
 
 /// The health of one upstream.
 pub(super) struct UpstreamHealth {
-    /// Grows with the faults of all classes, shrinks with answers and with time.
+    /// Grows with the faults of all classes, decreases with responses and with time.
     suspicion: f64,
-    /// Since the last answer that ended the probation.
+    /// Since the last response that ended the probation.
     consecutive_ejections: u32,
     ejected_until_s: f64,
     last_error_at_s: f64,
-    /// An answer, an error or a rejection.
+    /// A success, an error or a rejection.
     last_response_at_s: f64,
     classes: Vec<ClassHealth>,
 }
@@ -146,8 +147,7 @@
         self.classes[class].is_ejected
     }
 
-    /// An answer came back for a class. Returns whether that ends its ejection: a late one does
-    /// not.
+    /// Records a response for a class. Returns whether it ends its ejection: a late one does not.
     pub(super) fn record_class_answer(&mut self, class: usize, was_overdue: bool) -> bool {
         let health = &mut self.classes[class];
         health.consecutive_faults = 0;
@@ -181,13 +181,13 @@
         self.classes[class].last_trial_at_s = now_s;
     }
 
-    /// Whether something came back since then.
+    /// Whether there was a response since then.
     pub(super) fn has_responded_since(&self, at_s: f64) -> bool {
         self.last_response_at_s >= at_s
     }
 
-    /// Whether it is suspected: it gets one attempt at a time then, and nothing that can't be
-    /// repeated.
+    /// Whether it is suspected: it then gets one attempt at a time, and only requests that may be
+    /// retried.
     pub(super) fn is_on_probation(&self) -> bool {
         self.suspicion > PROBATION_SUSPICION || self.consecutive_ejections > 0
     }
@@ -238,7 +238,7 @@
         true
     }
 
-    /// Ejects it for all classes; each ejection without an answer doubles the next.
+    /// Ejects it for all classes; each ejection without a response doubles the next.
     fn eject(&mut self, first_s: f64, clock: &mut JitteredClock<'_>) {
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         let length_s = (first_s * f64::from(1 << doublings)).min(MAX_EJECTION_S);
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams that a balancer knows: a record each, made of what every part keeps about it.
+//! The upstreams that a balancer knows: a record each, with the state that every part has of it.
 
 use super::endpoints::EndpointRecord;
 use super::idle_connections::ConnectionUse;
@@ -65,7 +65,7 @@
         slot
     }
 
-    /// Forgets the upstreams that `is_kept` does not hold for, and gives the others new slots.
+    /// Forgets the upstreams that `is_kept` is false for, and gives the others new slots.
     pub(super) fn retain(&mut self, is_kept: impl Fn(&Upstream) -> bool) {
         self.upstreams.retain(is_kept);
         let ids = self.upstreams.iter().enumerate();
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -1,9 +1,10 @@
-//! What each upstream can do now, and so how many turns it gets: size, slow start, latency, zone.
+//! The present capacity of each upstream, and so how many turns it gets: by size, slow start,
+//! latency and zone.
 
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{Settings, ZoneId};
 
-/// Seconds over which the samples of a latency ratio fade, and the weight of the prior in samples.
+/// Seconds over which the samples of a latency ratio decay, and the weight of the prior in samples.
 const LATENCY_RATIO_MEMORY_S: f64 = 10.0;
 const LATENCY_RATIO_PRIOR: f64 = 4.0;
 /// Bounds of the latency ratio that counts, and of one latency in it.
@@ -16,7 +17,7 @@
 /// Cross-zone price at which other zones get no ordinary turns; less in proportion.
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
 
-/// What one upstream can do.
+/// The present capacity of one upstream.
 #[derive(Default)]
 pub(super) struct UpstreamWeight {
     /// Fraction of a full-size upstream's work that it can do now.
@@ -27,7 +28,7 @@
     slow_start_since_s: Option<f64>,
     /// Mean of latency over what is usual for the class.
     latency_ratio: f64,
-    /// Answers behind that, fading.
+    /// The number of responses in that mean, decaying.
     answer_count: f64,
 }
 
@@ -112,7 +113,7 @@
         now_s - started_at_s < self.slow_start_duration_s
     }
 
-    /// Weighs the upstreams of the rotation anew. Those ejected get no turns while
+    /// Updates the weights of the upstreams in the rotation. Those ejected get no turns while
     /// `ejections_apply`.
     pub(super) fn update(
         &self,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The configuration of a balancer: classes, tenants, limits, prices.
+//! The configuration of a balancer: classes, tenants, limits, costs.
 
 use crate::interface::ZoneId;
 use std::time::Duration;
@@ -80,11 +80,11 @@
     Off,
     /// Its registered size, or about that.
     Size,
-    /// Its size divided by 1 + the requests each core held a while ago.
+    /// Its size divided by 1 + the requests in flight on each core, from an older report.
     Live,
 }
 
-/// Where load reports come from.
+/// The source of load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
     /// There are none.
@@ -98,7 +98,7 @@
 /// The meaning of one value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Requests the upstream holds.
+    /// Requests in flight in the upstream.
     InFlight,
     /// Requests waiting in it.
     Queue,
@@ -114,12 +114,12 @@
     Other,
 }
 
-/// Prices: what an act costs, in the worth of an average request.
+/// The cost of each operation, in units of the priority weight of an average request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
     /// An attempt in another zone.
     pub cross_zone: f64,
-    /// A hundred connections held open to an upstream, all along.
+    /// A hundred connections to an upstream, open for the whole time.
     pub connection: f64,
     /// A new connection.
     pub handshake: f64,
@@ -127,7 +127,7 @@
     pub late_failure: f64,
     /// A health check.
     pub health_check: f64,
-    /// Upstream work without a use, for each mean request's amount of it.
+    /// Wasted upstream work, for each mean request's amount of it.
     pub waste: f64,
 }
 
@@ -138,7 +138,7 @@
     reason = "each is a choice of its own in a site's settings"
 )]
 pub struct Settings {
-    /// How many balancers share the fleet, this one included.
+    /// How many balancers share the upstreams, this one included.
     pub balancers: u32,
     /// This one's number among them, from 0.
     pub index: u32,
@@ -196,11 +196,11 @@
     pub cpu_per_request: Duration,
     /// What the weights of endpoints mean.
     pub endpoint_weights: EndpointWeights,
-    /// Where load reports come from.
+    /// The source of load reports.
     pub load_reports: LoadReports,
     /// The values in a load report, in order.
     pub report_fields: Vec<LoadField>,
-    /// What acts cost.
+    /// What operations cost.
     pub prices: Prices,
 }
 
@@ -249,12 +249,12 @@
     NoClasses,
     /// No balancer: not even this one.
     NoBalancers,
-    /// The named figure is negative, not a number, or zero where it can't be.
+    /// The named value is negative, not a number, or zero where zero is not valid.
     OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Checks all values; the error names the first that is not usable, as the pages do.
+    /// Checks all values; the error names the first invalid one by its documented name.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_counts()?;
         self.check_figures()?;
@@ -308,7 +308,7 @@
     }
 }
 
-/// Checks that a figure is a number that is not negative; `name` is the pages' name for it.
+/// Checks that a value is a number that is not negative; `name` is its documented name.
 fn check_figure(figure: f64, name: &'static str) -> Result<(), SettingsError> {
     if figure >= 0.0 && figure.is_finite() {
         Ok(())
