--- a/tests/action_digest/adapter.rs
+++ b/tests/action_digest/adapter.rs
@@ -129,6 +129,13 @@
     Outcome::NotSent,
 ];
 
+const SCOPES: [UpdateScope; 4] = [
+    UpdateScope::Delta,
+    UpdateScope::Snapshot,
+    UpdateScope::Cached,
+    UpdateScope::Failed,
+];
+
 impl Player {
     pub fn new(number: usize, seed: u64) -> (Self, Site) {
         let settings = sites::settings(number);
@@ -169,62 +176,11 @@
 
     pub fn play(&mut self, now: Duration, input: &Input) -> Vec<Output> {
         self.actions.clear();
-        let endpoints: Vec<Endpoint>;
-        let event = match input {
-            Input::Endpoints { scope, entries } => {
-                let scopes = [
-                    UpdateScope::Delta,
-                    UpdateScope::Snapshot,
-                    UpdateScope::Cached,
-                    UpdateScope::Failed,
-                ];
-                endpoints = entries.iter().map(endpoint).collect();
-                Event::EndpointsUpdated {
-                    scope: scopes[*scope],
-                    endpoints: &endpoints,
-                }
-            }
-            Input::Watch { kind, since } => Event::Watch(watch_event(*kind, *since)),
-            Input::Request {
-                id,
-                class,
-                tenant,
-                left,
-                work_ms,
-                again,
-            } => Event::Request {
-                id: RequestId(*id),
-                class: ClassId(*class),
-                tenant: TenantId(*tenant),
-                time_left: *left,
-                work_ms: *work_ms,
-                is_retry: *again,
-            },
-            Input::StreamStarted {
-                id,
-                attempt,
-                latency,
-            } => Event::StreamStarted {
-                id: RequestId(*id),
-                attempt: AttemptNo(*attempt),
-                latency: *latency,
-            },
-            Input::AttemptEnded(ended) => attempt_ended(ended),
-            Input::Disconnected { id } => Event::ClientDisconnected { id: RequestId(*id) },
-            Input::HealthCheckEnded {
-                upstream,
-                outcome,
-                report,
-            } => Event::HealthCheckEnded {
-                upstream: UpstreamId(*upstream),
-                outcome: OUTCOMES[*outcome],
-                latency: Duration::from_millis(5),
-                report,
-            },
-            Input::Timer { number } => Event::Timer {
-                timer: TimerId(*number),
-            },
+        let endpoints: Vec<Endpoint> = match input {
+            Input::Endpoints { entries, .. } => entries.iter().map(endpoint).collect(),
+            _ => Vec::new(),
         };
+        let event = event(input, &endpoints);
         self.balancer.handle(now, event, &mut self.actions);
         self.actions.iter().map(output).collect()
     }
@@ -257,6 +213,56 @@
     }
 }
 
+/// The crate's event; `endpoints` are the entries of an update of the endpoint list.
+fn event<'a>(input: &'a Input, endpoints: &'a [Endpoint]) -> Event<'a> {
+    match input {
+        Input::Endpoints { scope, .. } => Event::EndpointsUpdated {
+            scope: SCOPES[*scope],
+            endpoints,
+        },
+        Input::Watch { kind, since } => Event::Watch(watch_event(*kind, *since)),
+        Input::Request {
+            id,
+            class,
+            tenant,
+            left,
+            work_ms,
+            again,
+        } => Event::Request {
+            id: RequestId(*id),
+            class: ClassId(*class),
+            tenant: TenantId(*tenant),
+            time_left: *left,
+            work_ms: *work_ms,
+            is_retry: *again,
+        },
+        Input::StreamStarted {
+            id,
+            attempt,
+            latency,
+        } => Event::StreamStarted {
+            id: RequestId(*id),
+            attempt: AttemptNo(*attempt),
+            latency: *latency,
+        },
+        Input::AttemptEnded(ended) => attempt_ended(ended),
+        Input::Disconnected { id } => Event::ClientDisconnected { id: RequestId(*id) },
+        Input::HealthCheckEnded {
+            upstream,
+            outcome,
+            report,
+        } => Event::HealthCheckEnded {
+            upstream: UpstreamId(*upstream),
+            outcome: OUTCOMES[*outcome],
+            latency: Duration::from_millis(5),
+            report,
+        },
+        Input::Timer { number } => Event::Timer {
+            timer: TimerId(*number),
+        },
+    }
+}
+
 fn attempt_ended(ended: &Ended) -> Event<'_> {
     Event::AttemptEnded {
         id: RequestId(ended.id),
