--- a/frostkeel/tests/bad_balancer.rs
+++ b/frostkeel/tests/bad_balancer.rs
@@ -3,9 +3,12 @@
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
+#[path = "common/folder.rs"]
+mod folder;
 #[path = "common/misbehavior.rs"]
 mod misbehavior;
 
+use folder::empty_folder;
 use frostkeel_lab::checks::Rule;
 use misbehavior::Misbehavior;
 use serde_json::Value;
@@ -27,9 +30,7 @@
 
 fn run(misbehavior: Misbehavior) -> Written {
     let name = misbehavior.name();
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("bad-{name}"));
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    let folder = empty_folder(&format!("bad-{name}"));
     let file = folder.join("bad.toml");
     let rate = match misbehavior {
         Misbehavior::OverloadsSlowStart => "40.0",
--- a/frostkeel/tests/command_line.rs
+++ b/frostkeel/tests/command_line.rs
@@ -6,13 +6,17 @@
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
+#[path = "common/command.rs"]
+mod command;
+#[path = "common/folder.rs"]
+mod folder;
+
+use command::run_frostkeel;
+use folder::empty_folder;
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::Path;
-use std::process::{Command, Output};
-
-const FROSTKEEL: &str = env!("CARGO_BIN_EXE_frostkeel");
 
 const PAGE_A: &str = r#"{"name":"b0","fleet":"demo","phase":"member","version":12,"digest":"c0ffee01","there":3,"members":[
  {"name":"b0","incarnation":1700000000123,"turn":0,"standing":"present","since_s":61.25,"from":null},
@@ -118,15 +122,6 @@
     addresses
 }
 
-fn frostkeel(arguments: &[&str]) -> Output {
-    let mut command = Command::new(FROSTKEEL);
-    command
-        .args(arguments)
-        .current_dir(env!("CARGO_MANIFEST_DIR"))
-        .stdin(std::process::Stdio::null());
-    command.output().expect("it starts")
-}
-
 /// A call and its result in the form of the files.
 fn transcript(line: &str, addresses: &[(&str, String)]) -> String {
     let replaced = addresses
@@ -135,7 +130,7 @@
             text.replace(name, address)
         });
     let arguments: Vec<&str> = replaced.split(' ').skip(2).collect();
-    let output = frostkeel(&arguments);
+    let output = run_frostkeel(&arguments);
     let code = output
         .status
         .code()
@@ -277,9 +272,7 @@
 /// The form of the results; their figures differ between runs, and on a busy machine the verdict does too.
 #[test]
 fn prints_experiment_results_in_a_fixed_form() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("command_line");
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    let folder = empty_folder("command_line");
     let short = "tests/data/command_line/files/short.toml";
     let calls: [(&str, &[&str], &str); 3] = [
         (
@@ -316,7 +309,7 @@
             let out = folder.join(name);
             scope.spawn(move || {
                 let out = out.to_str().expect("a path");
-                let output = frostkeel(&[arguments, &["--out", out]].concat());
+                let output = run_frostkeel(&[arguments, &["--out", out]].concat());
                 let printed = String::from_utf8(output.stdout)
                     .expect("text")
                     .replace(out, "{out}");
--- a/frostkeel/tests/lab.rs
+++ b/frostkeel/tests/lab.rs
@@ -2,24 +2,15 @@
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
-use std::path::{Path, PathBuf};
-use std::process::{Command, Output};
-
-const FROSTKEEL: &str = env!("CARGO_BIN_EXE_frostkeel");
-
-fn frostkeel(arguments: &[&str]) -> Output {
-    Command::new(FROSTKEEL)
-        .args(arguments)
-        .output()
-        .expect("it starts")
-}
+#[path = "common/command.rs"]
+mod command;
+#[path = "common/folder.rs"]
+mod folder;
 
-fn folder(name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
-}
+use command::{FROSTKEEL, run_frostkeel};
+use folder::empty_folder;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
 
 /// What a run of an experiment has left.
 struct Run {
@@ -34,14 +25,26 @@
     }
 }
 
+fn experiment_file(name: &str) -> String {
+    let crate_folder = env!("CARGO_MANIFEST_DIR");
+    format!("{crate_folder}/../lab/experiments/{name}.toml")
+}
+
+/// Starts an experiment without waiting for its end.
+fn start_experiment(name: &str, out: &Path) -> Child {
+    let file = experiment_file(name);
+    Command::new(FROSTKEEL)
+        .args(["lab", "run", &file, "--out", out.to_str().expect("a path")])
+        .stdout(Stdio::null())
+        .spawn()
+        .expect("it starts")
+}
+
 fn run_experiment(name: &str) -> Run {
-    let folder = folder(name);
-    let file = format!(
-        "{}/../lab/experiments/{name}.toml",
-        env!("CARGO_MANIFEST_DIR")
-    );
+    let folder = empty_folder(name);
+    let file = experiment_file(name);
     let out = folder.to_str().expect("a path");
-    let output = frostkeel(&["lab", "run", &file, "--out", out]);
+    let output = run_frostkeel(&["lab", "run", &file, "--out", out]);
     let printed = String::from_utf8_lossy(&output.stdout).into_owned();
     let result = std::fs::read_to_string(folder.join("result.json")).expect(&printed);
     let result = serde_json::from_str(&result).expect("a result");
@@ -105,21 +108,13 @@
 /// serve meanwhile.
 #[test]
 fn balancers_detect_a_kill_and_a_graceful_leave() {
-    let out = folder("members");
-    let file = concat!(
-        env!("CARGO_MANIFEST_DIR"),
-        "/../lab/experiments/membership-short.toml"
-    );
-    let mut lab = Command::new(FROSTKEEL)
-        .args(["lab", "run", file, "--out", out.to_str().expect("a path")])
-        .stdout(std::process::Stdio::null())
-        .spawn()
-        .expect("it starts");
+    let out = empty_folder("members");
+    let mut lab = start_experiment("membership-short", &out);
     let pages = out.join("pages");
     let pages = pages.to_str().expect("a path");
     let start = std::time::Instant::now();
     let views = loop {
-        let output = frostkeel(&["members", "--all", "--file", pages]);
+        let output = run_frostkeel(&["members", "--all", "--file", pages]);
         let views = String::from_utf8_lossy(&output.stdout).into_owned();
         // The views may differ at first; the run's own result is judged at its end.
         if views.contains("all views are alike") || lab.try_wait().expect("a child").is_some() {
@@ -147,10 +142,10 @@
 
 #[test]
 fn rejects_invalid_experiment_with_file_line_and_reason() {
-    let file = folder("rejected").join("wrong.toml");
+    let file = empty_folder("rejected").join("wrong.toml");
     let text = "name = \"x\"\nseconds = 5.0\n[fleet]\nbalancers = 0\nupstreams = 1\n";
     std::fs::write(&file, text).expect("written");
-    let output = frostkeel(&["lab", "check", file.to_str().expect("a path")]);
+    let output = run_frostkeel(&["lab", "check", file.to_str().expect("a path")]);
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success());
     assert!(
@@ -162,16 +157,8 @@
 /// A lab that is killed must leave no processes behind.
 #[test]
 fn children_end_when_the_lab_is_killed() {
-    let out = folder("killed");
-    let file = concat!(
-        env!("CARGO_MANIFEST_DIR"),
-        "/../lab/experiments/balancer-short.toml"
-    );
-    let mut lab = Command::new(FROSTKEEL)
-        .args(["lab", "run", file, "--out", out.to_str().expect("a path")])
-        .stdout(std::process::Stdio::null())
-        .spawn()
-        .expect("it starts");
+    let out = empty_folder("killed");
+    let mut lab = start_experiment("balancer-short", &out);
     let config = out.join("b1.json");
     let children = || -> Vec<PathBuf> {
         let config = config.to_str().expect("a path");
--- a/frostkeel/tests/registry.rs
+++ b/frostkeel/tests/registry.rs
@@ -2,12 +2,17 @@
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
+#[path = "common/command.rs"]
+mod command;
+#[path = "common/folder.rs"]
+mod folder;
+
+use command::{FROSTKEEL, run_frostkeel};
+use folder::empty_folder;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Output, Stdio};
-
-const FROSTKEEL: &str = env!("CARGO_BIN_EXE_frostkeel");
+use std::process::{Child, Command, Stdio};
 
 struct Service {
     child: Child,
@@ -23,13 +28,6 @@
     }
 }
 
-fn folder(name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
-}
-
 fn config(folder: &Path, name: &str) -> PathBuf {
     let file = folder.join(format!("{name}.toml"));
     let data = folder.join("data");
@@ -93,13 +91,6 @@
     call(&service.read, "GET /registry/instances", "").body
 }
 
-fn frostkeel(arguments: &[&str]) -> Output {
-    Command::new(FROSTKEEL)
-        .args(arguments)
-        .output()
-        .expect("it starts")
-}
-
 /// Registers u1 to u3, drains u2 and removes u3; checks what is accepted and what is rejected.
 fn write_endpoints(service: &Service) {
     for n in 1..=3 {
@@ -126,7 +117,7 @@
             "{head} {body:.20}"
         );
     }
-    let drained = frostkeel(&["drain", "u2", "--write", &service.write]);
+    let drained = run_frostkeel(&["drain", "u2", "--write", &service.write]);
     assert!(drained.status.success());
     assert_eq!(call(&service.write, "DELETE /upstreams/u3", "").status, 200);
 }
@@ -134,7 +125,7 @@
 /// What a second registry on the same folder says as it ends.
 fn error_of_second_registry(folder: &Path, name: &str) -> String {
     let config = config(folder, name);
-    let output = frostkeel(&["registry", "--config", config.to_str().expect("a path")]);
+    let output = run_frostkeel(&["registry", "--config", config.to_str().expect("a path")]);
     assert!(!output.status.success());
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
@@ -157,7 +148,7 @@
 
 #[test]
 fn acknowledged_writes_survive_a_kill_and_watches_resume() {
-    let folder = folder("registry");
+    let folder = empty_folder("registry");
     let service = start(&folder);
     write_endpoints(&service);
     let expected = r#"{"rev":5,"all":true,"targets":[{"uid":"u1","endpoint":"10.0.0.1:80","az":"a","model":"m","pod_group":0,"state":"Ready","capacity_hint":1.0,"boot_ms":1},{"uid":"u2","endpoint":"10.0.0.2:80","az":"a","model":"m","pod_group":0,"state":"Terminating","capacity_hint":1.0,"boot_ms":2}]}"#;
@@ -171,7 +162,7 @@
 
     let service = start(&folder);
     assert_eq!(list(&service), expected, "after a kill");
-    let printed = frostkeel(&["list", "--read", &service.read]);
+    let printed = run_frostkeel(&["list", "--read", &service.read]);
     assert!(String::from_utf8_lossy(&printed.stdout).contains("Terminating"));
     assert_watch_resumes(&service);
     let metrics = call(&service.write, "GET /metrics", "").body;
@@ -184,7 +175,7 @@
 /// An agent registers its command, drains it at SIGTERM, and takes it off the list.
 #[test]
 fn agent_keeps_its_command_on_the_endpoint_list() {
-    let folder = folder("agent");
+    let folder = empty_folder("agent");
     let service = start(&folder);
     let list = || list(&service);
     let wait_for = |text: &str| {
@@ -238,7 +229,7 @@
 /// Clients that hold a connection and send nothing, or never end their request, do not keep the registry from others.
 #[test]
 fn silent_and_endless_callers_are_disconnected() {
-    let folder = folder("silent");
+    let folder = empty_folder("silent");
     let service = start(&folder);
     let mut silent: Vec<TcpStream> = [&service.read, &service.write]
         .map(|address| TcpStream::connect(address).expect("it listens"))
