--- a/lab/src/experiment/fault_error.rs
+++ b/lab/src/experiment/fault_error.rs
@@ -1,5 +1,6 @@
 //! Why a `[[fault]]` table is not valid.
 
+use super::value_range::ValueOutOfRange;
 use thiserror::Error;
 
 /// Why a table is no valid fault.
@@ -31,17 +32,8 @@
     #[error("{0} is missing: this kind of fault needs it")]
     Missing(&'static str),
     /// A value out of range.
-    #[error("{key} is {value}: {min} to {max} can be played")]
-    OutOfRange {
-        /// The key.
-        key: &'static str,
-        /// Its value.
-        value: f64,
-        /// The least.
-        min: f64,
-        /// The most.
-        max: f64,
-    },
+    #[error(transparent)]
+    OutOfRange(#[from] ValueOutOfRange),
     /// A delay without any.
     #[error("delay_ms, jitter_ms or bytes_per_s is missing: what slows the link?")]
     MissingDelay,
--- a/lab/src/experiment/fault_parsing.rs
+++ b/lab/src/experiment/fault_parsing.rs
@@ -4,6 +4,7 @@
 use super::fault_error::InvalidFault;
 use super::faults::{Fault, FaultKind, LinkCondition, LinkConditions, Target};
 use super::target_parsing::parse_target;
+use super::value_range::check_range;
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -151,7 +152,7 @@
             },
             Kind::Slow => {
                 let factor = self.factor.ok_or(InvalidFault::MissingFactor)?;
-                let factor = within("factor", factor, 1.0, 1000.0)?;
+                let factor = check_range("factor", factor, 1.0, 1000.0)?;
                 FaultKind::SlowDown {
                     factor,
                     duration: self.duration()?,
@@ -207,8 +208,8 @@
         Ok(LinkCondition {
             delay: milliseconds("delay_ms", self.delay_ms)?,
             jitter: milliseconds("jitter_ms", self.jitter_ms)?,
-            loss_share: within("loss", self.loss.unwrap_or(0.0), 0.0, 1.0)?,
-            duplicate_share: within("duplicate", self.duplicate.unwrap_or(0.0), 0.0, 1.0)?,
+            loss_share: check_range("loss", self.loss.unwrap_or(0.0), 0.0, 1.0)?,
+            duplicate_share: check_range("duplicate", self.duplicate.unwrap_or(0.0), 0.0, 1.0)?,
             ..LinkCondition::default()
         })
     }
@@ -324,26 +325,14 @@
     }
 }
 
-fn within(key: &'static str, value: f64, min: f64, max: f64) -> Result<f64, InvalidFault> {
-    if (min..=max).contains(&value) {
-        return Ok(value);
-    }
-    Err(InvalidFault::OutOfRange {
-        key,
-        value,
-        min,
-        max,
-    })
-}
-
 fn seconds(key: &'static str, value: Option<f64>) -> Result<Duration, InvalidFault> {
     let value = value.ok_or(InvalidFault::Missing(key))?;
-    Ok(Duration::from_secs_f64(within(
+    Ok(Duration::from_secs_f64(check_range(
         key, value, 0.0, MAX_SPAN_S,
     )?))
 }
 
 fn milliseconds(key: &'static str, value: Option<f64>) -> Result<Duration, InvalidFault> {
-    let value = value.map_or(Ok(0.0), |value| within(key, value, 0.0, MAX_DELAY_MS))?;
+    let value = value.map_or(Ok(0.0), |value| check_range(key, value, 0.0, MAX_DELAY_MS))?;
     Ok(Duration::from_secs_f64(value / 1e3))
 }
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -7,10 +7,12 @@
 mod faults;
 mod parsing;
 mod target_parsing;
+mod value_range;
 
 pub use fault_error::InvalidFault;
 pub use faults::{Fault, FaultKind, LinkCondition, LinkConditions, Target};
 pub use parsing::{InvalidExperiment, ParseError};
+pub use value_range::ValueOutOfRange;
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -19,7 +21,7 @@
 pub const MAX_BALANCERS: u32 = 300;
 /// The largest number of upstreams: addresses are reserved for so many.
 pub const MAX_UPSTREAMS: u32 = 200;
-/// The longest run, in seconds: its history is held in memory.
+/// The longest run, in seconds: its history is in memory.
 pub const MAX_SECONDS: f64 = 3600.0;
 
 /// What is run.
@@ -64,7 +66,7 @@
         })
     }
 
-    /// Whether a fault sends earlier datagrams again, as they were or corrupted.
+    /// Whether a fault sends earlier datagrams again, unchanged or corrupted.
     pub fn resends_datagrams(&self) -> bool {
         self.faults.iter().any(|fault| {
             matches!(
@@ -297,10 +299,10 @@
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Idempotence {
-    /// Repeats are harmless.
+    /// It is idempotent.
     #[serde(rename = "safe")]
     Idempotent,
-    /// It carries an idempotency key; repeats of it are dropped for a while.
+    /// It carries an idempotency key; duplicates are dropped for a while.
     #[serde(rename = "keyed")]
     WithIdempotencyKey,
     /// It must not run twice.
@@ -343,7 +345,7 @@
     pub share: f64,
 }
 
-/// The expectations besides the rules, over the whole run.
+/// The expectations in addition to the rules, over the complete run.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expectations {
@@ -360,7 +362,7 @@
     /// Seconds after the last fault within which the views of all balancers are equal.
     #[serde(rename = "equal_s")]
     pub converged_within_s: Option<f64>,
-    /// No live balancer is taken for failed.
+    /// No live balancer is considered failed.
     #[serde(rename = "none_taken_for_gone")]
     pub no_false_failures: bool,
     /// Nor is one that is paused.
--- a/lab/src/experiment/parsing.rs
+++ b/lab/src/experiment/parsing.rs
@@ -3,6 +3,7 @@
 use super::class_defaults::{site_classes, site_tenants};
 use super::fault_error::InvalidFault;
 use super::fault_parsing::{FaultContext, FaultTable, parse_fault};
+use super::value_range::{ValueOutOfRange, check_range};
 use super::{
     Class, DiscoverySettings, Expectations, Experiment, Fault, Fleet, Load, MAX_BALANCERS,
     MAX_SECONDS, MAX_UPSTREAMS, MembershipSettings, RegistrySettings, Tenant, UpstreamSettings,
@@ -35,17 +36,8 @@
     #[error("{0}")]
     Form(String),
     /// A value is out of range.
-    #[error("{key} is {value}: {min} to {max} can be played")]
-    OutOfRange {
-        /// The key.
-        key: &'static str,
-        /// Its value.
-        value: f64,
-        /// The least.
-        min: f64,
-        /// The most.
-        max: f64,
-    },
+    #[error(transparent)]
+    OutOfRange(#[from] ValueOutOfRange),
     /// Shares do not add up.
     #[error("the shares of the {of} add up to {sum:.3}, not to 1")]
     Shares {
@@ -200,19 +192,11 @@
     }
 
     fn within(&self, key: &'static str, value: f64, min: f64, max: f64) -> Result<(), Invalid> {
-        if (min..=max).contains(&value) {
-            return Ok(());
-        }
-        let reason = InvalidExperiment::OutOfRange {
-            key,
-            value,
-            min,
-            max,
-        };
-        Err(Invalid {
+        check_range(key, value, min, max).map_err(|error| Invalid {
             offset: self.offset,
-            reason,
-        })
+            reason: error.into(),
+        })?;
+        Ok(())
     }
 }
 
