--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -301,14 +301,14 @@
         self.remove_from_pool_late(number);
         if let Some(restart_after) = restart_after {
             sleep(restart_after).await;
-            self.start_again(number).await;
+            self.start_when_stopped(number).await;
         }
     }
 
     /// Sends SIGTERM, and SIGKILL after a time-out; restarts it once it has exited.
     pub async fn restart(self: Arc<Self>, number: u32) {
         if self.shut_down(number).await {
-            self.start_again(number).await;
+            self.start_when_stopped(number).await;
         }
     }
 
@@ -354,7 +354,7 @@
         }
     }
 
-    async fn start_again(self: &Arc<Self>, number: u32) {
+    async fn start_when_stopped(self: &Arc<Self>, number: u32) {
         if self.slot(number).wait_until_stopped(EXIT_TIMEOUT).await
             && let Err(e) = self.start(number).await
         {
--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -55,7 +55,7 @@
 }
 
 impl Member {
-    fn takes_part(&self) -> bool {
+    fn is_active(&self) -> bool {
         self.is_alive && !self.has_yielded
     }
 }
@@ -117,12 +117,12 @@
         self.converged_since_us = is_converged.then(|| self.converged_since_us.unwrap_or(at_us));
     }
 
-    pub(super) fn takes_part(&self, balancer: u32) -> bool {
-        self.members.get(&balancer).is_some_and(Member::takes_part)
+    pub(super) fn is_active(&self, balancer: u32) -> bool {
+        self.members.get(&balancer).is_some_and(Member::is_active)
     }
 
     fn remove_digest(&mut self, balancer: u32) {
-        if self.takes_part(balancer)
+        if self.is_active(balancer)
             && let Some(view) = self.views.get(&balancer)
             && let Some(count) = self.digests.get_mut(&view.digest)
         {
@@ -134,7 +134,7 @@
     }
 
     fn add_digest(&mut self, balancer: u32) {
-        if self.takes_part(balancer)
+        if self.is_active(balancer)
             && let Some(view) = self.views.get(&balancer)
         {
             *self.digests.entry(view.digest).or_default() += 1;
@@ -160,10 +160,7 @@
         let member = self.members.entry(balancer).or_default();
         let was_alive = std::mem::replace(&mut member.is_alive, false);
         if let (true, Some(name)) = (was_alive, member.name) {
-            let live = self
-                .members
-                .iter()
-                .filter(|(_, member)| member.takes_part());
+            let live = self.members.iter().filter(|(_, member)| member.is_active());
             let witnesses = live.map(|(number, _)| *number).collect();
             let known_at_us = HashMap::new();
             let departure = Departure {
@@ -213,7 +210,7 @@
                     self.record_detection(change);
                 }
             }
-            MemberState::Left | MemberState::Dead => self.on_departure_seen(change),
+            MemberState::Left | MemberState::Dead => self.on_departure_observed(change),
         }
     }
 
@@ -247,7 +244,7 @@
         view.version = change.version;
     }
 
-    fn on_departure_seen(&mut self, change: &ViewChange) {
+    fn on_departure_observed(&mut self, change: &ViewChange) {
         if self.takes_live_for_failed(change) {
             return;
         }
@@ -271,7 +268,7 @@
             .members
             .values()
             .filter(is_meant)
-            .find(|member| member.takes_part());
+            .find(|member| member.is_active());
         let Some(member) = live else { return false };
         if member.is_paused {
             self.figures.paused_failure_count += 1;
--- a/lab/src/checks/membership_report.rs
+++ b/lab/src/checks/membership_report.rs
@@ -110,7 +110,7 @@
         let live = || {
             self.views
                 .iter()
-                .filter(|(number, _)| self.takes_part(**number))
+                .filter(|(number, _)| self.is_active(**number))
         };
         let Some((_, usual)) = live().find(|(_, view)| view.digest == most_common) else {
             return Vec::new();
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -196,7 +196,7 @@
         running: &mut JoinSet<()>,
     ) {
         if targets.has_discovery {
-            running.spawn(take_down(Arc::clone(&self.discovery), restart_after));
+            running.spawn(simulate_outage(Arc::clone(&self.discovery), restart_after));
         }
         for number in &targets.balancers {
             let balancers = Arc::clone(&self.balancers);
@@ -261,7 +261,7 @@
 }
 
 /// Stops the discovery service, and restarts it after a while.
-async fn take_down(discovery: Arc<DiscoveryService>, restart_after: Option<Duration>) {
+async fn simulate_outage(discovery: Arc<DiscoveryService>, restart_after: Option<Duration>) {
     if let Some(registrations) = discovery.registrations() {
         registrations.registry().kill(restart_after).await;
         return;
--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -105,7 +105,7 @@
         };
         let resets = self.resets.subscribe();
         if conditions.has_cut() {
-            tokio::spawn(hold_until_open(stream, far, conditions));
+            tokio::spawn(reset_once_open(stream, far, conditions));
         } else {
             tokio::spawn(relay(stream, far, conditions, resets, seed));
         }
@@ -115,7 +115,7 @@
 
 /// Retains a connection that was opened while the link was cut: no data passes, and it is reset
 /// once the link is open again.
-async fn hold_until_open(stream: TcpStream, far: DuplexStream, conditions: ConditionReceivers) {
+async fn reset_once_open(stream: TcpStream, far: DuplexStream, conditions: ConditionReceivers) {
     for mut condition in [conditions.outbound, conditions.inbound] {
         let _ = condition.wait_for(|condition| !condition.is_cut).await;
     }
--- a/lab/src/processes/child.rs
+++ b/lab/src/processes/child.rs
@@ -53,12 +53,12 @@
         LabError::Start { program, source }
     })?;
     if let Some(stderr) = child.stderr.take() {
-        tokio::spawn(copy_log(stderr, file, on_line));
+        tokio::spawn(store_log(stderr, file, on_line));
     }
     Ok(child)
 }
 
-async fn copy_log(
+async fn store_log(
     stderr: impl AsyncRead + Unpin,
     mut file: tokio::fs::File,
     mut on_line: impl FnMut(&str),
--- a/lab/src/standins/registry_process.rs
+++ b/lab/src/standins/registry_process.rs
@@ -177,7 +177,7 @@
 
     /// Waits until it lists so many ready upstreams.
     pub async fn wait_until_ready(&self, upstreams: usize) -> Result<(), LabError> {
-        let all_listed = async {
+        let all_ready = async {
             while let Some(address) = self.write_address() {
                 if ready_count(address)
                     .await
@@ -188,7 +188,7 @@
                 sleep(STATUS_INTERVAL).await;
             }
         };
-        timeout(READY_TIMEOUT, all_listed)
+        timeout(READY_TIMEOUT, all_ready)
             .await
             .map_err(|_| self.not_ready())
     }
--- a/lab/src/standins/upstream_model.rs
+++ b/lab/src/standins/upstream_model.rs
@@ -256,8 +256,8 @@
 
     /// Updates the state of congestion at `now`.
     fn recover(&self, now: f64, since: f64, idle_since: Option<f64>) -> Congestion {
-        let busy = self.core_free_at.iter().filter(|free| **free > now).count();
-        let utilization = busy as f64 / f64::from(self.settings.cores);
+        let cores_in_use = self.core_free_at.iter().filter(|free| **free > now).count();
+        let utilization = cores_in_use as f64 / f64::from(self.settings.cores);
         if utilization > self.settings.recovery_utilization {
             return Congestion::Congested {
                 since,
--- a/lab/src/standins/upstream_server.rs
+++ b/lab/src/standins/upstream_server.rs
@@ -56,7 +56,7 @@
                     if phase.wait_for(|phase| *phase != Phase::Down).await.is_err() {
                         return;
                     }
-                    let Some(listening) = bind_again(address).await else {
+                    let Some(listening) = bind_with_retries(address).await else {
                         let number = self.upstream.number();
                         tracing::warn!("u{number}: {address} is taken, it stays away there");
                         return;
@@ -231,7 +231,7 @@
     let _ = phase.wait_for(|phase| *phase == Phase::Down).await;
 }
 
-async fn bind_again(address: SocketAddr) -> Option<TcpListener> {
+async fn bind_with_retries(address: SocketAddr) -> Option<TcpListener> {
     for _ in 0..MAX_BIND_ATTEMPTS {
         match TcpListener::bind(address).await {
             Ok(listener) => return Some(listener),
