--- a/registry/src/command.rs
+++ b/registry/src/command.rs
@@ -16,7 +16,7 @@
 /// A command that changes the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Adds an endpoint, or replaces it. It stays on the list for as long as its lease is renewed.
+    /// Adds an endpoint, or replaces it. It remains on the list while its lease is renewed.
     Register {
         /// The endpoint. Its state is ignored.
         record: EndpointRecord,
@@ -54,7 +54,7 @@
 /// Why a command was rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum CommandError {
-    /// The command holds for another revision of the list.
+    /// The command is conditional on another revision of the list.
     #[error("the list is at version {current}: read it again")]
     RevisionMismatch {
         /// The revision of the list.
@@ -63,7 +63,7 @@
     /// The endpoint is not on the list.
     #[error("no upstream {uid:?} is on the list: register it")]
     UnknownEndpoint {
-        /// The uid that was asked for.
+        /// The requested uid.
         uid: String,
     },
     /// A later incarnation of the endpoint is known.
--- a/registry/src/endpoint.rs
+++ b/registry/src/endpoint.rs
@@ -66,14 +66,14 @@
     }
 }
 
-/// The whole endpoint list, or what has changed of it: the response to a list request, and a line
-/// of a watch.
+/// The complete endpoint list, or its changes: the response to a list request, and a line of a
+/// watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointUpdate<R = EndpointRecord> {
     /// The revision of the list after this update.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Whether `records` is the whole list and replaces what the reader has.
+    /// Whether `records` is the complete list and replaces the one that the reader has.
     #[serde(rename = "all")]
     pub is_snapshot: bool,
     /// The endpoints, in the order of their uids.
@@ -110,7 +110,7 @@
     pub entry: Option<PersistedEntry>,
 }
 
-/// A lease's duration in milliseconds, where 0 stands for no lease.
+/// A lease's duration in milliseconds, where 0 means no lease.
 mod lease_ms {
     use serde::{Deserialize, Deserializer, Serializer};
     use std::time::Duration;
--- a/registry/src/endpoint_registry.rs
+++ b/registry/src/endpoint_registry.rs
@@ -40,8 +40,8 @@
 }
 
 impl EndpointRegistry {
-    /// Restores a list from its persisted entries. Each lease begins anew, so that a restart ends
-    /// none.
+    /// Restores a list from its persisted entries. Each lease is renewed, so that none expires by a
+    /// restart.
     pub fn restore(
         policy: RegistryPolicy,
         now: Duration,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The revision of the list, which goes up by one with each change.
+    /// The revision of the list, which increases by one with each change.
     pub fn revision(&self) -> u64 {
         self.changes.revision()
     }
@@ -95,8 +95,8 @@
         }
     }
 
-    /// The update that brings a reader from a revision to the current one. It is the whole list if
-    /// the reader has none, or if the changes since then are not retained.
+    /// The update that brings a reader from a revision to the current one. It is the complete list
+    /// if the reader has none, or if the changes since then are not retained.
     pub fn update_since(&self, revision: Option<u64>) -> EndpointUpdate<&EndpointRecord> {
         match revision.filter(|revision| self.changes.can_resume_from(*revision)) {
             Some(revision) => self.delta_since(revision),
@@ -132,7 +132,7 @@
             .filter(|record| !record.is_removed())
     }
 
-    /// Takes the entries that have changed since the last call.
+    /// Returns the entries that have changed since the last call.
     pub fn take_dirty(&mut self) -> Vec<DirtyEntry> {
         let dirty = std::mem::take(&mut self.dirty);
         let to_persist = |uid: String| {
@@ -241,7 +241,7 @@
         Ok(())
     }
 
-    /// An endpoint that is not on the list is as the caller wants it: that is no error.
+    /// Removal is idempotent: an endpoint that is not on the list is no error.
     fn deregister(&mut self, uid: &str, boot_ms: Option<u64>) -> Result<(), CommandError> {
         let Ok(entry) = self.registered_entry(uid) else {
             return Ok(());
@@ -381,7 +381,7 @@
     }
 
     /// Drops the changes that are not retained, and the entries that were removed by them. A reader
-    /// at an older revision gets the whole list, which has no removed entries.
+    /// at an older revision gets the complete list, which has no removed entries.
     fn compact(&mut self) {
         while let Some(LoggedChange { revision, uid }) = self.changes.compact_oldest() {
             let is_obsolete =
--- a/registry/src/http/connection.rs
+++ b/registry/src/http/connection.rs
@@ -17,7 +17,7 @@
 
 /// The maximum number of connections to an interface, besides watches.
 pub(super) const MAX_CONNECTIONS: usize = 2048;
-/// The time that a client may take to send a request.
+/// The time-out for a client to send a request.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// The time after which a connection is closed that is not a watch.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
@@ -106,7 +106,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(REQUEST_TIMEOUT);
     tokio::select! {
-        // A client that disconnects, or does not send HTTP, has no use for a response.
+        // A client that disconnects, or does not send HTTP, cannot receive a response.
         _ = builder.serve_connection(TokioIo::new(stream), service) => {}
         () = limit.close_requested.notified() => {}
         () = limit.timed_out() => {}
--- a/registry/src/http/read_api.rs
+++ b/registry/src/http/read_api.rs
@@ -59,7 +59,7 @@
         json_text_response(self.published.update_since(None).json)
     }
 
-    /// Begins a watch of a client that has the list at a revision, or has none.
+    /// Begins a watch for a client that has the list at a revision, or has none.
     fn watch(&self, revision: Option<u64>, limit: Arc<SlowReaderLimit>) -> Response<Body> {
         let Ok(slot) = Arc::clone(&self.watch_slots).try_acquire_owned() else {
             self.metrics.overloads.inc();
--- a/registry/src/http/watch_stream.rs
+++ b/registry/src/http/watch_stream.rs
@@ -1,4 +1,4 @@
-//! The body of a watch: a line for each update, and an empty line now and then while nothing
+//! The body of a watch: a line for each update, and an empty line as a heartbeat while nothing
 //! changes.
 
 use crate::metrics::Metrics;
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::error::SendTimeoutError;
 use tokio::time::{sleep, timeout};
 
-/// The interval of empty lines on a watch without changes.
+/// The interval of heartbeats on a watch without changes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Changes within this time of each other share a line.
 const COALESCING_DELAY: Duration = Duration::from_millis(5);
--- a/registry/src/lease.rs
+++ b/registry/src/lease.rs
@@ -53,8 +53,8 @@
         self.is_self_preserving
     }
 
-    /// Notes the time, and begins a grace period if the service was paused: renewals may be waiting
-    /// to be read.
+    /// Records the time, and begins a grace period if the service was paused: renewals may be
+    /// waiting to be read.
     pub(crate) fn on_tick(&mut self, policy: &RegistryPolicy, now: Duration) {
         if now.saturating_sub(self.last_tick) > policy.pause_threshold {
             self.grace_until = self.grace_until.max(now + policy.grace_period);
--- a/registry/src/metrics.rs
+++ b/registry/src/metrics.rs
@@ -35,7 +35,7 @@
 }
 
 impl Metrics {
-    /// The page for Prometheus. Its names are part of the interface and must not change.
+    /// The text for Prometheus. Its names are part of the interface and must not change.
     pub fn page(&self) -> String {
         let mut registry = Registry::with_prefix("frostkeel_registry");
         registry.register("lists", "Whole lists sent", self.snapshots.clone());
--- a/registry/src/published_view.rs
+++ b/registry/src/published_view.rs
@@ -70,7 +70,7 @@
         self.revision.send_replace(revision);
     }
 
-    /// The encoded update for a reader at a revision, or for one that has nothing.
+    /// The encoded update for a reader at a revision, or for one without a list.
     pub fn update_since(&self, revision: Option<u64>) -> EncodedUpdate {
         let mut inner = self.lock();
         if let Some(cached) = inner.cached(revision) {
--- a/registry/src/write_request.rs
+++ b/registry/src/write_request.rs
@@ -118,7 +118,7 @@
     weight: f64,
 }
 
-/// Parses the command that a request stands for.
+/// Parses the command of a request.
 pub fn parse_command(method: &Method, path: &str, body: &[u8]) -> Result<Command, RequestError> {
     let upstream = path
         .strip_prefix(UPSTREAMS_PREFIX)
@@ -165,7 +165,7 @@
     })
 }
 
-/// The incarnation that a removal is for. An empty body stands for any.
+/// The incarnation that a removal is for. An empty body means any.
 fn parse_boot_ms(body: &[u8]) -> Result<Option<u64>, RequestError> {
     if body.is_empty() {
         return Ok(None);
--- a/registry/src/writer.rs
+++ b/registry/src/writer.rs
@@ -36,7 +36,7 @@
 pub struct WriteRequest {
     /// The command.
     pub command: Command,
-    /// The revision of the list that the command holds for, if it is for one only.
+    /// The revision of the list that the command is conditional on, if any.
     pub expected_revision: Option<u64>,
     /// Receives the revision after the write.
     pub reply: oneshot::Sender<Result<u64, WriteError>>,
