--- a/membership/src/foca_runtime.rs
+++ b/membership/src/foca_runtime.rs
@@ -1,4 +1,4 @@
-//! The runtime that `foca` is given: it collects datagrams, timers and notifications.
+//! The runtime for `foca`: it collects datagrams, timers and notifications.
 
 use crate::identity::Identity;
 use foca::{Notification, OwnedNotification, Timer};
@@ -39,7 +39,7 @@
     pub(crate) payload: Vec<u8>,
 }
 
-/// Collects what `foca` puts out, and keeps its timers.
+/// Collects the output of `foca`, and stores its timers.
 pub(crate) struct FocaRuntime {
     payloads: Vec<OutgoingPayload>,
     notifications: Vec<OwnedNotification<Identity>>,
@@ -53,7 +53,7 @@
 }
 
 impl FocaRuntime {
-    /// A runtime without timers, which will keep at most so many.
+    /// A runtime without timers, which stores at most so many.
     pub(crate) fn new(now: Duration, max_timers: usize) -> Self {
         Self {
             payloads: Vec::new(),
@@ -123,8 +123,8 @@
     }
 
     fn submit_after(&mut self, timer: Timer<Identity>, after: Duration) {
-        // Only endless churn makes that many timers. Members whose timer is not kept are forgotten
-        // later, when their names come up again.
+        // Only constant churn creates that many timers. Members whose timer is dropped are
+        // forgotten later, when their names are reported again.
         if self.timers.len() >= self.max_timers && matches!(timer, Timer::RemoveDown(_)) {
             return;
         }
--- a/membership/src/hash_tree.rs
+++ b/membership/src/hash_tree.rs
@@ -71,7 +71,7 @@
 /// How to reconcile a child whose hash differs from the peer's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowUp {
-    /// Send its members, and ask for the peer's.
+    /// Send its members, and request the peer's.
     SendMembers(HashPrefix),
     /// Send the hashes of its children.
     SendHashes(HashPrefix),
--- a/membership/src/identity.rs
+++ b/membership/src/identity.rs
@@ -4,7 +4,8 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The maximum length of a name, in bytes. Names travel in each datagram and are compared often.
+/// The maximum length of a name, in bytes. Each datagram contains names, and they are compared
+/// often.
 const MAX_NAME_LEN: usize = 16;
 
 /// The name of a process, which lasts over restarts: 1 to 16 letters, digits, `.`, `_` or `-`.
@@ -98,7 +99,7 @@
 }
 
 impl Identity {
-    /// Whether this identity keeps the name against another claim to it.
+    /// Whether this identity retains the name against another claim to it.
     pub fn supersedes(&self, other: &Self) -> bool {
         let rank = |id: &Self| (id.incarnation, id.rejoin_count, id.is_leaving, id.peer);
         rank(self) > rank(other)
--- a/membership/src/local_health.rs
+++ b/membership/src/local_health.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// The worst score. Each point lengthens this process's own probes by their whole duration.
+/// The worst score. Each point lengthens this process's own probes by their full duration.
 const MAX_SCORE: u32 = 4;
 /// A timeout that runs later than this is a sign of slowness.
 const SLOW_AFTER: Duration = Duration::from_millis(250);
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -1,7 +1,7 @@
-//! The state machine: what a process does with datagrams and time.
+//! The state machine of one process, driven by datagrams and time.
 //!
-//! [`Membership`] owns the parts and the order in which they act. Each submodule holds one part's
-//! state or decisions.
+//! [`Membership`] owns the parts and the order in which they act. Each submodule contains the state
+//! or the decisions of one part.
 
 mod anti_entropy;
 mod join;
@@ -43,17 +43,17 @@
         /// At most [`MAX_DATAGRAM_LEN`](crate::MAX_DATAGRAM_LEN) bytes.
         datagram: Vec<u8>,
     },
-    /// Take note of a change of the view.
+    /// Record a change of the view.
     ViewChanged(ViewChange),
-    /// Take note that an earlier start of this process had a later incarnation, which is given
-    /// here: this process has taken a still later one.
+    /// Record that an earlier start of this process had a later incarnation, which is given here:
+    /// this process has taken a still later one.
     Superseded(Identity),
-    /// Take note that a later process claims this process's name: this one has yielded, and takes
-    /// part no more.
+    /// Record that a later process claims this process's name: this one has yielded, and is no
+    /// longer a member.
     Yielded(Identity),
 }
 
-/// How this process takes part.
+/// The phase of this process in the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
@@ -69,7 +69,7 @@
 ///
 /// Times are the embedder's, on a monotonic clock. Before it calls
 /// [`handle_timeout`](Self::handle_timeout) it passes in all datagrams that have been received, so
-/// that a response that came in time does not look late.
+/// that a response that was received in time does not seem late.
 pub struct Membership {
     config: Config,
     swim: Swim,
@@ -131,8 +131,8 @@
         Ok(membership)
     }
 
-    /// Takes identities for alive without announcing them: those that were remembered from before
-    /// the start. Those that no longer live are detected in time.
+    /// Considers identities alive without announcing them: those that were remembered from before
+    /// the start. Those that have ended are detected by the protocol.
     pub fn restore(&mut self, now: Duration, ids: impl Iterator<Item = Identity>) {
         self.set_now(now);
         let own_name = self.identity().name;
@@ -152,7 +152,7 @@
         &self.view
     }
 
-    /// How it takes part.
+    /// Its phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -225,8 +225,8 @@
         self.swim.set_now(now);
     }
 
-    /// After a pause nothing that was in progress proves a failure, and suspects get as much more
-    /// time.
+    /// After a pause no operation that was in progress proves a failure, and suspects get as much
+    /// more time.
     fn allow_for_lateness(&mut self, lateness: Duration) {
         self.health.record_lateness(lateness);
         if lateness > PAUSED_AFTER {
--- a/membership/src/membership/anti_entropy.rs
+++ b/membership/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: two members whose views keep differing compare them and exchange the members in
-//! which they differ.
+//! Anti-entropy: two members whose views differ persistently compare them and exchange the members
+//! in which they differ.
 
 use super::{Membership, Phase};
 use crate::hash_tree::{self, ChildHashes, FollowUp, HashPrefix};
@@ -8,8 +8,8 @@
 use foca::Member;
 use rand::seq::SliceRandom;
 
-/// How many checks in a row find another view before the two are compared: most differences pass by
-/// themselves.
+/// How many checks in a row find a different view before the two are compared: gossip resolves most
+/// differences.
 const MIN_DIFFERENCES: u32 = 2;
 /// Bytes of a [`Message::ViewMembers`] besides the members, at most.
 const VIEW_MEMBERS_OVERHEAD: usize = 56;
@@ -83,7 +83,7 @@
         if self.phase != Phase::Member {
             return;
         }
-        // Gossip disseminates updates; this makes up for those that it did not bring here.
+        // Gossip disseminates updates; this repairs those that did not reach this process.
         self.swim.merge(members.iter().cloned());
         if is_suspected {
             // The refutation reaches the one who suspects this process at once, and the others by
--- a/membership/src/membership/name_conflict.rs
+++ b/membership/src/membership/name_conflict.rs
@@ -1,4 +1,4 @@
-//! Conflicts over this process's name: the latest incarnation keeps it, and the others yield.
+//! Conflicts over this process's name: the latest incarnation retains it, and the others yield.
 
 use super::{Membership, Output, Phase};
 use crate::identity::Identity;
--- a/membership/src/membership/neighbor_monitor.rs
+++ b/membership/src/membership/neighbor_monitor.rs
@@ -12,12 +12,12 @@
 
 /// The interval between the beginnings of two checks.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long an acknowledgement may take before the check is repeated, or has failed.
+/// The time-out of an acknowledgement, after which the check is repeated or has failed.
 const ACK_TIMEOUT: Duration = Duration::from_millis(190);
 /// How often a check is sent before it has failed.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// What the monitor does when its time has come.
+/// The action of the monitor when it is due.
 #[derive(Debug, PartialEq, Eq)]
 enum MonitorAction {
     /// Begin a check of the present neighbor.
--- a/membership/src/membership/suspicion.rs
+++ b/membership/src/membership/suspicion.rs
@@ -86,7 +86,7 @@
 }
 
 impl Membership {
-    /// Suspects a member that did not acknowledge a check, and tells the others.
+    /// Suspects a member that did not acknowledge a check, and disseminates the suspicion.
     pub(super) fn suspect(&mut self, id: Identity) {
         let Some(member) = self.swim.active_members().find(|member| *member.id() == id) else {
             return;
@@ -134,7 +134,7 @@
     }
 
     /// Whether a timer would end a suspicion that was refuted. The protocol would not change the
-    /// member's state, but tell it that it is dead, and make it rejoin for nothing.
+    /// member's state, but notify it that it is dead, and cause a needless rejoin.
     pub(super) fn is_refuted_suspicion(&self, timer: &Timer<Identity>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -202,7 +202,7 @@
     }
 }
 
-/// The state of a member that the protocol takes for active.
+/// The state of a member that the protocol considers active.
 fn active_state(member: &Member<Identity>) -> MemberState {
     if member.state() == State::Suspect {
         MemberState::Suspect
--- a/membership/src/membership/view_updates.rs
+++ b/membership/src/membership/view_updates.rs
@@ -1,4 +1,4 @@
-//! Updating the view, and sending what the protocol has put out.
+//! Updates the view, and sends the payloads of the protocol.
 
 use super::{Membership, Output};
 use crate::identity::{Identity, Name};
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Applies to the view what the protocol has found out, and sends its payloads.
+    /// Applies the notifications of the protocol to the view, and sends its payloads.
     pub(super) fn apply_protocol_changes(&mut self, reported_by: Option<Name>) {
         let own_id = self.identity();
         for notification in self.swim.take_notifications() {
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -37,7 +37,7 @@
 const BASE_TRANSMISSIONS: u8 = 8;
 /// How many gossip rounds announce a leave.
 const LEAVE_ROUNDS: usize = 3;
-/// Timers that are kept for each member, and besides.
+/// The limit of stored timers: for each member, and in addition to that.
 const TIMERS_PER_MEMBER: usize = 4;
 const EXTRA_TIMERS: usize = 64;
 
@@ -95,7 +95,7 @@
 }
 
 impl Swim {
-    /// The protocol for a process that knows nobody yet.
+    /// The protocol for a process that knows no other member yet.
     pub(crate) fn new(id: Identity, config: &Config, now: Duration, rng: StdRng) -> Self {
         let configured_size = usize::from(config.peer_count);
         let max_payload_len = wire::payload_capacity(&config.fleet);
@@ -195,7 +195,7 @@
         self.count_error(result);
     }
 
-    /// The members that the protocol takes for alive or suspect, this process excluded.
+    /// The members that the protocol considers alive or suspect, this process excluded.
     pub(crate) fn active_members(&self) -> impl Iterator<Item = &Member<Identity>> {
         self.foca.iter_members()
     }
@@ -205,7 +205,7 @@
         self.foca.iter_membership_state()
     }
 
-    /// Whether the protocol takes an identity for alive or suspect.
+    /// Whether the protocol considers an identity alive or suspect.
     pub(crate) fn is_active(&self, id: &Identity) -> bool {
         self.active_members().any(|member| member.id() == id)
     }
@@ -226,7 +226,7 @@
         self.runtime.postpone_suspicion_timers(by);
     }
 
-    /// Sets the parameters anew once the fleet has shrunk by a fifth or grown by a quarter.
+    /// Updates the parameters once the fleet has shrunk by a fifth or grown by a quarter.
     pub(crate) fn adapt_to_fleet_size(&mut self) {
         let size = self.foca.num_members() + 1;
         let has_shrunk = size * 5 < self.configured_size * 4;
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It takes part.
+    /// It is an active member.
     #[serde(rename = "present")]
     Alive,
     /// It did not respond to some member, and has not refuted the suspicion yet.
@@ -52,7 +52,7 @@
     pub state: MemberState,
     /// When that state was recorded, on the embedder's clock.
     pub since: Duration,
-    /// The member whose datagram reported it; `None` if this process found it out itself.
+    /// The member whose datagram reported it; `None` if this process detected it itself.
     pub reported_by: Option<Name>,
 }
 
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -33,7 +33,7 @@
 pub enum Decoded<'a> {
     /// A payload of the SWIM protocol.
     Swim {
-        /// The whole payload.
+        /// The complete payload.
         payload: &'a [u8],
         /// Its sender.
         from: Identity,
--- a/membership/src/wire/message.rs
+++ b/membership/src/wire/message.rs
@@ -71,7 +71,7 @@
     ViewMembers {
         /// The sender.
         from: Identity,
-        /// The node whose members the receiver is asked to send in turn.
+        /// The node whose members the receiver has to send in turn.
         requested: Option<HashPrefix>,
         /// The members, as far as they fit.
         members: Vec<Member<Identity>>,
