--- a/simulator-adapter/src/decoder.rs
+++ b/simulator-adapter/src/decoder.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{Batch, LENGTH_BYTES};
 use fields::FieldReader;
 
-/// Decodes a whole batch, its length field included.
+/// Decodes a complete batch, its length field included.
 pub fn decode_batch(frame: &[u8]) -> Result<Batch, BatchError> {
     let mut reader = FieldReader::new(frame);
     let stated = reader.u32("length")? as usize;
--- a/simulator-adapter/src/decoder/fields.rs
+++ b/simulator-adapter/src/decoder/fields.rs
@@ -120,7 +120,7 @@
         Ok(count)
     }
 
-    /// A number of one byte that stands for something; an unknown one is an error.
+    /// A code of one byte; an unknown one is an error.
     pub(super) fn u8_code<T>(
         &mut self,
         field: &'static str,
@@ -131,7 +131,7 @@
         from_wire(code).ok_or_else(|| unknown_code(offset, field, code.into()))
     }
 
-    /// A number of two bytes that stands for something; an unknown one is an error.
+    /// A code of two bytes; an unknown one is an error.
     pub(super) fn u16_code<T>(
         &mut self,
         field: &'static str,
@@ -143,7 +143,7 @@
     }
 }
 
-/// The error for a number at `offset` that stands for nothing known.
+/// The error for an unknown code at `offset`.
 pub(super) fn unknown_code(offset: usize, field: &'static str, code: u16) -> BatchError {
     BatchError {
         offset,
--- a/simulator-adapter/src/decoder/records.rs
+++ b/simulator-adapter/src/decoder/records.rs
@@ -1,4 +1,4 @@
-//! Reads whole records, one function a kind.
+//! Reads complete records, one function a kind.
 
 use super::fields::{FieldReader, unknown_code};
 use crate::error::{BatchError, BatchFault};
--- a/simulator-adapter/src/encoder.rs
+++ b/simulator-adapter/src/encoder.rs
@@ -4,9 +4,9 @@
 use frostkeel_policy::{Action, UpstreamId};
 use std::time::Duration;
 
-/// What asks discovery for changes; 0 would end them.
+/// The value that starts a watch; 0 would end it.
 const WATCH_ON: u8 = 1;
-/// Stands for a time that is absent.
+/// The value for a time that is absent.
 const NO_TIME_MS: f64 = 0.0;
 
 /// A reply: its length, then actions one after the other.
@@ -16,7 +16,7 @@
 }
 
 impl ReplyEncoder {
-    /// Starts a reply, with room for its length. The memory of the one before is used again.
+    /// Starts a reply, with space for its length. The buffer of the previous one is reused.
     pub fn begin(&mut self) {
         self.bytes.clear();
         self.bytes.extend([0; LENGTH_BYTES]);
@@ -40,7 +40,7 @@
         fields.log_line(line);
     }
 
-    /// Fills in the length and returns the whole reply.
+    /// Sets the length and returns the complete reply.
     pub fn finish(&mut self) -> &[u8] {
         let length = (self.bytes.len() - LENGTH_BYTES) as u32;
         self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
@@ -138,7 +138,7 @@
         self.bytes.extend(&upstream.0.to_be_bytes()[2..]);
     }
 
-    /// A text after its length; cut off at the longest that the length field can state.
+    /// A text after its length; truncated at the maximum of the length field.
     fn text(&mut self, text: &str) {
         let length = u16::try_from(text.len()).unwrap_or(u16::MAX);
         self.bytes.extend(length.to_be_bytes());
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -75,7 +75,7 @@
         /// The bytes left in the frame.
         available: usize,
     },
-    /// A number stands for nothing that is known.
+    /// A code is unknown.
     #[error("unknown {field} {code}")]
     UnknownCode {
         /// The field with the number.
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -6,12 +6,12 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// An action and the instance that wants it.
+/// An action and the instance that requested it.
 #[derive(Debug)]
 pub struct InstanceAction {
     /// The instance.
     pub instance: u32,
-    /// What it wants done.
+    /// The requested action.
     pub action: Action,
 }
 
@@ -20,14 +20,14 @@
 pub struct Host {
     instances: HashMap<u32, Balancer>,
     endpoint_lists: HashMap<u32, Vec<Endpoint>>,
-    /// What one event has caused; kept for its memory.
+    /// The actions of one event; a buffer that is reused.
     actions: Vec<Action>,
-    /// What the instances want done in reply to this batch, in order.
+    /// The actions of all instances in reply to this batch, in order.
     pending: Vec<InstanceAction>,
 }
 
 impl Host {
-    /// Applies one record at the batch's time, and keeps the resulting actions for the reply.
+    /// Applies one record at the batch's time, and collects the resulting actions for the reply.
     pub fn apply(&mut self, now: Duration, located: LocatedRecord) -> Result<(), BatchError> {
         let LocatedRecord { offset, record } = located;
         self.apply_record(now, record)
--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -23,7 +23,7 @@
 
 /// Bit of a request's flags: its work hint is valid.
 pub const REQUEST_HAS_WORK_HINT: u8 = 1;
-/// Bit of a request's flags: the client says that this is a retry.
+/// Bit of a request's flags: the client marked the request as a retry.
 pub const REQUEST_IS_RETRY: u8 = 2;
 
 /// The first byte of each record.
@@ -210,9 +210,9 @@
         tenant: TenantId,
         /// How long the client still waits.
         time_left: Duration,
-        /// Expected work in milliseconds, where a valid hint came.
+        /// Expected work in milliseconds, where there was a valid hint.
         work_ms: Option<f64>,
-        /// The client says that it has tried this before.
+        /// The client marked the request as a retry.
         is_retry: bool,
     },
     /// A streamed response has started.
@@ -240,7 +240,7 @@
         /// How the check ended.
         result: UpstreamResult,
     },
-    /// A client has disconnected; no response is owed.
+    /// A client has disconnected; no response is due.
     ClientDisconnected {
         /// The request.
         id: RequestId,
@@ -252,7 +252,7 @@
     },
 }
 
-/// How an attempt or a health check ended, and the load report that came with it.
+/// How an attempt or a health check ended, and its load report.
 #[derive(Debug, PartialEq)]
 pub struct UpstreamResult {
     /// The upstream it was sent to.
@@ -261,6 +261,6 @@
     pub outcome: Outcome,
     /// Time since it was sent.
     pub latency: Duration,
-    /// The values of the load report; empty if none came.
+    /// The values of the load report; empty if there was none.
     pub load_report: Vec<f32>,
 }
--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{CLOCK_BYTES, LENGTH_BYTES, MAX_FRAME_BYTES};
 use std::io::{Read, Write};
 
-/// Answers batches until the input ends between two frames.
+/// Replies to batches until the input ends between two frames.
 pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), SessionError> {
     let mut host = Host::default();
     let mut reply = ReplyEncoder::default();
