--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -16,7 +16,7 @@
 const MICROS_PER_MILLI: f64 = 1e3;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// A time in milliseconds. What is negative or not a number becomes zero, what is too long the longest time.
+/// A time in milliseconds. A negative value or one that is no number becomes zero, one that is too long the maximum.
 pub fn duration_from_ms(ms: f64) -> Duration {
     if ms.is_nan() || ms <= 0.0 {
         return Duration::ZERO;
@@ -37,7 +37,7 @@
     }
 }
 
-/// The policy's settings; what the document doesn't say keeps its default.
+/// The policy's settings; a key that is missing in the document means the default.
 pub(crate) fn settings(document: &SiteDocument) -> Result<Settings, SettingsParseError> {
     let report_fields = &document.load_reports.fields;
     let mut settings = Settings {
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -1,9 +1,9 @@
-//! The settings object as it is written. The keys are the platform's; each is bound here to a field with the term that
-//! the code uses.
+//! The serialized form of the settings object. The keys are the platform's; each is bound here to a field with the term
+//! that the code uses.
 
 use serde::Deserialize;
 
-/// The whole object.
+/// The complete object.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct SiteDocument {
@@ -124,7 +124,7 @@
     pub(crate) overload_window_ms: Option<f64>,
 }
 
-/// What acts cost.
+/// The costs of operations.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct PricesDocument {
@@ -147,7 +147,7 @@
     pub(crate) tail_miss: Option<f64>,
 }
 
-/// What clients do.
+/// The behavior of clients.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct ClientsDocument {
@@ -155,7 +155,7 @@
     pub(crate) retries_marked: Option<bool>,
 }
 
-/// Where load reports come from, and what is in them.
+/// The source of load reports, and their values.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct LoadReportsDocument {
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -8,7 +8,7 @@
     /// The text isn't JSON, or a value has the wrong type; the source names the value, its line and column.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
-    /// A key has a value that stands for nothing known.
+    /// A key has an unknown value.
     #[error("settings: {key} is {value:?}: possible are {possible}")]
     UnknownValue {
         /// The key with its path, as `classes[1].effect`.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! A site's settings: the JSON object that the simulator and the platform's configuration share, turned into the policy
-//! crate's [`Settings`], with the names that stand for its numbers.
+//! crate's [`Settings`], with the names for its numbers.
 //!
 //! Unknown keys are ignored. Missing keys take the values of [`Settings::default`], except that without `weight_kind`
-//! the endpoints' weights mean nothing ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
+//! the endpoints' weights have no meaning ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
 
 mod convert;
 mod document;
@@ -13,12 +13,12 @@
 
 use frostkeel_policy::Settings;
 
-/// What a settings object says.
+/// A parsed settings object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
     /// The policy's settings.
     pub settings: Settings,
-    /// What the numbers in them are called.
+    /// The names for the numbers in them.
     pub names: Names,
 }
 
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -121,7 +121,7 @@
         ))
     }
 
-    /// Makes all changes durable or none of them. The stored revision never goes down: a lower one
+    /// Makes all changes durable or none of them. The stored revision never decreases: a lower one
     /// is ignored.
     pub fn commit(&mut self, revision: u64, changes: &[Change]) -> Result<(), StoreError> {
         if self.has_failed {
