--- a/balancer/tests/members_page.rs
+++ b/balancer/tests/members_page.rs
@@ -23,10 +23,10 @@
     let membership = format!(
         r#""peer_listen":"127.0.0.1:0","peers":["127.0.0.1:5","{}"],
         "membership":{{"fleet":"f","page":"127.0.0.1:0"}},"settings":{{"#,
-        nobody()
+        unreachable_address()
     );
-    Setup::with(&[])
-        .text()
+    TestConfig::with_upstreams(&[])
+        .to_json()
         .replacen(r#""settings":{"#, &membership, 1)
 }
 
@@ -75,7 +75,7 @@
         }
     }
     let mut stream = TcpStream::connect(page.expect("the page's address")).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     write!(stream, "GET /members HTTP/1.1\r\nHost: n0\r\n\r\n").unwrap();
     let mut response = String::new();
     stream.read_to_string(&mut response).unwrap();
