--- a/frostkeel/src/commands/agent.rs
+++ b/frostkeel/src/commands/agent.rs
@@ -1,4 +1,4 @@
-//! `frostkeel agent`: runs a command and keeps it on a registry's endpoint list for as long as it runs.
+//! `frostkeel agent`: runs a command and registers it with a registry for as long as it runs.
 
 use crate::error::CommandError;
 use crate::exit::{CommandOutcome, CommandResult};
@@ -58,7 +58,7 @@
     command: Vec<String>,
 }
 
-/// Runs the command until it ends or the agent is asked to.
+/// Runs the command until it ends or the agent receives a signal to end.
 pub fn run(args: AgentArgs) -> CommandResult {
     if !LEASE_RANGE_S.contains(&args.ttl_s) || !DRAIN_RANGE_S.contains(&args.drain_s) {
         return Err(CommandError::AgentTimes);
@@ -127,16 +127,16 @@
     boot_ms: u64,
 }
 
-/// What a registration or a renewal has come to.
+/// The result of a registration or a renewal.
 enum RegistrationResult {
     Accepted,
     /// The registry doesn't list the upstream.
     NotListed,
-    /// Another incarnation has taken its place, or the registry will never list it.
+    /// Another incarnation has replaced it, or the registry will never list it.
     Rejected {
         message: String,
     },
-    /// The registry can't be reached, or can't answer now.
+    /// The registry can't be reached, or can't respond now.
     Failed {
         reason: String,
     },
--- a/frostkeel/src/commands/drain.rs
+++ b/frostkeel/src/commands/drain.rs
@@ -18,7 +18,7 @@
     write: SocketAddr,
 }
 
-/// Sends the request and prints the registry's answer.
+/// Sends the request and prints the registry's response.
 pub fn run(args: &DrainArgs) -> CommandResult {
     let target = format!("/upstreams/{}/drain", args.uid);
     let response =
--- a/frostkeel/src/commands/lab/compare.rs
+++ b/frostkeel/src/commands/lab/compare.rs
@@ -88,7 +88,7 @@
 }
 
 impl Side {
-    /// Runs the experiment once, and prints and keeps its result.
+    /// Runs the experiment once, and prints and records its result.
     async fn run(
         &mut self,
         seed: u64,
--- a/frostkeel/src/commands/lab/registry.rs
+++ b/frostkeel/src/commands/lab/registry.rs
@@ -1,4 +1,4 @@
-//! `frostkeel lab registry`: watchers and writers on a registry that is killed now and then.
+//! `frostkeel lab registry`: watchers and writers on a registry that is killed repeatedly.
 
 use super::{RunArgs, parse_seconds};
 use crate::error::CommandError;
--- a/frostkeel/src/commands/list.rs
+++ b/frostkeel/src/commands/list.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 const LIST_TARGET: &str = "/registry/instances";
-/// A watch from the beginning: the whole list comes first, then each change.
+/// A watch from the beginning: first the complete list, then each change.
 const WATCH_TARGET: &str = "/registry/instances?stream=1&index=0";
 
 /// Shows the list of a list service.
@@ -63,7 +63,7 @@
         };
         pending.extend_from_slice(&data);
         while let Some(line) = next_line(&mut pending) {
-            // The registry keeps an idle watch alive by blank lines.
+            // The registry sends blank lines as heartbeats of an idle watch.
             if !line.trim_ascii().is_empty() {
                 print_update(&line, args.json)?;
             }
--- a/frostkeel/src/commands/members/page.rs
+++ b/frostkeel/src/commands/members/page.rs
@@ -72,7 +72,7 @@
     /// The page can't be fetched.
     #[error(transparent)]
     Fetch(#[from] ClientError),
-    /// The balancer answers with an error.
+    /// The balancer responds with an error.
     #[error("{address}: answered {status}")]
     Status {
         /// The page's address.
--- a/frostkeel/src/commands/registry.rs
+++ b/frostkeel/src/commands/registry.rs
@@ -32,7 +32,7 @@
     },
 }
 
-/// Runs a registry server until it is asked to end, or prints the status of one.
+/// Runs a registry server until it receives a signal to end, or prints the status of one.
 pub fn run(args: RegistryArgs) -> CommandResult {
     match (args.config, args.query) {
         (Some(path), None) => serve(path),
--- a/frostkeel/src/error.rs
+++ b/frostkeel/src/error.rs
@@ -89,7 +89,7 @@
     /// A registry or a balancer's page can't be reached.
     #[error(transparent)]
     Call(#[from] ClientError),
-    /// A registry answers a request with an error.
+    /// A registry responds to a request with an error.
     #[error("{subject}: {message}")]
     RegistryRejected {
         /// The upstream or the address that the request was for.
--- a/frostkeel/tests/command_line.rs
+++ b/frostkeel/tests/command_line.rs
@@ -2,7 +2,7 @@
 //! codes, compared with texts that an earlier version printed.
 //!
 //! A file of `data/command_line` has for each call a line `$ frostkeel ARGUMENTS`, its exit code, and each line that it
-//! printed after `out|` or `err|`. Names in braces stand for addresses and folders, which differ between runs.
+//! printed after `out|` or `err|`. Names in braces replace addresses and folders, which differ between runs.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -35,7 +35,7 @@
 const LIST: &str = r#"{"rev":5,"all":true,"targets":[{"uid":"u1","endpoint":"10.0.0.1:80","az":"a","model":"m","pod_group":0,"state":"Ready","capacity_hint":1.0,"boot_ms":1700000000123},{"uid":"u2","endpoint":"10.0.0.2:80","az":"b","model":"wide","pod_group":1,"state":"Terminating","capacity_hint":2.5,"boot_ms":2}]}"#;
 const CHANGE: &str = r#"{"rev":6,"all":false,"targets":[{"uid":"u2","endpoint":"10.0.0.2:80","az":"b","model":"wide","pod_group":1,"state":"Gone","capacity_hint":2.5,"boot_ms":2}]}"#;
 
-/// What stands in for a balancer's page or a registry: for each request line its status and body.
+/// The responses of a stub of a balancer's page or a registry: for each request line its status and body.
 type Answers = &'static [(&'static str, u16, &'static str)];
 
 const STUB_SERVERS: [(&str, Answers); 6] = [
@@ -80,7 +80,7 @@
         .iter()
         .find(|(of, ..)| target == format!("{of}?stream=1&index=0"))
     {
-        // A watch that ends: the list, an empty line that keeps it alive, and a change in two pieces.
+        // A watch that ends: the list, an empty line as a heartbeat, and a change in two pieces.
         write!(
             stream,
             "HTTP/1.1 {status} x\r\nconnection: close\r\n\r\n{list}\n\n"
@@ -103,7 +103,7 @@
     )
 }
 
-/// The names in braces, and the addresses and the folder that they stand for.
+/// The names in braces, and the addresses and the folder that replace them.
 fn addresses() -> Vec<(&'static str, String)> {
     let listen = || TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = |listener: &TcpListener| listener.local_addr().expect("its address").to_string();
@@ -258,7 +258,7 @@
     )
 }
 
-/// Checks that the lines come in this order, others between them.
+/// Checks that the lines are printed in this order, others between them.
 fn in_order(printed: &str, expected: &str, what: &str) {
     let mut lines = printed.lines().map(masked_verdict);
     for line in expected.lines() {
--- a/frostkeel/tests/lab.rs
+++ b/frostkeel/tests/lab.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// What a run of an experiment has left.
+/// The output of a run of an experiment.
 struct Run {
     folder: PathBuf,
     printed: String,
@@ -55,8 +55,8 @@
     }
 }
 
-/// Guards the whole path: children start, are killed and come back, requests are answered, no rule is broken, and the
-/// report says so. How late a busy machine made the lab is no part of the verdict.
+/// Guards the complete path: children start, are killed and restarted, requests get responses, no rule is violated, and
+/// the report shows it. How late a busy machine made the lab is no part of the verdict.
 #[test]
 fn short_experiment_with_faults_keeps_every_rule() {
     let run = run_experiment("balancer-short");
@@ -104,8 +104,8 @@
     assert_eq!(resumed, 2, "two were paused");
 }
 
-/// Guards the whole path of membership: real balancers find each other, detect a kill and a leave, show their views, and
-/// serve meanwhile.
+/// Guards the complete path of membership: real balancers discover each other, detect a kill and a leave, show their
+/// views, and serve meanwhile.
 #[test]
 fn balancers_detect_a_kill_and_a_graceful_leave() {
     let out = empty_folder("members");
--- a/frostkeel/tests/registry.rs
+++ b/frostkeel/tests/registry.rs
@@ -22,7 +22,7 @@
 
 impl Drop for Service {
     fn drop(&mut self) {
-        // SIGKILL: what it has acknowledged must survive that.
+        // SIGKILL: acknowledged writes must survive it.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -122,7 +122,7 @@
     assert_eq!(call(&service.write, "DELETE /upstreams/u3", "").status, 200);
 }
 
-/// What a second registry on the same folder says as it ends.
+/// The error of a second registry on the same folder.
 fn error_of_second_registry(folder: &Path, name: &str) -> String {
     let config = config(folder, name);
     let output = run_frostkeel(&["registry", "--config", config.to_str().expect("a path")]);
@@ -130,7 +130,7 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// Watches from revision 5 and checks that the change that follows comes.
+/// Watches from revision 5 and checks that the next change is received.
 fn assert_watch_resumes(service: &Service) {
     let mut watch = TcpStream::connect(&service.read).expect("it listens");
     let request = "GET /registry/instances?stream=1&index=5 HTTP/1.1\r\nhost: r\r\n\r\n";
@@ -226,7 +226,7 @@
     assert_eq!(short.wait().expect("ended").code(), Some(7));
 }
 
-/// Clients that hold a connection and send nothing, or never end their request, do not keep the registry from others.
+/// Clients that open a connection and send nothing, or never complete their request, do not block others.
 #[test]
 fn silent_and_endless_callers_are_disconnected() {
     let folder = empty_folder("silent");
