--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -76,7 +76,7 @@
     members: BTreeMap<u32, Member>,
     pub(super) views: BTreeMap<u32, View>,
     pub(super) departures: Vec<Departure>,
-    /// How many members that take part have a view with this digest.
+    /// How many active members have a view with this digest.
     pub(super) digests: HashMap<u64, usize>,
     pub(super) converged_since_us: Option<u64>,
     pub(super) figures: MembershipFigures,
--- a/lab/src/experiment/faults.rs
+++ b/lab/src/experiment/faults.rs
@@ -7,7 +7,7 @@
 pub struct LinkCondition {
     /// It is delayed by this ...
     pub delay: Duration,
-    /// ... and by up to this much more, drawn for each piece; order is kept.
+    /// ... and by up to this much more, drawn for each chunk or datagram; the order is retained.
     pub jitter: Duration,
     /// The bandwidth; `None`: unlimited.
     pub bytes_per_s: Option<u32>,
--- a/lab/src/links/peer_links.rs
+++ b/lab/src/links/peer_links.rs
@@ -47,7 +47,7 @@
 
 /// All links for datagrams of a run.
 pub struct PeerLinks {
-    /// By the balancer that sends to it, then by the balancer that it stands for.
+    /// By the balancer that sends to it, then by the balancer that it represents.
     sockets: Vec<Vec<Option<Arc<UdpSocket>>>>,
     /// By balancer, its own address.
     addresses: Vec<Mutex<Option<SocketAddr>>>,
--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -1,4 +1,4 @@
-//! A run of a real registry under many watchers and writers, killed now and then: how soon changes
+//! A run of a real registry under many watchers and writers, killed repeatedly: how soon changes
 //! reach the watchers, and whether the complete history is consistent.
 
 use super::registry_writer::Writer;
--- a/lab/src/standins/forwarding.rs
+++ b/lab/src/standins/forwarding.rs
@@ -83,7 +83,7 @@
         let _ = lines.send(Err(no_response())).await;
     }
 
-    /// A text of the registry as the balancer gets it; records what it notifies.
+    /// Rewrites a text of the registry for the balancer, and records its notifications.
     fn rewrite(&self, text: &[u8]) -> Bytes {
         let Ok(mut list) = serde_json::from_slice::<serde_json::Value>(text) else {
             return Bytes::copy_from_slice(text.trim_ascii());
--- a/lab/tests/balancer_rules.rs
+++ b/lab/tests/balancer_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of a balancer, on histories that keep them and histories that break them.
+//! The rules of a balancer, on histories that comply with them and histories that violate them.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
--- a/lab/tests/experiment_parsing.rs
+++ b/lab/tests/experiment_parsing.rs
@@ -34,7 +34,7 @@
     );
 }
 
-/// A change of the valid text, and what must be said about it.
+/// A change of the valid text, and the expected error.
 struct Case {
     from: &'static str,
     to: &'static str,
