--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -64,7 +64,7 @@
 }
 
 impl EndedAttempt {
-    /// Whether it was abandoned though no response had come for longer than is usual.
+    /// Whether it was abandoned when there was no response for longer than is usual.
     pub(super) fn is_abandoned(&self) -> bool {
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
