--- a/frostkeel/tests/command_line.rs
+++ b/frostkeel/tests/command_line.rs
@@ -2,17 +2,21 @@
 //! codes, compared with texts that an earlier version printed.
 //!
 //! A file of `data/command_line` has for each call a line `$ frostkeel ARGUMENTS`, its exit code, and each line that it
-//! printed after `out|` or `err|`. Names in braces stand for addresses and folders, which differ between runs.
+//! printed after `out|` or `err|`. Names in braces replace addresses and folders, which differ between runs.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
+#[path = "common/command.rs"]
+mod command;
+#[path = "common/folder.rs"]
+mod folder;
+
+use command::run_frostkeel;
+use folder::empty_folder;
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::Path;
-use std::process::{Command, Output};
-
-const FROSTKEEL: &str = env!("CARGO_BIN_EXE_frostkeel");
 
 const PAGE_A: &str = r#"{"name":"b0","fleet":"demo","phase":"member","version":12,"digest":"c0ffee01","there":3,"members":[
  {"name":"b0","incarnation":1700000000123,"turn":0,"standing":"present","since_s":61.25,"from":null},
@@ -31,7 +35,7 @@
 const LIST: &str = r#"{"rev":5,"all":true,"targets":[{"uid":"u1","endpoint":"10.0.0.1:80","az":"a","model":"m","pod_group":0,"state":"Ready","capacity_hint":1.0,"boot_ms":1700000000123},{"uid":"u2","endpoint":"10.0.0.2:80","az":"b","model":"wide","pod_group":1,"state":"Terminating","capacity_hint":2.5,"boot_ms":2}]}"#;
 const CHANGE: &str = r#"{"rev":6,"all":false,"targets":[{"uid":"u2","endpoint":"10.0.0.2:80","az":"b","model":"wide","pod_group":1,"state":"Gone","capacity_hint":2.5,"boot_ms":2}]}"#;
 
-/// What stands in for a balancer's page or a registry: for each request line its status and body.
+/// The responses of a stub of a balancer's page or a registry: for each request line its status and body.
 type Answers = &'static [(&'static str, u16, &'static str)];
 
 const STUB_SERVERS: [(&str, Answers); 6] = [
@@ -76,7 +80,7 @@
         .iter()
         .find(|(of, ..)| target == format!("{of}?stream=1&index=0"))
     {
-        // A watch that ends: the list, an empty line that keeps it alive, and a change in two pieces.
+        // A watch that ends: the list, an empty line as a heartbeat, and a change in two pieces.
         write!(
             stream,
             "HTTP/1.1 {status} x\r\nconnection: close\r\n\r\n{list}\n\n"
@@ -99,7 +103,7 @@
     )
 }
 
-/// The names in braces, and the addresses and the folder that they stand for.
+/// The names in braces, and the addresses and the folder that replace them.
 fn addresses() -> Vec<(&'static str, String)> {
     let listen = || TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = |listener: &TcpListener| listener.local_addr().expect("its address").to_string();
@@ -118,15 +122,6 @@
     addresses
 }
 
-fn frostkeel(arguments: &[&str]) -> Output {
-    let mut command = Command::new(FROSTKEEL);
-    command
-        .args(arguments)
-        .current_dir(env!("CARGO_MANIFEST_DIR"))
-        .stdin(std::process::Stdio::null());
-    command.output().expect("it starts")
-}
-
 /// A call and its result in the form of the files.
 fn transcript(line: &str, addresses: &[(&str, String)]) -> String {
     let replaced = addresses
@@ -135,7 +130,7 @@
             text.replace(name, address)
         });
     let arguments: Vec<&str> = replaced.split(' ').skip(2).collect();
-    let output = frostkeel(&arguments);
+    let output = run_frostkeel(&arguments);
     let code = output
         .status
         .code()
@@ -263,7 +258,7 @@
     )
 }
 
-/// Checks that the lines come in this order, others between them.
+/// Checks that the lines are printed in this order, others between them.
 fn in_order(printed: &str, expected: &str, what: &str) {
     let mut lines = printed.lines().map(masked_verdict);
     for line in expected.lines() {
@@ -277,9 +272,7 @@
 /// The form of the results; their figures differ between runs, and on a busy machine the verdict does too.
 #[test]
 fn prints_experiment_results_in_a_fixed_form() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("command_line");
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    let folder = empty_folder("command_line");
     let short = "tests/data/command_line/files/short.toml";
     let calls: [(&str, &[&str], &str); 3] = [
         (
@@ -316,7 +309,7 @@
             let out = folder.join(name);
             scope.spawn(move || {
                 let out = out.to_str().expect("a path");
-                let output = frostkeel(&[arguments, &["--out", out]].concat());
+                let output = run_frostkeel(&[arguments, &["--out", out]].concat());
                 let printed = String::from_utf8(output.stdout)
                     .expect("text")
                     .replace(out, "{out}");
--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -1,6 +1,6 @@
 //! Checks and figures of membership, over every change of every view.
 //!
-//! They are computed while the history is recorded, so that simulated days need not be kept.
+//! They are computed while the history is recorded, so that days of simulated time need no memory.
 
 use super::membership_figures::MembershipFigures;
 use crate::history::{EventKind, ProcessState};
@@ -30,7 +30,7 @@
     pub digest: u64,
 }
 
-/// A process that was killed or asked to shut down.
+/// A process that was killed or shut down.
 pub(super) struct Departure {
     pub balancer: u32,
     pub name: Name,
@@ -50,12 +50,12 @@
     incarnation: u64,
     is_alive: bool,
     is_paused: bool,
-    /// It has yielded its name and takes no part any more.
+    /// It has yielded its name and is no longer a member.
     has_yielded: bool,
 }
 
 impl Member {
-    fn takes_part(&self) -> bool {
+    fn is_active(&self) -> bool {
         self.is_alive && !self.has_yielded
     }
 }
@@ -76,7 +76,7 @@
     members: BTreeMap<u32, Member>,
     pub(super) views: BTreeMap<u32, View>,
     pub(super) departures: Vec<Departure>,
-    /// How many members that take part have a view with this digest.
+    /// How many active members have a view with this digest.
     pub(super) digests: HashMap<u64, usize>,
     pub(super) converged_since_us: Option<u64>,
     pub(super) figures: MembershipFigures,
@@ -84,7 +84,7 @@
 }
 
 impl MembershipChecker {
-    /// Takes in what happened at a time, in microseconds.
+    /// Processes an event at a time, in microseconds.
     pub fn observe(&mut self, at_us: u64, kind: &EventKind) {
         match *kind {
             EventKind::BalancerState { balancer, state } => {
@@ -117,12 +117,12 @@
         self.converged_since_us = is_converged.then(|| self.converged_since_us.unwrap_or(at_us));
     }
 
-    pub(super) fn takes_part(&self, balancer: u32) -> bool {
-        self.members.get(&balancer).is_some_and(Member::takes_part)
+    pub(super) fn is_active(&self, balancer: u32) -> bool {
+        self.members.get(&balancer).is_some_and(Member::is_active)
     }
 
     fn remove_digest(&mut self, balancer: u32) {
-        if self.takes_part(balancer)
+        if self.is_active(balancer)
             && let Some(view) = self.views.get(&balancer)
             && let Some(count) = self.digests.get_mut(&view.digest)
         {
@@ -134,7 +134,7 @@
     }
 
     fn add_digest(&mut self, balancer: u32) {
-        if self.takes_part(balancer)
+        if self.is_active(balancer)
             && let Some(view) = self.views.get(&balancer)
         {
             *self.digests.entry(view.digest).or_default() += 1;
@@ -160,10 +160,7 @@
         let member = self.members.entry(balancer).or_default();
         let was_alive = std::mem::replace(&mut member.is_alive, false);
         if let (true, Some(name)) = (was_alive, member.name) {
-            let live = self
-                .members
-                .iter()
-                .filter(|(_, member)| member.takes_part());
+            let live = self.members.iter().filter(|(_, member)| member.is_active());
             let witnesses = live.map(|(number, _)| *number).collect();
             let known_at_us = HashMap::new();
             let departure = Departure {
@@ -213,7 +210,7 @@
                     self.record_detection(change);
                 }
             }
-            MemberState::Left | MemberState::Dead => self.on_departure_seen(change),
+            MemberState::Left | MemberState::Dead => self.on_departure_observed(change),
         }
     }
 
@@ -247,7 +244,7 @@
         view.version = change.version;
     }
 
-    fn on_departure_seen(&mut self, change: &ViewChange) {
+    fn on_departure_observed(&mut self, change: &ViewChange) {
         if self.takes_live_for_failed(change) {
             return;
         }
@@ -258,9 +255,9 @@
         self.figures.leave_as_failure_count += usize::from(is_graceful && is_failure);
     }
 
-    /// No live process is taken for one that has left or failed; whether this one is. That an
-    /// earlier incarnation has ended is true. A process that is paused at the time is counted, and
-    /// is no violation.
+    /// No live process is considered left or failed; returns whether this one is. An earlier
+    /// incarnation that is considered failed is correct. A process that is paused at the time is
+    /// counted, and is no violation.
     ///
     /// Source: the experiment's `none_taken_for_gone` and `none_stopped_taken_for_gone`.
     fn takes_live_for_failed(&mut self, change: &ViewChange) -> bool {
@@ -271,7 +268,7 @@
             .members
             .values()
             .filter(is_meant)
-            .find(|member| member.takes_part());
+            .find(|member| member.is_active());
         let Some(member) = live else { return false };
         if member.is_paused {
             self.figures.paused_failure_count += 1;
