--- a/membership/src/foca_runtime.rs
+++ b/membership/src/foca_runtime.rs
@@ -49,7 +49,7 @@
     /// The time from which timers count.
     now: Duration,
     /// How many times as long probes take.
-    probe_stretch: u32,
+    probe_time_factor: u32,
 }
 
 impl FocaRuntime {
@@ -62,7 +62,7 @@
             next_sequence: 0,
             max_timers,
             now,
-            probe_stretch: 1,
+            probe_time_factor: 1,
         }
     }
 
@@ -72,8 +72,8 @@
     }
 
     /// Sets how many times as long probes take.
-    pub(crate) fn set_probe_stretch(&mut self, factor: u32) {
-        self.probe_stretch = factor;
+    pub(crate) fn set_probe_time_factor(&mut self, factor: u32) {
+        self.probe_time_factor = factor;
     }
 
     /// When the next timer is due.
@@ -128,13 +128,13 @@
         if self.timers.len() >= self.max_timers && matches!(timer, Timer::RemoveDown(_)) {
             return;
         }
-        let stretch = match timer {
-            Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => self.probe_stretch,
+        let factor = match timer {
+            Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => self.probe_time_factor,
             _ => 1,
         };
         self.next_sequence += 1;
         self.timers.push(Reverse(ScheduledTimer {
-            at: self.now + after * stretch,
+            at: self.now + after * factor,
             sequence: self.next_sequence,
             timer,
         }));
--- a/membership/src/local_health.rs
+++ b/membership/src/local_health.rs
@@ -40,12 +40,12 @@
     }
 
     /// How many times as long probes take with the current score.
-    pub(crate) fn stretch_factor(&self) -> u32 {
+    pub(crate) fn time_factor(&self) -> u32 {
         1 + self.score
     }
 
     /// A duration, lengthened by the current score.
-    pub(crate) fn stretch(&self, duration: Duration) -> Duration {
-        duration * self.stretch_factor()
+    pub(crate) fn scale(&self, duration: Duration) -> Duration {
+        duration * self.time_factor()
     }
 }
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -239,7 +239,7 @@
 
     fn handle_protocol_timers(&mut self) {
         while let Some(timer) = self.swim.pop_due_timer(self.now) {
-            self.swim.set_probe_stretch(self.health.stretch_factor());
+            self.swim.set_probe_time_factor(self.health.time_factor());
             self.handle_protocol_timer(timer);
         }
     }
--- a/membership/src/membership/neighbor_monitor.rs
+++ b/membership/src/membership/neighbor_monitor.rs
@@ -67,7 +67,7 @@
 
     fn handle_timeout(&mut self, now: Duration, health: &LocalHealth) -> MonitorAction {
         let Some(check) = self.current.take() else {
-            self.next_check_at = now + health.stretch(CHECK_INTERVAL);
+            self.next_check_at = now + health.scale(CHECK_INTERVAL);
             return MonitorAction::BeginCheck;
         };
         if check.attempts >= MAX_ATTEMPTS {
@@ -75,7 +75,7 @@
         }
         self.current = Some(CheckInProgress {
             attempts: check.attempts + 1,
-            times_out_at: now + health.stretch(ACK_TIMEOUT),
+            times_out_at: now + health.scale(ACK_TIMEOUT),
             ..check
         });
         MonitorAction::RepeatCheck {
@@ -91,7 +91,7 @@
             target,
             nonce: self.last_nonce,
             attempts: 1,
-            times_out_at: now + health.stretch(ACK_TIMEOUT),
+            times_out_at: now + health.scale(ACK_TIMEOUT),
         });
         self.last_nonce
     }
--- a/membership/src/membership/receive.rs
+++ b/membership/src/membership/receive.rs
@@ -116,7 +116,7 @@
         if self.phase != Phase::Member {
             return;
         }
-        self.swim.set_probe_stretch(self.health.stretch_factor());
+        self.swim.set_probe_time_factor(self.health.time_factor());
         self.swim.handle_payload(payload);
         self.apply_protocol_changes(Some(from.name));
         self.refresh_suspicions_among(updates, from.name);
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -127,8 +127,8 @@
     }
 
     /// Sets how many times as long this process's probes take.
-    pub(crate) fn set_probe_stretch(&mut self, factor: u32) {
-        self.runtime.set_probe_stretch(factor);
+    pub(crate) fn set_probe_time_factor(&mut self, factor: u32) {
+        self.runtime.set_probe_time_factor(factor);
     }
 
     /// When the next timer is due.
