--- a/membership/src/foca_runtime.rs
+++ b/membership/src/foca_runtime.rs
@@ -102,12 +102,12 @@
     }
 
     /// Removes the collected payloads.
-    pub(crate) fn take_payloads(&mut self) -> Vec<OutgoingPayload> {
+    pub(crate) fn drain_payloads(&mut self) -> Vec<OutgoingPayload> {
         std::mem::take(&mut self.payloads)
     }
 
     /// Removes the collected notifications.
-    pub(crate) fn take_notifications(&mut self) -> Vec<OwnedNotification<Identity>> {
+    pub(crate) fn drain_notifications(&mut self) -> Vec<OwnedNotification<Identity>> {
         std::mem::take(&mut self.notifications)
     }
 }
--- a/membership/src/membership/suspicion.rs
+++ b/membership/src/membership/suspicion.rs
@@ -65,7 +65,7 @@
     }
 
     /// The suspects that are to be notified now; each is due again after an interval.
-    fn take_due_notifications(&mut self, now: Duration) -> Vec<SuspectId> {
+    fn reschedule_due_notifications(&mut self, now: Duration) -> Vec<SuspectId> {
         let mut due = Vec::new();
         for entry in self
             .entries
@@ -79,7 +79,7 @@
     }
 
     /// Removes the suspicions that have expired.
-    fn take_expired(&mut self, now: Duration) -> Vec<SuspectId> {
+    fn drain_expired(&mut self, now: Duration) -> Vec<SuspectId> {
         let expired = self.entries.extract_if(.., |entry| entry.expires_at <= now);
         expired.map(|entry| entry.suspect).collect()
     }
@@ -113,7 +113,7 @@
 
     /// Notifies suspects of the suspicion: one that was only stopped can refute it at once.
     pub(super) fn notify_suspects(&mut self) {
-        for suspect in self.suspicions.take_due_notifications(self.now) {
+        for suspect in self.suspicions.reschedule_due_notifications(self.now) {
             let notification = Message::ViewMembers {
                 from: self.identity(),
                 requested: None,
@@ -125,7 +125,7 @@
 
     /// Declares suspects dead that have not refuted the suspicion in time.
     pub(super) fn expire_suspicions(&mut self) {
-        for suspect in self.suspicions.take_expired(self.now) {
+        for suspect in self.suspicions.drain_expired(self.now) {
             if self.swim.is_suspect(&suspect) {
                 self.swim.disseminate(suspect.update(State::Down));
                 self.apply_protocol_changes(None);
--- a/membership/src/membership/view_updates.rs
+++ b/membership/src/membership/view_updates.rs
@@ -22,7 +22,7 @@
     /// Applies the notifications of the protocol to the view, and sends its payloads.
     pub(super) fn apply_protocol_changes(&mut self, reported_by: Option<Name>) {
         let own_id = self.identity();
-        for notification in self.swim.take_notifications() {
+        for notification in self.swim.drain_notifications() {
             if let Some((id, state)) = self.notified_state(&notification)
                 && id.name != own_id.name
             {
@@ -72,7 +72,7 @@
     }
 
     fn send_protocol_payloads(&mut self, own_name: Name) {
-        for outgoing in self.swim.take_payloads() {
+        for outgoing in self.swim.drain_payloads() {
             if outgoing.to.name != own_name {
                 let datagram = wire::encode_swim(&self.config.fleet, &outgoing.payload);
                 self.send(outgoing.to.peer, datagram);
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -240,13 +240,13 @@
     }
 
     /// Removes the payloads that are to be sent.
-    pub(crate) fn take_payloads(&mut self) -> Vec<OutgoingPayload> {
-        self.runtime.take_payloads()
+    pub(crate) fn drain_payloads(&mut self) -> Vec<OutgoingPayload> {
+        self.runtime.drain_payloads()
     }
 
     /// Removes the notifications of changes.
-    pub(crate) fn take_notifications(&mut self) -> Vec<OwnedNotification<Identity>> {
-        self.runtime.take_notifications()
+    pub(crate) fn drain_notifications(&mut self) -> Vec<OwnedNotification<Identity>> {
+        self.runtime.drain_notifications()
     }
 
     fn count_error(&mut self, result: Result<(), foca::Error>) {
