--- a/membership/src/membership/suspicion.rs
+++ b/membership/src/membership/suspicion.rs
@@ -146,7 +146,7 @@
         };
         let suspect = SuspectId {
             id: *member_id,
-            refutation: *incarnation,
+            refutation_number: *incarnation,
         };
         !self.swim.is_suspect(&suspect)
     }
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -65,7 +65,7 @@
     pub(crate) id: Identity,
     /// SWIM's incarnation number, which counts refutations; not to be confused with the incarnation
     /// of a start.
-    pub(crate) refutation: u16,
+    pub(crate) refutation_number: u16,
 }
 
 impl SuspectId {
@@ -73,13 +73,13 @@
     pub(crate) fn of(member: &Member<Identity>) -> Self {
         Self {
             id: *member.id(),
-            refutation: member.incarnation(),
+            refutation_number: member.incarnation(),
         }
     }
 
     /// The update that declares it suspect or dead.
     pub(crate) fn update(&self, state: State) -> Member<Identity> {
-        Member::new(self.id, self.refutation, state)
+        Member::new(self.id, self.refutation_number, state)
     }
 }
 
