--- a/membership/src/membership/receive.rs
+++ b/membership/src/membership/receive.rs
@@ -42,8 +42,8 @@
                 from,
                 updates,
             } => {
-                self.check_sender(source, &from)?;
-                self.check_updates(&updates)?;
+                self.validate_sender(source, &from)?;
+                self.validate_updates(&updates)?;
                 self.on_swim_payload(payload, from, &updates);
                 Ok(())
             }
@@ -61,7 +61,7 @@
                 self.on_indirect_check(source, nonce, requester);
             }
             Message::Join { from } => {
-                self.check_sender(source, &from)?;
+                self.validate_sender(source, &from)?;
                 self.on_join(from);
             }
             Message::CheckAck {
@@ -69,7 +69,7 @@
                 from,
                 digest,
             } => {
-                self.check_sender(source, &from)?;
+                self.validate_sender(source, &from)?;
                 self.on_check_ack(source, nonce, &from, digest);
             }
             Message::IndirectCheckAck {
@@ -77,11 +77,11 @@
                 requester,
                 from,
             } => {
-                self.check_sender(source, &from)?;
+                self.validate_sender(source, &from)?;
                 self.on_indirect_check_ack(nonce, requester, from);
             }
             Message::ForwardedCheckAck { nonce, from } => {
-                self.check_plausible(&from)?;
+                self.validate_plausible(&from)?;
                 self.on_check_acknowledged(nonce, &from);
             }
             Message::ViewHashes {
@@ -89,7 +89,7 @@
                 prefix,
                 hashes,
             } => {
-                self.check_sender(source, &from)?;
+                self.validate_sender(source, &from)?;
                 ensure_plausible(prefix.is_valid())?;
                 self.on_view_hashes(&from, prefix, &hashes);
             }
@@ -98,8 +98,8 @@
                 requested,
                 members,
             } => {
-                self.check_sender(source, &from)?;
-                self.check_updates(&members)?;
+                self.validate_sender(source, &from)?;
+                self.validate_updates(&members)?;
                 ensure_plausible(requested.is_none_or(|prefix| prefix.is_valid()))?;
                 self.on_view_members(from, requested, &members);
             }
@@ -151,19 +151,19 @@
     }
 
     /// Checks that a sender can be who it claims to be.
-    fn check_sender(&self, source: PeerIndex, from: &Identity) -> Result<(), DropReason> {
+    fn validate_sender(&self, source: PeerIndex, from: &Identity) -> Result<(), DropReason> {
         if from.peer != source {
             return Err(DropReason::SenderMismatch);
         }
-        self.check_plausible(from)
+        self.validate_plausible(from)
     }
 
-    fn check_updates(&self, updates: &[Member<Identity>]) -> Result<(), DropReason> {
+    fn validate_updates(&self, updates: &[Member<Identity>]) -> Result<(), DropReason> {
         let mut ids = updates.iter().map(Member::id);
-        ids.try_for_each(|id| self.check_plausible(id))
+        ids.try_for_each(|id| self.validate_plausible(id))
     }
 
-    fn check_plausible(&self, id: &Identity) -> Result<(), DropReason> {
+    fn validate_plausible(&self, id: &Identity) -> Result<(), DropReason> {
         ensure_plausible(self.is_plausible(id))
     }
 
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -108,7 +108,7 @@
 
 /// Decodes a datagram of a fleet.
 pub fn decode<'a>(fleet: &str, datagram: &'a [u8]) -> Result<Decoded<'a>, DropReason> {
-    let body = checked_body(fleet, datagram)?;
+    let body = validated_body(fleet, datagram)?;
     let (&kind, payload) = body.split_first().ok_or(DropReason::Malformed)?;
     if kind == SWIM_KIND {
         return decode_swim(payload).ok_or(DropReason::Malformed);
@@ -120,7 +120,7 @@
 }
 
 /// Checks everything in front of the body: length, version, fleet and checksum.
-fn checked_body<'a>(fleet: &str, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
+fn validated_body<'a>(fleet: &str, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
     if datagram.len() > MAX_DATAGRAM_LEN {
         return Err(DropReason::Malformed);
     }
