--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,26 +1,27 @@
-//! Group membership: each process of a fleet keeps a view of all others, and the views converge
-//! after failures.
+//! Group membership: each process of a fleet maintains a view of all processes, and the views of
+//! all processes converge after failures.
 //!
-//! [`Membership`] is a sans-IO state machine: its input is datagrams and time, and it returns the
-//! datagrams to send and the changes of the view. The protocol is SWIM with suspicion and indirect
-//! probes (Das, Gupta and Motivala, 2002), carried by `foca`. This crate adds:
+//! [`Membership`] is a sans-IO state machine: its inputs are datagrams and the current time, and
+//! its outputs are datagrams to send and changes of the view. The protocol is SWIM with suspicion
+//! and indirect probes (Das, Gupta and Motivala, 2002), as implemented by the crate `foca`. This
+//! crate adds:
 //!
-//! - **A neighbor monitor.** Random probing leaves a process unprobed for several periods now and
-//!   then. Each process also checks its successor, in the order of names, every period, so that a
-//!   failure is noticed within one period.
+//! - **A neighbor monitor.** Random probing occasionally leaves a process unprobed for several
+//!   periods. Each process therefore also checks its successor in the order of names every period,
+//!   so that a failure is noticed within one period.
 //! - **Local health**, after Lifeguard (Dadgar, Phillips and Currey, 2018): a process that notices
-//!   that it ran late, or that others suspect it, gives others more time. Time during which it was
-//!   stopped is evidence against no member.
+//!   that it ran late, or that others suspect it, allows other members more time to respond. The
+//!   time during which a process was itself paused does not count against any other member.
 //! - **Names and incarnations.** A process is identified by its name and the incarnation of its
-//!   start, not by an address. Of two that claim one name the later incarnation retains it; the
-//!   earlier one yields and reports that.
+//!   start, not by an address. If two processes claim the same name, the later incarnation retains
+//!   it; the earlier one yields and reports that it did.
 //! - **Graceful leave**, which is distinguished from a failure.
 //! - **Join retries.** Peers at which no live member is known are contacted at a bounded, jittered
-//!   rate, so that a process joins through whichever peer responds and the halves of a partition
-//!   find each other.
-//! - **Anti-entropy.** Responses to the neighbor monitor carry a digest of the view. Where two
-//!   views differ persistently, they are compared by a tree of hashes, so that no process misses an
-//!   update permanently.
+//!   rate, so that a process joins through the first peer that responds and the sides of a network
+//!   partition find each other again.
+//! - **Anti-entropy.** Responses to the neighbor monitor carry a digest of the view. Two views that
+//!   differ persistently are compared by a tree of hashes, so that no process misses an update
+//!   permanently.
 
 mod config;
 mod counters;
