--- a/membership/src/config.rs
+++ b/membership/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a member.
+//! The configuration of a member, and its validation.
 
 use crate::identity::{Name, PeerIndex};
 use std::ops::RangeInclusive;
@@ -6,71 +6,73 @@
 use thiserror::Error;
 
 /// The maximum length of a fleet's name, in bytes.
-const MAX_FLEET_NAME_LEN: usize = 32;
-/// The maximum number of peers.
+const MAX_FLEET_NAME_BYTES: usize = 32;
+/// The maximum of [`Config::peer_count`].
 const MAX_PEERS: usize = 8192;
-/// How long members that left or died may be remembered.
+/// The permitted values of [`Config::forget_after`]: 60 s to 7 days.
 const FORGET_AFTER_RANGE: RangeInclusive<Duration> =
     Duration::from_secs(60)..=Duration::from_secs(7 * 86_400);
 
-/// The configuration of a member.
+/// The configuration of one member, which the embedder provides.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The fleet's name; datagrams of another fleet are dropped.
+    /// The name of the fleet, 1 to 32 bytes. Datagrams of other fleets are dropped.
     pub fleet: String,
-    /// The name of this process.
+    /// The name of this process, which a restart does not change.
     pub name: Name,
-    /// Its own index among the peers.
+    /// The index of this process among the peers, less than `peer_count`.
     pub peer: PeerIndex,
-    /// The number of peers, this process included.
+    /// The number of peers, this process included: 1 to 8192.
     pub peer_count: u16,
-    /// The incarnation of this process: Unix time of its start, in milliseconds.
+    /// The incarnation of this process: the Unix time of its start, in milliseconds.
     pub incarnation: u64,
-    /// The maximum number of members that are remembered, including those that left or died.
+    /// The maximum number of members that are remembered, including those that left or died; at
+    /// least `peer_count`.
     pub max_members: usize,
-    /// How long a member that left or died is remembered.
+    /// The time for which a member that left or died is remembered: 60 s to 7 days.
     pub forget_after: Duration,
     /// The seed of the random number generators.
     pub seed: u64,
 }
 
-/// Why a configuration is invalid.
+/// The reason why a [`Config`] is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The fleet's name is empty or too long.
-    #[error("fleet {0:?}: a name of 1 to {MAX_FLEET_NAME_LEN} bytes is needed")]
+    /// The fleet's name is empty or too long. The field contains at most its first 32 characters.
+    #[error(
+        "fleet must be a name of 1 to {MAX_FLEET_NAME_BYTES} bytes, got {0:?} \
+         (at most {MAX_FLEET_NAME_BYTES} characters shown)"
+    )]
     FleetName(String),
-    /// There are no peers, or too many.
-    #[error("{0} peers: 1 to {MAX_PEERS} are possible")]
+    /// The number of peers is zero or too large.
+    #[error("the number of peers must be between 1 and {MAX_PEERS}, got {0}")]
     PeerCount(u16),
-    /// The process is not one of the peers.
-    #[error("place {peer} of {peer_count} peers: the own one has to be among them")]
+    /// The index of this process is not that of a peer.
+    #[error("the peer index must be less than the number of peers ({peer_count}), got {peer}")]
     OwnPeer {
-        /// Its index.
+        /// The configured index of this process.
         peer: u16,
-        /// The number of peers.
+        /// The number of peers; the index must be less.
         peer_count: u16,
     },
-    /// Fewer members may be remembered than there are peers.
-    #[error(
-        "members_most {max_members}: at least as many as there are peers ({peer_count}) are needed"
-    )]
+    /// The maximum number of members is less than the number of peers.
+    #[error("members_most must be at least the number of peers ({peer_count}), got {max_members}")]
     MaxMembers {
-        /// The configured maximum.
+        /// The configured maximum number of members.
         max_members: usize,
-        /// The number of peers.
+        /// The number of peers, which is the minimum.
         peer_count: u16,
     },
-    /// The time to remember members that left or died is out of range.
-    #[error("forget_after {0:?}: 60 s to 7 days are possible")]
+    /// The time for which members that left or died are remembered is out of range.
+    #[error("forget_s must be between 60 s and 7 days, got {0:?}")]
     ForgetAfter(Duration),
 }
 
 impl Config {
     /// Checks that the values are in range and agree with each other.
     pub(crate) fn validate(&self) -> Result<(), ConfigError> {
-        if self.fleet.is_empty() || self.fleet.len() > MAX_FLEET_NAME_LEN {
-            let shortened = self.fleet.chars().take(MAX_FLEET_NAME_LEN).collect();
+        if self.fleet.is_empty() || self.fleet.len() > MAX_FLEET_NAME_BYTES {
+            let shortened = self.fleet.chars().take(MAX_FLEET_NAME_BYTES).collect();
             return Err(ConfigError::FleetName(shortened));
         }
         let peer_count = self.peer_count;
