--- a/membership/src/identity.rs
+++ b/membership/src/identity.rs
@@ -4,34 +4,36 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The maximum length of a name, in bytes. Each datagram contains names, and they are compared
-/// often.
-const MAX_NAME_LEN: usize = 16;
+/// The maximum length of a name, in bytes. Names are short because most datagrams contain names and
+/// because they are compared often.
+const MAX_NAME_BYTES: usize = 16;
 
-/// The name of a process, which lasts over restarts: 1 to 16 letters, digits, `.`, `_` or `-`.
+/// The name of a process, which a restart does not change: 1 to 16 ASCII letters, digits, `.`, `_`
+/// or `-`.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Name([u8; MAX_NAME_LEN]);
+pub struct Name([u8; MAX_NAME_BYTES]);
 
-/// A text that is not a valid name.
+/// The error for a text that is not a valid name. It contains at most the first 32 characters of
+/// the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{0:?} is no name: 1 to {MAX_NAME_LEN} letters, digits, '.', '_' or '-' are one")]
+#[error("a name must have 1 to {MAX_NAME_BYTES} ASCII letters, digits, '.', '_' or '-', got {0:?}")]
 pub struct NameError(String);
 
 impl Name {
-    /// Parses a name.
+    /// Parses a name; fails if its length or a character is not permitted.
     pub fn new(text: &str) -> Result<Self, NameError> {
-        if text.is_empty() || text.len() > MAX_NAME_LEN || !text.bytes().all(is_name_byte) {
-            return Err(NameError(text.chars().take(2 * MAX_NAME_LEN).collect()));
+        if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.bytes().all(is_name_byte) {
+            return Err(NameError(text.chars().take(2 * MAX_NAME_BYTES).collect()));
         }
-        let mut bytes = [0; MAX_NAME_LEN];
+        let mut bytes = [0; MAX_NAME_BYTES];
         bytes[..text.len()].copy_from_slice(text.as_bytes());
         Ok(Self(bytes))
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         let length = self.0.iter().position(|byte| *byte == 0);
-        let bytes = &self.0[..length.unwrap_or(MAX_NAME_LEN)];
+        let bytes = &self.0[..length.unwrap_or(MAX_NAME_BYTES)];
         std::str::from_utf8(bytes).unwrap_or_default()
     }
 }
@@ -70,7 +72,7 @@
     type Value = Name;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a name")
+        f.write_str("a process name as a string")
     }
 
     fn visit_str<E: de::Error>(self, text: &str) -> Result<Name, E> {
@@ -78,28 +80,34 @@
     }
 }
 
-/// A position in the configuration's list of peers: the address at which a process is reached.
+/// A position in the configured list of peers, from 0. The entry at this position is the address at
+/// which a process is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PeerIndex(pub u16);
 
-/// One incarnation of a process. The order of the fields is the wire form.
+/// The identity of one incarnation of a process. The order of the fields is part of the wire
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The name of the process.
+    /// The name of the process, which identifies it over restarts.
     pub name: Name,
-    /// Where it is reached.
+    /// The peer at whose address the process is reached.
     pub peer: PeerIndex,
-    /// Unix time of its start in milliseconds, or one more than the incarnation that its name had
-    /// before.
+    /// The Unix time of the process's start, in milliseconds. If an earlier start had the same or a
+    /// later incarnation, the process takes that incarnation plus one.
     pub incarnation: u64,
-    /// How often it has rejoined, since its start, after others had declared it dead.
+    /// The number of times that the process has rejoined since its start because others had
+    /// declared it dead.
     pub rejoin_count: u16,
-    /// It is about to leave: its end is reported as a leave, not as a failure.
+    /// Whether the process is leaving. The end of such a process is reported as a leave, not as a
+    /// failure.
     pub is_leaving: bool,
 }
 
 impl Identity {
-    /// Whether this identity retains the name against another claim to it.
+    /// Returns whether this identity takes precedence over another identity with the same name: the
+    /// later incarnation does; within one incarnation the higher rejoin count, then the leaving
+    /// identity, then the higher peer index.
     pub fn supersedes(&self, other: &Self) -> bool {
         let rank = |id: &Self| (id.incarnation, id.rejoin_count, id.is_leaving, id.peer);
         rank(self) > rank(other)
