--- a/membership/src/counters.rs
+++ b/membership/src/counters.rs
@@ -3,42 +3,44 @@
 use crate::wire::DropReason;
 use serde::Serialize;
 
-/// Counters since the start. The serialized keys are a published form and differ from some field
-/// names.
+/// The counters of one process since its start. The serialized keys are a published format and
+/// differ from some field names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
-    /// Datagrams sent.
+    /// The number of datagrams sent to peers.
     pub sent: u64,
-    /// Bytes sent.
+    /// The number of bytes in the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams received, dropped ones included.
+    /// The number of datagrams received, dropped ones included.
     pub received: u64,
-    /// Bytes received.
+    /// The number of bytes received, those of dropped datagrams included.
     pub received_bytes: u64,
-    /// Dropped: [`DropReason::Malformed`].
+    /// The number of datagrams dropped as [`DropReason::Malformed`].
     #[serde(rename = "broken")]
     pub malformed: u64,
-    /// Dropped: [`DropReason::UnsupportedVersion`].
+    /// The number of datagrams dropped as [`DropReason::UnsupportedVersion`].
     #[serde(rename = "other_version")]
     pub unsupported_version: u64,
-    /// Dropped: [`DropReason::ForeignFleet`].
+    /// The number of datagrams dropped as [`DropReason::ForeignFleet`].
     #[serde(rename = "other_fleet")]
     pub foreign_fleet: u64,
-    /// Dropped: [`DropReason::UnknownSender`].
+    /// The number of datagrams dropped as [`DropReason::UnknownSender`].
     pub unknown_sender: u64,
-    /// Dropped: [`DropReason::SenderMismatch`].
+    /// The number of datagrams dropped as [`DropReason::SenderMismatch`].
     #[serde(rename = "impostor")]
     pub sender_mismatch: u64,
-    /// Dropped: [`DropReason::Implausible`].
+    /// The number of datagrams dropped as [`DropReason::Implausible`].
     #[serde(rename = "beyond")]
     pub implausible: u64,
-    /// Datagrams and timers that the SWIM protocol rejected in its current state.
+    /// The number of payloads, timers and requests that the SWIM protocol rejected in its current
+    /// state.
     #[serde(rename = "odd")]
     pub protocol_errors: u64,
-    /// Times that this process refuted a suspicion of itself.
+    /// The number of times that this process refuted a suspicion of itself.
     #[serde(rename = "refuted")]
     pub refutations: u64,
-    /// Times that this process ran late enough to distrust its own timeouts.
+    /// The number of timeouts that ran over 500 ms late, from which this process concludes that it
+    /// was paused.
     pub pauses: u64,
 }
 
