--- a/membership/src/local_health.rs
+++ b/membership/src/local_health.rs
@@ -1,50 +1,52 @@
-//! Local health, after Lifeguard: a process that is slow must not judge others by its own clock.
+//! Local health, after Lifeguard: a process that is slow itself must not conclude from its own
+//! timeouts that others have failed.
 
 use std::time::Duration;
 
-/// The worst score. Each point lengthens this process's own probes by their full duration.
+/// The worst score. Each point adds one base duration to the intervals and timeouts of this
+/// process's own probes and checks.
 const MAX_SCORE: u32 = 4;
-/// A timeout that runs later than this is a sign of slowness.
+/// The lateness of a timeout above which this process counts as slow.
 const SLOW_AFTER: Duration = Duration::from_millis(250);
-/// A timeout that runs later than this means that the process was stopped: checks in progress prove
-/// nothing.
+/// The lateness of a timeout above which this process counts as paused: checks in progress are then
+/// no evidence of a failure.
 pub(crate) const PAUSED_AFTER: Duration = Duration::from_millis(500);
 
-/// The local health score; 0 is healthy.
+/// The local health score of this process, from 0 (healthy) to 4 (worst).
 #[derive(Debug, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
 }
 
 impl LocalHealth {
-    /// Records how late a timeout ran.
+    /// Records how late a timeout ran, and worsens the score if this process was slow.
     pub(crate) fn record_lateness(&mut self, lateness: Duration) {
         if lateness > SLOW_AFTER {
             self.degrade();
         }
     }
 
-    /// Others suspect this process, or it ran late.
+    /// Worsens the score by one point. Called when this process ran late or when others suspect it.
     pub(crate) fn degrade(&mut self) {
         self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// A check was acknowledged in time.
+    /// Improves the score by one point. Called when a member acknowledged a check in time.
     pub(crate) fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// The score: 0 is healthy, 4 the worst.
+    /// Returns the score, from 0 (healthy) to 4 (worst).
     pub(crate) fn score(&self) -> u32 {
         self.score
     }
 
-    /// How many times as long probes take with the current score.
+    /// Returns the factor by which the current score lengthens probes and checks: 1 to 5.
     pub(crate) fn time_factor(&self) -> u32 {
         1 + self.score
     }
 
-    /// A duration, lengthened by the current score.
+    /// Returns a duration multiplied by the factor of the current score.
     pub(crate) fn scale(&self, duration: Duration) -> Duration {
         duration * self.time_factor()
     }
