--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -1,7 +1,7 @@
 //! The state machine of one process, driven by datagrams and time.
 //!
-//! [`Membership`] owns the parts and the order in which they act. Each submodule contains the state
-//! or the decisions of one part.
+//! [`Membership`] owns the state of all parts and determines the order in which they act. Each
+//! submodule contains the state or the decisions of one part.
 
 mod anti_entropy;
 mod join;
@@ -30,26 +30,27 @@
 use std::time::Duration;
 use suspicion::Suspicions;
 
-/// Peers that are contacted at the start: some at once, one more with the first timeout.
-const INITIAL_JOINS: usize = 3;
+/// The number of peers that are contacted at the start: all but one of them immediately, and the
+/// last one with the first timeout.
+const INITIAL_JOIN_COUNT: usize = 3;
 
-/// What the embedder has to do.
+/// An action that the embedder has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a datagram to a peer.
     Send {
-        /// The receiver.
+        /// The peer that receives the datagram.
         to: PeerIndex,
-        /// At most [`MAX_DATAGRAM_LEN`](crate::MAX_DATAGRAM_LEN) bytes.
+        /// The datagram, at most [`MAX_DATAGRAM_LEN`](crate::MAX_DATAGRAM_LEN) bytes.
         datagram: Vec<u8>,
     },
     /// Record a change of the view.
     ViewChanged(ViewChange),
-    /// Record that an earlier start of this process had a later incarnation, which is given here:
-    /// this process has taken a still later one.
+    /// Record that an earlier start of this process had a later incarnation, which is given here,
+    /// and that this process has taken an incarnation that is later still.
     Superseded(Identity),
-    /// Record that a later process claims this process's name: this one has yielded, and is no
-    /// longer a member.
+    /// Record that a later incarnation, which is given here, claims this process's name. This
+    /// process has yielded and is no longer a member.
     Yielded(Identity),
 }
 
@@ -57,24 +58,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It is a member.
+    /// The process takes part in the membership.
     Member,
-    /// Another process has its name.
+    /// Another process has the name of this process, which is no longer a member.
     Yielded,
-    /// It has left.
+    /// The process has announced that it leaves and is no longer a member.
     Left,
 }
 
-/// One process's part in the membership.
+/// The membership state machine of one process.
 ///
-/// Times are the embedder's, on a monotonic clock. Before it calls
-/// [`handle_timeout`](Self::handle_timeout) it passes in all datagrams that have been received, so
-/// that a response that was received in time does not seem late.
+/// All times are on the monotonic clock of the embedder. Before the embedder calls
+/// [`handle_timeout`](Self::handle_timeout), it passes in all received datagrams, so that a
+/// response that was received in time does not seem late.
 pub struct Membership {
     config: Config,
     swim: Swim,
     rng: StdRng,
-    /// The time of the latest event.
+    /// The time of the latest input.
     now: Duration,
     phase: Phase,
     view: View,
@@ -90,7 +91,8 @@
 }
 
 impl Membership {
-    /// A process that joins from now on.
+    /// Creates the state machine of a process that joins at `now`; fails if the configuration is
+    /// invalid.
     pub fn new(config: Config, now: Duration) -> Result<Self, ConfigError> {
         config.validate()?;
         let own_id = Identity {
@@ -125,14 +127,14 @@
             since: now,
             reported_by: None,
         });
-        for _ in 1..INITIAL_JOINS {
+        for _ in 1..INITIAL_JOIN_COUNT {
             membership.contact_absent_peer();
         }
         Ok(membership)
     }
 
-    /// Considers identities alive without announcing them: those that were remembered from before
-    /// the start. Those that have ended are detected by the protocol.
+    /// Adds members that were remembered from before the start as alive, without disseminating
+    /// them. The protocol detects which of them have ended in the meantime.
     pub fn restore(&mut self, now: Duration, ids: impl Iterator<Item = Identity>) {
         self.set_now(now);
         let own_name = self.identity().name;
@@ -142,27 +144,27 @@
         self.apply_protocol_changes(None);
     }
 
-    /// The identity of this process.
+    /// Returns the identity of this process.
     pub fn identity(&self) -> Identity {
         self.swim.identity()
     }
 
-    /// Its view.
+    /// Returns the view of this process.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Its phase.
+    /// Returns the phase of this process in the membership.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Its local health score: 0 is healthy, 4 the worst.
+    /// Returns the local health score of this process, from 0 (healthy) to 4 (worst).
     pub fn health_score(&self) -> u32 {
         self.health.score()
     }
 
-    /// Its counters.
+    /// Returns the counters of this process since its start.
     pub fn counters(&self) -> Counters {
         Counters {
             protocol_errors: self.swim.error_count(),
@@ -170,12 +172,13 @@
         }
     }
 
-    /// What the embedder has to do next.
+    /// Removes and returns the next action that the embedder has to carry out.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is to be called; `None` means never again.
+    /// Returns the time at which [`handle_timeout`](Self::handle_timeout) is to be called; `None`
+    /// if this process is no longer a member.
     pub fn next_timeout(&self) -> Option<Duration> {
         if self.phase != Phase::Member {
             return None;
@@ -189,7 +192,7 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// Does everything that is due.
+    /// Runs all timers and checks that are due at `now`.
     pub fn handle_timeout(&mut self, now: Duration) {
         let Some(due_at) = self.next_timeout() else {
             return;
@@ -206,10 +209,10 @@
         }
         self.notify_suspects();
         self.expire_suspicions();
-        self.swim.adapt_to_fleet_size();
+        self.swim.adapt_to_member_count();
     }
 
-    /// Leaves: announces that to the others, and sends nothing afterwards.
+    /// Leaves the fleet: queues the leave announcements, after which this process sends nothing.
     pub fn leave(&mut self, now: Duration) {
         if self.phase != Phase::Member {
             return;
@@ -225,8 +228,9 @@
         self.swim.set_now(now);
     }
 
-    /// After a pause no operation that was in progress proves a failure, and suspects get as much
-    /// more time.
+    /// Allows for the lateness of a timeout. If it shows that this process was paused, the check in
+    /// progress is abandoned, as it is no evidence of a failure, and all suspicions are extended by
+    /// the lateness.
     fn allow_for_lateness(&mut self, lateness: Duration) {
         self.health.record_lateness(lateness);
         if lateness > PAUSED_AFTER {
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -1,4 +1,4 @@
-//! The SWIM protocol, as `foca` implements it, with its parameters and its runtime.
+//! The SWIM protocol as implemented by `foca`, with its parameters and its runtime.
 
 use crate::config::Config;
 use crate::foca_runtime::{FocaRuntime, OutgoingPayload};
@@ -13,35 +13,37 @@
 
 /// The interval between two random probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the response to a probe may take before indirect probes are requested.
+/// The time to wait for the response to a probe before indirect probes are requested.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a suspect has to refute the suspicion, in a fleet of up to `SUSPICION_BASE_FLEET`
-/// members.
+/// The time that a suspect has to refute the suspicion in a fleet of up to
+/// `SUSPICION_BASE_MEMBER_COUNT` members.
 const BASE_SUSPICION_TIMEOUT: Duration = Duration::from_secs(3);
-const SUSPICION_BASE_FLEET: f64 = 128.0;
-/// What is added for each tenfold size of the fleet, as updates take longer to reach all members.
+const SUSPICION_BASE_MEMBER_COUNT: f64 = 128.0;
+/// The addition to the suspicion timeout for each tenfold increase of the fleet's size beyond that,
+/// because updates take longer to reach all members of a larger fleet.
 const SUSPICION_TIMEOUT_PER_DECADE: Duration = Duration::from_secs(1);
-/// Periodic gossip, for as long as there are updates to disseminate.
+/// The periodic gossip while there are updates to disseminate.
 const GOSSIP: Periodic = Periodic {
     interval: Duration::from_millis(200),
     member_count: 3,
 };
-/// Periodic requests for a random member's view.
+/// The periodic announcement to a random member, which responds with a part of its view.
 const ANNOUNCE: Periodic = Periodic {
     interval: Duration::from_secs(10),
     member_count: 1,
 };
-/// How often each member transmits an update, plus the binary logarithm of the fleet's size. With n
-/// transmissions by each member a share of e^-n of the members misses an update, until anti-entropy
-/// repairs that.
+/// The number of times that each member transmits an update, to which the binary logarithm of the
+/// fleet's size is added. With n transmissions by each member, a fraction e^-n of the members does
+/// not receive an update until anti-entropy delivers it.
 const BASE_TRANSMISSIONS: u8 = 8;
-/// How many gossip rounds announce a leave.
-const LEAVE_ROUNDS: usize = 3;
-/// The limit of stored timers: for each member, and in addition to that.
+/// The number of gossip rounds in which a leave is announced.
+const LEAVE_GOSSIP_ROUNDS: usize = 3;
+/// The maximum number of stored timers is `TIMERS_PER_MEMBER` for each member that can be
+/// remembered, plus `EXTRA_TIMERS`.
 const TIMERS_PER_MEMBER: usize = 4;
 const EXTRA_TIMERS: usize = 64;
 
-/// An activity of the protocol that repeats.
+/// A periodic activity of the protocol: in each interval it contacts `member_count` members.
 struct Periodic {
     interval: Duration,
     member_count: usize,
@@ -57,19 +59,19 @@
     }
 }
 
-/// A member at one number of its refutations; a suspicion ends when the member refutes it with a
-/// higher one.
+/// A member and its current refutation number. A suspicion refers to one refutation number, and
+/// ends when the member refutes it with a higher one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SuspectId {
-    /// The member.
+    /// The identity of the suspected member.
     pub(crate) id: Identity,
-    /// SWIM's incarnation number, which counts refutations; not to be confused with the incarnation
-    /// of a start.
+    /// The number of refutations by the member, which SWIM calls the incarnation number. It is
+    /// unrelated to [`Identity::incarnation`].
     pub(crate) refutation_number: u16,
 }
 
 impl SuspectId {
-    /// The identity and refutation number of a member.
+    /// Returns the identity and refutation number of a member.
     pub(crate) fn of(member: &Member<Identity>) -> Self {
         Self {
             id: *member.id(),
@@ -77,7 +79,7 @@
         }
     }
 
-    /// The update that declares it suspect or dead.
+    /// Returns the update that declares the member to be in `state`, at this refutation number.
     pub(crate) fn update(&self, state: State) -> Member<Identity> {
         Member::new(self.id, self.refutation_number, state)
     }
@@ -87,7 +89,7 @@
 pub(crate) struct Swim {
     foca: Foca<Identity, PostcardCodec, StdRng, NoCustomBroadcast>,
     runtime: FocaRuntime,
-    /// The fleet's size for which the parameters are set.
+    /// The size of the fleet for which the parameters were last set.
     configured_size: usize,
     forget_after: Duration,
     max_payload_len: usize,
@@ -95,7 +97,7 @@
 }
 
 impl Swim {
-    /// The protocol for a process that knows no other member yet.
+    /// Creates the protocol for a process that knows no other member yet.
     pub(crate) fn new(id: Identity, config: &Config, now: Duration, rng: StdRng) -> Self {
         let configured_size = usize::from(config.peer_count);
         let max_payload_len = wire::payload_capacity(&config.fleet);
@@ -111,43 +113,43 @@
         }
     }
 
-    /// The identity of this process.
+    /// Returns the identity of this process.
     pub(crate) fn identity(&self) -> Identity {
         *self.foca.identity()
     }
 
-    /// How many payloads, timers and requests the protocol has rejected.
+    /// Returns the number of payloads, timers and requests that the protocol has rejected.
     pub(crate) fn error_count(&self) -> u64 {
         self.error_count
     }
 
-    /// Sets the time from which timers count.
+    /// Sets the current time, to which the delays of new timers are added.
     pub(crate) fn set_now(&mut self, now: Duration) {
         self.runtime.set_now(now);
     }
 
-    /// Sets how many times as long this process's probes take.
+    /// Sets the factor by which the intervals and timeouts of this process's probes are lengthened.
     pub(crate) fn set_probe_time_factor(&mut self, factor: u32) {
         self.runtime.set_probe_time_factor(factor);
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due; `None` if there is no timer.
     pub(crate) fn next_timer_at(&self) -> Option<Duration> {
         self.runtime.next_timer_at()
     }
 
-    /// Removes the next timer, if it is due.
+    /// Removes and returns the next timer if it is due.
     pub(crate) fn pop_due_timer(&mut self, now: Duration) -> Option<Timer<Identity>> {
         self.runtime.pop_due_timer(now)
     }
 
-    /// Handles a timer.
+    /// Handles a timer that is due.
     pub(crate) fn handle_timer(&mut self, timer: Timer<Identity>) {
         let result = self.foca.handle_timer(timer, &mut self.runtime);
         self.count_error(result);
     }
 
-    /// Handles a received payload.
+    /// Handles the payload of a received datagram.
     pub(crate) fn handle_payload(&mut self, payload: &[u8]) {
         let result = self.foca.handle_data(payload, &mut self.runtime);
         self.count_error(result);
@@ -175,59 +177,60 @@
         self.count_error(result);
     }
 
-    /// Takes another identity and disseminates it.
+    /// Changes the identity of this process and disseminates the new one.
     pub(crate) fn change_identity(&mut self, id: Identity) {
         let result = self.foca.change_identity(id, &mut self.runtime);
         self.count_error(result);
     }
 
-    /// Announces the leave to a few members, several times, and ends the protocol.
+    /// Announces in several gossip rounds that this process leaves, and ends the protocol.
     pub(crate) fn leave(&mut self) {
         let leaving = Identity {
             is_leaving: true,
             ..self.identity()
         };
         let mut result = self.foca.change_identity(leaving, &mut self.runtime);
-        for _ in 1..LEAVE_ROUNDS {
+        for _ in 1..LEAVE_GOSSIP_ROUNDS {
             result = result.and_then(|()| self.foca.gossip(&mut self.runtime));
         }
         let result = result.and_then(|()| self.foca.leave_cluster(&mut self.runtime));
         self.count_error(result);
     }
 
-    /// The members that the protocol considers alive or suspect, this process excluded.
+    /// Returns the members that the protocol considers alive or suspect, this process excluded.
     pub(crate) fn active_members(&self) -> impl Iterator<Item = &Member<Identity>> {
         self.foca.iter_members()
     }
 
-    /// All members that the protocol remembers, dead ones included.
+    /// Returns all members that the protocol remembers, dead ones included.
     pub(crate) fn all_members(&self) -> impl Iterator<Item = &Member<Identity>> {
         self.foca.iter_membership_state()
     }
 
-    /// Whether the protocol considers an identity alive or suspect.
+    /// Returns whether the protocol considers an identity alive or suspect.
     pub(crate) fn is_active(&self, id: &Identity) -> bool {
         self.active_members().any(|member| member.id() == id)
     }
 
-    /// Whether a member is still suspected, and has not refuted the suspicion since.
+    /// Returns whether the protocol still suspects a member at the given refutation number.
     pub(crate) fn is_suspect(&self, suspect: &SuspectId) -> bool {
         let mut active = self.active_members();
         active.any(|member| member.state() == State::Suspect && SuspectId::of(member) == *suspect)
     }
 
-    /// How long a suspect has to refute a suspicion, in a fleet of the present size.
+    /// Returns the time that a suspect has to refute a suspicion in a fleet of the current size.
     pub(crate) fn suspicion_timeout(&self) -> Duration {
         suspicion_timeout(self.foca.num_members())
     }
 
-    /// Postpones the ends of all suspicions.
+    /// Postpones the timers that end suspicions.
     pub(crate) fn postpone_suspicion_timers(&mut self, by: Duration) {
         self.runtime.postpone_suspicion_timers(by);
     }
 
-    /// Updates the parameters once the fleet has shrunk by a fifth or grown by a quarter.
-    pub(crate) fn adapt_to_fleet_size(&mut self) {
+    /// Updates the parameters if the fleet has shrunk by more than a fifth or grown by more than a
+    /// quarter since they were last set.
+    pub(crate) fn adapt_to_member_count(&mut self) {
         let size = self.foca.num_members() + 1;
         let has_shrunk = size * 5 < self.configured_size * 4;
         let has_grown = size * 4 > self.configured_size * 5;
@@ -239,12 +242,12 @@
         }
     }
 
-    /// Removes the payloads that are to be sent.
+    /// Removes and returns the payloads to send.
     pub(crate) fn drain_payloads(&mut self) -> Vec<OutgoingPayload> {
         self.runtime.drain_payloads()
     }
 
-    /// Removes the notifications of changes.
+    /// Removes and returns the notifications of changes.
     pub(crate) fn drain_notifications(&mut self) -> Vec<OwnedNotification<Identity>> {
         self.runtime.drain_notifications()
     }
@@ -255,13 +258,13 @@
 }
 
 fn suspicion_timeout(member_count: usize) -> Duration {
-    let decades = (member_count as f64 / SUSPICION_BASE_FLEET)
+    let decades = (member_count as f64 / SUSPICION_BASE_MEMBER_COUNT)
         .log10()
         .max(0.0);
     BASE_SUSPICION_TIMEOUT + SUSPICION_TIMEOUT_PER_DECADE.mul_f64(decades)
 }
 
-/// The protocol's parameters for a fleet of a size.
+/// Returns the parameters of the protocol for a fleet of `size` members.
 fn parameters(size: usize, forget_after: Duration, max_payload_len: usize) -> foca::Config {
     let mut parameters = foca::Config::simple();
     parameters.probe_period = PROBE_INTERVAL;
