--- a/membership/src/foca_runtime.rs
+++ b/membership/src/foca_runtime.rs
@@ -1,4 +1,4 @@
-//! The runtime for `foca`: it collects datagrams, timers and notifications.
+//! The runtime for `foca`, which collects its payloads, timers and notifications.
 
 use crate::identity::Identity;
 use foca::{Notification, OwnedNotification, Timer};
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// A timer, ordered by its time and then by its submission.
+/// A timer of the protocol. Timers are ordered by due time, and equal due times by submission.
 struct ScheduledTimer {
     at: Duration,
     sequence: u64,
@@ -33,27 +33,28 @@
     }
 }
 
-/// A payload of the protocol and its receiver.
+/// A payload of the protocol that is to be sent, and its receiver.
 pub(crate) struct OutgoingPayload {
     pub(crate) to: Identity,
     pub(crate) payload: Vec<u8>,
 }
 
-/// Collects the output of `foca`, and stores its timers.
+/// Collects the payloads and notifications of `foca`, and stores its timers.
 pub(crate) struct FocaRuntime {
     payloads: Vec<OutgoingPayload>,
     notifications: Vec<OwnedNotification<Identity>>,
     timers: BinaryHeap<Reverse<ScheduledTimer>>,
     next_sequence: u64,
     max_timers: usize,
-    /// The time from which timers count.
+    /// The current time, to which the delays of new timers are added.
     now: Duration,
-    /// How many times as long probes take.
+    /// The factor by which the intervals and timeouts of probes are lengthened.
     probe_time_factor: u32,
 }
 
 impl FocaRuntime {
-    /// A runtime without timers, which stores at most so many.
+    /// Creates a runtime without timers. Once it stores `max_timers` timers, it drops new timers
+    /// that remove members that left or died.
     pub(crate) fn new(now: Duration, max_timers: usize) -> Self {
         Self {
             payloads: Vec::new(),
@@ -66,22 +67,22 @@
         }
     }
 
-    /// Sets the time from which timers count.
+    /// Sets the current time, to which the delays of new timers are added.
     pub(crate) fn set_now(&mut self, now: Duration) {
         self.now = now;
     }
 
-    /// Sets how many times as long probes take.
+    /// Sets the factor by which the intervals and timeouts of probes are lengthened.
     pub(crate) fn set_probe_time_factor(&mut self, factor: u32) {
         self.probe_time_factor = factor;
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due; `None` if there is no timer.
     pub(crate) fn next_timer_at(&self) -> Option<Duration> {
         self.timers.peek().map(|Reverse(scheduled)| scheduled.at)
     }
 
-    /// Removes the next timer, if it is due.
+    /// Removes and returns the next timer if it is due.
     pub(crate) fn pop_due_timer(&mut self, now: Duration) -> Option<Timer<Identity>> {
         if self.next_timer_at()? > now {
             return None;
@@ -89,7 +90,7 @@
         self.timers.pop().map(|Reverse(scheduled)| scheduled.timer)
     }
 
-    /// Postpones the ends of all suspicions.
+    /// Postpones the timers that end suspicions.
     pub(crate) fn postpone_suspicion_timers(&mut self, by: Duration) {
         let timers = std::mem::take(&mut self.timers).into_iter();
         let postponed = timers.map(|Reverse(mut scheduled)| {
@@ -101,12 +102,12 @@
         self.timers = postponed.collect();
     }
 
-    /// Removes the collected payloads.
+    /// Removes and returns the collected payloads.
     pub(crate) fn drain_payloads(&mut self) -> Vec<OutgoingPayload> {
         std::mem::take(&mut self.payloads)
     }
 
-    /// Removes the collected notifications.
+    /// Removes and returns the collected notifications.
     pub(crate) fn drain_notifications(&mut self) -> Vec<OwnedNotification<Identity>> {
         std::mem::take(&mut self.notifications)
     }
@@ -123,8 +124,8 @@
     }
 
     fn submit_after(&mut self, timer: Timer<Identity>, after: Duration) {
-        // Only constant churn creates that many timers. Members whose timer is dropped are
-        // forgotten later, when their names are reported again.
+        // Only constant churn creates this many timers. A member whose timer is dropped is
+        // forgotten later, after its name has been reported again.
         if self.timers.len() >= self.max_timers && matches!(timer, Timer::RemoveDown(_)) {
             return;
         }
