--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,4 +1,5 @@
-//! The view: the state of each member, since when, and which peer reported it.
+//! The view: the state of each member, the time since which it has that state, and the member that
+//! reported it.
 
 use crate::hash_tree::HashedMember;
 use crate::identity::{Identity, Name};
@@ -7,32 +8,32 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// How many of the latest changes are retained for display.
+/// The number of latest changes that are retained for display.
 const MAX_RETAINED_CHANGES: usize = 256;
 
-/// The state of a member. Its serialized words are a published form.
+/// The state of a member. The serialized words are a published format and must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It is an active member.
+    /// The member is active and not suspected.
     #[serde(rename = "present")]
     Alive,
-    /// It did not respond to some member, and has not refuted the suspicion yet.
+    /// The member did not respond to some other member, and has not refuted the suspicion yet.
     Suspect,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Left,
-    /// It ended without an announcement, or no member reaches it.
+    /// The member ended without a leave announcement, or no other member can reach it.
     #[serde(rename = "gone")]
     Dead,
 }
 
 impl MemberState {
-    /// Whether a member in this state counts as a part of the fleet.
+    /// Returns whether a member in this state counts as part of the fleet.
     pub fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 
-    /// The state as the log and the members page write it.
+    /// Returns the word for the state in the log and on the members page.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "present",
@@ -43,16 +44,17 @@
     }
 }
 
-/// What is known about a member.
+/// The identity and state of a member, as known to this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Its identity.
+    /// The identity of the member's recorded incarnation.
     pub id: Identity,
-    /// Its state.
+    /// The state of the member in that incarnation.
     pub state: MemberState,
-    /// When that state was recorded, on the embedder's clock.
+    /// The time at which this state was recorded, on the embedder's clock.
     pub since: Duration,
-    /// The member whose datagram reported it; `None` if this process detected it itself.
+    /// The member whose datagram reported this state; `None` if this process detected the state
+    /// itself.
     pub reported_by: Option<Name>,
 }
 
@@ -61,11 +63,11 @@
 pub struct ViewChange {
     /// The version of the view after the change.
     pub version: u64,
-    /// What is now known about the member.
+    /// The record of the member after the change.
     pub member: MemberRecord,
 }
 
-/// A member and its place in the hash tree.
+/// A member and its position in the hash tree.
 #[derive(Debug)]
 struct Entry {
     record: MemberRecord,
@@ -83,48 +85,49 @@
 }
 
 impl View {
-    /// The number of changes so far.
+    /// Returns the version of the view: the number of changes since the start.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All remembered members, in the order of their names.
+    /// Returns all remembered members in the order of their names.
     pub fn members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// How many members are remembered.
+    /// Returns the number of remembered members, including those that left or died.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no member is remembered.
+    /// Returns whether no member is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many members are live, this process included.
+    /// Returns the number of live members, this process included.
     pub fn live_count(&self) -> usize {
         self.live_count
     }
 
-    /// What is known about a member.
+    /// Returns the record of the member with a name; `None` if it is not remembered.
     pub fn get(&self, name: &Name) -> Option<&MemberRecord> {
         self.entries.get(name).map(|entry| &entry.record)
     }
 
-    /// The latest changes, oldest first.
+    /// Returns the latest changes, oldest first, at most 256.
     pub fn changes(&self) -> impl Iterator<Item = &ViewChange> {
         self.changes.iter()
     }
 
-    /// A digest of the live members: equal for equal sets of identities, and different otherwise
-    /// except for collisions.
+    /// Returns a digest of the live members. Equal sets of members have equal digests; different
+    /// sets have different ones except in case of a hash collision.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The next member that is alive after a name, in the ring of all names.
+    /// Returns the first alive member after a name in the order of names, which continues with the
+    /// first name after the last; `None` if no other member is alive.
     pub fn successor(&self, name: &Name) -> Option<&MemberRecord> {
         let later = self
             .entries
@@ -132,16 +135,16 @@
         let earlier = self
             .entries
             .range((Bound::Unbounded, Bound::Excluded(*name)));
-        let mut ring = later.chain(earlier).map(|(_, entry)| &entry.record);
-        ring.find(|record| record.state == MemberState::Alive)
+        let mut successors = later.chain(earlier).map(|(_, entry)| &entry.record);
+        successors.find(|record| record.state == MemberState::Alive)
     }
 
-    /// The positions of all names in the hash tree.
+    /// Returns the positions of all remembered names in the hash tree.
     pub(crate) fn positions(&self) -> impl Iterator<Item = u32> {
         self.entries.values().map(|entry| entry.hashed.position)
     }
 
-    /// The live members' places in the hash tree.
+    /// Returns the positions and hashes of the live members in the hash tree.
     pub(crate) fn hashed_live_members(&self) -> impl Iterator<Item = HashedMember> {
         let live = self
             .entries
@@ -150,7 +153,8 @@
         live.map(|entry| entry.hashed)
     }
 
-    /// Records the state of a member; `None` if nothing changed.
+    /// Records the state of a member and returns the change; `None` if its identity and state are
+    /// unchanged.
     pub(crate) fn record(&mut self, record: MemberRecord) -> Option<ViewChange> {
         let previous = self.entries.get(&record.id.name);
         if previous
@@ -186,7 +190,7 @@
         change
     }
 
-    /// Forgets a member that left or died.
+    /// Forgets the member with this identity if it left or died.
     pub(crate) fn forget(&mut self, id: &Identity) {
         let known = self.get(&id.name);
         if known.is_some_and(|record| record.id == *id && !record.state.is_live()) {
