--- a/membership/src/hash_tree.rs
+++ b/membership/src/hash_tree.rs
@@ -1,9 +1,9 @@
-//! A tree of hashes over a view, by which two views that should be equal are compared in small
+//! A tree of hashes over a view, which finds the differences between two views with small
 //! datagrams.
 //!
-//! Each name has a position, the hash of its text. A [`HashPrefix`] is a node of the tree: all
-//! names whose position begins with it. Two processes exchange the hashes of the children of a
-//! node, descend where they differ, and send the members themselves once a node has few of them.
+//! The position of a name is its hash. A [`HashPrefix`] is a node: all names whose position begins
+//! with the prefix. Two processes exchange the hashes of a node's children, descend where they
+//! differ, and send the members of nodes that have few.
 
 use crate::identity::{Identity, Name};
 use rand::RngExt;
@@ -14,30 +14,30 @@
 
 /// The number of children of a node.
 pub const FANOUT: usize = 16;
-/// The bits of a position that select a child.
+/// The number of bits of a position that select a child at each level.
 const BITS_PER_LEVEL: u32 = 4;
-/// The depth of the leaves.
+/// The depth of the leaves; the root has depth 0.
 pub const MAX_DEPTH: u8 = 7;
-/// The members of a node with at most this many are sent as they are.
+/// The maximum number of members of a node for which the members are sent instead of hashes.
 pub const MAX_MEMBERS_SENT: usize = 8;
-/// How many differing children are followed up at a time; the others are left to later, random
-/// selections.
+/// The maximum number of differing children that are reconciled in one exchange. They are selected
+/// at random, so that later exchanges reach the others.
 const MAX_FOLLOW_UPS: usize = 4;
 
-/// Hashes of the children of a node.
+/// The hashes of the children of a node; 0 for a child without live members.
 pub type ChildHashes = [u32; FANOUT];
 
-/// A live member's place in the tree, and its hash.
+/// The position of a member in the tree, and its hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HashedMember {
-    /// The position of its name.
+    /// The position of the member's name.
     pub position: u32,
-    /// The hash of its identity.
+    /// The hash of the member's identity.
     pub hash: u64,
 }
 
 impl HashedMember {
-    /// The position and hash of an identity.
+    /// Computes the position and hash of an identity.
     pub fn new(id: &Identity) -> Self {
         Self {
             position: name_position(&id.name),
@@ -46,44 +46,44 @@
     }
 }
 
-/// The position of a name in the tree, which is the same in each process.
+/// Returns the position of a name in the tree. It is the same in all processes.
 pub fn name_position(name: &Name) -> u32 {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_str().as_bytes());
     hasher.finish() as u32
 }
 
-/// The hash of an identity, which is the same in each process. The digest of a set is the exclusive
-/// or of its hashes.
+/// Returns the hash of an identity's name, incarnation and rejoin count. It is the same in all
+/// processes. The digest of a set of identities is the exclusive or of their hashes.
 pub fn identity_hash(id: &Identity) -> u64 {
     let mut hasher = SipHasher13::new();
     (id.name.as_str(), id.incarnation, id.rejoin_count).hash(&mut hasher);
     hasher.finish()
 }
 
-/// A node of the tree: the names whose position begins with a prefix of so many times four bits.
+/// A node of the tree: the names whose position begins with a prefix of `depth` times four bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HashPrefix {
     depth: u8,
     prefix: u32,
 }
 
-/// How to reconcile a child whose hash differs from the peer's.
+/// The way in which a child whose hash differs from the peer's is reconciled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowUp {
-    /// Send its members, and request the peer's.
+    /// Send the members of this node, and request the peer's members of it.
     SendMembers(HashPrefix),
-    /// Send the hashes of its children.
+    /// Send the hashes of this node's children.
     SendHashes(HashPrefix),
 }
 
 impl HashPrefix {
-    /// Whether a prefix that was received is a node of the tree.
+    /// Returns whether a received prefix is a node of the tree.
     pub fn is_valid(self) -> bool {
         self.depth <= MAX_DEPTH && (self.depth > 0 || self.prefix == 0)
     }
 
-    /// Whether a position is below this node.
+    /// Returns whether a position is below this node.
     pub fn contains(self, position: u32) -> bool {
         if self.depth == 0 {
             return true;
@@ -92,7 +92,7 @@
         position >> (u32::BITS - prefix_bits) == self.prefix
     }
 
-    /// The index of the child that a position is below.
+    /// Returns the index of the child that contains a position.
     fn child_index(self, position: u32) -> usize {
         let child_bits = BITS_PER_LEVEL * (u32::from(self.depth) + 1);
         (position >> (u32::BITS - child_bits)) as usize % FANOUT
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The hashes of the children, over the live members of a view.
+    /// Computes the hashes of this node's children from the live members of a view.
     pub fn child_hashes(self, live: impl Iterator<Item = HashedMember>) -> ChildHashes {
         let mut hashes = [0; FANOUT];
         for member in live.filter(|member| self.contains(member.position)) {
@@ -114,8 +114,8 @@
         hashes
     }
 
-    /// How to reconcile the children whose hashes differ from the peer's; `positions` are those of
-    /// all known names.
+    /// Selects at most four of the children whose hashes differ from the peer's, and returns how to
+    /// reconcile each. `positions` are the positions of all known names.
     pub fn follow_ups(
         self,
         own: &ChildHashes,
