--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -1,13 +1,13 @@
-//! The form of datagrams: a version, the fleet's name, a checksum and a message.
+//! The format of datagrams: a version, the fleet's name, a checksum and a message.
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 1 | version of this form |
+//! | 1 | version of this format |
 //! | 1 | length of the fleet's name |
 //! | 1 to 32 | the fleet's name |
 //! | 4 | CRC-32 of the fleet's name and all bytes after the checksum, little-endian |
-//! | 1 | 0: a payload of the SWIM protocol; otherwise a [`Message`] of this crate |
-//! | the rest | the payload or message, in postcard's form |
+//! | 1 | kind: 0 for a payload of the SWIM protocol, otherwise a [`Message`] of this crate |
+//! | remaining | the payload or message, in postcard's format |
 
 mod message;
 
@@ -19,10 +19,10 @@
 
 /// The maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_LEN: usize = 256;
-/// The version of this form.
+/// The version of this format, in the first byte of each datagram.
 const VERSION: u8 = 1;
 const CHECKSUM_LEN: usize = 4;
-/// The version and the length of the fleet's name.
+/// The number of bytes of the version and of the length of the fleet's name.
 const PREFIX_LEN: usize = 2;
 const SWIM_KIND: u8 = 0;
 const MESSAGE_KIND: u8 = 1;
@@ -33,42 +33,42 @@
 pub enum Decoded<'a> {
     /// A payload of the SWIM protocol.
     Swim {
-        /// The complete payload.
+        /// The payload, with its header and updates.
         payload: &'a [u8],
-        /// Its sender.
+        /// The identity of the sender, from the payload's header.
         from: Identity,
-        /// The member updates that it carries.
+        /// The member updates in the payload.
         updates: Vec<Member<Identity>>,
     },
     /// A message of this crate.
     Message(Message),
 }
 
-/// Why a datagram was dropped.
+/// The reason why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DropReason {
-    /// It is too long, too short, has a wrong checksum, or cannot be decoded.
-    #[error("the datagram is malformed")]
+    /// The datagram is too long or too short, has a wrong checksum, or cannot be decoded.
+    #[error("the datagram has a wrong length or checksum, or cannot be decoded")]
     Malformed,
-    /// It has another version of the form.
-    #[error("the datagram has an unsupported version")]
+    /// The datagram has another version of the format.
+    #[error("the datagram's format version must be {VERSION}")]
     UnsupportedVersion,
-    /// It belongs to another fleet.
+    /// The datagram belongs to another fleet.
     #[error("the datagram belongs to another fleet")]
     ForeignFleet,
-    /// Its source address is not one of the peers'.
-    #[error("the datagram's source is not a peer")]
+    /// The source address of the datagram is not that of a peer.
+    #[error("the datagram's source address is not that of a peer")]
     UnknownSender,
-    /// Its sender claims another peer index than its source address has.
-    #[error("the sender is not the peer that it claims to be")]
+    /// The sender claims another peer index than that of its source address.
+    #[error("the sender's peer index is not that of the datagram's source address")]
     SenderMismatch,
-    /// It mentions more members than can be remembered, peers that do not exist, or incarnations
-    /// from the future.
-    #[error("the datagram mentions a member that cannot exist")]
+    /// The datagram contains a member that exceeds the maximum number of members, a peer that does
+    /// not exist, an incarnation from the future, or an invalid node of the hash tree.
+    #[error("the datagram contains a member or hash tree node that cannot exist")]
     Implausible,
 }
 
-/// How many bytes of payload fit into a datagram of a fleet.
+/// Returns the maximum length of a payload in a datagram of a fleet, in bytes.
 pub fn payload_capacity(fleet: &str) -> usize {
     MAX_DATAGRAM_LEN - PREFIX_LEN - fleet.len() - CHECKSUM_LEN - KIND_LEN
 }
@@ -101,12 +101,12 @@
     hasher.finalize().to_le_bytes()
 }
 
-/// The encoded length of a member update.
+/// Returns the encoded length of a member update, in bytes.
 pub(crate) fn encoded_len(member: &Member<Identity>) -> usize {
     postcard::to_allocvec(member).map_or(MAX_DATAGRAM_LEN, |bytes| bytes.len())
 }
 
-/// Decodes a datagram of a fleet.
+/// Decodes a datagram; fails if it is malformed, has another version, or belongs to another fleet.
 pub fn decode<'a>(fleet: &str, datagram: &'a [u8]) -> Result<Decoded<'a>, DropReason> {
     let body = validated_body(fleet, datagram)?;
     let (&kind, payload) = body.split_first().ok_or(DropReason::Malformed)?;
@@ -119,7 +119,7 @@
     }
 }
 
-/// Checks everything in front of the body: length, version, fleet and checksum.
+/// Validates the length, version, fleet and checksum of a datagram, and returns its body.
 fn validated_body<'a>(fleet: &str, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
     if datagram.len() > MAX_DATAGRAM_LEN {
         return Err(DropReason::Malformed);
