--- a/membership/src/wire/message.rs
+++ b/membership/src/wire/message.rs
@@ -5,75 +5,79 @@
 use foca::Member;
 use serde::{Deserialize, Serialize};
 
-/// A message of this crate. The order of the variants and of their fields is the wire form.
+/// A message of this crate. The order of the variants and of their fields is part of the wire
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender knows no live member at this peer: a process that is there may announce itself.
+    /// A contact to a peer at which the sender knows no live member, so that a process there can
+    /// announce itself. It also informs a process that claims the sender's name with an earlier
+    /// incarnation.
     Join {
-        /// The sender.
+        /// The identity of the sender.
         from: Identity,
     },
-    /// A check by the neighbor monitor.
+    /// A check of a member by the neighbor monitor of the sender.
     Check {
-        /// Identifies the check.
+        /// The number that identifies the check.
         nonce: u32,
     },
     /// The acknowledgement of a [`Message::Check`].
     CheckAck {
-        /// The check's.
+        /// The nonce of the acknowledged check.
         nonce: u32,
-        /// The member that was checked.
+        /// The identity of the member that was checked.
         from: Identity,
-        /// The digest of its view.
+        /// The digest of that member's view.
         digest: u64,
     },
-    /// Asks for an indirect check of a member that does not acknowledge the sender's own.
+    /// A request for an indirect check of a member that did not acknowledge the sender's check in
+    /// time.
     IndirectCheckRequest {
-        /// Identifies the check.
+        /// The nonce of the sender's own check.
         nonce: u32,
-        /// The peer to check.
+        /// The peer that is to be checked.
         target: PeerIndex,
     },
-    /// A check on another member's behalf.
+    /// A check of a member on behalf of another member, the requester.
     IndirectCheck {
-        /// The check's.
+        /// The nonce of the requester's own check.
         nonce: u32,
-        /// The peer that requested it.
+        /// The peer that requested the indirect check.
         requester: PeerIndex,
     },
     /// The acknowledgement of a [`Message::IndirectCheck`].
     IndirectCheckAck {
-        /// The check's.
+        /// The nonce of the requester's own check.
         nonce: u32,
-        /// The peer that requested it.
+        /// The peer that requested the indirect check.
         requester: PeerIndex,
-        /// The member that was checked.
+        /// The identity of the member that was checked.
         from: Identity,
     },
-    /// An acknowledgement, forwarded to the peer that requested the indirect check.
+    /// The acknowledgement of an indirect check, forwarded to the peer that requested it.
     ForwardedCheckAck {
-        /// The check's.
+        /// The nonce of the receiver's own check.
         nonce: u32,
-        /// The member that was checked.
+        /// The identity of the member that was checked.
         from: Identity,
     },
-    /// The sender's view differs: these are its hashes below a node of the hash tree.
+    /// The hashes in the sender's view below a node of the hash tree, sent if the two views differ.
     ViewHashes {
-        /// The sender.
+        /// The identity of the sender.
         from: Identity,
-        /// The node.
+        /// The node of the hash tree.
         prefix: HashPrefix,
-        /// The hashes of its children, over the live members.
+        /// The hashes of the node's children, over the live members.
         hashes: ChildHashes,
     },
-    /// Members that the sender knows below a node of the hash tree, or a suspicion that a suspect
-    /// may refute.
+    /// The members that the sender knows below a node of the hash tree; or a suspicion, sent to the
+    /// suspect so that it can refute it.
     ViewMembers {
-        /// The sender.
+        /// The identity of the sender.
         from: Identity,
-        /// The node whose members the receiver has to send in turn.
+        /// The node whose members the receiver is to send back; `None` if it is to send none.
         requested: Option<HashPrefix>,
-        /// The members, as far as they fit.
+        /// The members, at most as many as fit into a datagram.
         members: Vec<Member<Identity>>,
     },
 }
