--- a/membership/src/membership/anti_entropy.rs
+++ b/membership/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: two members whose views differ persistently compare them and exchange the members
-//! in which they differ.
+//! Anti-entropy: two members whose views differ persistently compare the views and exchange the
+//! members in which they differ.
 
 use super::{Membership, Phase};
 use crate::hash_tree::{self, ChildHashes, FollowUp, HashPrefix};
@@ -8,32 +8,33 @@
 use foca::Member;
 use rand::seq::SliceRandom;
 
-/// How many checks in a row find a different view before the two are compared: gossip resolves most
-/// differences.
-const MIN_DIFFERENCES: u32 = 2;
-/// Bytes of a [`Message::ViewMembers`] besides the members, at most.
-const VIEW_MEMBERS_OVERHEAD: usize = 56;
+/// The number of consecutive checks that find a different view before the two views are compared.
+/// Gossip resolves most differences earlier.
+const MIN_CONSECUTIVE_DIFFERENCES: u32 = 2;
+/// The maximum number of bytes that a [`Message::ViewMembers`] takes in addition to its members.
+const MAX_VIEW_MEMBERS_OVERHEAD_BYTES: usize = 56;
 
-/// Decides when views are compared.
+/// Decides when this process compares its view with that of another member.
 #[derive(Debug, Default)]
 pub(super) struct AntiEntropy {
-    differences_in_a_row: u32,
+    consecutive_differences: u32,
 }
 
 impl AntiEntropy {
-    /// Records whether another member's view was equal; returns whether the two are to be compared.
+    /// Records whether another member's view was equal to this process's, and returns whether the
+    /// two views are to be compared.
     pub(super) fn record_comparison(&mut self, is_equal: bool) -> bool {
-        self.differences_in_a_row = if is_equal {
+        self.consecutive_differences = if is_equal {
             0
         } else {
-            self.differences_in_a_row + 1
+            self.consecutive_differences + 1
         };
-        self.differences_in_a_row >= MIN_DIFFERENCES
+        self.consecutive_differences >= MIN_CONSECUTIVE_DIFFERENCES
     }
 }
 
 impl Membership {
-    /// Sends the hashes below a node of the hash tree.
+    /// Sends the hashes of the children of a hash tree node to a peer.
     pub(super) fn send_view_hashes(&mut self, to: PeerIndex, prefix: HashPrefix) {
         let from = self.identity();
         let hashes = prefix.child_hashes(self.view.hashed_live_members());
@@ -47,7 +48,8 @@
         );
     }
 
-    /// Follows up the differences to a peer's hashes.
+    /// Compares a peer's hashes with those of the own view, and sends hashes or members for the
+    /// children that differ.
     pub(super) fn on_view_hashes(
         &mut self,
         from: &Identity,
@@ -83,11 +85,12 @@
         if self.phase != Phase::Member {
             return;
         }
-        // Gossip disseminates updates; this repairs those that did not reach this process.
+        // The members are merged without disseminating them: gossip disseminates updates, and
+        // anti-entropy only delivers those that did not reach this process.
         self.swim.merge(members.iter().cloned());
         if is_suspected {
-            // The refutation reaches the one who suspects this process at once, and the others by
-            // gossip.
+            // The announcement carries the refutation directly to the member that suspects this
+            // process; the others receive it by gossip.
             self.swim.announce_to(from);
         }
         self.apply_protocol_changes(Some(from.name));
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Sends known members below a node: a random selection of as many as fit.
+    /// Sends the known members below a node, or a random selection if not all fit into a datagram.
     fn send_view_members(
         &mut self,
         to: PeerIndex,
@@ -108,8 +111,8 @@
     ) {
         let mut known = self.known_members(prefix);
         known.shuffle(&mut self.rng);
-        let capacity =
-            wire::payload_capacity(&self.config.fleet).saturating_sub(VIEW_MEMBERS_OVERHEAD);
+        let capacity = wire::payload_capacity(&self.config.fleet)
+            .saturating_sub(MAX_VIEW_MEMBERS_OVERHEAD_BYTES);
         let message = Message::ViewMembers {
             from: self.identity(),
             requested,
@@ -118,7 +121,7 @@
         self.send_message(to, &message);
     }
 
-    /// The members below a node, this process included.
+    /// Returns the remembered members below a node, this process included.
     fn known_members(&self, prefix: HashPrefix) -> Vec<Member<Identity>> {
         let own_id = self.identity();
         let is_below = |id: &Identity| prefix.contains(hash_tree::name_position(&id.name));
@@ -137,7 +140,7 @@
     }
 }
 
-/// The first members whose encoded lengths add up to at most a capacity.
+/// Returns the first members whose encoded lengths add up to at most `capacity` bytes.
 fn members_that_fit(members: Vec<Member<Identity>>, capacity: usize) -> Vec<Member<Identity>> {
     let mut remaining = capacity;
     let mut fitting = Vec::new();
