--- a/membership/src/membership/join.rs
+++ b/membership/src/membership/join.rs
@@ -9,17 +9,18 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The first interval between two contacts, which doubles up to the longest.
+/// The first interval between two contacts. The interval doubles with each contact up to
+/// `MAX_INTERVAL`.
 const INITIAL_INTERVAL: Duration = Duration::from_secs(1);
 const MAX_INTERVAL: Duration = Duration::from_secs(8);
-/// The factor by which each interval is jittered.
+/// The range of the random factor by which each interval is multiplied.
 const JITTER: Range<f64> = 0.5..1.5;
-/// Responses that may be sent at once, and the rate at which more are allowed: a storm of contacts
-/// must not cause a storm of responses.
+/// The maximum number of responses in a burst; `RESPONSES_PER_S` is the sustained rate. The limits
+/// prevent a storm of contacts from causing a storm of responses.
 const MAX_RESPONSE_BURST: f64 = 20.0;
 const RESPONSES_PER_S: f64 = 20.0;
 
-/// When the next peer is contacted: an exponential backoff with jitter.
+/// The schedule of contacts to peers: an exponential backoff with jitter.
 #[derive(Debug)]
 pub(super) struct JoinSchedule {
     next_at: Duration,
@@ -27,7 +28,7 @@
 }
 
 impl JoinSchedule {
-    /// The first contact is due at once.
+    /// Creates a schedule whose first contact is due at `now`.
     pub(super) fn new(now: Duration) -> Self {
         Self {
             next_at: now,
@@ -35,18 +36,20 @@
         }
     }
 
-    /// When the next contact is due.
+    /// Returns the time at which the next contact is due.
     pub(super) fn next_at(&self) -> Duration {
         self.next_at
     }
 
-    /// A peer was contacted.
+    /// Records that a peer was contacted at `now`, and schedules the next contact.
     pub(super) fn record_contact(&mut self, now: Duration, rng: &mut impl RngExt) {
         self.next_at = now + self.interval.mul_f64(rng.random_range(JITTER));
         self.interval = (self.interval * 2).min(MAX_INTERVAL);
     }
 
-    /// The number of live members has changed: there may be others to be found.
+    /// Restarts the backoff at the first interval, and moves the next contact forward if it is
+    /// later than that. Called when the number of live members has changed, because there may be
+    /// further members to find.
     pub(super) fn reset(&mut self, now: Duration, rng: &mut impl RngExt) {
         self.interval = INITIAL_INTERVAL;
         let next_at = now + INITIAL_INTERVAL.mul_f64(rng.random_range(JITTER));
@@ -54,8 +57,8 @@
     }
 }
 
-/// A token bucket that limits the responses to members that this process does not know, or whose
-/// view differs.
+/// A token bucket that limits the responses to members that this process does not know or whose
+/// views differ from its own.
 #[derive(Debug)]
 pub(super) struct ResponseLimiter {
     tokens: f64,
@@ -63,7 +66,7 @@
 }
 
 impl ResponseLimiter {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn new(now: Duration) -> Self {
         Self {
             tokens: MAX_RESPONSE_BURST,
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Whether a response may be sent now; if so, it is counted.
+    /// Returns whether a response may be sent at `now`; if it may, takes one token.
     pub(super) fn allows(&mut self, now: Duration) -> bool {
         let elapsed_s = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + elapsed_s * RESPONSES_PER_S).min(MAX_RESPONSE_BURST);
@@ -85,7 +88,7 @@
 }
 
 impl Membership {
-    /// Contacts a random peer at which no live member is known.
+    /// Contacts a random peer at which no live member is known, if there is one.
     pub(super) fn contact_absent_peer(&mut self) {
         if self.view.live_count() >= usize::from(self.config.peer_count) {
             return;
