--- a/membership/src/membership/name_conflict.rs
+++ b/membership/src/membership/name_conflict.rs
@@ -1,22 +1,23 @@
-//! Conflicts over this process's name: the latest incarnation retains it, and the others yield.
+//! Conflicts over this process's name: the latest incarnation retains the name, and the others
+//! yield.
 
 use super::{Membership, Output, Phase};
 use crate::identity::Identity;
 use crate::wire::Message;
 use std::time::Duration;
 
-/// For how long after its start a process may supersede a later incarnation of its name. Its clock
-/// may have been set back since its previous start.
-const JOIN_PERIOD: Duration = Duration::from_secs(5);
-/// How often it may do so.
-const MAX_SUPERSEDED: u32 = 3;
+/// The time after its start during which a process may supersede a later incarnation of its name.
+/// This covers a restart after the clock was set back.
+const SUPERSEDE_WINDOW: Duration = Duration::from_secs(5);
+/// The maximum number of incarnations that a process may supersede in that time.
+const MAX_SUPERSEDED_COUNT: u32 = 3;
 
-/// How this process learned of another claim to its name.
+/// The way in which this process learned of another claim to its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClaimSource {
-    /// From the claimant itself.
+    /// The claimant sent a datagram itself.
     Claimant,
-    /// From another member's report.
+    /// Another member reported the claimant.
     Report,
 }
 
@@ -28,7 +29,7 @@
 }
 
 impl NameClaim {
-    /// The claim of a process that starts now.
+    /// Creates the claim of a process that starts at `now`.
     pub(super) fn new(now: Duration) -> Self {
         Self {
             started_at: now,
@@ -37,12 +38,14 @@
     }
 
     fn may_supersede(&self, now: Duration) -> bool {
-        now < self.started_at + JOIN_PERIOD && self.superseded_count < MAX_SUPERSEDED
+        now < self.started_at + SUPERSEDE_WINDOW && self.superseded_count < MAX_SUPERSEDED_COUNT
     }
 }
 
 impl Membership {
-    /// Resolves another claim to this process's name, or recognizes this process itself.
+    /// Resolves a claim to this process's name. This process supersedes a later claim or yields to
+    /// it, and informs an earlier claimant that sent the claim itself. A claim by this process's
+    /// own identity has no effect.
     pub(super) fn on_name_conflict(&mut self, claimant: Identity, source: ClaimSource) {
         let own_id = self.identity();
         if !claimant.supersedes(&own_id) {
@@ -57,7 +60,7 @@
         }
     }
 
-    /// A claimant that is still running learns from the message who has the name.
+    /// Sends a message by which a claimant that is still running learns who has the name.
     fn inform_superseded_claimant(&mut self, claimant: &Identity) {
         if self.response_limiter.allows(self.now) {
             let from = self.identity();
