--- a/membership/src/membership/neighbor_monitor.rs
+++ b/membership/src/membership/neighbor_monitor.rs
@@ -1,5 +1,5 @@
-//! The neighbor monitor: checks the next member in the order of names every period, and suspects it
-//! if it does not acknowledge repeated checks.
+//! The neighbor monitor: checks the next alive member in the order of names every period, and
+//! suspects that member if it acknowledges none of several attempts.
 
 use super::Membership;
 use crate::hash_tree::HashPrefix;
@@ -10,20 +10,20 @@
 use rand::seq::IteratorRandom;
 use std::time::Duration;
 
-/// The interval between the beginnings of two checks.
+/// The interval from the start of a check to the start of the next one.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The time-out of an acknowledgement, after which the check is repeated or has failed.
+/// The time to wait for an acknowledgement before the check is retried or has failed.
 const ACK_TIMEOUT: Duration = Duration::from_millis(190);
-/// How often a check is sent before it has failed.
+/// The number of times that a check is sent before it has failed.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// The action of the monitor when it is due.
+/// The action that the monitor takes on a timeout.
 #[derive(Debug, PartialEq, Eq)]
 enum MonitorAction {
-    /// Begin a check of the present neighbor.
+    /// Begin a check of the current neighbor.
     BeginCheck,
     /// Send the check again, directly and through another member.
-    RepeatCheck { target: Identity, nonce: u32 },
+    RetryCheck { target: Identity, nonce: u32 },
     /// Suspect the neighbor.
     Suspect(Identity),
 }
@@ -36,7 +36,7 @@
     times_out_at: Duration,
 }
 
-/// The state of the neighbor monitor.
+/// The state of the neighbor monitor: at most one check is in progress at a time.
 #[derive(Debug)]
 pub(super) struct NeighborMonitor {
     next_check_at: Duration,
@@ -45,7 +45,7 @@
 }
 
 impl NeighborMonitor {
-    /// A monitor whose first check begins one interval from now.
+    /// Creates a monitor whose first check begins one interval after `now`.
     pub(super) fn new(now: Duration, initial_nonce: u32) -> Self {
         Self {
             next_check_at: now + CHECK_INTERVAL,
@@ -54,13 +54,14 @@
         }
     }
 
-    /// When the monitor acts next.
+    /// Returns the time at which the monitor acts next.
     pub(super) fn next_timeout(&self) -> Duration {
         self.current
             .map_or(self.next_check_at, |check| check.times_out_at)
     }
 
-    /// Abandons the current check, which proves nothing since this process was stopped.
+    /// Abandons the current check, if any. Called after this process was paused, as the check is
+    /// then no evidence of a failure.
     pub(super) fn abandon_check(&mut self) {
         self.current = None;
     }
@@ -78,7 +79,7 @@
             times_out_at: now + health.scale(ACK_TIMEOUT),
             ..check
         });
-        MonitorAction::RepeatCheck {
+        MonitorAction::RetryCheck {
             target: check.target,
             nonce: check.nonce,
         }
@@ -96,7 +97,7 @@
         self.last_nonce
     }
 
-    /// Ends the current check, if this is its acknowledgement; returns whether it is.
+    /// Ends the current check if `nonce` and `from` match it, and returns whether they do.
     fn acknowledge(&mut self, nonce: u32, from: Name) -> bool {
         let is_current =
             |check: &mut CheckInProgress| check.nonce == nonce && check.target.name == from;
@@ -105,11 +106,11 @@
 }
 
 impl Membership {
-    /// Does what the monitor has to do now.
+    /// Takes the next action of the monitor, whose timeout is due.
     pub(super) fn monitor_neighbor(&mut self) {
         match self.neighbor_monitor.handle_timeout(self.now, &self.health) {
             MonitorAction::BeginCheck => self.check_neighbor(),
-            MonitorAction::RepeatCheck { target, nonce } => self.repeat_check(&target, nonce),
+            MonitorAction::RetryCheck { target, nonce } => self.retry_check(&target, nonce),
             MonitorAction::Suspect(neighbor) => self.suspect(neighbor),
         }
     }
@@ -125,9 +126,9 @@
         }
     }
 
-    /// Sends the check again, and has another member check as well: only the link from here may be
-    /// down.
-    fn repeat_check(&mut self, target: &Identity, nonce: u32) {
+    /// Sends the check again, and requests an indirect check from another member, because only the
+    /// link from this process may be down.
+    fn retry_check(&mut self, target: &Identity, nonce: u32) {
         self.send_message(target.peer, &Message::Check { nonce });
         let own_name = self.identity().name;
         let alive = self
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Ends the current check, if this acknowledges it; returns whether it does.
+    /// Ends the current check if this acknowledgement belongs to it, and returns whether it does.
     pub(super) fn on_check_acknowledged(&mut self, nonce: u32, from: &Identity) -> bool {
         let is_current = self.neighbor_monitor.acknowledge(nonce, from.name);
         if is_current {
