--- a/membership/src/membership/receive.rs
+++ b/membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving datagrams: which ones are dropped, and who handles which message.
+//! Receives datagrams: drops those that are invalid, and passes each message to its handler.
 
 use super::name_conflict::ClaimSource;
 use super::{Membership, Phase};
@@ -7,16 +7,19 @@
 use foca::{Member, State};
 use std::time::Duration;
 
-/// How far ahead of this process's own clock an incarnation may be, in milliseconds.
+/// The time by which a received incarnation may be ahead of this process's own clock, in
+/// milliseconds: one day.
 const MAX_INCARNATION_LEAD_MS: u64 = 86_400_000;
 
 impl Membership {
-    /// Counts a datagram whose source address is not one of the peers'.
+    /// Counts a datagram that the embedder dropped because its source address is not that of a
+    /// peer.
     pub fn record_unknown_sender(&mut self) {
         self.counters.record_dropped(DropReason::UnknownSender);
     }
 
-    /// Handles a datagram from a peer. An error says why it was dropped; it is counted as well.
+    /// Handles a datagram from a peer. Returns an error with the reason if the datagram is dropped,
+    /// and counts it. Ignores datagrams once this process is no longer a member.
     pub fn handle_datagram(
         &mut self,
         now: Duration,
@@ -122,7 +125,8 @@
         self.refresh_suspicions_among(updates, from.name);
     }
 
-    /// Applies what others report of this process itself; returns whether they suspect it.
+    /// Applies the updates that are about this process itself, and returns whether one of them
+    /// suspects it.
     pub(super) fn apply_updates_about_self(&mut self, updates: &[Member<Identity>]) -> bool {
         let own_name = self.identity().name;
         let mut is_suspected = false;
@@ -137,8 +141,8 @@
         is_suspected
     }
 
-    /// Whether a sender is live in the view. One that is not is sent an announcement, so that both
-    /// learn of each other.
+    /// Returns whether a sender is live in the view. If it is not, sends it an announcement, so
+    /// that both learn of each other.
     pub(super) fn is_live_sender(&mut self, from: &Identity) -> bool {
         let known = self.view.get(&from.name);
         let is_live = known.is_some_and(|member| member.id == *from && member.state.is_live());
@@ -150,7 +154,7 @@
         is_live
     }
 
-    /// Checks that a sender can be who it claims to be.
+    /// Validates that a sender has the peer index of its source address and a plausible identity.
     fn validate_sender(&self, source: PeerIndex, from: &Identity) -> Result<(), DropReason> {
         if from.peer != source {
             return Err(DropReason::SenderMismatch);
@@ -167,12 +171,12 @@
         ensure_plausible(self.is_plausible(id))
     }
 
-    /// Whether such a member can exist, and can be remembered.
+    /// Returns whether a member with this identity can exist and can be remembered.
     pub(super) fn is_plausible(&self, id: &Identity) -> bool {
         let is_known = self.view.get(&id.name).is_some();
         let has_capacity = self.view.len() < self.config.max_members;
-        // The wall clock is only read at the start; the lead allows for a day of difference
-        // besides.
+        // The wall clock is read only at the start, so the elapsed time is added to the own
+        // incarnation. The lead allows for a day of difference between the clocks in addition.
         let elapsed_ms = self.now.as_millis() as u64;
         let latest = self
             .config
@@ -181,12 +185,12 @@
         self.is_peer(id.peer) && (is_known || has_capacity) && id.incarnation <= latest
     }
 
-    /// Whether there is such a peer.
+    /// Returns whether a peer with this index exists.
     fn is_peer(&self, peer: PeerIndex) -> bool {
         peer.0 < self.config.peer_count
     }
 
-    /// Whether there is such a peer, and it is not this process.
+    /// Returns whether a peer with this index exists and is not this process.
     pub(super) fn is_other_peer(&self, peer: PeerIndex) -> bool {
         self.is_peer(peer) && peer != self.identity().peer
     }
