--- a/membership/src/membership/suspicion.rs
+++ b/membership/src/membership/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicions: members that did not acknowledge a probe or check, until they refute that or are
-//! declared dead.
+//! Suspicions: a member that did not acknowledge a probe or check is suspected until it refutes the
+//! suspicion or is declared dead.
 
 use super::Membership;
 use crate::identity::{Identity, Name};
@@ -9,11 +9,11 @@
 use foca::{Member, State, Timer};
 use std::time::Duration;
 
-/// How often a suspect is notified of the suspicion, so that it can refute it as soon as it runs
-/// again.
+/// The interval at which a suspect is notified of the suspicion, so that a suspect that was paused
+/// can refute it as soon as it runs again.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A suspicion that this process has raised itself.
+/// A suspicion that this process has raised itself, not one that another member reported.
 #[derive(Debug)]
 struct Suspicion {
     suspect: SuspectId,
@@ -29,7 +29,7 @@
 }
 
 impl Suspicions {
-    /// None yet, and at most so many.
+    /// Creates an empty set of at most `max_entries` suspicions.
     pub(super) fn new(max_entries: usize) -> Self {
         Self {
             entries: Vec::new(),
@@ -37,7 +37,8 @@
         }
     }
 
-    /// When the next suspect is to be notified or the next suspicion expires.
+    /// Returns the time at which the next suspect is to be notified or the next suspicion expires;
+    /// `None` if there is no suspicion.
     pub(super) fn next_timeout(&self) -> Option<Duration> {
         let timeouts = self
             .entries
@@ -46,7 +47,7 @@
         timeouts.min()
     }
 
-    /// Postpones the ends of all suspicions.
+    /// Postpones the expiry of all suspicions.
     pub(super) fn postpone(&mut self, by: Duration) {
         for entry in &mut self.entries {
             entry.expires_at += by;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The suspects that are to be notified now; each is due again after an interval.
+    /// Returns the suspects whose notification is due, and schedules the next notification of each.
     fn reschedule_due_notifications(&mut self, now: Duration) -> Vec<SuspectId> {
         let mut due = Vec::new();
         for entry in self
@@ -78,7 +79,7 @@
         due
     }
 
-    /// Removes the suspicions that have expired.
+    /// Removes the suspicions that have expired, and returns their suspects.
     fn drain_expired(&mut self, now: Duration) -> Vec<SuspectId> {
         let expired = self.entries.extract_if(.., |entry| entry.expires_at <= now);
         expired.map(|entry| entry.suspect).collect()
@@ -86,7 +87,8 @@
 }
 
 impl Membership {
-    /// Suspects a member that did not acknowledge a check, and disseminates the suspicion.
+    /// Suspects a member that did not acknowledge a check, and disseminates the suspicion. Has no
+    /// effect if the protocol no longer considers the member alive or suspect.
     pub(super) fn suspect(&mut self, id: Identity) {
         let Some(member) = self.swim.active_members().find(|member| *member.id() == id) else {
             return;
@@ -98,7 +100,7 @@
         self.track(suspect);
     }
 
-    /// Tracks the members that a random probe of the protocol has found suspect.
+    /// Tracks the members that the protocol suspects after a random probe.
     pub(super) fn track_new_suspects(&mut self) {
         let suspects = self.refresh_suspicions(None, |member| member.state() == State::Suspect);
         for suspect in suspects {
@@ -111,7 +113,8 @@
         self.suspicions.add(suspect, self.now, timeout);
     }
 
-    /// Notifies suspects of the suspicion: one that was only stopped can refute it at once.
+    /// Notifies the suspects that are due, so that a suspect that was only paused can refute the
+    /// suspicion immediately.
     pub(super) fn notify_suspects(&mut self) {
         for suspect in self.suspicions.reschedule_due_notifications(self.now) {
             let notification = Message::ViewMembers {
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Declares suspects dead that have not refuted the suspicion in time.
+    /// Declares the suspects dead that have not refuted the suspicion in time.
     pub(super) fn expire_suspicions(&mut self) {
         for suspect in self.suspicions.drain_expired(self.now) {
             if self.swim.is_suspect(&suspect) {
@@ -133,8 +136,9 @@
         }
     }
 
-    /// Whether a timer would end a suspicion that was refuted. The protocol would not change the
-    /// member's state, but notify it that it is dead, and cause a needless rejoin.
+    /// Returns whether a timer would end a suspicion that no longer applies, for example because it
+    /// was refuted. On such a timer the protocol would not change the member's state, but would
+    /// notify the member that it is dead and cause a needless rejoin.
     pub(super) fn is_refuted_suspicion(&self, timer: &Timer<Identity>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -151,7 +155,8 @@
         !self.swim.is_suspect(&suspect)
     }
 
-    /// Updates the view's suspicions after a datagram with updates, where it can have changed them.
+    /// Updates the suspicions in the view for the members whose suspicion a received datagram can
+    /// have changed: those in `updates`, and its sender.
     pub(super) fn refresh_suspicions_among(&mut self, updates: &[Member<Identity>], from: Name) {
         let is_suspect = |name: &Name| {
             let member = self.view.get(name);
@@ -167,8 +172,8 @@
         }
     }
 
-    /// Copies from the protocol to the view which of the selected members are suspect, and which no
-    /// longer are; returns the new suspects. The protocol does not notify of such changes.
+    /// Copies the states of the selected members from the protocol to the view, and returns the new
+    /// suspects. The protocol sends no notification when a suspicion begins or is refuted.
     fn refresh_suspicions(
         &mut self,
         reported_by: Option<Name>,
@@ -202,7 +207,7 @@
     }
 }
 
-/// The state of a member that the protocol considers active.
+/// Returns the view's state for a member that the protocol considers active.
 fn active_state(member: &Member<Identity>) -> MemberState {
     if member.state() == State::Suspect {
         MemberState::Suspect
