--- a/membership/src/membership/view_updates.rs
+++ b/membership/src/membership/view_updates.rs
@@ -1,4 +1,4 @@
-//! Updates the view, and sends the payloads of the protocol.
+//! Updates of the view after changes in the protocol, and the sending of the protocol's payloads.
 
 use super::{Membership, Output};
 use crate::identity::{Identity, Name};
@@ -7,8 +7,9 @@
 use foca::OwnedNotification;
 
 impl Membership {
-    /// Records a member's state in the view. Where the number of live members has changed, absent
-    /// peers are contacted sooner.
+    /// Records a member's state in the view. If the number of live members changes, restarts the
+    /// backoff of the join schedule, so that peers at which no live member is known are contacted
+    /// sooner.
     pub(super) fn record(&mut self, record: MemberRecord) {
         let previous_live_count = self.view.live_count();
         if let Some(change) = self.view.record(record) {
@@ -53,7 +54,7 @@
         });
     }
 
-    /// The member and state that a notification is about, if it is about a member.
+    /// Returns the member and its new state, if a notification reports one.
     fn notified_state(
         &self,
         notification: &OwnedNotification<Identity>,
@@ -61,8 +62,8 @@
         match *notification {
             OwnedNotification::MemberUp(id) => Some((id, state_of(&id, MemberState::Alive))),
             OwnedNotification::MemberDown(id) => Some((id, state_of(&id, MemberState::Dead))),
-            // No other notification follows if the earlier identity counted as active: one that
-            // leaves counts as active until its end has been disseminated.
+            // If the earlier identity counted as active, no other notification follows. A leaving
+            // identity counts as active until its end has been disseminated.
             OwnedNotification::Rename(_, id) if self.swim.is_active(&id) => {
                 Some((id, state_of(&id, MemberState::Alive)))
             }
@@ -81,8 +82,8 @@
     }
 }
 
-/// The state of a member that is not leaving; one that is counts as left, whether or not it still
-/// runs.
+/// Returns `Left` for a leaving member, whether or not it still runs, and `otherwise` for all
+/// others.
 fn state_of(id: &Identity, otherwise: MemberState) -> MemberState {
     if id.is_leaving {
         MemberState::Left
