--- a/membership/tests/state_machine/datagrams.rs
+++ b/membership/tests/state_machine/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams that are invalid or were changed on the way.
+//! Tests with datagrams that are invalid or were corrupted in transit.
 
 use crate::support::{FLEET, MAX_MEMBERS, PEER_COUNT, correct_checksum, gossip, identity, member};
 use foca::{Member, State};
@@ -50,7 +50,7 @@
     assert_eq!(receiver.view().len(), 2);
 }
 
-/// Valid datagrams of several kinds, which are then mutated.
+/// Returns valid datagrams of several kinds, from which mutated ones are derived.
 fn mutation_seeds(receiver: Identity) -> [Vec<u8>; 6] {
     let states = [State::Alive, State::Suspect, State::Down];
     let update =
@@ -87,7 +87,7 @@
     ]
 }
 
-/// Flips bits and truncates a datagram.
+/// Flips one to three bits of a datagram, and truncates it with a probability of 10 %.
 fn mutate(datagram: &mut Vec<u8>, rng: &mut StdRng) {
     for _ in 0..rng.random_range(1..4) {
         let index = rng.random_range(0..datagram.len());
@@ -106,7 +106,7 @@
     }
 }
 
-/// The fuzz target does the same with datagrams of its own.
+/// The fuzz target checks the same properties with arbitrary bytes.
 #[test]
 fn a_million_mutated_datagrams_cause_no_panic_and_no_unbounded_growth() {
     let mut rng = StdRng::seed_from_u64(11);
@@ -116,7 +116,7 @@
     for round in 0..1_000_000 {
         let mut datagram = seeds[rng.random_range(0..seeds.len())].clone();
         mutate(&mut datagram, &mut rng);
-        // A third of them get past the checksum.
+        // The checksum of every third datagram is corrected, so that its content is decoded.
         if round % 3 == 0 {
             correct_checksum(&mut datagram);
         }
--- a/membership/tests/state_machine/main.rs
+++ b/membership/tests/state_machine/main.rs
@@ -1,4 +1,4 @@
-//! The state machine alone, fed with datagrams and time.
+//! Tests of the state machine by itself, with datagrams and the current time as inputs.
 #![expect(
     clippy::expect_used,
     reason = "a test fails where its input cannot be set up"
--- a/membership/tests/state_machine/name_conflicts.rs
+++ b/membership/tests/state_machine/name_conflicts.rs
@@ -1,4 +1,4 @@
-//! Conflicts over a name.
+//! Tests of conflicts between two processes that claim the same name.
 
 use crate::support::{BASE_INCARNATION, FLEET, gossip, identity, member};
 use foca::Member;
@@ -10,7 +10,7 @@
     std::iter::from_fn(|| membership.poll_output()).collect()
 }
 
-/// Has another member report a claim to the receiver's name.
+/// Delivers a datagram in which another member reports a claim to the receiver's name.
 fn report_claim(receiver: &mut Membership, now: Duration, claimant: Identity) {
     let datagram = gossip(
         identity(1, 0),
@@ -22,9 +22,9 @@
         .expect("a valid datagram");
 }
 
-/// The earlier incarnation yields, reports that, and sends nothing from then on.
+/// The earlier incarnation must report that it yields, and send nothing afterwards.
 #[test]
-fn the_later_incarnation_keeps_the_name_and_the_earlier_one_yields() {
+fn the_later_incarnation_retains_the_name_and_the_earlier_one_yields() {
     let mut earlier = member(0);
     let later = Identity {
         peer: PeerIndex(5),
@@ -44,8 +44,9 @@
     assert_eq!(outputs(&mut earlier), []);
 }
 
-/// A clock that was set back must not make a restart look like the earlier start; but it may claim
-/// its name only so often.
+/// If the clock was set back before a restart, the restarted process has an earlier incarnation
+/// than the previous start, and must supersede it. The number of times that it may do so is
+/// limited.
 #[test]
 fn a_restart_with_a_clock_set_back_supersedes_its_earlier_incarnation() {
     let mut restarted = member(0);
--- a/membership/tests/state_machine/support.rs
+++ b/membership/tests/state_machine/support.rs
@@ -4,21 +4,22 @@
 use frostkeel_membership::{Config, Identity, Membership, Name, PeerIndex, wire};
 use std::time::Duration;
 
-/// The fleet's name.
+/// The name of the fleet in all configurations and datagrams.
 pub const FLEET: &str = "tests";
-/// The number of peers.
+/// The number of peers in each configuration.
 pub const PEER_COUNT: u16 = 8;
 /// The maximum number of remembered members.
 pub const MAX_MEMBERS: usize = 16;
 /// The incarnation of the members under test.
 pub const BASE_INCARNATION: u64 = 1_700_000_000_000;
 
-/// The name of a member.
+/// Returns the name of a member.
 pub fn name(number: u16) -> Name {
     Name::new(&format!("m{number}")).expect("a name")
 }
 
-/// The identity of a member, so much later than the base.
+/// Returns the identity of a member that started `incarnation` milliseconds after the base
+/// incarnation.
 pub fn identity(number: u16, incarnation: u64) -> Identity {
     Identity {
         name: name(number),
@@ -29,7 +30,7 @@
     }
 }
 
-/// A state machine that has just started.
+/// Creates a state machine that starts at time zero.
 pub fn member(number: u16) -> Membership {
     let config = Config {
         fleet: FLEET.into(),
@@ -44,7 +45,7 @@
     Membership::new(config, Duration::ZERO).expect("a valid configuration")
 }
 
-/// A gossip datagram.
+/// Encodes a gossip datagram.
 pub fn gossip(from: Identity, to: Identity, updates: &[Member<Identity>]) -> Vec<u8> {
     let mut payload = Vec::new();
     let header = Header {
@@ -65,7 +66,7 @@
     wire::encode_swim(FLEET, &payload)
 }
 
-/// Corrects the checksum of a datagram, whatever else is wrong with it.
+/// Corrects the checksum of a datagram and leaves all other bytes unchanged.
 pub fn correct_checksum(datagram: &mut [u8]) {
     let checksum_at = 2 + FLEET.len();
     let body_at = checksum_at + 4;
--- a/membership/tests/state_machine/view.rs
+++ b/membership/tests/state_machine/view.rs
@@ -1,18 +1,18 @@
-//! The view: convergence and versions.
+//! Tests of the view: convergence and versions.
 
 use crate::support::{gossip, identity, member, name};
 use foca::{Member, State};
 use frostkeel_membership::{Identity, MemberState, Output, PeerIndex};
 use std::time::Duration;
 
-/// Updates, and the identity and state of the member that they are about in the end.
+/// Updates about one member, and the identity and state of that member after all of them.
 struct Case {
     updates: Vec<Member<Identity>>,
     final_id: Identity,
     final_state: MemberState,
 }
 
-/// All orders of a sequence.
+/// Returns all permutations of a sequence.
 fn permutations<T: Clone>(items: &[T]) -> Vec<Vec<T>> {
     if items.is_empty() {
         return vec![Vec::new()];
@@ -31,7 +31,7 @@
 
 fn convergence_cases() -> [Case; 4] {
     let (earlier, later) = (identity(3, 1), identity(3, 2));
-    let left = Identity {
+    let leaving = Identity {
         is_leaving: true,
         ..earlier
     };
@@ -62,11 +62,11 @@
             updates: vec![
                 Member::new(earlier, 0, State::Alive),
                 Member::new(earlier, 1, State::Suspect),
-                Member::new(left, 0, State::Down),
+                Member::new(leaving, 0, State::Down),
                 Member::new(earlier, 7, State::Alive),
                 Member::new(earlier, 7, State::Down),
             ],
-            final_id: left,
+            final_id: leaving,
             final_state: MemberState::Left,
         },
         Case {
@@ -75,7 +75,7 @@
                 Member::new(later, 0, State::Alive),
                 Member::new(later, 0, State::Suspect),
                 Member::new(later, 0, State::Down),
-                Member::new(left, 0, State::Down),
+                Member::new(leaving, 0, State::Down),
             ],
             final_id: later,
             final_state: MemberState::Dead,
@@ -83,15 +83,16 @@
     ]
 }
 
-/// Guards that updates in any order, each received once or several times, end in the same view: the
-/// later incarnation wins, dead wins over alive within one incarnation, and an older update never
-/// undoes a leave.
+/// Updates in any order, each received once or several times, must result in the same view. The
+/// later incarnation takes precedence, dead takes precedence over alive within one incarnation, and
+/// an older update never reverts a leave.
 #[test]
 fn updates_in_any_order_converge_to_the_same_view() {
     for case in convergence_cases() {
         for order in permutations(&case.updates) {
             let mut receiver = member(0);
-            // The member is made known first: the death of an unknown member is not reported.
+            // The first update makes the member known, because the death of an unknown member is
+            // not reported.
             let known = case.updates[0].clone();
             for update in std::iter::once(&known).chain(&order).chain(&order[..2]) {
                 let datagram = gossip(
