--- a/membership/tests/hash_tree.rs
+++ b/membership/tests/hash_tree.rs
@@ -1,4 +1,4 @@
-//! The comparison of views by a tree of hashes.
+//! Tests of the comparison of two views by a tree of hashes.
 #![expect(
     clippy::expect_used,
     reason = "a test fails where its input cannot be set up"
--- a/membership/tests/names.rs
+++ b/membership/tests/names.rs
@@ -1,4 +1,4 @@
-//! Parsing of names.
+//! Tests of the parsing of names.
 
 use frostkeel_membership::Name;
 
@@ -8,6 +8,6 @@
         assert_eq!(Name::new(text).expect(text).as_str(), text);
     }
     for text in ["", "seventeen.letters", "a b", "ä", "a\0"] {
-        assert!(Name::new(text).is_err(), "{text:?}");
+        assert!(Name::new(text).is_err(), "{text:?} is accepted");
     }
 }
--- a/membership/tests/serialized_forms.rs
+++ b/membership/tests/serialized_forms.rs
@@ -1,5 +1,5 @@
-//! The words and keys that the members page and the log show. They are a published form: readers
-//! depend on them.
+//! Tests of the words and keys on the members page and in the log. They are a published format on
+//! which readers depend.
 
 use frostkeel_membership::{Counters, MemberState, Phase};
 
@@ -9,7 +9,7 @@
 );
 
 #[test]
-fn counters_keep_their_published_keys_and_order() {
+fn counters_retain_their_published_keys_and_order() {
     let counters = Counters {
         sent: 1,
         sent_bytes: 2,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn member_states_and_phases_keep_their_published_words() {
+fn member_states_and_phases_retain_their_published_names() {
     for (state, word) in [
         (MemberState::Alive, "present"),
         (MemberState::Suspect, "suspect"),
