--- a/membership/tests/wire_fixtures/captured.rs
+++ b/membership/tests/wire_fixtures/captured.rs
@@ -1,28 +1,28 @@
-//! Captured datagrams and the lines of the committed file.
+//! Captured datagrams, and their lines in the committed file.
 
 use crate::simulation::FLEET;
 use foca::{Codec, Header, Message, PostcardCodec};
 use frostkeel_membership::Identity;
 use std::fmt::Write as _;
 
-/// A datagram that was delivered, and what its receiver did about it.
+/// A delivered datagram and its effect on the receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Captured {
     /// The kind of message, see [`kind_of`].
     pub kind: String,
-    /// Its position among all datagrams sent.
+    /// The position of this datagram among all datagrams sent, from 0.
     pub send_number: u64,
-    /// Sender and receiver.
+    /// The peer indexes of the sender (`from`) and the receiver (`to`).
     pub from: u16,
     pub to: u16,
-    /// The bytes.
+    /// The bytes of the datagram as delivered.
     pub datagram: Vec<u8>,
-    /// What its receiver did.
+    /// The receiver's outputs, and the version and digest of its view afterwards.
     pub effect: String,
 }
 
 impl Captured {
-    /// The line of the committed file that stands for it.
+    /// Returns the line of the committed file for this datagram.
     pub fn line(&self) -> String {
         let Captured {
             kind,
@@ -39,9 +39,9 @@
     }
 }
 
-/// The kind of a datagram of [`FLEET`], from its bytes: version, length of the fleet's name, the
-/// name, a checksum of four bytes, 0 for the SWIM protocol or 1 for the crate's own messages, and
-/// the message.
+/// Returns the kind of a datagram of [`FLEET`]. A datagram consists of one byte for the version,
+/// one for the length of the fleet's name, the name, a checksum of four bytes, one byte that is 0
+/// for the SWIM protocol or 1 for the crate's own messages, and the message.
 pub fn kind_of(datagram: &[u8]) -> String {
     let protocol = 2 + FLEET.len() + 4;
     let mut payload = &datagram[protocol + 1..];
@@ -72,7 +72,7 @@
     })
 }
 
-/// The bytes that hexadecimal digits stand for.
+/// Parses hexadecimal digits into bytes.
 pub fn bytes_from_hex(hex: &str) -> Vec<u8> {
     let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
     (0..hex.len()).step_by(2).map(digits).collect()
--- a/membership/tests/wire_fixtures/main.rs
+++ b/membership/tests/wire_fixtures/main.rs
@@ -1,8 +1,8 @@
-//! Holds the bytes of every kind of datagram, what a receiver does about each, and everything that
-//! whole simulated fleets put out, against data that an earlier version of this crate has written
+//! Compares the bytes of every kind of datagram, the effect of each on its receiver, and all
+//! outputs of simulated fleets with data that an earlier version of this crate wrote
 //! (`tests/data/`).
 //!
-//! Where a test fails, what this version writes lies in cargo's directory for test output, for
+//! If a test fails, the data of the current version is in cargo's directory for test output, for
 //! comparison.
 #![expect(
     clippy::expect_used,
@@ -15,7 +15,7 @@
 mod simulation;
 
 use captured::{Captured, bytes_from_hex};
-use scenarios::{large_fleet, small_fleet};
+use scenarios::{large_simulation, small_simulation};
 use simulation::EPOCH_MS;
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -23,11 +23,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-const SMALL_FLEET_END: Duration = Duration::from_secs(160);
-const SMALL_FLEET_SEEDS: [u64; 3] = [1, 2, 3];
-const LARGE_FLEET_END: Duration = Duration::from_secs(24);
-/// The crate's own messages, by position.
-const OWN_MESSAGES: u8 = 9;
+const SMALL_SIMULATION_END: Duration = Duration::from_secs(160);
+const SMALL_SIMULATION_SEEDS: [u64; 3] = [1, 2, 3];
+const LARGE_SIMULATION_END: Duration = Duration::from_secs(24);
+/// The number of kinds of messages of this crate.
+const OWN_MESSAGE_COUNT: u8 = 9;
 const SWIM_MESSAGES: [&str; 10] = [
     "ping",
     "ack",
@@ -41,50 +41,51 @@
     "turn-undead",
 ];
 
-/// Compares text with a committed file; a difference leaves the text beside the other test output.
+/// Asserts that a text equals a committed file. If it differs, writes the text to cargo's directory
+/// for test output.
 fn assert_matches_file(file: &str, actual: &str) {
     let committed = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/data")
         .join(file);
     let expected = fs::read_to_string(&committed).unwrap_or_default();
     if actual != expected {
-        let written = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
-        fs::write(&written, actual).expect("the directory for test output can be written");
+        let output_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
+        fs::write(&output_path, actual).expect("the directory for test output can be written");
         let difference = actual
             .lines()
             .zip(expected.lines())
             .find(|(actual, expected)| actual != expected);
         panic!(
-            "{file} differs from {}: first {difference:?}",
-            written.display()
+            "{file} differs from {}; first different lines (actual, expected): {difference:?}",
+            output_path.display()
         );
     }
 }
 
 #[test]
-fn every_kind_of_datagram_is_written_byte_for_byte_as_before() {
-    let mut simulation = small_fleet(SMALL_FLEET_SEEDS[0]);
-    simulation.run_until(SMALL_FLEET_END);
-    let own = (0..OWN_MESSAGES).map(|position| format!("own-{position}"));
+fn every_kind_of_datagram_is_encoded_byte_for_byte_as_committed() {
+    let mut simulation = small_simulation(SMALL_SIMULATION_SEEDS[0]);
+    simulation.run_until(SMALL_SIMULATION_END);
+    let own = (0..OWN_MESSAGE_COUNT).map(|position| format!("own-{position}"));
     let swim = SWIM_MESSAGES.iter().map(|kind| format!("swim-{kind}"));
     let kinds: BTreeSet<String> = own.chain(swim).collect();
     let captured: BTreeSet<String> = simulation
         .captured
         .iter()
-        .map(|one| one.kind.clone())
+        .map(|datagram| datagram.kind.clone())
         .collect();
-    assert_eq!(captured, kinds, "the scenario writes every kind");
+    assert_eq!(captured, kinds, "the scenario sends every kind of datagram");
     let lines: String = simulation.captured.iter().map(Captured::line).collect();
     assert_matches_file("datagrams.txt", &lines);
 }
 
-/// The committed datagrams are delivered in place of those written now, to receivers in the state
-/// that they had then.
+/// The committed datagrams are delivered instead of those that the current version encodes, to
+/// receivers in the same state as when they were captured.
 #[test]
-fn every_kind_of_committed_datagram_is_read_with_the_same_effect() {
+fn every_kind_of_committed_datagram_has_the_committed_effect() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/datagrams.txt");
     let committed = fs::read_to_string(file).expect("the committed datagrams can be read");
-    let mut simulation = small_fleet(SMALL_FLEET_SEEDS[0]);
+    let mut simulation = small_simulation(SMALL_SIMULATION_SEEDS[0]);
     for fixture in committed.lines() {
         let fields: Vec<&str> = fixture.split(' ').collect();
         let send_number = fields[1].parse().expect("a number");
@@ -92,8 +93,11 @@
             .replacements
             .insert(send_number, bytes_from_hex(fields[4]));
     }
-    simulation.run_until(SMALL_FLEET_END);
-    assert!(simulation.replacements.is_empty(), "all were delivered");
+    simulation.run_until(SMALL_SIMULATION_END);
+    assert!(
+        simulation.replacements.is_empty(),
+        "all committed datagrams are delivered"
+    );
     for (captured, fixture) in simulation.captured.iter().zip(committed.lines()) {
         assert_eq!(captured.line().trim_end(), fixture);
     }
@@ -101,11 +105,11 @@
 }
 
 #[test]
-fn simulated_fleets_put_out_exactly_what_they_did_before() {
+fn simulated_fleets_have_the_committed_output_digests() {
     let mut digests = String::new();
-    for seed in SMALL_FLEET_SEEDS {
-        let mut simulation = small_fleet(seed);
-        for end in (10..=SMALL_FLEET_END.as_secs()).step_by(10) {
+    for seed in SMALL_SIMULATION_SEEDS {
+        let mut simulation = small_simulation(seed);
+        for end in (10..=SMALL_SIMULATION_END.as_secs()).step_by(10) {
             simulation.run_until(Duration::from_secs(end));
             let (count, digest) = (simulation.log().output_count(), simulation.log().digest());
             writeln!(digests, "small {seed} {end} {count} {digest:016x}")
@@ -119,17 +123,17 @@
         );
         assert!(
             simulation.log().superseded_count > 0,
-            "a restart with its clock set back takes its name"
+            "a process whose clock was set back supersedes its previous incarnation"
         );
         assert!(
             simulation.log().yielded_count > 0,
             "a process yields its name"
         );
-        let settled = simulation.machine(6).expect("it is still there");
+        let settled = simulation.machine(6).expect("the process at peer 6 runs");
         assert!(settled.identity().incarnation >= EPOCH_MS && settled.view().version() > 8);
     }
-    let mut simulation = large_fleet();
-    for end in (3..=LARGE_FLEET_END.as_secs()).step_by(3) {
+    let mut simulation = large_simulation();
+    for end in (3..=LARGE_SIMULATION_END.as_secs()).step_by(3) {
         simulation.run_until(Duration::from_secs(end));
         let (count, digest) = (simulation.log().output_count(), simulation.log().digest());
         writeln!(digests, "large {end} {count} {digest:016x}")
--- a/membership/tests/wire_fixtures/output_log.rs
+++ b/membership/tests/wire_fixtures/output_log.rs
@@ -1,43 +1,43 @@
-//! The log of everything that simulated members put out.
+//! The log of all outputs of the simulated members.
 
 use frostkeel_membership::{DropReason, Identity, MemberState, Membership, Output, Phase};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// A digest of outputs, timers and counters. Enums enter it by position, so that renames leave it
-/// as it is.
+/// A digest of outputs, timeouts and counters. Enum variants are recorded by position, so that
+/// renaming a variant does not change the digest.
 #[derive(Default)]
 pub struct OutputLog {
     hasher: SipHasher13,
     output_count: u64,
-    /// How many outputs report that an earlier incarnation was superseded.
+    /// The number of outputs that report a superseded incarnation.
     pub superseded_count: u64,
-    /// How many outputs report that a process yielded its name.
+    /// The number of outputs that report that a process yielded its name.
     pub yielded_count: u64,
 }
 
-/// A part of the log that is digested by itself.
+/// A section of the log, which has a digest besides that of the entire log.
 pub struct Section {
     outer: SipHasher13,
     first_output: u64,
 }
 
-/// The digest of a section.
+/// The digest of a section, and the number of its outputs.
 pub struct SectionDigest {
-    /// How many outputs it has.
+    /// The number of outputs in the section.
     pub output_count: u64,
-    /// Their digest.
+    /// The digest of all records in the section.
     pub digest: u64,
 }
 
 impl OutputLog {
-    /// The digest of everything so far.
+    /// Returns the digest of all records since the start.
     pub fn digest(&self) -> u64 {
         self.hasher.finish()
     }
 
-    /// How many outputs there were so far.
+    /// Returns the number of outputs since the start.
     pub fn output_count(&self) -> u64 {
         self.output_count
     }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Ends a section and enters its digest into the log.
+    /// Ends a section, and records its digest in the log.
     pub fn end_section(&mut self, section: Section) -> SectionDigest {
         let digest = std::mem::replace(&mut self.hasher, section.outer).finish();
         self.record(&digest.to_le_bytes());
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Enters bytes.
+    /// Records bytes.
     pub fn record(&mut self, bytes: &[u8]) {
         self.hasher.write(bytes);
     }
 
-    /// Enters a member's next timeout, phase, health and counters.
+    /// Records the next timeout, phase, health score and counters of a member.
     pub fn record_status(&mut self, machine: &Membership) {
         let due_ns = machine.next_timeout().map_or(u64::MAX, nanoseconds);
         self.record(&due_ns.to_le_bytes());
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Enters an output of the member at a peer.
+    /// Records an output of the member at a peer.
     pub fn record_output(&mut self, now: Duration, peer: u16, output: &Output) {
         self.output_count += 1;
         self.record(&nanoseconds(now).to_le_bytes());
@@ -145,7 +145,7 @@
     }
 }
 
-/// The position of a reason among all, from 1.
+/// Returns the position of a reason among the variants of [`DropReason`], from 1.
 pub fn drop_position(reason: DropReason) -> u8 {
     match reason {
         DropReason::Malformed => 1,
--- a/membership/tests/wire_fixtures/scenarios.rs
+++ b/membership/tests/wire_fixtures/scenarios.rs
@@ -1,14 +1,14 @@
-//! The scenarios: what happens to simulated fleets from outside.
+//! The scenarios: simulated fleets with the faults that are applied to them.
 
 use crate::simulation::{EPOCH_MS, FLEET, Fault, Simulation, member_name};
 use frostkeel_membership::{Identity, PeerIndex};
 use std::time::Duration;
 
-const SMALL_FLEET: u16 = 8;
-/// Enough members for a node of the hash tree to be compared child by child, and few enough for
-/// digests that are equal on all processors.
-const LARGE_FLEET: u16 = 120;
-const LARGE_FLEET_SEED: u64 = 4;
+const SMALL_MEMBER_COUNT: u16 = 8;
+/// The number of members of the large fleet: enough that nodes of the hash tree below the root are
+/// compared by their children's hashes, and few enough that digests are equal on all processors.
+const LARGE_MEMBER_COUNT: u16 = 120;
+const LARGE_SIMULATION_SEED: u64 = 4;
 
 fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
@@ -23,8 +23,8 @@
     }
 }
 
-/// A datagram of the fleet with a correct checksum over whatever it says.
-fn signed(fleet: &str, message: &[u8]) -> Vec<u8> {
+/// Encodes a datagram with a correct checksum over any bytes as its message.
+fn encode_with_checksum(fleet: &str, message: &[u8]) -> Vec<u8> {
     let mut checksum = crc32fast::Hasher::new();
     checksum.update(fleet.as_bytes());
     checksum.update(message);
@@ -35,32 +35,35 @@
     datagram
 }
 
-/// Datagrams that are dropped, one or more for each reason.
+/// Returns datagrams that are dropped, for all reasons that their bytes can cause.
 fn invalid_datagrams() -> Vec<Vec<u8>> {
     let check = [1, 1, 7];
-    // Of "m1" at another peer, at a peer that does not exist, and with an incarnation from the future.
-    let join = |peer: u8, boot: &[u8]| [&[1, 0, 2, b'm', b'1', peer], boot, &[0, 0]].concat();
-    let mut flipped = signed(FLEET, &check);
+    // Used for requests of "m1" with another peer index than its source, with one that does not
+    // exist, and with an incarnation from the future.
+    let join = |peer: u8, incarnation: &[u8]| {
+        [&[1, 0, 2, b'm', b'1', peer], incarnation, &[0, 0]].concat()
+    };
+    let mut flipped = encode_with_checksum(FLEET, &check);
     flipped[3] ^= 1;
-    let mut other_version = signed(FLEET, &check);
-    other_version[0] = 2;
+    let mut unsupported_version = encode_with_checksum(FLEET, &check);
+    unsupported_version[0] = 2;
     vec![
         Vec::new(),
         vec![1; 257],
         flipped,
-        other_version,
-        signed("other", &check),
-        signed(FLEET, &[1, 99]),
-        signed(FLEET, &join(2, &[1])),
-        signed(FLEET, &join(9, &[1])),
-        signed(
+        unsupported_version,
+        encode_with_checksum("other", &check),
+        encode_with_checksum(FLEET, &[1, 99]),
+        encode_with_checksum(FLEET, &join(2, &[1])),
+        encode_with_checksum(FLEET, &join(9, &[1])),
+        encode_with_checksum(
             FLEET,
             &join(1, &[255, 255, 255, 255, 255, 255, 255, 255, 127]),
         ),
     ]
 }
 
-/// A request to join that a process at a peer would send.
+/// Returns a fault that delivers a join message as a process at the peer `from` would send it.
 fn join(to: u16, from: u16, name: u16, incarnation_ms: u64) -> Fault {
     let (name, peer) = (member_name(name), PeerIndex(from));
     let id = Identity {
@@ -74,12 +77,12 @@
     Fault::Inject {
         to,
         from,
-        datagram: signed(FLEET, &[&[1, 0], &id[..]].concat()),
+        datagram: encode_with_checksum(FLEET, &[&[1, 0], &id[..]].concat()),
     }
 }
 
-/// More requests to join than are responded to, over ten seconds, and more claims to a name than
-/// a process that has just started may supersede.
+/// Returns more join messages over ten seconds than the receiver may respond to, and more claims to
+/// a name than a process that has just started may supersede.
 fn join_storms() -> impl Iterator<Item = (Duration, Fault)> {
     let at =
         |start, step_ms: u64, index: u64| seconds(start) + Duration::from_millis(step_ms * index);
@@ -89,28 +92,34 @@
     requests.chain(claims)
 }
 
-/// Links that are cut for a while: three in one direction, and then all of one member.
+/// Returns faults that block links temporarily: three links in one direction each, and later all
+/// links of one member.
 fn link_faults() -> Vec<(Duration, Fault)> {
     let mut faults = Vec::new();
-    let link = |from, to| (Fault::Cut { from, to }, Fault::Heal { from, to });
+    let link = |from, to| {
+        (
+            Fault::BlockLink { from, to },
+            Fault::UnblockLink { from, to },
+        )
+    };
     for (from, to) in [(1, 2), (2, 1), (4, 5)] {
-        let (cut, heal) = link(from, to);
-        faults.extend([(seconds(8), cut), (seconds(18), heal)]);
+        let (block, unblock) = link(from, to);
+        faults.extend([(seconds(8), block), (seconds(18), unblock)]);
     }
-    let isolated = (0..SMALL_FLEET)
+    let isolated = (0..SMALL_MEMBER_COUNT)
         .filter(|other| *other != 3)
         .flat_map(|other| [(3, other), (other, 3)]);
     for (from, to) in isolated {
-        let (cut, heal) = link(from, to);
-        faults.extend([(seconds(40), cut), (seconds(52), heal)]);
+        let (block, unblock) = link(from, to);
+        faults.extend([(seconds(40), block), (seconds(52), unblock)]);
     }
     faults
 }
 
-/// Kills, restarts, leaves, name conflicts, pauses, cut links, loss and invalid datagrams among
-/// eight members.
-fn small_fleet_faults() -> Vec<(Duration, Fault)> {
-    let mut faults: Vec<(Duration, Fault)> = (0..SMALL_FLEET - 1)
+/// Returns the kills, restarts, leaves, name conflicts, pauses, blocked links, lost and invalid
+/// datagrams of the small fleet.
+fn small_simulation_faults() -> Vec<(Duration, Fault)> {
+    let mut faults: Vec<(Duration, Fault)> = (0..SMALL_MEMBER_COUNT - 1)
         .map(|peer| {
             (
                 Duration::from_millis(130 * u64::from(peer)),
@@ -143,10 +152,11 @@
         (seconds(38), Fault::Resume(4)),
         (seconds(56), Fault::Pause(6)),
         (seconds(68), Fault::Resume(6)),
-        // The clock was set back: an earlier incarnation than before.
+        // The clock was set back, so the incarnation is earlier than the previous one.
         (seconds(70), Fault::Kill(1)),
         (seconds(71), start(1, 1, 0, false)),
-        // A later process takes the name of a living one, and an earlier one comes back with it.
+        // A later process claims the name of a live one. Then an earlier incarnation of that name
+        // starts again.
         (seconds(76), Fault::Kill(7)),
         (seconds(80), start(7, 0, 80_000, false)),
         (seconds(86), Fault::Kill(0)),
@@ -161,15 +171,15 @@
     faults
 }
 
-/// Eight members under [`small_fleet_faults`].
-pub fn small_fleet(seed: u64) -> Simulation {
-    Simulation::new(SMALL_FLEET, seed, small_fleet_faults())
+/// Creates a fleet of eight members with the faults of [`small_simulation_faults`].
+pub fn small_simulation(seed: u64) -> Simulation {
+    Simulation::new(SMALL_MEMBER_COUNT, seed, small_simulation_faults())
 }
 
-/// Many members that start at once, know nobody and lose a tenth of their datagrams; some are
-/// killed.
-pub fn large_fleet() -> Simulation {
-    let mut faults: Vec<(Duration, Fault)> = (0..LARGE_FLEET)
+/// Creates a fleet of 120 members that start within 0.6 s without knowing each other and lose a
+/// tenth of their datagrams. A third of them is killed after 12 s.
+pub fn large_simulation() -> Simulation {
+    let mut faults: Vec<(Duration, Fault)> = (0..LARGE_MEMBER_COUNT)
         .map(|peer| {
             (
                 Duration::from_millis(5 * u64::from(peer)),
@@ -179,5 +189,5 @@
         .collect();
     faults.push((Duration::ZERO, Fault::Loss(10)));
     faults.extend((0..40).map(|peer| (seconds(12), Fault::Kill(peer))));
-    Simulation::new(LARGE_FLEET, LARGE_FLEET_SEED, faults)
+    Simulation::new(LARGE_MEMBER_COUNT, LARGE_SIMULATION_SEED, faults)
 }
--- a/membership/tests/wire_fixtures/simulation.rs
+++ b/membership/tests/wire_fixtures/simulation.rs
@@ -1,9 +1,8 @@
 //! A fleet of membership state machines in simulated time.
 //!
-//! All of it is deterministic: equal seeds give equal runs. Chance and time are integers here. The
-//! one floating-point function of the crate whose result may differ between processors (`log10`)
-//! only has an effect with more than 128 members, so that digests of smaller fleets are the same
-//! on all of them.
+//! Equal seeds give equal runs; random values and times are integers. The crate's only
+//! floating-point function whose result may differ between processors, `log10`, has an effect only
+//! with more than 128 members, so the digests of smaller fleets are the same on all processors.
 
 use crate::captured::{Captured, kind_of};
 use crate::output_log::{OutputLog, SectionDigest, drop_position};
@@ -18,16 +17,17 @@
 pub const FLEET: &str = "fixture";
 /// Unix time of the start of the simulation, in milliseconds.
 pub const EPOCH_MS: u64 = 1_700_000_000_000;
-/// What a datagram takes: at least, and more by chance.
+/// The minimum delay of a datagram; a random value below `MAX_EXTRA_DELAY_US` is added.
 const MIN_DELAY_US: u64 = 300;
 const MAX_EXTRA_DELAY_US: u64 = 2_000;
-/// How many delivered datagrams of each kind are captured.
+/// The number of delivered datagrams of each kind that are captured.
 const CAPTURED_PER_KIND: usize = 2;
 
-/// What happens to the fleet from outside.
+/// A change that the scenario makes to the processes or the network.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A process starts at a peer, with or without the members that the one before it knew.
+    /// A process starts at a peer. If `is_restored`, it restores the live members that the previous
+    /// process at this peer knew.
     Start {
         peer: u16,
         name: u16,
@@ -38,17 +38,17 @@
     Kill(u16),
     /// The process at a peer leaves.
     Leave(u16),
-    /// The process at a peer is paused; what arrives waits.
+    /// The process at a peer is paused. Arriving datagrams are delivered when it resumes.
     Pause(u16),
     /// A paused process resumes.
     Resume(u16),
-    /// Nothing passes from one peer to another any more.
-    Cut { from: u16, to: u16 },
-    /// Datagrams pass again.
-    Heal { from: u16, to: u16 },
-    /// So many percent of all datagrams are lost.
+    /// All datagrams that one peer sends to another from now on are lost.
+    BlockLink { from: u16, to: u16 },
+    /// Datagrams that one peer sends to another are delivered again.
+    UnblockLink { from: u16, to: u16 },
+    /// The given percentage of all datagrams is lost.
     Loss(u32),
-    /// A datagram arrives that nobody sent.
+    /// A datagram arrives that no process sent.
     Inject {
         to: u16,
         from: u16,
@@ -73,17 +73,18 @@
     Fault(usize),
 }
 
-/// A process and what waits for it.
+/// The state of one peer: its process, if one runs, and the events that are deferred while the
+/// process is paused.
 #[derive(Default)]
 struct Process {
     machine: Option<Membership>,
     generation: u32,
     is_paused: bool,
-    waiting: Vec<Event>,
+    deferred_events: Vec<Event>,
     persisted: Vec<Identity>,
 }
 
-/// The simulated fleet.
+/// The simulated fleet: its processes, its links and the pending events.
 pub struct Simulation {
     now: Duration,
     processes: Vec<Process>,
@@ -91,22 +92,22 @@
     next_event_number: u64,
     next_send_number: u64,
     faults: Vec<Fault>,
-    cut: HashSet<(u16, u16)>,
+    blocked_links: HashSet<(u16, u16)>,
     loss_percent: u32,
     rng: StdRng,
     seed: u64,
     log: OutputLog,
-    /// Delivered datagrams, the first of each kind.
+    /// The first delivered datagrams of each kind.
     pub captured: Vec<Captured>,
     captured_per_kind: BTreeMap<String, usize>,
-    /// Delivered in place of the datagram with the same number.
+    /// The datagrams to deliver instead of those sent, by the number of the sent datagram.
     pub replacements: BTreeMap<u64, Vec<u8>>,
-    /// Datagrams dropped, by the position of the reason.
+    /// The number of dropped datagrams, by the position of the reason (see [`drop_position`]).
     pub drops: BTreeMap<u8, u64>,
 }
 
 impl Simulation {
-    /// A fleet of so many peers, at which no process runs yet.
+    /// Creates a fleet of `peer_count` peers at which no process runs yet.
     pub fn new(peer_count: u16, seed: u64, faults: Vec<(Duration, Fault)>) -> Self {
         let mut simulation = Self {
             now: Duration::ZERO,
@@ -115,7 +116,7 @@
             next_event_number: 0,
             next_send_number: 0,
             faults: Vec::new(),
-            cut: HashSet::new(),
+            blocked_links: HashSet::new(),
             loss_percent: 0,
             rng: StdRng::seed_from_u64(seed),
             seed,
@@ -132,7 +133,7 @@
         simulation
     }
 
-    /// Runs until a time.
+    /// Processes all events until a time, inclusive.
     pub fn run_until(&mut self, end: Duration) {
         while self
             .queue
@@ -145,19 +146,19 @@
             self.now = at;
             match event {
                 Event::Arrival { .. } => self.deliver(event),
-                Event::Timeout { peer, generation } => self.time_out(peer, generation),
+                Event::Timeout { peer, generation } => self.handle_timeout_event(peer, generation),
                 Event::Fault(index) => self.apply(self.faults[index].clone()),
             }
         }
         self.now = end;
     }
 
-    /// Everything put out so far.
+    /// Returns the log of all outputs since the start.
     pub fn log(&self) -> &OutputLog {
         &self.log
     }
 
-    /// The machine at a peer.
+    /// Returns the state machine at a peer; `None` if no process runs there.
     pub fn machine(&self, peer: u16) -> Option<&Membership> {
         self.processes[usize::from(peer)].machine.as_ref()
     }
@@ -176,27 +177,27 @@
                 incarnation_ms,
                 is_restored,
             } => self.start(peer, name, incarnation_ms, is_restored),
-            Fault::Kill(peer) => self.end(peer),
+            Fault::Kill(peer) => self.end_process(peer),
             Fault::Leave(peer) => {
                 let now = self.now;
                 if let Some(machine) = &mut self.processes[usize::from(peer)].machine {
                     machine.leave(now);
-                    self.carry_out(peer);
+                    self.process_outputs(peer);
                 }
-                self.end(peer);
+                self.end_process(peer);
             }
             Fault::Pause(peer) => self.processes[usize::from(peer)].is_paused = true,
             Fault::Resume(peer) => {
                 let process = &mut self.processes[usize::from(peer)];
                 process.is_paused = false;
                 let generation = process.generation;
-                for event in std::mem::take(&mut process.waiting) {
+                for event in std::mem::take(&mut process.deferred_events) {
                     self.deliver(event);
                 }
-                self.time_out(peer, generation);
+                self.handle_timeout_event(peer, generation);
             }
-            Fault::Cut { from, to } => drop(self.cut.insert((from, to))),
-            Fault::Heal { from, to } => drop(self.cut.remove(&(from, to))),
+            Fault::BlockLink { from, to } => drop(self.blocked_links.insert((from, to))),
+            Fault::UnblockLink { from, to } => drop(self.blocked_links.remove(&(from, to))),
             Fault::Loss(percent) => self.loss_percent = percent,
             Fault::Inject { to, from, datagram } => {
                 self.deliver(Event::Arrival {
@@ -235,21 +236,21 @@
             machine.restore(self.now, std::mem::take(&mut process.persisted).into_iter());
         }
         process.machine = Some(machine);
-        self.carry_out(peer);
+        self.process_outputs(peer);
     }
 
-    fn end(&mut self, peer: u16) {
+    fn end_process(&mut self, peer: u16) {
         let process = &mut self.processes[usize::from(peer)];
         if let Some(machine) = process.machine.take() {
-            let present = machine
+            let live = machine
                 .view()
                 .members()
                 .filter(|member| member.state.is_live());
-            process.persisted = present.map(|member| member.id).collect();
+            process.persisted = live.map(|member| member.id).collect();
         }
         process.generation += 1;
         process.is_paused = false;
-        process.waiting.clear();
+        process.deferred_events.clear();
     }
 
     fn deliver(&mut self, event: Event) {
@@ -264,7 +265,7 @@
         };
         let (now, process) = (self.now, &mut self.processes[usize::from(to)]);
         if process.is_paused {
-            process.waiting.push(event);
+            process.deferred_events.push(event);
             return;
         }
         let Some(machine) = &mut process.machine else {
@@ -276,7 +277,7 @@
             *self.drops.entry(result).or_default() += 1;
         }
         let section = self.log.begin_section();
-        self.carry_out(to);
+        self.process_outputs(to);
         let outputs = self.log.end_section(section);
         self.log.record(&[result]);
         if send_number < u64::MAX && result == 0 {
@@ -321,7 +322,7 @@
         });
     }
 
-    fn time_out(&mut self, peer: u16, generation: u32) {
+    fn handle_timeout_event(&mut self, peer: u16, generation: u32) {
         let (now, process) = (self.now, &mut self.processes[usize::from(peer)]);
         if process.is_paused || process.generation != generation {
             return;
@@ -331,12 +332,12 @@
         };
         if machine.next_timeout().is_some_and(|due| due <= now) {
             machine.handle_timeout(now);
-            self.carry_out(peer);
+            self.process_outputs(peer);
         }
     }
 
-    /// Records and carries out what a machine has put out, and sets its next timeout.
-    fn carry_out(&mut self, peer: u16) {
+    /// Records the outputs of a state machine, sends its datagrams, and schedules its next timeout.
+    fn process_outputs(&mut self, peer: u16) {
         let index = usize::from(peer);
         while let Some(output) = self.processes[index]
             .machine
@@ -365,7 +366,7 @@
         self.next_send_number += 1;
         let is_lost = self.rng.random_range(0..100) < self.loss_percent;
         let delay_us = MIN_DELAY_US + self.rng.random_range(0..MAX_EXTRA_DELAY_US);
-        if is_lost || self.cut.contains(&(from, to)) {
+        if is_lost || self.blocked_links.contains(&(from, to)) {
             return;
         }
         let datagram = self.replacements.remove(&send_number).unwrap_or(datagram);
@@ -382,8 +383,8 @@
     }
 }
 
-/// The name of a member: as long as names can be, so that not all members of a comparison fit into
-/// a datagram.
+/// Returns the name of a member. It has the maximum length, so that not all members of a comparison
+/// fit into one datagram.
 pub fn member_name(number: u16) -> Name {
     Name::new(&format!("member-{number:09}")).expect("a name")
 }
