--- a/membership/fuzz/fuzz_targets/datagram.rs
+++ b/membership/fuzz/fuzz_targets/datagram.rs
@@ -1,6 +1,7 @@
-//! Arbitrary bytes as datagrams: the state machine neither panics nor remembers more members than
-//! it may. The test `a_million_mutated_datagrams_cause_no_panic_and_no_unbounded_growth` does the
-//! same with mutations that get past the checksum.
+//! Passes arbitrary bytes as datagrams to the state machine, which must neither panic nor remember
+//! more members than its maximum. The test
+//! `a_million_mutated_datagrams_cause_no_panic_and_no_unbounded_growth` does the same with mutated
+//! datagrams that pass the checksum.
 #![no_main]
 
 use frostkeel_membership::{Config, MAX_DATAGRAM_LEN, Membership, Name, Output, PeerIndex};
@@ -9,7 +10,7 @@
 
 const PEER_COUNT: u16 = 4;
 const MAX_MEMBERS: usize = 8;
-/// Between two datagrams.
+/// The simulated time between two datagrams.
 const INTERVAL: Duration = Duration::from_millis(100);
 
 fuzz_target!(|datagrams: Vec<Vec<u8>>| {
