--- a/membership/tests/state_machine/datagrams.rs
+++ b/membership/tests/state_machine/datagrams.rs
@@ -1,6 +1,8 @@
 //! Tests with datagrams that are invalid or were corrupted in transit.
 
-use crate::support::{FLEET, MAX_MEMBERS, PEER_COUNT, correct_checksum, gossip, identity, member};
+use crate::support::{
+    FLEET, MAX_MEMBERS, PEER_COUNT, correct_checksum, encode_gossip, identity, new_membership,
+};
 use foca::{Member, State};
 use frostkeel_membership::wire::{self, Message};
 use frostkeel_membership::{
@@ -12,16 +14,16 @@
 
 #[test]
 fn invalid_datagrams_are_dropped_and_counted_by_reason() {
-    let mut receiver = member(0);
-    let valid = gossip(identity(1, 0), receiver.identity(), &[]);
+    let mut receiver = new_membership(0);
+    let valid = encode_gossip(identity(1, 0), receiver.identity(), &[]);
     let mut foreign_fleet = valid.clone();
     foreign_fleet[2] = b'T';
     let unsupported_version = [&[9], &valid[1..]].concat();
     let mut flipped_bit = valid.clone();
     *flipped_bit.last_mut().expect("a byte") ^= 1;
     let unknown_peer = [Member::alive(identity(9, 0))];
-    let unknown_peer = gossip(identity(1, 0), receiver.identity(), &unknown_peer);
-    let future_incarnation = gossip(identity(1, 1 << 40), receiver.identity(), &[]);
+    let unknown_peer = encode_gossip(identity(1, 0), receiver.identity(), &unknown_peer);
+    let future_incarnation = encode_gossip(identity(1, 1 << 40), receiver.identity(), &[]);
     let too_long = vec![1; MAX_DATAGRAM_LEN + 1];
     for (datagram, source, reason) in [
         (&foreign_fleet, 1, DropReason::ForeignFleet),
@@ -78,8 +80,8 @@
     let [join, check_ack, members, hashes] =
         messages.map(|message| wire::encode_message(FLEET, &message));
     [
-        gossip(from, receiver, &updates),
-        gossip(from, receiver, &updates[..1]),
+        encode_gossip(from, receiver, &updates),
+        encode_gossip(from, receiver, &updates[..1]),
         join,
         check_ack,
         members,
@@ -110,7 +112,7 @@
 #[test]
 fn a_million_mutated_datagrams_cause_no_panic_and_no_unbounded_growth() {
     let mut rng = StdRng::seed_from_u64(11);
-    let mut receiver = member(0);
+    let mut receiver = new_membership(0);
     let seeds = mutation_seeds(receiver.identity());
     let mut now = Duration::from_secs(1);
     for round in 0..1_000_000 {
@@ -129,7 +131,7 @@
         }
         check_outputs(&mut receiver);
         if receiver.phase() != Phase::Member {
-            receiver = member(0);
+            receiver = new_membership(0);
         }
         assert!(receiver.view().len() <= MAX_MEMBERS + 1);
     }
--- a/membership/tests/state_machine/name_conflicts.rs
+++ b/membership/tests/state_machine/name_conflicts.rs
@@ -1,6 +1,6 @@
 //! Tests of conflicts between two processes that claim the same name.
 
-use crate::support::{BASE_INCARNATION, FLEET, gossip, identity, member};
+use crate::support::{BASE_INCARNATION, FLEET, encode_gossip, identity, new_membership};
 use foca::Member;
 use frostkeel_membership::wire::{self, Message};
 use frostkeel_membership::{Identity, Membership, Output, PeerIndex, Phase};
@@ -12,7 +12,7 @@
 
 /// Delivers a datagram in which another member reports a claim to the receiver's name.
 fn report_claim(receiver: &mut Membership, now: Duration, claimant: Identity) {
-    let datagram = gossip(
+    let datagram = encode_gossip(
         identity(1, 0),
         receiver.identity(),
         &[Member::alive(claimant)],
@@ -25,7 +25,7 @@
 /// The earlier incarnation must report that it yields, and send nothing afterwards.
 #[test]
 fn the_later_incarnation_retains_the_name_and_the_earlier_one_yields() {
-    let mut earlier = member(0);
+    let mut earlier = new_membership(0);
     let later = Identity {
         peer: PeerIndex(5),
         incarnation: BASE_INCARNATION + 60_000,
@@ -49,7 +49,7 @@
 /// limited.
 #[test]
 fn a_restart_with_a_clock_set_back_supersedes_its_earlier_incarnation() {
-    let mut restarted = member(0);
+    let mut restarted = new_membership(0);
     let previous = Identity {
         incarnation: BASE_INCARNATION + 60_000,
         ..restarted.identity()
--- a/membership/tests/state_machine/support.rs
+++ b/membership/tests/state_machine/support.rs
@@ -31,7 +31,7 @@
 }
 
 /// Creates a state machine that starts at time zero.
-pub fn member(number: u16) -> Membership {
+pub fn new_membership(number: u16) -> Membership {
     let config = Config {
         fleet: FLEET.into(),
         name: name(number),
@@ -46,7 +46,7 @@
 }
 
 /// Encodes a gossip datagram.
-pub fn gossip(from: Identity, to: Identity, updates: &[Member<Identity>]) -> Vec<u8> {
+pub fn encode_gossip(from: Identity, to: Identity, updates: &[Member<Identity>]) -> Vec<u8> {
     let mut payload = Vec::new();
     let header = Header {
         src: from,
--- a/membership/tests/state_machine/view.rs
+++ b/membership/tests/state_machine/view.rs
@@ -1,6 +1,6 @@
 //! Tests of the view: convergence and versions.
 
-use crate::support::{gossip, identity, member, name};
+use crate::support::{encode_gossip, identity, name, new_membership};
 use foca::{Member, State};
 use frostkeel_membership::{Identity, MemberState, Output, PeerIndex};
 use std::time::Duration;
@@ -90,12 +90,12 @@
 fn updates_in_any_order_converge_to_the_same_view() {
     for case in convergence_cases() {
         for order in permutations(&case.updates) {
-            let mut receiver = member(0);
+            let mut receiver = new_membership(0);
             // The first update makes the member known, because the death of an unknown member is
             // not reported.
             let known = case.updates[0].clone();
             for update in std::iter::once(&known).chain(&order).chain(&order[..2]) {
-                let datagram = gossip(
+                let datagram = encode_gossip(
                     identity(1, 0),
                     receiver.identity(),
                     std::slice::from_ref(update),
@@ -113,10 +113,10 @@
 
 #[test]
 fn each_view_change_is_reported_and_increments_the_version() {
-    let mut receiver = member(0);
+    let mut receiver = new_membership(0);
     for number in 1..6 {
         let update = Member::alive(identity(number + 1, 0));
-        let datagram = gossip(identity(number, 0), receiver.identity(), &[update]);
+        let datagram = encode_gossip(identity(number, 0), receiver.identity(), &[update]);
         let received =
             receiver.handle_datagram(Duration::from_secs(1), PeerIndex(number), &datagram);
         received.expect("a valid datagram");
