--- a/membership/src/counters.rs
+++ b/membership/src/counters.rs
@@ -1,4 +1,5 @@
-//! Counters of traffic, dropped datagrams and self-observations.
+//! Counters of traffic, dropped datagrams, and what a process observes about itself: refutations
+//! and pauses.
 
 use crate::wire::DropReason;
 use serde::Serialize;
--- a/membership/src/membership/neighbor_monitor.rs
+++ b/membership/src/membership/neighbor_monitor.rs
@@ -22,9 +22,9 @@
 enum MonitorAction {
     /// Begin a check of the current neighbor.
     BeginCheck,
-    /// Send the check again, directly and through another member.
+    /// Send the check to the target again, and request an indirect check from another member.
     RetryCheck { target: Identity, nonce: u32 },
-    /// Suspect the neighbor.
+    /// Suspect the neighbor, which acknowledged none of the attempts.
     Suspect(Identity),
 }
 
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -58,7 +58,7 @@
     pub reported_by: Option<Name>,
 }
 
-/// A change of the view.
+/// A change of the identity or state of one member in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewChange {
     /// The version of the view after the change.
