--- a/membership/tests/state_machine/view.rs
+++ b/membership/tests/state_machine/view.rs
@@ -1,18 +1,18 @@
-//! The view: convergence and versions.
+//! Tests of the view: convergence and versions.
 
-use crate::support::{gossip, identity, member, name};
+use crate::support::{encode_gossip, identity, name, new_membership};
 use foca::{Member, State};
 use frostkeel_membership::{Identity, MemberState, Output, PeerIndex};
 use std::time::Duration;
 
-/// Updates, and the identity and state of the member that they are about in the end.
+/// Updates about one member, and the identity and state of that member after all of them.
 struct Case {
     updates: Vec<Member<Identity>>,
     final_id: Identity,
     final_state: MemberState,
 }
 
-/// All orders of a sequence.
+/// Returns all permutations of a sequence.
 fn permutations<T: Clone>(items: &[T]) -> Vec<Vec<T>> {
     if items.is_empty() {
         return vec![Vec::new()];
@@ -31,7 +31,7 @@
 
 fn convergence_cases() -> [Case; 4] {
     let (earlier, later) = (identity(3, 1), identity(3, 2));
-    let left = Identity {
+    let leaving = Identity {
         is_leaving: true,
         ..earlier
     };
@@ -62,11 +62,11 @@
             updates: vec![
                 Member::new(earlier, 0, State::Alive),
                 Member::new(earlier, 1, State::Suspect),
-                Member::new(left, 0, State::Down),
+                Member::new(leaving, 0, State::Down),
                 Member::new(earlier, 7, State::Alive),
                 Member::new(earlier, 7, State::Down),
             ],
-            final_id: left,
+            final_id: leaving,
             final_state: MemberState::Left,
         },
         Case {
@@ -75,7 +75,7 @@
                 Member::new(later, 0, State::Alive),
                 Member::new(later, 0, State::Suspect),
                 Member::new(later, 0, State::Down),
-                Member::new(left, 0, State::Down),
+                Member::new(leaving, 0, State::Down),
             ],
             final_id: later,
             final_state: MemberState::Dead,
@@ -83,18 +83,19 @@
     ]
 }
 
-/// Guards that updates in any order, each received once or several times, end in the same view: the
-/// later incarnation wins, dead wins over alive within one incarnation, and an older update never
-/// undoes a leave.
+/// Updates in any order, each received once or several times, must result in the same view. The
+/// later incarnation takes precedence, dead takes precedence over alive within one incarnation, and
+/// an older update never reverts a leave.
 #[test]
 fn updates_in_any_order_converge_to_the_same_view() {
     for case in convergence_cases() {
         for order in permutations(&case.updates) {
-            let mut receiver = member(0);
-            // The member is made known first: the death of an unknown member is not reported.
+            let mut receiver = new_membership(0);
+            // The first update makes the member known, because the death of an unknown member is
+            // not reported.
             let known = case.updates[0].clone();
             for update in std::iter::once(&known).chain(&order).chain(&order[..2]) {
-                let datagram = gossip(
+                let datagram = encode_gossip(
                     identity(1, 0),
                     receiver.identity(),
                     std::slice::from_ref(update),
@@ -112,10 +113,10 @@
 
 #[test]
 fn each_view_change_is_reported_and_increments_the_version() {
-    let mut receiver = member(0);
+    let mut receiver = new_membership(0);
     for number in 1..6 {
         let update = Member::alive(identity(number + 1, 0));
-        let datagram = gossip(identity(number, 0), receiver.identity(), &[update]);
+        let datagram = encode_gossip(identity(number, 0), receiver.identity(), &[update]);
         let received =
             receiver.handle_datagram(Duration::from_secs(1), PeerIndex(number), &datagram);
         received.expect("a valid datagram");
