--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -6,15 +6,15 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a store could not be opened, or why a commit failed.
+/// The reason why a store could not be opened, or why a commit failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The folder or the file in it cannot be created or opened.
+    /// The store's folder or the file in it cannot be created or opened.
     #[error(
         "{path}: {source}; the folder has to be there and this process has to be able to write to it"
     )]
     Folder {
-        /// The folder.
+        /// The path of the store's folder.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
@@ -28,52 +28,53 @@
         .found.process, .found.fleet, .expected.process, .expected.fleet
     )]
     Foreign {
-        /// The store's file.
+        /// The path of the store's file.
         path: PathBuf,
-        /// The owner that is recorded in it.
+        /// The owner that is recorded in the store.
         found: Owner,
-        /// The owner that tried to open it.
+        /// The owner that tried to open the store.
         expected: Owner,
     },
-    /// The store was written by a later version of the program.
+    /// The store was created by a newer version of the program, with a format version that this
+    /// program does not support.
     #[error(
-        "{path}: form {found} is newer than this program's ({FORMAT_VERSION}): use the program that wrote it"
+        "{path}: format version {found} is newer than {FORMAT_VERSION}, the latest one that this program supports; use the version of the program that created the store"
     )]
     NewerFormat {
-        /// The store's file.
+        /// The path of the store's file.
         path: PathBuf,
-        /// The format version that is recorded in it.
+        /// The format version that is recorded in the store.
         found: u64,
     },
-    /// The file cannot be read.
+    /// The file cannot be opened as a database, or its content cannot be read.
     #[error(
         "{path}: {source}; restore it from a copy, or move it away to begin with an empty list"
     )]
     Damaged {
-        /// The store's file.
+        /// The path of the store's file.
         path: PathBuf,
-        /// The error of the database.
+        /// The error that the database reported.
         source: Box<redb::Error>,
     },
     /// The disk is full. Nothing was written; later commits may succeed.
-    #[error("no room on the disk: free some")]
+    #[error("the disk is full; free some space on it")]
     DiskFull,
-    /// A commit failed: it is unknown what was written, and no other commit may follow.
+    /// A commit failed. It is unknown what was written, so the store rejects all later commits.
     #[error(
-        "not written: {path}: {source}; nothing is known of what was, so this process has to end and open it anew"
+        "{path}: commit failed: {source}; it is unknown what was written, so restart this process to reopen the store"
     )]
     CommitFailed {
-        /// The store's file.
+        /// The path of the store's file.
         path: PathBuf,
-        /// The error of the database.
+        /// The error that the database reported.
         source: Box<redb::Error>,
     },
-    /// An earlier commit failed, so this one was not tried.
+    /// The commit was not attempted, because an earlier one failed.
     #[error(
-        "not written: {path}: an earlier write has failed; nothing is known of what was, so this process has to end and open it anew"
+        "{path}: commit rejected because an earlier one failed; it is unknown what the earlier one wrote, so restart this process to reopen the store"
     )]
     FailedEarlier {
-        /// The store's file.
+        /// The path of the store's file.
         path: PathBuf,
     },
 }
@@ -87,7 +88,7 @@
     }
 }
 
-/// Any error of the database. It is boxed, as `redb`'s errors are large.
+/// Any error of the database. It is boxed because `redb`'s errors are large.
 #[derive(Debug)]
 pub(crate) struct DatabaseFailure(Box<redb::Error>);
 
