--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,13 +1,16 @@
-//! Durable storage of a registry service: records by key, and one revision for all of them.
+//! Durable storage for a registry service: records with unique keys, and one revision for all of
+//! them.
 //!
-//! [`Store::commit`] returns once its changes are durable, and applies all of them or none. A
-//! caller acknowledges a write only after that, and batches the writes that arrive meanwhile into
-//! the next commit.
+//! [`Store::commit`] makes all of its changes durable, or none. The caller acknowledges a write
+//! only after the commit returns, and batches the writes that arrive meanwhile into the next
+//! commit.
 //!
-//! The file is a `redb` database. It carries checksums and falls back to its last complete commit
-//! after a crash. The database is always verified when it is opened: the faster ways to open it
-//! skip the check, and corruption must be detected. After a failed commit the state of the file is
-//! unknown, so the store rejects every later commit and the process has to restart.
+//! The file is a `redb` database, which has checksums and recovers its last complete commit after a
+//! crash. It is verified whenever it is opened, because faster ways to open it do not detect
+//! corruption.
+//!
+//! A commit that finds the disk full writes nothing. After any other failed commit the state of the
+//! file is unknown: later commits are rejected, and the process has to restart.
 
 mod error;
 mod tables;
@@ -19,31 +22,31 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The database's file in the store's folder.
+/// The name of the database's file in the store's folder.
 const FILE_NAME: &str = "list.redb";
 
-/// The process that a store belongs to.
+/// The process that owns a store. The store cannot be opened for another owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
-    /// The name of the fleet.
+    /// The name of the fleet that the process belongs to.
     pub fleet: String,
     /// The name of the process, which stays the same over restarts.
     pub process: String,
 }
 
-/// The effect of a commit on one record.
+/// A change that a commit makes to one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Inserts the record or replaces its value.
     Put {
-        /// The record's key.
+        /// The key of the record to insert or replace.
         key: String,
-        /// The record's new value.
+        /// The value of the record after the commit.
         value: Vec<u8>,
     },
     /// Removes the record, if it exists.
     Delete {
-        /// The record's key.
+        /// The key of the record to remove.
         key: String,
     },
 }
@@ -51,22 +54,22 @@
 /// A stored record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// The record's key.
+    /// The key, which is unique within the store.
     pub key: String,
-    /// The record's value.
+    /// The value from the last commit that changed it.
     pub value: Vec<u8>,
 }
 
-/// The content of a store when it was opened.
+/// The content of a store at the time when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The revision of the last commit.
+    /// The highest revision that was committed, or 0 for a new store.
     pub revision: u64,
     /// The records, in the order of their keys.
     pub records: Vec<StoredRecord>,
 }
 
-/// An open store.
+/// An open store, to which changes can be committed.
 #[derive(Debug)]
 pub struct Store {
     database: Database,
@@ -75,7 +78,8 @@
 }
 
 impl Store {
-    /// Opens the store in a folder. Creates the folder and an empty store if there is none.
+    /// Opens the store in `folder`, and returns it with its content. Creates the folder and an
+    /// empty store if they do not exist.
     pub fn open(folder: &Path, owner: &Owner) -> Result<(Self, Snapshot), StoreError> {
         let folder_error = |source| StoreError::Folder {
             path: folder.to_owned(),
@@ -91,7 +95,7 @@
     }
 
     /// Opens a store on a storage backend, for example one that simulates power losses. `path`
-    /// names it in errors.
+    /// identifies the store in error messages.
     pub fn open_on_backend(
         backend: impl StorageBackend,
         path: PathBuf,
@@ -121,8 +125,9 @@
         ))
     }
 
-    /// Makes all changes durable or none of them. The stored revision never decreases: a lower one
-    /// is ignored.
+    /// Makes all changes durable, or none of them. The stored revision never decreases: if
+    /// `revision` is lower than the stored one, the changes are applied and the stored revision
+    /// stays.
     pub fn commit(&mut self, revision: u64, changes: &[Change]) -> Result<(), StoreError> {
         if self.has_failed {
             return Err(StoreError::FailedEarlier {
--- a/store/src/tables.rs
+++ b/store/src/tables.rs
@@ -1,11 +1,11 @@
-//! The database's tables. Their names and keys are the stored format and must not change.
+//! The database's tables. Their names and keys are part of the stored format and must not change.
 
 use crate::error::{DatabaseFailure, StoreError};
 use crate::{Change, Owner, Snapshot, StoredRecord};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableError};
 use std::path::Path;
 
-/// The version of the stored format. A store with a later one is rejected.
+/// The version of the stored format. A store with a higher version is rejected.
 pub(crate) const FORMAT_VERSION: u64 = 1;
 
 const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
@@ -17,14 +17,14 @@
 const FLEET_KEY: &str = "fleet";
 const PROCESS_KEY: &str = "process";
 
-/// The format and the owner that a store was created with.
+/// The format version and the owner that a store was created with.
 pub(crate) struct Identity {
     format_version: u64,
     owner: Owner,
 }
 
 impl Identity {
-    /// Whether this program and this owner may use the store.
+    /// Checks that this program supports the store's format, and that `expected` owns the store.
     pub(crate) fn check(self, path: &Path, expected: &Owner) -> Result<(), StoreError> {
         if self.format_version > FORMAT_VERSION {
             return Err(StoreError::NewerFormat {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns `None` if the store is new.
+/// Reads the format version and the owner. Returns `None` for a new store, which has no tables.
 pub(crate) fn read_identity(database: &Database) -> Result<Option<Identity>, DatabaseFailure> {
     let transaction = database.begin_read()?;
     let owners = match transaction.open_table(OWNERS) {
@@ -67,7 +67,7 @@
     }))
 }
 
-/// Creates the tables of a new store.
+/// Creates the tables of a new store, which begins at revision 0.
 pub(crate) fn initialize(database: &Database, owner: &Owner) -> Result<(), DatabaseFailure> {
     let transaction = database.begin_write()?;
     {
@@ -98,8 +98,8 @@
     Ok(Snapshot { revision, records })
 }
 
-/// Commits changes in one transaction. The stored revision becomes the higher of the old and the
-/// new one.
+/// Commits `changes` in one transaction. The stored revision becomes `revision`, unless it is
+/// higher already.
 pub(crate) fn write_changes(
     database: &Database,
     revision: u64,
