--- a/store/tests/fixtures.rs
+++ b/store/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Opens folders that revision d26284e wrote, and compares them entry by entry. See
-//! `data/README.md`.
+//! Opens store folders that Git revision d26284e wrote, and compares their entries with the
+//! recorded ones. See `data/README.md`.
 
 #![expect(clippy::expect_used, reason = "a test helper fails by panicking")]
 
@@ -15,8 +15,8 @@
         .join(name)
 }
 
-/// Copies a recorded folder, as opening it writes to it.
-fn copy(recorded: &str, test: &str) -> PathBuf {
+/// Creates a folder with a copy of a recorded one, because opening a store writes to its folder.
+fn prepare_folder(recorded: &str, test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{recorded}"));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
@@ -31,8 +31,8 @@
     }
 }
 
-/// The recorded version and entries: a line `version N`, then a line `KEY<tab>VALUE` for each
-/// entry.
+/// Reads the recorded content: a line `version N` with the revision, then a line `KEY<tab>VALUE`
+/// for each entry.
 fn recorded() -> Snapshot {
     let text = fs::read_to_string(data("records.txt")).expect("the recorded entries");
     let mut lines = text.lines();
@@ -58,7 +58,8 @@
     let recorded = recorded();
     assert_eq!(recorded.records.len(), 10, "recorded entries");
     for folder in FOLDERS {
-        let (_store, found) = Store::open(&copy(folder, "open"), &owner()).expect("opened");
+        let (_store, found) =
+            Store::open(&prepare_folder(folder, "open"), &owner()).expect("opened");
         assert_eq!(found.revision, recorded.revision, "{folder}");
         assert_eq!(found.records.len(), recorded.records.len(), "{folder}");
         for (found, recorded) in found.records.iter().zip(&recorded.records) {
@@ -76,9 +77,9 @@
 }
 
 #[test]
-fn a_recorded_folder_accepts_more_commits() {
+fn a_recorded_folder_accepts_new_commits() {
     for folder in FOLDERS {
-        let copied = copy(folder, "commit");
+        let copied = prepare_folder(folder, "commit");
         let (mut store, mut expected) = Store::open(&copied, &owner()).expect("opened");
         let changes = [
             Change::Put {
@@ -111,7 +112,7 @@
                 fleet: fleet.into(),
                 process: process.into(),
             };
-            match Store::open(&copy(folder, "owner"), &other) {
+            match Store::open(&prepare_folder(folder, "owner"), &other) {
                 Err(StoreError::Foreign {
                     found, expected, ..
                 }) => assert_eq!((found, expected), (owner(), other)),
@@ -131,7 +132,7 @@
         let shown = folder.display().to_string();
         error.replace(&shown, "FOLDER")
     };
-    let folder = copy("closed", "messages");
+    let folder = prepare_folder("closed", "messages");
     let (store, _) = Store::open(&folder, &owner()).expect("opened");
     let in_use = message(&folder, &owner());
     drop(store);
--- a/store/tests/power_loss.rs
+++ b/store/tests/power_loss.rs
@@ -1,6 +1,6 @@
-//! Simulates a power loss at every write and sync of a scripted run, and loses the writes that were
-//! not synced in four ways. Every acknowledged commit must be there, none in part, and no other
-//! content.
+//! Simulates power losses after disk operations of a scripted run, and loses the writes that were
+//! not synced in four ways. After each power loss, the store must contain every acknowledged
+//! commit, no part of an incomplete commit, and no other records.
 
 #![expect(clippy::expect_used, reason = "a test helper fails by panicking")]
 
@@ -19,11 +19,11 @@
     Store::open_on_backend(disk.clone(), "disk".into(), &owner)
 }
 
-/// When a run counts a commit as acknowledged.
+/// The time at which a run counts a commit as acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Acknowledgement {
     AfterCommit,
-    /// A fault of the caller, which the checks must detect.
+    /// The caller acknowledges too early, which the checks must detect.
     BeforeCommit,
 }
 
@@ -31,25 +31,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SyncMode {
     Honored,
-    /// A fault of the disk, which the checks must detect.
+    /// The disk does not make writes durable, which the checks must detect.
     Ignored,
 }
 
-/// Whether power is lost once more while the store recovers.
+/// Whether power is lost a second time, while the store recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RecoveryLoss {
     None,
     Once,
 }
 
-/// A commit that was acknowledged, and the content after it.
+/// An acknowledged commit.
 struct AcknowledgedCommit {
-    /// The number of operations of the disk before the acknowledgement.
+    /// The number of disk operations before the acknowledgement.
     operation_count: usize,
+    /// The content of the store after the commit.
     content: Snapshot,
 }
 
-/// A scripted run.
+/// The disk operations and the acknowledged commits of a scripted run.
 struct Run {
     operations: Vec<Operation>,
     acknowledged: Vec<AcknowledgedCommit>,
@@ -122,8 +123,9 @@
 }
 
 impl Run {
-    /// The contents that a store may have after a power loss: the last acknowledged one, and the
-    /// one after it.
+    /// Returns the contents that the store may have after a power loss that follows
+    /// `operation_count` operations: that of the last acknowledged commit, or that of the commit
+    /// after it, which may already be complete.
     fn permitted_contents(&self, operation_count: usize) -> Vec<&Snapshot> {
         let is_acknowledged =
             |commit: &AcknowledgedCommit| commit.operation_count <= operation_count;
@@ -140,7 +142,7 @@
     }
 }
 
-/// What simulated power losses have shown.
+/// The results of simulated power losses.
 #[derive(Debug, Default)]
 struct Findings {
     loss_count: usize,
@@ -148,12 +150,12 @@
 }
 
 impl Findings {
-    /// Opens the store on a disk, and checks its content.
+    /// Opens the store on `disk`, and records a violation unless its content is a permitted one.
     fn check(&mut self, disk: &RecordingDisk, permitted: &[&Snapshot], context: &str) {
         match open(disk) {
             Ok((_, found)) if permitted.contains(&&found) => {}
             Ok((_, found)) => self.violations.push(format!(
-                "{context}: revision {} after {} was acknowledged",
+                "{context}: the content at revision {} is not permitted after revision {} was acknowledged",
                 found.revision, permitted[0].revision
             )),
             Err(e) => self.violations.push(format!("{context}: {e}")),
@@ -161,7 +163,7 @@
     }
 }
 
-/// Loses power after every `step`th operation, in each mode.
+/// Loses power after every `step`th operation, once in each loss mode.
 fn lose_power(run: &Run, step: usize, sync_mode: SyncMode, recovery: RecoveryLoss) -> Findings {
     let (mut rng, mut findings) = (Rng::with_seed(9), Findings::default());
     let (mut durable, mut synced) = (Vec::new(), 0);
@@ -195,8 +197,8 @@
     findings
 }
 
-/// Loses power once more during the recovery of a store, whose operations are on the `recovered`
-/// disk.
+/// Loses power again, after a random operation of a store's recovery from `image`. The disk
+/// `recovered` has recorded the operations of that recovery.
 fn lose_power_in_recovery(
     image: &[u8],
     recovered: &RecordingDisk,
@@ -218,7 +220,7 @@
     let mode = LOSS_MODES[rng.usize(0..LOSS_MODES.len())];
     let image = image_after_loss(&durable, &operations[synced..=index], mode, rng);
     let disk = RecordingDisk::with_image(image);
-    findings.check(&disk, permitted, &format!("{mode:?} in the recovery"));
+    findings.check(&disk, permitted, &format!("{mode:?} during the recovery"));
 }
 
 #[test]
@@ -229,21 +231,26 @@
     assert!(findings.loss_count > 100, "{}", findings.loss_count);
 }
 
-/// The checks must detect faults.
+/// Tests the checks: they must detect a disk that ignores syncs, and a caller that acknowledges
+/// commits too early.
 #[test]
 fn ignored_syncs_and_early_acknowledgements_are_detected() {
-    let late_run = run(40, Acknowledgement::AfterCommit);
-    let ignored = lose_power(&late_run, 7, SyncMode::Ignored, RecoveryLoss::None);
-    assert!(!ignored.violations.is_empty(), "nothing was ever synced");
+    let correct_run = run(40, Acknowledgement::AfterCommit);
+    let ignored = lose_power(&correct_run, 7, SyncMode::Ignored, RecoveryLoss::None);
+    assert!(
+        !ignored.violations.is_empty(),
+        "a disk that ignores every sync was not detected"
+    );
     let early_run = run(40, Acknowledgement::BeforeCommit);
     let early = lose_power(&early_run, 1, SyncMode::Honored, RecoveryLoss::None);
     assert!(
         !early.violations.is_empty(),
-        "acknowledged before it was written"
+        "a caller that acknowledges before the commit was not detected"
     );
 }
 
-/// The long form, run by hand: every operation of at least 2,000.
+/// The long version of the test, which is started by hand: it loses power after every one of at
+/// least 2,000 operations.
 #[test]
 #[ignore = "takes minutes; cargo test --release -p frostkeel-store -- --ignored"]
 fn acknowledged_commits_survive_a_power_loss_at_every_operation() {
--- a/store/tests/store.rs
+++ b/store/tests/store.rs
@@ -60,7 +60,7 @@
         Err(StoreError::InUse(_))
     ));
     drop(store);
-    let error = Store::open(&folder, &owner("r1")).expect_err("another process's");
+    let error = Store::open(&folder, &owner("r1")).expect_err("the store of another process");
     assert!(error.to_string().contains("belongs to r0"), "{error}");
     fs::write(folder.join("list.redb"), b"no database").expect("written");
     let error = Store::open(&folder, &owner("r0")).expect_err("damaged");
--- a/store/tests/support/simulated_disk.rs
+++ b/store/tests/support/simulated_disk.rs
@@ -1,12 +1,12 @@
-//! A disk in memory that records its operations, and what a power loss leaves of them.
+//! An in-memory disk that records its operations, and the simulated effect of a power loss on them.
 
 use fastrand::Rng;
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The unit of a write that a disk writes as a whole.
-const SECTOR_SIZE: usize = 512;
+/// The number of bytes that a disk writes atomically.
+const SECTOR_SIZE_BYTES: usize = 512;
 
 #[derive(Clone, Debug)]
 pub enum Operation {
@@ -21,7 +21,7 @@
     operations: Vec<Operation>,
 }
 
-/// A disk in memory that records all operations.
+/// An in-memory disk that records its writes, length changes and syncs.
 #[derive(Clone, Debug, Default)]
 pub struct RecordingDisk(Arc<Mutex<DiskState>>);
 
@@ -50,7 +50,8 @@
 
 pub fn execute(image: &mut Vec<u8>, operation: &Operation) {
     match operation {
-        // If the file was not extended, what was written behind its end is lost.
+        // The part of a write beyond the end of the file is dropped: the operation that extended
+        // the file was lost.
         Operation::Write { offset, data } => {
             let offset = *offset as usize;
             let (start, end) = (
@@ -97,14 +98,14 @@
     }
 }
 
-/// How the writes that were not synced are lost.
+/// The way in which a power loss affects the operations that were not synced.
 #[derive(Clone, Copy, Debug)]
 pub enum LossMode {
     AllLost,
     NoneLost,
-    /// Any of them is lost: a later one may be there without an earlier one.
+    /// Random operations are lost, so a later one may be present without an earlier one.
     Reordered,
-    /// Of each of them, any sectors are lost.
+    /// Random sectors of each write are lost.
     Torn,
 }
 
@@ -115,7 +116,8 @@
     LossMode::Torn,
 ];
 
-/// The disk's image after a power loss.
+/// Returns the disk's image after a power loss: `durable`, with the `unsynced` operations that are
+/// not lost in `mode`.
 pub fn image_after_loss(
     durable: &[u8],
     unsynced: &[Operation],
@@ -127,8 +129,8 @@
     match mode {
         LossMode::AllLost => operations.clear(),
         LossMode::NoneLost => {}
-        // In whatever order they are written, a sector never ends with an older content than it
-        // had.
+        // The other operations are executed in their order, because reordering never replaces a
+        // sector's newer content by older content.
         LossMode::Reordered => operations.retain(|_| rng.bool()),
         LossMode::Torn => {
             let sectors = operations.iter().flat_map(split_into_sectors);
@@ -146,10 +148,10 @@
         return vec![operation.clone()];
     };
     let sectors = data
-        .chunks(SECTOR_SIZE)
+        .chunks(SECTOR_SIZE_BYTES)
         .enumerate()
         .map(|(index, sector)| Operation::Write {
-            offset: offset + (index * SECTOR_SIZE) as u64,
+            offset: offset + (index * SECTOR_SIZE_BYTES) as u64,
             data: sector.to_vec(),
         });
     sectors.collect()
