--- a/registry/src/config.rs
+++ b/registry/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of a registry service, in TOML. Its keys are fixed: a field is bound to its
-//! key by a serde rename.
+//! The configuration of a registry service, in TOML. Operators write its keys, which must not
+//! change: a field with another name is bound to its key by a serde rename.
 
 use crate::policy::RegistryPolicy;
 use serde::Deserialize;
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The name of the fleet.
+    /// The name of the fleet, which must not be empty.
     pub fleet: String,
-    /// The name of this process, which stays the same over restarts.
+    /// The name of this process, which must not be empty and stays the same over restarts.
     pub name: String,
     /// The address of the interface for reads and watches.
     #[serde(rename = "read")]
@@ -27,33 +27,35 @@
     /// The address of the interface for writes, status and metrics.
     #[serde(rename = "write")]
     pub write_address: SocketAddr,
-    /// The folder of the store.
+    /// The folder of the store, which is created if it does not exist.
     pub folder: PathBuf,
     /// The limits on concurrent work and on the size of the list.
     #[serde(default)]
     pub limits: Limits,
-    /// How the expiry of leases is enforced.
+    /// The conditions under which an endpoint with an expired lease is removed.
     #[serde(default)]
     pub leases: Leases,
 }
 
-/// The limits on concurrent work and on the size of the list.
+/// The limits on concurrent work and on the size of the list. Each is from 1 to 1,000,000.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// List requests that are served at the same time. More are rejected with 503.
+    /// The maximum number of list requests that are served at the same time. Further ones are
+    /// rejected with 503.
     #[serde(rename = "calls")]
     pub max_concurrent_list_requests: usize,
-    /// Watches that are open at the same time. More are rejected with 503.
+    /// The maximum number of open watches. Further ones are rejected with 503.
     #[serde(rename = "watches")]
     pub max_watches: usize,
-    /// Writes that wait for the disk. More are rejected with 503.
+    /// The maximum number of writes that wait for the disk. Further ones are rejected with 503.
     #[serde(rename = "writes")]
     pub max_pending_writes: usize,
-    /// Endpoints on the list.
+    /// The maximum number of endpoints on the list. Registrations of further ones are rejected with
+    /// 507.
     #[serde(rename = "entries")]
     pub max_endpoints: usize,
-    /// Changes that are retained for watches to resume from.
+    /// The maximum number of changes that are retained for watches to resume from.
     #[serde(rename = "changes")]
     pub max_retained_changes: usize,
 }
@@ -75,14 +77,16 @@
     }
 }
 
-/// How the expiry of leases is enforced.
+/// The conditions under which an endpoint with an expired lease is removed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
-    /// The share of the leases that may expire together. If more do, none is enforced.
+    /// The maximum fraction of all leases that may be expired at the same time, from 0 to 1. If
+    /// more are, no endpoint is removed. One expired lease never exceeds this limit.
     #[serde(rename = "lapse_share")]
     pub max_expired_fraction: f64,
-    /// The seconds after a start or a pause of the service in which no lease is enforced.
+    /// The time after a start or a pause of the service during which no endpoint is removed because
+    /// of its lease, from 0 to 3600 s.
     #[serde(rename = "grace_s")]
     pub grace_period_s: f64,
 }
@@ -101,28 +105,28 @@
     }
 }
 
-/// Why a configuration is invalid.
+/// The reason why a configuration is invalid.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The text is not TOML, or a key or a type is wrong.
+    /// The text is not TOML, a key is missing or unknown, or a value has the wrong type.
     #[error(transparent)]
     Toml(#[from] toml::de::Error),
     /// A limit is out of range.
-    #[error("{key} is {value}: 1 to 1000000 are possible")]
+    #[error("{key} must be between 1 and 1000000, got {value}")]
     Limit {
-        /// The limit's key.
+        /// The key of the limit, with that of its table.
         key: &'static str,
-        /// Its value.
+        /// The rejected value, as it is in the configuration.
         value: usize,
     },
-    /// The share of expired leases is out of range.
-    #[error("leases.lapse_share is {0}: 0 to 1 are possible")]
+    /// The maximum fraction of expired leases is out of range.
+    #[error("leases.lapse_share must be between 0 and 1, got {0}")]
     ExpiredFraction(f64),
     /// The grace period is out of range.
-    #[error("leases.grace_s is {0}: 0 to 3600 are possible")]
+    #[error("leases.grace_s must be between 0 and 3600 s, got {0}")]
     GracePeriod(f64),
-    /// A name is empty.
-    #[error("fleet and name: neither may be empty")]
+    /// The name of the fleet or of the process is empty.
+    #[error("fleet and name must not be empty")]
     EmptyName,
 }
 
--- a/registry/tests/config.rs
+++ b/registry/tests/config.rs
@@ -1,4 +1,4 @@
-//! The validation of configurations.
+//! Parses invalid configurations, and checks that they are rejected with a useful message.
 
 use frostkeel_registry::config::Config;
 
@@ -9,9 +9,18 @@
     let config = Config::parse(VALID).expect("valid");
     assert_eq!(config.limits.max_concurrent_list_requests, 64);
     for (tables, expected) in [
-        ("[limits]\ncalls = 0\n", "limits.calls is 0"),
-        ("[leases]\nlapse_share = 2.0\n", "lapse_share is 2"),
-        ("[leases]\ngrace_s = -1.0\n", "grace_s"),
+        (
+            "[limits]\ncalls = 0\n",
+            "limits.calls must be between 1 and 1000000, got 0",
+        ),
+        (
+            "[leases]\nlapse_share = 2.0\n",
+            "leases.lapse_share must be between 0 and 1, got 2",
+        ),
+        (
+            "[leases]\ngrace_s = -1.0\n",
+            "leases.grace_s must be between 0 and 3600 s, got -1",
+        ),
         ("lease = 3\n", "lease"),
     ] {
         let error = Config::parse(&format!("{VALID}{tables}"))
