--- a/registry/src/command.rs
+++ b/registry/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands that change the endpoint list, and the reasons for which one is rejected.
+//! The commands that change the endpoint list, and the reasons why a command is rejected.
 
 use crate::endpoint::EndpointRecord;
 use std::net::{AddrParseError, SocketAddr};
@@ -6,82 +6,85 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The maximum length of a text field of an endpoint, in bytes.
-const MAX_TEXT_LENGTH: usize = 128;
-/// The weights that an endpoint can have.
+/// The maximum length of a text field of an endpoint.
+const MAX_TEXT_BYTES: usize = 128;
+/// The valid weights of an endpoint.
 const WEIGHT_RANGE: RangeInclusive<f64> = 0.0..=1e6;
-/// The durations that a lease can have.
+/// The valid durations of a lease.
 const LEASE_RANGE: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(3600);
 
 /// A command that changes the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Adds an endpoint, or replaces it. It remains on the list while its lease is renewed.
+    /// Adds an endpoint, or replaces the one with the same uid. The endpoint stays on the list for
+    /// as long as its lease is renewed.
     Register {
-        /// The endpoint. Its state is ignored.
+        /// The endpoint to register. Its state is ignored.
         record: EndpointRecord,
-        /// The duration of its lease.
+        /// The duration of the endpoint's lease, from 1 s to 1 h.
         lease_duration: Duration,
     },
     /// Renews the lease of an endpoint.
     Renew {
-        /// The endpoint's uid.
+        /// The uid of the endpoint whose lease is renewed.
         uid: String,
-        /// The start of the incarnation that renews.
+        /// The start time of the incarnation that renews its lease, in milliseconds of Unix time.
         boot_ms: u64,
     },
-    /// Marks an endpoint as terminating, so that it gets no new requests.
+    /// Marks an endpoint as terminating, so that it receives no new requests.
     Drain {
-        /// The endpoint's uid.
+        /// The uid of the endpoint that is to be drained.
         uid: String,
     },
     /// Removes an endpoint.
     Deregister {
-        /// The endpoint's uid.
+        /// The uid of the endpoint to remove from the list.
         uid: String,
-        /// The start of the incarnation to remove, or `None` for any.
+        /// The start time of the incarnation to remove, in milliseconds of Unix time, or `None` to
+        /// remove any incarnation.
         boot_ms: Option<u64>,
     },
     /// Sets the weight of an endpoint.
     SetWeight {
-        /// The endpoint's uid.
+        /// The uid of the endpoint whose weight is set.
         uid: String,
-        /// The new weight.
+        /// The new weight, from 0 to 1,000,000.
         weight: f64,
     },
 }
 
-/// Why a command was rejected.
+/// The reason why a command was rejected. The message is sent to the client.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum CommandError {
-    /// The command is conditional on another revision of the list.
+    /// The command is conditional on a revision that is not the current one.
     #[error("the list is at version {current}: read it again")]
     RevisionMismatch {
-        /// The revision of the list.
+        /// The current revision of the list.
         current: u64,
     },
     /// The endpoint is not on the list.
     #[error("no upstream {uid:?} is on the list: register it")]
     UnknownEndpoint {
-        /// The requested uid.
+        /// The uid that the command was sent for.
         uid: String,
     },
-    /// A later incarnation of the endpoint is known.
+    /// Another incarnation of the endpoint is known. When a registration is rejected, the known one
+    /// is always the later one.
     #[error("a later start of it, boot_ms {boot_ms}, is on the list: this one has been replaced")]
     Superseded {
-        /// The start of the incarnation that is known.
+        /// The start time of the known incarnation, in milliseconds of Unix time.
         boot_ms: u64,
     },
-    /// The address belongs to another endpoint.
+    /// The address belongs to another endpoint, which started later or at the same time.
     #[error("the endpoint is that of {uid:?}, which started later or at the same time")]
     AddressInUse {
-        /// The uid of that endpoint.
+        /// The uid of the other endpoint.
         uid: String,
     },
-    /// The list has its maximum number of endpoints.
+    /// The list already has its maximum number of endpoints.
     #[error("the list is full with {count} entries")]
     RegistryFull {
-        /// The number of endpoints.
+        /// The number of endpoints on the list.
         count: usize,
     },
     /// A field of the command has an invalid value.
@@ -89,36 +92,36 @@
     Invalid(#[from] InvalidField),
 }
 
-/// A field of a command that has an invalid value.
+/// The reason why a field of a command is invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum InvalidField {
     /// A text is too long or contains control characters.
-    #[error("{field}: {MAX_TEXT_LENGTH} bytes without control characters at most")]
+    #[error("{field}: {MAX_TEXT_BYTES} bytes without control characters at most")]
     Text {
-        /// The key of the field.
+        /// The name of the field in the request: `uid`, `az` or `model`.
         field: &'static str,
     },
-    /// The uid is empty.
+    /// The uid is empty. It must have 1 to 128 bytes.
     #[error("uid is empty")]
     EmptyUid,
     /// The address is not an IP address with a port.
     #[error("endpoint {address:?}: an address and a port are needed")]
     Address {
-        /// The value.
+        /// The address in the command, as the client sent it.
         address: String,
-        /// The reason.
+        /// The reason why the address cannot be parsed.
         source: AddrParseError,
     },
     /// The weight is out of range.
     #[error("capacity_hint of {weight}: 0 to 1000000 are possible")]
     Weight {
-        /// The value.
+        /// The weight in the command, as the client sent it.
         weight: f64,
     },
     /// The duration of the lease is out of range.
     #[error("ttl_s of {duration:?}: 1 to 3600 s are possible")]
     LeaseDuration {
-        /// The value.
+        /// The duration in the command, as the client sent it.
         duration: Duration,
     },
 }
@@ -145,7 +148,7 @@
         ("az", &record.zone),
         ("model", &record.model),
     ] {
-        if text.len() > MAX_TEXT_LENGTH || text.chars().any(char::is_control) {
+        if text.len() > MAX_TEXT_BYTES || text.chars().any(char::is_control) {
             return Err(InvalidField::Text { field });
         }
     }
