--- a/registry/src/write_request.rs
+++ b/registry/src/write_request.rs
@@ -1,4 +1,5 @@
-//! The requests of the write interface: their routes, their JSON bodies, and why one is rejected.
+//! The requests of the write interface: their routes, their JSON bodies, and the reasons why a
+//! request is rejected.
 
 use crate::command::{Command, CommandError};
 use crate::endpoint::{EndpointRecord, EndpointState};
@@ -10,50 +11,50 @@
 
 const UPSTREAMS_PREFIX: &str = "/upstreams/";
 
-/// Why a request to the write interface failed. The messages are sent to the client.
+/// The reason why a request to the write interface failed. The message is sent to the client.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// There is no such path, or not with this method.
+    /// The path does not exist, or does not support the method.
     #[error(
         "PUT or DELETE /upstreams/UID, POST /upstreams/UID/renew or drain, PUT /upstreams/UID/weight, GET /status, GET /metrics"
     )]
     UnknownRoute,
-    /// The body is not the JSON that the route needs.
+    /// The body is not the JSON object that the route expects.
     #[error("the body: {0}")]
     Json(#[from] serde_json::Error),
-    /// The lease's duration is not a time span.
+    /// `ttl_s` is negative, not finite or too large for a duration.
     #[error("ttl_s of {ttl_s}: 1 to 3600 are possible")]
     LeaseDuration {
-        /// The value.
+        /// The value of `ttl_s` in the request, in seconds.
         ttl_s: f64,
-        /// The reason.
+        /// The reason why the value is not a duration.
         source: TryFromFloatSecsError,
     },
-    /// The `If-Match` header is not a revision.
+    /// The value of the `If-Match` header is not a revision.
     #[error("If-Match: a version of the list is needed")]
     IfMatch,
-    /// The body is too long.
+    /// The body is longer than 16 KiB.
     #[error("the body is too long")]
     BodyTooLong,
-    /// The body is truncated.
+    /// The body could not be read to its end.
     #[error("the body broke off")]
     BodyTruncated,
-    /// The body was not received in time.
+    /// The body was not received within 5 s.
     #[error("the body did not come in time")]
     BodyTimeout,
-    /// Too many writes are waiting for the disk.
-    #[error("too many writes at once")]
+    /// The maximum number of writes are already waiting for the disk.
+    #[error("too many writes are waiting for the disk; retry later")]
     Overloaded,
     /// The command was rejected, or could not be made durable.
     #[error(transparent)]
     Write(#[from] WriteError),
     /// The service stopped before the write was acknowledged.
-    #[error("the service ends: nothing is known of this write")]
+    #[error("the service is stopping; it is unknown whether this write is durable")]
     ServiceStopped,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::UnknownRoute => StatusCode::NOT_FOUND,
@@ -82,8 +83,8 @@
     }
 }
 
-// `Registered` and `Life` are named in the messages that clients get for a body of another type, so
-// these names are part of the interface.
+// If a body has another JSON type, the error message that the client receives contains the name
+// `Registered`, `Life` or `Weight`, so these names are part of the interface.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Registered {
@@ -118,7 +119,7 @@
     weight: f64,
 }
 
-/// Parses the command of a request.
+/// Parses a request to the write interface into a command.
 pub fn parse_command(method: &Method, path: &str, body: &[u8]) -> Result<Command, RequestError> {
     let upstream = path
         .strip_prefix(UPSTREAMS_PREFIX)
@@ -165,7 +166,7 @@
     })
 }
 
-/// The incarnation that a removal is for. An empty body means any.
+/// Returns the start time of the incarnation to remove. An empty body means any incarnation.
 fn parse_boot_ms(body: &[u8]) -> Result<Option<u64>, RequestError> {
     if body.is_empty() {
         return Ok(None);
