--- a/registry/src/published_view.rs
+++ b/registry/src/published_view.rs
@@ -1,5 +1,5 @@
-//! The durable endpoint list as readers see it. Each update is encoded once for all readers that
-//! need the same one.
+//! The durable endpoint list as readers see it. An update that several readers need is encoded once
+//! and cached.
 
 use crate::endpoint::EndpointChange;
 use crate::endpoint_registry::EndpointRegistry;
@@ -8,10 +8,10 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 
-/// The number of encoded deltas that are cached.
+/// The maximum number of encoded deltas in the cache.
 const MAX_CACHED_DELTAS: usize = 64;
 
-/// An encoded update, and the revision that it brings a reader to.
+/// An encoded update, and the revision of a reader's list after it.
 #[derive(Clone)]
 pub struct EncodedUpdate {
     pub revision: u64,
@@ -29,14 +29,14 @@
     deltas: VecDeque<CachedDelta>,
 }
 
-/// The endpoint list as readers see it.
+/// The endpoint list as readers see it, which contains durable changes only.
 pub struct PublishedView {
     inner: Mutex<Inner>,
     revision: watch::Sender<u64>,
 }
 
 impl PublishedView {
-    /// Begins with the list as it was restored.
+    /// Creates the view of a list that was restored from the store.
     pub fn new(registry: EndpointRegistry) -> Self {
         let revision = watch::Sender::new(registry.revision());
         let inner = Inner {
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Notifies of each new revision.
+    /// Returns a receiver that is notified when the revision changes.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
 
-    /// The revision that readers see.
+    /// Returns the revision that readers see.
     pub fn revision(&self) -> u64 {
         *self.revision.borrow()
     }
@@ -70,7 +70,8 @@
         self.revision.send_replace(revision);
     }
 
-    /// The encoded update for a reader at a revision, or for one without a list.
+    /// Returns the encoded update for a reader that has the list at `revision`, or for a reader
+    /// without a list if `revision` is `None`.
     pub fn update_since(&self, revision: Option<u64>) -> EncodedUpdate {
         let mut inner = self.lock();
         if let Some(cached) = inner.cached(revision) {
@@ -102,7 +103,7 @@
     fn encode(&mut self, since: Option<u64>) -> EncodedUpdate {
         let update = self.registry.update_since(since);
         let is_snapshot = update.is_snapshot;
-        // An update has only texts and numbers: its serialization cannot fail.
+        // Serialization cannot fail: an update contains only strings, numbers and booleans.
         let json = Bytes::from(serde_json::to_vec(&update).unwrap_or_default());
         let encoded = EncodedUpdate {
             revision: update.revision,
