--- a/registry/src/endpoint.rs
+++ b/registry/src/endpoint.rs
@@ -1,25 +1,25 @@
-//! The entries of the endpoint list, in the forms in which they are published and persisted.
+//! The entries of the endpoint list, in the JSON formats in which they are published and persisted.
 //!
-//! The JSON keys are fixed by the published format and by the data that is already stored.
+//! The JSON keys must not change, because clients read them and existing stores contain them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
 
-/// The state of an endpoint.
+/// The state of an endpoint, which decides whether it receives new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It accepts requests.
+    /// The upstream is available for new requests.
     Ready,
-    /// It completes its requests and gets no new ones.
+    /// The upstream completes its requests and receives no new ones.
     Terminating,
-    /// It has been removed from the list.
+    /// The endpoint has been removed from the list.
     #[serde(rename = "Gone")]
     Removed,
 }
 
 impl EndpointState {
-    /// The state's name in the published format.
+    /// Returns the state's name in the published format.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ready => "Ready",
@@ -35,39 +35,39 @@
     }
 }
 
-/// An endpoint as it is published.
+/// An endpoint in its published form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// The identity of the upstream, which stays the same over its restarts.
+    /// The unique identifier of the upstream, which stays the same when it restarts.
     pub uid: String,
-    /// The address and port of the upstream.
+    /// The IP address and port of the upstream.
     #[serde(rename = "endpoint")]
     pub address: String,
-    /// The availability zone.
+    /// The availability zone of the upstream. It can be empty.
     #[serde(rename = "az")]
     pub zone: String,
-    /// The model of the machine.
+    /// The model of the machine that the upstream runs on. It can be empty.
     pub model: String,
-    /// The cell that the upstream belongs to.
+    /// The number of the cell that the upstream belongs to.
     pub pod_group: u16,
-    /// The state of the endpoint.
+    /// The state of the endpoint, which the registry sets.
     pub state: EndpointState,
-    /// The weight for load balancing.
+    /// The upstream's weight for load balancing, from 0 to 1,000,000.
     #[serde(rename = "capacity_hint")]
     pub weight: f64,
-    /// The start of the upstream's current incarnation, in milliseconds of Unix time.
+    /// The start time of the upstream's current incarnation, in milliseconds of Unix time.
     pub boot_ms: u64,
 }
 
 impl EndpointRecord {
-    /// Whether the endpoint has been removed from the list.
+    /// Returns whether the endpoint has been removed from the list.
     pub fn is_removed(&self) -> bool {
         self.state == EndpointState::Removed
     }
 }
 
-/// The complete endpoint list, or its changes: the response to a list request, and a line of a
-/// watch.
+/// The complete endpoint list, or its changes since a revision. It is the JSON body of the response
+/// to a list request, and a line of a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointUpdate<R = EndpointRecord> {
     /// The revision of the list after this update.
@@ -76,7 +76,7 @@
     /// Whether `records` is the complete list and replaces the one that the reader has.
     #[serde(rename = "all")]
     pub is_snapshot: bool,
-    /// The endpoints, in the order of their uids.
+    /// The endpoints, in the order of their uids. Changes include the endpoints that were removed.
     #[serde(rename = "targets")]
     pub records: Vec<R>,
 }
@@ -86,31 +86,31 @@
 pub struct EndpointChange {
     /// The revision of the list after the change.
     pub revision: u64,
-    /// The endpoint after the change.
+    /// The endpoint with all its fields after the change.
     pub record: EndpointRecord,
 }
 
-/// An entry as it is persisted.
+/// An entry of the list in its persisted form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedEntry {
-    /// The endpoint.
+    /// The endpoint, in its published form.
     pub record: EndpointRecord,
-    /// The duration of the endpoint's lease. The time of its expiry is not persisted, as the wall
-    /// clock may be set.
+    /// The duration of the endpoint's lease, or `None` without a lease. The time of expiry is not
+    /// persisted, because the wall clock may be set to another time.
     #[serde(rename = "lease_ms", with = "lease_ms")]
     pub lease_duration: Option<Duration>,
 }
 
-/// An entry that has to be persisted.
+/// A change of an entry that has to be persisted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirtyEntry {
-    /// The endpoint's uid.
+    /// The uid of the endpoint, which is the key of its stored record.
     pub uid: String,
-    /// The entry, or `None` if it has been removed.
+    /// The entry after the change, or `None` if it has been removed.
     pub entry: Option<PersistedEntry>,
 }
 
-/// A lease's duration in milliseconds, where 0 means no lease.
+/// Serializes the duration of a lease as milliseconds, where 0 means no lease.
 mod lease_ms {
     use serde::{Deserialize, Deserializer, Serializer};
     use std::time::Duration;
