--- a/registry/src/endpoint_registry.rs
+++ b/registry/src/endpoint_registry.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as a state machine: commands and time in, changes out. It does no I/O and
-//! reads no clock.
+//! The endpoint list as a state machine: it takes commands and the time, and returns changes. It
+//! does no I/O and reads no clock.
 
 use crate::change_log::{ChangeLog, LoggedChange};
 use crate::command::{Command, CommandError, validate_lease, validate_record, validate_weight};
@@ -14,34 +14,35 @@
 /// The number of endpoints by state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Endpoints that accept requests.
+    /// The number of endpoints that accept requests.
     pub ready: usize,
-    /// Endpoints that drain.
+    /// The number of endpoints that are draining.
     pub terminating: usize,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     record: EndpointRecord,
-    /// The revision of the last change.
+    /// The revision of the entry's last change, or of the list when the entry was restored.
     revision: u64,
     lease: Option<Lease>,
 }
 
-/// The endpoint list. Removed entries stay in it for as long as their last change is retained.
+/// The endpoint list. A removed entry stays in it for as long as the change that removed it is
+/// retained.
 #[derive(Debug)]
 pub struct EndpointRegistry {
     policy: RegistryPolicy,
     entries: BTreeMap<String, Entry>,
     changes: ChangeLog,
     self_preservation: SelfPreservation,
-    /// The uids of the entries that have changed since they were last taken to be persisted.
+    /// The uids of the entries that have changed since the last call of `take_dirty`.
     dirty: BTreeSet<String>,
 }
 
 impl EndpointRegistry {
-    /// Restores a list from its persisted entries. Each lease is renewed, so that none expires by a
-    /// restart.
+    /// Restores a list from its persisted entries. Each lease is renewed, so that none expires
+    /// because of the restart.
     pub fn restore(
         policy: RegistryPolicy,
         now: Duration,
@@ -71,17 +72,18 @@
         }
     }
 
-    /// The revision of the list, which increases by one with each change.
+    /// Returns the revision of the list, which increases by one with each change.
     pub fn revision(&self) -> u64 {
         self.changes.revision()
     }
 
-    /// Whether entries are retained whose leases have expired, as too many have at once.
+    /// Returns whether endpoints with expired leases stay on the list, because too many leases are
+    /// expired or a grace period is running.
     pub fn is_self_preserving(&self) -> bool {
         self.self_preservation.is_active()
     }
 
-    /// The number of endpoints by state.
+    /// Returns the number of endpoints by state.
     pub fn counts(&self) -> EndpointCounts {
         let count = |state| {
             self.entries
@@ -95,8 +97,9 @@
         }
     }
 
-    /// The update that brings a reader from a revision to the current one. It is the complete list
-    /// if the reader has none, or if the changes since then are not retained.
+    /// Returns the update that brings a reader from `revision` to the current one. It is the
+    /// complete list if the reader has none (`None`), or if not all changes since then are
+    /// retained.
     pub fn update_since(&self, revision: Option<u64>) -> EndpointUpdate<&EndpointRecord> {
         match revision.filter(|revision| self.changes.can_resume_from(*revision)) {
             Some(revision) => self.delta_since(revision),
@@ -132,7 +135,7 @@
             .filter(|record| !record.is_removed())
     }
 
-    /// Returns the entries that have changed since the last call.
+    /// Returns the entries to persist, which are those that have changed since the last call.
     pub fn take_dirty(&mut self) -> Vec<DirtyEntry> {
         let dirty = std::mem::take(&mut self.dirty);
         let to_persist = |uid: String| {
@@ -149,7 +152,7 @@
         dirty.into_iter().map(to_persist).collect()
     }
 
-    /// The last change of each endpoint that has changed after a revision, in their order.
+    /// Returns the last change of each endpoint that has changed after `revision`, in their order.
     pub fn changes_after(&self, revision: u64) -> Vec<EndpointChange> {
         let changed = self.changes.changes_after(revision);
         let changes = changed.filter_map(|(revision, uid)| {
@@ -159,7 +162,7 @@
         changes.collect()
     }
 
-    /// Applies the changes of the list that this one replicates.
+    /// Applies changes of another list, of which this list is a replica.
     pub fn replicate(&mut self, changes: Vec<EndpointChange>) {
         for EndpointChange { revision, record } in changes {
             let uid = record.uid.clone();
@@ -176,8 +179,8 @@
         }
     }
 
-    /// Executes a command, if the list is at the expected revision. Returns the revision after it;
-    /// a command that changes nothing leaves the revision as it is.
+    /// Executes a command, and returns the revision after it. The revision does not increase if
+    /// nothing changes. With an `expected_revision`, the command is rejected at any other revision.
     pub fn apply(
         &mut self,
         now: Duration,
@@ -241,7 +244,8 @@
         Ok(())
     }
 
-    /// Removal is idempotent: an endpoint that is not on the list is no error.
+    /// Removes an endpoint. It is no error if the endpoint is not on the list: removal is
+    /// idempotent.
     fn deregister(&mut self, uid: &str, boot_ms: Option<u64>) -> Result<(), CommandError> {
         let Ok(entry) = self.registered_entry(uid) else {
             return Ok(());
@@ -284,7 +288,8 @@
         Ok(())
     }
 
-    /// A new incarnation is ready. Another registration of the same one does not undo its drain.
+    /// Returns the state after a registration: ready for a new incarnation, and the current state
+    /// for a registered one. A repeated registration must not undo a drain.
     fn state_on_registration(
         &self,
         record: &EndpointRecord,
@@ -303,8 +308,8 @@
         Ok(EndpointState::Ready)
     }
 
-    /// The uid of another endpoint with the same address, which the record replaces if it started
-    /// later.
+    /// Returns the uid of another endpoint with the same address, which `record` replaces. Fails if
+    /// `record` did not start later than that endpoint.
     fn address_holder_to_replace(
         &self,
         record: &EndpointRecord,
@@ -369,7 +374,7 @@
         })
     }
 
-    /// Changes an entry under a new revision.
+    /// Changes an entry with `edit`. The list and the entry get a new revision.
     fn change(&mut self, uid: &str, edit: impl FnOnce(&mut EndpointRecord)) {
         let Some(entry) = self.entries.get_mut(uid) else {
             return;
@@ -380,8 +385,8 @@
         self.compact();
     }
 
-    /// Drops the changes that are not retained, and the entries that were removed by them. A reader
-    /// at an older revision gets the complete list, which has no removed entries.
+    /// Discards the oldest changes beyond the limit, and the entries that they removed. A reader at
+    /// an older revision gets the complete list, which contains no removed entries.
     fn compact(&mut self) {
         while let Some(LoggedChange { revision, uid }) = self.changes.compact_oldest() {
             let is_obsolete =
--- a/registry/tests/endpoint_registry.rs
+++ b/registry/tests/endpoint_registry.rs
@@ -88,14 +88,18 @@
     assert_eq!(registry.apply(SECOND, register(1, 1), None), Ok(2));
     assert_eq!(registry.apply(SECOND, drain("u1"), Some(2)), Ok(3));
     assert_eq!(registry.apply(SECOND, drain("u1"), None), Ok(3));
-    let again = registry.apply(SECOND, register(1, 1), None);
-    assert_eq!(again, Ok(3), "the same incarnation does not undo its drain");
+    let repeated = registry.apply(SECOND, register(1, 1), None);
+    assert_eq!(
+        repeated,
+        Ok(3),
+        "a repeated registration does not undo the drain"
+    );
     let outdated = registry.apply(SECOND, drain("u1"), Some(2));
     assert_eq!(outdated, Err(CommandError::RevisionMismatch { current: 3 }));
     assert_eq!(
         registry.apply(SECOND, register(1, 5), None),
         Ok(4),
-        "a later incarnation does"
+        "a later incarnation is ready again"
     );
     let superseded = Err(CommandError::Superseded { boot_ms: 5 });
     assert_eq!(registry.apply(SECOND, register(1, 4), None), superseded);
@@ -111,7 +115,7 @@
     assert_eq!(
         registered_uids(&registry),
         ["u1", "u3"],
-        "the later incarnation has the address"
+        "u3 started later than u2 and replaces it at the address"
     );
     same_address.uid = "u4".into();
     let not_later = Command::Register {
@@ -151,14 +155,14 @@
     assert_eq!(
         status(&registry),
         (9, true),
-        "nine of nine: more likely the service's own fault"
+        "all nine leases have expired: none is enforced"
     );
     renew_all(&mut registry, 20 * SECOND, 3..=10);
     registry.tick(21 * SECOND);
     assert_eq!(
         status(&registry),
         (8, false),
-        "the others have renewed: this one is removed"
+        "only the lease of u2 was not renewed: it is removed"
     );
 }
 
@@ -172,7 +176,11 @@
         registered_uids(&registry).len(),
         registry.is_self_preserving(),
     );
-    assert_eq!(status, (2, true), "in the grace period after a start");
+    assert_eq!(
+        status,
+        (2, true),
+        "no lease is enforced in the grace period after a start"
+    );
     registry
         .apply(14 * SECOND, renew("u1", 1), None)
         .expect("listed");
@@ -182,13 +190,13 @@
     assert_eq!(
         registered_uids(&registry),
         ["u1"],
-        "paused for longer than the lease"
+        "a pause longer than the lease starts a grace period"
     );
     tick_each_second(&mut registry, 101..=130);
     assert_eq!(
         registered_uids(&registry).len(),
         0,
-        "not renewed after it: a single one is removed"
+        "the only lease was not renewed after the pause: it is removed"
     );
 }
 
@@ -206,7 +214,7 @@
     (command, any::<bool>())
 }
 
-/// A reader that follows a list by its updates.
+/// A reader that keeps a copy of the list by applying its updates.
 #[derive(Default)]
 struct Reader {
     revision: Option<u64>,
@@ -230,7 +238,7 @@
     }
 }
 
-/// A disk that has what was taken to be persisted.
+/// A simulated disk, with the entries that the registry has returned to be persisted.
 #[derive(Default)]
 struct Disk(BTreeMap<String, PersistedEntry>);
 
@@ -248,8 +256,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(10_000))]
 
-    /// Against plain maps: a reader that follows changes, one that reads the whole list, and a
-    /// registry that is restored from the disk all have the same list. The revision goes up by one
+    /// Three lists must be equal after random commands: that of a reader that follows changes, the
+    /// complete list, and that of a registry restored from the disk. The revision increases by one
     /// with each change.
     #[test]
     fn readers_and_restored_registries_have_the_list(
@@ -276,7 +284,7 @@
                 let restored = EndpointRegistry::restore(policy.clone(), now, revision, entries);
                 prop_assert_eq!(snapshot(&restored), expected);
                 let later = restored.update_since(Some(revision + 1));
-                prop_assert!(later.is_snapshot, "from a later revision: the whole list");
+                prop_assert!(later.is_snapshot, "a later revision gives the complete list");
             }
         }
     }
