--- a/registry/src/lease.rs
+++ b/registry/src/lease.rs
@@ -1,9 +1,10 @@
-//! Leases, and the self-preservation that protects them from faults of the service itself.
+//! The leases of endpoints, and self-preservation: endpoints stay on the list when their leases
+//! probably expired because of a fault of the service or the network.
 
 use crate::policy::RegistryPolicy;
 use std::time::Duration;
 
-/// The lease of an endpoint. Times are those of the monotonic clock since the service started.
+/// The lease of an endpoint. Times are monotonic, and count from the start of the service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lease {
     pub(crate) duration: Duration,
@@ -27,19 +28,20 @@
     }
 }
 
-/// Decides whether expired leases are enforced. When many expire together, or when the service
-/// could not process renewals, the fault is more likely to be its own or the network's than that of
-/// the endpoints.
+/// Decides whether expired leases are enforced, that is, their endpoints are removed. When many
+/// leases are expired at the same time, or when the service could not process renewals, a fault of
+/// the service or the network is more likely than a fault of the endpoints.
 #[derive(Debug)]
 pub(crate) struct SelfPreservation {
     last_tick: Duration,
-    /// No lease is enforced before.
+    /// The time before which no expired lease is enforced.
     grace_until: Duration,
     is_self_preserving: bool,
 }
 
 impl SelfPreservation {
-    /// Begins with a grace period, in which endpoints can renew after a restart of the service.
+    /// Starts a grace period, in which endpoints can renew their leases after a restart of the
+    /// service.
     pub(crate) fn new(policy: &RegistryPolicy, now: Duration) -> Self {
         Self {
             last_tick: now,
@@ -48,13 +50,13 @@
         }
     }
 
-    /// Whether leases have expired that are not enforced.
+    /// Returns whether there are expired leases that are not enforced.
     pub(crate) fn is_active(&self) -> bool {
         self.is_self_preserving
     }
 
-    /// Records the time, and begins a grace period if the service was paused: renewals may be
-    /// waiting to be read.
+    /// Records the time of a tick. Starts a grace period if the service was paused, because it may
+    /// not have read renewals that arrived meanwhile.
     pub(crate) fn on_tick(&mut self, policy: &RegistryPolicy, now: Duration) {
         if now.saturating_sub(self.last_tick) > policy.pause_threshold {
             self.grace_until = self.grace_until.max(now + policy.grace_period);
@@ -62,8 +64,8 @@
         self.last_tick = now;
     }
 
-    /// Decides on the leases that have expired, of all `lease_count`. A single one is enforced
-    /// whatever its share.
+    /// Returns whether the `expired_count` expired leases, out of `lease_count`, are to be
+    /// enforced. One expired lease never exceeds the limit.
     pub(crate) fn permits_expiry(
         &mut self,
         policy: &RegistryPolicy,
--- a/registry/src/policy.rs
+++ b/registry/src/policy.rs
@@ -1,19 +1,22 @@
-//! The policy of the endpoint list: its limits, and when the expiry of leases is enforced.
+//! The policy of the endpoint list: its size limits, and the conditions under which an endpoint
+//! with an expired lease is removed.
 
 use std::time::Duration;
 
-/// The limits of the list, and when the expiry of leases is enforced.
+/// The size limits of the endpoint list, and the conditions under which an expired lease is
+/// enforced, that is, its endpoint is removed.
 #[derive(Clone, Debug)]
 pub struct RegistryPolicy {
-    /// The maximum number of endpoints.
+    /// The maximum number of endpoints on the list. Registrations of further ones are rejected.
     pub max_endpoints: usize,
-    /// The number of changes that are retained for watches to resume from.
+    /// The maximum number of changes that are retained for watches to resume from.
     pub max_retained_changes: usize,
-    /// The share of the leases that may expire together. If more do, none is enforced.
+    /// The maximum fraction of all leases that may be expired at the same time, from 0 to 1. If
+    /// more are, none is enforced. One expired lease never exceeds this limit.
     pub max_expired_fraction: f64,
-    /// The time after a start or a pause of the service in which no lease is enforced.
+    /// The time after a start or a pause of the service during which no expired lease is enforced.
     pub grace_period: Duration,
-    /// The time between two ticks from which on the service counts as paused.
+    /// The time between two ticks above which the service is considered to have been paused.
     pub pause_threshold: Duration,
 }
 
