--- a/registry/src/metrics.rs
+++ b/registry/src/metrics.rs
@@ -1,41 +1,43 @@
-//! The service's metrics, in the text format of Prometheus.
+//! The metrics of the service, in the text format of Prometheus.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// The service's metrics.
+/// The metrics of the service. Each commit updates the gauges, except `watches`, which is always
+/// current.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Snapshots sent to list requests.
+    /// The number of complete lists that were sent in response to list requests.
     pub snapshots: Counter,
-    /// Open watches.
+    /// The number of watches that are open.
     pub watches: Gauge,
-    /// Updates sent to watches.
+    /// The number of updates that were sent to watches.
     pub watch_updates: Counter,
-    /// Watches that were closed as their clients did not read.
+    /// The number of watches that were closed because their clients did not read them.
     pub slow_watches: Counter,
-    /// Requests that were rejected with 503.
+    /// The number of requests that were rejected with 503.
     pub overloads: Counter,
-    /// Successful writes.
+    /// The number of writes that succeeded, including those that changed nothing.
     pub writes: Counter,
-    /// Writes that were rejected.
+    /// The number of writes that were rejected, or failed because of the disk.
     pub writes_rejected: Counter,
-    /// Commits to the disk.
+    /// The number of commits to the disk.
     pub commits: Counter,
-    /// The revision of the list.
+    /// The revision of the endpoint list after the last commit.
     pub revision: Gauge,
-    /// Endpoints that are ready.
+    /// The number of endpoints in the state `Ready`.
     pub ready: Gauge,
-    /// Endpoints that are terminating.
+    /// The number of endpoints in the state `Terminating`.
     pub terminating: Gauge,
-    /// 1 while self-preservation retains endpoints with expired leases.
+    /// 1 if self-preservation keeps endpoints with expired leases on the list, otherwise 0.
     pub self_preserving: Gauge,
 }
 
 impl Metrics {
-    /// The text for Prometheus. Its names are part of the interface and must not change.
+    /// Returns the metrics as text for Prometheus. The names of the metrics are part of the
+    /// interface and must not change.
     pub fn page(&self) -> String {
         let mut registry = Registry::with_prefix("frostkeel_registry");
         registry.register("lists", "Whole lists sent", self.snapshots.clone());
