--- a/registry/src/writer.rs
+++ b/registry/src/writer.rs
@@ -1,5 +1,5 @@
-//! Executes writes one after the other. The writes that arrive while the disk is busy share one
-//! commit, and each is acknowledged once it is durable and published.
+//! Executes writes one after another. The writes that arrive while the disk is busy share one
+//! commit. Each write is acknowledged once it is durable and published to readers.
 
 use crate::command::{Command, CommandError};
 use crate::endpoint::DirtyEntry;
@@ -15,30 +15,31 @@
 
 /// The maximum number of writes in one commit.
 const MAX_BATCH_SIZE: usize = 512;
-/// The interval in which leases are checked.
+/// The interval between two checks for expired leases.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a write was not executed, or may not have been.
+/// The reason why a write failed, or why its result is unknown.
 #[derive(Clone, Debug, Error)]
 pub enum WriteError {
-    /// The command was rejected.
+    /// The command was rejected, and the list is unchanged.
     #[error(transparent)]
     Rejected(#[from] CommandError),
-    /// The disk is full.
-    #[error("no room on the disk: it is not durable; say it again later")]
+    /// The disk is full. The changes stay in memory, and the next commit includes them.
+    #[error("the disk is full and the write is not durable; retry it later")]
     DiskFull,
-    /// The disk has failed, and the service stops.
-    #[error("the disk has failed: nothing is known of what was written")]
+    /// A commit has failed for another reason, and the service stops.
+    #[error("the disk has failed; it is unknown whether this write is durable")]
     DiskFailed,
 }
 
-/// A command, and who waits for its result.
+/// A command, and the channel for its result.
 pub struct WriteRequest {
-    /// The command.
+    /// The command to apply to the endpoint list.
     pub command: Command,
-    /// The revision of the list that the command is conditional on, if any.
+    /// The revision of the list that the command is conditional on, or `None` if it is
+    /// unconditional.
     pub expected_revision: Option<u64>,
-    /// Receives the revision after the write.
+    /// The channel that receives the revision after the write, or the error.
     pub reply: oneshot::Sender<Result<u64, WriteError>>,
 }
 
@@ -48,13 +49,13 @@
     reply: oneshot::Sender<Result<u64, WriteError>>,
 }
 
-/// The owner of the endpoint list and its store.
+/// The only task that changes the endpoint list and its store.
 pub struct Writer {
     pub registry: EndpointRegistry,
     pub store: Store,
     pub published: Arc<PublishedView>,
     pub metrics: Arc<Metrics>,
-    /// The origin of the registry's time.
+    /// The zero point of the time that the registry is given.
     pub started_at: Instant,
 }
 
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Applies a request and those that are waiting.
+    /// Applies a request and those that are waiting, up to [`MAX_BATCH_SIZE`] in total.
     fn apply_batch(
         &mut self,
         first: WriteRequest,
@@ -121,14 +122,15 @@
         match (was_self_preserving, self.registry.is_self_preserving()) {
             (false, true) => tracing::warn!(
                 "self-preservation on, expired leases are retained: too many at once, or shortly \
-                 after a pause; is it the network?"
+                 after a start or a pause; check the network"
             ),
             (true, false) => tracing::info!("self-preservation off"),
             _ => {}
         }
     }
 
-    /// Makes changes durable, then publishes them. They stay in `uncommitted` if the disk is full.
+    /// Makes changes durable, then publishes them. If the commit fails, they stay in `uncommitted`,
+    /// and the next commit includes them if the disk was full.
     fn commit(&mut self, uncommitted: &mut Vec<DirtyEntry>) -> Result<(), StoreError> {
         if uncommitted.is_empty() {
             return Ok(());
@@ -178,7 +180,7 @@
     let key = dirty.uid.clone();
     match &dirty.entry {
         None => Change::Delete { key },
-        // An entry has only texts and numbers: its serialization cannot fail.
+        // Serialization cannot fail: an entry contains only strings and numbers.
         Some(entry) => Change::Put {
             key,
             value: serde_json::to_vec(entry).unwrap_or_default(),
