--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -1,9 +1,9 @@
 //! The registry service: the project's own service discovery.
 //!
-//! [`endpoint_registry::EndpointRegistry`] is a pure state machine: commands and time in, changes
-//! out. [`service`] runs it with two HTTP interfaces: one to read and watch the endpoint list, in
-//! the published format, and one for writes, status and metrics, in JSON. A write is acknowledged
-//! once it is durable.
+//! [`endpoint_registry::EndpointRegistry`] is a state machine without I/O: commands and the time go
+//! in, changes come out. [`service`] runs it with two HTTP interfaces: one to read and watch the
+//! endpoint list, in the published format, and one for writes, status and metrics. A write is
+//! acknowledged once it is durable.
 
 mod change_log;
 pub mod client;
--- a/registry/src/service.rs
+++ b/registry/src/service.rs
@@ -1,4 +1,4 @@
-//! The registry service from its start to its end.
+//! Starts the registry service and runs its tasks.
 
 use crate::config::Config;
 use crate::endpoint::PersistedEntry;
@@ -17,45 +17,48 @@
 use tokio::task::{JoinError, JoinSet};
 use tokio::time::Instant;
 
-/// Why the service cannot start, or why it stopped.
+/// The reason why the service cannot start, or why it stopped.
 #[derive(Debug, Error)]
 pub enum ServiceError {
     /// The store cannot be opened, or a commit failed.
     #[error(transparent)]
     Store(#[from] StoreError),
     /// A persisted entry cannot be parsed.
-    #[error("the entry of {uid:?} cannot be read: {source}; restore the folder from a copy")]
+    #[error(
+        "the stored entry of {uid:?} cannot be parsed: {source}; restore the folder from a copy"
+    )]
     Entry {
-        /// The uid of the entry.
+        /// The uid of the endpoint, which is the key of the stored record.
         uid: String,
-        /// The reason.
+        /// The reason why the entry cannot be parsed.
         source: serde_json::Error,
     },
     /// A listening address cannot be bound.
-    #[error("{interface} address {address}: {source}")]
+    #[error("cannot listen on the {interface} address {address}: {source}")]
     Bind {
-        /// The interface that is served there.
+        /// The interface to be served at the address: `read` or `write`.
         interface: &'static str,
-        /// The configured address.
+        /// The address in the configuration, which cannot be bound.
         address: SocketAddr,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// A task has panicked.
-    #[error("a part of the service has ended: {0}")]
+    /// A task of the service has panicked.
+    #[error("a task of the service has failed: {0}")]
     TaskFailed(#[source] JoinError),
-    /// A task has ended that should run for as long as the service.
-    #[error("a part of the service has ended: unasked")]
+    /// A task has ended without an error, although it has to run for as long as the service.
+    #[error("a task of the service has ended unexpectedly")]
     TaskEnded,
 }
 
-/// The listeners of both interfaces.
+/// The bound listeners of both interfaces.
 struct Listeners {
     read: TcpListener,
     write: TcpListener,
 }
 
-/// Runs the service until its disk fails. Needs a multi-threaded runtime.
+/// Runs the service until the first of its tasks ends, which happens only on a fault, for example
+/// of the disk. Requires a multi-threaded runtime.
 pub async fn run(config: Config) -> Result<(), ServiceError> {
     let owner = Owner {
         fleet: config.fleet.clone(),
@@ -103,8 +106,8 @@
     })
 }
 
-/// The addresses are those that are bound, as a configured port of 0 is chosen by the operating
-/// system.
+/// Logs the start with the bound addresses, because the operating system chooses the port if 0 is
+/// configured.
 fn log_start(config: &Config, listeners: &Listeners, snapshot: &Snapshot) {
     tracing::info!(
         read = %listeners.read.local_addr().unwrap_or(config.read_address),
@@ -115,7 +118,7 @@
     );
 }
 
-/// Runs the writer and both interfaces until the first of them ends; the others are aborted.
+/// Runs the writer and both interfaces until the first of them ends. The others are then aborted.
 async fn run_tasks(
     config: &Config,
     writer: Writer,
