--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -14,12 +14,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The timeout of a response's head, and again of its body.
+/// The timeout for the head of a response, which includes connecting, and separately for its body.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The maximum size of a response's body, in bytes.
-const MAX_BODY_SIZE: usize = 64 << 20;
+/// The maximum size of a response's body.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Why a request got no complete response. The message names the address.
+/// The reason why a request got no complete response. The message begins with the address.
 #[derive(Debug, Error)]
 #[error("{address}: {cause}")]
 pub struct ClientError {
@@ -28,7 +28,7 @@
     cause: ClientErrorCause,
 }
 
-/// What went wrong with a request.
+/// The cause of a failed request.
 #[derive(Debug, Error)]
 enum ClientErrorCause {
     #[error(transparent)]
@@ -37,24 +37,24 @@
     InvalidRequest(#[from] hyper::http::Error),
     #[error(transparent)]
     Protocol(#[from] hyper::Error),
-    #[error("length limit exceeded")]
+    #[error("the response body is longer than {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
-    #[error("no answer in {RESPONSE_TIMEOUT:?}")]
+    #[error("no response head within {RESPONSE_TIMEOUT:?}")]
     HeadTimeout,
-    #[error("no whole answer in {RESPONSE_TIMEOUT:?}")]
+    #[error("no complete response body within {RESPONSE_TIMEOUT:?}")]
     BodyTimeout,
 }
 
-/// A complete response.
+/// A response that was received completely.
 #[derive(Clone, Debug)]
 pub struct CompleteResponse {
-    /// The status code.
+    /// The HTTP status code, for example 200.
     pub status: u16,
-    /// The body.
+    /// The complete body, of at most 64 MiB.
     pub body: Bytes,
 }
 
-/// Sends a request on a connection of its own, and waits for the head of the response.
+/// Sends a request on a new connection, and waits up to 3 s for the head of the response.
 pub async fn send_request(
     address: SocketAddr,
     method: Method,
@@ -70,7 +70,8 @@
     response.map_err(|cause| ClientError { address, cause })
 }
 
-/// Sends a request on a connection of its own, and waits for the complete response.
+/// Sends a request on a new connection, and waits for the complete response: up to 3 s for its
+/// head, and up to 3 s for its body.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -103,13 +104,14 @@
 }
 
 async fn read_body(response: Response<Incoming>) -> Result<Bytes, ClientErrorCause> {
-    let body = Limited::new(response.into_body(), MAX_BODY_SIZE)
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
         .collect()
         .await;
     Ok(body.map_err(body_error)?.to_bytes())
 }
 
-/// The body fails with an error of the connection, or with that of the size limit.
+/// Converts an error of reading a body, which is an error of the connection or that of the size
+/// limit.
 fn body_error(error: Box<dyn StdError + Send + Sync>) -> ClientErrorCause {
     match error.downcast::<hyper::Error>() {
         Ok(error) => ClientErrorCause::Protocol(*error),
