--- a/registry/src/http/connection.rs
+++ b/registry/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, limits their number, and closes those of clients that are too slow.
+//! Accepts connections, limits their number, and closes those of slow clients.
 
 use super::response::Body;
 use hyper::body::Incoming;
@@ -15,21 +15,21 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::sleep;
 
-/// The maximum number of connections to an interface, besides watches.
+/// The maximum number of connections to an interface, not counting watches.
 pub(super) const MAX_CONNECTIONS: usize = 2048;
-/// The time-out for a client to send a request.
+/// The timeout for a client to send the head of a request, and separately its body.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time after which a connection is closed that is not a watch.
+/// The maximum duration of a connection that is not a watch.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
-/// The time to the next attempt after a connection could not be accepted.
+/// The delay before the next attempt after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// An interface of the service.
+/// An HTTP interface of the service.
 pub trait Api: Send + Sync + 'static {
-    /// The number of connections that may be open.
+    /// Returns the semaphore that limits the number of open connections.
     fn connection_slots(&self) -> Arc<Semaphore>;
 
-    /// Responds to a request on a connection that has the given limit.
+    /// Responds to a request. `limit` is that of the request's connection.
     fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -37,8 +37,8 @@
     ) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// Closes a connection that is open for too long, unless it is a watch, and a watch whose client
-/// does not read.
+/// The limit that closes the connection of a slow client: a watch when the client does not read it,
+/// and any other connection when it has been open for [`CONNECTION_TIMEOUT`].
 #[derive(Default)]
 pub struct SlowReaderLimit {
     is_watch: AtomicBool,
@@ -46,12 +46,12 @@
 }
 
 impl SlowReaderLimit {
-    /// Lifts the limit on the time that the connection is open.
+    /// Marks the connection as a watch, which has no maximum duration.
     pub(super) fn set_watch(&self) {
         self.is_watch.store(true, Ordering::Relaxed);
     }
 
-    /// Closes the connection.
+    /// Closes the connection, even in the middle of a response.
     pub(super) fn close(&self) {
         self.close_requested.notify_one();
     }
@@ -64,8 +64,8 @@
     }
 }
 
-/// Accepts connections until it is aborted, and serves each in a task of its own. Connections
-/// beyond the limit are closed at once.
+/// Accepts connections until the task is aborted, and serves each in a new task. Connections beyond
+/// the limit are closed immediately.
 pub async fn serve<A: Api>(listener: TcpListener, api: Arc<A>) {
     let slots = api.connection_slots();
     loop {
@@ -94,7 +94,7 @@
 }
 
 async fn serve_connection<A: Api>(stream: TcpStream, api: Arc<A>) {
-    // Without it responses are only delayed.
+    // An error is ignored: without this option, responses are only delayed.
     let _ = stream.set_nodelay(true);
     let limit = Arc::<SlowReaderLimit>::default();
     let service = service_fn(|request| {
@@ -106,7 +106,8 @@
         .timer(TokioTimer::new())
         .header_read_timeout(REQUEST_TIMEOUT);
     tokio::select! {
-        // A client that disconnects, or does not send HTTP, cannot receive a response.
+        // An error is ignored: a client that disconnects, or does not send HTTP, cannot receive a
+        // response.
         _ = builder.serve_connection(TokioIo::new(stream), service) => {}
         () = limit.close_requested.notified() => {}
         () = limit.timed_out() => {}
--- a/registry/src/http/mod.rs
+++ b/registry/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! The two HTTP interfaces: one for reads and watches, in the published format, and one for writes,
-//! status and metrics.
+//! The two HTTP interfaces: one to read and watch the endpoint list in its published format, and
+//! one for writes, status and metrics.
 
 mod connection;
 mod read_api;
--- a/registry/src/http/read_api.rs
+++ b/registry/src/http/read_api.rs
@@ -1,4 +1,4 @@
-//! The interface for reads and watches, in the published format.
+//! The HTTP interface to read and watch the endpoint list, in its published format.
 
 use super::connection::{Api, MAX_CONNECTIONS, SlowReaderLimit};
 use super::response::{Body, error_response, json_text_response, overload_response};
@@ -15,7 +15,7 @@
 
 const LIST_PATH: &str = "/registry/instances";
 
-/// The interface for reads and watches.
+/// The HTTP interface to read and watch the endpoint list.
 pub struct ReadApi {
     published: Arc<PublishedView>,
     metrics: Arc<Metrics>,
@@ -53,13 +53,13 @@
     fn list(&self) -> Response<Body> {
         let Ok(_slot) = self.list_slots.try_acquire() else {
             self.metrics.overloads.inc();
-            return overload_response("too many calls at once");
+            return overload_response("too many list requests at the same time; retry later");
         };
         self.metrics.snapshots.inc();
         json_text_response(self.published.update_since(None).json)
     }
 
-    /// Begins a watch for a client that has the list at a revision, or has none.
+    /// Starts a watch for a client that has the list at `revision`, or has no list if it is `None`.
     fn watch(&self, revision: Option<u64>, limit: Arc<SlowReaderLimit>) -> Response<Body> {
         let Ok(slot) = Arc::clone(&self.watch_slots).try_acquire_owned() else {
             self.metrics.overloads.inc();
--- a/registry/src/http/response.rs
+++ b/registry/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Responses, and how errors are reported to clients.
+//! HTTP responses, and the form in which errors are reported to clients.
 
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::convert::Infallible;
 
-/// The `Retry-After` of a response with 503, in seconds.
+/// The `Retry-After` header of a response with status 503, in seconds.
 const RETRY_AFTER_S: HeaderValue = HeaderValue::from_static("1");
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
@@ -18,7 +18,7 @@
     Full::new(content.into()).boxed()
 }
 
-/// A response with 200 and a JSON text as it is.
+/// Returns a response with status 200 and a body that is already JSON.
 pub(super) fn json_text_response(text: Bytes) -> Response<Body> {
     let mut response = Response::new(complete_body(text));
     response.headers_mut().insert(CONTENT_TYPE, JSON);
@@ -35,7 +35,7 @@
     json_response(status, &json!({"error": message}))
 }
 
-/// A response to a client that should try again later.
+/// Returns a response with status 503, which asks the client to retry later.
 pub(super) fn overload_response(message: &str) -> Response<Body> {
     let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, message);
     response.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_S);
--- a/registry/src/http/watch_stream.rs
+++ b/registry/src/http/watch_stream.rs
@@ -1,5 +1,5 @@
-//! The body of a watch: a line for each update, and an empty line as a heartbeat while nothing
-//! changes.
+//! The body of the response to a watch: a line for each update, and an empty line as a heartbeat
+//! while nothing changes.
 
 use crate::metrics::Metrics;
 use crate::published_view::PublishedView;
@@ -12,23 +12,24 @@
 use tokio::sync::mpsc::error::SendTimeoutError;
 use tokio::time::{sleep, timeout};
 
-/// The interval of heartbeats on a watch without changes.
-const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Changes within this time of each other share a line.
+/// The interval of the heartbeats while nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// The delay before the next line, so that changes in quick succession share one line.
 const COALESCING_DELAY: Duration = Duration::from_millis(5);
-/// The number of lines that a client may be behind.
+/// The maximum number of lines that wait for the client to read them.
 pub(super) const MAX_UNREAD_LINES: usize = 8;
-/// The time for which a client may be that far behind.
+/// The time after which a watch is closed if its client does not read and [`MAX_UNREAD_LINES`] are
+/// waiting.
 const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(super) type Line = Result<Frame<Bytes>, Infallible>;
 
-/// Why a watch ended.
+/// The reason why a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatchEnd {
     /// The client has disconnected, or the service stops.
     Closed,
-    /// The client did not read for too long.
+    /// The client did not read the watch within [`SLOW_READER_TIMEOUT`].
     SlowReader,
 }
 
@@ -40,7 +41,8 @@
 }
 
 impl WatchStream {
-    /// Sends all changes after a revision, in their order, until the watch ends.
+    /// Sends the changes after `revision`, or the complete list if it is `None` or too old, and
+    /// then all later changes until the watch ends.
     pub(super) async fn run(self, mut revision: Option<u64>) -> WatchEnd {
         let mut revisions = self.published.subscribe();
         loop {
@@ -58,7 +60,7 @@
             revision = Some(update.revision);
             let next_revision = revisions.wait_for(|current| *current != update.revision);
             tokio::select! {
-                changed = timeout(KEEP_ALIVE_INTERVAL, next_revision) => {
+                changed = timeout(HEARTBEAT_INTERVAL, next_revision) => {
                     if let Ok(Err(_)) = changed {
                         return WatchEnd::Closed;
                     }
--- a/registry/src/http/write_api.rs
+++ b/registry/src/http/write_api.rs
@@ -1,4 +1,4 @@
-//! The interface for writes, status and metrics.
+//! The HTTP interface for writes, status and metrics.
 
 use super::connection::{Api, MAX_CONNECTIONS, REQUEST_TIMEOUT, SlowReaderLimit};
 use super::response::{Body, complete_body, error_response, json_response, overload_response};
@@ -17,10 +17,10 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::timeout;
 
-/// The maximum size of a request's body, in bytes.
-const MAX_BODY_SIZE: usize = 16 * 1024;
+/// The maximum size of a request's body.
+const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// The interface for writes, status and metrics.
+/// The HTTP interface for writes, status and metrics.
 pub struct WriteApi {
     published: Arc<PublishedView>,
     metrics: Arc<Metrics>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the revision of the list once the write is durable.
+    /// Executes a write, and returns the revision of the list once the write is durable.
     async fn execute(&self, parts: &Parts, body: Incoming) -> Result<u64, RequestError> {
         let expected_revision = expected_revision(parts)?;
         let body = read_body(body).await?;
@@ -108,7 +108,8 @@
     }
 }
 
-/// The revision in the `If-Match` header, with or without quotation marks.
+/// Returns the revision in the `If-Match` header, with or without quotation marks, or `None` if
+/// there is no such header.
 fn expected_revision(parts: &Parts) -> Result<Option<u64>, RequestError> {
     let Some(value) = parts.headers.get(IF_MATCH) else {
         return Ok(None);
@@ -122,7 +123,7 @@
 }
 
 async fn read_body(body: Incoming) -> Result<Bytes, RequestError> {
-    let body = Limited::new(body, MAX_BODY_SIZE).collect();
+    let body = Limited::new(body, MAX_BODY_BYTES).collect();
     match timeout(REQUEST_TIMEOUT, body).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(RequestError::BodyTooLong),
