--- a/registry/tests/store_fixtures.rs
+++ b/registry/tests/store_fixtures.rs
@@ -1,5 +1,5 @@
-//! Compares what the service persists and recovers with folders that revision d26284e wrote. The
-//! folders are those of the store's tests: see `../store/tests/data/README.md`.
+//! Compares what the service persists and recovers with folders that Git revision d26284e wrote.
+//! The folders are those of the store's tests: see `../store/tests/data/README.md`.
 
 #![expect(clippy::expect_used, reason = "a test helper fails by panicking")]
 
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use support::{TestService, Watch, assert_recorded, data, expect_ok, mask_dates, new_folder};
 
-const TABLES: &str = "[leases]\ngrace_s = 3600\n";
+const CONFIG_TABLES: &str = "[leases]\ngrace_s = 3600\n";
 
 fn store_data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -19,8 +19,8 @@
         .join(name)
 }
 
-/// Registers endpoints with several lease durations, and drains, weights, removes and replaces
-/// some.
+/// Registers endpoints with several lease durations, then drains, removes and replaces some of them
+/// and changes the weights of others.
 fn write_endpoints(service: &TestService) {
     for n in 1..=12 {
         let ttl_s = ["10", "1.5", "3600", "90.125"][n % 4];
@@ -62,7 +62,7 @@
     fs::copy(from.join("list.redb"), to.join("list.redb")).expect("copied");
 }
 
-/// The revision and each entry of a folder, as text.
+/// Returns the revision and the entries of a store's folder, as text.
 fn persisted(folder: &Path) -> Vec<u8> {
     let owner = Owner {
         fleet: "fixtures".into(),
@@ -81,19 +81,19 @@
 #[test]
 fn the_service_persists_the_recorded_entries() {
     let folder = new_folder("store-written");
-    let service = TestService::start(&folder, TABLES);
+    let service = TestService::start(&folder, CONFIG_TABLES);
     write_endpoints(&service);
     drop(service);
     assert_recorded(&store_data("records.txt"), &persisted(&folder));
 }
 
-/// One folder was copied after the service had stopped, one while it was running.
+/// The folder `closed` was copied after the service had stopped, `killed` while it was running.
 #[test]
 fn the_service_recovers_the_recorded_folders() {
     for written in ["closed", "killed"] {
         let folder = new_folder(&format!("store-{written}"));
         copy_folder(&store_data(written), &folder);
-        let service = TestService::start(&folder, TABLES);
+        let service = TestService::start(&folder, CONFIG_TABLES);
         let list = mask_dates(&service.read("GET /registry/instances"));
         assert_recorded(&data("recovered/list.response"), &list);
         let status = mask_dates(&service.write("GET /status", ""));
@@ -126,7 +126,7 @@
     }
 }
 
-/// A recovered lease begins anew with its own duration.
+/// A recovered lease must start again with its persisted duration.
 #[test]
 fn a_recovered_lease_expires_after_its_duration() {
     let folder = new_folder("store-lease");
--- a/registry/tests/support/mod.rs
+++ b/registry/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Runs the registry service in the test process and exchanges raw bytes with it over loopback.
 
-#![allow(dead_code, reason = "each test file uses its own part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use frostkeel_registry::config::Config;
 use frostkeel_registry::service;
@@ -15,12 +15,12 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
 
-/// The time that a test waits for bytes before it fails.
+/// The time that a test waits for the service to start or to send bytes, before it fails.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// The chunk of an empty line, which a watch sends while nothing changes.
+/// The HTTP chunk of an empty line, which a watch sends as a heartbeat while nothing changes.
 const EMPTY_CHUNK: &[u8] = b"1\r\n\n\r\n";
 
-/// The bound addresses, as the service logs them.
+/// The bound addresses of both interfaces, from the log of the service.
 #[derive(Clone, Copy, Debug, Default)]
 struct Addresses {
     read: Option<SocketAddr>,
@@ -38,7 +38,8 @@
     }
 }
 
-/// Reads the bound addresses from the log, as the operating system chooses the ports.
+/// A log subscriber that sends the bound addresses to the test. The test cannot know them
+/// otherwise, because the operating system chooses the ports.
 struct AddressSubscriber(mpsc::Sender<Addresses>);
 
 impl Subscriber for AddressSubscriber {
@@ -77,12 +78,13 @@
 }
 
 impl TestService {
-    /// Starts a service on a folder; `tables` are the other tables of its configuration.
+    /// Starts a service with its store in `folder`. `tables` is the TOML text of the `limits` and
+    /// `leases` tables of its configuration.
     pub fn start(folder: &Path, tables: &str) -> Self {
         let text = format!(
             "fleet = \"fixtures\"\nname = \"r0\"\nread = \"127.0.0.1:0\"\nwrite = \"127.0.0.1:0\"\nfolder = {folder:?}\n{tables}"
         );
-        let config = Config::parse(&text).expect("a sound configuration");
+        let config = Config::parse(&text).expect("a valid configuration");
         let (sender, bound) = mpsc::channel();
         let (stop, stopped) = oneshot::channel();
         let thread = std::thread::spawn(move || {
@@ -102,7 +104,7 @@
         });
         let bound = bound
             .recv_timeout(READ_TIMEOUT)
-            .expect("the service is bound");
+            .expect("the service logs its bound addresses");
         let (read, write) = (
             bound.read.expect("an address"),
             bound.write.expect("an address"),
@@ -141,7 +143,7 @@
     }
 }
 
-/// A request that closes its connection.
+/// Returns the bytes of a request that has the connection closed after the response.
 pub fn request(head: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let head = format!("{head} HTTP/1.1\r\nhost: registry\r\nconnection: close\r\n");
@@ -156,7 +158,7 @@
     stream
 }
 
-/// Sends bytes, and reads until the service closes the connection.
+/// Sends bytes on a new connection, and returns those received until the service closes it.
 pub fn exchange(address: SocketAddr, request: &[u8]) -> Vec<u8> {
     let mut stream = connect(address);
     stream.write_all(request).expect("sent");
@@ -167,7 +169,7 @@
     response
 }
 
-/// Masks the value of each `date` header, which differs from run to run, and changes nothing else.
+/// Masks only the value of each `date` header, which differs between runs.
 pub fn mask_dates(response: &[u8]) -> Vec<u8> {
     const NAME: &[u8] = b"\r\ndate: ";
     let mut masked = Vec::new();
@@ -206,9 +208,9 @@
         }
     }
 
-    fn read_until(&mut self, enough: impl Fn(&[u8]) -> bool) {
+    fn read_until(&mut self, is_complete: impl Fn(&[u8]) -> bool) {
         let mut buffer = [0; 4096];
-        while !enough(&self.bytes) {
+        while !is_complete(&self.bytes) {
             let count = self.stream.read(&mut buffer).expect("more of the watch");
             assert!(
                 count > 0,
@@ -237,8 +239,8 @@
         self.read_until(|bytes| count(bytes, EMPTY_CHUNK) > before);
     }
 
-    /// The bytes that were read, with dates masked and without empty lines, whose number depends
-    /// on the speed of the test.
+    /// Returns the bytes that were read, with dates masked and without empty lines. The number of
+    /// empty lines depends on the speed of the test.
     pub fn masked(&self) -> Vec<u8> {
         let mut rest = self.bytes.as_slice();
         let mut masked = Vec::new();
@@ -266,14 +268,14 @@
     folder
 }
 
-/// The path of a file of the recorded data.
+/// Returns the path of a file of the recorded data.
 pub fn data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/data")
         .join(name)
 }
 
-/// Compares bytes with those of a recorded file.
+/// Panics unless the bytes are those of a recorded file.
 pub fn assert_recorded(file: &Path, actual: &[u8]) {
     let expected = std::fs::read(file).unwrap_or_else(|e| panic!("{}: {e}", file.display()));
     let (shown_actual, shown_expected) = (actual.escape_ascii(), expected.escape_ascii());
@@ -284,7 +286,7 @@
     );
 }
 
-/// Fails if a response has another status than 200.
+/// Panics unless the status of a response is 200.
 pub fn expect_ok(response: &[u8]) {
     let is_ok = response.starts_with(b"HTTP/1.1 200 OK\r\n");
     assert!(is_ok, "{}", response.escape_ascii());
--- a/registry/tests/write_request.rs
+++ b/registry/tests/write_request.rs
@@ -3,7 +3,8 @@
 use frostkeel_registry::write_request::parse_command;
 use hyper::Method;
 
-/// Inputs as a fuzzer would find them: each gives a command or an error, and never a panic.
+/// Parses malformed input as a fuzzer would generate it: each must give an error with the expected
+/// status, and not a panic. Valid requests must give a command.
 #[test]
 fn malformed_write_requests_are_rejected_with_a_status() {
     for (method, path, body, status) in [
