--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,19 +1,20 @@
-//! All decisions of a balancer. Their types, events and actions are in `interface.rs`.
+//! The decisions of a balancer, made by [`Balancer`]. The events that it takes and the actions that
+//! it returns are declared in `interface.rs`.
 //!
-//! The ordinary path follows the paper. Every tick refills one token bucket a tenant by a
-//! guaranteed rate and by a share, in proportion to demand, of the spare capacity W of the
-//! upstreams. A request that finds a token is admitted, any other is rejected on arrival. Admitted
-//! requests are distributed round robin over the ready upstreams; one that has clearly more in
-//! flight than the next ones is skipped. Everything else is an exception to that path, and its
-//! comment states what it guards against.
+//! The ordinary path follows the paper whose symbols are listed below. Every tick refills one token
+//! bucket per tenant: by a guaranteed rate and by a fraction, in proportion to the tenant's demand,
+//! of the spare capacity W of the upstreams. A request is admitted if the bucket of its tenant has
+//! a token; otherwise it is rejected on arrival. Admitted requests are distributed round robin over
+//! the ready upstreams; an upstream that has clearly more in flight than the next ones is skipped.
+//! Everything else is an exception to that path, and its comment states what it guards against.
 //!
-//! Each part owns its state, its constants and its state of each upstream; [`Balancer`] passes it
-//! the inputs from other parts. The flow of a request, of an attempt and of an endpoint update
-//! through the parts is in `request_flow.rs`, `attempt_flow.rs` and `endpoint_flow.rs`. Times are
-//! seconds (`_s`) on the embedder's clock.
+//! Each module owns its constants and its state, including its state of each upstream; [`Balancer`]
+//! passes it the inputs from other modules. `request_flow.rs`, `attempt_flow.rs` and
+//! `endpoint_flow.rs` show how a request, an attempt and an endpoint update pass through the
+//! modules. Names that end in `_s` hold seconds: durations, or times on the embedder's clock.
 //!
-//! The paper's symbols are named beside what each is: V_i, mu_i, u_g_i, u_i and T_i in
-//! `admission.rs`; W, C_j and Q_j in `capacity.rs`; q_j in `load.rs`; sigma in `round_robin.rs`;
+//! The paper's symbols are given where each quantity is declared: V_i, mu_i, u_g_i, u_i and T_i in
+//! `admission.rs`; W, C_j and Q_j in `capacity.rs`; q_j in `load.rs`; sigma in `round_robin.rs`.
 //! tau is the time since the last tick, `elapsed_s`.
 
 mod admission;
@@ -60,16 +61,19 @@
 use upstreams::{Upstream, Upstreams};
 use weights::Weights;
 
-/// Seconds between ticks: short against any objective, long against one pass over all upstreams.
+/// Seconds between ticks: much less than any latency objective, and much more than one pass over
+/// all upstreams takes.
 const TICK_S: f64 = 0.025;
-/// A tick counts for so many seconds at the most, however late it is.
+/// Upper limit, in seconds, of the time that one tick accounts for, even if the tick is later.
 const MAX_TICK_S: f64 = 1.0;
 const TICK_TIMER: TimerId = TimerId(0);
 
-/// The decisions of one balancer. See the crate's documentation for its use.
+/// Makes the decisions of one balancer: takes events and returns actions. The documentation of the
+/// crate shows its use.
 pub struct Balancer {
     settings: Settings,
-    /// The time of the present event; in seconds as well.
+    /// Time of the event that is being processed, on the embedder's clock; `now_s` is the same time
+    /// in seconds.
     now: Duration,
     now_s: f64,
     actions: Vec<Action>,
@@ -82,21 +86,22 @@
     upstreams: Upstreams,
     subset: Subset,
     rotation: Rotation,
-    // Requests in flight, and what their outcomes have shown.
+    // Requests in flight, and statistics of their outcomes.
     requests: Requests,
     retry_budget: RetryBudget,
     classes: ClassStatistics,
     load_reports: LoadReportTracker,
     outliers: OutlierDetection,
     idle_connections: IdleConnections,
-    // How much is admitted and sent.
+    // Limits of admissions and of sends.
     weights: Weights,
     capacity: Capacity,
     admission: Admission,
     pacing: SendPacing,
 }
 
-/// Requests a second that a balancer expects before it has seen any: an equal part of the quotas.
+/// Returns the requests a second that a balancer expects before it has received any: an equal part
+/// of the sum of the stated quotas, which counts as at least one request a second.
 fn expected_per_s(settings: &Settings) -> f64 {
     let quotas = settings
         .tenants
@@ -107,14 +112,15 @@
 }
 
 impl Default for Balancer {
-    /// A balancer without classes: it fails every request.
+    /// Returns a balancer without classes, which fails every request.
     fn default() -> Self {
         Self::with_settings(Settings::default(), 0)
     }
 }
 
 impl Balancer {
-    /// A balancer with these settings; `seed` is its only source of chance.
+    /// Returns a balancer with these settings, or the error of [`Settings::check`]. `seed` is its
+    /// only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self::with_settings(settings, seed))
@@ -149,12 +155,13 @@
         }
     }
 
-    /// Entries of state: upstreams, requests, overdue times. Bounded: see the tests.
+    /// Returns the number of entries in all collections of state: upstreams, requests and overdue
+    /// times of attempts. It is bounded; `tests/bounded_state.rs` checks this.
     pub fn entries(&self) -> usize {
         self.upstreams.entry_count() + self.requests.entry_count()
     }
 
-    /// The state that decisions are based on.
+    /// Returns a snapshot of the state that decisions are based on.
     pub fn status(&self) -> StatusSnapshot {
         let weight: f64 = self.members().map(|u| u.weight.weight()).sum();
         StatusSnapshot {
@@ -173,13 +180,15 @@
         }
     }
 
-    /// When no new attempt may be sent, unless the endpoint list is confirmed before; `None`: it is
-    /// confirmed. An embedder checks it again just before it writes an attempt.
+    /// Returns the period in which no new attempt may be sent unless the endpoint list is confirmed
+    /// first; `None` while the list is confirmed. An embedder checks it again just before it writes
+    /// an attempt.
     pub fn send_pause(&self) -> Option<SendPause> {
         self.lease.send_pause()
     }
 
-    /// Processes one event and appends the actions that follow from it.
+    /// Processes one event, which occurred at `now` on the embedder's clock, and appends the
+    /// actions that follow from it to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
         (self.now, self.now_s) = (now, now.as_secs_f64());
@@ -213,8 +222,8 @@
                 finished,
                 report,
             } => {
-                // An attempt that was abandoned at its overdue time ends before the tick that would
-                // have found it overdue.
+                // Overdue attempts are handled first: an attempt that was abandoned at its overdue
+                // time ends before the next tick, which would otherwise find it overdue.
                 self.handle_overdue_attempts();
                 self.on_load_report(upstream, report);
                 self.on_attempt_ended(id, attempt, outcome, latency, finished);
@@ -231,7 +240,8 @@
         std::mem::swap(&mut self.actions, actions);
     }
 
-    /// Starts ticks and polls at the first event; those of many balancers are spread.
+    /// Starts ticks and polls at the first event, each after a random delay that spreads those of
+    /// many balancers.
     fn start(&mut self) {
         if std::mem::replace(&mut self.is_started, true) {
             return;
@@ -250,7 +260,8 @@
         });
     }
 
-    /// The tick: the subset, weights, W and the token buckets, then overdue attempts and discovery.
+    /// Processes a tick: updates the subset, the weights, W and the token buckets, then handles
+    /// overdue attempts and polls discovery if a poll is due.
     fn on_tick(&mut self) {
         let elapsed_s = (self.now_s - self.last_tick_s).clamp(0.0, MAX_TICK_S);
         self.last_tick_s = self.now_s;
@@ -275,7 +286,7 @@
         }
     }
 
-    /// The upstreams that take turns.
+    /// Returns the upstreams of the rotation.
     fn members(&self) -> impl Iterator<Item = &Upstream> {
         self.rotation
             .members()
@@ -283,8 +294,8 @@
             .map(|slot| &self.upstreams[*slot])
     }
 
-    /// Updates the weights of the upstreams in the rotation: the present capacity of each, and the
-    /// turns and sends it gets.
+    /// Updates the upstreams of the rotation: the present capacity and weight of each, and the
+    /// turns and sends that it gets.
     fn update_weights(&mut self, elapsed_s: f64) {
         let now_s = self.now_s;
         let ready = || self.members().filter(|u| u.endpoint.is_ready());
@@ -317,7 +328,7 @@
             .refill(upstreams, members, &rates, elapsed_s, now_s);
     }
 
-    /// Spare capacity, and what the token buckets get of it.
+    /// Updates the spare capacity, and refills the token buckets from it.
     fn update_capacity(&mut self, elapsed_s: f64) {
         self.classes.fade(elapsed_s, self.now_s);
         self.capacity.update(&CapacityInputs {
