--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,5 +1,5 @@
-//! The requests in flight with their attempts, when each attempt becomes overdue, and the retry
-//! budget.
+//! The requests in flight with their attempts, the time at which each attempt becomes overdue, and
+//! the retry budget.
 
 use super::upstreams::Upstream;
 use crate::interface::{CellId, Class, DedupGroup, Effect, Outcome, RequestId, UpstreamId, ZoneId};
@@ -7,34 +7,36 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Retries earned by each request admitted, and how many of them can be saved up.
+/// Retries that each admitted request adds to the retry budget, and the largest budget in retries.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 const MAX_RETRY_BUDGET: f64 = 10.0;
-/// Margin for the network, beside a new connection, until an upstream forgets an idempotency key.
+/// Margin for the network, in seconds: a retry with an idempotency key is sent only if at least
+/// this and the connect time-out remain until the upstream forgets the key.
 const KEY_MARGIN_S: f64 = 0.05;
 
 /// The state of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// Sent, and not ended.
+    /// The attempt is in flight and has not become overdue.
     InFlight,
-    /// The same for longer than is usual.
+    /// The attempt has been in flight for longer than is usual for its class.
     Overdue,
-    /// It has ended.
+    /// The attempt has ended.
     Ended {
-        /// Whether the upstream may have run it, or may still.
+        /// Whether the upstream may have processed the request, or may still do so.
         may_have_run: bool,
     },
 }
 
-/// One send of a request.
+/// One attempt: a request that was sent to one upstream.
 pub(super) struct Attempt {
     pub(super) upstream: UpstreamId,
     pub(super) zone: ZoneId,
     pub(super) cell: CellId,
     pub(super) sent_at_s: f64,
     pub(super) state: AttemptState,
-    /// How long its connection had not been used.
+    /// Seconds for which the connections to the upstream had been idle at the send; zero if one was
+    /// in use, if none had been used yet, or if the idle ones were closed.
     pub(super) connection_idle_s: f64,
 }
 
@@ -43,7 +45,7 @@
         !matches!(self.state, AttemptState::Ended { .. })
     }
 
-    /// Whether it may have had its effect, or may still.
+    /// Returns whether the upstream may have processed the request, or may still do so.
     pub(super) fn may_have_run(&self) -> bool {
         self.state
             != AttemptState::Ended {
@@ -64,13 +66,13 @@
 }
 
 impl EndedAttempt {
-    /// Whether it was abandoned when there was no response for longer than is usual.
+    /// Returns whether the attempt was already overdue when it timed out or was cancelled.
     pub(super) fn is_abandoned(&self) -> bool {
         self.was_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
 
-    /// Whether it is a fault of its upstream; a missing response is one only if the upstream is not
-    /// ejected.
+    /// Returns whether the attempt is a fault of its upstream. A missing response is a fault only
+    /// if `silence_counts`, which the caller sets unless the upstream is ejected.
     pub(super) fn is_fault(&self, silence_counts: bool) -> bool {
         matches!(self.outcome, Outcome::Error | Outcome::Rejected)
             || (self.is_abandoned() && silence_counts)
@@ -80,18 +82,18 @@
 /// The state of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RequestState {
-    /// Its final response is pending.
+    /// No final response has been given, and no response streams.
     Waiting,
-    /// Its response streams: no other attempt may follow.
+    /// A response streams: no other attempt may be sent.
     Streaming,
-    /// It has ended; attempts of it may still be in flight.
+    /// The request has ended; attempts of it may still be in flight.
     Completed,
 }
 
 /// A request in flight.
 pub(super) struct Request {
     pub(super) class: usize,
-    /// A response after this earns nothing.
+    /// Time after which a response is of no use; at the latest the deadline.
     pub(super) useful_until_s: f64,
     pub(super) deadline_s: f64,
     pub(super) attempts: Vec<Attempt>,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Whether its final response is pending and does not stream yet.
+    /// Returns whether the request has not ended and no response streams yet.
     pub(super) fn is_waiting(&self) -> bool {
         self.state == RequestState::Waiting
     }
@@ -119,14 +121,14 @@
         self.state == RequestState::Completed
     }
 
-    /// Its response streams from now on, unless it has ended.
+    /// Records that a response streams from now on, unless the request has ended.
     pub(super) fn start_streaming(&mut self) {
         if self.state == RequestState::Waiting {
             self.state = RequestState::Streaming;
         }
     }
 
-    /// Ends it. Returns whether it had not ended before.
+    /// Ends the request. Returns whether it had not ended before.
     pub(super) fn complete(&mut self) -> bool {
         let before = std::mem::replace(&mut self.state, RequestState::Completed);
         before != RequestState::Completed
@@ -136,12 +138,13 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether nothing of it can have run.
+    /// Returns whether no attempt can have been processed.
     pub(super) fn never_ran(&self) -> bool {
         !self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Whether an attempt may go to an upstream now without an effect happening twice.
+    /// Returns whether an attempt may be sent to an upstream now without the risk that the request
+    /// takes effect twice.
     pub(super) fn may_run_at(
         &self,
         upstream: &Upstream,
@@ -160,7 +163,7 @@
             DedupGroup::Zone => upstream.endpoint.zone() == first.zone,
             DedupGroup::Cell => upstream.endpoint.cell() == first.cell,
         };
-        // A connection may have to be made first.
+        // The attempt may have to wait for a new connection.
         let margin_s = connect_timeout.as_secs_f64() + KEY_MARGIN_S;
         shares_keys && now_s + margin_s < first.sent_at_s + ttl.as_secs_f64()
     }
@@ -172,7 +175,7 @@
     }
 }
 
-/// The retries that may still be made.
+/// The number of retries that may still be sent.
 pub(super) struct RetryBudget {
     retries: f64,
 }
@@ -197,8 +200,8 @@
     }
 }
 
-/// When an attempt becomes overdue; in the order of that. The time is exact, so that it can be a
-/// key.
+/// The time at which an attempt becomes overdue; ordered by that time. It is a `Duration`, which is
+/// exact, so that it can be a key of an ordered set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OverdueDeadline {
     at: Duration,
@@ -214,7 +217,7 @@
     pub(super) sent_at_s: f64,
 }
 
-/// All requests in flight.
+/// All requests in flight, including ended ones with attempts in flight.
 #[derive(Default)]
 pub(super) struct Requests {
     requests: FxHashMap<RequestId, Request>,
@@ -222,7 +225,7 @@
 }
 
 impl Requests {
-    /// Entries of state.
+    /// Returns the number of entries in the collections of state.
     pub(super) fn entry_count(&self) -> usize {
         self.requests.len() + self.overdue_deadlines.len()
     }
@@ -243,7 +246,7 @@
         self.requests.remove(&id)
     }
 
-    /// Adds an attempt to its request, overdue from `overdue_at` on.
+    /// Adds an attempt to its request; the attempt becomes overdue at `overdue_at`.
     pub(super) fn add_attempt(&mut self, id: RequestId, attempt: Attempt, overdue_at: Duration) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -258,8 +261,8 @@
         self.overdue_deadlines.insert(deadline);
     }
 
-    /// The next attempt that has become overdue by now and is still in flight; it counts as overdue
-    /// then.
+    /// Marks the next attempt in flight whose overdue time has passed as overdue and returns it;
+    /// `None` if there is none.
     pub(super) fn next_overdue(&mut self, now: Duration) -> Option<OverdueAttempt> {
         loop {
             let next = self
@@ -282,7 +285,7 @@
         }
     }
 
-    /// Ends an attempt, if it is in flight.
+    /// Ends an attempt; `None` if it is not known or has already ended.
     pub(super) fn end_attempt(
         &mut self,
         id: RequestId,
