--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -1,4 +1,4 @@
-//! The flow of a request: admission, its first attempt, its final response.
+//! The flow of a request: admission, the first attempt, the final response.
 
 use super::admission::retry_after;
 use super::clock::JitteredClock;
@@ -8,13 +8,13 @@
 use crate::interface::{Action, AttemptNo, Class, Effect, FailureReason, RequestId};
 use std::time::Duration;
 
-/// An attempt whose late response is of no use is abandoned at this fraction of the objective: just
-/// before the objective, not after it.
+/// Fraction of the latency objective at which an attempt is abandoned if a late response is of no
+/// use: just before the objective, not after it.
 const USEFUL_OBJECTIVE_FRACTION: f64 = 0.98;
-/// Upper limit of the time left that a rejection counts with.
+/// Upper limit, in seconds, of the remaining time from which a rejection computes its Retry-After.
 const MAX_REMAINING_S: f64 = 1e6;
 
-/// A request that has arrived.
+/// A request that has just been received.
 #[derive(Clone, Copy)]
 pub(super) struct Arrival {
     pub(super) id: RequestId,
@@ -25,8 +25,8 @@
 }
 
 impl Balancer {
-    /// A request is admitted when its tenant's bucket has a token for it and an upstream its turn;
-    /// else it is rejected on arrival.
+    /// Admits a request if the bucket of its tenant has a token and an upstream can take it;
+    /// otherwise rejects it. Fails a request of an unknown class.
     pub(super) fn on_request(&mut self, arrival: Arrival) {
         if self.settings.retries_marked && !arrival.is_retry {
             self.subset.record_first_attempt();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The upstream for the first attempt of a request, or why there is none.
+    /// Returns the upstream for the first attempt of a request, or the reason why there is none.
     fn select_upstream(&mut self, arrival: &Arrival) -> Result<usize, FailureReason> {
         if self.lease.is_expired(self.now_s) {
             return Err(FailureReason::StaleEndpoints);
@@ -72,7 +72,8 @@
         })
     }
 
-    /// The upstream whose turn it is for a class; a due trial of an ejected one has precedence.
+    /// Returns the upstream for a request of a class: an ejected upstream whose trial is due, or
+    /// otherwise the next one in the rotation.
     fn next_upstream(&mut self, class: usize) -> Option<usize> {
         let upstreams = &mut self.upstreams;
         self.rotation.drop_unusable(upstreams);
@@ -97,7 +98,8 @@
         self.rotation.next(&mut self.upstreams, accepts, in_flight)
     }
 
-    /// Whether a class may not run twice, while others can show how a suspected upstream is.
+    /// Returns whether requests of a class avoid suspected upstreams: they may not be processed
+    /// twice, and requests of other classes can show whether a suspected upstream is healthy.
     fn needs_proven_upstreams(&self, class: usize) -> bool {
         let classes = &self.settings.classes;
         classes[class].effect == Effect::AtMostOnce
@@ -106,7 +108,8 @@
                 .any(|other| other.effect != Effect::AtMostOnce)
     }
 
-    /// Whether an upstream could take a request of the class, but for pacing.
+    /// Returns whether pacing holds back an upstream that has a weight and is not ejected for the
+    /// class.
     fn has_paced_upstream(&self, class: usize, is_short: bool) -> bool {
         self.members().any(|upstream| {
             upstream.weight.weight() > 0.0
@@ -135,7 +138,7 @@
         self.send(arrival.id, slot);
     }
 
-    /// Rejects a request; the response always has a Retry-After.
+    /// Rejects a request, always with a Retry-After.
     fn reject(&mut self, id: RequestId, time_left: Duration, reason: FailureReason) {
         let attempt_s = self.classes.mean_latency_s().max(TICK_S);
         let longest = self.settings.max_retry_after;
@@ -147,8 +150,8 @@
         });
     }
 
-    /// The final response where no attempt is in flight and none may follow: a rejection only if
-    /// nothing can have run, or may run again.
+    /// Ends a request that has no attempt in flight and may get no other one. It is rejected if no
+    /// attempt can have been processed or if it may be processed again; otherwise it fails.
     pub(super) fn end_without_response(&mut self, id: RequestId, reason: FailureReason) {
         let Some(request) = self.requests.remove(id) else {
             return;
@@ -163,15 +166,15 @@
         }
     }
 
-    /// A streamed response has started.
+    /// Records that a streamed response has started.
     pub(super) fn on_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(id) {
             request.start_streaming();
         }
     }
 
-    /// A request has its final response, or its client is gone: nothing more is sent for it, and
-    /// what is in flight is cancelled.
+    /// Ends a request that has its final response or whose client has disconnected. No further
+    /// attempt is sent, and the attempts in flight are cancelled if the settings allow it.
     pub(super) fn complete(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -190,7 +193,7 @@
     }
 }
 
-/// Whether a response after the objective still earns something.
+/// Returns whether a response after the latency objective of the class can still be of use.
 fn is_useful_when_late(class: &Class) -> bool {
     class.late_weight_share > 0.0 || class.objective_work_multiple > 0.0 || class.streamed
 }
