--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,49 +1,53 @@
-//! Admission: one token bucket a tenant, refilled by a guaranteed rate and by a share, in
-//! proportion to demand, of the spare capacity.
+//! Admission: one token bucket per tenant, refilled by a guaranteed rate and by a fraction, in
+//! proportion to the tenant's demand, of the spare capacity.
 
 use super::smoothing::{newest_weight, per_second};
 use crate::interface::{RequestId, Settings};
 use crate::random::Random;
 use std::time::Duration;
 
-/// Bucket size: a second of the guarantee or this fraction of the tenant's demand, whichever is
-/// more, and this many tokens, so that two simultaneous requests of a small tenant are not
+/// Bucket size: one second of the guarantee or this many seconds of the tenant's demand, whichever
+/// is more, plus this many tokens, so that two simultaneous requests of a small tenant are not
 /// rejected.
 const BUCKET_DEMAND_FRACTION: f64 = 0.2;
 const MIN_BUCKET_SIZE: f64 = 3.0;
-/// Shortest window of the demand, in seconds and in requests: one tick sees too few requests.
+/// Shortest window over which demand is averaged, in seconds and in requests: a single tick sees
+/// too few requests.
 const MIN_DEMAND_WINDOW_S: f64 = 1.0;
 const MIN_DEMAND_COUNT: f64 = 10.0;
-/// Guarantees grow with the median tenant's demand, times this margin, up to this multiple.
+/// Guarantees grow with the median tenant's demand, multiplied by this margin, up to this multiple
+/// of their base.
 const GUARANTEE_MARGIN: f64 = 1.3;
 const MAX_GUARANTEE_GROWTH: f64 = 4.0;
-/// How much of a guarantee is cut for each unit of shortage, for demand over it ...
+/// Fraction of a guarantee that is cut per unit of shortage, for a tenant whose demand is above its
+/// guarantee.
 const OVER_GUARANTEE_CUT: f64 = 20.0;
-/// ... and for demand within it, from this shortage on.
+/// Fraction of a guarantee that is cut per unit of shortage above the second value, for a tenant
+/// whose demand is within its guarantee.
 const WITHIN_GUARANTEE_CUT: f64 = 2.0;
 const WITHIN_GUARANTEE_CUT_FROM: f64 = 0.25;
-/// The guarantee of a tenant whose quota is not stated, in requests a second.
+/// Guarantee of a tenant without a stated quota, in requests a second.
 const DEFAULT_GUARANTEE: f64 = 1.0;
-/// Jitter of Retry-After: it is at least this fraction of its longest.
+/// Jitter of Retry-After: its smallest fraction of the longest wait, and the range above that.
 const MIN_RETRY_AFTER_JITTER: f64 = 0.5;
 const RETRY_AFTER_JITTER: f64 = 0.5;
 
 /// The token bucket of a tenant.
 struct TokenBucket {
-    /// mu_i: the tokens left.
+    /// mu_i: the tokens in the bucket.
     tokens: f64,
-    /// V_i of the running tick.
+    /// V_i: requests received since the last tick.
     arrivals: f64,
-    /// V_i a second, smoothed.
+    /// V_i in requests a second, smoothed.
     demand_per_s: f64,
-    /// This balancer's equal part of the tenant's quota, a second.
+    /// This balancer's equal part of the tenant's quota, in requests a second.
     base_guarantee_per_s: f64,
-    /// u_g_i a second.
+    /// u_g_i in requests a second: the guaranteed rate after its growth with demand.
     guarantee_per_s: f64,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Returns a full bucket.
     fn new(guarantee_per_s: f64) -> Self {
         Self {
             tokens: MIN_BUCKET_SIZE + guarantee_per_s,
@@ -54,12 +58,13 @@
         }
     }
 
-    /// T_i.
+    /// Returns T_i: the size of the bucket in tokens.
     fn size(&self) -> f64 {
         MIN_BUCKET_SIZE + (BUCKET_DEMAND_FRACTION * self.demand_per_s).max(self.guarantee_per_s)
     }
 
-    /// Adds u_i: the guarantee, less what a shortage cuts from it, and the tenant's share of W.
+    /// Adds u_i: the guarantee, reduced in a shortage, and the tenant's fraction of W. The bucket
+    /// is not filled beyond its size.
     fn refill(&mut self, refill: &Refill) {
         let size = self.size();
         let cut = if self.demand_per_s > self.guarantee_per_s {
@@ -72,15 +77,15 @@
         } else {
             0.0
         };
-        // Only whole tokens are subtracted from W: otherwise the bucket would never reach one where
-        // W is under one request.
+        // Only complete tokens are subtracted from W: otherwise the bucket would never reach one
+        // token while W is below one request.
         let open = (refill.spare_capacity - self.tokens.floor()).max(0.0);
         let guaranteed = (1.0 - cut).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
         let grant = guaranteed + demand_fraction * open;
         self.tokens += grant.min((size - self.tokens).max(0.0));
     }
 
-    /// Adds the arrivals of the tick to the demand.
+    /// Adds the requests received since the last tick to the demand.
     fn update_demand(&mut self, window_s: f64, elapsed_s: f64) {
         let per_s = per_second(self.arrivals, elapsed_s);
         self.demand_per_s += newest_weight(elapsed_s, window_s) * (per_s - self.demand_per_s);
@@ -88,13 +93,14 @@
     }
 }
 
-/// The inputs of a refill, the same for all buckets.
+/// Inputs of a refill that are the same for all buckets.
 struct Refill {
-    /// W.
+    /// W, in requests.
     spare_capacity: f64,
+    /// Attempts in flight beyond the capacity, as a fraction of all in flight; zero: no shortage.
     shortage: f64,
     total_demand_per_s: f64,
-    /// tau: the time since the last tick.
+    /// tau: seconds since the last tick.
     elapsed_s: f64,
 }
 
@@ -118,7 +124,7 @@
         }
     }
 
-    /// The bucket of a tenant; one that the settings don't know shares the last.
+    /// Returns the bucket of a tenant; a tenant that is not in the settings uses the last bucket.
     fn bucket(&mut self, tenant: usize) -> &mut TokenBucket {
         let last = self.buckets.len() - 1;
         &mut self.buckets[tenant.min(last)]
@@ -136,19 +142,19 @@
         self.bucket(tenant).tokens -= 1.0;
     }
 
-    /// Demand of all tenants, in requests a second.
+    /// Returns the demand of all tenants, in requests a second.
     pub(super) fn demand_per_s(&self) -> f64 {
         self.buckets.iter().map(|bucket| bucket.demand_per_s).sum()
     }
 
-    /// Refills the buckets, each tick. In a shortage, tenants over their guarantee are cut first.
-    /// In a large one, as after the loss of half the upstreams, the others are cut as well: with
-    /// full queues all responses would be late.
+    /// Refills the buckets, once per tick. In a shortage, the guarantees of tenants whose demand
+    /// exceeds them are cut first. In a large shortage, such as after the loss of half the
+    /// upstreams, the others are cut as well: with full queues all responses would be late.
     pub(super) fn refill(&mut self, spare_capacity: f64, shortage: f64, elapsed_s: f64) {
         let total_demand_per_s = self.demand_per_s();
         let growth = self.guarantee_growth(shortage);
-        // Long enough for a few requests: a tenant that sent nothing for a moment still
-        // has demand.
+        // The window is long enough for a few requests, so that a tenant that sends nothing for a
+        // moment still has demand.
         let window_s = MIN_DEMAND_WINDOW_S.max(MIN_DEMAND_COUNT / total_demand_per_s.max(0.1));
         let refill = Refill {
             spare_capacity,
@@ -163,9 +169,10 @@
         }
     }
 
-    /// Raises the guarantees where the median tenant's demand is above its part: this balancer then
-    /// gets more traffic than others, and no single tenant surges. Not in a large shortage, where
-    /// retries raise all demand.
+    /// Returns the factor by which guarantees grow. It is above one if the demand of the median
+    /// tenant is above its base guarantee: this balancer then gets more traffic than others, and it
+    /// is not one tenant that surges. A shortage reduces the growth, as retries then raise all
+    /// demand.
     fn guarantee_growth(&self, shortage: f64) -> f64 {
         let demand =
             |bucket: &TokenBucket| bucket.demand_per_s / bucket.base_guarantee_per_s.max(1e-9);
@@ -177,9 +184,10 @@
     }
 }
 
-/// How long a rejected client should wait before a retry: no less than an attempt takes, even if
-/// less of this request's time is left, as the client may send another. The jitter follows from the
-/// request's id, so that clients rejected together do not retry together.
+/// Returns how long a rejected client should wait before a retry. Before jitter this is half of the
+/// remaining time, but at least the duration of an attempt, as the client may send another request,
+/// and at most `longest`. The jitter is derived from the id of the request, so that clients
+/// rejected together do not retry together.
 pub(super) fn retry_after(
     id: RequestId,
     time_left: Duration,
