--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -10,23 +10,24 @@
 use crate::interface::{Action, AttemptNo, Effect, FailureReason, Outcome, RequestId};
 use std::time::Duration;
 
-/// Upstreams that a retry looks at for the one with the least in flight.
+/// Number of eligible upstreams that are compared to choose the target of a retry.
 const MAX_RETRY_CANDIDATES: usize = 6;
-/// What a retry costs of the retry budget; less if the attempt before was not processed: the retry
-/// adds no work.
+/// Cost of a retry, in retries of the budget. It is lower if the previous attempt was not
+/// processed: the retry then adds no work.
 const RETRY_COST: f64 = 1.0;
 const UNPROCESSED_RETRY_COST: f64 = 0.1;
-/// A retry needs this much time until the deadline, and this fraction of the class's mean latency
-/// until its response is of no more use.
+/// Time that a retry needs: seconds until the deadline, and a fraction of the class's mean latency
+/// until its response is of no use.
 const MIN_RETRY_TIME_S: f64 = 1e-3;
 const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
-/// Spare capacity under which nothing is hedged: the overdue attempt itself counts as in flight.
+/// Spare capacity, in requests, that a hedged attempt needs to exceed. It is negative because the
+/// overdue attempt itself counts as in flight.
 const MIN_HEDGE_CAPACITY: f64 = -1.0;
-/// Bounds of a time limit in seconds.
+/// Bounds of the time-out of an attempt, in seconds.
 const MIN_TIMEOUT_S: f64 = 1e-3;
 const MAX_TIMEOUT_S: f64 = 1e6;
-/// Rank of an upstream of another zone among retry candidates, and of one outside the subset; each
-/// outweighs whatever is in flight.
+/// Penalty in the rank of a retry candidate: once for an upstream of another zone, twice for one
+/// outside the subset. It outweighs any number of requests in flight.
 const DISTANCE_PENALTY: f64 = 1e6;
 
 impl Balancer {
@@ -67,26 +68,26 @@
         self.requests.add_attempt(id, attempt, self.now + overdue);
     }
 
-    /// When an attempt is abandoned; `None`: at the client's deadline.
+    /// Returns the time after which an attempt is abandoned; `None` for the client's deadline.
     fn attempt_timeout(&self, request: &Request, overdue: Duration) -> Option<Duration> {
         let class = &self.settings.classes[request.class];
-        // Where no hedge may run beside the first attempt, what can be retried is abandoned when
-        // overdue.
+        // Without hedging, an attempt that can be retried is abandoned when it becomes overdue.
         let is_last = request.attempts.len() + 1 >= usize::from(self.settings.max_attempts);
         let is_retryable = class.effect != Effect::AtMostOnce && !class.streamed;
         let may_retry = is_retryable && !is_last && self.retry_budget.affords(RETRY_COST);
         if !self.settings.hedging && may_retry {
             return Some(overdue);
         }
-        // An attempt whose response would earn nothing is abandoned: upstreams that drop cancelled
-        // requests get capacity for others, and an unresponsive one is detected sooner.
+        // An attempt is abandoned when its response would be of no use: upstreams that drop
+        // cancelled requests gain capacity for others, and an unresponsive upstream is detected
+        // sooner.
         let useful_s = (request.useful_until_s - self.now_s).clamp(MIN_TIMEOUT_S, MAX_TIMEOUT_S);
         let ends_early = request.useful_until_s < request.deadline_s;
         ends_early.then(|| Duration::from_secs_f64(useful_s))
     }
 
-    /// Sends a retry or a hedge where the class and the retry budget allow one. Returns whether it
-    /// did.
+    /// Sends a retry or a hedged attempt if the request, the retry budget and the upstreams allow
+    /// one. Returns whether it was sent.
     fn retry_elsewhere(&mut self, id: RequestId, cost: f64) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
@@ -114,8 +115,10 @@
             && !self.lease.is_expired(self.now_s)
     }
 
-    /// The upstream of the subset that comes next and has the least in flight; outside the subset,
-    /// from `start` on, only where none in it will do, as for a key known to one cell.
+    /// Returns the target of a retry: among the next eligible upstreams, the one with the least in
+    /// flight per capacity, preferably of this zone. Upstreams outside the subset, from index
+    /// `start` on, are used only if none in it is eligible, for instance if only one cell knows the
+    /// idempotency key.
     fn retry_target(&self, request: &Request, start: usize) -> Option<usize> {
         let count = self.upstreams.len();
         let others = (0..count).map(|step| (step + start % count) % count);
@@ -136,8 +139,8 @@
             .min_by(|a, b| rank(*a).total_cmp(&rank(*b)))
     }
 
-    /// Whether an upstream may take a retry of a request. Not in slow start: the retries after a
-    /// failure arrive in one burst, which would overload it.
+    /// Returns whether an upstream may take a retry of a request. An upstream in slow start may
+    /// not: the retries after a failure arrive in one burst, which would overload it.
     fn accepts_retry(&self, request: &Request, upstream: &Upstream) -> bool {
         let class = &self.settings.classes[request.class];
         let connect_timeout = self.settings.connect_timeout;
@@ -150,16 +153,16 @@
             && request.may_run_at(upstream, class, connect_timeout, self.now_s)
     }
 
-    /// Processes the attempts that have become overdue.
+    /// Handles all attempts that have become overdue.
     pub(super) fn handle_overdue_attempts(&mut self) {
         while let Some(attempt) = self.requests.next_overdue(self.now) {
             self.handle_overdue(&attempt);
         }
     }
 
-    /// An attempt is in flight for longer than is usual. If its upstream has not responded to
-    /// anything since it was sent, the upstream is suspected, and a hedge may be sent. Otherwise
-    /// the request is an expensive one, and would take as long elsewhere.
+    /// Handles an attempt that has become overdue. If its upstream has not responded to any request
+    /// since the send, the upstream is suspected, and a hedged attempt may be sent. Otherwise the
+    /// request is an expensive one and would take as long at another upstream.
     fn handle_overdue(&mut self, attempt: &OverdueAttempt) {
         let Some(slot) = self.upstreams.slot(attempt.upstream) else {
             return;
@@ -175,7 +178,8 @@
         }
     }
 
-    /// An attempt has ended; `is_finished`: its request has its final response.
+    /// Processes the end of an attempt. `is_finished` states that the request has its final
+    /// response.
     pub(super) fn on_attempt_ended(
         &mut self,
         id: RequestId,
@@ -203,7 +207,8 @@
         }
     }
 
-    /// The last attempt in flight of a request has ended, and its client still waits.
+    /// Retries a request whose last attempt in flight has ended without a final response; ends the
+    /// request if no retry can be sent.
     fn retry_or_end(&mut self, id: RequestId, attempt: &EndedAttempt) {
         let never_ran = attempt.outcome.never_ran();
         let cost = if never_ran {
@@ -238,8 +243,8 @@
         }
     }
 
-    /// Records the outcome of an attempt for its class, the capacity, the connections and its
-    /// upstream.
+    /// Records the outcome of an attempt in the statistics of its class, the capacity, the idle
+    /// connections and its upstream.
     fn record_outcome(&mut self, attempt: &EndedAttempt) {
         let sample = if attempt.outcome == Outcome::Ok {
             self.capacity.record_completion();
@@ -266,7 +271,7 @@
         self.judge(slot, attempt);
     }
 
-    /// Records the outcome of an attempt in the health of its upstream.
+    /// Updates the health of an upstream, and its load, with the outcome of an attempt.
     fn judge(&mut self, slot: usize, attempt: &EndedAttempt) {
         let mut clock = JitteredClock {
             now_s: self.now_s,
@@ -284,15 +289,17 @@
         if attempt.outcome == Outcome::Rejected {
             upstream.load.record_rejected(self.now_s);
         }
-        // A fault of this upstream alone is no evidence about capacity elsewhere.
+        // An ejection for the class shows a fault of this upstream alone, which is no evidence
+        // about capacity elsewhere.
         if attempt.is_abandoned() && !upstream.health.is_ejected_for(attempt.class) {
             upstream.load.record_abandoned();
         }
         let is_ejected = fault.is_some_and(|fault| self.suspect(slot, fault));
         if is_ejected && attempt.outcome == Outcome::ConnectFailed {
-            // No process listens there: it has died, and its successor will be in slow start. Each
-            // balancer returns to it at a random time. An upstream that accepts connections, if
-            // only to reset them, has not restarted and retains its capacity.
+            // No process listens at the upstream: the process has died, and its successor will be
+            // in slow start. Each balancer sends to it again at a random time. An upstream that
+            // accepts connections, even if it only resets them, has not restarted and retains its
+            // capacity.
             let upstream = &mut self.upstreams[slot];
             upstream
                 .weight
@@ -300,7 +307,8 @@
         }
     }
 
-    /// Adds a fault to the suspicion of an upstream. Returns whether it is ejected for it.
+    /// Adds a fault to the suspicion of an upstream. Returns whether the upstream is ejected
+    /// because of it.
     fn suspect(&mut self, slot: usize, fault: Fault) -> bool {
         let conditions = SuspicionContext {
             mean_latency_s: self.classes.mean_latency_s(),
