--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,5 +1,5 @@
-//! Service rate and spare capacity: what the upstreams of the rotation can do together, and how
-//! much of it is left for this balancer.
+//! Service rate and spare capacity: the rate at which the upstreams of the rotation can serve
+//! requests, and how many more requests this balancer may send to them.
 
 use super::class_statistics::ClassStatistics;
 use super::load::{LoadReportTracker, UTILIZATION_VALID_S};
@@ -7,46 +7,48 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{EndpointWeights, LoadField, LoadReports, Settings};
 
-/// Seconds over which the service rate is averaged in overload, and over which a previously
-/// reached rate decays otherwise.
+/// Time constants, in seconds: of smoothed rates and of the service rate in overload; and of the
+/// decay of a previously reached service rate without overload.
 pub(super) const RATE_MEMORY_S: f64 = 2.0;
 const UNSTRAINED_RATE_MEMORY_S: f64 = 30.0;
-/// Mean latency, as a fraction of the objective, from which on no capacity is spare; above it many
-/// responses are late.
+/// Mean latency, as a fraction of the objective, from which on the queues count as full; above it
+/// many responses are late.
 pub(super) const QUEUE_OBJECTIVE_FRACTION: f64 = 0.4;
-/// The same where load reports contain the utilization, and latency is only a second limit.
+/// Replaces [`QUEUE_OBJECTIVE_FRACTION`] if load reports contain the utilization: latency is then
+/// only a second limit.
 const REPORTED_QUEUE_OBJECTIVE_FRACTION: f64 = 0.55;
-/// Fraction of the upstreams' cores that may be in use where load reports contain the utilization,
-/// and what is added for demand over the quotas, by its weight: demand of little weight justifies
-/// little risk.
+/// Fraction of the upstreams' cores that may be in use if load reports contain the utilization; its
+/// increase for demand over the quotas, per unit of that demand's weight; and the upper limit of
+/// that weight. Demand of little weight justifies little risk.
 const BASE_UTILIZATION_BOUND: f64 = 0.62;
 const OVER_QUOTA_UTILIZATION: f64 = 0.4;
 const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
-/// Growth of the service rate a second where pacing rejects, for each part that the utilization is
-/// under its bound: slow, as reports are about a second old.
+/// Relative growth of the service rate per second if pacing rejects every request and the
+/// utilization is at most half of its bound; less in proportion. Growth is slow because reports are
+/// about a second old.
 const PACED_GROWTH: f64 = 0.7;
-/// Weight of the newest request in the share that pacing rejects.
+/// Weight of the newest rejection in the fraction of requests that pacing rejects.
 const PACED_NEWEST_WEIGHT: f64 = 0.1;
-/// Limits of scaling a rate up to the utilization bound: the lowest utilization that counts, and
-/// the largest factor.
+/// Limits for scaling a rate up to the utilization bound: the lowest utilization that is assumed,
+/// and the largest factor.
 const MIN_SCALED_UTILIZATION: f64 = 0.1;
 const MAX_UTILIZATION_SCALE: f64 = 2.0;
 
-/// Fraction of the upstreams' cores that may be in use.
+/// Returns the fraction of the upstreams' cores that may be in use.
 fn utilization_bound(settings: &Settings) -> f64 {
     let over_quota_weight = settings.over_quota_weight_share.min(MAX_OVER_QUOTA_WEIGHT);
     BASE_UTILIZATION_BOUND + OVER_QUOTA_UTILIZATION * over_quota_weight
 }
 
-/// The inputs of an update.
+/// Inputs of [`Capacity::update`].
 pub(super) struct CapacityInputs<'a> {
     pub(super) upstreams: &'a Upstreams,
     pub(super) rotation: &'a [usize],
     pub(super) classes: &'a ClassStatistics,
     pub(super) load_reports: &'a LoadReportTracker,
-    /// Balancers that send to each upstream.
+    /// Number of balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
-    /// tau: the time since the last tick.
+    /// tau: seconds since the last tick.
     pub(super) elapsed_s: f64,
     pub(super) now_s: f64,
 }
@@ -57,39 +59,43 @@
     }
 }
 
-/// The total capacity of the upstreams.
+/// Estimates of the capacity of the upstreams in the rotation.
 pub(super) struct Capacity {
     utilization_bound: f64,
     balancers: f64,
-    /// Completions a second for each unit of weight; C_j is this times an upstream's weight.
+    /// Completions a second per unit of weight; C_j is this times the weight of an upstream.
     service_rate: f64,
-    /// Completions of the running tick, and a second, smoothed.
+    /// Completions since the last tick, and the smoothed rate per second.
     completions: f64,
     completions_per_s: f64,
-    /// Weight of the rotation, smoothed.
+    /// Sum of the weights in the rotation, smoothed.
     rotation_weight: f64,
-    /// Fraction of requests that pacing rejects, as a decaying mean.
+    /// Fraction of requests that pacing rejects; grows with each rejection and decays with time.
     paced_fraction: f64,
-    /// Fraction of the upstreams' cores in use, by their reports; zero: not known.
+    /// Fraction of the upstreams' cores in use, from load reports; zero while unknown.
     utilization: f64,
-    /// The same, but for the first seconds of reports.
+    /// The utilization, except that it falls slowly during the first seconds of reports.
     settled_utilization: f64,
+    /// Seconds for which the utilization has been reported.
     reported_for_s: f64,
-    /// W, in requests; negative where more is in flight than there is capacity for.
+    /// W, in requests; negative if more is in flight than there is capacity for.
     spare: f64,
-    /// Attempts in flight at the last update.
+    /// This balancer's attempts in flight at the last update, including abandoned ones that may
+    /// still run.
     in_flight: f64,
 }
 
 impl Capacity {
-    /// At the start, `expected_per_s` requests a second are assumed to be served.
+    /// Returns the initial estimates, which assume that `expected_per_s` requests a second are
+    /// served.
     pub(super) fn new(settings: &Settings, expected_per_s: f64) -> Self {
         let bound = utilization_bound(settings);
-        // Until the first report the utilization is assumed to be at its bound.
+        // Until the first report, the utilization is assumed to be at its bound.
         let will_report = settings.load_reports == LoadReports::Inline
             && settings.report_fields.contains(&LoadField::Utilization);
         let utilization = if will_report { bound } else { 0.0 };
-        // Without listed sizes the small upstreams would be overloaded first: start lower.
+        // If the list states no sizes, the initial rate is lower: otherwise the small upstreams
+        // would be overloaded first.
         let are_sizes_unknown = settings.endpoint_weights == EndpointWeights::Off;
         let completions_per_s = if will_report && are_sizes_unknown {
             utilization * expected_per_s
@@ -112,12 +118,12 @@
         }
     }
 
-    /// Completions a second for each unit of weight.
+    /// Returns the completions a second per unit of weight.
     pub(super) fn service_rate(&self) -> f64 {
         self.service_rate
     }
 
-    /// Fraction of the upstreams' cores in use; zero: not known.
+    /// Returns the fraction of the upstreams' cores in use; zero while unknown.
     pub(super) fn utilization(&self) -> f64 {
         self.utilization
     }
@@ -126,12 +132,12 @@
         self.utilization > 0.0
     }
 
-    /// W.
+    /// Returns W, in requests.
     pub(super) fn spare(&self) -> f64 {
         self.spare
     }
 
-    /// What is in flight beyond the capacity, as a fraction of what is in flight.
+    /// Returns the attempts in flight beyond the capacity, as a fraction of all in flight.
     pub(super) fn shortage(&self) -> f64 {
         (-self.spare / f64::max(self.in_flight, 1e-9)).max(0.0)
     }
@@ -140,19 +146,19 @@
         self.completions += 1.0;
     }
 
-    /// Pacing has rejected a request.
+    /// Records that pacing has rejected a request.
     pub(super) fn record_paced(&mut self) {
         self.paced_fraction += PACED_NEWEST_WEIGHT * (1.0 - self.paced_fraction);
     }
 
-    /// The rotation has grown by this factor. The total rate of this balancer stays: others send to
-    /// the new upstreams too.
+    /// Adapts the estimates after the rotation has grown by `factor`. The total rate of this
+    /// balancer stays the same, as other balancers send to the new upstreams too.
     pub(super) fn on_rotation_grown(&mut self, factor: f64) {
         self.service_rate /= factor;
         self.rotation_weight *= factor;
     }
 
-    /// Updates all estimates, each tick.
+    /// Updates all estimates, once per tick.
     pub(super) fn update(&mut self, inputs: &CapacityInputs<'_>) {
         self.update_utilization(inputs);
         let objective_fraction = if self.knows_utilization() {
@@ -172,8 +178,8 @@
         self.update_spare(inputs, queue_s);
     }
 
-    /// Averages the last reports of all upstreams, however few of them respond to this balancer in
-    /// a second.
+    /// Sets the utilization to the mean, weighted by size, of the last valid reports of all
+    /// upstreams, even if few of them respond to this balancer in a second.
     fn update_utilization(&mut self, inputs: &CapacityInputs<'_>) {
         let (mut cores_in_use, mut cores) = (0.0, 0.0);
         for upstream in inputs
@@ -187,7 +193,7 @@
         if cores <= 0.0 {
             return;
         }
-        // The first reports are from idle upstreams: no rate is set by them alone.
+        // The first reports come from idle upstreams, and must not set the rate alone.
         self.reported_for_s += inputs.elapsed_s;
         let weight_of_newest = if self.reported_for_s < UTILIZATION_VALID_S {
             newest_weight(inputs.elapsed_s, RATE_MEMORY_S)
@@ -220,8 +226,8 @@
         }
     }
 
-    /// The weight behind the completions of the window: the rate of the remaining upstreams must
-    /// not rise as soon as others drop out.
+    /// Updates and returns the weight that the smoothed completions correspond to. It is smoothed
+    /// too: otherwise the rate of the remaining upstreams would rise as soon as others leave.
     fn smoothed_weight(&mut self, inputs: &CapacityInputs<'_>) -> f64 {
         let weight = inputs
             .members()
@@ -238,29 +244,30 @@
         self.rotation_weight
     }
 
-    /// Adapts the rate to the utilization where it is known: a rate previously reached would
-    /// continue to admit requests that slow an overloaded upstream down.
+    /// Adapts the service rate to the known utilization. A previously reached rate does not
+    /// persist: it would continue to admit requests that slow an overloaded upstream down.
     fn follow_utilization(&mut self, observed: f64, elapsed_s: f64) {
         let headroom =
             self.utilization_bound / self.settled_utilization.max(MIN_SCALED_UTILIZATION);
         let achievable = observed * headroom.min(MAX_UTILIZATION_SCALE);
-        // Where pacing rejects requests, completions only show the rate that was admitted.
+        // If pacing rejects requests, the completions only show the rate that was admitted, so the
+        // rate grows while cores are idle.
         let idle = (headroom - 1.0).clamp(0.0, 1.0);
         self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH * self.paced_fraction * idle;
         let change = newest_weight(elapsed_s, RATE_MEMORY_S) * (achievable - self.service_rate);
-        // No less than the present rate, if that leaves the utilization within its bound.
+        // The rate is at least the observed one, if that keeps the utilization within its bound.
         self.service_rate = (self.service_rate + change).max(observed.min(achievable));
     }
 
-    /// W = sum of (tau C_j + (Q_j - q_j)) in this balancer's own share.
+    /// Sets W = sum of (tau C_j + (Q_j - q_j)), where all terms count this balancer alone.
     fn update_spare(&mut self, inputs: &CapacityInputs<'_>, queue_s: f64) {
         (self.spare, self.in_flight) = (0.0, 0.0);
         for upstream in inputs.members().filter(|u| u.weight.weight() > 0.0) {
             let rate = self.service_rate * upstream.weight.weight();
             let own = upstream.load.own();
-            // Overdue attempts reduce an upstream's capacity, but what it has in flight counts in
-            // full: else W and the shortage would both be zero when all upstreams are stuck, and
-            // no guarantee would be cut.
+            // Overdue attempts reduce the capacity of an upstream, but all of its attempts in
+            // flight are subtracted: otherwise W and the shortage would both be zero when all
+            // upstreams are stuck, and no guarantee would be cut.
             let responsive = upstream.load.responsive_fraction();
             let queue = self.queue_limit(inputs, upstream, rate * queue_s) * responsive;
             self.spare += inputs.elapsed_s * rate * responsive + queue - own;
@@ -268,12 +275,14 @@
         }
     }
 
-    /// Q_j: what an upstream may have in flight of this balancer.
+    /// Returns Q_j: the number of this balancer's attempts that an upstream may have in flight.
+    /// `served` is the number that it serves within the allowed time in the queue.
     fn queue_limit(&self, inputs: &CapacityInputs<'_>, upstream: &Upstream, served: f64) -> f64 {
-        // At least one attempt over all balancers: without stated quotas a start from zero is slow.
+        // At least one attempt of all balancers together: without stated quotas, a start from zero
+        // would be slow.
         let min_limit = upstream.weight.weight() / self.balancers;
-        // And an equal part of what the idle cores can process, however little this balancer has
-        // admitted recently.
+        // Also at least an equal part of what the idle cores can process, even if this balancer has
+        // admitted little recently.
         let reports = upstream.load.has_utilization(inputs.now_s);
         let idle = if reports && !upstream.weight.is_warming_up() {
             let at_full = inputs.load_reports.in_flight_at_full();
