--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,46 +1,50 @@
-//! Statistics of each class of requests: latency, its upper quantile, fraction of the admitted.
+//! Statistics of each class of requests: mean latency, an upper quantile of latency, and the
+//! fraction of the admitted requests.
 
 use super::TICK_S;
 use super::capacity::QUEUE_OBJECTIVE_FRACTION;
 use super::smoothing::newest_weight;
 use crate::interface::{Class, Settings};
 
-/// Seconds over which a class's latency is averaged where responses are rare, and the bounds of the
-/// newest one's weight.
+/// Time constant, in seconds, of a class's mean latency if responses are rare, and the bounds of
+/// the weight of the newest latency.
 const LATENCY_MEMORY_S: f64 = 3.0;
 const MIN_NEWEST_WEIGHT: f64 = 0.02;
 const MAX_NEWEST_WEIGHT: f64 = 0.2;
-/// A latency counts for this multiple of the objective at the most.
+/// Upper limit of one latency in the mean, as a multiple of the objective.
 const MAX_LATENCY_MULTIPLE: f64 = 2.0;
-/// An abandoned attempt counts for this multiple of its latency: it would have taken longer.
+/// Factor for the latency of an abandoned attempt in the mean: its response would have taken
+/// longer.
 const TIMEOUT_LATENCY_MULTIPLE: f64 = 1.5;
-/// Quantile of the latencies after which an attempt is overdue, and the step of its estimate.
+/// Quantile of a class's latencies after which an attempt is overdue, and the relative step of its
+/// estimate.
 const OVERDUE_QUANTILE: f64 = 0.95;
 const QUANTILE_STEP: f64 = 0.05;
-/// The quantile is at least two ticks, as each tick looks for overdue attempts.
+/// Lower limit of the quantile in seconds: two ticks, as overdue attempts are found by ticks.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
-/// An attempt is overdue at this fraction of the objective at the latest, so that a hedge still has
-/// time.
+/// Fraction of the objective after which an attempt is overdue at the latest, so that a hedged
+/// attempt still has time.
 const OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
-/// Latency of a class before its first response, as a fraction of the objective.
+/// Mean latency of a class before its first response, as a fraction of the objective.
 const INITIAL_LATENCY_FRACTION: f64 = 0.3;
-/// Weight of the newest request in the fractions of the admitted requests.
+/// Weight of the newest request in each class's fraction of the admitted requests.
 const ADMITTED_NEWEST_WEIGHT: f64 = 0.01;
-/// A class with a smaller fraction of the admitted requests does not limit the queues.
+/// Fraction of the admitted requests that a class must exceed to limit the queues.
 const MIN_ADMITTED_FRACTION: f64 = 0.02;
-/// Seconds after which the latency of a class without responses decays, over the same time ...
+/// Seconds without a latency after which the mean of a class decays, and the time constant of that
+/// decay.
 const LATENCY_VALID_S: f64 = 5.0;
-/// ... down to this fraction of its objective.
+/// Fraction of the objective that the mean decays to.
 const FADED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
-/// Lower limit of a latency that a value is divided by.
+/// Lower limit, in seconds, of a latency that a priority weight is divided by.
 const MIN_LATENCY_S: f64 = TICK_S;
 
-/// The event at which a latency was measured.
+/// The event up to which a latency was taken.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LatencySample {
-    /// The response.
+    /// The upstream responded successfully.
     Answered,
-    /// The attempt was abandoned as overdue.
+    /// The attempt was abandoned when it was overdue.
     Abandoned,
 }
 
@@ -50,16 +54,16 @@
     priority_weight: f64,
     mean_latency_s: f64,
     last_sample_at_s: f64,
-    /// The quantile [`OVERDUE_QUANTILE`] of the latencies.
+    /// Estimate of the quantile [`OVERDUE_QUANTILE`] of the latencies.
     usual_latency_s: f64,
-    /// Of the admitted requests.
+    /// Fraction of the admitted requests that are of this class, smoothed.
     admitted_fraction: f64,
 }
 
 /// The statistics of all classes, in the order of the settings.
 pub(super) struct ClassStatistics {
     classes: Vec<ClassRecord>,
-    /// Priority weights are already in proportion to the work.
+    /// Whether priority weights are already in proportion to the work of a request.
     weight_by_work: bool,
 }
 
@@ -82,7 +86,8 @@
         }
     }
 
-    /// Mean latency of an attempt, over the classes as they are admitted.
+    /// Returns the mean latency of an attempt in seconds, weighted by each class's fraction of the
+    /// admitted requests.
     pub(super) fn mean_latency_s(&self) -> f64 {
         let shares: f64 = self
             .classes
@@ -105,7 +110,7 @@
         self.classes[class].mean_latency_s
     }
 
-    /// How long after its send an attempt is overdue.
+    /// Returns how many seconds after its send an attempt becomes overdue.
     pub(super) fn overdue_after_s(&self, class: usize) -> f64 {
         let class = &self.classes[class];
         class
@@ -113,8 +118,8 @@
             .min(OVERDUE_OBJECTIVE_FRACTION * class.objective_s)
     }
 
-    /// What a class earns for the capacity it uses, as a fraction of what the best one earns: an
-    /// expensive request displaces several cheap ones.
+    /// Returns the priority weight that a class earns for the capacity it uses, as a fraction of
+    /// the highest of any class: an expensive request displaces several cheap ones.
     pub(super) fn relative_value(&self, class: usize) -> f64 {
         let best = self
             .classes
@@ -132,8 +137,9 @@
         }
     }
 
-    /// How much queues may still grow, in seconds of latency; negative: they are too long. All
-    /// classes share them: the class whose latency comes closest to its objective decides.
+    /// Returns how much the queues may still grow, in seconds of latency; negative if they are too
+    /// long. All classes share the queues: the class whose latency comes closest to its limit
+    /// decides.
     pub(super) fn queue_slack_s(&self, objective_fraction: f64) -> f64 {
         let counted = self
             .classes
@@ -144,7 +150,7 @@
         counted.map(slack_s).fold(f64::INFINITY, f64::min)
     }
 
-    /// A request of the class was admitted.
+    /// Records that a request of the class was admitted.
     pub(super) fn record_admission(&mut self, class: usize) {
         for (k, record) in self.classes.iter_mut().enumerate() {
             let newest = f64::from(u8::from(k == class));
@@ -153,7 +159,7 @@
         }
     }
 
-    /// Adds a latency. Returns it as a multiple of the previous mean.
+    /// Adds a latency. Returns it as a multiple of the previous mean of the class.
     pub(super) fn record_latency(
         &mut self,
         class: usize,
@@ -174,8 +180,8 @@
         ratio
     }
 
-    /// Fades the latency of classes without recent responses: else a lack of spare capacity would
-    /// admit nothing that could correct it.
+    /// Reduces the mean latency of classes without recent responses. Otherwise a high mean could
+    /// leave no spare capacity, and no request would be admitted that could correct it.
     pub(super) fn fade(&mut self, elapsed_s: f64, now_s: f64) {
         let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
         for class in self.classes.iter_mut().filter(stale) {
