--- a/src/policy/clock.rs
+++ b/src/policy/clock.rs
@@ -1,19 +1,21 @@
-//! The time of a decision.
+//! The time of a decision, with jitter for the times that it schedules.
 
 use crate::random::Random;
 
-/// Bounds of the jitter: a span is cut or extended by a quarter.
+/// Smallest jitter factor, and the range above it: a span is shortened or extended by up to a
+/// quarter.
 const MIN_JITTER: f64 = 0.75;
 const JITTER: f64 = 0.5;
 
-/// The time of a decision, and the randomness that spreads what it schedules.
+/// The time of a decision, and the random numbers that spread the times it schedules.
 pub(super) struct JitteredClock<'a> {
     pub(super) now_s: f64,
     pub(super) random: &'a mut Random,
 }
 
 impl JitteredClock<'_> {
-    /// A time after this span, with jitter: balancers must not act at the same time.
+    /// Returns the time after `span_s` seconds with jitter, so that balancers do not act at the
+    /// same time.
     pub(super) fn after_s(&mut self, span_s: f64) -> f64 {
         self.now_s + span_s * (MIN_JITTER + JITTER * self.random.f64())
     }
