--- a/src/policy/endpoint_flow.rs
+++ b/src/policy/endpoint_flow.rs
@@ -1,4 +1,4 @@
-//! The flow of an endpoint update: polling, the lease, the upstreams, the subset.
+//! The flow of an endpoint update through polling, the lease, the upstreams and the subset.
 
 use super::Balancer;
 use super::endpoint_polling::PollFailure;
@@ -6,7 +6,7 @@
 use crate::interface::{Action, Endpoint, UpdateScope, WatchEvent};
 
 impl Balancer {
-    /// Processes an update of the endpoint list, or the failure of one.
+    /// Processes an update of the endpoint list, or the failure of a poll or a watch.
     pub(super) fn on_endpoints(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
         self.polling.on_response_end();
         if scope == UpdateScope::Failed {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Chooses the subset again, and restarts the round robin.
+    /// Chooses the subset again and restarts the round robin with its members.
     pub(super) fn choose_subset(&mut self) {
         let choice = self.subset.choose(&mut self.upstreams, self.now_s);
         let close = |upstream| Action::CloseIdleConnections { upstream };
