--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -1,29 +1,31 @@
-//! The lease on the endpoint list: for how long the list is valid once discovery no longer confirms
-//! it.
+//! The lease on the endpoint list: how long the list remains valid after discovery has stopped
+//! confirming it.
 //!
-//! A change counts as notified some seconds after a watch has failed, and as soon as it is written
-//! to a response, whatever happens to the polls for another list. When a grace period after that
-//! has passed, any upstream could be draining: no attempt is sent until a list, or a heartbeat, has
-//! been received completely. While discovery is down it notifies no change: polls that time out or
-//! are not accepted end such a cause of staleness, others do not.
+//! A change that this balancer missed counts as notified some seconds after a watch has failed, or
+//! as soon as discovery writes it to a response, regardless of later polls. When the drain grace
+//! has passed after that, any upstream could be draining: no attempt is sent until a complete list
+//! or a heartbeat is received. Discovery notifies no change while it is down: polls that time out
+//! or are not accepted end the causes of staleness that [`ends_with_outage`] names, and no others.
 
 use crate::interface::{LogEvent, SendPause, StalenessCause, WatchEvent};
 use std::time::Duration;
 
-/// Seconds after which missed changes count as notified: by a watch without heartbeats or one that
-/// can't be established, by one that discovery ended, and where discovery has moved.
+/// Seconds after which missed changes count as notified: if a watch has no heartbeats or polls for
+/// one are rejected, if discovery ended the watch, and if discovery has moved to another address.
 const NOTIFIED_AFTER_SILENCE_S: f64 = 6.0;
 const NOTIFIED_AFTER_END_S: f64 = 2.0;
 const NOTIFIED_AFTER_MOVE_S: f64 = 4.0;
-/// Subtracted from the lease: for a pause between a look at the clock and a write, and for the
-/// network.
+/// Seconds subtracted from the drain grace: for a pause between reading the clock and writing an
+/// attempt, and for the network.
 const SAFETY_MARGIN_S: f64 = 0.2;
-/// Seconds within which an overloaded discovery rejects a poll; one that is down does not respond.
+/// Seconds within which an overloaded discovery rejects a poll. A later rejection counts as an
+/// outage, as discovery that is down does not respond.
 const IMMEDIATE_REJECTION_S: f64 = 0.5;
-/// Longest pause of sends: a balancer that is partitioned for longer serves with a stale list.
+/// Longest pause of sends, in seconds: a balancer that is partitioned for longer serves with a
+/// stale list.
 const MAX_PAUSE_S: f64 = 24.0;
 
-/// All causes, in the order of their numbers.
+/// All causes, in the order of their discriminants.
 const CAUSES: [StalenessCause; 5] = [
     StalenessCause::WatchSilent,
     StalenessCause::WatchEnded,
@@ -32,7 +34,7 @@
     StalenessCause::PartialResponse,
 ];
 
-/// Seconds after which missed changes count as notified.
+/// Returns the seconds after which changes that were missed for this cause count as notified.
 fn notified_after_s(cause: StalenessCause) -> f64 {
     match cause {
         StalenessCause::WatchSilent | StalenessCause::PollsRejected => NOTIFIED_AFTER_SILENCE_S,
@@ -42,7 +44,8 @@
     }
 }
 
-/// Whether an outage of discovery ends the cause: it notifies no change meanwhile.
+/// Returns whether an outage of discovery ends the cause, as discovery notifies no change during an
+/// outage.
 fn ends_with_outage(cause: StalenessCause) -> bool {
     matches!(
         cause,
@@ -50,23 +53,26 @@
     )
 }
 
-/// The end of the lease, and what ends it.
+/// The end of the lease, and the cause of staleness that leads to it.
 #[derive(Clone, Copy)]
 struct Expiry {
     at_s: f64,
     cause: StalenessCause,
 }
 
-/// How far the endpoint list can be trusted.
+/// The lease on the endpoint list, and the causes for which the list may be stale.
 pub(super) struct EndpointLease {
-    /// How long after a notification sends to a draining upstream may go on.
+    /// Seconds after a notification for which a balancer may continue to send to a draining
+    /// upstream.
     drain_grace_s: f64,
-    /// A local agent responds at once, and without a response there is no change: with one, only
-    /// a partial response makes the list stale.
+    /// Whether the list comes from a local agent. An agent responds immediately, and without a
+    /// response there is no change: only a partial response makes its list stale.
     has_local_agent: bool,
-    /// Since when each of [`CAUSES`] exists.
+    /// Time since which each of [`CAUSES`] exists; `None` for a cause that does not exist.
     stale_since_s: [Option<f64>; CAUSES.len()],
-    /// When the list was last confirmed, or discovery last seemed to be down.
+    /// Time at which the list last counted as current: it was confirmed, discovery ended a watch,
+    /// or discovery seemed to be down. If discovery rejects polls, changes since then may be
+    /// missed.
     last_excused_at_s: f64,
 }
 
@@ -106,8 +112,8 @@
         }
     }
 
-    /// Discovery has confirmed the list: a new lease begins. Returns the log event for the pause of
-    /// sends that this ends.
+    /// Begins a new lease, as discovery has confirmed the list. Returns the log event for the pause
+    /// of sends that this ends, if there was one.
     pub(super) fn renew(&mut self, now_s: f64) -> Option<LogEvent> {
         let expired = self.expiry().filter(|expiry| expiry.at_s <= now_s);
         self.stale_since_s = [None; CAUSES.len()];
@@ -118,7 +124,8 @@
         })
     }
 
-    /// Whether no attempt may be sent now.
+    /// Returns whether no attempt may be sent now: the lease has ended, at most [`MAX_PAUSE_S`]
+    /// ago.
     pub(super) fn is_expired(&self, now_s: f64) -> bool {
         self.expiry().is_some_and(|expiry| {
             let pause = expiry.at_s..expiry.at_s + MAX_PAUSE_S;
@@ -126,17 +133,18 @@
         })
     }
 
-    /// Whether a response was truncated.
+    /// Returns whether the response to the last poll may be truncated.
     pub(super) fn has_partial_response(&self) -> bool {
         self.has_cause(StalenessCause::PartialResponse)
     }
 
-    /// Whether discovery rejects polls at once.
+    /// Returns whether discovery rejects polls immediately.
     pub(super) fn polls_are_rejected(&self) -> bool {
         self.has_cause(StalenessCause::PollsRejected)
     }
 
-    /// When no attempt may be sent, unless a list is received first; `None`: it is confirmed.
+    /// Returns the period in which no attempt may be sent unless a list is received first; `None`
+    /// while the list is confirmed.
     pub(super) fn send_pause(&self) -> Option<SendPause> {
         let from_s = self.expiry()?.at_s;
         let point = |at_s: f64| Duration::from_secs_f64(at_s.clamp(0.0, 1e9));
@@ -146,7 +154,7 @@
         })
     }
 
-    /// Adds a cause, unless it has existed for longer.
+    /// Adds a cause that exists since `since_s`; a cause that is already known keeps its time.
     fn add_cause(&mut self, cause: StalenessCause, since_s: f64) {
         self.stale_since_s[cause as usize].get_or_insert(since_s);
     }
@@ -155,7 +163,7 @@
         self.stale_since_s[cause as usize].is_some()
     }
 
-    /// Discovery seemed to be down then.
+    /// Records that discovery seemed to be down at `at_s`, which ends some of the causes.
     fn excuse_outage(&mut self, at_s: f64) {
         self.last_excused_at_s = self.last_excused_at_s.max(at_s);
         for cause in CAUSES.iter().filter(|cause| ends_with_outage(**cause)) {
@@ -163,7 +171,7 @@
         }
     }
 
-    /// When the lease on the list ends, and why; `None`: the list is confirmed.
+    /// Returns when the lease on the list ends, and why; `None` while the list is confirmed.
     fn expiry(&self) -> Option<Expiry> {
         let notified = |cause: &StalenessCause| {
             let since_s = self.stale_since_s[*cause as usize]?;
