--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -1,44 +1,47 @@
-//! When discovery is polled for the endpoint list: at the start, where no response comes, and with
-//! a jittered backoff after failures.
+//! Decides when discovery is polled for the endpoint list: at the start, if a poll gets no
+//! response, and with a jittered backoff after failures.
 
 use crate::interface::Settings;
 use crate::random::Random;
 
-/// Time that discovery needs for each balancer's poll: it serves polls one after another, and a
-/// poll that has waited for too long fails and is retried.
+/// Seconds that discovery needs for the poll of each balancer. It serves polls one after another; a
+/// poll that waits for too long fails and is retried.
 const POLL_SERVICE_S: f64 = 0.05;
-/// Fraction of the poll interval over which the polls of all balancers are spread at most.
+/// Upper limit of the time over which the polls of all balancers are spread, as a fraction of the
+/// poll interval.
 const MAX_SPREAD_FRACTION: f64 = 0.5;
-/// Seconds after which a change counts as notified, whatever happened to the polls for it. Of
-/// these: the duration of a successful poll with its connection, and the time until a watch without
-/// heartbeats is detected.
+/// Seconds after which a change counts as notified, regardless of the polls for it; and two parts
+/// of this time: the duration of a successful poll with its connection, and the time until a watch
+/// without heartbeats is detected.
 const NOTIFIED_WITHIN_S: f64 = 6.0;
 const POLL_DURATION_S: f64 = 1.5;
 const WATCH_SILENCE_S: f64 = 3.0;
-/// Longest backoff after a poll that was rejected at once, where few balancers poll.
+/// Longest backoff, in seconds, after a poll that was rejected immediately, if few balancers poll.
 const MAX_REJECTED_BACKOFF_S: f64 = 2.0;
-/// Shortest backoff, and the longest over which many balancers spread their polls.
+/// Shortest backoff in seconds, and the longest time over which many balancers spread their polls.
 const MIN_BACKOFF_S: f64 = 0.25;
 const MAX_BACKOFF_SPREAD_S: f64 = 3.0;
-/// Longest doubling backoff, as a fraction of the poll interval; it starts at a sixteenth of that.
+/// Longest exponential backoff, as a fraction of the poll interval; the divisor that gives the
+/// first backoff; and the number of doublings between the two.
 const MAX_BACKOFF_FRACTION: f64 = 0.8;
 const FIRST_BACKOFF_DIVISOR: f64 = 16.0;
 const MAX_DOUBLINGS: u32 = 4;
-/// Jitter: a backoff is at least this fraction of its length.
+/// Jitter of a backoff: its smallest fraction of the computed backoff, and the range above that.
 const MIN_BACKOFF_JITTER: f64 = 0.1;
 const BACKOFF_JITTER: f64 = 0.9;
-/// Seconds after which a poll without a response is replaced by another; a local agent responds at
-/// once.
+/// Shortest time, in seconds, after which a poll of discovery without a response is retried.
 const MIN_POLL_TIMEOUT_S: f64 = 4.0;
-/// The same as a fraction of the poll interval, with its jitter.
+/// The time after which a poll of discovery without a response is retried, as a fraction of the
+/// poll interval, and the range of its jitter.
 const POLL_TIMEOUT_FRACTION: f64 = 0.4;
 const POLL_TIMEOUT_JITTER: f64 = 0.2;
+/// Seconds after which a poll of a local agent, which responds immediately, is retried.
 const LOCAL_AGENT_POLL_TIMEOUT_S: f64 = 1.0;
 
-/// Who is polled.
+/// The target of the polls.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollTarget {
-    /// No polls: the list is pushed.
+    /// No target, as the list is pushed to the balancer.
     Nobody,
     /// Discovery, together with all other balancers.
     Discovery,
@@ -56,23 +59,23 @@
     }
 }
 
-/// How a poll or a watch failed, as far as the lease knows.
+/// The causes of staleness in the lease when a poll or a watch failed.
 pub(super) struct PollFailure {
-    /// A response was truncated.
+    /// Whether a response was truncated.
     pub(super) was_partial: bool,
-    /// Discovery rejects polls at once.
+    /// Whether discovery rejects polls immediately.
     pub(super) was_rejected: bool,
 }
 
-/// The polls for the endpoint list of one balancer.
+/// The schedule of one balancer's polls for the endpoint list.
 pub(super) struct EndpointPolling {
     target: PollTarget,
     interval_s: f64,
-    /// Seconds over which the polls of all balancers are spread, should all need their list at
-    /// once.
+    /// Seconds over which the polls of all balancers are spread if all of them need their list at
+    /// the same time.
     spread_s: f64,
     is_watching: bool,
-    /// Part of a response was received, and the rest may follow.
+    /// Whether part of a response was received and the rest may follow.
     is_receiving: bool,
     next_poll_at_s: f64,
     last_poll_at_s: f64,
@@ -99,12 +102,13 @@
         }
     }
 
-    /// Schedules the first poll; those of many balancers are spread.
+    /// Schedules the first poll at a random time, so that the first polls of many balancers are
+    /// spread.
     pub(super) fn start(&mut self, now_s: f64, random: &mut Random) {
         self.next_poll_at_s = now_s + self.spread_s * random.f64();
     }
 
-    /// Whether to poll now; if so, the poll counts as made.
+    /// Returns whether a poll is due, and records it as made if it is.
     pub(super) fn poll_if_due(&mut self, now_s: f64, random: &mut Random) -> bool {
         let is_answered = self.is_watching || self.is_receiving;
         if self.target == PollTarget::Nobody || is_answered || now_s < self.next_poll_at_s {
@@ -122,22 +126,23 @@
         true
     }
 
-    /// Part of a response was received: no other poll is made meanwhile.
+    /// Records that part of a response was received: no other poll is made until the response ends.
     pub(super) fn on_partial_response(&mut self) {
         self.is_receiving = true;
     }
 
-    /// An update has arrived, or a failure: either ends a response that was arriving.
+    /// Records that an update was received or a poll failed: either ends a response that was being
+    /// received.
     pub(super) fn on_response_end(&mut self) {
         self.is_receiving = false;
     }
 
-    /// Discovery has sent an update: there is a watch.
+    /// Records that discovery has sent an update, so that a watch is open.
     pub(super) fn on_update(&mut self) {
         (self.is_watching, self.consecutive_failures) = (true, 0);
     }
 
-    /// A poll failed, or the watch ended: the next poll is made after a backoff.
+    /// Records that a poll failed or the watch ended: the next poll is made after a backoff.
     pub(super) fn on_failure(&mut self, failure: &PollFailure, now_s: f64, random: &mut Random) {
         let backoff_s = self.backoff_s(failure, now_s);
         self.consecutive_failures += 1;
@@ -146,9 +151,9 @@
             now_s + backoff_s * (MIN_BACKOFF_JITTER + BACKOFF_JITTER * random.f64());
     }
 
-    /// Doubles with each failure, so that a discovery that has recovered is not polled by all
-    /// balancers at the same time; but no backoff is so long that a change is received later than
-    /// it counts as notified.
+    /// Returns the backoff in seconds. It doubles with each failure, so that not all balancers poll
+    /// a recovered discovery at the same time. It is limited so that a change is received before it
+    /// counts as notified.
     fn backoff_s(&self, failure: &PollFailure, now_s: f64) -> f64 {
         let spread_s = self.spread_s.min(MAX_BACKOFF_SPREAD_S);
         let backoff_s = if self.target == PollTarget::LocalAgent {
@@ -158,14 +163,15 @@
                 .max(spread_s)
                 .min(self.remaining_s(spread_s, now_s))
         };
-        // Sends will have to pause soon, and no other balancer is affected.
+        // The backoff is short after a truncated response: sends will have to pause soon, and no
+        // other balancer is affected.
         let backoff_s = if failure.was_partial {
             backoff_s.min(self.doubled_s(MIN_BACKOFF_S))
         } else {
             backoff_s
         };
-        // Rejections cost an overloaded discovery time as well: the backoff is neither short nor
-        // long.
+        // Rejections cost an overloaded discovery time as well: the backoff is limited but not
+        // short.
         if failure.was_rejected {
             backoff_s.min(spread_s.max(MAX_REJECTED_BACKOFF_S))
         } else {
@@ -177,14 +183,16 @@
         first_s * f64::from(1u32 << self.consecutive_failures.min(MAX_DOUBLINGS))
     }
 
-    /// Time left for a backoff, if the next poll succeeds.
+    /// Returns the seconds left for a backoff if the next poll is to receive a change in time; at
+    /// least a minimum, even if no time is left.
     fn remaining_s(&self, spread_s: f64, now_s: f64) -> f64 {
         let elapsed_s = if self.is_watching {
             WATCH_SILENCE_S
         } else {
             now_s - self.last_poll_at_s
         };
-        // With the most balancers the spread remains: a discovery that all poll at once serves few.
+        // With the most balancers the spread remains: discovery serves few if all poll at the same
+        // time.
         let min_s = if spread_s < MAX_BACKOFF_SPREAD_S {
             MIN_BACKOFF_S
         } else {
