--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: applies its updates to the known upstreams.
+//! Applies updates of the endpoint list to the known upstreams.
 
 use super::idle_connections::ConnectionUse;
 use super::load::{LoadReportTracker, UpstreamLoad};
@@ -13,7 +13,7 @@
 };
 use crate::random::Random;
 
-/// Removed upstreams are forgotten when they are more than one in so many.
+/// Removed upstreams are forgotten when they are more than one in this many of the known upstreams.
 const MAX_REMOVED_PART: usize = 4;
 
 /// The entry of one upstream in the list.
@@ -22,7 +22,7 @@
     zone: ZoneId,
     cell: CellId,
     availability: Availability,
-    /// Listed size; with live weights the largest seen.
+    /// Size in the list; with live weights, the largest weight received.
     size: f64,
 }
 
@@ -39,7 +39,7 @@
         self.cell
     }
 
-    /// Its capacity relative to the others, outside slow start.
+    /// Returns the capacity relative to the other upstreams, outside slow start.
     pub(super) fn size(&self) -> f64 {
         self.size
     }
@@ -50,7 +50,7 @@
 }
 
 impl Upstream {
-    /// An upstream that is new in the list, before its entry is applied.
+    /// Returns an upstream that is new in the list, before its entry is applied.
     fn new(
         id: UpstreamId,
         class_count: usize,
@@ -76,12 +76,13 @@
         }
     }
 
-    /// Whether it is removed and has nothing in flight.
+    /// Returns whether the upstream is removed and has nothing in flight.
     fn is_removable(&self) -> bool {
         self.endpoint.availability == Availability::Removed && self.load.in_flight() == 0
     }
 
-    /// Its process has restarted: its history is discarded, and it is in slow start.
+    /// Discards the history of the upstream and begins its slow start, as its process has
+    /// restarted.
     fn restart(&mut self, started_at_s: f64, turns: f64) {
         self.weight.begin_slow_start(started_at_s);
         self.health.reset();
@@ -90,7 +91,7 @@
     }
 }
 
-/// The inputs of an update, beside the list.
+/// Inputs of an update other than the list itself.
 pub(super) struct UpdateContext<'a> {
     pub(super) endpoint_weights: EndpointWeights,
     pub(super) class_count: usize,
@@ -114,8 +115,8 @@
             .iter_mut()
             .for_each(|u| u.endpoint.availability = Availability::Removed);
     }
-    // An upstream that is new in an update of a known list has just started, whatever its entry
-    // contains.
+    // An upstream that is not in the first list counts as started when it first appears, unless its
+    // entry states when it started.
     let is_first_list = upstreams.is_empty();
     let known = upstreams.len();
     for endpoint in endpoints {
