--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -1,21 +1,22 @@
-//! Idle connections that the network drops silently: where requests are lost on them, and not on
-//! those in use, they are closed before they are used again.
+//! Detects idle connections that the network has silently dropped. If requests are lost on idle
+//! connections and not on those in use, idle connections are closed before they are used again.
 
-/// Seconds after which an idle connection may have been dropped, and for which it is suspected.
+/// Idle seconds after which a connection may have been dropped, and seconds for which a suspicion
+/// lasts.
 const MIN_IDLE_S: f64 = 0.3;
 const MAX_IDLE_VALID_S: f64 = 15.0;
-/// Weight of the newest attempt in the fractions of unanswered ones: two long requests in a row are
-/// no evidence.
+/// Weight of the newest attempt in the fractions of unanswered attempts: low, as two long requests
+/// in a row are no evidence.
 const NEWEST_WEIGHT: f64 = 0.05;
-/// Fraction of unanswered attempts on idle connections from which on they are suspected, and how
-/// many times the fraction on connections in use it has to be.
+/// Fraction of unanswered attempts on idle connections that has to be exceeded for a suspicion, and
+/// the multiple of the fraction on connections in use that has to be exceeded too.
 const MIN_UNANSWERED_FRACTION: f64 = 0.3;
 const UNANSWERED_RATIO: f64 = 2.0;
 
-/// When the connections to one upstream were last used.
+/// The last use of the connections to one upstream.
 #[derive(Default)]
 pub(super) struct ConnectionUse {
-    /// When something was last sent or received; zero: never.
+    /// Time at which an attempt was last sent or ended; zero if there was none.
     last_used_at_s: f64,
 }
 
@@ -24,7 +25,8 @@
         self.last_used_at_s = now_s;
     }
 
-    /// How long its connections have been idle.
+    /// Returns for how many seconds the connections have been idle; zero if they are in use or were
+    /// never used.
     pub(super) fn idle_s(&self, now_s: f64, in_flight: u32) -> f64 {
         if in_flight > 0 || self.last_used_at_s <= 0.0 {
             0.0
@@ -34,25 +36,28 @@
     }
 }
 
-/// What is known of idle connections. A wrong suspicion costs a handshake for each use, for a
-/// while.
+/// Statistics of attempts on idle connections. While a wrong suspicion lasts, it costs a handshake
+/// for each use of an idle connection.
 #[derive(Default)]
 pub(super) struct IdleConnections {
-    /// Fraction of attempts without a response, on connections in use and on idle ones.
+    /// Fractions of attempts without a response, on connections in use and on idle ones.
     unanswered_in_use: f64,
     unanswered_idle: f64,
-    /// Idle time after which a connection may be dead, and until when it is suspected.
+    /// Idle seconds after which a connection may be dead, and the time until which that is
+    /// suspected.
     max_idle_s: f64,
     max_idle_valid_until_s: f64,
 }
 
 impl IdleConnections {
-    /// Whether a connection that was idle for so long has to be closed in place of used.
+    /// Returns whether a connection that has been idle for `idle_s` seconds has to be closed rather
+    /// than used.
     pub(super) fn is_suspect(&self, idle_s: f64, now_s: f64) -> bool {
         idle_s > self.max_idle_s && now_s < self.max_idle_valid_until_s && self.are_lost_when_idle()
     }
 
-    /// Records whether an attempt on a connection that was idle for so long got a response.
+    /// Records whether an attempt on a connection that had been idle for `idle_s` seconds got a
+    /// response.
     pub(super) fn record(&mut self, idle_s: f64, was_unanswered: bool, now_s: f64) {
         let was_idle = idle_s > MIN_IDLE_S;
         let fraction = if was_idle {
