--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,43 +1,45 @@
-//! The load of each upstream: this balancer's own attempts, and those of others by load reports and
-//! live weights.
+//! The load of each upstream: this balancer's own attempts, and those of other balancers according
+//! to load reports and live weights.
 
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{LoadField, Settings};
 
-/// What an overdue attempt counts for, in attempts in flight: its upstream is stuck or
+/// Number of attempts in flight that one overdue attempt counts as: its upstream is stuck or
 /// unresponsive.
 const OVERDUE_IN_FLIGHT: f64 = 4.0;
-/// Attempts of others that are assumed at an upstream which rejects one: it would seem idle.
+/// Attempts of other balancers that are assumed at an upstream that rejects one: otherwise it would
+/// seem idle.
 const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_IN_FLIGHT;
-/// Seconds over which a report of the requests in flight decays, and for which it counts in the
-/// mean.
+/// Time constant, in seconds, of the decay of a report of the requests in flight, and the seconds
+/// for which the report counts in the mean.
 const REPORT_FADE_S: f64 = 1.0;
 const REPORT_VALID_S: f64 = 3.0;
-/// Seconds for which a report of utilization is valid without another of the same upstream.
+/// Seconds for which a reported utilization is valid if the upstream reports no other.
 pub(super) const UTILIZATION_VALID_S: f64 = 3.0;
-/// Utilization within which a report counts for the estimate of the requests in flight at full
-/// utilization, and its weight.
+/// Range of utilization in which a report counts for the estimate of the requests in flight at full
+/// utilization, and the weight of the newest report in that estimate.
 const MIN_INFORMATIVE_UTILIZATION: f64 = 0.2;
 const MAX_INFORMATIVE_UTILIZATION: f64 = 0.8;
 const FULL_NEWEST_WEIGHT: f64 = 0.02;
-/// The largest plausible value of a report.
+/// Largest plausible value in a report; a larger one is reduced to it.
 const MAX_REPORTED: f64 = 1e4;
 
-/// What one upstream has in flight.
+/// The load of one upstream.
 #[derive(Default)]
 pub(super) struct UpstreamLoad {
-    /// q_j: this balancer's own.
+    /// q_j: this balancer's attempts in flight.
     in_flight: u32,
-    /// Of these, the overdue ones.
+    /// Number of these attempts that are overdue.
     overdue: u32,
-    /// Abandoned, and perhaps still being processed; decays over the shortest objective.
+    /// Number of this balancer's abandoned attempts that may still be processed; decays over the
+    /// shortest objective.
     abandoned_attempts: f64,
-    /// Those of other balancers, by the latest report.
+    /// Requests of other balancers in flight, by the latest report or live weight.
     others_in_flight: f64,
     others_reported_at_s: f64,
-    /// All of them, by the same.
+    /// Requests of all balancers in flight, by the latest report.
     reported_in_flight: f64,
-    /// Fraction of its cores in use, by the latest report.
+    /// Fraction of the upstream's cores in use, by the latest report.
     utilization: f64,
     utilization_reported_at_s: f64,
 }
@@ -47,12 +49,12 @@
         self.in_flight
     }
 
-    /// This balancer's attempts, with abandoned ones that may still run.
+    /// Returns this balancer's attempts in flight, including abandoned ones that may still run.
     pub(super) fn own(&self) -> f64 {
         f64::from(self.in_flight) + self.abandoned_attempts
     }
 
-    /// Fraction of its own attempts that are neither overdue nor abandoned.
+    /// Returns the fraction of this balancer's attempts that are neither overdue nor abandoned.
     pub(super) fn responsive_fraction(&self) -> f64 {
         1.0 - (f64::from(self.overdue) + self.abandoned_attempts) / self.own().max(1.0)
     }
@@ -65,7 +67,7 @@
         self.utilization
     }
 
-    /// Whether its utilization was reported recently.
+    /// Returns whether the upstream has reported its utilization recently.
     pub(super) fn has_utilization(&self, now_s: f64) -> bool {
         self.utilization_reported_at_s > 0.0 && self.utilization_is_recent(now_s)
     }
@@ -91,18 +93,20 @@
         self.abandoned_attempts += 1.0;
     }
 
-    /// Records that it rejected an attempt: whatever the reason, it would seem idle.
+    /// Records that the upstream rejected an attempt, for any reason: without this it would seem
+    /// idle.
     pub(super) fn record_rejected(&mut self, now_s: f64) {
         self.others_in_flight = self.others_in_flight.max(REJECTING_IN_FLIGHT);
         self.others_reported_at_s = now_s;
     }
 
-    /// What others have in flight there, by a report or a live weight.
+    /// Records the requests of other balancers in flight at the upstream, by a report or a live
+    /// weight.
     pub(super) fn record_others(&mut self, in_flight: f64, now_s: f64) {
         (self.others_in_flight, self.others_reported_at_s) = (in_flight, now_s);
     }
 
-    /// Reduces the abandoned attempts by a factor.
+    /// Multiplies the number of abandoned attempts by a decay factor.
     pub(super) fn fade_abandoned(&mut self, decay: f64) {
         self.abandoned_attempts *= decay;
     }
@@ -115,12 +119,15 @@
 /// Estimates from the load reports of all upstreams.
 pub(super) struct LoadReportTracker {
     fields: Vec<LoadField>,
-    /// Fraction of a report's attempts that are not this balancer's own. Reports are old: with its
-    /// present attempts subtracted they would not show the others.
+    /// Fraction of the requests in a report that other balancers sent. The own attempts are not
+    /// subtracted instead: reports are old, and with the present own attempts subtracted they would
+    /// not show those of others.
     others_fraction: f64,
-    /// What upstreams in the rotation have in flight of others for their capacity.
+    /// Requests of other balancers in flight per unit of capacity, as a mean over the upstreams of
+    /// the rotation.
     mean_others_in_flight: f64,
-    /// What one of unit size has in flight with all its cores in use, and nothing waiting.
+    /// Requests in flight at an upstream of unit size when all its cores are in use and none is
+    /// waiting; zero while unknown.
     in_flight_at_full: f64,
 }
 
@@ -134,7 +141,7 @@
         }
     }
 
-    /// In flight at full utilization for each unit of size; zero while unknown.
+    /// Returns the requests in flight at full utilization per unit of size; zero while unknown.
     pub(super) fn in_flight_at_full(&self) -> f64 {
         self.in_flight_at_full
     }
@@ -171,7 +178,7 @@
         load.record_others(in_flight * self.others_fraction, now_s);
     }
 
-    /// Records a live weight: the requests that each core has in flight.
+    /// Records the requests that each core has in flight, from a live weight.
     pub(super) fn record_live_weight(&self, load: &mut UpstreamLoad, in_flight: f64, now_s: f64) {
         load.record_others(in_flight * self.others_fraction, now_s);
     }
@@ -189,7 +196,8 @@
         }
     }
 
-    /// Updates the mean of what others have in flight at the upstreams of the rotation.
+    /// Updates the mean of the requests that other balancers have in flight at the upstreams of the
+    /// rotation.
     pub(super) fn update_mean(&mut self, upstreams: &Upstreams, rotation: &[usize], now_s: f64) {
         let (mut sum, mut count) = (0.0, 0.0);
         for upstream in rotation.iter().map(|slot| &upstreams[*slot]) {
@@ -201,9 +209,9 @@
         self.mean_others_in_flight = sum / f64::max(count, 1.0);
     }
 
-    /// What an upstream has in flight for its capacity: own attempts, and reported ones. A report
-    /// decays with its age to the mean of the others: an upstream without reports would seem idle
-    /// and attract all balancers.
+    /// Returns the requests in flight at an upstream per unit of capacity: own attempts, and
+    /// reported ones of other balancers. A report decays with its age to the mean over the
+    /// rotation: otherwise an upstream without reports would seem idle and attract all balancers.
     pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, tick_s: f64) -> f64 {
         let (load, capacity) = (&upstream.load, upstream.weight.capacity());
         let age_s = (tick_s - load.others_reported_at_s).max(0.0);
