--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,6 +1,6 @@
-//! Outlier detection: compares an upstream's outcomes with those of the others, ejects it for one
-//! class, schedules the trials that end such an ejection, and decides which upstreams a class may
-//! be sent to.
+//! Outlier detection: compares the outcomes of an upstream with those of the others, ejects it for
+//! single classes, schedules the trials that end these ejections, and decides which upstreams a
+//! class may be sent to.
 
 use super::clock::JitteredClock;
 use super::requests::EndedAttempt;
@@ -8,34 +8,36 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::Outcome;
 
-/// Doublings of the span between trials of upstreams that are ejected for a class, at the most.
+/// Upper limit of the doublings of the time between trials of upstreams that are ejected for a
+/// class.
 const MAX_TRIAL_DOUBLINGS: u32 = 4;
-/// Fraction of the ready upstreams that may be ejected: when more seem unhealthy, the cause is
-/// common.
+/// Fraction of the ready upstreams that may be ejected: if more seem unhealthy, the cause is common
+/// to them.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
-/// Faults in a row after which an upstream is ejected for the class that met them.
+/// Consecutive faults after which an upstream is ejected for the class that they occurred in.
 const MAX_CLASS_FAULTS: u32 = 2;
-/// Fraction of the other upstreams with errors from which on the cause is common, such as the
-/// network. Then an error counts for this part of itself at the least, and so many times as many in
-/// a row make a fault.
+/// Fraction of the other upstreams with recent errors above which the cause is common, such as the
+/// network; the lowest weight of an error, which falls as that fraction rises; and the factor by
+/// which a common cause raises the number of consecutive faults for an ejection.
 const COMMON_ERROR_FRACTION: f64 = 0.5;
 const MIN_ERROR_WEIGHT: f64 = 0.3;
 const COMMON_ERROR_FAULTS: u32 = 4;
 
-/// Trials of upstreams that are ejected for one class.
+/// The schedule of trials of the upstreams that are ejected for one class.
 #[derive(Clone, Default)]
 struct ClassTrials {
-    /// Since the last one that got a response.
+    /// Number of trials since the last one that got a response in time.
     unsuccessful: u32,
     next_at_s: f64,
 }
 
-/// Which upstreams the turns of a class may go to.
+/// Decides which upstreams may take a request of a class.
 pub(super) struct ClassEligibility {
     class: usize,
-    /// The class may not run twice, and others could show how a suspected upstream is.
+    /// Whether the class avoids suspected upstreams: its requests may not be processed twice, and
+    /// those of other classes can show whether such an upstream is healthy.
     needs_proven: bool,
-    /// None is healthy for the class: all are taken.
+    /// Whether no upstream is healthy for the class, so that all are accepted.
     ignores_health: bool,
 }
 
@@ -50,12 +52,14 @@
     }
 }
 
-/// Whether so many of all upstreams may be ejected: when more seem unhealthy, the cause is common.
+/// Returns whether `ejected` of `all` upstreams may be ejected: if more seem unhealthy, the cause
+/// is common to them.
 pub(super) fn may_be_ejected(ejected: usize, all: usize) -> bool {
     ejected as f64 <= MAX_EJECTED_FRACTION * all as f64
 }
 
-/// Fraction of the other upstreams of the rotation that have responded with an error recently.
+/// Returns the fraction of the other upstreams of the rotation that have recently responded with an
+/// error.
 fn common_error_fraction(upstreams: &Upstreams, rotation: &[usize], but: usize, now_s: f64) -> f64 {
     let others = || rotation.iter().filter(|slot| **slot != but);
     let erring = others()
@@ -64,7 +68,7 @@
     erring as f64 / others().count().max(1) as f64
 }
 
-/// The fault that the end of an attempt is, for all classes.
+/// Returns the fault that an outcome is for all classes, if it is one.
 fn fault_of(outcome: Outcome, common_errors: f64) -> Option<Fault> {
     match outcome {
         Outcome::Error => {
@@ -77,7 +81,7 @@
     }
 }
 
-/// The trials of upstreams that are ejected for a class, by class.
+/// The schedules of trials of ejected upstreams, by class.
 pub(super) struct OutlierDetection {
     trials: Vec<ClassTrials>,
 }
@@ -89,8 +93,8 @@
         }
     }
 
-    /// Records the end of an attempt in the health of its upstream for the attempt's class. Returns
-    /// the fault that it is for all classes.
+    /// Records the outcome of an attempt in the health of its upstream for the class of the
+    /// attempt. Returns the fault that the outcome is for all classes, if it is one.
     pub(super) fn record_outcome(
         &mut self,
         upstreams: &mut Upstreams,
@@ -109,7 +113,8 @@
         health.record_response(attempt.outcome, now_s);
         if attempt.outcome == Outcome::Ok {
             if health.record_class_answer(attempt.class, attempt.was_overdue) {
-                // The cause may have been common: the others are tried at once.
+                // The cause of the ejections may have been common, so the next trial is due
+                // immediately.
                 trials.unsuccessful = 0;
                 trials.next_at_s = now_s;
             }
@@ -128,7 +133,7 @@
         fault_of(attempt.outcome, common_errors)
     }
 
-    /// Which upstreams the turns of a class may go to.
+    /// Returns the decision which upstreams may take a request of a class.
     pub(super) fn eligibility(
         &self,
         upstreams: &Upstreams,
@@ -148,8 +153,9 @@
         eligibility
     }
 
-    /// The upstream that gets a trial for a class it was ejected for, if one is due: one at a time
-    /// with a backoff, as each may cost a request that can't be retried.
+    /// Returns the upstream that a request of the class is sent to as a trial, if one is due: the
+    /// one ejected for the class whose last trial is the oldest. Trials are made one at a time with
+    /// a backoff, as each may cost a request that can't be retried.
     pub(super) fn due_trial(
         &mut self,
         upstreams: &mut Upstreams,
@@ -175,7 +181,7 @@
     }
 }
 
-/// Whether an upstream that could take turns is ejected for a class.
+/// Returns whether an upstream has a weight and is ejected for a class.
 fn is_out_for(upstream: &Upstream, class: usize) -> bool {
     upstream.health.is_ejected_for(class) && upstream.weight.weight() > 0.0
 }
