--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,30 +1,32 @@
 //! Send pacing: limits the send rate to each upstream by its capacity. Load reports show the load
-//! by other balancers late; where few share an upstream, this balancer's own attempts show it at
-//! once.
+//! by other balancers late; if few balancers share an upstream, this balancer's own attempts show
+//! its load immediately.
 
 use super::load::LoadReportTracker;
 use super::upstreams::{Upstream, Upstreams};
 use super::weights::SlowStartRate;
 
-/// Largest budget of one upstream, in sends, where many balancers share it.
+/// Largest budget of one upstream, in sends, if many balancers share it.
 const MAX_UPSTREAM_BUDGET: f64 = 1.5;
-/// Largest number of sends available for all upstreams together: this many, and what they earn in
-/// this time.
+/// Largest number of sends available for all upstreams together: this many, plus those added in
+/// this many seconds.
 const MIN_BURST: f64 = 3.0;
 const BURST_S: f64 = 0.1;
-/// Budgets are larger where few balancers share an upstream, up to this multiple.
+/// Largest factor by which budgets are larger if few balancers share an upstream.
 const MAX_UNSHARED_MULTIPLE: f64 = 1e3;
-/// Fraction of the burst that is reserved for first attempts of clients: a retry may be too late
-/// already, and each one admitted in a shortage turns a first attempt into another retry.
+/// Fraction of the burst that is reserved for first attempts of clients: a client's retry may be
+/// too late already, and each retry that is admitted in a shortage turns a first attempt into
+/// another retry.
 const RESERVED_FROM_RETRIES: f64 = 0.6;
-/// Fraction of the burst that a class without value leaves to the class with the highest.
+/// Fraction of the burst that a class without value may not use, so that it is left for the class
+/// of the highest value.
 const RESERVED_FOR_VALUE: f64 = 0.4;
-/// Limits of the factors by which an upstream's utilization and its queue change its rate.
+/// Limits of the factors by which an upstream's utilization and its queue change its send rate.
 const MIN_UTILIZATION_FACTOR: f64 = 0.5;
 const MAX_UTILIZATION_FACTOR: f64 = 1.5;
 const MAX_QUEUE_FACTOR: f64 = 4.0;
 
-/// The sends that one upstream has left.
+/// The number of sends that one upstream may still get.
 pub(super) struct SendBudget {
     sends: f64,
 }
@@ -37,23 +39,23 @@
     }
 }
 
-/// The inputs of a refill.
+/// Inputs of [`SendPacing::refill`].
 pub(super) struct PacingRates<'a> {
-    /// For each unit of weight.
+    /// Completions a second per unit of weight.
     pub(super) service_rate: f64,
     pub(super) slow_start: SlowStartRate,
-    /// Of all upstreams that report it; zero: none does, and nothing is paced.
+    /// Mean utilization of the upstreams that report it; zero if none does, and nothing is paced.
     pub(super) utilization: f64,
-    /// Balancers that send to each upstream.
+    /// Number of balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
     pub(super) load_reports: &'a LoadReportTracker,
 }
 
-/// The sends that all upstreams together have left.
+/// The number of sends that all upstreams together may still get, and its upper limit.
 pub(super) struct SendPacing {
     available_sends: f64,
     burst: f64,
-    /// Upstreams report their utilization: only then sends are paced.
+    /// Whether upstreams report their utilization: sends are paced only then.
     is_active: bool,
 }
 
@@ -71,7 +73,7 @@
         self.is_active = is_active;
     }
 
-    /// Adds what the upstreams of the rotation have earned.
+    /// Adds the sends that the upstreams of the rotation gained in `elapsed_s` to their budgets.
     pub(super) fn refill(
         &mut self,
         upstreams: &mut Upstreams,
@@ -103,14 +105,14 @@
             (self.available_sends + elapsed_s * sends_per_s).clamp(-self.burst, self.burst);
     }
 
-    /// An attempt goes to an upstream.
+    /// Records that an attempt is sent to the upstream with this budget.
     pub(super) fn record_send(&mut self, budget: &mut SendBudget) {
         budget.sends = (budget.sends - 1.0).max(0.0);
         self.available_sends -= 1.0;
     }
 
-    /// Whether too few sends are available for a request: some are reserved for first attempts, and
-    /// for classes with a high `relative_value`.
+    /// Returns whether too few sends are available for a request. Some are reserved for first
+    /// attempts, and some for classes with a high `relative_value`.
     pub(super) fn is_short(&self, relative_value: f64, is_retry: bool) -> bool {
         let reserved_for_value = RESERVED_FOR_VALUE * (1.0 - relative_value);
         let share = if is_retry {
@@ -122,20 +124,22 @@
         self.is_active && self.available_sends < 1.0 + reserved
     }
 
-    /// Whether an upstream's budget is used up. Slow start is limited by its turns instead.
+    /// Returns whether the budget of an upstream is used up. An upstream in slow start is limited
+    /// by its turns instead.
     pub(super) fn is_exhausted(&self, upstream: &Upstream) -> bool {
         self.is_active && !upstream.weight.is_warming_up() && upstream.send_budget.sends < 1.0
     }
 }
 
 impl PacingRates<'_> {
-    /// Sends that a warm upstream earns each second.
+    /// Returns the sends per second that an upstream outside slow start gains.
     fn upstream_rate(&self, upstream: &Upstream, now_s: f64) -> f64 {
         let weight = upstream.weight.weight();
         let mut rate = (self.service_rate * weight).max(weight / self.balancers_per_upstream);
         let in_flight_at_full = self.load_reports.in_flight_at_full();
         if upstream.load.utilization_is_recent(now_s) && in_flight_at_full > 0.0 {
-            // Less if it reports a higher utilization than the others, or a longer queue.
+            // The rate is lower if the upstream reports a higher utilization than the mean or a
+            // longer queue, and higher if it reports a lower utilization.
             rate *= (self.utilization / upstream.load.utilization().max(0.1))
                 .clamp(MIN_UTILIZATION_FACTOR, MAX_UTILIZATION_FACTOR);
             let expected = in_flight_at_full * upstream.endpoint.size();
