--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -1,23 +1,23 @@
-//! Round robin over the upstreams of the subset, by weight, with the skip rule: an upstream that
-//! has clearly more in flight than the next ones loses its turn.
+//! Weighted round robin over the upstreams of the subset, with the skip rule: an upstream that has
+//! clearly more in flight than the next ones loses its turn.
 
 use super::upstreams::{Upstream, Upstreams};
 use super::weights::SlowStartRate;
 use std::collections::VecDeque;
 
-/// Turns that the skip rule compares; the design has two.
+/// Number of turns that the skip rule compares; the design has two.
 const LOOKAHEAD: usize = 3;
-/// An upstream is skipped if it has more in flight than this multiple of the least looked at, and
-/// half an attempt more.
+/// An upstream is skipped if it has more in flight per capacity than the lowest value compared,
+/// multiplied by this factor, plus this margin.
 const SKIP_MULTIPLE: f64 = 1.5;
 const SKIP_MARGIN: f64 = 0.5;
-/// Largest deficits, in turns.
+/// Largest deficits, in turns, outside slow start and in slow start.
 const MAX_DEFICIT: f64 = 2.0;
 const MAX_SLOW_START_DEFICIT: f64 = 1.5;
-/// Rounds after which the search for an upstream with a turn ends.
+/// Rounds of the rotation after which the search for an upstream with a turn ends.
 const MAX_ROUNDS: usize = 8;
 
-/// Turns that one upstream has earned and not taken.
+/// The turns that one upstream has gained and not taken, as in deficit round robin.
 pub(super) struct Deficit {
     amount: f64,
 }
@@ -28,37 +28,38 @@
     }
 }
 
-/// The order in which the upstreams of the subset take turns.
+/// The upstreams of the subset, in the order in which they take turns.
 #[derive(Default)]
 pub(super) struct Rotation {
-    /// In this balancer's own order: the cursors of balancers must not be synchronized.
+    /// Slots of the upstreams, in an order that differs between balancers: their cursors must not
+    /// be synchronized.
     members: Vec<usize>,
     /// sigma: the position of the last member that was considered.
     cursor: usize,
-    /// The next turns, already taken off the deficits.
+    /// The next turns, already subtracted from the deficits.
     lookahead: VecDeque<usize>,
 }
 
 impl Rotation {
-    /// The upstreams that take turns.
+    /// Returns the upstreams of the rotation.
     pub(super) fn members(&self) -> &[usize] {
         &self.members
     }
 
-    /// The members, from the one after the cursor on.
+    /// Returns all members, starting with the one after the cursor.
     pub(super) fn after_cursor(&self) -> impl Iterator<Item = usize> {
         let count = self.members.len();
         (1..=count).map(move |step| self.members[(self.cursor + step) % count])
     }
 
-    /// Restarts with other members.
+    /// Replaces the members and restarts the rotation.
     pub(super) fn replace(&mut self, members: Vec<usize>) {
         (self.members, self.cursor) = (members, 0);
         self.lookahead.clear();
     }
 
-    /// Adds the turns of upstreams in slow start, by time: they must not get more where others are
-    /// skipped.
+    /// Adds turns to the upstreams in slow start, in proportion to time: they must not get more
+    /// turns if others are skipped.
     pub(super) fn earn_slow_start_deficit(
         &self,
         upstreams: &mut Upstreams,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Drops the turns of upstreams that can't take them any more.
+    /// Removes the next turns of upstreams that can no longer take them.
     pub(super) fn drop_unusable(&mut self, upstreams: &Upstreams) {
         self.lookahead.retain(|slot| {
             let upstream = &upstreams[*slot];
@@ -84,8 +85,9 @@
         });
     }
 
-    /// The next upstream in turn that `accepts` is true for and that has not clearly more in flight
-    /// than the least of those compared. An upstream that `accepts` rejects retains its turn.
+    /// Returns the next upstream in turn that `accepts` is true for and that has not clearly more
+    /// in flight than the lowest of those compared. An upstream that `accepts` is false for retains
+    /// its turn.
     pub(super) fn next(
         &mut self,
         upstreams: &mut Upstreams,
@@ -115,7 +117,7 @@
         None
     }
 
-    /// Looks ahead until enough upstreams are accepted.
+    /// Adds next turns until `accepts` is true for enough of them.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
         let longest = LOOKAHEAD + self.members.len();
         let mut visible = self
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Moves the cursor to the next upstream with a turn, and takes the turn off its deficit.
+    /// Moves the cursor to the next upstream with a turn, and subtracts the turn from its deficit.
     fn step(&mut self, upstreams: &mut Upstreams) -> Option<usize> {
         for _ in 0..self.members.len() * MAX_ROUNDS {
             self.cursor = (self.cursor + 1) % self.members.len();
