--- a/src/policy/smoothing.rs
+++ b/src/policy/smoothing.rs
@@ -1,14 +1,15 @@
-//! Rates and exponential smoothing over spans of uneven length.
+//! Rates and exponential smoothing over time spans of different length.
 
-/// The shortest span that something is counted over.
+/// Lower limit, in seconds, of the span that a count is divided by.
 const MIN_SPAN_S: f64 = 1e-6;
 
-/// Events a second, by a count over a span.
+/// Returns the events per second for a count over a span.
 pub(super) fn per_second(count: f64, span_s: f64) -> f64 {
     count / span_s.max(MIN_SPAN_S)
 }
 
-/// Weight of the newest value, of a span, in a mean over `memory_s`.
+/// Returns the weight of the newest value, which covers `span_s` seconds, in an exponentially
+/// smoothed mean with a time constant of `memory_s` seconds.
 pub(super) fn newest_weight(span_s: f64, memory_s: f64) -> f64 {
     (span_s / memory_s).min(1.0)
 }
