--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,9 +1,11 @@
-//! The subset of the upstreams that one balancer sends to: all that are ready, or a part where it
-//! has too little traffic to use a connection to each regularly and to estimate the state of each.
+//! The subset of the upstreams that one balancer sends to: all that are ready, or a part if the
+//! balancer has too little traffic to use a connection to each regularly and to estimate the state
+//! of each.
 //!
 //! Balancers share a shuffled order of the upstreams and take adjacent parts of it, so that each
-//! upstream is in about as many subsets as any other. This guards against upstreams that exhaust
-//! their connections and against decisions by stale data. Its cost: fewer upstreams to choose from.
+//! upstream is in about as many subsets as any other. A subset guards against connection exhaustion
+//! at the upstreams and against decisions based on stale data. It leaves fewer upstreams to choose
+//! from.
 
 use super::capacity::RATE_MEMORY_S;
 use super::outlier_detection::may_be_ejected;
@@ -12,27 +14,30 @@
 use crate::interface::{Settings, UpstreamId};
 use crate::random::Random;
 
-/// Upstreams in a subset for each request a second that the balancer may get, and at the least.
+/// Number of upstreams in a subset per request a second that the balancer may get, and the limits
+/// of that number.
 const UPSTREAMS_PER_RATE: f64 = 0.7;
 const MIN_SIZE: f64 = 2.0;
 const MAX_SIZE: f64 = 1e6;
-/// Subsets that each upstream is in at the least: few balancers take more each, and one alone takes
-/// all.
+/// Smallest number of subsets that contain each upstream: few balancers take larger subsets, and a
+/// single balancer takes all upstreams.
 const MIN_SUBSETS_PER_UPSTREAM: usize = 4;
-/// Where the subset would be as much of all as this, as a fraction, it is all of them.
+/// Fraction of the ready upstreams, as numerator and denominator, from which on the subset contains
+/// all of them.
 const ALL_NUMERATOR: usize = 4;
 const ALL_DENOMINATOR: usize = 5;
-/// The size changes when it would grow to three halves or shrink to a third, so that random
+/// The size changes only when it would grow to three halves or shrink to a third, so that random
 /// variation does not change it.
 const GROWTH_NUMERATOR: usize = 3;
 const GROWTH_DENOMINATOR: usize = 2;
 const SHRINK_DENOMINATOR: usize = 3;
 
-/// The state of one upstream in the subset.
+/// The membership of one upstream in the subset.
 #[derive(Clone, Copy)]
 pub(super) struct SubsetMembership {
     is_member: bool,
-    /// New, restarted or back from ejection since the subset was last chosen.
+    /// Whether the upstream has been new, restarted or ejected since it was last usable in a choice
+    /// of the subset.
     is_new: bool,
 }
 
@@ -53,39 +58,39 @@
     }
 }
 
-/// A subset that was chosen.
+/// The result of a choice of the subset.
 pub(super) struct SubsetChoice {
     pub(super) members: Vec<usize>,
-    /// Upstreams that are no members any more, though they are ready.
+    /// Upstreams that are no longer members although they are ready.
     pub(super) removed: Vec<UpstreamId>,
-    /// Not all ready upstreams are members.
+    /// Whether the subset is limited to a part of the ready upstreams.
     pub(super) is_part: bool,
 }
 
-/// How large a subset is to be, of the ready upstreams.
+/// The number of ready upstreams that a subset should contain.
 struct SubsetSize {
-    /// Of an equal part of the traffic.
+    /// The number for an equal part of the traffic.
     equal: usize,
-    /// Of what this balancer gets.
+    /// The number for the traffic that this balancer gets.
     wanted: usize,
-    /// It takes all of them.
+    /// Whether the subset contains all ready upstreams.
     includes_all: bool,
 }
 
-/// The size of the subset, and when it is chosen again.
+/// The size of the subset, and the time at which it is chosen again.
 pub(super) struct Subset {
     balancers: u32,
     index: u32,
     /// The size for an equal part of the traffic.
     min_size: usize,
-    /// The size for what this balancer gets.
+    /// The size for the traffic that this balancer gets.
     size: usize,
-    /// First attempts of clients in the running tick, or what was admitted where they aren't
-    /// marked.
+    /// First attempts of clients since the last tick; the admitted requests if clients do not mark
+    /// their retries.
     first_attempts: f64,
-    /// The same a second, smoothed.
+    /// First attempts per second, smoothed.
     first_attempts_per_s: f64,
-    /// Balancers that send to each upstream, by an equal spread of subsets.
+    /// Number of balancers that send to each upstream if the subsets are spread equally.
     balancers_per_upstream: f64,
     review_at_s: f64,
 }
@@ -109,12 +114,13 @@
         self.balancers_per_upstream
     }
 
-    /// A client's first attempt; retries that are not marked would count as traffic.
+    /// Records a client's first attempt. If clients do not mark their retries, the caller records
+    /// admitted requests instead: unmarked retries would count as traffic.
     pub(super) fn record_first_attempt(&mut self) {
         self.first_attempts += 1.0;
     }
 
-    /// Schedules another choice of the subset at the next tick.
+    /// Schedules a new choice of the subset at the next tick.
     pub(super) fn request_review(&mut self, now_s: f64) {
         self.review_at_s = now_s;
     }
@@ -123,9 +129,9 @@
         now_s >= self.review_at_s
     }
 
-    /// Adapts the size to the traffic, each tick. Traffic is uneven: a balancer with several times
-    /// the mean would overload an equal part of the upstreams as others idle. `has_others`: there
-    /// are upstreams outside the subset.
+    /// Adapts the size to the traffic, once per tick. Traffic is uneven: a balancer with several
+    /// times the mean would overload an equal part of the upstreams while others are idle.
+    /// `has_others` states that there are upstreams outside the subset.
     pub(super) fn update_size(&mut self, has_others: bool, elapsed_s: f64, now_s: f64) {
         let per_s = per_second(self.first_attempts, elapsed_s);
         let weight_of_newest = newest_weight(elapsed_s, RATE_MEMORY_S);
@@ -140,7 +146,7 @@
         }
     }
 
-    /// Chooses the members. Those ejected are replaced by the next in the order.
+    /// Chooses the members. Ejected upstreams are replaced by the next ones in the order.
     pub(super) fn choose(&mut self, upstreams: &mut Upstreams, now_s: f64) -> SubsetChoice {
         let ready = |slot: &usize| upstreams[*slot].endpoint.is_ready();
         let mut order: Vec<usize> = (0..upstreams.len()).filter(ready).collect();
@@ -148,7 +154,8 @@
         if !size.includes_all {
             self.sort(&mut order, upstreams, &size);
         }
-        // When more seem unhealthy, the cause is common.
+        // If more seem unhealthy than may be ejected, the cause is common, and no upstream is
+        // replaced.
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected(now_s);
         let ejected = order.iter().filter(is_ejected).count();
         let may_eject = may_be_ejected(ejected, order.len());
@@ -188,8 +195,8 @@
         }
     }
 
-    /// Puts the upstreams into the order that balancers share, from this one's part on. When all
-    /// parts are given out, the next balancers share another order.
+    /// Puts the upstreams into the order that balancers share, starting with the part of this
+    /// balancer. When all parts are taken, the next balancers share another order.
     fn sort(&self, order: &mut [usize], upstreams: &Upstreams, size: &SubsetSize) {
         let parts = (order.len() / size.equal.max(1)).max(1);
         let index = self.index as usize;
@@ -203,7 +210,7 @@
     }
 }
 
-/// Sets which upstreams are members. Returns those that were removed from the subset.
+/// Sets which upstreams are members. Returns the ready upstreams that are no longer members.
 fn fill(
     order: &[usize],
     upstreams: &mut Upstreams,
@@ -215,8 +222,8 @@
         let upstream = &mut upstreams[*slot];
         let is_usable = !upstream.health.is_ejected(ejected_at_s);
         let membership = &mut upstream.membership;
-        // A member remains one, so that its connections are reused; new members are chosen by the
-        // order.
+        // A member remains one, so that its connections are reused; new members are added in the
+        // shared order.
         let joins = is_usable && membership.is_new && rank < size.wanted;
         membership.is_member = size.includes_all || membership.is_member || joins;
         membership.is_new &= !is_usable;
@@ -224,7 +231,7 @@
         unusable += usize::from(membership.is_member && !is_usable);
     }
     // Up to half of the members remain in the subset while ejected: otherwise all balancers that
-    // share them would move their load to others at once, and overload those.
+    // share them would move their load to other upstreams at the same time, and overload those.
     let wanted = size.wanted.max(unusable + size.wanted.div_ceil(2));
     for slot in order {
         let upstream = &mut upstreams[*slot];
