--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -1,33 +1,34 @@
-//! The health of one upstream: suspicion by the faults of its attempts, ejection for all classes,
-//! and the return on probation.
+//! The health of one upstream: suspicion raised by the faults of its attempts, ejection for all
+//! classes, and the return on probation.
 
 use super::clock::JitteredClock;
 use crate::interface::Outcome;
 
-/// Suspicion of an upstream, over all classes. The first two: the fraction of the distance to one
-/// that is added by an error, or an overdue attempt since which there was no response, and by a
-/// connection error. The third: the factor by which a response reduces it.
+/// Changes of the suspicion of an upstream, which is between zero and one and covers all classes.
+/// An error, a rejection, or an overdue attempt without a response since its send adds the first
+/// fraction of the distance to one; a connection error adds the second. A successful response
+/// multiplies the suspicion by the third.
 const FAULT_SUSPICION: f64 = 0.4;
 const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
 const ANSWER_SUSPICION_FACTOR: f64 = 0.6;
-/// Suspicion from which on an upstream gets one attempt at a time and only requests that may be
+/// Suspicion above which an upstream gets one attempt at a time and only requests that may be
 /// retried; and suspicion at which it is ejected: two faults in a row, or three connection errors
 /// without a response.
 const PROBATION_SUSPICION: f64 = 0.35;
 const MAX_SUSPICION: f64 = 0.6;
-/// Seconds over which suspicion decays.
+/// Time constant, in seconds, of the decay of suspicion.
 const SUSPICION_MEMORY_S: f64 = 10.0;
-/// Seconds of the first ejection, and of the longest; each further one without a response doubles
-/// it. Balancers probe an upstream independently: the first ejection grows with the square root of
-/// their number, a compromise between their joint load and the delay until each detects that it is
-/// healthy.
+/// Seconds of the first ejection and of the longest; each further ejection without a response
+/// doubles the time. Balancers probe an upstream independently: the first ejection grows with the
+/// square root of the number that share an upstream, a compromise between their joint load and the
+/// delay until each detects that the upstream is healthy.
 pub(super) const FIRST_EJECTION_S: f64 = 1.5;
 const MAX_EJECTION_S: f64 = 12.0;
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Seconds for which an error counts as recent.
+/// Seconds for which an error response counts as recent.
 const RECENT_ERROR_S: f64 = 5.0;
 
-/// The factor by which suspicion decays in a span.
+/// Returns the factor by which suspicion decays in `elapsed_s` seconds.
 pub(super) fn suspicion_decay(elapsed_s: f64) -> f64 {
     (-elapsed_s / SUSPICION_MEMORY_S).exp()
 }
@@ -35,11 +36,11 @@
 /// A fault that counts against an upstream for all classes.
 #[derive(Clone, Copy)]
 pub(super) enum Fault {
-    /// It responded with an error, which counts for this part.
+    /// The upstream responded with an error, which adds this fraction of the usual suspicion.
     Error { weight: f64 },
-    /// It rejected an attempt.
+    /// The upstream rejected an attempt.
     Rejected,
-    /// An attempt is overdue, and there was no response since it was sent.
+    /// An attempt is overdue, and the upstream has not responded since it was sent.
     Unresponsive,
     /// A connection failed or could not be established.
     ConnectionFailure,
@@ -55,45 +56,47 @@
     }
 }
 
-/// The inputs of a suspicion from other parts of the balancer.
+/// Inputs from other modules to the evaluation of a fault.
 pub(super) struct SuspicionContext {
-    /// Mean latency of an attempt.
+    /// Mean latency of an attempt, in seconds.
     pub(super) mean_latency_s: f64,
-    /// Balancers that send to each upstream.
+    /// Number of balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
 }
 
-/// Whether an upstream receives requests.
+/// Whether an upstream receives requests, for all classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectionState {
-    /// It receives requests.
+    /// The upstream receives requests.
     Serving,
-    /// It receives none.
+    /// The upstream receives no requests.
     Ejected,
-    /// Half-open after an ejection: the next fault ejects it again, unless it responds before.
+    /// The ejection has ended, but not the probation: the next fault ejects the upstream again
+    /// unless successful responses end the probation first.
     HalfOpen,
 }
 
 /// The health of one upstream for one class.
 #[derive(Clone, Default)]
 struct ClassHealth {
-    /// Since the last response.
+    /// Faults since the last successful response.
     consecutive_faults: u32,
-    /// For this class alone.
+    /// Whether the upstream is ejected for this class alone.
     is_ejected: bool,
-    /// When it was ejected, or last tried since.
+    /// Time of the last trial, or of the ejection if there was no trial since.
     last_trial_at_s: f64,
 }
 
 /// The health of one upstream.
 pub(super) struct UpstreamHealth {
-    /// Grows with the faults of all classes, decreases with responses and with time.
+    /// Suspicion between zero and one: grows with the faults of all classes, decreases with
+    /// successful responses and with time.
     suspicion: f64,
-    /// Since the last response that ended the probation.
+    /// Ejections since the last response that ended the probation.
     consecutive_ejections: u32,
     ejected_until_s: f64,
     last_error_at_s: f64,
-    /// A success, an error or a rejection.
+    /// Time of the last success, error or rejection.
     last_response_at_s: f64,
     classes: Vec<ClassHealth>,
 }
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Its process has restarted: its history is discarded.
+    /// Discards the suspicion and the ejections, as the process of the upstream has restarted.
     pub(super) fn reset(&mut self) {
         (
             self.suspicion,
@@ -120,7 +123,7 @@
         self.classes.fill(ClassHealth::default());
     }
 
-    /// Reduces the suspicion by a factor, [`suspicion_decay`].
+    /// Multiplies the suspicion by a decay factor from [`suspicion_decay`].
     pub(super) fn fade(&mut self, decay: f64) {
         self.suspicion *= decay;
     }
@@ -147,7 +150,8 @@
         self.classes[class].is_ejected
     }
 
-    /// Records a response for a class. Returns whether it ends its ejection: a late one does not.
+    /// Records a successful response for a class. Returns whether it ends the ejection for the
+    /// class; a response to an overdue attempt does not.
     pub(super) fn record_class_answer(&mut self, class: usize, was_overdue: bool) -> bool {
         let health = &mut self.classes[class];
         health.consecutive_faults = 0;
@@ -158,7 +162,8 @@
         self.classes[class].consecutive_faults += 1;
     }
 
-    /// Whether it is to be ejected for a class.
+    /// Returns whether the upstream should be ejected for a class: it is not yet, and has had at
+    /// least `max_faults` consecutive faults.
     pub(super) fn is_faulty_for(&self, class: usize, max_faults: u32) -> bool {
         let health = &self.classes[class];
         !health.is_ejected && health.consecutive_faults >= max_faults
@@ -172,7 +177,8 @@
         };
     }
 
-    /// When it was ejected for a class, or last tried for it since.
+    /// Returns the time of the last trial for a class, or of the ejection if there was no trial
+    /// since.
     pub(super) fn last_trial_at_s(&self, class: usize) -> f64 {
         self.classes[class].last_trial_at_s
     }
@@ -181,13 +187,13 @@
         self.classes[class].last_trial_at_s = now_s;
     }
 
-    /// Whether there was a response since then.
+    /// Returns whether the upstream has responded at `at_s` or later.
     pub(super) fn has_responded_since(&self, at_s: f64) -> bool {
         self.last_response_at_s >= at_s
     }
 
-    /// Whether it is suspected: it then gets one attempt at a time, and only requests that may be
-    /// retried.
+    /// Returns whether the upstream is suspected: it then gets one attempt at a time, and only
+    /// requests that may be retried.
     pub(super) fn is_on_probation(&self) -> bool {
         self.suspicion > PROBATION_SUSPICION || self.consecutive_ejections > 0
     }
@@ -196,7 +202,8 @@
         self.last_error_at_s > 0.0 && now_s - self.last_error_at_s < RECENT_ERROR_S
     }
 
-    /// Records a response for all classes; a fault is added by [`Self::suspect`].
+    /// Records the outcome of an attempt for all classes. If it is a fault, [`Self::suspect`] adds
+    /// it to the suspicion.
     pub(super) fn record_response(&mut self, outcome: Outcome, now_s: f64) {
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.last_response_at_s = now_s;
@@ -212,7 +219,7 @@
         }
     }
 
-    /// Adds a fault to the suspicion. Returns whether the upstream is ejected for it.
+    /// Adds a fault to the suspicion. Returns whether the upstream is ejected because of it.
     pub(super) fn suspect(
         &mut self,
         fault: Fault,
@@ -220,7 +227,8 @@
         clock: &mut JitteredClock<'_>,
     ) -> bool {
         self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
-        // A dead process breaks every connection, a lossy network only some.
+        // A dead process breaks every connection, a lossy network only some: after a recent
+        // response, a connection failure causes no ejection.
         let responds = matches!(fault, Fault::ConnectionFailure)
             && self.last_response_at_s + conditions.mean_latency_s >= clock.now_s;
         let is_outlier = match self.state(clock.now_s) {
@@ -238,7 +246,8 @@
         true
     }
 
-    /// Ejects it for all classes; each ejection without a response doubles the next.
+    /// Ejects the upstream for all classes. The time is `first_s` seconds, and doubles with each
+    /// ejection since the probation last ended.
     fn eject(&mut self, first_s: f64, clock: &mut JitteredClock<'_>) {
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         let length_s = (first_s * f64::from(1 << doublings)).min(MAX_EJECTION_S);
