--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -1,4 +1,5 @@
-//! The upstreams that a balancer knows: a record each, with the state that every part has of it.
+//! The upstreams that a balancer knows: one record for each, with the state that every module has
+//! of it.
 
 use super::endpoints::EndpointRecord;
 use super::idle_connections::ConnectionUse;
@@ -13,7 +14,7 @@
 use rustc_hash::FxHashMap;
 use std::ops::{Index, IndexMut};
 
-/// An upstream. Each field belongs to the part that its type comes from.
+/// An upstream. Each field belongs to the module that declares its type.
 pub(super) struct Upstream {
     pub(super) endpoint: EndpointRecord,
     pub(super) membership: SubsetMembership,
@@ -25,7 +26,7 @@
     pub(super) connections: ConnectionUse,
 }
 
-/// All upstreams, by slot. A slot stays an upstream's own until [`Upstreams::retain`].
+/// All upstreams, by slot: an index that stays the same until [`Upstreams::retain`].
 #[derive(Default)]
 pub(super) struct Upstreams {
     upstreams: Vec<Upstream>,
@@ -41,7 +42,7 @@
         self.upstreams.is_empty()
     }
 
-    /// Entries of state.
+    /// Returns the number of entries in the collections of state.
     pub(super) fn entry_count(&self) -> usize {
         self.upstreams.len() + self.slots.len()
     }
@@ -65,7 +66,7 @@
         slot
     }
 
-    /// Forgets the upstreams that `is_kept` is false for, and gives the others new slots.
+    /// Forgets the upstreams for which `is_kept` is false, and gives the others new slots.
     pub(super) fn retain(&mut self, is_kept: impl Fn(&Upstream) -> bool) {
         self.upstreams.retain(is_kept);
         let ids = self.upstreams.iter().enumerate();
