--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -1,34 +1,39 @@
-//! The present capacity of each upstream, and so how many turns it gets: by size, slow start,
-//! latency and zone.
+//! The present capacity of each upstream and the number of turns that follows from it: by size,
+//! slow start, latency and zone.
 
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{Settings, ZoneId};
 
-/// Seconds over which the samples of a latency ratio decay, and the weight of the prior in samples.
+/// Time constant, in seconds, of the decay of the samples of a latency ratio, and the weight of the
+/// prior in samples.
 const LATENCY_RATIO_MEMORY_S: f64 = 10.0;
 const LATENCY_RATIO_PRIOR: f64 = 4.0;
-/// Bounds of the latency ratio that counts, and of one latency in it.
+/// Bounds of the latency ratio that divides the capacity, and upper limit of one sample.
 const MIN_LATENCY_RATIO: f64 = 0.25;
 const MAX_LATENCY_RATIO: f64 = 4.0;
 const MAX_SAMPLE_RATIO: f64 = 5.0;
+/// Lower limit of the capacity of an upstream, relative to the largest one.
 const MIN_CAPACITY: f64 = 1e-3;
-/// Fraction of the overload limit that an upstream in slow start is sent.
+/// Rate of requests to an upstream in slow start, as a fraction of the rate above which it is
+/// overloaded.
 const SLOW_START_LOAD_FRACTION: f64 = 0.4;
-/// Cross-zone price at which other zones get no ordinary turns; less in proportion.
+/// Cross-zone price from which on upstreams of other zones get no turns while the own zone has
+/// healthy ones; below it, the reduction is in proportion to the price.
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
 
 /// The present capacity of one upstream.
 #[derive(Default)]
 pub(super) struct UpstreamWeight {
-    /// Fraction of a full-size upstream's work that it can do now.
+    /// Work that the upstream can do now, as a fraction of that of the largest one in the rotation.
     capacity: f64,
-    /// Turns it gets each round of the rotation; its rate C_j is the service rate times this.
+    /// Turns that the upstream gets in each round of the rotation; its rate C_j is the service rate
+    /// times this.
     weight: f64,
-    /// When its slow start began; `None`: it is warm.
+    /// Time at which slow start began or will begin; `None` outside slow start.
     slow_start_since_s: Option<f64>,
-    /// Mean of latency over what is usual for the class.
+    /// Mean of the latencies, each as a multiple of the mean latency of its class.
     latency_ratio: f64,
-    /// The number of responses in that mean, decaying.
+    /// Number of latencies in that mean; decays with time.
     answer_count: f64,
 }
 
@@ -53,24 +58,24 @@
         self.slow_start_since_s.is_some()
     }
 
-    /// Its process starts, or will start, then.
+    /// Begins slow start at `at_s`, when the process starts or will start.
     pub(super) fn begin_slow_start(&mut self, at_s: f64) {
         self.slow_start_since_s = Some(at_s);
     }
 
-    /// Whether a start at this time is later than the one known.
+    /// Returns whether a start at `at_s` is later than the known one; true if none is known.
     pub(super) fn is_later_start(&self, at_s: f64) -> bool {
         self.slow_start_since_s.is_none_or(|known_s| at_s > known_s)
     }
 
-    /// A latency, as a multiple of what is usual for its class.
+    /// Adds a latency, as a multiple of the mean latency of its class.
     pub(super) fn record_latency_ratio(&mut self, ratio: f64) {
         let ratio = ratio.min(MAX_SAMPLE_RATIO);
         self.answer_count += 1.0;
         self.latency_ratio += (ratio - self.latency_ratio) / self.answer_count.max(1.0);
     }
 
-    /// The latency ratio, weighted with a prior of one.
+    /// Returns the latency ratio, weighted with a prior of one and limited to its bounds.
     fn weighted_latency_ratio(&self) -> f64 {
         let ratio = (self.latency_ratio * self.answer_count + LATENCY_RATIO_PRIOR)
             / (self.answer_count + LATENCY_RATIO_PRIOR);
@@ -78,19 +83,19 @@
     }
 }
 
-/// At what rate upstreams in slow start are sent to.
+/// The rate of requests to upstreams in slow start.
 #[derive(Clone, Copy)]
 pub(super) struct SlowStartRate {
-    /// The service rate of a warm upstream, on average.
+    /// Mean service rate of an upstream outside slow start, in requests a second.
     pub(super) steady_rate: f64,
-    /// Multiple of it for each unit of capacity.
+    /// Multiple of the steady rate per unit of weight.
     pub(super) multiple: f64,
 }
 
 /// The settings that weights depend on.
 pub(super) struct Weights {
     zone: ZoneId,
-    /// Fraction of their turns that upstreams of other zones get.
+    /// Fraction of their turns that upstreams of other zones get while this zone has healthy ones.
     other_zone_fraction: f64,
     slow_start_initial_share: f64,
     slow_start_duration_s: f64,
@@ -108,13 +113,13 @@
         }
     }
 
-    /// Whether an upstream that started then is still in slow start.
+    /// Returns whether an upstream that started at `started_at_s` is still in slow start.
     pub(super) fn is_recent_start(&self, started_at_s: f64, now_s: f64) -> bool {
         now_s - started_at_s < self.slow_start_duration_s
     }
 
-    /// Updates the weights of the upstreams in the rotation. Those ejected get no turns while
-    /// `ejections_apply`.
+    /// Updates the capacity and weight of the upstreams in the rotation. Ejected upstreams get no
+    /// turns while `ejections_apply`.
     pub(super) fn update(
         &self,
         upstreams: &mut Upstreams,
@@ -151,8 +156,8 @@
         upstream.endpoint.zone() == self.zone
     }
 
-    /// Fraction of its work that an upstream can do so long after its start; ends a slow start that
-    /// is over.
+    /// Returns the fraction of its work that an upstream can do at `now_s`, which is below one in
+    /// slow start; ends a slow start that is over.
     fn advance_slow_start(&self, weight: &mut UpstreamWeight, now_s: f64) -> f64 {
         let Some(since_s) = weight.slow_start_since_s else {
             return 1.0;
@@ -166,7 +171,7 @@
         share
     }
 
-    /// At what rate upstreams in slow start are sent to, by the service rate for each unit of
+    /// Returns the rate of requests to upstreams in slow start, from the service rate per unit of
     /// weight.
     pub(super) fn slow_start_rate(
         &self,
