--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -9,8 +9,8 @@
 
 /// Time constants, in seconds: of smoothed rates and of the service rate in overload; and of the
 /// decay of a previously reached service rate without overload.
-pub(super) const RATE_MEMORY_S: f64 = 2.0;
-const UNSTRAINED_RATE_MEMORY_S: f64 = 30.0;
+pub(super) const RATE_TIME_CONSTANT_S: f64 = 2.0;
+const UNLOADED_RATE_TIME_CONSTANT_S: f64 = 30.0;
 /// Mean latency, as a fraction of the objective, from which on the queues count as full; above it
 /// many responses are late.
 pub(super) const QUEUE_OBJECTIVE_FRACTION: f64 = 0.4;
@@ -196,7 +196,7 @@
         // The first reports come from idle upstreams, and must not set the rate alone.
         self.reported_for_s += inputs.elapsed_s;
         let weight_of_newest = if self.reported_for_s < UTILIZATION_VALID_S {
-            newest_weight(inputs.elapsed_s, RATE_MEMORY_S)
+            newest_weight(inputs.elapsed_s, RATE_TIME_CONSTANT_S)
         } else {
             1.0
         };
@@ -207,7 +207,7 @@
 
     fn update_service_rate(&mut self, inputs: &CapacityInputs<'_>, slack_s: f64) {
         let elapsed_s = inputs.elapsed_s;
-        let weight_of_newest = newest_weight(elapsed_s, RATE_MEMORY_S);
+        let weight_of_newest = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S);
         let per_s = per_second(self.completions, elapsed_s);
         self.completions_per_s += weight_of_newest * (per_s - self.completions_per_s);
         self.completions = 0.0;
@@ -216,12 +216,12 @@
         if self.knows_utilization() {
             self.follow_utilization(observed, elapsed_s);
         } else {
-            let memory_s = if slack_s < 0.0 {
-                RATE_MEMORY_S
+            let time_constant_s = if slack_s < 0.0 {
+                RATE_TIME_CONSTANT_S
             } else {
-                UNSTRAINED_RATE_MEMORY_S
+                UNLOADED_RATE_TIME_CONSTANT_S
             };
-            let change = newest_weight(elapsed_s, memory_s) * (observed - self.service_rate);
+            let change = newest_weight(elapsed_s, time_constant_s) * (observed - self.service_rate);
             self.service_rate = (self.service_rate + change).max(observed);
         }
     }
@@ -234,12 +234,12 @@
             .map(|u| u.weight.weight())
             .sum::<f64>()
             .max(1e-9);
-        let memory_s = if self.rotation_weight > 0.0 {
-            RATE_MEMORY_S
+        let time_constant_s = if self.rotation_weight > 0.0 {
+            RATE_TIME_CONSTANT_S
         } else {
             0.0
         };
-        let weight_of_newest = newest_weight(inputs.elapsed_s, memory_s);
+        let weight_of_newest = newest_weight(inputs.elapsed_s, time_constant_s);
         self.rotation_weight += weight_of_newest * (weight - self.rotation_weight);
         self.rotation_weight
     }
@@ -254,7 +254,8 @@
         // rate grows while cores are idle.
         let idle = (headroom - 1.0).clamp(0.0, 1.0);
         self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH * self.paced_fraction * idle;
-        let change = newest_weight(elapsed_s, RATE_MEMORY_S) * (achievable - self.service_rate);
+        let change =
+            newest_weight(elapsed_s, RATE_TIME_CONSTANT_S) * (achievable - self.service_rate);
         // The rate is at least the observed one, if that keeps the utilization within its bound.
         self.service_rate = (self.service_rate + change).max(observed.min(achievable));
     }
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -8,7 +8,7 @@
 
 /// Time constant, in seconds, of a class's mean latency if responses are rare, and the bounds of
 /// the weight of the newest latency.
-const LATENCY_MEMORY_S: f64 = 3.0;
+const LATENCY_TIME_CONSTANT_S: f64 = 3.0;
 const MIN_NEWEST_WEIGHT: f64 = 0.02;
 const MAX_NEWEST_WEIGHT: f64 = 0.2;
 /// Upper limit of one latency in the mean, as a multiple of the objective.
@@ -206,7 +206,7 @@
         let latency_s = latency_s.min(MAX_LATENCY_MULTIPLE * self.objective_s);
         let since_s = now_s - self.last_sample_at_s;
         let weight_of_newest =
-            (since_s / LATENCY_MEMORY_S).clamp(MIN_NEWEST_WEIGHT, MAX_NEWEST_WEIGHT);
+            (since_s / LATENCY_TIME_CONSTANT_S).clamp(MIN_NEWEST_WEIGHT, MAX_NEWEST_WEIGHT);
         self.last_sample_at_s = now_s;
         self.mean_latency_s += weight_of_newest * (latency_s - self.mean_latency_s);
     }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -12,7 +12,7 @@
 const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_IN_FLIGHT;
 /// Time constant, in seconds, of the decay of a report of the requests in flight, and the seconds
 /// for which the report counts in the mean.
-const REPORT_FADE_S: f64 = 1.0;
+const REPORT_TIME_CONSTANT_S: f64 = 1.0;
 const REPORT_VALID_S: f64 = 3.0;
 /// Seconds for which a reported utilization is valid if the upstream reports no other.
 pub(super) const UTILIZATION_VALID_S: f64 = 3.0;
@@ -216,8 +216,8 @@
         let (load, capacity) = (&upstream.load, upstream.weight.capacity());
         let age_s = (tick_s - load.others_reported_at_s).max(0.0);
         let mean = self.mean_others_in_flight;
-        let others =
-            mean + (load.others_in_flight / capacity - mean) * (-age_s / REPORT_FADE_S).exp();
+        let others = mean
+            + (load.others_in_flight / capacity - mean) * (-age_s / REPORT_TIME_CONSTANT_S).exp();
         let own = f64::from(load.in_flight)
             + OVERDUE_IN_FLIGHT * f64::from(load.overdue)
             + load.abandoned_attempts;
--- a/src/policy/smoothing.rs
+++ b/src/policy/smoothing.rs
@@ -9,7 +9,7 @@
 }
 
 /// Returns the weight of the newest value, which covers `span_s` seconds, in an exponentially
-/// smoothed mean with a time constant of `memory_s` seconds.
-pub(super) fn newest_weight(span_s: f64, memory_s: f64) -> f64 {
-    (span_s / memory_s).min(1.0)
+/// smoothed mean with a time constant of `time_constant_s` seconds.
+pub(super) fn newest_weight(span_s: f64, time_constant_s: f64) -> f64 {
+    (span_s / time_constant_s).min(1.0)
 }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -7,7 +7,7 @@
 //! at the upstreams and against decisions based on stale data. It leaves fewer upstreams to choose
 //! from.
 
-use super::capacity::RATE_MEMORY_S;
+use super::capacity::RATE_TIME_CONSTANT_S;
 use super::outlier_detection::may_be_ejected;
 use super::smoothing::{newest_weight, per_second};
 use super::upstreams::Upstreams;
@@ -134,7 +134,7 @@
     /// `has_others` states that there are upstreams outside the subset.
     pub(super) fn update_size(&mut self, has_others: bool, elapsed_s: f64, now_s: f64) {
         let per_s = per_second(self.first_attempts, elapsed_s);
-        let weight_of_newest = newest_weight(elapsed_s, RATE_MEMORY_S);
+        let weight_of_newest = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S);
         self.first_attempts_per_s += weight_of_newest * (per_s - self.first_attempts_per_s);
         self.first_attempts = 0.0;
         let size = UPSTREAMS_PER_RATE * self.first_attempts_per_s;
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -17,7 +17,7 @@
 const PROBATION_SUSPICION: f64 = 0.35;
 const MAX_SUSPICION: f64 = 0.6;
 /// Time constant, in seconds, of the decay of suspicion.
-const SUSPICION_MEMORY_S: f64 = 10.0;
+const SUSPICION_TIME_CONSTANT_S: f64 = 10.0;
 /// Seconds of the first ejection and of the longest; each further ejection without a response
 /// doubles the time. Balancers probe an upstream independently: the first ejection grows with the
 /// square root of the number that share an upstream, a compromise between their joint load and the
@@ -30,7 +30,7 @@
 
 /// Returns the factor by which suspicion decays in `elapsed_s` seconds.
 pub(super) fn suspicion_decay(elapsed_s: f64) -> f64 {
-    (-elapsed_s / SUSPICION_MEMORY_S).exp()
+    (-elapsed_s / SUSPICION_TIME_CONSTANT_S).exp()
 }
 
 /// A fault that counts against an upstream for all classes.
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -6,7 +6,7 @@
 
 /// Time constant, in seconds, of the decay of the samples of a latency ratio, and the weight of the
 /// prior in samples.
-const LATENCY_RATIO_MEMORY_S: f64 = 10.0;
+const LATENCY_RATIO_TIME_CONSTANT_S: f64 = 10.0;
 const LATENCY_RATIO_PRIOR: f64 = 4.0;
 /// Bounds of the latency ratio that divides the capacity, and upper limit of one sample.
 const MIN_LATENCY_RATIO: f64 = 0.25;
@@ -132,7 +132,7 @@
         let largest_size = members().map(|u| u.endpoint.size()).fold(1e-9, f64::max);
         let is_near = |u: &Upstream| self.is_near(u) && !u.health.is_ejected(now_s);
         let has_near = members().any(|u| u.endpoint.is_ready() && is_near(u));
-        let fade = (-elapsed_s / LATENCY_RATIO_MEMORY_S).exp();
+        let fade = (-elapsed_s / LATENCY_RATIO_TIME_CONSTANT_S).exp();
         for slot in rotation {
             let upstream = &mut upstreams[*slot];
             upstream.weight.answer_count *= fade;
