--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -35,7 +35,7 @@
 /// decay.
 const LATENCY_VALID_S: f64 = 5.0;
 /// Fraction of the objective that the mean decays to.
-const FADED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
+const DECAYED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
 /// Lower limit, in seconds, of a latency that a priority weight is divided by.
 const MIN_LATENCY_S: f64 = TICK_S;
 
@@ -182,10 +182,10 @@
 
     /// Reduces the mean latency of classes without recent responses. Otherwise a high mean could
     /// leave no spare capacity, and no request would be admitted that could correct it.
-    pub(super) fn fade(&mut self, elapsed_s: f64, now_s: f64) {
+    pub(super) fn decay_stale_latencies(&mut self, elapsed_s: f64, now_s: f64) {
         let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
         for class in self.classes.iter_mut().filter(stale) {
-            let excess_s = class.mean_latency_s - FADED_LATENCY_FRACTION * class.objective_s;
+            let excess_s = class.mean_latency_s - DECAYED_LATENCY_FRACTION * class.objective_s;
             class.mean_latency_s -= newest_weight(elapsed_s, LATENCY_VALID_S) * excess_s.max(0.0);
         }
     }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -107,8 +107,8 @@
     }
 
     /// Multiplies the number of abandoned attempts by a decay factor.
-    pub(super) fn fade_abandoned(&mut self, decay: f64) {
-        self.abandoned_attempts *= decay;
+    pub(super) fn decay_abandoned(&mut self, factor: f64) {
+        self.abandoned_attempts *= factor;
     }
 
     fn others_are_recent(&self, now_s: f64) -> bool {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -305,8 +305,8 @@
         let abandoned_decay = (-elapsed_s / self.classes.shortest_objective_s()).exp();
         let (upstreams, members) = (&mut self.upstreams, self.rotation.members());
         for slot in members {
-            upstreams[*slot].health.fade(suspicion_decay);
-            upstreams[*slot].load.fade_abandoned(abandoned_decay);
+            upstreams[*slot].health.decay_suspicion(suspicion_decay);
+            upstreams[*slot].load.decay_abandoned(abandoned_decay);
         }
         self.weights
             .update(upstreams, members, ejections_apply, elapsed_s, now_s);
@@ -330,7 +330,7 @@
 
     /// Updates the spare capacity, and refills the token buckets from it.
     fn update_capacity(&mut self, elapsed_s: f64) {
-        self.classes.fade(elapsed_s, self.now_s);
+        self.classes.decay_stale_latencies(elapsed_s, self.now_s);
         self.capacity.update(&CapacityInputs {
             upstreams: &self.upstreams,
             rotation: self.rotation.members(),
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -124,8 +124,8 @@
     }
 
     /// Multiplies the suspicion by a decay factor from [`suspicion_decay`].
-    pub(super) fn fade(&mut self, decay: f64) {
-        self.suspicion *= decay;
+    pub(super) fn decay_suspicion(&mut self, factor: f64) {
+        self.suspicion *= factor;
     }
 
     pub(super) fn state(&self, now_s: f64) -> EjectionState {
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -132,10 +132,10 @@
         let largest_size = members().map(|u| u.endpoint.size()).fold(1e-9, f64::max);
         let is_near = |u: &Upstream| self.is_near(u) && !u.health.is_ejected(now_s);
         let has_near = members().any(|u| u.endpoint.is_ready() && is_near(u));
-        let fade = (-elapsed_s / LATENCY_RATIO_TIME_CONSTANT_S).exp();
+        let decay = (-elapsed_s / LATENCY_RATIO_TIME_CONSTANT_S).exp();
         for slot in rotation {
             let upstream = &mut upstreams[*slot];
-            upstream.weight.answer_count *= fade;
+            upstream.weight.answer_count *= decay;
             let warmth = self.advance_slow_start(&mut upstream.weight, now_s);
             let relative_size = upstream.endpoint.size() / largest_size;
             let capacity = relative_size * warmth / upstream.weight.weighted_latency_ratio();
