--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -172,7 +172,7 @@
         if upstream.health.has_responded_since(attempt.sent_at_s) {
             return;
         }
-        self.suspect(slot, Fault::Unresponsive);
+        self.record_fault(slot, Fault::Unresponsive);
         if self.settings.hedging && self.capacity.spare() > MIN_HEDGE_CAPACITY {
             self.retry_elsewhere(attempt.request, RETRY_COST);
         }
@@ -248,7 +248,7 @@
     fn record_outcome(&mut self, attempt: &EndedAttempt) {
         let sample = if attempt.outcome == Outcome::Ok {
             self.capacity.record_completion();
-            Some(LatencySample::Answered)
+            Some(LatencySample::Success)
         } else {
             attempt.is_abandoned().then_some(LatencySample::Abandoned)
         };
@@ -268,11 +268,11 @@
         if let Some(ratio) = latency_ratio {
             upstream.weight.record_latency_ratio(ratio);
         }
-        self.judge(slot, attempt);
+        self.update_health(slot, attempt);
     }
 
     /// Updates the health of an upstream, and its load, with the outcome of an attempt.
-    fn judge(&mut self, slot: usize, attempt: &EndedAttempt) {
+    fn update_health(&mut self, slot: usize, attempt: &EndedAttempt) {
         let mut clock = JitteredClock {
             now_s: self.now_s,
             random: &mut self.random,
@@ -294,7 +294,7 @@
         if attempt.is_abandoned() && !upstream.health.is_ejected_for(attempt.class) {
             upstream.load.record_abandoned();
         }
-        let is_ejected = fault.is_some_and(|fault| self.suspect(slot, fault));
+        let is_ejected = fault.is_some_and(|fault| self.record_fault(slot, fault));
         if is_ejected && attempt.outcome == Outcome::ConnectFailed {
             // No process listens at the upstream: the process has died, and its successor will be
             // in slow start. Each balancer sends to it again at a random time. An upstream that
@@ -309,8 +309,8 @@
 
     /// Adds a fault to the suspicion of an upstream. Returns whether the upstream is ejected
     /// because of it.
-    fn suspect(&mut self, slot: usize, fault: Fault) -> bool {
-        let conditions = SuspicionContext {
+    fn record_fault(&mut self, slot: usize, fault: Fault) -> bool {
+        let context = SuspicionContext {
             mean_latency_s: self.classes.mean_latency_s(),
             balancers_per_upstream: self.subset.balancers_per_upstream(),
         };
@@ -319,7 +319,7 @@
             random: &mut self.random,
         };
         let upstream = &mut self.upstreams[slot];
-        let is_ejected = upstream.health.suspect(fault, &conditions, &mut clock);
+        let is_ejected = upstream.health.record_fault(fault, &context, &mut clock);
         if is_ejected {
             upstream.deficit = Deficit::new(self.random.f64());
             upstream.membership.mark_new();
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LatencySample {
     /// The upstream responded successfully.
-    Answered,
+    Success,
     /// The attempt was abandoned when it was overdue.
     Abandoned,
 }
@@ -170,7 +170,7 @@
         let record = &mut self.classes[class];
         let ratio = latency_s / record.mean_latency_s.max(1e-6);
         let counted_s = match sample {
-            LatencySample::Answered => {
+            LatencySample::Success => {
                 record.update_quantile(latency_s);
                 latency_s
             }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -112,7 +112,7 @@
         let trials = &mut self.trials[attempt.class];
         health.record_response(attempt.outcome, now_s);
         if attempt.outcome == Outcome::Ok {
-            if health.record_class_answer(attempt.class, attempt.was_overdue) {
+            if health.record_class_success(attempt.class, attempt.was_overdue) {
                 // The cause of the ejections may have been common, so the next trial is due
                 // immediately.
                 trials.unsuccessful = 0;
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -10,7 +10,7 @@
 /// multiplies the suspicion by the third.
 const FAULT_SUSPICION: f64 = 0.4;
 const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
-const ANSWER_SUSPICION_FACTOR: f64 = 0.6;
+const SUCCESS_SUSPICION_FACTOR: f64 = 0.6;
 /// Suspicion above which an upstream gets one attempt at a time and only requests that may be
 /// retried; and suspicion at which it is ejected: two faults in a row, or three connection errors
 /// without a response.
@@ -152,7 +152,7 @@
 
     /// Records a successful response for a class. Returns whether it ends the ejection for the
     /// class; a response to an overdue attempt does not.
-    pub(super) fn record_class_answer(&mut self, class: usize, was_overdue: bool) -> bool {
+    pub(super) fn record_class_success(&mut self, class: usize, was_overdue: bool) -> bool {
         let health = &mut self.classes[class];
         health.consecutive_faults = 0;
         !was_overdue && std::mem::take(&mut health.is_ejected)
@@ -202,7 +202,7 @@
         self.last_error_at_s > 0.0 && now_s - self.last_error_at_s < RECENT_ERROR_S
     }
 
-    /// Records the outcome of an attempt for all classes. If it is a fault, [`Self::suspect`] adds
+    /// Records the outcome of an attempt for all classes. If it is a fault, [`Self::record_fault`] adds
     /// it to the suspicion.
     pub(super) fn record_response(&mut self, outcome: Outcome, now_s: f64) {
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
@@ -212,7 +212,7 @@
             self.last_error_at_s = now_s;
         }
         if outcome == Outcome::Ok {
-            self.suspicion *= ANSWER_SUSPICION_FACTOR;
+            self.suspicion *= SUCCESS_SUSPICION_FACTOR;
             if self.suspicion <= PROBATION_SUSPICION {
                 self.consecutive_ejections = 0;
             }
@@ -220,17 +220,17 @@
     }
 
     /// Adds a fault to the suspicion. Returns whether the upstream is ejected because of it.
-    pub(super) fn suspect(
+    pub(super) fn record_fault(
         &mut self,
         fault: Fault,
-        conditions: &SuspicionContext,
+        context: &SuspicionContext,
         clock: &mut JitteredClock<'_>,
     ) -> bool {
         self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
         // A dead process breaks every connection, a lossy network only some: after a recent
         // response, a connection failure causes no ejection.
         let responds = matches!(fault, Fault::ConnectionFailure)
-            && self.last_response_at_s + conditions.mean_latency_s >= clock.now_s;
+            && self.last_response_at_s + context.mean_latency_s >= clock.now_s;
         let is_outlier = match self.state(clock.now_s) {
             EjectionState::Ejected => false,
             EjectionState::HalfOpen => true,
@@ -240,7 +240,7 @@
             return false;
         }
         self.eject(
-            FIRST_EJECTION_S * conditions.balancers_per_upstream.sqrt(),
+            FIRST_EJECTION_S * context.balancers_per_upstream.sqrt(),
             clock,
         );
         true
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -34,7 +34,7 @@
     /// Mean of the latencies, each as a multiple of the mean latency of its class.
     latency_ratio: f64,
     /// Number of latencies in that mean; decays with time.
-    answer_count: f64,
+    sample_count: f64,
 }
 
 impl UpstreamWeight {
@@ -71,14 +71,14 @@
     /// Adds a latency, as a multiple of the mean latency of its class.
     pub(super) fn record_latency_ratio(&mut self, ratio: f64) {
         let ratio = ratio.min(MAX_SAMPLE_RATIO);
-        self.answer_count += 1.0;
-        self.latency_ratio += (ratio - self.latency_ratio) / self.answer_count.max(1.0);
+        self.sample_count += 1.0;
+        self.latency_ratio += (ratio - self.latency_ratio) / self.sample_count.max(1.0);
     }
 
     /// Returns the latency ratio, weighted with a prior of one and limited to its bounds.
     fn weighted_latency_ratio(&self) -> f64 {
-        let ratio = (self.latency_ratio * self.answer_count + LATENCY_RATIO_PRIOR)
-            / (self.answer_count + LATENCY_RATIO_PRIOR);
+        let ratio = (self.latency_ratio * self.sample_count + LATENCY_RATIO_PRIOR)
+            / (self.sample_count + LATENCY_RATIO_PRIOR);
         ratio.clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO)
     }
 }
@@ -135,7 +135,7 @@
         let decay = (-elapsed_s / LATENCY_RATIO_TIME_CONSTANT_S).exp();
         for slot in rotation {
             let upstream = &mut upstreams[*slot];
-            upstream.weight.answer_count *= decay;
+            upstream.weight.sample_count *= decay;
             let warmth = self.advance_slow_start(&mut upstream.weight, now_s);
             let relative_size = upstream.endpoint.size() / largest_size;
             let capacity = relative_size * warmth / upstream.weight.weighted_latency_ratio();
