--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -21,7 +21,7 @@
 /// which a common cause raises the number of consecutive faults for an ejection.
 const COMMON_ERROR_FRACTION: f64 = 0.5;
 const MIN_ERROR_WEIGHT: f64 = 0.3;
-const COMMON_ERROR_FAULTS: u32 = 4;
+const COMMON_ERROR_FAULT_FACTOR: u32 = 4;
 
 /// The schedule of trials of the upstreams that are ejected for one class.
 #[derive(Clone, Default)]
@@ -36,7 +36,7 @@
     class: usize,
     /// Whether the class avoids suspected upstreams: its requests may not be processed twice, and
     /// those of other classes can show whether such an upstream is healthy.
-    needs_proven: bool,
+    avoids_suspected: bool,
     /// Whether no upstream is healthy for the class, so that all are accepted.
     ignores_health: bool,
 }
@@ -44,11 +44,12 @@
 impl ClassEligibility {
     pub(super) fn accepts(&self, upstream: &Upstream) -> bool {
         self.ignores_health
-            || !(upstream.health.is_ejected_for(self.class) || self.avoids_suspected(upstream))
+            || !(upstream.health.is_ejected_for(self.class) || self.avoids(upstream))
     }
 
-    fn avoids_suspected(&self, upstream: &Upstream) -> bool {
-        upstream.health.is_on_probation() && (self.needs_proven || upstream.load.in_flight() > 0)
+    fn avoids(&self, upstream: &Upstream) -> bool {
+        upstream.health.is_on_probation()
+            && (self.avoids_suspected || upstream.load.in_flight() > 0)
     }
 }
 
@@ -60,8 +61,13 @@
 
 /// Returns the fraction of the other upstreams of the rotation that have recently responded with an
 /// error.
-fn common_error_fraction(upstreams: &Upstreams, rotation: &[usize], but: usize, now_s: f64) -> f64 {
-    let others = || rotation.iter().filter(|slot| **slot != but);
+fn common_error_fraction(
+    upstreams: &Upstreams,
+    rotation: &[usize],
+    excluded_slot: usize,
+    now_s: f64,
+) -> f64 {
+    let others = || rotation.iter().filter(|slot| **slot != excluded_slot);
     let erring = others()
         .filter(|slot| upstreams[**slot].health.has_erred_recently(now_s))
         .count();
@@ -122,7 +128,12 @@
             health.record_class_fault(attempt.class);
         }
         let is_common = common_errors > COMMON_ERROR_FRACTION;
-        let max_faults = MAX_CLASS_FAULTS * if is_common { COMMON_ERROR_FAULTS } else { 1 };
+        let max_faults = MAX_CLASS_FAULTS
+            * if is_common {
+                COMMON_ERROR_FAULT_FACTOR
+            } else {
+                1
+            };
         if may_eject && health.is_faulty_for(attempt.class, max_faults) {
             health.eject_for(attempt.class, now_s);
             if trials.next_at_s <= now_s {
@@ -139,16 +150,16 @@
         upstreams: &Upstreams,
         rotation: &[usize],
         class: usize,
-        needs_proven: bool,
+        avoids_suspected: bool,
     ) -> ClassEligibility {
         let mut eligibility = ClassEligibility {
             class,
-            needs_proven,
+            avoids_suspected,
             ignores_health: false,
         };
         eligibility.ignores_health = rotation.iter().all(|slot| {
             let upstream = &upstreams[*slot];
-            is_out_for(upstream, class) || eligibility.avoids_suspected(upstream)
+            is_weighted_and_ejected_for(upstream, class) || eligibility.avoids(upstream)
         });
         eligibility
     }
@@ -171,7 +182,7 @@
         let oldest = rotation
             .iter()
             .copied()
-            .filter(|slot| is_out_for(&upstreams[*slot], class))
+            .filter(|slot| is_weighted_and_ejected_for(&upstreams[*slot], class))
             .min_by(|a, b| last_trial_at_s(a).total_cmp(&last_trial_at_s(b)))?;
         trials.unsuccessful += 1;
         let doublings = trials.unsuccessful.min(MAX_TRIAL_DOUBLINGS);
@@ -182,6 +193,6 @@
 }
 
 /// Returns whether an upstream has a weight and is ejected for a class.
-fn is_out_for(upstream: &Upstream, class: usize) -> bool {
+fn is_weighted_and_ejected_for(upstream: &Upstream, class: usize) -> bool {
     upstream.health.is_ejected_for(class) && upstream.weight.weight() > 0.0
 }
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -88,10 +88,10 @@
         if trial.is_some() {
             return trial;
         }
-        let needs_proven = self.needs_proven_upstreams(class);
-        let eligibility = self
-            .outliers
-            .eligibility(&self.upstreams, members, class, needs_proven);
+        let avoids_suspected = self.class_avoids_suspected(class);
+        let eligibility =
+            self.outliers
+                .eligibility(&self.upstreams, members, class, avoids_suspected);
         let accepts = |u: &Upstream| !self.pacing.is_exhausted(u) && eligibility.accepts(u);
         let tick_s = self.last_tick_s;
         let in_flight = |u: &Upstream| self.load_reports.in_flight_per_capacity(u, tick_s);
@@ -100,7 +100,7 @@
 
     /// Returns whether requests of a class avoid suspected upstreams: they may not be processed
     /// twice, and requests of other classes can show whether a suspected upstream is healthy.
-    fn needs_proven_upstreams(&self, class: usize) -> bool {
+    fn class_avoids_suspected(&self, class: usize) -> bool {
         let classes = &self.settings.classes;
         classes[class].effect == Effect::AtMostOnce
             && classes
