--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -26,7 +26,7 @@
 /// Relative growth of the service rate per second if pacing rejects every request and the
 /// utilization is at most half of its bound; less in proportion. Growth is slow because reports are
 /// about a second old.
-const PACED_GROWTH: f64 = 0.7;
+const PACED_GROWTH_PER_S: f64 = 0.7;
 /// Weight of the newest rejection in the fraction of requests that pacing rejects.
 const PACED_NEWEST_WEIGHT: f64 = 0.1;
 /// Limits for scaling a rate up to the utilization bound: the lowest utilization that is assumed,
@@ -147,7 +147,7 @@
     }
 
     /// Records that pacing has rejected a request.
-    pub(super) fn record_paced(&mut self) {
+    pub(super) fn record_paced_rejection(&mut self) {
         self.paced_fraction += PACED_NEWEST_WEIGHT * (1.0 - self.paced_fraction);
     }
 
@@ -253,7 +253,7 @@
         // If pacing rejects requests, the completions only show the rate that was admitted, so the
         // rate grows while cores are idle.
         let idle = (headroom - 1.0).clamp(0.0, 1.0);
-        self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH * self.paced_fraction * idle;
+        self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH_PER_S * self.paced_fraction * idle;
         let change =
             newest_weight(elapsed_s, RATE_TIME_CONSTANT_S) * (achievable - self.service_rate);
         // The rate is at least the observed one, if that keeps the utilization within its bound.
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -82,8 +82,9 @@
         elapsed_s: f64,
         now_s: f64,
     ) {
-        let sharing = rates.balancers_per_upstream;
-        let unshared_multiple = (sharing / (sharing - 1.0).max(1e-3)).min(MAX_UNSHARED_MULTIPLE);
+        let balancers = rates.balancers_per_upstream;
+        let unshared_multiple =
+            (balancers / (balancers - 1.0).max(1e-3)).min(MAX_UNSHARED_MULTIPLE);
         let mut sends_per_s = 0.0;
         for slot in rotation {
             let upstream = &mut upstreams[*slot];
@@ -113,14 +114,14 @@
 
     /// Returns whether too few sends are available for a request. Some are reserved for first
     /// attempts, and some for classes with a high `relative_value`.
-    pub(super) fn is_short(&self, relative_value: f64, is_retry: bool) -> bool {
+    pub(super) fn lacks_sends(&self, relative_value: f64, is_retry: bool) -> bool {
         let reserved_for_value = RESERVED_FOR_VALUE * (1.0 - relative_value);
-        let share = if is_retry {
+        let reserved_fraction = if is_retry {
             RESERVED_FROM_RETRIES
         } else {
             reserved_for_value
         };
-        let reserved = (self.burst - 1.0) * share;
+        let reserved = (self.burst - 1.0) * reserved_fraction;
         self.is_active && self.available_sends < 1.0 + reserved
     }
 
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -56,15 +56,15 @@
             });
         }
         let relative_value = self.classes.relative_value(arrival.class);
-        let is_short = self.pacing.is_short(relative_value, arrival.is_retry);
-        let slot = if is_short {
+        let lacks_sends = self.pacing.lacks_sends(relative_value, arrival.is_retry);
+        let slot = if lacks_sends {
             None
         } else {
             self.next_upstream(arrival.class)
         };
         slot.ok_or_else(|| {
-            if self.has_paced_upstream(arrival.class, is_short) {
-                self.capacity.record_paced();
+            if self.has_paced_upstream(arrival.class, lacks_sends) {
+                self.capacity.record_paced_rejection();
                 FailureReason::Paced
             } else {
                 FailureReason::NoHealthyUpstream
@@ -110,11 +110,11 @@
 
     /// Returns whether pacing holds back an upstream that has a weight and is not ejected for the
     /// class.
-    fn has_paced_upstream(&self, class: usize, is_short: bool) -> bool {
+    fn has_paced_upstream(&self, class: usize, lacks_sends: bool) -> bool {
         self.members().any(|upstream| {
             upstream.weight.weight() > 0.0
                 && !upstream.health.is_ejected_for(class)
-                && (is_short || self.pacing.is_exhausted(upstream))
+                && (lacks_sends || self.pacing.is_exhausted(upstream))
         })
     }
 
