--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -265,7 +265,7 @@
         (self.spare, self.in_flight) = (0.0, 0.0);
         for upstream in inputs.members().filter(|u| u.weight.weight() > 0.0) {
             let rate = self.service_rate * upstream.weight.weight();
-            let own = upstream.load.own();
+            let own = upstream.load.own_in_flight();
             // Overdue attempts reduce the capacity of an upstream, but all of its attempts in
             // flight are subtracted: otherwise W and the shortage would both be zero when all
             // upstreams are stuck, and no guarantee would be cut.
@@ -286,7 +286,7 @@
         // admitted little recently.
         let reports = upstream.load.has_utilization(inputs.now_s);
         let idle = if reports && !upstream.weight.is_warming_up() {
-            let at_full = inputs.load_reports.in_flight_at_full();
+            let at_full = inputs.load_reports.in_flight_at_full_utilization();
             self.utilization_bound * at_full * upstream.endpoint.size()
                 - upstream.load.reported_in_flight()
         } else {
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -6,10 +6,10 @@
 
 /// Number of attempts in flight that one overdue attempt counts as: its upstream is stuck or
 /// unresponsive.
-const OVERDUE_IN_FLIGHT: f64 = 4.0;
+const OVERDUE_ATTEMPT_WEIGHT: f64 = 4.0;
 /// Attempts of other balancers that are assumed at an upstream that rejects one: otherwise it would
 /// seem idle.
-const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_IN_FLIGHT;
+const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_ATTEMPT_WEIGHT;
 /// Time constant, in seconds, of the decay of a report of the requests in flight, and the seconds
 /// for which the report counts in the mean.
 const REPORT_TIME_CONSTANT_S: f64 = 1.0;
@@ -20,7 +20,7 @@
 /// utilization, and the weight of the newest report in that estimate.
 const MIN_INFORMATIVE_UTILIZATION: f64 = 0.2;
 const MAX_INFORMATIVE_UTILIZATION: f64 = 0.8;
-const FULL_NEWEST_WEIGHT: f64 = 0.02;
+const FULL_UTILIZATION_NEWEST_WEIGHT: f64 = 0.02;
 /// Largest plausible value in a report; a larger one is reduced to it.
 const MAX_REPORTED: f64 = 1e4;
 
@@ -50,13 +50,13 @@
     }
 
     /// Returns this balancer's attempts in flight, including abandoned ones that may still run.
-    pub(super) fn own(&self) -> f64 {
+    pub(super) fn own_in_flight(&self) -> f64 {
         f64::from(self.in_flight) + self.abandoned_attempts
     }
 
     /// Returns the fraction of this balancer's attempts that are neither overdue nor abandoned.
     pub(super) fn responsive_fraction(&self) -> f64 {
-        1.0 - (f64::from(self.overdue) + self.abandoned_attempts) / self.own().max(1.0)
+        1.0 - (f64::from(self.overdue) + self.abandoned_attempts) / self.own_in_flight().max(1.0)
     }
 
     pub(super) fn reported_in_flight(&self) -> f64 {
@@ -102,7 +102,7 @@
 
     /// Records the requests of other balancers in flight at the upstream, by a report or a live
     /// weight.
-    pub(super) fn record_others(&mut self, in_flight: f64, now_s: f64) {
+    pub(super) fn record_others_in_flight(&mut self, in_flight: f64, now_s: f64) {
         (self.others_in_flight, self.others_reported_at_s) = (in_flight, now_s);
     }
 
@@ -128,7 +128,7 @@
     mean_others_in_flight: f64,
     /// Requests in flight at an upstream of unit size when all its cores are in use and none is
     /// waiting; zero while unknown.
-    in_flight_at_full: f64,
+    in_flight_at_full_utilization: f64,
 }
 
 impl LoadReportTracker {
@@ -137,13 +137,13 @@
             fields: settings.report_fields.clone(),
             others_fraction: 1.0 - 1.0 / f64::from(settings.balancers.max(1)),
             mean_others_in_flight: 0.0,
-            in_flight_at_full: 0.0,
+            in_flight_at_full_utilization: 0.0,
         }
     }
 
     /// Returns the requests in flight at full utilization per unit of size; zero while unknown.
-    pub(super) fn in_flight_at_full(&self) -> f64 {
-        self.in_flight_at_full
+    pub(super) fn in_flight_at_full_utilization(&self) -> f64 {
+        self.in_flight_at_full_utilization
     }
 
     /// Records a load report of an upstream.
@@ -173,26 +173,32 @@
         };
         load.reported_in_flight = in_flight;
         if load.utilization_reported_at_s >= now_s {
-            self.learn_in_flight_at_full(in_flight, load.utilization, size);
+            self.update_in_flight_at_full_utilization(in_flight, load.utilization, size);
         }
-        load.record_others(in_flight * self.others_fraction, now_s);
+        load.record_others_in_flight(in_flight * self.others_fraction, now_s);
     }
 
     /// Records the requests that each core has in flight, from a live weight.
     pub(super) fn record_live_weight(&self, load: &mut UpstreamLoad, in_flight: f64, now_s: f64) {
-        load.record_others(in_flight * self.others_fraction, now_s);
+        load.record_others_in_flight(in_flight * self.others_fraction, now_s);
     }
 
-    fn learn_in_flight_at_full(&mut self, in_flight: f64, utilization: f64, size: f64) {
+    fn update_in_flight_at_full_utilization(
+        &mut self,
+        in_flight: f64,
+        utilization: f64,
+        size: f64,
+    ) {
         let at_full = in_flight / (utilization * size).max(1e-9);
         let informative = MIN_INFORMATIVE_UTILIZATION..MAX_INFORMATIVE_UTILIZATION;
         if informative.contains(&utilization) && at_full > 0.0 {
-            let newest_weight = if self.in_flight_at_full > 0.0 {
-                FULL_NEWEST_WEIGHT
+            let newest_weight = if self.in_flight_at_full_utilization > 0.0 {
+                FULL_UTILIZATION_NEWEST_WEIGHT
             } else {
                 1.0
             };
-            self.in_flight_at_full += newest_weight * (at_full - self.in_flight_at_full);
+            self.in_flight_at_full_utilization +=
+                newest_weight * (at_full - self.in_flight_at_full_utilization);
         }
     }
 
@@ -219,7 +225,7 @@
         let others = mean
             + (load.others_in_flight / capacity - mean) * (-age_s / REPORT_TIME_CONSTANT_S).exp();
         let own = f64::from(load.in_flight)
-            + OVERDUE_IN_FLIGHT * f64::from(load.overdue)
+            + OVERDUE_ATTEMPT_WEIGHT * f64::from(load.overdue)
             + load.abandoned_attempts;
         own / capacity + others
     }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -137,13 +137,13 @@
     fn upstream_rate(&self, upstream: &Upstream, now_s: f64) -> f64 {
         let weight = upstream.weight.weight();
         let mut rate = (self.service_rate * weight).max(weight / self.balancers_per_upstream);
-        let in_flight_at_full = self.load_reports.in_flight_at_full();
-        if upstream.load.utilization_is_recent(now_s) && in_flight_at_full > 0.0 {
+        let in_flight_at_full_utilization = self.load_reports.in_flight_at_full_utilization();
+        if upstream.load.utilization_is_recent(now_s) && in_flight_at_full_utilization > 0.0 {
             // The rate is lower if the upstream reports a higher utilization than the mean or a
             // longer queue, and higher if it reports a lower utilization.
             rate *= (self.utilization / upstream.load.utilization().max(0.1))
                 .clamp(MIN_UTILIZATION_FACTOR, MAX_UTILIZATION_FACTOR);
-            let expected = in_flight_at_full * upstream.endpoint.size();
+            let expected = in_flight_at_full_utilization * upstream.endpoint.size();
             rate /= (upstream.load.reported_in_flight() / expected).clamp(1.0, MAX_QUEUE_FACTOR);
         }
         rate
