--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -86,9 +86,9 @@
 }
 
 impl Capacity {
-    /// Returns the initial estimates, which assume that `expected_per_s` requests a second are
+    /// Returns the initial estimates, which assume that `expected_requests_per_s` requests a second are
     /// served.
-    pub(super) fn new(settings: &Settings, expected_per_s: f64) -> Self {
+    pub(super) fn new(settings: &Settings, expected_requests_per_s: f64) -> Self {
         let bound = utilization_bound(settings);
         // Until the first report, the utilization is assumed to be at its bound.
         let will_report = settings.load_reports == LoadReports::Inline
@@ -98,9 +98,9 @@
         // would be overloaded first.
         let are_sizes_unknown = settings.endpoint_weights == EndpointWeights::Off;
         let completions_per_s = if will_report && are_sizes_unknown {
-            utilization * expected_per_s
+            utilization * expected_requests_per_s
         } else {
-            expected_per_s
+            expected_requests_per_s
         };
         Self {
             utilization_bound: bound,
--- a/src/policy/endpoint_flow.rs
+++ b/src/policy/endpoint_flow.rs
@@ -53,7 +53,7 @@
         self.actions.extend(choice.removed.into_iter().map(close));
         let before = self.rotation.members().len();
         let growth = choice.members.len() as f64 / before.max(1) as f64;
-        if choice.is_part && before > 0 && growth > 1.0 {
+        if choice.is_partial && before > 0 && growth > 1.0 {
             self.capacity.on_rotation_grown(growth);
         }
         let mut members = choice.members;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -102,7 +102,7 @@
 
 /// Returns the requests a second that a balancer expects before it has received any: an equal part
 /// of the sum of the stated quotas, which counts as at least one request a second.
-fn expected_per_s(settings: &Settings) -> f64 {
+fn expected_requests_per_s(settings: &Settings) -> f64 {
     let quotas = settings
         .tenants
         .iter()
@@ -127,8 +127,8 @@
     }
 
     fn with_settings(settings: Settings, seed: u64) -> Self {
-        let expected_per_s = expected_per_s(&settings);
-        let capacity = Capacity::new(&settings, expected_per_s);
+        let expected_requests_per_s = expected_requests_per_s(&settings);
+        let capacity = Capacity::new(&settings, expected_requests_per_s);
         Self {
             now: Duration::ZERO,
             now_s: 0.0,
@@ -139,7 +139,7 @@
             polling: EndpointPolling::new(&settings),
             lease: EndpointLease::new(settings.drain_grace, settings.has_local_agent),
             upstreams: Upstreams::default(),
-            subset: Subset::new(&settings, expected_per_s),
+            subset: Subset::new(&settings, expected_requests_per_s),
             rotation: Rotation::default(),
             requests: Requests::default(),
             retry_budget: RetryBudget::full(),
@@ -265,8 +265,9 @@
     fn on_tick(&mut self) {
         let elapsed_s = (self.now_s - self.last_tick_s).clamp(0.0, MAX_TICK_S);
         self.last_tick_s = self.now_s;
-        let has_others = self.rotation.members().len() < self.upstreams.len();
-        self.subset.update_size(has_others, elapsed_s, self.now_s);
+        let has_upstreams_outside = self.rotation.members().len() < self.upstreams.len();
+        self.subset
+            .update_size(has_upstreams_outside, elapsed_s, self.now_s);
         if self.subset.is_review_due(self.now_s) {
             self.choose_subset();
         }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -16,7 +16,7 @@
 
 /// Number of upstreams in a subset per request a second that the balancer may get, and the limits
 /// of that number.
-const UPSTREAMS_PER_RATE: f64 = 0.7;
+const UPSTREAMS_PER_REQUEST_PER_S: f64 = 0.7;
 const MIN_SIZE: f64 = 2.0;
 const MAX_SIZE: f64 = 1e6;
 /// Smallest number of subsets that contain each upstream: few balancers take larger subsets, and a
@@ -64,15 +64,15 @@
     /// Upstreams that are no longer members although they are ready.
     pub(super) removed: Vec<UpstreamId>,
     /// Whether the subset is limited to a part of the ready upstreams.
-    pub(super) is_part: bool,
+    pub(super) is_partial: bool,
 }
 
 /// The number of ready upstreams that a subset should contain.
 struct SubsetSize {
     /// The number for an equal part of the traffic.
-    equal: usize,
+    equal_traffic_size: usize,
     /// The number for the traffic that this balancer gets.
-    wanted: usize,
+    own_traffic_size: usize,
     /// Whether the subset contains all ready upstreams.
     includes_all: bool,
 }
@@ -96,15 +96,16 @@
 }
 
 impl Subset {
-    pub(super) fn new(settings: &Settings, expected_per_s: f64) -> Self {
-        let size = (UPSTREAMS_PER_RATE * expected_per_s).clamp(MIN_SIZE, MAX_SIZE) as usize;
+    pub(super) fn new(settings: &Settings, expected_requests_per_s: f64) -> Self {
+        let size = (UPSTREAMS_PER_REQUEST_PER_S * expected_requests_per_s).clamp(MIN_SIZE, MAX_SIZE)
+            as usize;
         Self {
             balancers: settings.balancers,
             index: settings.index,
             min_size: size,
             size,
             first_attempts: 0.0,
-            first_attempts_per_s: expected_per_s,
+            first_attempts_per_s: expected_requests_per_s,
             balancers_per_upstream: 0.0,
             review_at_s: 0.0,
         }
@@ -131,15 +132,16 @@
 
     /// Adapts the size to the traffic, once per tick. Traffic is uneven: a balancer with several
     /// times the mean would overload an equal part of the upstreams while others are idle.
-    /// `has_others` states that there are upstreams outside the subset.
-    pub(super) fn update_size(&mut self, has_others: bool, elapsed_s: f64, now_s: f64) {
+    /// `has_upstreams_outside` states that there are upstreams outside the subset.
+    pub(super) fn update_size(&mut self, has_upstreams_outside: bool, elapsed_s: f64, now_s: f64) {
         let per_s = per_second(self.first_attempts, elapsed_s);
         let weight_of_newest = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S);
         self.first_attempts_per_s += weight_of_newest * (per_s - self.first_attempts_per_s);
         self.first_attempts = 0.0;
-        let size = UPSTREAMS_PER_RATE * self.first_attempts_per_s;
+        let size = UPSTREAMS_PER_REQUEST_PER_S * self.first_attempts_per_s;
         let size = size.clamp(self.min_size as f64, MAX_SIZE) as usize;
-        let grows = size * GROWTH_DENOMINATOR >= self.size * GROWTH_NUMERATOR && has_others;
+        let grows =
+            size * GROWTH_DENOMINATOR >= self.size * GROWTH_NUMERATOR && has_upstreams_outside;
         if grows || size * SHRINK_DENOMINATOR <= self.size {
             self.size = size;
             self.review_at_s = now_s;
@@ -150,7 +152,7 @@
     pub(super) fn choose(&mut self, upstreams: &mut Upstreams, now_s: f64) -> SubsetChoice {
         let ready = |slot: &usize| upstreams[*slot].endpoint.is_ready();
         let mut order: Vec<usize> = (0..upstreams.len()).filter(ready).collect();
-        let size = self.size_of(order.len());
+        let size = self.choose_size(order.len());
         if !size.includes_all {
             self.sort(&mut order, upstreams, &size);
         }
@@ -170,27 +172,27 @@
         self.review_at_s = ends
             .filter(|end_s| *end_s > now_s)
             .fold(f64::INFINITY, f64::min);
-        let removed = fill(&order, upstreams, &size, ejected_at_s);
-        let part = size.equal.min(order.len()) as f64 / order.len().max(1) as f64;
+        let removed = set_members(&order, upstreams, &size, ejected_at_s);
+        let part = size.equal_traffic_size.min(order.len()) as f64 / order.len().max(1) as f64;
         self.balancers_per_upstream = (f64::from(self.balancers) * part).max(1.0);
         order.retain(|slot| upstreams[*slot].membership.is_member);
         SubsetChoice {
             members: order,
             removed,
-            is_part: !size.includes_all,
+            is_partial: !size.includes_all,
         }
     }
 
-    fn size_of(&self, ready: usize) -> SubsetSize {
+    fn choose_size(&self, ready: usize) -> SubsetSize {
         let balancers = (self.balancers as usize).max(1);
-        let equal = self
+        let equal_traffic_size = self
             .min_size
             .max(MIN_SUBSETS_PER_UPSTREAM * ready / balancers);
-        let wanted = equal.max(self.size);
-        let includes_all = wanted * ALL_DENOMINATOR >= ready * ALL_NUMERATOR;
+        let own_traffic_size = equal_traffic_size.max(self.size);
+        let includes_all = own_traffic_size * ALL_DENOMINATOR >= ready * ALL_NUMERATOR;
         SubsetSize {
-            equal,
-            wanted,
+            equal_traffic_size,
+            own_traffic_size,
             includes_all,
         }
     }
@@ -198,9 +200,9 @@
     /// Puts the upstreams into the order that balancers share, starting with the part of this
     /// balancer. When all parts are taken, the next balancers share another order.
     fn sort(&self, order: &mut [usize], upstreams: &Upstreams, size: &SubsetSize) {
-        let parts = (order.len() / size.equal.max(1)).max(1);
+        let parts = (order.len() / size.equal_traffic_size.max(1)).max(1);
         let index = self.index as usize;
-        let (round, start) = (index / parts, index % parts * size.equal);
+        let (round, start) = (index / parts, index % parts * size.equal_traffic_size);
         let key = |slot: &usize| {
             let id = upstreams[*slot].endpoint.id();
             Random::with_seed(id.0 ^ (round as u64) << 48).u64(..)
@@ -211,7 +213,7 @@
 }
 
 /// Sets which upstreams are members. Returns the ready upstreams that are no longer members.
-fn fill(
+fn set_members(
     order: &[usize],
     upstreams: &mut Upstreams,
     size: &SubsetSize,
@@ -224,7 +226,7 @@
         let membership = &mut upstream.membership;
         // A member remains one, so that its connections are reused; new members are added in the
         // shared order.
-        let joins = is_usable && membership.is_new && rank < size.wanted;
+        let joins = is_usable && membership.is_new && rank < size.own_traffic_size;
         membership.is_member = size.includes_all || membership.is_member || joins;
         membership.is_new &= !is_usable;
         members += usize::from(membership.is_member);
@@ -232,11 +234,13 @@
     }
     // Up to half of the members remain in the subset while ejected: otherwise all balancers that
     // share them would move their load to other upstreams at the same time, and overload those.
-    let wanted = size.wanted.max(unusable + size.wanted.div_ceil(2));
+    let target_size = size
+        .own_traffic_size
+        .max(unusable + size.own_traffic_size.div_ceil(2));
     for slot in order {
         let upstream = &mut upstreams[*slot];
         let is_usable = !upstream.health.is_ejected(ejected_at_s);
-        if members < wanted && !upstream.membership.is_member && is_usable {
+        if members < target_size && !upstream.membership.is_member && is_usable {
             upstream.membership.is_member = true;
             members += 1;
         }
@@ -244,7 +248,7 @@
     let mut removed = Vec::new();
     for slot in order.iter().rev() {
         let upstream = &mut upstreams[*slot];
-        if members > wanted && upstream.membership.is_member && !size.includes_all {
+        if members > target_size && upstream.membership.is_member && !size.includes_all {
             upstream.membership.is_member = false;
             members -= 1;
             removed.push(upstream.endpoint.id());
