--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -73,7 +73,7 @@
     /// Time at which the list last counted as current: it was confirmed, discovery ended a watch,
     /// or discovery seemed to be down. If discovery rejects polls, changes since then may be
     /// missed.
-    last_excused_at_s: f64,
+    last_current_at_s: f64,
 }
 
 impl EndpointLease {
@@ -82,7 +82,7 @@
             drain_grace_s: drain_grace.as_secs_f64(),
             has_local_agent,
             stale_since_s: [None; CAUSES.len()],
-            last_excused_at_s: 0.0,
+            last_current_at_s: 0.0,
         }
     }
 
@@ -97,16 +97,16 @@
                 self.add_cause(StalenessCause::WatchSilent, since.as_secs_f64());
             }
             WatchEvent::Ended => {
-                self.last_excused_at_s = now_s;
+                self.last_current_at_s = now_s;
                 self.add_cause(StalenessCause::WatchEnded, now_s);
             }
             WatchEvent::Rejected { requested_at }
                 if now_s - requested_at.as_secs_f64() < IMMEDIATE_REJECTION_S =>
             {
-                self.add_cause(StalenessCause::PollsRejected, self.last_excused_at_s);
+                self.add_cause(StalenessCause::PollsRejected, self.last_current_at_s);
             }
             WatchEvent::Rejected { requested_at } | WatchEvent::Unreachable { requested_at } => {
-                self.excuse_outage(requested_at.as_secs_f64());
+                self.record_outage(requested_at.as_secs_f64());
             }
             WatchEvent::Moved => self.add_cause(StalenessCause::DiscoveryMoved, now_s),
         }
@@ -117,7 +117,7 @@
     pub(super) fn renew(&mut self, now_s: f64) -> Option<LogEvent> {
         let expired = self.expiry().filter(|expiry| expiry.at_s <= now_s);
         self.stale_since_s = [None; CAUSES.len()];
-        self.last_excused_at_s = now_s;
+        self.last_current_at_s = now_s;
         expired.map(|expiry| LogEvent::EndpointsConfirmed {
             paused_for_s: (now_s - expiry.at_s).min(MAX_PAUSE_S),
             cause: expiry.cause,
@@ -164,8 +164,8 @@
     }
 
     /// Records that discovery seemed to be down at `at_s`, which ends some of the causes.
-    fn excuse_outage(&mut self, at_s: f64) {
-        self.last_excused_at_s = self.last_excused_at_s.max(at_s);
+    fn record_outage(&mut self, at_s: f64) {
+        self.last_current_at_s = self.last_current_at_s.max(at_s);
         for cause in CAUSES.iter().filter(|cause| ends_with_outage(**cause)) {
             self.stale_since_s[*cause as usize] = None;
         }
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollTarget {
     /// No target, as the list is pushed to the balancer.
-    Nobody,
+    Disabled,
     /// Discovery, together with all other balancers.
     Discovery,
     /// A local agent that serves this balancer alone.
@@ -52,7 +52,7 @@
 impl PollTarget {
     fn new(settings: &Settings) -> Self {
         match (settings.polls_endpoints, settings.has_local_agent) {
-            (false, _) => Self::Nobody,
+            (false, _) => Self::Disabled,
             (true, false) => Self::Discovery,
             (true, true) => Self::LocalAgent,
         }
@@ -110,8 +110,8 @@
 
     /// Returns whether a poll is due, and records it as made if it is.
     pub(super) fn poll_if_due(&mut self, now_s: f64, random: &mut Random) -> bool {
-        let is_answered = self.is_watching || self.is_receiving;
-        if self.target == PollTarget::Nobody || is_answered || now_s < self.next_poll_at_s {
+        let has_response = self.is_watching || self.is_receiving;
+        if self.target == PollTarget::Disabled || has_response || now_s < self.next_poll_at_s {
             return false;
         }
         // A poll without a response is retried well before a change counts as notified.
@@ -159,14 +159,16 @@
         let backoff_s = if self.target == PollTarget::LocalAgent {
             MIN_BACKOFF_S
         } else {
-            self.doubled_s(self.interval_s * MAX_BACKOFF_FRACTION / FIRST_BACKOFF_DIVISOR)
-                .max(spread_s)
-                .min(self.remaining_s(spread_s, now_s))
+            self.exponential_backoff_s(
+                self.interval_s * MAX_BACKOFF_FRACTION / FIRST_BACKOFF_DIVISOR,
+            )
+            .max(spread_s)
+            .min(self.remaining_s(spread_s, now_s))
         };
         // The backoff is short after a truncated response: sends will have to pause soon, and no
         // other balancer is affected.
         let backoff_s = if failure.was_partial {
-            backoff_s.min(self.doubled_s(MIN_BACKOFF_S))
+            backoff_s.min(self.exponential_backoff_s(MIN_BACKOFF_S))
         } else {
             backoff_s
         };
@@ -179,7 +181,7 @@
         }
     }
 
-    fn doubled_s(&self, first_s: f64) -> f64 {
+    fn exponential_backoff_s(&self, first_s: f64) -> f64 {
         first_s * f64::from(1u32 << self.consecutive_failures.min(MAX_DOUBLINGS))
     }
 
