--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -124,9 +124,9 @@
         let others = (0..count).map(|step| (step + start % count) % count);
         let rank = |slot: usize| {
             let upstream = &self.upstreams[slot];
-            let is_far = u8::from(upstream.endpoint.zone() != self.settings.zone);
+            let is_other_zone = u8::from(upstream.endpoint.zone() != self.settings.zone);
             let is_outside = u8::from(!upstream.membership.is_member());
-            DISTANCE_PENALTY * f64::from(is_far + 2 * is_outside)
+            DISTANCE_PENALTY * f64::from(is_other_zone + 2 * is_outside)
                 + self
                     .load_reports
                     .in_flight_per_capacity(upstream, self.last_tick_s)
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -14,7 +14,7 @@
 use crate::random::Random;
 
 /// Removed upstreams are forgotten when they are more than one in this many of the known upstreams.
-const MAX_REMOVED_PART: usize = 4;
+const MAX_REMOVED_DIVISOR: usize = 4;
 
 /// The entry of one upstream in the list.
 pub(super) struct EndpointRecord {
@@ -54,9 +54,9 @@
     fn new(
         id: UpstreamId,
         class_count: usize,
-        start_s: Option<f64>,
+        slow_start_since_s: Option<f64>,
         is_new: bool,
-        turns: f64,
+        initial_deficit: f64,
     ) -> Self {
         Self {
             endpoint: EndpointRecord {
@@ -67,11 +67,11 @@
                 size: 0.0,
             },
             membership: SubsetMembership::new(is_new),
-            weight: UpstreamWeight::new(start_s),
+            weight: UpstreamWeight::new(slow_start_since_s),
             load: UpstreamLoad::default(),
             health: UpstreamHealth::new(class_count),
             send_budget: SendBudget::full(),
-            deficit: Deficit::new(turns),
+            deficit: Deficit::new(initial_deficit),
             connections: ConnectionUse::default(),
         }
     }
@@ -83,10 +83,10 @@
 
     /// Discards the history of the upstream and begins its slow start, as its process has
     /// restarted.
-    fn restart(&mut self, started_at_s: f64, turns: f64) {
+    fn restart(&mut self, started_at_s: f64, initial_deficit: f64) {
         self.weight.begin_slow_start(started_at_s);
         self.health.reset();
-        self.deficit = Deficit::new(turns);
+        self.deficit = Deficit::new(initial_deficit);
         self.membership.mark_new();
     }
 }
@@ -122,15 +122,15 @@
     for endpoint in endpoints {
         let started_at_s = endpoint.started.map(|started| started.as_secs_f64());
         let slot = upstreams.slot(endpoint.id).unwrap_or_else(|| {
-            let start_s = started_at_s.or((!is_first_list).then_some(context.now_s));
-            let turns = context.random.f64();
+            let slow_start_since_s = started_at_s.or((!is_first_list).then_some(context.now_s));
+            let initial_deficit = context.random.f64();
             let count = context.class_count;
             upstreams.push(Upstream::new(
                 endpoint.id,
                 count,
-                start_s,
+                slow_start_since_s,
                 !is_first_list,
-                turns,
+                initial_deficit,
             ))
         });
         is_changed |= context.apply_endpoint(&mut upstreams[slot], endpoint, started_at_s);
@@ -139,7 +139,7 @@
         .iter()
         .filter(|upstream| upstream.is_removable())
         .count();
-    if upstreams.len() > known || removable > upstreams.len() / MAX_REMOVED_PART {
+    if upstreams.len() > known || removable > upstreams.len() / MAX_REMOVED_DIVISOR {
         // Removed upstreams are forgotten: otherwise the state would grow without bound.
         upstreams.retain(|upstream| !upstream.is_removable());
         is_changed = true;
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 /// Number of turns that the skip rule compares; the design has two.
-const LOOKAHEAD: usize = 3;
+const LOOKAHEAD_TURNS: usize = 3;
 /// An upstream is skipped if it has more in flight per capacity than the lowest value compared,
 /// multiplied by this factor, plus this margin.
 const SKIP_MULTIPLE: f64 = 1.5;
@@ -60,7 +60,7 @@
 
     /// Adds turns to the upstreams in slow start, in proportion to time: they must not get more
     /// turns if others are skipped.
-    pub(super) fn earn_slow_start_deficit(
+    pub(super) fn add_slow_start_turns(
         &self,
         upstreams: &mut Upstreams,
         rate: SlowStartRate,
@@ -69,9 +69,9 @@
         for slot in &self.members {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let earned =
+                let added_turns =
                     elapsed_s * rate.steady_rate * rate.multiple * upstream.weight.weight();
-                let amount = upstream.deficit.amount + earned;
+                let amount = upstream.deficit.amount + added_turns;
                 upstream.deficit.amount = amount.min(MAX_SLOW_START_DEFICIT);
             }
         }
@@ -100,7 +100,7 @@
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]));
         let visible = accepted
-            .take(LOOKAHEAD)
+            .take(LOOKAHEAD_TURNS)
             .map(|slot| in_flight(&upstreams[*slot]));
         let min_in_flight = visible.fold(f64::INFINITY, f64::min);
         let mut position = 0;
@@ -119,13 +119,13 @@
 
     /// Adds next turns until `accepts` is true for enough of them.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
-        let longest = LOOKAHEAD + self.members.len();
+        let longest = LOOKAHEAD_TURNS + self.members.len();
         let mut visible = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]))
             .count();
-        while visible < LOOKAHEAD && self.lookahead.len() < longest {
+        while visible < LOOKAHEAD_TURNS && self.lookahead.len() < longest {
             let Some(slot) = self.step(upstreams) else {
                 break;
             };
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -66,9 +66,9 @@
         slot
     }
 
-    /// Forgets the upstreams for which `is_kept` is false, and gives the others new slots.
-    pub(super) fn retain(&mut self, is_kept: impl Fn(&Upstream) -> bool) {
-        self.upstreams.retain(is_kept);
+    /// Forgets the upstreams for which `is_retained` is false, and gives the others new slots.
+    pub(super) fn retain(&mut self, is_retained: impl Fn(&Upstream) -> bool) {
+        self.upstreams.retain(is_retained);
         let ids = self.upstreams.iter().enumerate();
         self.slots = ids
             .map(|(slot, upstream)| (upstream.endpoint.id(), slot))
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -130,19 +130,20 @@
     ) {
         let members = || rotation.iter().map(|slot| &upstreams[*slot]);
         let largest_size = members().map(|u| u.endpoint.size()).fold(1e-9, f64::max);
-        let is_near = |u: &Upstream| self.is_near(u) && !u.health.is_ejected(now_s);
-        let has_near = members().any(|u| u.endpoint.is_ready() && is_near(u));
+        let is_healthy_local = |u: &Upstream| self.is_same_zone(u) && !u.health.is_ejected(now_s);
+        let has_healthy_local = members().any(|u| u.endpoint.is_ready() && is_healthy_local(u));
         let decay = (-elapsed_s / LATENCY_RATIO_TIME_CONSTANT_S).exp();
         for slot in rotation {
             let upstream = &mut upstreams[*slot];
             upstream.weight.sample_count *= decay;
-            let warmth = self.advance_slow_start(&mut upstream.weight, now_s);
+            let slow_start_fraction = self.advance_slow_start(&mut upstream.weight, now_s);
             let relative_size = upstream.endpoint.size() / largest_size;
-            let capacity = relative_size * warmth / upstream.weight.weighted_latency_ratio();
+            let capacity =
+                relative_size * slow_start_fraction / upstream.weight.weighted_latency_ratio();
             upstream.weight.capacity = capacity.max(MIN_CAPACITY);
-            let is_out = ejections_apply && upstream.health.is_ejected(now_s);
-            let is_usable = upstream.endpoint.is_ready() && !is_out;
-            let zone_factor = if self.is_near(upstream) || !has_near {
+            let is_excluded = ejections_apply && upstream.health.is_ejected(now_s);
+            let is_usable = upstream.endpoint.is_ready() && !is_excluded;
+            let zone_factor = if self.is_same_zone(upstream) || !has_healthy_local {
                 1.0
             } else {
                 self.other_zone_fraction
@@ -152,7 +153,7 @@
         }
     }
 
-    fn is_near(&self, upstream: &Upstream) -> bool {
+    fn is_same_zone(&self, upstream: &Upstream) -> bool {
         upstream.endpoint.zone() == self.zone
     }
 
@@ -164,11 +165,11 @@
         };
         let progress = ((now_s - since_s) / self.slow_start_duration_s.max(1e-6)).clamp(0.0, 1.0);
         let initial = self.slow_start_initial_share;
-        let share = initial + (1.0 - initial) * progress;
-        if share >= 1.0 {
+        let fraction = initial + (1.0 - initial) * progress;
+        if fraction >= 1.0 {
             weight.slow_start_since_s = None;
         }
-        share
+        fraction
     }
 
     /// Returns the rate of requests to upstreams in slow start, from the service rate per unit of
