--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -4,7 +4,7 @@
 /// Idle seconds after which a connection may have been dropped, and seconds for which a suspicion
 /// lasts.
 const MIN_IDLE_S: f64 = 0.3;
-const MAX_IDLE_VALID_S: f64 = 15.0;
+const SUSPICION_VALID_S: f64 = 15.0;
 /// Weight of the newest attempt in the fractions of unanswered attempts: low, as two long requests
 /// in a row are no evidence.
 const NEWEST_WEIGHT: f64 = 0.05;
@@ -46,14 +46,16 @@
     /// Idle seconds after which a connection may be dead, and the time until which that is
     /// suspected.
     max_idle_s: f64,
-    max_idle_valid_until_s: f64,
+    suspect_until_s: f64,
 }
 
 impl IdleConnections {
     /// Returns whether a connection that has been idle for `idle_s` seconds has to be closed rather
     /// than used.
     pub(super) fn is_suspect(&self, idle_s: f64, now_s: f64) -> bool {
-        idle_s > self.max_idle_s && now_s < self.max_idle_valid_until_s && self.are_lost_when_idle()
+        idle_s > self.max_idle_s
+            && now_s < self.suspect_until_s
+            && self.are_idle_connections_lossy()
     }
 
     /// Records whether an attempt on a connection that had been idle for `idle_s` seconds got a
@@ -67,20 +69,20 @@
         };
         *fraction += NEWEST_WEIGHT * (f64::from(u8::from(was_unanswered)) - *fraction);
         let is_suspect =
-            self.unanswered_idle > MIN_UNANSWERED_FRACTION && self.are_lost_when_idle();
+            self.unanswered_idle > MIN_UNANSWERED_FRACTION && self.are_idle_connections_lossy();
         if was_unanswered && was_idle && is_suspect {
-            let is_valid = now_s < self.max_idle_valid_until_s;
+            let is_valid = now_s < self.suspect_until_s;
             let before_s = if is_valid {
                 self.max_idle_s
             } else {
                 f64::INFINITY
             };
             self.max_idle_s = before_s.min(idle_s / 2.0).max(MIN_IDLE_S);
-            self.max_idle_valid_until_s = now_s + MAX_IDLE_VALID_S;
+            self.suspect_until_s = now_s + SUSPICION_VALID_S;
         }
     }
 
-    fn are_lost_when_idle(&self) -> bool {
+    fn are_idle_connections_lossy(&self) -> bool {
         self.unanswered_idle > UNANSWERED_RATIO * self.unanswered_in_use
     }
 }
