--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,12 +9,12 @@
 /// Bucket size: one second of the guarantee or this many seconds of the tenant's demand, whichever
 /// is more, plus this many tokens, so that two simultaneous requests of a small tenant are not
 /// rejected.
-const BUCKET_DEMAND_FRACTION: f64 = 0.2;
-const MIN_BUCKET_SIZE: f64 = 3.0;
+const BUCKET_DEMAND_S: f64 = 0.2;
+const MIN_BUCKET_TOKENS: f64 = 3.0;
 /// Shortest window over which demand is averaged, in seconds and in requests: a single tick sees
 /// too few requests.
 const MIN_DEMAND_WINDOW_S: f64 = 1.0;
-const MIN_DEMAND_COUNT: f64 = 10.0;
+const MIN_DEMAND_WINDOW_REQUESTS: f64 = 10.0;
 /// Guarantees grow with the median tenant's demand, multiplied by this margin, up to this multiple
 /// of their base.
 const GUARANTEE_MARGIN: f64 = 1.3;
@@ -25,12 +25,12 @@
 /// Fraction of a guarantee that is cut per unit of shortage above the second value, for a tenant
 /// whose demand is within its guarantee.
 const WITHIN_GUARANTEE_CUT: f64 = 2.0;
-const WITHIN_GUARANTEE_CUT_FROM: f64 = 0.25;
+const WITHIN_GUARANTEE_CUT_MIN_SHORTAGE: f64 = 0.25;
 /// Guarantee of a tenant without a stated quota, in requests a second.
-const DEFAULT_GUARANTEE: f64 = 1.0;
+const DEFAULT_GUARANTEE_PER_S: f64 = 1.0;
 /// Jitter of Retry-After: its smallest fraction of the longest wait, and the range above that.
-const MIN_RETRY_AFTER_JITTER: f64 = 0.5;
-const RETRY_AFTER_JITTER: f64 = 0.5;
+const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
+const RETRY_AFTER_JITTER_RANGE: f64 = 0.5;
 
 /// The token bucket of a tenant.
 struct TokenBucket {
@@ -50,7 +50,7 @@
     /// Returns a full bucket.
     fn new(guarantee_per_s: f64) -> Self {
         Self {
-            tokens: MIN_BUCKET_SIZE + guarantee_per_s,
+            tokens: MIN_BUCKET_TOKENS + guarantee_per_s,
             arrivals: 0.0,
             demand_per_s: 0.0,
             base_guarantee_per_s: guarantee_per_s,
@@ -60,7 +60,7 @@
 
     /// Returns T_i: the size of the bucket in tokens.
     fn size(&self) -> f64 {
-        MIN_BUCKET_SIZE + (BUCKET_DEMAND_FRACTION * self.demand_per_s).max(self.guarantee_per_s)
+        MIN_BUCKET_TOKENS + (BUCKET_DEMAND_S * self.demand_per_s).max(self.guarantee_per_s)
     }
 
     /// Adds u_i: the guarantee, reduced in a shortage, and the tenant's fraction of W. The bucket
@@ -70,7 +70,7 @@
         let cut = if self.demand_per_s > self.guarantee_per_s {
             OVER_GUARANTEE_CUT * refill.shortage
         } else {
-            WITHIN_GUARANTEE_CUT * (refill.shortage - WITHIN_GUARANTEE_CUT_FROM)
+            WITHIN_GUARANTEE_CUT * (refill.shortage - WITHIN_GUARANTEE_CUT_MIN_SHORTAGE)
         };
         let demand_fraction = if refill.total_demand_per_s > 0.0 {
             self.demand_per_s / refill.total_demand_per_s
@@ -79,9 +79,9 @@
         };
         // Only complete tokens are subtracted from W: otherwise the bucket would never reach one
         // token while W is below one request.
-        let open = (refill.spare_capacity - self.tokens.floor()).max(0.0);
+        let ungranted_spare = (refill.spare_capacity - self.tokens.floor()).max(0.0);
         let guaranteed = (1.0 - cut).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
-        let grant = guaranteed + demand_fraction * open;
+        let grant = guaranteed + demand_fraction * ungranted_spare;
         self.tokens += grant.min((size - self.tokens).max(0.0));
     }
 
@@ -116,7 +116,7 @@
             TokenBucket::new(if quota_per_s > 0.0 {
                 quota_per_s / f64::from(settings.balancers)
             } else {
-                DEFAULT_GUARANTEE
+                DEFAULT_GUARANTEE_PER_S
             })
         };
         Self {
@@ -155,7 +155,8 @@
         let growth = self.guarantee_growth(shortage);
         // The window is long enough for a few requests, so that a tenant that sends nothing for a
         // moment still has demand.
-        let window_s = MIN_DEMAND_WINDOW_S.max(MIN_DEMAND_COUNT / total_demand_per_s.max(0.1));
+        let window_s =
+            MIN_DEMAND_WINDOW_S.max(MIN_DEMAND_WINDOW_REQUESTS / total_demand_per_s.max(0.1));
         let refill = Refill {
             spare_capacity,
             shortage,
@@ -197,5 +198,5 @@
     let shortest = Duration::from_secs_f64(attempt_s);
     let longest = longest.min(shortest.max(time_left / 2));
     let jitter = Random::with_seed(u64::from(id.0)).f64();
-    longest.mul_f64(MIN_RETRY_AFTER_JITTER + RETRY_AFTER_JITTER * jitter)
+    longest.mul_f64(MIN_RETRY_AFTER_FRACTION + RETRY_AFTER_JITTER_RANGE * jitter)
 }
--- a/src/policy/clock.rs
+++ b/src/policy/clock.rs
@@ -4,8 +4,8 @@
 
 /// Smallest jitter factor, and the range above it: a span is shortened or extended by up to a
 /// quarter.
-const MIN_JITTER: f64 = 0.75;
-const JITTER: f64 = 0.5;
+const MIN_JITTER_FACTOR: f64 = 0.75;
+const JITTER_RANGE: f64 = 0.5;
 
 /// The time of a decision, and the random numbers that spread the times it schedules.
 pub(super) struct JitteredClock<'a> {
@@ -17,6 +17,6 @@
     /// Returns the time after `span_s` seconds with jitter, so that balancers do not act at the
     /// same time.
     pub(super) fn after_s(&mut self, span_s: f64) -> f64 {
-        self.now_s + span_s * (MIN_JITTER + JITTER * self.random.f64())
+        self.now_s + span_s * (MIN_JITTER_FACTOR + JITTER_RANGE * self.random.f64())
     }
 }
