--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -277,8 +277,13 @@
     }
 
     /// Returns Q_j: the number of this balancer's attempts that an upstream may have in flight.
-    /// `served` is the number that it serves within the allowed time in the queue.
-    fn queue_limit(&self, inputs: &CapacityInputs<'_>, upstream: &Upstream, served: f64) -> f64 {
+    /// `served_in_queue_time` is the number that it serves within the allowed time in the queue.
+    fn queue_limit(
+        &self,
+        inputs: &CapacityInputs<'_>,
+        upstream: &Upstream,
+        served_in_queue_time: f64,
+    ) -> f64 {
         // At least one attempt of all balancers together: without stated quotas, a start from zero
         // would be slow.
         let min_limit = upstream.weight.weight() / self.balancers;
@@ -292,7 +297,7 @@
         } else {
             0.0
         };
-        served
+        served_in_queue_time
             .max(min_limit)
             .max(idle / inputs.balancers_per_upstream)
     }
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -55,7 +55,7 @@
     mean_latency_s: f64,
     last_sample_at_s: f64,
     /// Estimate of the quantile [`OVERDUE_QUANTILE`] of the latencies.
-    usual_latency_s: f64,
+    latency_quantile_s: f64,
     /// Fraction of the admitted requests that are of this class, smoothed.
     admitted_fraction: f64,
 }
@@ -76,7 +76,7 @@
                 priority_weight: class.priority_weight,
                 mean_latency_s: objective_s * INITIAL_LATENCY_FRACTION,
                 last_sample_at_s: 0.0,
-                usual_latency_s: objective_s * OVERDUE_OBJECTIVE_FRACTION,
+                latency_quantile_s: objective_s * OVERDUE_OBJECTIVE_FRACTION,
                 admitted_fraction: 1.0,
             }
         };
@@ -89,7 +89,7 @@
     /// Returns the mean latency of an attempt in seconds, weighted by each class's fraction of the
     /// admitted requests.
     pub(super) fn mean_latency_s(&self) -> f64 {
-        let shares: f64 = self
+        let total_fraction: f64 = self
             .classes
             .iter()
             .map(|class| class.admitted_fraction)
@@ -98,7 +98,7 @@
             .classes
             .iter()
             .map(|class| class.mean_latency_s * class.admitted_fraction);
-        weighted.sum::<f64>() / shares.max(1e-9)
+        weighted.sum::<f64>() / total_fraction.max(1e-9)
     }
 
     pub(super) fn shortest_objective_s(&self) -> f64 {
@@ -114,7 +114,7 @@
     pub(super) fn overdue_after_s(&self, class: usize) -> f64 {
         let class = &self.classes[class];
         class
-            .usual_latency_s
+            .latency_quantile_s
             .min(OVERDUE_OBJECTIVE_FRACTION * class.objective_s)
     }
 
@@ -193,13 +193,15 @@
 
 impl ClassRecord {
     fn update_quantile(&mut self, latency_s: f64) {
-        let is_above = latency_s > self.usual_latency_s;
-        self.usual_latency_s *= if is_above {
+        let is_above = latency_s > self.latency_quantile_s;
+        self.latency_quantile_s *= if is_above {
             1.0 + QUANTILE_STEP * OVERDUE_QUANTILE
         } else {
             1.0 - QUANTILE_STEP * (1.0 - OVERDUE_QUANTILE)
         };
-        self.usual_latency_s = self.usual_latency_s.clamp(MIN_QUANTILE_S, self.objective_s);
+        self.latency_quantile_s = self
+            .latency_quantile_s
+            .clamp(MIN_QUANTILE_S, self.objective_s);
     }
 
     fn update_mean(&mut self, latency_s: f64, now_s: f64) {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -12,7 +12,7 @@
 const MAX_RETRY_BUDGET: f64 = 10.0;
 /// Margin for the network, in seconds: a retry with an idempotency key is sent only if at least
 /// this and the connect time-out remain until the upstream forgets the key.
-const KEY_MARGIN_S: f64 = 0.05;
+const KEY_EXPIRY_MARGIN_S: f64 = 0.05;
 
 /// The state of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -72,10 +72,10 @@
     }
 
     /// Returns whether the attempt is a fault of its upstream. A missing response is a fault only
-    /// if `silence_counts`, which the caller sets unless the upstream is ejected.
-    pub(super) fn is_fault(&self, silence_counts: bool) -> bool {
+    /// if `missing_response_counts`, which the caller sets unless the upstream is ejected.
+    pub(super) fn is_fault(&self, missing_response_counts: bool) -> bool {
         matches!(self.outcome, Outcome::Error | Outcome::Rejected)
-            || (self.is_abandoned() && silence_counts)
+            || (self.is_abandoned() && missing_response_counts)
     }
 }
 
@@ -164,7 +164,7 @@
             DedupGroup::Cell => upstream.endpoint.cell() == first.cell,
         };
         // The attempt may have to wait for a new connection.
-        let margin_s = connect_timeout.as_secs_f64() + KEY_MARGIN_S;
+        let margin_s = connect_timeout.as_secs_f64() + KEY_EXPIRY_MARGIN_S;
         shares_keys && now_s + margin_s < first.sent_at_s + ttl.as_secs_f64()
     }
 
