--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -43,6 +43,7 @@
 /// Inputs of [`Capacity::update`].
 pub(super) struct CapacityInputs<'a> {
     pub(super) upstreams: &'a Upstreams,
+    /// Slots of the upstreams in the rotation.
     pub(super) rotation: &'a [usize],
     pub(super) classes: &'a ClassStatistics,
     pub(super) load_reports: &'a LoadReportTracker,
@@ -61,7 +62,9 @@
 
 /// Estimates of the capacity of the upstreams in the rotation.
 pub(super) struct Capacity {
+    /// Fraction of the upstreams' cores that may be in use.
     utilization_bound: f64,
+    /// Number of balancers in the settings, including this one.
     balancers: f64,
     /// Completions a second per unit of weight; C_j is this times the weight of an upstream.
     service_rate: f64,
@@ -86,8 +89,8 @@
 }
 
 impl Capacity {
-    /// Returns the initial estimates, which assume that `expected_requests_per_s` requests a second are
-    /// served.
+    /// Returns the initial estimates, which assume that `expected_requests_per_s` requests a second
+    /// are served.
     pub(super) fn new(settings: &Settings, expected_requests_per_s: f64) -> Self {
         let bound = utilization_bound(settings);
         // Until the first report, the utilization is assumed to be at its bound.
