--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -18,12 +18,13 @@
 const MAX_SUSPICION: f64 = 0.6;
 /// Time constant, in seconds, of the decay of suspicion.
 const SUSPICION_TIME_CONSTANT_S: f64 = 10.0;
-/// Seconds of the first ejection and of the longest; each further ejection without a response
-/// doubles the time. Balancers probe an upstream independently: the first ejection grows with the
-/// square root of the number that share an upstream, a compromise between their joint load and the
-/// delay until each detects that the upstream is healthy.
+/// Length of the first ejection and of the longest, in seconds; each further ejection without a
+/// response doubles the length. Balancers probe an upstream independently: the first ejection grows
+/// with the square root of the number that share an upstream, a compromise between their joint load
+/// and the delay until each detects that the upstream is healthy.
 pub(super) const FIRST_EJECTION_S: f64 = 1.5;
 const MAX_EJECTION_S: f64 = 12.0;
+/// Upper limit of the doublings of the first ejection.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Seconds for which an error response counts as recent.
 const RECENT_ERROR_S: f64 = 5.0;
@@ -94,7 +95,9 @@
     suspicion: f64,
     /// Ejections since the last response that ended the probation.
     consecutive_ejections: u32,
+    /// End of the ejection for all classes; zero if there was none.
     ejected_until_s: f64,
+    /// Time of the last error response; zero if there was none.
     last_error_at_s: f64,
     /// Time of the last success, error or rejection.
     last_response_at_s: f64,
@@ -202,8 +205,8 @@
         self.last_error_at_s > 0.0 && now_s - self.last_error_at_s < RECENT_ERROR_S
     }
 
-    /// Records the outcome of an attempt for all classes. If it is a fault, [`Self::record_fault`] adds
-    /// it to the suspicion.
+    /// Records the outcome of an attempt for all classes. If it is a fault, [`Self::record_fault`]
+    /// adds it to the suspicion.
     pub(super) fn record_response(&mut self, outcome: Outcome, now_s: f64) {
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.last_response_at_s = now_s;
