--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -10,8 +10,8 @@
 /// Retries that each admitted request adds to the retry budget, and the largest budget in retries.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 const MAX_RETRY_BUDGET: f64 = 10.0;
-/// Margin for the network, in seconds: a retry with an idempotency key is sent only if at least
-/// this and the connect time-out remain until the upstream forgets the key.
+/// Margin for the network, in seconds: a retry with an idempotency key is sent only while more than
+/// the connect time-out and this margin remain until the upstream forgets the key.
 const KEY_EXPIRY_MARGIN_S: f64 = 0.05;
 
 /// The state of an attempt.
@@ -19,7 +19,7 @@
 pub(super) enum AttemptState {
     /// The attempt is in flight and has not become overdue.
     InFlight,
-    /// The attempt has been in flight for longer than is usual for its class.
+    /// The attempt has been in flight for longer than most attempts of its class.
     Overdue,
     /// The attempt has ended.
     Ended {
@@ -60,6 +60,7 @@
     pub(super) upstream: UpstreamId,
     pub(super) outcome: Outcome,
     pub(super) sent_at_s: f64,
+    /// Seconds from the send to the end of the attempt.
     pub(super) latency_s: f64,
     pub(super) was_overdue: bool,
     pub(super) connection_idle_s: f64,
@@ -200,8 +201,8 @@
     }
 }
 
-/// The time at which an attempt becomes overdue; ordered by that time. It is a `Duration`, which is
-/// exact, so that it can be a key of an ordered set.
+/// The time at which an attempt becomes overdue. Deadlines are ordered by it; it is an exact
+/// `Duration`, so that it can be a key of an ordered set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OverdueDeadline {
     at: Duration,
@@ -285,7 +286,7 @@
         }
     }
 
-    /// Ends an attempt; `None` if it is not known or has already ended.
+    /// Ends an attempt and returns its data; `None` if it is not known or has already ended.
     pub(super) fn end_attempt(
         &mut self,
         id: RequestId,
