--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -38,7 +38,7 @@
 /// Seconds after which a poll of a local agent, which responds immediately, is retried.
 const LOCAL_AGENT_POLL_TIMEOUT_S: f64 = 1.0;
 
-/// The target of the polls.
+/// The service to which polls are sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollTarget {
     /// No target, as the list is pushed to the balancer.
@@ -59,7 +59,7 @@
     }
 }
 
-/// The causes of staleness in the lease when a poll or a watch failed.
+/// The state of the lease when a poll or a watch failed.
 pub(super) struct PollFailure {
     /// Whether a response was truncated.
     pub(super) was_partial: bool,
@@ -74,11 +74,13 @@
     /// Seconds over which the polls of all balancers are spread if all of them need their list at
     /// the same time.
     spread_s: f64,
+    /// Whether a watch is open: no poll is made while it is.
     is_watching: bool,
     /// Whether part of a response was received and the rest may follow.
     is_receiving: bool,
     next_poll_at_s: f64,
     last_poll_at_s: f64,
+    /// Failures of polls or of the watch since the last update.
     consecutive_failures: u32,
 }
 
