--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -28,10 +28,11 @@
 struct ClassTrials {
     /// Number of trials since the last one that got a response in time.
     unsuccessful: u32,
+    /// Time at which the next trial is due.
     next_at_s: f64,
 }
 
-/// Decides which upstreams may take a request of a class.
+/// The rule that decides which upstreams may take a request of a class.
 pub(super) struct ClassEligibility {
     class: usize,
     /// Whether the class avoids suspected upstreams: its requests may not be processed twice, and
@@ -47,6 +48,8 @@
             || !(upstream.health.is_ejected_for(self.class) || self.avoids(upstream))
     }
 
+    /// Returns whether the class avoids an upstream because it is suspected: always if
+    /// `avoids_suspected`, otherwise while the upstream has another attempt in flight.
     fn avoids(&self, upstream: &Upstream) -> bool {
         upstream.health.is_on_probation()
             && (self.avoids_suspected || upstream.load.in_flight() > 0)
@@ -119,7 +122,7 @@
         health.record_response(attempt.outcome, now_s);
         if attempt.outcome == Outcome::Ok {
             if health.record_class_success(attempt.class, attempt.was_overdue) {
-                // The cause of the ejections may have been common, so the next trial is due
+                // The cause may have been common to the ejected upstreams, so the next trial is due
                 // immediately.
                 trials.unsuccessful = 0;
                 trials.next_at_s = now_s;
@@ -144,7 +147,7 @@
         fault_of(attempt.outcome, common_errors)
     }
 
-    /// Returns the decision which upstreams may take a request of a class.
+    /// Returns the rule that decides which upstreams may take a request of a class.
     pub(super) fn eligibility(
         &self,
         upstreams: &Upstreams,
