--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -93,8 +93,8 @@
         self.abandoned_attempts += 1.0;
     }
 
-    /// Records that the upstream rejected an attempt, for any reason: without this it would seem
-    /// idle.
+    /// Records that the upstream rejected an attempt, for any reason, as load by other balancers:
+    /// otherwise the upstream would seem idle.
     pub(super) fn record_rejected(&mut self, now_s: f64) {
         self.others_in_flight = self.others_in_flight.max(REJECTING_IN_FLIGHT);
         self.others_reported_at_s = now_s;
@@ -119,9 +119,9 @@
 /// Estimates from the load reports of all upstreams.
 pub(super) struct LoadReportTracker {
     fields: Vec<LoadField>,
-    /// Fraction of the requests in a report that other balancers sent. The own attempts are not
-    /// subtracted instead: reports are old, and with the present own attempts subtracted they would
-    /// not show those of others.
+    /// Fraction of the requests in a report that are assumed to be of other balancers. The own
+    /// attempts are not subtracted instead: reports are old, and with the present own attempts
+    /// subtracted they would not show those of others.
     others_fraction: f64,
     /// Requests of other balancers in flight per unit of capacity, as a mean over the upstreams of
     /// the rotation.
