--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,6 +1,6 @@
 //! Send pacing: limits the send rate to each upstream by its capacity. Load reports show the load
 //! by other balancers late; if few balancers share an upstream, this balancer's own attempts show
-//! its load immediately.
+//! the load immediately.
 
 use super::load::LoadReportTracker;
 use super::upstreams::{Upstream, Upstreams};
@@ -8,8 +8,8 @@
 
 /// Largest budget of one upstream, in sends, if many balancers share it.
 const MAX_UPSTREAM_BUDGET: f64 = 1.5;
-/// Largest number of sends available for all upstreams together: this many, plus those added in
-/// this many seconds.
+/// Largest number of sends available for all upstreams together: the first value, plus the sends
+/// gained in as many seconds as the second states.
 const MIN_BURST: f64 = 3.0;
 const BURST_S: f64 = 0.1;
 /// Largest factor by which budgets are larger if few balancers share an upstream.
