--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -20,7 +20,7 @@
 /// estimate.
 const OVERDUE_QUANTILE: f64 = 0.95;
 const QUANTILE_STEP: f64 = 0.05;
-/// Lower limit of the quantile in seconds: two ticks, as overdue attempts are found by ticks.
+/// Lower limit of the quantile in seconds: two ticks, as each tick looks for overdue attempts.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
 /// Fraction of the objective after which an attempt is overdue at the latest, so that a hedged
 /// attempt still has time.
@@ -39,12 +39,12 @@
 /// Lower limit, in seconds, of a latency that a priority weight is divided by.
 const MIN_LATENCY_S: f64 = TICK_S;
 
-/// The event up to which a latency was taken.
+/// The end of the attempt that a latency is taken from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LatencySample {
-    /// The upstream responded successfully.
+    /// The upstream sent a successful response.
     Success,
-    /// The attempt was abandoned when it was overdue.
+    /// The attempt was abandoned after it had become overdue.
     Abandoned,
 }
 
@@ -53,6 +53,7 @@
     objective_s: f64,
     priority_weight: f64,
     mean_latency_s: f64,
+    /// Time at which the last latency was added to the mean.
     last_sample_at_s: f64,
     /// Estimate of the quantile [`OVERDUE_QUANTILE`] of the latencies.
     latency_quantile_s: f64,
