--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -20,7 +20,7 @@
 /// until its response is of no use.
 const MIN_RETRY_TIME_S: f64 = 1e-3;
 const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
-/// Spare capacity, in requests, that a hedged attempt needs to exceed. It is negative because the
+/// Spare capacity, in requests, above which hedged attempts are sent. It is negative because the
 /// overdue attempt itself counts as in flight.
 const MIN_HEDGE_CAPACITY: f64 = -1.0;
 /// Bounds of the time-out of an attempt, in seconds.
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Processes the end of an attempt. `is_finished` states that the request has its final
+    /// Processes the end of an attempt. `is_finished` is true if the request has its final
     /// response.
     pub(super) fn on_attempt_ended(
         &mut self,
