--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -60,6 +60,7 @@
 
 /// The result of a choice of the subset.
 pub(super) struct SubsetChoice {
+    /// Slots of the members, in the order that balancers share.
     pub(super) members: Vec<usize>,
     /// Upstreams that are no longer members although they are ready.
     pub(super) removed: Vec<UpstreamId>,
@@ -80,6 +81,7 @@
 /// The size of the subset, and the time at which it is chosen again.
 pub(super) struct Subset {
     balancers: u32,
+    /// This balancer's number among all balancers, from 0.
     index: u32,
     /// The size for an equal part of the traffic.
     min_size: usize,
@@ -92,6 +94,7 @@
     first_attempts_per_s: f64,
     /// Number of balancers that send to each upstream if the subsets are spread equally.
     balancers_per_upstream: f64,
+    /// Time from which on the subset is chosen again at the next tick.
     review_at_s: f64,
 }
 
@@ -132,7 +135,7 @@
 
     /// Adapts the size to the traffic, once per tick. Traffic is uneven: a balancer with several
     /// times the mean would overload an equal part of the upstreams while others are idle.
-    /// `has_upstreams_outside` states that there are upstreams outside the subset.
+    /// `has_upstreams_outside` is true if there are upstreams outside the subset.
     pub(super) fn update_size(&mut self, has_upstreams_outside: bool, elapsed_s: f64, now_s: f64) {
         let per_s = per_second(self.first_attempts, elapsed_s);
         let weight_of_newest = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S);
