--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -22,8 +22,8 @@
 /// Fraction of a guarantee that is cut per unit of shortage, for a tenant whose demand is above its
 /// guarantee.
 const OVER_GUARANTEE_CUT: f64 = 20.0;
-/// Fraction of a guarantee that is cut per unit of shortage above the second value, for a tenant
-/// whose demand is within its guarantee.
+/// Fraction of a guarantee that is cut per unit of shortage, for a tenant whose demand is within
+/// its guarantee; only the shortage above the second value counts.
 const WITHIN_GUARANTEE_CUT: f64 = 2.0;
 const WITHIN_GUARANTEE_CUT_MIN_SHORTAGE: f64 = 0.25;
 /// Guarantee of a tenant without a stated quota, in requests a second.
@@ -40,7 +40,8 @@
     arrivals: f64,
     /// V_i in requests a second, smoothed.
     demand_per_s: f64,
-    /// This balancer's equal part of the tenant's quota, in requests a second.
+    /// This balancer's equal part of the tenant's quota, in requests a second; a default if no
+    /// quota is stated.
     base_guarantee_per_s: f64,
     /// u_g_i in requests a second: the guaranteed rate after its growth with demand.
     guarantee_per_s: f64,
@@ -185,10 +186,10 @@
     }
 }
 
-/// Returns how long a rejected client should wait before a retry. Before jitter this is half of the
-/// remaining time, but at least the duration of an attempt, as the client may send another request,
-/// and at most `longest`. The jitter is derived from the id of the request, so that clients
-/// rejected together do not retry together.
+/// Returns how long a rejected client should wait before a retry. Before jitter, the wait is half
+/// of the remaining time, but at least the duration of an attempt, as the client may send another
+/// request, and at most `longest`. The jitter is derived from the id of the request, so that
+/// clients rejected together do not retry together.
 pub(super) fn retry_after(
     id: RequestId,
     time_left: Duration,
