--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -31,7 +31,7 @@
     weight: f64,
     /// Time at which slow start began or will begin; `None` outside slow start.
     slow_start_since_s: Option<f64>,
-    /// Mean of the latencies, each as a multiple of the mean latency of its class.
+    /// Mean of the latencies, each as a multiple of the mean latency of its class at that time.
     latency_ratio: f64,
     /// Number of latencies in that mean; decays with time.
     sample_count: f64,
@@ -172,8 +172,8 @@
         fraction
     }
 
-    /// Returns the rate of requests to upstreams in slow start, from the service rate per unit of
-    /// weight.
+    /// Returns the rate of requests to upstreams in slow start, based on the service rate per unit
+    /// of weight.
     pub(super) fn slow_start_rate(
         &self,
         upstreams: &Upstreams,
