--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -98,8 +98,9 @@
         self.rotation.next(&mut self.upstreams, accepts, in_flight)
     }
 
-    /// Returns whether requests of a class avoid suspected upstreams: they may not be processed
-    /// twice, and requests of other classes can show whether a suspected upstream is healthy.
+    /// Returns whether requests of a class avoid suspected upstreams. They do if they may not be
+    /// processed twice and there are other classes, whose requests can show whether a suspected
+    /// upstream is healthy.
     fn class_avoids_suspected(&self, class: usize) -> bool {
         let classes = &self.settings.classes;
         classes[class].effect == Effect::AtMostOnce
