--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -22,7 +22,7 @@
 const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
 /// Spare capacity, in requests, above which hedged attempts are sent. It is negative because the
 /// overdue attempt itself counts as in flight.
-const MIN_HEDGE_CAPACITY: f64 = -1.0;
+const MIN_HEDGE_SPARE_CAPACITY: f64 = -1.0;
 /// Bounds of the time-out of an attempt, in seconds.
 const MIN_TIMEOUT_S: f64 = 1e-3;
 const MAX_TIMEOUT_S: f64 = 1e6;
@@ -173,7 +173,7 @@
             return;
         }
         self.record_fault(slot, Fault::Unresponsive);
-        if self.settings.hedging && self.capacity.spare() > MIN_HEDGE_CAPACITY {
+        if self.settings.hedging && self.capacity.spare() > MIN_HEDGE_SPARE_CAPACITY {
             self.retry_elsewhere(attempt.request, RETRY_COST);
         }
     }
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -27,14 +27,14 @@
 const FIRST_BACKOFF_DIVISOR: f64 = 16.0;
 const MAX_DOUBLINGS: u32 = 4;
 /// Jitter of a backoff: its smallest fraction of the computed backoff, and the range above that.
-const MIN_BACKOFF_JITTER: f64 = 0.1;
-const BACKOFF_JITTER: f64 = 0.9;
+const MIN_BACKOFF_JITTER_FACTOR: f64 = 0.1;
+const BACKOFF_JITTER_RANGE: f64 = 0.9;
 /// Shortest time, in seconds, after which a poll of discovery without a response is retried.
 const MIN_POLL_TIMEOUT_S: f64 = 4.0;
 /// The time after which a poll of discovery without a response is retried, as a fraction of the
 /// poll interval, and the range of its jitter.
 const POLL_TIMEOUT_FRACTION: f64 = 0.4;
-const POLL_TIMEOUT_JITTER: f64 = 0.2;
+const POLL_TIMEOUT_JITTER_RANGE: f64 = 0.2;
 /// Seconds after which a poll of a local agent, which responds immediately, is retried.
 const LOCAL_AGENT_POLL_TIMEOUT_S: f64 = 1.0;
 
@@ -118,7 +118,7 @@
         }
         // A poll without a response is retried well before a change counts as notified.
         let timeout_s =
-            self.interval_s * (POLL_TIMEOUT_FRACTION + POLL_TIMEOUT_JITTER * random.f64());
+            self.interval_s * (POLL_TIMEOUT_FRACTION + POLL_TIMEOUT_JITTER_RANGE * random.f64());
         let timeout_s = if self.target == PollTarget::LocalAgent {
             LOCAL_AGENT_POLL_TIMEOUT_S
         } else {
@@ -150,7 +150,7 @@
         self.consecutive_failures += 1;
         self.is_watching = false;
         self.next_poll_at_s =
-            now_s + backoff_s * (MIN_BACKOFF_JITTER + BACKOFF_JITTER * random.f64());
+            now_s + backoff_s * (MIN_BACKOFF_JITTER_FACTOR + BACKOFF_JITTER_RANGE * random.f64());
     }
 
     /// Returns the backoff in seconds. It doubles with each failure, so that not all balancers poll
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -7,10 +7,10 @@
 use super::weights::SlowStartRate;
 
 /// Largest budget of one upstream, in sends, if many balancers share it.
-const MAX_UPSTREAM_BUDGET: f64 = 1.5;
+const MAX_UPSTREAM_BUDGET_SENDS: f64 = 1.5;
 /// Largest number of sends available for all upstreams together: the first value, plus the sends
 /// gained in as many seconds as the second states.
-const MIN_BURST: f64 = 3.0;
+const MIN_BURST_SENDS: f64 = 3.0;
 const BURST_S: f64 = 0.1;
 /// Largest factor by which budgets are larger if few balancers share an upstream.
 const MAX_UNSHARED_MULTIPLE: f64 = 1e3;
@@ -34,7 +34,7 @@
 impl SendBudget {
     pub(super) fn full() -> Self {
         Self {
-            sends: MAX_UPSTREAM_BUDGET,
+            sends: MAX_UPSTREAM_BUDGET_SENDS,
         }
     }
 }
@@ -97,11 +97,11 @@
             let rate = rates.upstream_rate(upstream, now_s);
             upstream.send_budget.sends = (upstream.send_budget.sends
                 + elapsed_s * unshared_multiple * rate)
-                .min(MAX_UPSTREAM_BUDGET * unshared_multiple);
+                .min(MAX_UPSTREAM_BUDGET_SENDS * unshared_multiple);
             let is_weighted = upstream.weight.weight() > 0.0;
             sends_per_s += unshared_multiple * rate * f64::from(u8::from(is_weighted));
         }
-        self.burst = MIN_BURST + BURST_S * sends_per_s;
+        self.burst = MIN_BURST_SENDS + BURST_S * sends_per_s;
         self.available_sends =
             (self.available_sends + elapsed_s * sends_per_s).clamp(-self.burst, self.burst);
     }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -9,7 +9,7 @@
 
 /// Retries that each admitted request adds to the retry budget, and the largest budget in retries.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-const MAX_RETRY_BUDGET: f64 = 10.0;
+const MAX_BUDGETED_RETRIES: f64 = 10.0;
 /// Margin for the network, in seconds: a retry with an idempotency key is sent only while more than
 /// the connect time-out and this margin remain until the upstream forgets the key.
 const KEY_EXPIRY_MARGIN_S: f64 = 0.05;
@@ -184,12 +184,12 @@
 impl RetryBudget {
     pub(super) fn full() -> Self {
         Self {
-            retries: MAX_RETRY_BUDGET,
+            retries: MAX_BUDGETED_RETRIES,
         }
     }
 
     pub(super) fn record_admission(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_BUDGETED_RETRIES);
     }
 
     pub(super) fn affords(&self, cost: f64) -> bool {
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -10,10 +10,10 @@
 /// An upstream is skipped if it has more in flight per capacity than the lowest value compared,
 /// multiplied by this factor, plus this margin.
 const SKIP_MULTIPLE: f64 = 1.5;
-const SKIP_MARGIN: f64 = 0.5;
+const SKIP_MARGIN_ATTEMPTS: f64 = 0.5;
 /// Largest deficits, in turns, outside slow start and in slow start.
-const MAX_DEFICIT: f64 = 2.0;
-const MAX_SLOW_START_DEFICIT: f64 = 1.5;
+const MAX_DEFICIT_TURNS: f64 = 2.0;
+const MAX_SLOW_START_DEFICIT_TURNS: f64 = 1.5;
 /// Rounds of the rotation after which the search for an upstream with a turn ends.
 const MAX_ROUNDS: usize = 8;
 
@@ -72,7 +72,7 @@
                 let added_turns =
                     elapsed_s * rate.steady_rate * rate.multiple * upstream.weight.weight();
                 let amount = upstream.deficit.amount + added_turns;
-                upstream.deficit.amount = amount.min(MAX_SLOW_START_DEFICIT);
+                upstream.deficit.amount = amount.min(MAX_SLOW_START_DEFICIT_TURNS);
             }
         }
     }
@@ -110,7 +110,7 @@
                 continue;
             }
             self.lookahead.remove(position);
-            if in_flight(&upstreams[slot]) <= min_in_flight * SKIP_MULTIPLE + SKIP_MARGIN {
+            if in_flight(&upstreams[slot]) <= min_in_flight * SKIP_MULTIPLE + SKIP_MARGIN_ATTEMPTS {
                 return Some(slot);
             }
         }
@@ -149,7 +149,7 @@
             }
             let deficit = &mut upstream.deficit.amount;
             if !upstream.weight.is_warming_up() {
-                *deficit = (*deficit + weight).min(MAX_DEFICIT);
+                *deficit = (*deficit + weight).min(MAX_DEFICIT_TURNS);
             }
             if *deficit >= 1.0 {
                 *deficit -= 1.0;
