--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -215,17 +215,18 @@
         self.completions_per_s += weight_of_newest * (per_s - self.completions_per_s);
         self.completions = 0.0;
         self.paced_fraction -= weight_of_newest * self.paced_fraction;
-        let observed = self.completions_per_s / self.smoothed_weight(inputs).max(1e-9);
+        let observed_rate = self.completions_per_s / self.smoothed_weight(inputs).max(1e-9);
         if self.knows_utilization() {
-            self.follow_utilization(observed, elapsed_s);
+            self.follow_utilization(observed_rate, elapsed_s);
         } else {
             let time_constant_s = if slack_s < 0.0 {
                 RATE_TIME_CONSTANT_S
             } else {
                 UNLOADED_RATE_TIME_CONSTANT_S
             };
-            let change = newest_weight(elapsed_s, time_constant_s) * (observed - self.service_rate);
-            self.service_rate = (self.service_rate + change).max(observed);
+            let change =
+                newest_weight(elapsed_s, time_constant_s) * (observed_rate - self.service_rate);
+            self.service_rate = (self.service_rate + change).max(observed_rate);
         }
     }
 
@@ -249,18 +250,18 @@
 
     /// Adapts the service rate to the known utilization. A previously reached rate does not
     /// persist: it would continue to admit requests that slow an overloaded upstream down.
-    fn follow_utilization(&mut self, observed: f64, elapsed_s: f64) {
+    fn follow_utilization(&mut self, observed_rate: f64, elapsed_s: f64) {
         let headroom =
             self.utilization_bound / self.settled_utilization.max(MIN_SCALED_UTILIZATION);
-        let achievable = observed * headroom.min(MAX_UTILIZATION_SCALE);
+        let achievable_rate = observed_rate * headroom.min(MAX_UTILIZATION_SCALE);
         // If pacing rejects requests, the completions only show the rate that was admitted, so the
         // rate grows while cores are idle.
         let idle = (headroom - 1.0).clamp(0.0, 1.0);
         self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH_PER_S * self.paced_fraction * idle;
         let change =
-            newest_weight(elapsed_s, RATE_TIME_CONSTANT_S) * (achievable - self.service_rate);
+            newest_weight(elapsed_s, RATE_TIME_CONSTANT_S) * (achievable_rate - self.service_rate);
         // The rate is at least the observed one, if that keeps the utilization within its bound.
-        self.service_rate = (self.service_rate + change).max(observed.min(achievable));
+        self.service_rate = (self.service_rate + change).max(observed_rate.min(achievable_rate));
     }
 
     /// Sets W = sum of (tau C_j + (Q_j - q_j)), where all terms count this balancer alone.
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -118,7 +118,7 @@
     // An upstream that is not in the first list counts as started when it first appears, unless its
     // entry states when it started.
     let is_first_list = upstreams.is_empty();
-    let known = upstreams.len();
+    let known_count = upstreams.len();
     for endpoint in endpoints {
         let started_at_s = endpoint.started.map(|started| started.as_secs_f64());
         let slot = upstreams.slot(endpoint.id).unwrap_or_else(|| {
@@ -135,11 +135,11 @@
         });
         is_changed |= context.apply_endpoint(&mut upstreams[slot], endpoint, started_at_s);
     }
-    let removable = upstreams
+    let removable_count = upstreams
         .iter()
         .filter(|upstream| upstream.is_removable())
         .count();
-    if upstreams.len() > known || removable > upstreams.len() / MAX_REMOVED_DIVISOR {
+    if upstreams.len() > known_count || removable_count > upstreams.len() / MAX_REMOVED_DIVISOR {
         // Removed upstreams are forgotten: otherwise the state would grow without bound.
         upstreams.retain(|upstream| !upstream.is_removable());
         is_changed = true;
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -72,12 +72,12 @@
             self.unanswered_idle > MIN_UNANSWERED_FRACTION && self.are_idle_connections_lossy();
         if was_unanswered && was_idle && is_suspect {
             let is_valid = now_s < self.suspect_until_s;
-            let before_s = if is_valid {
+            let previous_s = if is_valid {
                 self.max_idle_s
             } else {
                 f64::INFINITY
             };
-            self.max_idle_s = before_s.min(idle_s / 2.0).max(MIN_IDLE_S);
+            self.max_idle_s = previous_s.min(idle_s / 2.0).max(MIN_IDLE_S);
             self.suspect_until_s = now_s + SUSPICION_VALID_S;
         }
     }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -169,15 +169,16 @@
             upstream.membership.is_member &= upstream.endpoint.is_ready();
         }
         // The subset is chosen again when an ejection ends.
-        let ends = upstreams
+        let ejection_ends = upstreams
             .iter()
             .map(|upstream| upstream.health.ejected_until_s());
-        self.review_at_s = ends
+        self.review_at_s = ejection_ends
             .filter(|end_s| *end_s > now_s)
             .fold(f64::INFINITY, f64::min);
         let removed = set_members(&order, upstreams, &size, ejected_at_s);
-        let part = size.equal_traffic_size.min(order.len()) as f64 / order.len().max(1) as f64;
-        self.balancers_per_upstream = (f64::from(self.balancers) * part).max(1.0);
+        let equal_traffic_fraction =
+            size.equal_traffic_size.min(order.len()) as f64 / order.len().max(1) as f64;
+        self.balancers_per_upstream = (f64::from(self.balancers) * equal_traffic_fraction).max(1.0);
         order.retain(|slot| upstreams[*slot].membership.is_member);
         SubsetChoice {
             members: order,
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -232,14 +232,14 @@
         self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
         // A dead process breaks every connection, a lossy network only some: after a recent
         // response, a connection failure causes no ejection.
-        let responds = matches!(fault, Fault::ConnectionFailure)
+        let has_responded_recently = matches!(fault, Fault::ConnectionFailure)
             && self.last_response_at_s + context.mean_latency_s >= clock.now_s;
         let is_outlier = match self.state(clock.now_s) {
             EjectionState::Ejected => false,
             EjectionState::HalfOpen => true,
             EjectionState::Serving => self.suspicion >= MAX_SUSPICION,
         };
-        if !is_outlier || responds {
+        if !is_outlier || has_responded_recently {
             return false;
         }
         self.eject(
