--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -317,7 +317,7 @@
             .weights
             .slow_start_rate(upstreams, members, service_rate);
         self.rotation
-            .add_slow_start_turns(upstreams, slow_start, elapsed_s);
+            .add_slow_start_deficit(upstreams, slow_start, elapsed_s);
         let rates = PacingRates {
             service_rate,
             slow_start,
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -6,14 +6,14 @@
 use std::collections::VecDeque;
 
 /// Number of turns that the skip rule compares; the design has two.
-const LOOKAHEAD_TURNS: usize = 3;
+const LOOKAHEAD_COUNT: usize = 3;
 /// An upstream is skipped if it has more in flight per capacity than the lowest value compared,
 /// multiplied by this factor, plus this margin.
 const SKIP_MULTIPLE: f64 = 1.5;
 const SKIP_MARGIN_ATTEMPTS: f64 = 0.5;
 /// Largest deficits, in turns, outside slow start and in slow start.
-const MAX_DEFICIT_TURNS: f64 = 2.0;
-const MAX_SLOW_START_DEFICIT_TURNS: f64 = 1.5;
+const MAX_DEFICIT: f64 = 2.0;
+const MAX_SLOW_START_DEFICIT: f64 = 1.5;
 /// Rounds of the rotation after which the search for an upstream with a turn ends.
 const MAX_ROUNDS: usize = 8;
 
@@ -60,7 +60,7 @@
 
     /// Adds turns to the upstreams in slow start, in proportion to time: they must not get more
     /// turns if others are skipped.
-    pub(super) fn add_slow_start_turns(
+    pub(super) fn add_slow_start_deficit(
         &self,
         upstreams: &mut Upstreams,
         rate: SlowStartRate,
@@ -69,10 +69,10 @@
         for slot in &self.members {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let added_turns =
+                let added_deficit =
                     elapsed_s * rate.steady_rate * rate.multiple * upstream.weight.weight();
-                let amount = upstream.deficit.amount + added_turns;
-                upstream.deficit.amount = amount.min(MAX_SLOW_START_DEFICIT_TURNS);
+                let amount = upstream.deficit.amount + added_deficit;
+                upstream.deficit.amount = amount.min(MAX_SLOW_START_DEFICIT);
             }
         }
     }
@@ -100,7 +100,7 @@
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]));
         let visible = accepted
-            .take(LOOKAHEAD_TURNS)
+            .take(LOOKAHEAD_COUNT)
             .map(|slot| in_flight(&upstreams[*slot]));
         let min_in_flight = visible.fold(f64::INFINITY, f64::min);
         let mut position = 0;
@@ -119,13 +119,13 @@
 
     /// Adds next turns until `accepts` is true for enough of them.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
-        let longest = LOOKAHEAD_TURNS + self.members.len();
+        let longest = LOOKAHEAD_COUNT + self.members.len();
         let mut visible = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]))
             .count();
-        while visible < LOOKAHEAD_TURNS && self.lookahead.len() < longest {
+        while visible < LOOKAHEAD_COUNT && self.lookahead.len() < longest {
             let Some(slot) = self.step(upstreams) else {
                 break;
             };
@@ -149,7 +149,7 @@
             }
             let deficit = &mut upstream.deficit.amount;
             if !upstream.weight.is_warming_up() {
-                *deficit = (*deficit + weight).min(MAX_DEFICIT_TURNS);
+                *deficit = (*deficit + weight).min(MAX_DEFICIT);
             }
             if *deficit >= 1.0 {
                 *deficit -= 1.0;
