--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -172,9 +172,9 @@
     }
 
     /// Returns the factor by which guarantees grow. It is above one if the demand of the median
-    /// tenant is above its base guarantee: this balancer then gets more traffic than others, and it
-    /// is not one tenant that surges. A shortage reduces the growth, as retries then raise all
-    /// demand.
+    /// tenant, multiplied by [`GUARANTEE_MARGIN`], is above its base guarantee: this balancer then
+    /// gets more traffic than others, and it is not one tenant that surges. A shortage reduces the
+    /// growth, as retries then raise all demand.
     fn guarantee_growth(&self, shortage: f64) -> f64 {
         let demand =
             |bucket: &TokenBucket| bucket.demand_per_s / bucket.base_guarantee_per_s.max(1e-9);
