--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -36,7 +36,7 @@
     members: Vec<usize>,
     /// sigma: the position of the last member that was considered.
     cursor: usize,
-    /// The next turns, already subtracted from the deficits.
+    /// The upcoming turns, already subtracted from the deficits.
     lookahead: VecDeque<usize>,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Removes the next turns of upstreams that can no longer take them.
+    /// Removes the upcoming turns of upstreams that can no longer take them.
     pub(super) fn drop_unusable(&mut self, upstreams: &Upstreams) {
         self.lookahead.retain(|slot| {
             let upstream = &upstreams[*slot];
@@ -117,7 +117,8 @@
         None
     }
 
-    /// Adds next turns until `accepts` is true for enough of them.
+    /// Adds upcoming turns to the lookahead until `accepts` is true for [`LOOKAHEAD_COUNT`] of
+    /// them.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
         let longest = LOOKAHEAD_COUNT + self.members.len();
         let mut visible = self
