--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: applies its updates to the known upstreams.
+//! Applies updates of the endpoint list to the known upstreams.
 
 use super::idle_connections::ConnectionUse;
 use super::load::{LoadReportTracker, UpstreamLoad};
@@ -13,8 +13,8 @@
 };
 use crate::random::Random;
 
-/// Removed upstreams are forgotten when they are more than one in so many.
-const MAX_REMOVED_PART: usize = 4;
+/// Removed upstreams are forgotten when they are more than one in this many of the known upstreams.
+const MAX_REMOVED_DIVISOR: usize = 4;
 
 /// The entry of one upstream in the list.
 pub(super) struct EndpointRecord {
@@ -22,7 +22,7 @@
     zone: ZoneId,
     cell: CellId,
     availability: Availability,
-    /// Listed size; with live weights the largest seen.
+    /// Size in the list; with live weights, the largest weight received.
     size: f64,
 }
 
@@ -39,7 +39,7 @@
         self.cell
     }
 
-    /// Its capacity relative to the others, outside slow start.
+    /// Returns the capacity relative to the other upstreams, outside slow start.
     pub(super) fn size(&self) -> f64 {
         self.size
     }
@@ -50,13 +50,13 @@
 }
 
 impl Upstream {
-    /// An upstream that is new in the list, before its entry is applied.
+    /// Returns an upstream that is new in the list, before its entry is applied.
     fn new(
         id: UpstreamId,
         class_count: usize,
-        start_s: Option<f64>,
+        slow_start_since_s: Option<f64>,
         is_new: bool,
-        turns: f64,
+        initial_deficit: f64,
     ) -> Self {
         Self {
             endpoint: EndpointRecord {
@@ -67,30 +67,31 @@
                 size: 0.0,
             },
             membership: SubsetMembership::new(is_new),
-            weight: UpstreamWeight::new(start_s),
+            weight: UpstreamWeight::new(slow_start_since_s),
             load: UpstreamLoad::default(),
             health: UpstreamHealth::new(class_count),
             send_budget: SendBudget::full(),
-            deficit: Deficit::new(turns),
+            deficit: Deficit::new(initial_deficit),
             connections: ConnectionUse::default(),
         }
     }
 
-    /// Whether it is removed and has nothing in flight.
+    /// Returns whether the upstream is removed and has nothing in flight.
     fn is_removable(&self) -> bool {
         self.endpoint.availability == Availability::Removed && self.load.in_flight() == 0
     }
 
-    /// Its process has restarted: its history is discarded, and it is in slow start.
-    fn restart(&mut self, started_at_s: f64, turns: f64) {
+    /// Discards the history of the upstream and begins its slow start, as its process has
+    /// restarted.
+    fn restart(&mut self, started_at_s: f64, initial_deficit: f64) {
         self.weight.begin_slow_start(started_at_s);
         self.health.reset();
-        self.deficit = Deficit::new(turns);
+        self.deficit = Deficit::new(initial_deficit);
         self.membership.mark_new();
     }
 }
 
-/// The inputs of an update, beside the list.
+/// Inputs of an update other than the list itself.
 pub(super) struct UpdateContext<'a> {
     pub(super) endpoint_weights: EndpointWeights,
     pub(super) class_count: usize,
@@ -114,31 +115,31 @@
             .iter_mut()
             .for_each(|u| u.endpoint.availability = Availability::Removed);
     }
-    // An upstream that is new in an update of a known list has just started, whatever its entry
-    // contains.
+    // An upstream that is not in the first list counts as started when it first appears, unless its
+    // entry states when it started.
     let is_first_list = upstreams.is_empty();
-    let known = upstreams.len();
+    let known_count = upstreams.len();
     for endpoint in endpoints {
         let started_at_s = endpoint.started.map(|started| started.as_secs_f64());
         let slot = upstreams.slot(endpoint.id).unwrap_or_else(|| {
-            let start_s = started_at_s.or((!is_first_list).then_some(context.now_s));
-            let turns = context.random.f64();
+            let slow_start_since_s = started_at_s.or((!is_first_list).then_some(context.now_s));
+            let initial_deficit = context.random.f64();
             let count = context.class_count;
             upstreams.push(Upstream::new(
                 endpoint.id,
                 count,
-                start_s,
+                slow_start_since_s,
                 !is_first_list,
-                turns,
+                initial_deficit,
             ))
         });
         is_changed |= context.apply_endpoint(&mut upstreams[slot], endpoint, started_at_s);
     }
-    let removable = upstreams
+    let removable_count = upstreams
         .iter()
         .filter(|upstream| upstream.is_removable())
         .count();
-    if upstreams.len() > known || removable > upstreams.len() / MAX_REMOVED_PART {
+    if upstreams.len() > known_count || removable_count > upstreams.len() / MAX_REMOVED_DIVISOR {
         // Removed upstreams are forgotten: otherwise the state would grow without bound.
         upstreams.retain(|upstream| !upstream.is_removable());
         is_changed = true;
