--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,52 +1,55 @@
-//! The configuration of a balancer: classes, tenants, limits, costs.
+//! The configuration of a balancer: request classes, tenants, limits and costs.
 
 use crate::interface::ZoneId;
 use std::time::Duration;
 
-/// What a second execution of a request may do.
+/// The effect that a second execution of a request may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Running it again is harmless.
+    /// A second execution is harmless.
     Idempotent,
-    /// It carries an idempotency key: the upstreams of one group ignore a second send within `ttl`
-    /// of the first one that may have been processed.
+    /// The request carries an idempotency key. The upstreams of one group ignore a second attempt
+    /// that is sent within `ttl` of the first one that may have been processed.
     Deduplicated {
-        /// Which upstreams share the memory of a key.
+        /// Which upstreams share a record of the keys that they have received.
         group: DedupGroup,
-        /// How long they remember it.
+        /// How long these upstreams remember a key.
         ttl: Duration,
     },
-    /// It must never be processed twice.
+    /// The request must never be processed twice.
     AtMostOnce,
 }
 
-/// The upstreams that share their memory of idempotency keys.
+/// The upstreams that share a record of the idempotency keys that they have received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
-    /// All of them.
+    /// All upstreams.
     All,
-    /// Those of one zone.
+    /// The upstreams that are in the same zone.
     Zone,
-    /// Those of one cell.
+    /// The upstreams that are in the same cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A response within this time earns the full weight.
+    /// Time from a request's arrival within which a response counts with its full priority weight;
+    /// above 0.
     pub latency_objective: Duration,
-    /// The objective grows by this multiple of the request's own CPU time, where that is known.
+    /// Multiple of the request's own CPU time by which the latency objective is extended, where
+    /// that time is known; 0 or more. Decisions depend only on whether it is above 0: a response
+    /// after `latency_objective` is then still useful.
     pub objective_work_multiple: f64,
-    /// The longest a client waits.
+    /// Longest time that a client waits for a response.
     pub deadline: Duration,
-    /// What a response within the objective counts for.
+    /// Value of a response within the objective, compared with other classes; 0 or more.
     pub priority_weight: f64,
-    /// The share of that weight which a response after the objective still earns.
+    /// Fraction of the priority weight that a response after the objective still has; 0 or more.
     pub late_weight_share: f64,
-    /// What a second execution may do.
+    /// The effect that a second execution of a request may have.
     pub effect: Effect,
-    /// The response is a stream, announced by
+    /// Whether the response is a stream, whose start the embedder reports by
     /// [`Event::StreamStarted`](crate::Event::StreamStarted).
     pub streamed: bool,
 }
@@ -54,12 +57,12 @@
 /// A customer that shares the upstreams with others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all balancers that count as within its quota; 0: not stated.
+    /// The tenant's quota at all balancers together, in requests per second; 0: not stated.
     pub quota_per_s: f64,
 }
 
 impl Default for Class {
-    /// A class that may not be processed twice, with an objective of a second.
+    /// Returns an at-most-once class with a latency objective of 1 s and a deadline of 3 s.
     fn default() -> Self {
         Self {
             latency_objective: Duration::from_secs(1),
@@ -73,139 +76,149 @@
     }
 }
 
-/// What the weight of an endpoint means.
+/// The meaning of [`Endpoint::weight`](crate::Endpoint::weight).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointWeights {
-    /// Nothing.
+    /// The weight has no meaning: all upstreams count as equally large.
     Off,
-    /// Its registered size, or about that.
+    /// The registered size of the upstream, exact or approximate.
     Size,
-    /// Its size divided by 1 + the requests in flight on each core, from an older report.
+    /// The size of the upstream divided by 1 + its requests in flight per core, from an older load
+    /// report.
     Live,
 }
 
-/// The source of load reports.
+/// The responses in which upstreams send load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
-    /// There are none.
+    /// No response contains a load report.
     Off,
-    /// With every outcome and health check.
+    /// Responses to attempts and to health checks contain one.
     Inline,
-    /// With health checks only.
+    /// Only responses to health checks contain one.
     OnHealthCheck,
 }
 
-/// The meaning of one value in a load report.
+/// The meaning of one value in a load report. Decisions depend on `InFlight`, `Queue` and
+/// `Utilization`; other values are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Requests in flight in the upstream.
+    /// Number of requests in flight at the upstream.
     InFlight,
-    /// Requests waiting in it.
+    /// Number of requests waiting in the upstream's queue.
     Queue,
-    /// The share of its CPU in use.
+    /// Fraction of the upstream's CPU in use, 0 to 1.
     Utilization,
-    /// Its recent service time in milliseconds.
+    /// Recent service time of the upstream in milliseconds.
     ServiceMs,
-    /// Requests served a second.
+    /// Requests that the upstream serves per second.
     RequestRate,
-    /// Errors a second.
+    /// Errors of the upstream per second.
     ErrorRate,
-    /// Something this version does not know.
+    /// A value whose meaning this version does not know.
     Other,
 }
 
-/// The cost of each operation, in units of the priority weight of an average request.
+/// The cost of each operation, in units of the priority weight of an average request; each is 0 or
+/// more. Decisions depend only on `cross_zone`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// An attempt in another zone.
+    /// An attempt at an upstream in another zone.
     pub cross_zone: f64,
-    /// A hundred connections to an upstream, open for the whole time.
+    /// A hundred connections to an upstream that stay open all the time.
     pub connection: f64,
-    /// A new connection.
+    /// The establishment of a new connection.
     pub handshake: f64,
-    /// A request that fails only after its objective.
+    /// A request that fails only after its latency objective.
     pub late_failure: f64,
     /// A health check.
     pub health_check: f64,
-    /// Wasted upstream work, for each mean request's amount of it.
+    /// Wasted upstream work, as much as one request needs on average.
     pub waste: f64,
 }
 
-/// The configuration of a balancer; it stays the same while it runs.
+/// The configuration of a balancer, which stays constant while the balancer runs.
+///
+/// Decisions do not depend on `overload_window`, `health_checks`, `connection_idle_timeout`,
+/// `max_streams`, `tail_miss` and `cpu_per_request`.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each is a choice of its own in a site's settings"
+    reason = "each is an independent choice in a site's settings"
 )]
 pub struct Settings {
-    /// How many balancers share the upstreams, this one included.
+    /// Number of balancers that share the upstreams, this one included; at least 1.
     pub balancers: u32,
-    /// This one's number among them, from 0.
+    /// Number of this balancer among them, from 0 to `balancers` - 1.
     pub index: u32,
-    /// The zone this balancer runs in.
+    /// The zone that this balancer runs in.
     pub zone: ZoneId,
-    /// The classes of requests; at least one.
+    /// The request classes; at least one.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants. If there are none, all requests share one token bucket.
     pub tenants: Vec<Tenant>,
-    /// What a request over its tenant's quota counts for, as a share of its class's weight.
+    /// Fraction of its class's priority weight that a request over its tenant's quota has; 0 or
+    /// more.
     pub over_quota_weight_share: f64,
-    /// A request's weight is in proportion to its work.
+    /// Whether the priority weight of a request is in proportion to its work.
     pub weight_by_work: bool,
-    /// The endpoint list has to be polled for:
-    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
+    /// Whether the balancer polls discovery for the endpoint list, by
+    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints). Otherwise the list is pushed.
     pub polls_endpoints: bool,
-    /// Polls go to this balancer's own agent, which no other balancer uses.
+    /// Whether polls go to a local agent that serves this balancer alone.
     pub has_local_agent: bool,
-    /// A balancer that has not polled for this long counts as notified of all changes up to then.
+    /// Longest time between polls: a balancer that has not polled for this long counts as notified
+    /// of all changes made until then.
     pub poll_interval: Duration,
-    /// Sends to an upstream that drains or is gone must have stopped so long after the balancer was
-    /// notified.
+    /// Time within which sends to a draining or removed upstream must stop, counted from the
+    /// notification of the balancer.
     pub drain_grace: Duration,
-    /// A starting upstream has at least this share of its capacity ...
+    /// Fraction of its full capacity that an upstream has at least when it starts; 0 or more.
     pub slow_start_initial_share: f64,
-    /// ... and all of it after this long.
+    /// Time after its start until an upstream has its full capacity.
     pub slow_start_duration: Duration,
-    /// An upstream in slow start is overloaded by more than this multiple of its present capacity
-    /// ...
+    /// Multiple of its present capacity above which the load of `overload_window` overloads an
+    /// upstream in slow start; 0 or more.
     pub overload_multiple: f64,
-    /// ... over this time.
+    /// Time over which the load of an upstream in slow start is compared with its capacity.
     pub overload_window: Duration,
-    /// The maximum number of attempts of a request.
+    /// Maximum number of attempts of a request, hedged attempts included; at least 1.
     pub max_attempts: u8,
-    /// Two attempts of a request may be in flight together.
+    /// Whether a hedged attempt may be sent while another attempt of the request is in flight.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancellation: bool,
-    /// Health checks are allowed.
+    /// Whether upstreams may be sent health checks.
     pub health_checks: bool,
-    /// The longest Retry-After that clients respect.
+    /// Longest Retry-After that clients respect.
     pub max_retry_after: Duration,
-    /// Clients mark their retries: a request without the mark is a first attempt.
+    /// Whether clients mark their retries, so that a request without the mark is a first attempt.
     pub retries_marked: bool,
-    /// A connection not made in this time counts as failed.
+    /// Time within which a connection to an upstream must be established; otherwise it counts as
+    /// failed.
     pub connect_timeout: Duration,
-    /// A connection not used for this long closes.
+    /// Time after which an unused connection to an upstream closes.
     pub connection_idle_timeout: Duration,
-    /// Attempts that one connection carries at once.
+    /// Maximum number of attempts that one connection carries at a time; at least 1.
     pub max_streams: u32,
-    /// The share of responses after the objective, by class, that is tolerated; `None` where the
-    /// tail does not count.
+    /// Fraction of each class's responses that may arrive after the latency objective; 0 or more.
+    /// `None`: the tail of the latencies does not count.
     pub tail_miss: Option<f64>,
-    /// CPU that a request and its outcomes may cost; zero: no limit.
+    /// CPU time that a request and its outcomes may cost; zero: no limit.
     pub cpu_per_request: Duration,
-    /// What the weights of endpoints mean.
+    /// The meaning of the weights in the endpoint list.
     pub endpoint_weights: EndpointWeights,
-    /// The source of load reports.
+    /// The responses in which upstreams send load reports.
     pub load_reports: LoadReports,
-    /// The values in a load report, in order.
+    /// The meanings of the values in a load report, in the order of the values.
     pub report_fields: Vec<LoadField>,
-    /// What operations cost.
+    /// The costs of attempts, connections and other operations.
     pub prices: Prices,
 }
 
 impl Default for Settings {
-    /// One balancer that does not poll for endpoints, with no classes yet.
+    /// Returns the settings of a single balancer that does not poll for endpoints. They contain no
+    /// class yet, and [`Settings::check`] requires one.
     fn default() -> Self {
         Self {
             balancers: 1,
@@ -242,26 +255,30 @@
     }
 }
 
-/// Why [`Settings`] are not usable.
+/// Why [`Settings`] are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There are no classes.
+    /// `classes` is empty.
     NoClasses,
-    /// No balancer: not even this one.
+    /// `balancers` is 0, although the number includes this balancer.
     NoBalancers,
-    /// The named value is negative, not a number, or zero where zero is not valid.
+    /// The named value is outside its range: it is negative, not finite, 0 where it must be above
+    /// 0, or an `index` that is not below `balancers`. The name is the documented one of the site's
+    /// settings.
     OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Checks all values; the error names the first invalid one by its documented name.
+    /// Checks all values.
+    ///
+    /// The error names the first invalid value, by its documented name in the site's settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_counts()?;
-        self.check_figures()?;
+        self.check_numbers()?;
         self.classes.iter().try_for_each(Class::check)?;
         self.tenants
             .iter()
-            .try_for_each(|tenant| check_figure(tenant.quota_per_s, "tenant allowance_per_s"))
+            .try_for_each(|tenant| check_not_negative(tenant.quota_per_s, "tenant allowance_per_s"))
     }
 
     fn check_counts(&self) -> Result<(), SettingsError> {
@@ -283,17 +300,17 @@
         Ok(())
     }
 
-    fn check_figures(&self) -> Result<(), SettingsError> {
-        check_figure(self.over_quota_weight_share, "over_share_worth")?;
-        check_figure(self.slow_start_initial_share, "cold_from")?;
-        check_figure(self.overload_multiple, "fall_multiple")?;
-        check_figure(self.prices.cross_zone, "prices.cross_zone")?;
-        check_figure(self.prices.connection, "prices.connection")?;
-        check_figure(self.prices.handshake, "prices.handshake")?;
-        check_figure(self.prices.late_failure, "prices.late_fail")?;
-        check_figure(self.tail_miss.unwrap_or(0.0), "tail_miss")?;
-        check_figure(self.prices.health_check, "prices.probe")?;
-        check_figure(self.prices.waste, "prices.waste")
+    fn check_numbers(&self) -> Result<(), SettingsError> {
+        check_not_negative(self.over_quota_weight_share, "over_share_worth")?;
+        check_not_negative(self.slow_start_initial_share, "cold_from")?;
+        check_not_negative(self.overload_multiple, "fall_multiple")?;
+        check_not_negative(self.prices.cross_zone, "prices.cross_zone")?;
+        check_not_negative(self.prices.connection, "prices.connection")?;
+        check_not_negative(self.prices.handshake, "prices.handshake")?;
+        check_not_negative(self.prices.late_failure, "prices.late_fail")?;
+        check_not_negative(self.tail_miss.unwrap_or(0.0), "tail_miss")?;
+        check_not_negative(self.prices.health_check, "prices.probe")?;
+        check_not_negative(self.prices.waste, "prices.waste")
     }
 }
 
@@ -302,15 +319,15 @@
         if self.latency_objective.is_zero() {
             return Err(SettingsError::OutOfRange("class aim"));
         }
-        check_figure(self.priority_weight, "class worth")?;
-        check_figure(self.late_weight_share, "class late_worth")?;
-        check_figure(self.objective_work_multiple, "class aim_stretch")
+        check_not_negative(self.priority_weight, "class worth")?;
+        check_not_negative(self.late_weight_share, "class late_worth")?;
+        check_not_negative(self.objective_work_multiple, "class aim_stretch")
     }
 }
 
-/// Checks that a value is a number that is not negative; `name` is its documented name.
-fn check_figure(figure: f64, name: &'static str) -> Result<(), SettingsError> {
-    if figure >= 0.0 && figure.is_finite() {
+/// Checks that a value is finite and not negative; `name` is its documented name.
+fn check_not_negative(value: f64, name: &'static str) -> Result<(), SettingsError> {
+    if value >= 0.0 && value.is_finite() {
         Ok(())
     } else {
         Err(SettingsError::OutOfRange(name))
@@ -320,9 +337,16 @@
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::NoClasses => write!(f, "settings name no request class"),
-            Self::NoBalancers => write!(f, "settings count no balancers"),
-            Self::OutOfRange(what) => write!(f, "settings: {what} is out of range"),
+            Self::NoClasses => write!(
+                f,
+                "settings: classes must contain at least one class, got none"
+            ),
+            Self::NoBalancers => write!(f, "settings: balancers must be at least 1, got 0"),
+            Self::OutOfRange(name) => write!(
+                f,
+                "settings: {name} is out of range: it must be finite and at least 0, a count or a \
+                 latency objective above 0, and an index below the number of balancers"
+            ),
         }
     }
 }
