--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,105 +1,112 @@
-//! The interface of the decision module: settings, the events it handles, the actions it returns.
+//! The interface of the decision module: its identifiers, the events that an embedder passes to
+//! [`Balancer`](crate::Balancer), and the actions that it returns.
 //!
-//! All times are [`Duration`]s on one monotonic clock of the embedder's choice.
+//! Points in time are [`Duration`]s since the zero of a monotonic clock, which the embedder
+//! chooses and uses for all events.
 
 pub use crate::log_event::{LogEvent, StalenessCause};
 pub use crate::settings::*;
 use std::time::Duration;
 
-/// A client's request; never reused by one embedder.
+/// Identifies a client's request. An embedder chooses the number and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u32);
-/// A server behind the proxy. The number carries no meaning.
+/// Identifies a server behind the balancer. The number carries no meaning.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamId(pub u64);
-/// Position in [`Settings::classes`].
+/// A class of requests, as its position in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassId(pub u16);
-/// Position in [`Settings::tenants`].
+/// A tenant, as its position in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub u32);
-/// A failure domain.
+/// Identifies a zone: a failure domain of upstreams and balancers.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneId(pub u8);
-/// A hardware kind: upstreams of one kind are alike.
+/// Identifies a hardware kind: upstreams of one kind have similar hardware.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KindId(pub u16);
-/// A small set of upstreams that share which idempotency keys they have seen.
+/// Identifies a cell: a small set of upstreams that share a record of the idempotency keys they
+/// have received.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CellId(pub u16);
-/// The attempts of one request are numbered 0, 1, 2 ... in the order of [`Action::Attempt`].
+/// Identifies an attempt of a request. The attempts of one request are numbered 0, 1, 2 ... in the
+/// order of [`Action::Attempt`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptNo(pub u8);
-/// Names a timer set by [`Action::Timer`].
+/// Identifies a timer that [`Action::Timer`] sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerId(pub u32);
 
 /// The state of an upstream in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It accepts requests.
+    /// The upstream accepts new requests and attempts.
     Ready,
-    /// It completes the requests in flight; no new attempt is sent to it.
+    /// The upstream completes its requests in flight; no new attempt is sent to it.
     Draining,
-    /// It is no longer part of the service.
+    /// The upstream is no longer part of the service; no new attempt is sent to it.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id.
+    /// The upstream that the entry describes.
     pub id: UpstreamId,
-    /// Its zone.
+    /// The zone that the upstream runs in.
     pub zone: ZoneId,
-    /// Its kind.
+    /// The hardware kind of the upstream; decisions do not depend on it.
     pub kind: KindId,
-    /// Its cell.
+    /// The cell that the upstream belongs to.
     pub cell: CellId,
-    /// Whether it accepts requests.
+    /// Whether the upstream accepts requests.
     pub availability: Availability,
-    /// Its weight; see [`Settings::endpoint_weights`].
+    /// The weight of the upstream, whose meaning [`Settings::endpoint_weights`] states. It counts
+    /// as 1 if it is not finite or not above 0.
     pub weight: f64,
-    /// When its process last started, if that was not long ago.
+    /// When the upstream's process last started; `None` if that was long ago.
     pub started: Option<Duration>,
 }
 
-/// What an endpoint update contains.
+/// The kind of an endpoint update: which entries it contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// Only the entries that changed.
+    /// Only the entries that changed. An update without entries is a heartbeat: it confirms the
+    /// present list.
     Delta,
     /// The complete list; upstreams missing from it are removed.
     Snapshot,
-    /// The complete list as this balancer last had it, perhaps out of date.
+    /// The complete list that this balancer last received, which may be out of date.
     Cached,
-    /// A poll failed or the watch broke; the present list stays in use.
+    /// No entries: a poll failed or the watch ended, and the present list stays in use.
     Failed,
 }
 
-/// How an attempt or a health check ended.
+/// The end of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A successful response.
+    /// The upstream sent a successful response.
     Ok,
     /// The upstream responded with an error; the request may have been processed.
     Error,
-    /// Rejected without processing: the queue was full, or the upstream is draining.
+    /// The upstream rejected the request without processing it: its queue was full, or it is
+    /// draining.
     Rejected,
-    /// No response in time; the request may have been processed, or may still be.
+    /// No response arrived in time; the request may have been processed, or may still be.
     TimedOut,
-    /// No connection in time; the request was not processed.
+    /// No connection was established in time; the request was not processed.
     ConnectFailed,
     /// The connection was reset; the request may have been processed.
     Reset,
-    /// Cancelled; the request may have been processed.
+    /// The attempt was cancelled; the request may have been processed.
     Cancelled,
-    /// The attempt was not sent.
+    /// The embedder did not send the attempt; the request was not processed.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the request was not processed.
+    /// Returns whether this outcome proves that the request was not processed.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
@@ -108,32 +115,35 @@
 /// Why a request ended without a response that could be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// Its class is not in the settings.
+    /// The request's class is not in the settings.
     UnknownClass,
-    /// Its tenant's token bucket was empty although there was spare capacity: the tenant is over
-    /// its quota.
+    /// The token bucket of the request's tenant was empty although there was spare capacity: the
+    /// tenant is over its quota.
     QuotaExceeded,
-    /// Its tenant's token bucket was empty, and there was no spare capacity W.
+    /// The token bucket of the request's tenant was empty, and there was no spare capacity W.
     NoSpareCapacity,
-    /// Send pacing held back every upstream that could have taken it.
+    /// An upstream could have taken the request, but send pacing allowed no further attempt.
     Paced,
-    /// No upstream in the rotation could take it: none is ready, or all are ejected or suspected.
+    /// No upstream in the rotation could take the request: none is ready, or all are ejected or
+    /// suspected.
     NoHealthyUpstream,
-    /// Its last attempt got no response, and the upstream has responded to nothing else since it
-    /// was sent.
+    /// The request's last attempt got no response, and since it was sent, its upstream has
+    /// responded to no other request either.
     UpstreamUnresponsive,
-    /// Its last attempt was abandoned or ran out of time, although the upstream responded to
-    /// others.
+    /// The request's last attempt was abandoned or ran out of time, although its upstream responded
+    /// to other requests meanwhile.
     Timeout,
-    /// The connection of its last attempt failed or could not be made.
+    /// The connection of the request's last attempt failed or could not be established.
     ConnectionError,
-    /// Its last attempt ended with an error response.
+    /// The request's last attempt ended with an error response.
     UpstreamError,
-    /// The upstream rejected its last attempt without processing it.
+    /// The upstream rejected the request's last attempt without processing it.
     UpstreamRejected,
-    /// Its last attempt was not sent: no connection was available, or the process is about to end.
+    /// The request's last attempt was not sent: no connection was available, or the embedder's
+    /// process is about to end.
     NotSent,
-    /// Discovery has not confirmed the endpoint list for so long that any upstream may be draining.
+    /// The endpoint list has gone unconfirmed by discovery for too long: any upstream may be
+    /// draining.
     StaleEndpoints,
 }
 
@@ -154,7 +164,7 @@
         Self::StaleEndpoints,
     ];
 
-    /// The reason as the log writes it.
+    /// Returns the reason as the log writes it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownClass => "unknown-class",
@@ -176,26 +186,27 @@
 /// A change in the state of the endpoint watch, or of a poll that should open one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// Nothing was received for so long that the watch, or the poll, counts as broken.
+    /// The embedder received nothing for longer than its limit and treats the watch, or the poll,
+    /// as failed.
     Silent {
-        /// When something was last received, or when the poll was made.
+        /// When something was last received on the watch, or when the poll was sent.
         since: Duration,
     },
-    /// Discovery closed the watch: in place of an update, or while shutting down.
+    /// Discovery closed the watch, either where an update was due or because it is shutting down.
     Ended,
-    /// The beginning of a list was received but not its end: the response may be truncated.
+    /// The beginning of a list was received, but not yet its end: the response may be truncated.
     Partial {
-        /// When its first part was received.
+        /// When the first part of the list was received.
         since: Duration,
     },
     /// Discovery rejected a poll.
     Rejected {
-        /// When the poll was made.
+        /// The time at which the poll was sent.
         requested_at: Duration,
     },
-    /// A poll could not connect, or was closed without a response.
+    /// A poll could not connect to discovery, or its connection closed without a response.
     Unreachable {
-        /// When the poll was made.
+        /// The time at which the poll was sent.
         requested_at: Duration,
     },
     /// Discovery has another address from now on.
@@ -205,166 +216,179 @@
 /// An event that the embedder passes to [`Balancer`](crate::Balancer).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// An endpoint update. The first event that a balancer handles is a `Cached` one.
+    /// The endpoint list was updated, or an update failed. The first event that a balancer handles
+    /// is an update with [`UpdateScope::Cached`].
     EndpointsUpdated {
-        /// What it contains.
+        /// Which entries the update contains.
         scope: UpdateScope,
-        /// The entries.
+        /// The entries; none for a heartbeat and for [`UpdateScope::Failed`].
         endpoints: &'a [Endpoint],
     },
-    /// A change in the state of the endpoint watch. The end of a watch is also reported as an
+    /// The state of the endpoint watch changed. The embedder reports the end of a watch also as an
     /// update with [`UpdateScope::Failed`].
     Watch(WatchEvent),
     /// A client's request was received.
     Request {
-        /// Its id.
+        /// The id that the embedder gives the request.
         id: RequestId,
-        /// Its class.
+        /// The class of the request. A request whose class is not in the settings fails.
         class: ClassId,
-        /// Its tenant.
+        /// The tenant of the request. A tenant that is not in the settings shares the token bucket
+        /// of the last one.
         tenant: TenantId,
-        /// How long the client still waits.
+        /// How long the client still waits for a response. The deadline of the request is this
+        /// long after the event.
         time_left: Duration,
-        /// Expected CPU time in milliseconds on a standard core, where known.
+        /// The expected CPU time of the request in milliseconds on a standard core; `None` if it is
+        /// not known. Decisions do not depend on it.
         work_ms: Option<f64>,
-        /// The client marked the request as a retry.
+        /// Whether the client marked the request as a retry.
         is_retry: bool,
     },
-    /// A streamed response has started: the request has no deadline any more.
+    /// An attempt's response is a stream and has started: the request no longer has a deadline.
     StreamStarted {
-        /// The request.
+        /// The request that the stream responds to.
         id: RequestId,
-        /// The attempt that streams.
+        /// The attempt whose response is the stream.
         attempt: AttemptNo,
-        /// Time since it was sent.
+        /// The time since the attempt was sent.
         latency: Duration,
     },
-    /// An attempt has ended; reported once for each attempt.
+    /// An attempt has ended. The embedder reports this once for each attempt.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt.
+        /// The number of the attempt that has ended.
         attempt: AttemptNo,
-        /// Where it was sent.
+        /// The upstream that the attempt was sent to.
         upstream: UpstreamId,
-        /// How it ended.
+        /// How the attempt ended, and with it whether the request may have been processed.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// The time since the attempt was sent.
         latency: Duration,
-        /// The request has its final response, by this outcome or before it.
+        /// Whether the request needs no further response: this outcome or an earlier event gave it
+        /// its final response, or its client has disconnected.
         finished: bool,
-        /// A load report with values as in [`Settings::report_fields`]; empty if there was none.
+        /// A load report, with one value for each of [`Settings::report_fields`]; empty if there
+        /// was none.
         report: &'a [f32],
     },
-    /// The client closed its connection; no response is due.
+    /// The client closed its connection; its request needs no response any more.
     ClientDisconnected {
-        /// The request.
+        /// The request whose client has disconnected.
         id: RequestId,
     },
     /// A health check has ended.
     HealthCheckEnded {
-        /// The upstream that was checked.
+        /// The upstream that the health check was sent to.
         upstream: UpstreamId,
-        /// How it ended.
+        /// How the health check ended. Decisions depend only on the load report.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// The time since the health check was sent.
         latency: Duration,
-        /// A load report; empty if there was none.
+        /// A load report, with one value for each of [`Settings::report_fields`]; empty if there
+        /// was none.
         report: &'a [f32],
     },
     /// A timer set by [`Action::Timer`] is due.
     Timer {
-        /// Which.
+        /// The timer that is due, as [`Action::Timer`] named it.
         timer: TimerId,
     },
 }
 
-/// Something that the embedder has to do for [`Balancer`](crate::Balancer), in order.
+/// Something that the embedder has to do for [`Balancer`](crate::Balancer). The embedder executes
+/// the actions of an event in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to an upstream.
+    /// Send an attempt of a request to an upstream.
     Attempt {
-        /// The request.
+        /// The request that is sent to the upstream.
         id: RequestId,
-        /// Where to.
+        /// The upstream to send it to.
         upstream: UpstreamId,
-        /// When to abandon this attempt; `None`: at the client's deadline.
+        /// How long the embedder waits for a response before it abandons the attempt; `None`: until
+        /// the client's deadline.
         timeout: Option<Duration>,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in flight.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt.
+        /// The number of the attempt to cancel.
         attempt: AttemptNo,
     },
-    /// Final response: rejected without any effect; the client may retry.
+    /// Send the final response that the request is rejected. The client may retry: the request was
+    /// not processed, or it is idempotent.
     Reject {
-        /// The request.
+        /// The request that gets the final response.
         id: RequestId,
-        /// How long the client should wait before a retry.
+        /// How long the client should wait before a retry, at most [`Settings::max_retry_after`];
+        /// `None`: the response does not say.
         retry_after: Option<Duration>,
-        /// Why.
+        /// Why the request is rejected.
         reason: FailureReason,
     },
-    /// Final response: failed; the request may have had an effect.
+    /// Send the final response that the request failed. The request may have had an effect.
     Fail {
-        /// The request.
+        /// The request that gets the final response.
         id: RequestId,
-        /// Why.
+        /// Why the request failed.
         reason: FailureReason,
     },
-    /// Deliver [`Event::Timer`] after some time.
+    /// Deliver [`Event::Timer`] after a delay.
     Timer {
-        /// How long from now.
+        /// The delay, counted from the time of the present event.
         after: Duration,
-        /// Its name.
+        /// The timer that the event names.
         timer: TimerId,
     },
     /// Poll discovery for the endpoint list and watch it for changes.
     WatchEndpoints,
-    /// Close the idle connections to an upstream; those in use stay.
+    /// Close the idle connections to an upstream; connections in use stay open.
     CloseIdleConnections {
-        /// Which.
+        /// The upstream whose idle connections are closed.
         upstream: UpstreamId,
     },
     /// Send a health check to an upstream.
     HealthCheck {
-        /// Which.
+        /// The upstream that the health check is sent to.
         upstream: UpstreamId,
     },
     /// Write a line to the operators' log.
     Log(LogEvent),
 }
 
-/// The state that a balancer's decisions are based on, for the log.
+/// The estimates and counts that a balancer's decisions are based on, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StatusSnapshot {
-    /// Spare capacity W in requests; negative where more is in flight than there is capacity for.
+    /// Spare capacity W, in requests; negative where more is in flight than there is capacity for.
     pub spare_capacity: f64,
-    /// Estimated service rate of all upstreams in the rotation, in requests a second.
+    /// Estimated service rate of all upstreams in the rotation together for this balancer, in
+    /// requests per second.
     pub service_rate: f64,
-    /// Share of the upstreams' cores in use, from load reports.
+    /// Fraction of the upstreams' cores in use, 0 to 1, from load reports; 0 if it is not known.
     pub utilization: f64,
-    /// Mean duration of an attempt in seconds, over the classes as they are admitted.
+    /// Mean latency of an attempt in seconds, where each class counts by its fraction of the
+    /// admitted requests.
     pub mean_latency_s: f64,
-    /// Demand in requests a second.
+    /// Demand of all tenants at this balancer in requests per second, rejected ones included.
     pub demand_per_s: f64,
-    /// Attempts in flight.
+    /// Attempts of this balancer that are in flight.
     pub in_flight: u32,
-    /// Upstreams in the rotation.
+    /// Number of upstreams in the rotation.
     pub rotation_size: usize,
-    /// Upstreams of the rotation in slow start.
+    /// Number of upstreams in the rotation that are in slow start.
     pub warming_up: usize,
-    /// Upstreams of the rotation that are ejected.
+    /// Number of upstreams in the rotation that are ejected.
     pub ejected: usize,
 }
 
-/// A span in which no new attempt may be sent.
+/// A period in which no new attempt may be sent, as the endpoint list may be out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendPause {
-    /// Its start.
+    /// The time at which the pause starts.
     pub from: Duration,
-    /// Its end, unless the endpoint list is confirmed before.
+    /// The time at which the pause ends, unless discovery confirms the endpoint list earlier.
     pub until: Duration,
 }
