--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of a reverse proxy that spreads requests over HTTP upstreams: which request is
-//! admitted, which upstream it goes to, and what happens when an attempt fails.
+//! The decisions of an HTTP load balancer: which requests are admitted, which upstream each one is
+//! sent to, and what happens when an attempt fails.
 //!
-//! The crate does no I/O and reads no clock. The embedder passes [`Event`]s with their time to
-//! [`Balancer`] and executes the [`Action`]s that it returns. The same settings, seed and events
-//! always give the same actions.
+//! The crate does no I/O and reads no clock. The embedder, the program that uses the crate, passes
+//! [`Event`]s with their time to [`Balancer`] and executes the [`Action`]s that it returns. Equal
+//! settings, seeds and events always give equal actions.
 //!
 //! ```
 //! use frostkeel_policy::*;
@@ -22,7 +22,7 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The first event is the endpoint list that the balancer has cached.
+//! // The first event is the endpoint list that the embedder has cached.
 //! let endpoints = [Endpoint {
 //!     id: UpstreamId(7),
 //!     zone: ZoneId(0),
@@ -35,7 +35,7 @@
 //! let update = Event::EndpointsUpdated { scope: UpdateScope::Cached, endpoints: &endpoints };
 //! balancer.handle(ms(0), update, &mut actions);
 //!
-//! // A request is forwarded, or rejected at once.
+//! // A request is either sent to an upstream or rejected immediately.
 //! actions.clear();
 //! let request = Event::Request {
 //!     id: RequestId(1),
@@ -49,7 +49,8 @@
 //! let [Action::Attempt { id, upstream, .. }] = actions[..] else { panic!("{actions:?}") };
 //! assert_eq!((id, upstream), (RequestId(1), UpstreamId(7)));
 //!
-//! // The upstream has responded: the embedder forwards the response and reports the end.
+//! // The upstream has responded. The embedder forwards the response to the client and reports the
+//! // end of the attempt.
 //! actions.clear();
 //! let ended = Event::AttemptEnded {
 //!     id: RequestId(1),
@@ -65,9 +66,10 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! An embedder must do two things: deliver the timers that [`Action::Timer`] sets (the balancer's
-//! tick is one of them), and end an attempt as [`Outcome::TimedOut`] at its time-out or, at the
-//! latest, at the client's deadline. `Balancer` then gives each request exactly one final response.
+//! An embedder must deliver the timers that [`Action::Timer`] sets; the balancer's periodic tick is
+//! one of them. It must also end an attempt as [`Outcome::TimedOut`] when its timeout has passed,
+//! or at the client's deadline if that is earlier. Each request then gets exactly one final
+//! response.
 
 mod interface;
 mod log_event;
@@ -78,7 +80,7 @@
 pub use interface::*;
 pub use policy::Balancer;
 
-/// The README's embedding example, compiled and run as a documentation test.
+/// Compiles and runs the README's embedding example as a documentation test.
 #[doc = include_str!("../README.md")]
 #[cfg(doctest)]
 struct Readme;
