--- a/src/log_event.rs
+++ b/src/log_event.rs
@@ -1,15 +1,15 @@
-//! The events that a balancer writes to the log.
+//! The events that a balancer reports for the operators' log.
 
 use std::fmt;
 
-/// A line for the operators' log; its `Display` form is the text.
+/// An event for the operators' log. Its `Display` form is a line of text.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
-    /// Discovery has confirmed the endpoint list again, after a pause of sends.
+    /// Discovery has confirmed the endpoint list again, which ended a pause of sends.
     EndpointsConfirmed {
-        /// How long no attempt was sent, in seconds.
+        /// The length of the pause, in which no attempt was sent, in seconds.
         paused_for_s: f64,
-        /// Why.
+        /// Why the endpoint list may have been out of date.
         cause: StalenessCause,
     },
 }
@@ -31,20 +31,21 @@
 /// Why the endpoint list may be out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalenessCause {
-    /// Nothing was received on a watch, or on a poll for one, for too long.
+    /// Nothing was received on the watch, or in response to a poll, for longer than the embedder's
+    /// limit.
     WatchSilent,
     /// Discovery ended the watch.
     WatchEnded,
-    /// Discovery rejects polls.
+    /// Discovery rejects polls for the endpoint list.
     PollsRejected,
     /// Discovery has moved to another address.
     DiscoveryMoved,
-    /// A response was truncated.
+    /// Only a part of an endpoint list was received.
     PartialResponse,
 }
 
 impl StalenessCause {
-    /// All causes.
+    /// All causes, in the order of their discriminants.
     pub const ALL: [Self; 5] = [
         Self::WatchSilent,
         Self::WatchEnded,
@@ -53,7 +54,7 @@
         Self::PartialResponse,
     ];
 
-    /// The cause as the log writes it.
+    /// Returns the cause as the log writes it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::WatchSilent => "watch-silent",
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,8 +1,8 @@
-//! Seeded random numbers.
+//! A seeded random number generator.
 
 use std::ops::{Deref, DerefMut};
 
-/// A random number generator whose numbers follow from its seed alone.
+/// A random number generator: equal seeds give equal sequences of numbers.
 pub(crate) struct Random(fastrand::Rng);
 
 impl Random {
