--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -77,7 +77,7 @@
 /// The options of a site that change what a balancer may do with a request.
 pub struct SiteOptions {
     /// Many balancers that poll for their endpoints and get load reports by health checks only.
-    pub large_fleet: bool,
+    pub many_balancers: bool,
     pub hedging: bool,
     pub cancellation: bool,
     pub max_attempts: u8,
@@ -93,13 +93,13 @@
         streamed: true,
         ..class(300, 900, Effect::Idempotent)
     };
-    let load_reports = if options.large_fleet {
+    let load_reports = if options.many_balancers {
         LoadReports::OnHealthCheck
     } else {
         LoadReports::Inline
     };
     Settings {
-        balancers: if options.large_fleet { 500 } else { 1 },
+        balancers: if options.many_balancers { 500 } else { 1 },
         classes: vec![
             class(200, 600, Effect::Idempotent),
             class(300, 1200, Effect::AtMostOnce),
@@ -111,11 +111,11 @@
         tenants: [900.0, 2000.0, 0.0]
             .map(|quota_per_s| Tenant { quota_per_s })
             .to_vec(),
-        polls_endpoints: options.large_fleet,
+        polls_endpoints: options.many_balancers,
         hedging: options.hedging,
         cancellation: options.cancellation,
         max_attempts: options.max_attempts,
-        health_checks: options.large_fleet,
+        health_checks: options.many_balancers,
         load_reports,
         report_fields: vec![LoadField::InFlight],
         ..Settings::default()
--- a/tests/invariants/main.rs
+++ b/tests/invariants/main.rs
@@ -43,8 +43,8 @@
         max_attempts in 1u8..5,
         seed in any::<u64>(),
     ) {
-        let (hedging, large_fleet, cancellation) = flags;
-        let options = SiteOptions { large_fleet, hedging, cancellation, max_attempts };
+        let (hedging, many_balancers, cancellation) = flags;
+        let options = SiteOptions { many_balancers, hedging, cancellation, max_attempts };
         let mut world = World::new(settings_with_all_effects(&options), seed);
         world.apply(&initial_endpoints(), 0);
         for (number, operation) in operations.iter().enumerate() {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -265,7 +265,7 @@
 const SERVICE_TIME: Duration = ms(20);
 const OVERLOAD_WINDOW: Duration = ms(2000);
 
-fn all_effects_fleet(balancers: u32, large_fleet: bool) -> Vec<Harness> {
+fn all_effects_fleet(balancers: u32, many_balancers: bool) -> Vec<Harness> {
     let settings = Settings {
         balancers,
         polls_endpoints: false,
@@ -277,7 +277,7 @@
             quota_per_s: RATE_PER_S as f64,
         }],
         ..settings_with_all_effects(&SiteOptions {
-            large_fleet,
+            many_balancers,
             hedging: true,
             cancellation: true,
             max_attempts: 4,
@@ -377,8 +377,8 @@
 /// can serve in any window, though it is idle and the others are not.
 #[test]
 fn all_balancers_together_stay_within_a_new_upstreams_budget() {
-    for (large_fleet, balancers) in [(false, 20), (true, 400)] {
-        let sent_to_new = run_with_new_upstream(all_effects_fleet(balancers, large_fleet));
+    for (many_balancers, balancers) in [(false, 20), (true, 400)] {
+        let sent_to_new = run_with_new_upstream(all_effects_fleet(balancers, many_balancers));
         let total = sent_to_new.len();
         assert!(total > 10, "requests warm it up: {total}");
         for (k, sent_at) in sent_to_new.iter().enumerate() {
