--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// A ready endpoint whose process started long ago.
+/// Returns a ready endpoint whose process started long ago.
 pub fn endpoint(id: u64) -> Endpoint {
     Endpoint {
         id: UpstreamId(id),
@@ -32,12 +32,12 @@
     }
 }
 
-/// Ready endpoints with the ids 1 to `count`.
+/// Returns ready endpoints with the ids 1 to `count`.
 pub fn endpoints(count: u64) -> Vec<Endpoint> {
     (1..=count).map(endpoint).collect()
 }
 
-/// An endpoint that is in this state.
+/// Returns an endpoint with this availability.
 pub fn endpoint_in_state(id: u64, availability: Availability) -> Endpoint {
     Endpoint {
         availability,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Settings with one class of this effect.
+/// Returns settings with a single class, which has this effect.
 pub fn single_class_settings(effect: Effect) -> Settings {
     Settings {
         classes: vec![class(400, 1000, effect)],
@@ -53,7 +53,7 @@
     }
 }
 
-/// Settings of a fleet of this many balancers whose tenants have these quotas.
+/// Returns the settings of one of several balancers that share tenants with these quotas.
 pub fn settings_with_quotas(balancers: u32, quotas_per_s: &[f64]) -> Settings {
     let tenant = |quota: &f64| Tenant {
         quota_per_s: *quota,
@@ -65,7 +65,7 @@
     }
 }
 
-/// The same settings, with load reports of these fields on every response.
+/// Returns `settings` changed so that every response carries a load report of these fields.
 pub fn with_inline_reports(settings: Settings, fields: &[LoadField]) -> Settings {
     Settings {
         load_reports: LoadReports::Inline,
@@ -74,16 +74,17 @@
     }
 }
 
-/// The options of a site that change what a balancer may do with a request.
+/// The settings that decide what a balancer may do with a request.
 pub struct SiteOptions {
-    /// Many balancers that poll for their endpoints and get load reports by health checks only.
+    /// Whether there are many balancers, which poll for their endpoints and get load reports only
+    /// from health checks.
     pub many_balancers: bool,
     pub hedging: bool,
     pub cancellation: bool,
     pub max_attempts: u8,
 }
 
-/// Settings with classes of every effect.
+/// Returns settings with classes of every effect.
 pub fn settings_with_all_effects(options: &SiteOptions) -> Settings {
     let deduplicated = |group, ttl_ms| Effect::Deduplicated {
         group,
--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -1,4 +1,4 @@
-//! A [`Balancer`] driven by simulated time, with a record of what it does for each request.
+//! A harness that runs a [`Balancer`] in simulated time and records its actions.
 
 use super::ms;
 use frostkeel_policy::{
@@ -11,7 +11,7 @@
 /// The seed of a balancer where a test does not choose one.
 const DEFAULT_SEED: u64 = 7;
 
-/// How a request ended for its client.
+/// The final response to a request, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
     Served,
@@ -19,7 +19,7 @@
     Failed,
 }
 
-/// An attempt as the balancer asked for it.
+/// An attempt that the balancer sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SentAttempt {
     pub sent_at: Duration,
@@ -37,20 +37,20 @@
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Duration,
-    /// The actions of the last event alone.
+    /// The actions that the last event returned.
     pub actions: Vec<Action>,
     pub attempts: BTreeMap<RequestId, Vec<SentAttempt>>,
     pub final_responses: BTreeMap<RequestId, FinalResponse>,
     pub failure_reasons: BTreeMap<RequestId, FailureReason>,
     pub health_checks: Vec<UpstreamId>,
-    /// When the balancer polled for its endpoints.
+    /// The times at which the balancer polled for its endpoints.
     pub polls: Vec<Duration>,
     timers: Vec<ArmedTimer>,
     last_request_id: u32,
 }
 
 impl Harness {
-    /// A balancer that starts at time zero with these endpoints in its cache.
+    /// Starts a balancer at time zero with these endpoints in its cache.
     pub fn new(settings: Settings, endpoints: &[Endpoint]) -> Self {
         Self::with_seed(settings, DEFAULT_SEED, endpoints)
     }
@@ -118,7 +118,7 @@
         self.failure_reasons.insert(id, reason);
     }
 
-    /// Advances the clock and fires timers as they fall due.
+    /// Advances the clock by `span` and fires each timer at its due time.
     pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
@@ -135,7 +135,7 @@
         self.now = end;
     }
 
-    /// Advances the clock to this time, unless it has passed.
+    /// Advances the clock to `time`; does nothing if that has passed.
     pub fn advance_to(&mut self, time: Duration) {
         self.advance(time.saturating_sub(self.now));
     }
@@ -144,12 +144,13 @@
         self.handle(Event::EndpointsUpdated { scope, endpoints });
     }
 
-    /// A poll has failed, or the watch has broken.
+    /// Reports that a poll has failed or the watch has ended.
     pub fn fail_poll(&mut self) {
         self.update_endpoints(UpdateScope::Failed, &[]);
     }
 
-    /// Advances the clock until the balancer polls for its endpoints.
+    /// Advances the clock in steps until the balancer polls for its endpoints; returns the time of
+    /// the poll.
     pub fn advance_to_next_poll(&mut self, step: Duration) -> Duration {
         let polls = self.polls.len();
         while self.polls.len() == polls {
@@ -158,7 +159,7 @@
         self.polls[polls]
     }
 
-    /// A health check of the upstream has succeeded with this load report.
+    /// Reports a successful health check of the upstream, with this load report.
     pub fn report_load(&mut self, upstream: UpstreamId, report: &[f32]) {
         self.handle(Event::HealthCheckEnded {
             upstream,
@@ -168,7 +169,7 @@
         });
     }
 
-    /// A request of class 0 and tenant 0 whose client waits for a second.
+    /// Submits a request of class 0 and tenant 0 whose client waits for 1 s.
     pub fn request(&mut self) -> RequestId {
         self.request_of(0, 0, ms(1000))
     }
@@ -177,7 +178,7 @@
         self.submit(ClassId(class), TenantId(tenant), time_left, false)
     }
 
-    /// A request that its client may have marked as a retry.
+    /// Submits a request; `is_retry` states whether its client marked it as a retry.
     pub fn submit(
         &mut self,
         class: ClassId,
@@ -198,13 +199,13 @@
         id
     }
 
-    /// The upstream that got this attempt.
+    /// Returns the upstream that an attempt was sent to; `None` if there was no such attempt.
     pub fn upstream_of(&self, id: RequestId, attempt: usize) -> Option<UpstreamId> {
         let attempts = self.attempts.get(&id)?;
         attempts.get(attempt).map(|sent| sent.upstream)
     }
 
-    /// Whether the request was sent to an upstream.
+    /// Returns whether the request was sent to an upstream.
     pub fn is_sent(&self, id: RequestId) -> bool {
         self.upstream_of(id, 0).is_some()
     }
@@ -228,22 +229,22 @@
         });
     }
 
-    /// The first attempt of the request, if there was one, has succeeded.
+    /// Ends the first attempt of the request, if there was one, with a successful response.
     pub fn serve_if_sent(&mut self, id: RequestId) {
         if self.is_sent(id) {
             self.end_attempt(id, 0, Outcome::Ok);
         }
     }
 
-    /// All attempts that the request has had so far time out.
+    /// Ends all attempts that were sent for the request as timed out.
     pub fn time_out_attempts(&mut self, id: RequestId) {
         for attempt in 0..self.attempts[&id].len() {
             self.end_attempt(id, attempt, Outcome::TimedOut);
         }
     }
 
-    /// Sends one request after another and ends each attempt at once, retries included.
-    /// `outcome_at` gives the outcome at an upstream, or `None` if it never responds.
+    /// Submits `count` requests, `gap` apart, and ends each attempt as soon as it is sent, retries
+    /// included. `outcome_at` gives the outcome at an upstream, or `None` if it never responds.
     pub fn run_traffic(
         &mut self,
         count: usize,
@@ -263,7 +264,7 @@
         }
     }
 
-    /// The attempts of all requests at this upstream.
+    /// Returns how many attempts of all requests this upstream got.
     pub fn attempt_count(&self, upstream: UpstreamId) -> usize {
         let attempts = self.attempts.values().flatten();
         attempts.filter(|sent| sent.upstream == upstream).count()
@@ -284,7 +285,7 @@
         self.0.insert((due, id));
     }
 
-    /// The next request that is due by now.
+    /// Removes and returns the next request if it is due.
     pub fn pop_due(&mut self, now: Duration) -> Option<RequestId> {
         self.0.first().filter(|(due, _)| *due <= now)?;
         self.pop()
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Support for the tests of the decision module.
+//! Helpers that the tests of the decision module share.
 #![allow(
     dead_code,
     unused_imports,
