--- a/tests/action_digest/adapter.rs
+++ b/tests/action_digest/adapter.rs
@@ -1,4 +1,4 @@
-//! The crate's names, translated to and from the generator's.
+//! Translates events and actions between the types of the crate and those of the model.
 
 use crate::sites;
 use frostkeel_policy::{
@@ -19,7 +19,7 @@
     pub started: Option<Duration>,
 }
 
-/// The end of an attempt; outcomes are numbered in the order of the crate's enum.
+/// The end of an attempt. `outcome` is a position in [`OUTCOMES`].
 pub struct Ended {
     pub id: u32,
     pub attempt: u8,
@@ -30,7 +30,7 @@
     pub report: Vec<f32>,
 }
 
-/// An event. Scopes, kinds and outcomes are numbered in the order of the crate's enums.
+/// An event. Scopes, watch events and outcomes are numbers, in the order of the crate's enums.
 pub enum Input {
     Endpoints {
         scope: usize,
@@ -44,9 +44,9 @@
         id: u32,
         class: u16,
         tenant: u32,
-        left: Duration,
+        time_left: Duration,
         work_ms: Option<f64>,
-        again: bool,
+        is_retry: bool,
     },
     StreamStarted {
         id: u32,
@@ -67,7 +67,7 @@
     },
 }
 
-/// An action; reasons by their position.
+/// An action. A failure reason is its position in [`FailureReason::ALL`].
 pub enum Output {
     Attempt {
         id: u32,
@@ -101,7 +101,7 @@
     Log,
 }
 
-/// What the generator has to know of the settings.
+/// The values of the settings that the model depends on.
 pub struct Site {
     pub classes: usize,
     pub streamed: Vec<bool>,
@@ -109,11 +109,12 @@
     pub tenants: u32,
     pub load_report_size: usize,
     pub utilization_field: Option<usize>,
-    pub polls: bool,
-    pub local_agent: bool,
+    pub polls_endpoints: bool,
+    pub has_local_agent: bool,
 }
 
-pub struct Player {
+/// A balancer that handles the model's events.
+pub struct BalancerRunner {
     balancer: Balancer,
     actions: Vec<Action>,
 }
@@ -136,7 +137,8 @@
     UpdateScope::Failed,
 ];
 
-impl Player {
+impl BalancerRunner {
+    /// Creates a balancer with the settings of this number.
     pub fn new(number: usize, seed: u64) -> (Self, Site) {
         let settings = sites::settings(number);
         let site = Site {
@@ -161,10 +163,10 @@
                 .report_fields
                 .iter()
                 .position(|field| *field == LoadField::Utilization),
-            polls: settings.polls_endpoints,
-            local_agent: settings.has_local_agent,
+            polls_endpoints: settings.polls_endpoints,
+            has_local_agent: settings.has_local_agent,
         };
-        let balancer = Balancer::new(settings, seed).expect("settings permit decisions");
+        let balancer = Balancer::new(settings, seed).expect("valid settings");
         (
             Self {
                 balancer,
@@ -174,7 +176,8 @@
         )
     }
 
-    pub fn play(&mut self, now: Duration, input: &Input) -> Vec<Output> {
+    /// Handles an event and returns the actions that follow from it.
+    pub fn handle(&mut self, now: Duration, input: &Input) -> Vec<Output> {
         self.actions.clear();
         let endpoints: Vec<Endpoint> = match input {
             Input::Endpoints { entries, .. } => entries.iter().map(endpoint).collect(),
@@ -185,8 +188,8 @@
         self.actions.iter().map(output).collect()
     }
 
-    /// What the balancer says of itself: figures as bits, counts, and the span in which nothing
-    /// is sent.
+    /// Returns the status of the balancer as 64-bit words: the bits of floating-point estimates,
+    /// counts, and the start and end of a pause of sends.
     pub fn status(&self) -> Vec<u64> {
         let status = self.balancer.status();
         let pause = self.balancer.send_pause();
@@ -213,7 +216,7 @@
     }
 }
 
-/// The crate's event; `endpoints` are the entries of an update of the endpoint list.
+/// Returns the crate's event; `endpoints` are the entries of an endpoint update.
 fn event<'a>(input: &'a Input, endpoints: &'a [Endpoint]) -> Event<'a> {
     match input {
         Input::Endpoints { scope, .. } => Event::EndpointsUpdated {
@@ -225,16 +228,16 @@
             id,
             class,
             tenant,
-            left,
+            time_left,
             work_ms,
-            again,
+            is_retry,
         } => Event::Request {
             id: RequestId(*id),
             class: ClassId(*class),
             tenant: TenantId(*tenant),
-            time_left: *left,
+            time_left: *time_left,
             work_ms: *work_ms,
-            is_retry: *again,
+            is_retry: *is_retry,
         },
         Input::StreamStarted {
             id,
@@ -306,11 +309,12 @@
     }
 }
 
-fn position(reason: FailureReason) -> usize {
+/// Returns the position of a reason in [`FailureReason::ALL`].
+fn reason_number(reason: FailureReason) -> usize {
     FailureReason::ALL
         .iter()
         .position(|other| *other == reason)
-        .expect("each reason is among all of them")
+        .expect("ALL contains every reason")
 }
 
 fn output(action: &Action) -> Output {
@@ -335,11 +339,11 @@
         } => Output::Reject {
             id: id.0,
             retry_after: *retry_after,
-            reason: position(*reason),
+            reason: reason_number(*reason),
         },
         Action::Fail { id, reason } => Output::Fail {
             id: id.0,
-            reason: position(*reason),
+            reason: reason_number(*reason),
         },
         Action::Timer { after, timer } => Output::Timer {
             after: *after,
--- a/tests/action_digest/digest.rs
+++ b/tests/action_digest/digest.rs
@@ -1,8 +1,8 @@
-//! A hash that is the same in every version of the compiler and the library.
+//! A hash that does not depend on the version of the compiler or the standard library.
 
 use std::time::Duration;
 
-/// FNV-1a, 64 bits, over little-endian words.
+/// The 64-bit FNV-1a hash of a sequence of little-endian words.
 pub struct Digest(pub u64);
 
 impl Digest {
--- a/tests/action_digest/main.rs
+++ b/tests/action_digest/main.rs
@@ -1,17 +1,18 @@
-//! A characterization test of the decision module: the same settings, seed and events give the same
+//! A characterization test of the decision module: equal settings, seeds and events must give equal
 //! actions.
 //!
-//! A seeded generator plays a legal sequence of events against a model of upstreams, clients and
-//! discovery, over three settings. All actions go into one digest per settings, as kinds, ids,
-//! upstreams, durations to the nanosecond and failure reasons by position, never names; what the
-//! balancer says of itself (figures as bits) goes into a second one.
+//! For each of three settings, a seeded model of upstreams, clients and discovery generates a legal
+//! sequence of events. Two digests are computed for each sequence. The first contains all actions:
+//! kinds, ids, upstreams, durations in nanoseconds, and failure reasons by position. The second
+//! contains the status of the balancer, with floating-point values as bits. No digest contains
+//! names.
 //!
-//! The last bit of `exp` may differ between processors, so the digests of the full sequences are
-//! compared between two revisions on one machine, by `tests/compare-digest.sh`. The short
-//! sequences' digests of actions are held here: they stayed the same with each result of `exp`
-//! moved by up to four units in its last place.
+//! The last bit of `exp` may differ between processors. The digests of the full sequences are
+//! therefore compared between two revisions on one machine, by `tests/compare-digest.sh`. The
+//! action digests of the short sequences are recorded here: they do not change if results of `exp`
+//! change by up to four units in the last place.
 //!
-//! Only `adapter.rs` and `sites.rs` use the crate's names.
+//! Only `adapter.rs` and `sites.rs` use names of the crate.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -23,29 +24,30 @@
 use model::Model;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Events a setting is played for: in the full sequences, some 100,000 over all, and in the short
-/// ones.
-const FULL_EVENTS: u64 = 34_000;
-const SHORT_EVENTS: u64 = 6_000;
-/// Digests of actions of the short sequences, by settings.
+/// Number of events in a full sequence, about 100,000 over all three settings, and in a short one.
+const FULL_EVENT_COUNT: u64 = 34_000;
+const SHORT_EVENT_COUNT: u64 = 6_000;
+/// The action digests of the short sequences, in the order of the three settings.
 const SHORT_DIGESTS: [u64; 3] = [
     0x3cdf_f75c_26cc_fcac,
     0x6192_2002_5a35_63a3,
     0x7176_c9c9_8df4_80b9,
 ];
 
-/// Kinds of actions; the health check is asked for by no revision yet.
-const ACTION_KINDS: usize = 9;
-const HEALTH_CHECK: usize = 7;
-const REASONS: usize = 12;
+/// Number of kinds of actions, and the kind of the health check, which the decision module does
+/// not request yet.
+const ACTION_KIND_COUNT: usize = 9;
+const HEALTH_CHECK_KIND: usize = 7;
+/// Number of failure reasons.
+const REASON_COUNT: usize = 12;
 
-/// What a sequence has come to.
+/// The digests of a sequence, and how often each kind of action, failure reason and event occurred.
 #[derive(Debug, PartialEq)]
 struct Summary {
     actions: u64,
     status: u64,
-    kinds: [u64; ACTION_KINDS],
-    reasons: [u64; REASONS],
+    kinds: [u64; ACTION_KIND_COUNT],
+    reasons: [u64; REASON_COUNT],
     inputs: BTreeMap<&'static str, u64>,
 }
 
@@ -64,25 +66,26 @@
     }
 }
 
-/// That the sequences together are rich: else a digest would say little.
-fn assert_rich(summaries: &[Summary]) {
-    for kind in (0..ACTION_KINDS).filter(|kind| *kind != HEALTH_CHECK) {
+/// Asserts that the sequences together contain every kind of action, failure reason and event.
+/// Otherwise equal digests would prove little.
+fn assert_covers_all_kinds(summaries: &[Summary]) {
+    for kind in (0..ACTION_KIND_COUNT).filter(|kind| *kind != HEALTH_CHECK_KIND) {
         assert!(
             summaries.iter().any(|s| s.kinds[kind] > 0),
-            "no action of kind {kind}: {summaries:?}"
+            "no sequence has an action of kind {kind}: {summaries:?}"
         );
     }
-    for reason in 0..REASONS {
+    for reason in 0..REASON_COUNT {
         assert!(
             summaries.iter().any(|s| s.reasons[reason] > 0),
-            "no reason {reason}: {summaries:?}"
+            "no sequence has the failure reason {reason}: {summaries:?}"
         );
     }
     let inputs: BTreeSet<&str> = summaries
         .iter()
         .flat_map(|s| s.inputs.keys().copied())
         .collect();
-    assert_eq!(inputs.len(), 19, "{inputs:?}");
+    assert_eq!(inputs.len(), 19, "kinds of events: {inputs:?}");
 }
 
 fn run_all(events: u64) -> Vec<Summary> {
@@ -90,26 +93,29 @@
 }
 
 #[test]
-fn same_events_give_the_same_actions() {
-    let summaries = run_all(FULL_EVENTS);
-    assert_rich(&summaries);
-    assert_eq!(summaries, run_all(FULL_EVENTS));
+fn equal_events_cause_equal_actions() {
+    let summaries = run_all(FULL_EVENT_COUNT);
+    assert_covers_all_kinds(&summaries);
+    assert_eq!(summaries, run_all(FULL_EVENT_COUNT));
 }
 
 #[test]
-fn short_sequences_give_the_recorded_actions() {
-    let digests: Vec<u64> = run_all(SHORT_EVENTS)
+fn short_sequences_match_the_recorded_digests() {
+    let digests: Vec<u64> = run_all(SHORT_EVENT_COUNT)
         .iter()
         .map(|summary| summary.actions)
         .collect();
-    assert_eq!(digests, SHORT_DIGESTS, "{digests:#018x?}");
+    assert_eq!(
+        digests, SHORT_DIGESTS,
+        "action digests of the short sequences: {digests:#018x?}"
+    );
 }
 
 /// Prints the digests that `tests/compare-digest.sh` compares.
 #[test]
-#[ignore = "its digests are compared between two revisions, by tests/compare-digest.sh"]
+#[ignore = "tests/compare-digest.sh runs it and compares its digests between two revisions"]
 fn full_digests() {
-    let summaries = run_all(FULL_EVENTS);
+    let summaries = run_all(FULL_EVENT_COUNT);
     for (number, summary) in summaries.iter().enumerate() {
         println!(
             "digest settings={number} actions={:016x} status={:016x} kinds={:?} reasons={:?}",
@@ -117,5 +123,5 @@
         );
         println!("events settings={number} {:?}", summary.inputs);
     }
-    assert_rich(&summaries);
+    assert_covers_all_kinds(&summaries);
 }
--- a/tests/action_digest/model/clients.rs
+++ b/tests/action_digest/model/clients.rs
@@ -1,6 +1,6 @@
-//! Clients and what becomes of their requests.
+//! The clients of the model, and the requests and attempts.
 
-use super::{Behavior, Due, Model, Request, SentAttempt, ms};
+use super::{Behavior, Model, Request, Scheduled, SentAttempt, ms};
 use super::{CONNECT_FAILED, ERROR, NOT_SENT, OK, REJECTED, RESET, TIMED_OUT};
 use crate::adapter::{Ended, Input};
 use std::time::Duration;
@@ -11,18 +11,18 @@
         let request = self
             .requests
             .get_mut(&id)
-            .expect("a request that was given");
-        let attempt = request.sends.len() as u8;
-        request.sends.push(SentAttempt {
+            .expect("attempts are only sent for known requests");
+        let attempt = request.attempts.len() as u8;
+        request.attempts.push(SentAttempt {
             upstream,
-            at: self.now,
-            is_out: true,
+            sent_at: self.now,
+            is_in_flight: true,
         });
-        let (class, left) = (request.class, request.deadline.saturating_sub(self.now));
-        let limit = timeout.map_or(left, |timeout| timeout.min(left));
-        self.after(
+        let (class, time_left) = (request.class, request.deadline.saturating_sub(self.now));
+        let limit = timeout.map_or(time_left, |timeout| timeout.min(time_left));
+        self.schedule_after(
             limit,
-            Due::End {
+            Scheduled::End {
                 id,
                 attempt,
                 outcome: TIMED_OUT,
@@ -32,19 +32,19 @@
             return;
         };
         if self.site.streamed[class] && outcome == OK {
-            self.after(span / 2, Due::StreamStart { id, attempt });
-            self.after(
+            self.schedule_after(span / 2, Scheduled::StreamStart { id, attempt });
+            self.schedule_after(
                 span * 3,
-                Due::End {
+                Scheduled::End {
                     id,
                     attempt,
                     outcome,
                 },
             );
         } else {
-            self.after(
+            self.schedule_after(
                 span,
-                Due::End {
+                Scheduled::End {
                     id,
                     attempt,
                     outcome,
@@ -53,12 +53,13 @@
         }
     }
 
-    /// How long an attempt takes at an upstream and how it ends; `None`: there is no response.
+    /// Returns how long an attempt takes at an upstream and its outcome; `None` if the upstream
+    /// does not respond.
     fn draw_outcome(&mut self, class: usize, upstream: u64) -> Option<(Duration, usize)> {
         let server = self
             .servers
             .get_mut(&upstream)
-            .expect("an upstream that was listed");
+            .expect("attempts are only sent to listed upstreams");
         server.in_flight += 1;
         let work = (20_000 + 15_000 * class as u64) * self.rng.u64(30..170) / 100;
         let work = if self.rng.u8(0..40) == 0 {
@@ -82,53 +83,55 @@
         })
     }
 
-    /// Drops a request that has ended and has no attempt out.
-    pub(super) fn forget(&mut self, id: u32) {
-        let is_over =
-            |r: &Request| (r.is_answered || r.is_gone) && r.sends.iter().all(|send| !send.is_out);
+    /// Removes a request if it has ended and has no attempt in flight.
+    pub(super) fn remove_if_ended(&mut self, id: u32) {
+        let is_over = |r: &Request| {
+            (r.has_final_response || r.is_disconnected)
+                && r.attempts.iter().all(|sent| !sent.is_in_flight)
+        };
         if self.requests.get(&id).is_some_and(is_over) {
             self.requests.remove(&id);
         }
     }
 
     pub(super) fn arrive(&mut self) {
-        let gap = Duration::from_nanos(self.rng.u64(1..2 * self.gap));
-        self.after(gap, Due::Arrival);
+        let gap = Duration::from_nanos(self.rng.u64(1..2 * self.mean_gap_ns));
+        self.schedule_after(gap, Scheduled::Arrival);
         let class = if self.rng.u16(0..300) == 0 {
             99
         } else {
             self.rng.usize(0..self.site.classes)
         };
-        // One more than there are: an unknown tenant shares the last one's bucket.
+        // One more than there are tenants: an unknown tenant shares the bucket of the last one.
         let tenant = self.rng.u32(0..self.site.tenants + 1);
-        self.next_request += 1;
-        let id = self.next_request;
-        let longest = self.site.deadlines.get(class).copied().unwrap_or(ms(500));
-        let left = longest.mul_f64([1.0, 1.0, 1.0, 0.5, 0.05][self.rng.usize(0..5)]);
+        self.last_request_id += 1;
+        let id = self.last_request_id;
+        let deadline = self.site.deadlines.get(class).copied().unwrap_or(ms(500));
+        let time_left = deadline.mul_f64([1.0, 1.0, 1.0, 0.5, 0.05][self.rng.usize(0..5)]);
         let request = Request {
             class,
-            deadline: self.now + left,
-            sends: Vec::new(),
-            is_answered: false,
-            is_gone: false,
+            deadline: self.now + time_left,
+            attempts: Vec::new(),
+            has_final_response: false,
+            is_disconnected: false,
             is_streaming: false,
         };
         self.requests.insert(id, request);
         if self.rng.u8(0..25) == 0 {
             let span = self.span(60);
-            self.after(span, Due::Disconnect { id });
+            self.schedule_after(span, Scheduled::Disconnect { id });
         }
         let work_ms = [None, Some(12.5), Some(f64::NAN)][self.rng.usize(0..3)];
-        let again = self.rng.u8(0..5) == 0;
-        self.play(
+        let is_retry = self.rng.u8(0..5) == 0;
+        self.handle(
             "request",
             Input::Request {
                 id,
                 class: class as u16,
                 tenant,
-                left,
+                time_left,
                 work_ms,
-                again,
+                is_retry,
             },
         );
     }
@@ -137,16 +140,16 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let send = &mut request.sends[usize::from(attempt)];
-        if !send.is_out || (outcome == TIMED_OUT && request.is_streaming) {
+        let sent = &mut request.attempts[usize::from(attempt)];
+        if !sent.is_in_flight || (outcome == TIMED_OUT && request.is_streaming) {
             return;
         }
-        send.is_out = false;
-        let (upstream, latency) = (send.upstream, self.now - send.at);
-        if !request.is_gone && (outcome == OK || request.is_streaming) {
-            request.is_answered = true;
+        sent.is_in_flight = false;
+        let (upstream, latency) = (sent.upstream, self.now - sent.sent_at);
+        if !request.is_disconnected && (outcome == OK || request.is_streaming) {
+            request.has_final_response = true;
         }
-        let finished = request.is_answered || request.is_gone;
+        let finished = request.has_final_response || request.is_disconnected;
         if let Some(server) = self.servers.get_mut(&upstream) {
             server.in_flight -= 1;
         }
@@ -174,21 +177,25 @@
             finished,
             report,
         });
-        self.play(name[outcome], input);
-        self.forget(id);
+        self.handle(name[outcome], input);
+        self.remove_if_ended(id);
     }
 
     pub(super) fn start_stream(&mut self, id: u32, attempt: u8) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let send = &request.sends[usize::from(attempt)];
-        if !send.is_out || request.is_answered || request.is_gone || request.is_streaming {
+        let sent = &request.attempts[usize::from(attempt)];
+        if !sent.is_in_flight
+            || request.has_final_response
+            || request.is_disconnected
+            || request.is_streaming
+        {
             return;
         }
         request.is_streaming = true;
-        let latency = self.now - send.at;
-        self.play(
+        let latency = self.now - sent.sent_at;
+        self.handle(
             "stream",
             Input::StreamStarted {
                 id,
@@ -202,11 +209,11 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if request.is_answered {
+        if request.has_final_response {
             return;
         }
-        request.is_gone = true;
-        self.play("disconnect", Input::Disconnected { id });
-        self.forget(id);
+        request.is_disconnected = true;
+        self.handle("disconnect", Input::Disconnected { id });
+        self.remove_if_ended(id);
     }
 }
--- a/tests/action_digest/model/environment.rs
+++ b/tests/action_digest/model/environment.rs
@@ -1,6 +1,6 @@
-//! Upstreams, load and discovery as they change.
+//! The changes of upstreams, load and discovery in the model.
 
-use super::{BEHAVIORS, Behavior, Discovery, Due, Model, ms};
+use super::{BEHAVIORS, Behavior, Discovery, Model, Scheduled, ms};
 use crate::adapter::{Entry, Input};
 use std::time::Duration;
 
@@ -32,9 +32,10 @@
 
     pub(super) fn change_behavior(&mut self) {
         let behavior = BEHAVIORS[self.rng.usize(0..BEHAVIORS.len())];
-        let all: Vec<u64> = self.servers.keys().copied().collect();
+        let ids: Vec<u64> = self.servers.keys().copied().collect();
         let mut mean_ms = 700;
-        // Now and then a whole zone, or all for some time; often all are well again.
+        // Sometimes a zone changes, or all upstreams change for some time. Often all upstreams
+        // recover, and in the other cases a single one changes.
         match self.rng.u8(0..12) {
             0 | 1 => {
                 let zone = self.rng.u8(0..3);
@@ -55,45 +56,51 @@
                 .values_mut()
                 .for_each(|server| server.behavior = Behavior::Normal),
             _ => {
-                let id = all[self.rng.usize(0..all.len())];
-                self.servers.get_mut(&id).expect("one of them").behavior = behavior;
+                let id = ids[self.rng.usize(0..ids.len())];
+                self.servers
+                    .get_mut(&id)
+                    .expect("a known upstream")
+                    .behavior = behavior;
             }
         }
         let span = self.span(mean_ms);
-        self.after(span, Due::Behavior);
+        self.schedule_after(span, Scheduled::Behavior);
     }
 
     pub(super) fn change_load(&mut self) {
         let span = self.span(4000);
-        self.after(span, Due::Load);
-        let per_second = [3, 12, 25, 40, 80, 160, 500][self.rng.usize(0..7)];
-        self.gap = self.gap_scale * 1_000_000_000 / per_second;
-        // Discovery fails for a while now and then.
+        self.schedule_after(span, Scheduled::Load);
+        let requests_per_s = [3, 12, 25, 40, 80, 160, 500][self.rng.usize(0..7)];
+        self.mean_gap_ns = self.gap_scale * 1_000_000_000 / requests_per_s;
+        // Discovery fails for some time in about one of three changes.
         self.discovery = match self.rng.u8(0..14) {
             0 | 1 => Discovery::Rejecting,
             2 => Discovery::Unreachable,
-            3 => Discovery::Breaking,
-            4 => Discovery::Mute,
+            3 => Discovery::Truncating,
+            4 => Discovery::Unresponsive,
             _ => Discovery::Up,
         };
     }
 
-    /// Changes the list and tells of it where it is pushed or watched.
+    /// Changes the endpoint list and publishes the change, if the list is pushed or watched.
     pub(super) fn change_list(&mut self) {
         let span = self.span(200);
-        self.after(span, Due::List);
-        if self.site.polls && !self.is_watching {
+        self.schedule_after(span, Scheduled::List);
+        if self.site.polls_endpoints && !self.is_watching {
             return;
         }
         let ids: Vec<u64> = self.servers.keys().copied().collect();
         let id = ids[self.rng.usize(0..ids.len())];
         match self.rng.u8(0..24) {
-            0 | 1 => self.tell_of_change(id, |entry, _| entry.availability = 1),
-            2 if ids.len() > 6 => self.tell_of_change(id, |entry, _| entry.availability = 2),
+            0 | 1 => self.publish_change(id, |entry, _| entry.availability = 1),
+            2 if ids.len() > 6 => self.publish_change(id, |entry, _| entry.availability = 2),
             3..5 => {
-                // A restart: well again, and just started.
-                self.servers.get_mut(&id).expect("one of them").behavior = Behavior::Normal;
-                self.tell_of_change(id, |entry, now| {
+                // The upstream restarts: it behaves normally, and its process has just started.
+                self.servers
+                    .get_mut(&id)
+                    .expect("a known upstream")
+                    .behavior = Behavior::Normal;
+                self.publish_change(id, |entry, now| {
                     (entry.availability, entry.started) = (0, Some(now))
                 });
             }
@@ -104,30 +111,30 @@
                     None
                 };
                 let id = self.add_server(started);
-                self.tell_of_change(id, |_, _| ());
+                self.publish_change(id, |_, _| ());
             }
-            6..9 => self.tell_of_change(id, |entry, _| entry.availability = 0),
+            6..9 => self.publish_change(id, |entry, _| entry.availability = 0),
             9 | 10 => {
                 let weight = [0.0, 0.25, 0.6, 1.0, 1.7, f64::NAN][self.rng.usize(0..6)];
-                self.tell_of_change(id, |entry, _| entry.weight = weight);
+                self.publish_change(id, |entry, _| entry.weight = weight);
             }
             11 => {
                 let mut entries = self.entries();
-                // What is missing is removed, for a while.
+                // Missing upstreams are removed until a later update contains them.
                 entries.retain(|_| self.rng.u8(0..15) > 0);
-                self.play("snapshot", Input::Endpoints { scope: 1, entries });
+                self.handle("snapshot", Input::Endpoints { scope: 1, entries });
             }
             12 => {
                 let entries = self.entries();
-                self.play("snapshot", Input::Endpoints { scope: 1, entries });
+                self.handle("snapshot", Input::Endpoints { scope: 1, entries });
             }
             13 if self.rng.u8(0..4) == 0 => {
                 let entries = self.entries();
-                self.play("cached", Input::Endpoints { scope: 2, entries });
+                self.handle("cached", Input::Endpoints { scope: 2, entries });
             }
             14..17 => self.break_watch(),
-            // A heartbeat.
-            _ => self.play(
+            // A delta without entries is a heartbeat.
+            _ => self.handle(
                 "delta",
                 Input::Endpoints {
                     scope: 0,
@@ -137,27 +144,28 @@
         }
     }
 
-    fn tell_of_change(&mut self, id: u64, change: impl Fn(&mut Entry, Duration)) {
+    /// Changes an entry of the endpoint list and passes it to the balancer.
+    fn publish_change(&mut self, id: u64, change: impl Fn(&mut Entry, Duration)) {
         let now = self.now;
-        let entry = &mut self.servers.get_mut(&id).expect("one of them").entry;
+        let entry = &mut self.servers.get_mut(&id).expect("a known upstream").entry;
         change(entry, now);
         let entries = vec![entry.clone()];
-        self.play("delta", Input::Endpoints { scope: 0, entries });
+        self.handle("delta", Input::Endpoints { scope: 0, entries });
     }
 
     fn break_watch(&mut self) {
         let kind = [0, 1, 5, 2][self.rng.usize(0..4)];
-        let back = if self.site.local_agent {
+        let silence = if self.site.has_local_agent {
             ms(20)
         } else {
             ms(3000)
         };
-        let since = self.now.saturating_sub(back);
-        if kind != 2 || self.site.local_agent {
-            self.play("watch event", Input::Watch { kind, since });
+        let since = self.now.saturating_sub(silence);
+        if kind != 2 || self.site.has_local_agent {
+            self.handle("watch event", Input::Watch { kind, since });
         }
         self.is_watching = false;
-        self.play(
+        self.handle(
             "failed",
             Input::Endpoints {
                 scope: 3,
@@ -166,45 +174,46 @@
         );
     }
 
-    pub(super) fn answer_call(&mut self, called: Duration) {
+    /// Responds to a poll as the state of discovery requires.
+    pub(super) fn answer_poll(&mut self, polled_at: Duration) {
         match self.discovery {
             Discovery::Up => {
                 self.is_watching = true;
                 let entries = self.entries();
-                self.play("snapshot", Input::Endpoints { scope: 1, entries });
+                self.handle("snapshot", Input::Endpoints { scope: 1, entries });
                 return;
             }
-            Discovery::Rejecting => self.play(
+            Discovery::Rejecting => self.handle(
                 "watch event",
                 Input::Watch {
                     kind: 3,
-                    since: called,
+                    since: polled_at,
                 },
             ),
-            Discovery::Unreachable => self.play(
+            Discovery::Unreachable => self.handle(
                 "watch event",
                 Input::Watch {
                     kind: 4,
-                    since: called,
+                    since: polled_at,
                 },
             ),
-            Discovery::Breaking => {
+            Discovery::Truncating => {
                 let since = self.now;
-                self.play("watch event", Input::Watch { kind: 2, since });
+                self.handle("watch event", Input::Watch { kind: 2, since });
                 self.now += ms(40);
             }
-            Discovery::Mute => {
-                self.play(
+            Discovery::Unresponsive => {
+                self.handle(
                     "watch event",
                     Input::Watch {
                         kind: 0,
-                        since: called,
+                        since: polled_at,
                     },
                 );
                 return;
             }
         }
-        self.play(
+        self.handle(
             "failed",
             Input::Endpoints {
                 scope: 3,
@@ -215,11 +224,11 @@
 
     pub(super) fn end_health_check(&mut self) {
         let span = self.span(300);
-        self.after(span, Due::HealthCheck);
+        self.schedule_after(span, Scheduled::HealthCheck);
         let ids: Vec<u64> = self.servers.keys().copied().chain([999_999]).collect();
         let upstream = ids[self.rng.usize(0..ids.len())];
         let (outcome, report) = (self.rng.usize(0..8), self.report(upstream));
-        self.play(
+        self.handle(
             "health check",
             Input::HealthCheckEnded {
                 upstream,
--- a/tests/action_digest/model/mod.rs
+++ b/tests/action_digest/model/mod.rs
@@ -1,15 +1,16 @@
-//! The model that plays events: a clock, what is due, and the digests of what the balancer does.
+//! The model that generates events. It has a clock, a schedule of events, and the digests of the
+//! balancer's actions and status.
 
 mod clients;
 mod environment;
 
-use crate::adapter::{Entry, Input, Output, Player, Site};
+use crate::adapter::{BalancerRunner, Entry, Input, Output, Site};
 use crate::digest::Digest;
-use crate::{ACTION_KINDS, HEALTH_CHECK, REASONS};
+use crate::{ACTION_KIND_COUNT, HEALTH_CHECK_KIND, REASON_COUNT};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How the model's upstream answers.
+/// How an upstream of the model responds.
 #[derive(Clone, Copy, PartialEq)]
 enum Behavior {
     Normal,
@@ -46,31 +47,31 @@
 struct Server {
     entry: Entry,
     behavior: Behavior,
-    /// In thousandths.
+    /// Work per unit of time, in thousandths of that of a standard upstream.
     speed: u64,
     in_flight: u64,
 }
 
 struct SentAttempt {
     upstream: u64,
-    at: Duration,
-    is_out: bool,
+    sent_at: Duration,
+    is_in_flight: bool,
 }
 
 struct Request {
     class: usize,
     deadline: Duration,
-    sends: Vec<SentAttempt>,
-    is_answered: bool,
-    is_gone: bool,
+    attempts: Vec<SentAttempt>,
+    has_final_response: bool,
+    is_disconnected: bool,
     is_streaming: bool,
 }
 
-/// What happens in the model at some time.
-enum Due {
+/// Something that is scheduled to happen in the model.
+enum Scheduled {
     Arrival,
     Timer(u32),
-    /// An attempt ends by itself, at its time limit, or as it is cancelled.
+    /// An attempt ends: with an outcome of its upstream, at its timeout, or as it is cancelled.
     End {
         id: u32,
         attempt: u8,
@@ -83,49 +84,54 @@
     Disconnect {
         id: u32,
     },
-    /// Behaviors, load and list change.
+    /// The behavior of one upstream or several changes.
     Behavior,
+    /// The request rate and the state of discovery change.
     Load,
+    /// An entry of the endpoint list changes, or the list is sent again.
     List,
-    /// What discovery does about a call made then.
+    /// Discovery responds to a poll, or fails to.
     Discovery {
-        called: Duration,
+        polled_at: Duration,
     },
     HealthCheck,
     Stall,
 }
 
-/// How discovery answers calls.
+/// The way in which discovery responds to polls.
 #[derive(Clone, Copy)]
 enum Discovery {
     Up,
     Rejecting,
     Unreachable,
-    Breaking,
-    Mute,
+    /// It sends only the beginning of a list.
+    Truncating,
+    /// It never responds.
+    Unresponsive,
 }
 
 pub struct Model {
     rng: fastrand::Rng,
-    player: Player,
+    runner: BalancerRunner,
     site: Site,
     now: Duration,
-    due: BTreeMap<(Duration, u64), Due>,
+    schedule: BTreeMap<(Duration, u64), Scheduled>,
     sequence: u64,
     servers: BTreeMap<u64, Server>,
     requests: BTreeMap<u32, Request>,
-    next_request: u32,
-    next_server: u64,
-    /// Mean nanoseconds between arrivals.
-    gap: u64,
+    last_request_id: u32,
+    last_server_number: u64,
+    /// Mean time between arrivals of requests.
+    mean_gap_ns: u64,
+    /// Multiple of the time between arrivals for these settings.
     gap_scale: u64,
     discovery: Discovery,
     is_watching: bool,
     pub events: u64,
     pub actions: Digest,
     pub status: Digest,
-    pub kinds: [u64; ACTION_KINDS],
-    pub reasons: [u64; REASONS],
+    pub kinds: [u64; ACTION_KIND_COUNT],
+    pub reasons: [u64; REASON_COUNT],
     pub inputs: BTreeMap<&'static str, u64>,
 }
 
@@ -135,50 +141,50 @@
 
 impl Model {
     pub fn new(number: usize) -> Self {
-        let (player, site) = Player::new(number, 1000 + number as u64);
+        let (runner, site) = BalancerRunner::new(number, 1000 + number as u64);
         let mut model = Self {
             rng: fastrand::Rng::with_seed(77 + number as u64),
-            player,
+            runner,
             site,
             now: ms(5000),
-            due: BTreeMap::new(),
+            schedule: BTreeMap::new(),
             sequence: 0,
             servers: BTreeMap::new(),
             requests: BTreeMap::new(),
-            next_request: 0,
-            next_server: 0,
-            gap: 20_000_000,
+            last_request_id: 0,
+            last_server_number: 0,
+            mean_gap_ns: 20_000_000,
             gap_scale: [1, 4, 3][number],
             discovery: Discovery::Up,
             is_watching: false,
             events: 0,
             actions: Digest::new(),
             status: Digest::new(),
-            kinds: [0; ACTION_KINDS],
-            reasons: [0; REASONS],
+            kinds: [0; ACTION_KIND_COUNT],
+            reasons: [0; REASON_COUNT],
             inputs: BTreeMap::new(),
         };
         for _ in 0..[45, 14, 8][number] {
             model.add_server(None);
         }
         let entries = model.entries();
-        model.play("cached", Input::Endpoints { scope: 2, entries });
+        model.handle("cached", Input::Endpoints { scope: 2, entries });
         for first in [
-            Due::Arrival,
-            Due::Behavior,
-            Due::Load,
-            Due::List,
-            Due::HealthCheck,
-            Due::Stall,
+            Scheduled::Arrival,
+            Scheduled::Behavior,
+            Scheduled::Load,
+            Scheduled::List,
+            Scheduled::HealthCheck,
+            Scheduled::Stall,
         ] {
-            model.after(ms(1), first);
+            model.schedule_after(ms(1), first);
         }
         model
     }
 
     fn add_server(&mut self, started: Option<Duration>) -> u64 {
-        self.next_server += 1;
-        let id = self.next_server * 7 + 3;
+        self.last_server_number += 1;
+        let id = self.last_server_number * 7 + 3;
         let entry = Entry {
             id,
             zone: self.rng.u8(0..3),
@@ -207,25 +213,26 @@
             .collect()
     }
 
-    fn after(&mut self, span: Duration, due: Due) {
+    fn schedule_after(&mut self, span: Duration, due: Scheduled) {
         self.sequence += 1;
-        self.due.insert((self.now + span, self.sequence), due);
+        self.schedule.insert((self.now + span, self.sequence), due);
     }
 
     fn span(&mut self, mean_ms: u64) -> Duration {
         Duration::from_micros(self.rng.u64(1..2000 * mean_ms))
     }
 
-    /// Plays one event, adds its actions to the digest and carries them out.
-    fn play(&mut self, name: &'static str, input: Input) {
+    /// Passes one event to the balancer, adds its actions to the digest and performs them. `name`
+    /// is the kind under which the event is counted.
+    fn handle(&mut self, name: &'static str, input: Input) {
         self.events += 1;
         *self.inputs.entry(name).or_default() += 1;
-        for output in self.player.play(self.now, &input) {
+        for output in self.runner.handle(self.now, &input) {
             self.record(&output);
-            self.carry_out(output);
+            self.perform(output);
         }
         if self.events.is_multiple_of(20) {
-            self.player
+            self.runner
                 .status()
                 .into_iter()
                 .for_each(|word| self.status.word(word));
@@ -280,7 +287,7 @@
             }
             Output::HealthCheck { upstream } => {
                 digest.word(*upstream);
-                HEALTH_CHECK
+                HEALTH_CHECK_KIND
             }
             Output::Log => 8,
         };
@@ -288,7 +295,7 @@
         self.kinds[kind] += 1;
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn perform(&mut self, output: Output) {
         match output {
             Output::Attempt {
                 id,
@@ -297,9 +304,9 @@
             } => self.send(id, upstream, timeout),
             Output::Cancel { id, attempt } => {
                 let span = ms(self.rng.u64(0..3));
-                self.after(
+                self.schedule_after(
                     span,
-                    Due::End {
+                    Scheduled::End {
                         id,
                         attempt,
                         outcome: CANCELLED,
@@ -309,47 +316,51 @@
             Output::Reject { id, .. } | Output::Fail { id, .. } => {
                 if let Some(request) = self.requests.get_mut(&id) {
                     assert!(
-                        !request.is_answered && !request.is_gone,
-                        "two final answers"
+                        !request.has_final_response && !request.is_disconnected,
+                        "request {id} gets a final response after its end"
                     );
-                    request.is_answered = true;
-                    self.forget(id);
+                    request.has_final_response = true;
+                    self.remove_if_ended(id);
                 }
             }
-            Output::Timer { after, number } => self.after(after, Due::Timer(number)),
+            Output::Timer { after, number } => self.schedule_after(after, Scheduled::Timer(number)),
             Output::Watch => {
-                let called = self.now;
+                let polled_at = self.now;
                 let span = self.span(60);
-                self.after(span, Due::Discovery { called });
+                self.schedule_after(span, Scheduled::Discovery { polled_at });
             }
             Output::CloseIdle { .. } | Output::HealthCheck { .. } | Output::Log => {}
         }
     }
 
     pub fn step(&mut self) {
-        let ((at, _), due) = self.due.pop_first().expect("arrivals go on");
-        self.now = self.now.max(at);
+        let ((due_at, _), due) = self
+            .schedule
+            .pop_first()
+            .expect("another arrival is always scheduled");
+        self.now = self.now.max(due_at);
         match due {
-            Due::Arrival => self.arrive(),
-            Due::Timer(number) => self.play("timer", Input::Timer { number }),
-            Due::End {
+            Scheduled::Arrival => self.arrive(),
+            Scheduled::Timer(number) => self.handle("timer", Input::Timer { number }),
+            Scheduled::End {
                 id,
                 attempt,
                 outcome,
             } => self.end(id, attempt, outcome),
-            Due::StreamStart { id, attempt } => self.start_stream(id, attempt),
-            Due::Disconnect { id } => self.disconnect(id),
-            Due::Behavior => self.change_behavior(),
-            Due::Load => self.change_load(),
-            Due::List => self.change_list(),
-            Due::Discovery { called } => self.answer_call(called),
-            Due::HealthCheck => self.end_health_check(),
-            Due::Stall => {
-                // The process stood still: all that fell due meanwhile comes late and together.
+            Scheduled::StreamStart { id, attempt } => self.start_stream(id, attempt),
+            Scheduled::Disconnect { id } => self.disconnect(id),
+            Scheduled::Behavior => self.change_behavior(),
+            Scheduled::Load => self.change_load(),
+            Scheduled::List => self.change_list(),
+            Scheduled::Discovery { polled_at } => self.answer_poll(polled_at),
+            Scheduled::HealthCheck => self.end_health_check(),
+            Scheduled::Stall => {
+                // The process is suspended for some time: the events that are due meanwhile are
+                // late and arrive together.
                 let span = self.span(9000);
-                self.after(span, Due::Stall);
+                self.schedule_after(span, Scheduled::Stall);
                 self.now += ms(self.rng.u64(50..700));
-                self.play("foreign timer", Input::Timer { number: 9 });
+                self.handle("foreign timer", Input::Timer { number: 9 });
             }
         }
     }
--- a/tests/action_digest/sites.rs
+++ b/tests/action_digest/sites.rs
@@ -1,4 +1,4 @@
-//! The settings that are played, in the crate's names.
+//! The settings of the test, in names of the crate.
 
 use frostkeel_policy::{
     Class, DedupGroup, Effect, EndpointWeights, LoadField, LoadReports, Prices, Settings, Tenant,
@@ -19,7 +19,7 @@
     }
 }
 
-fn keyed(group: DedupGroup, ttl_ms: u64) -> Effect {
+fn deduplicated(group: DedupGroup, ttl_ms: u64) -> Effect {
     Effect::Deduplicated {
         group,
         ttl: Duration::from_millis(ttl_ms),
@@ -35,17 +35,18 @@
         .collect()
 }
 
-/// Three settings that differ in all that decisions go by.
+/// Returns one of three settings, which differ in everything that decisions depend on.
 pub fn settings(number: usize) -> Settings {
     match number {
-        0 => polled_by_many(),
+        0 => many_balancers(),
         1 => local_agent(),
-        _ => pushed(),
+        _ => pushed_endpoints(),
     }
 }
 
-/// A large fleet, polled for its list, with inline load reports.
-fn polled_by_many() -> Settings {
+/// Returns the settings of a large fleet that polls for its endpoints, with load reports in every
+/// response.
+fn many_balancers() -> Settings {
     let streamed = Class {
         streamed: true,
         ..class(300, 900, Effect::Idempotent)
@@ -59,13 +60,13 @@
             class(300, 1200, Effect::AtMostOnce),
             Class {
                 priority_weight: 4.0,
-                ..class(150, 1500, keyed(DedupGroup::Cell, 700))
+                ..class(150, 1500, deduplicated(DedupGroup::Cell, 700))
             },
-            class(250, 1500, keyed(DedupGroup::Zone, 360)),
+            class(250, 1500, deduplicated(DedupGroup::Zone, 360)),
             Class {
                 priority_weight: 0.3,
                 late_weight_share: 0.5,
-                ..class(150, 1500, keyed(DedupGroup::All, 600))
+                ..class(150, 1500, deduplicated(DedupGroup::All, 600))
             },
             streamed,
         ],
@@ -90,8 +91,8 @@
     }
 }
 
-/// A few balancers with an agent each, live weights, no hedging, no cancels, one tenant
-/// unnamed.
+/// Returns the settings of a few balancers, each with a local agent, with live weights and without
+/// hedging, cancellation and tenants.
 fn local_agent() -> Settings {
     Settings {
         balancers: 6,
@@ -103,7 +104,7 @@
                 objective_work_multiple: 2.0,
                 ..class(400, 1500, Effect::AtMostOnce)
             },
-            class(250, 1200, keyed(DedupGroup::All, 900)),
+            class(250, 1200, deduplicated(DedupGroup::All, 900)),
         ],
         weight_by_work: true,
         polls_endpoints: true,
@@ -125,8 +126,9 @@
     }
 }
 
-/// One of two balancers whose list is pushed, without weights, with reports of every field.
-fn pushed() -> Settings {
+/// Returns the settings of one of two balancers to which the endpoint list is pushed, without
+/// weights and with load reports of five fields.
+fn pushed_endpoints() -> Settings {
     let streamed = Class {
         streamed: true,
         ..class(300, 900, Effect::Idempotent)
@@ -141,7 +143,7 @@
             },
             Class {
                 priority_weight: 3.0,
-                ..class(300, 900, keyed(DedupGroup::Zone, 500))
+                ..class(300, 900, deduplicated(DedupGroup::Zone, 500))
             },
             streamed,
         ],
