--- a/tests/invariants/main.rs
+++ b/tests/invariants/main.rs
@@ -1,6 +1,6 @@
-//! The invariants of a balancer under random sequences of legal events: no effect happens twice, no
-//! request goes to an upstream that does not take any, every request gets one final response in
-//! time, and the same events give the same actions.
+//! The invariants of a balancer under random sequences of legal events. No effect happens twice, no
+//! request is sent to an upstream that is not ready, every request gets one final response in time,
+//! and equal events give equal actions.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -16,10 +16,11 @@
 use requests::RequestPhase;
 use world::World;
 
-/// How late a final response may come in a world whose clock has steps of a millisecond.
+/// Tolerance for late final responses, in milliseconds; the simulated clock advances in steps of
+/// 1 ms.
 const TOLERANCE_MS: u64 = 20;
 
-/// Eight endpoints that are ready from the start.
+/// Returns an update with eight endpoints that are ready from the start.
 fn initial_endpoints() -> Operation {
     let entries = (1..9).map(EndpointChange::ready).collect();
     Operation::UpdateEndpoints {
@@ -50,20 +51,20 @@
         for (number, operation) in operations.iter().enumerate() {
             world.apply(operation, number as u32);
         }
-        // Time goes on until all deadlines have passed; streams that go on are ended.
+        // The clock advances until all deadlines have passed. Then the remaining streams are ended.
         world.advance(1600);
         for (id, attempt) in world.attempts_in_flight() {
             world.end_attempt(id, attempt, Outcome::Ok, 0.0);
         }
         world.advance(200);
         for (id, request) in &world.requests {
-            prop_assert!(!request.phase.is_open(), "{id:?} was lost: {request:?}");
+            prop_assert!(!request.phase.is_open(), "{id:?} got no final response: {request:?}");
             let is_streamed = world.settings.classes[request.class].streamed;
             let latest = request.deadline + ms(TOLERANCE_MS);
             let is_late = matches!(request.phase, RequestPhase::Answered { at } if at > latest);
             prop_assert!(
                 is_streamed || !is_late,
-                "{id:?} was answered late: {request:?}"
+                "{id:?} got its final response after its deadline: {request:?}"
             );
         }
     }
--- a/tests/invariants/operations.rs
+++ b/tests/invariants/operations.rs
@@ -1,4 +1,4 @@
-//! Random operations of the world round a balancer.
+//! Random operations of the simulated environment of a balancer.
 
 use frostkeel_policy::{Availability, Outcome, UpdateScope};
 use proptest::prelude::{Just, Strategy, any, prop, prop_oneof};
@@ -8,7 +8,7 @@
 pub struct EndpointChange {
     pub id: u64,
     pub availability: Availability,
-    /// Whether its process has just started.
+    /// Whether the process of the upstream has just started.
     pub is_restarted: bool,
 }
 
@@ -22,7 +22,8 @@
     }
 }
 
-/// Something that happens to a balancer. A `pick` selects one of those that are there.
+/// Something that happens in the environment of a balancer. A `pick` is a random number that
+/// selects one of the existing attempts, health checks or requests.
 #[derive(Clone, Debug)]
 pub enum Operation {
     Request {
@@ -120,7 +121,7 @@
     (scope, entries).prop_map(|(scope, entries)| Operation::UpdateEndpoints { scope, entries })
 }
 
-/// Any of the operations, with the frequency that it has in a random sequence.
+/// Returns a strategy that generates operations with the relative frequencies given here.
 pub fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
         6 => request(),
--- a/tests/invariants/requests.rs
+++ b/tests/invariants/requests.rs
@@ -1,4 +1,4 @@
-//! A request of the world, and what may be done about it.
+//! The requests of the simulated environment, and checks of what a balancer may do with them.
 
 use frostkeel_policy::{DedupGroup, Effect, UpstreamId};
 use std::time::Duration;
@@ -6,12 +6,12 @@
 const ZONES: u64 = 2;
 const CELLS: u64 = 4;
 
-/// The zone of an upstream.
+/// Returns the zone of an upstream.
 pub fn zone(upstream: UpstreamId) -> u64 {
     upstream.0 % ZONES
 }
 
-/// The cell of an upstream: the group that shares a memory of idempotency keys.
+/// Returns the cell of an upstream: the group that shares a record of idempotency keys.
 pub fn cell(upstream: UpstreamId) -> u64 {
     upstream.0 % CELLS
 }
@@ -26,11 +26,11 @@
     pub may_have_run: bool,
 }
 
-/// Where a request is between its arrival and its final response.
+/// The state of a request between its arrival and its final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPhase {
     Waiting,
-    /// Its response has started and has no deadline any more.
+    /// The response of the request has started to stream, so the request has no deadline.
     Streaming,
     Answered {
         at: Duration,
@@ -53,27 +53,33 @@
 }
 
 impl Request {
-    /// A further attempt at this upstream must not make the effect happen twice.
-    pub fn check_further_attempt(&self, effect: Effect, now: Duration, upstream: UpstreamId) {
+    /// Asserts that another attempt at this upstream cannot make the effect happen twice.
+    pub fn check_another_attempt(&self, effect: Effect, now: Duration, upstream: UpstreamId) {
         let attempts = self.attempts.iter();
         for first in attempts.filter(|attempt| attempt.is_in_flight || attempt.may_have_run) {
             match effect {
                 Effect::Idempotent => {}
-                Effect::AtMostOnce => panic!("an effect may happen twice"),
+                Effect::AtMostOnce => panic!("another attempt of an at-most-once request"),
                 Effect::Deduplicated { group, ttl } => {
-                    assert!(now <= first.sent_at + ttl, "after the window");
+                    assert!(
+                        now <= first.sent_at + ttl,
+                        "another attempt after the idempotency key may have expired"
+                    );
                     let is_same_group = match group {
                         DedupGroup::All => true,
                         DedupGroup::Zone => zone(first.upstream) == zone(upstream),
                         DedupGroup::Cell => cell(first.upstream) == cell(upstream),
                     };
-                    assert!(is_same_group, "outside the group that drops duplicates");
+                    assert!(
+                        is_same_group,
+                        "another attempt outside the group that shares idempotency keys"
+                    );
                 }
             }
         }
     }
 
-    /// A rejection promises that the client may retry.
+    /// Asserts that a rejection is allowed: it tells the client that a retry is harmless.
     pub fn check_rejection(&self, effect: Effect) {
         let mut attempts = self.attempts.iter();
         let may_have_run = attempts.any(|attempt| attempt.is_in_flight || attempt.may_have_run);
@@ -82,6 +88,9 @@
             Effect::AtMostOnce => !may_have_run,
             Effect::Deduplicated { group, .. } => group == DedupGroup::All || !may_have_run,
         };
-        assert!(is_harmless, "a rejection of a request that may have run");
+        assert!(
+            is_harmless,
+            "a rejection of a request that may have run and must not run twice"
+        );
     }
 }
--- a/tests/invariants/world.rs
+++ b/tests/invariants/world.rs
@@ -1,5 +1,6 @@
-//! The world round a balancer: requests, attempts, endpoints and time. It checks every action.
-#![expect(clippy::expect_used, reason = "a step that fails fails the test")]
+//! The simulated environment of a balancer: requests, attempts, endpoints and a clock. It checks
+//! every action.
+#![expect(clippy::expect_used, reason = "a failing step fails the test")]
 
 use crate::common::{endpoint, ms};
 use crate::operations::{EndpointChange, Operation};
@@ -11,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An attempt by the request and its number.
+/// Identifies an attempt by its request and its number.
 type AttemptKey = (RequestId, usize);
 
 struct ArmedTimer {
@@ -19,10 +20,11 @@
     timer: TimerId,
 }
 
+/// The simulated environment of a balancer.
 pub struct World {
     pub settings: Settings,
     pub requests: BTreeMap<RequestId, Request>,
-    /// Two balancers that get the same events.
+    /// Two balancers with equal settings and seeds, which get the same events.
     balancers: [Balancer; 2],
     now: Duration,
     timers: Vec<ArmedTimer>,
@@ -31,7 +33,7 @@
     ever_listed: BTreeSet<UpstreamId>,
 }
 
-/// The element that a random number selects.
+/// Returns the element that a random number selects; `None` if there is no element.
 fn pick<T: Copy>(elements: &[T], number: usize) -> Option<T> {
     elements.get(number % elements.len().max(1)).copied()
 }
@@ -57,7 +59,10 @@
         let [first, second] = &mut self.balancers;
         first.handle(self.now, event.clone(), &mut actions);
         second.handle(self.now, event, &mut same_actions);
-        assert_eq!(actions, same_actions, "same events, same actions");
+        assert_eq!(
+            actions, same_actions,
+            "two balancers returned different actions for the same events"
+        );
         for action in actions {
             self.perform(action);
         }
@@ -81,7 +86,7 @@
                 let attempts = self.requests[&id].attempts.len();
                 assert!(
                     usize::from(attempt.0) < attempts,
-                    "cancels an attempt that was never sent"
+                    "a cancellation of an attempt that was never sent"
                 );
             }
             Action::Attempt {
@@ -103,16 +108,16 @@
         assert_eq!(
             request.phase,
             RequestPhase::Waiting,
-            "an attempt after the end or beside a stream"
+            "an attempt of a request that has ended or whose response streams"
         );
         assert!(
             request.attempts.len() < usize::from(self.settings.max_attempts),
-            "too many attempts"
+            "more attempts than max_attempts"
         );
         assert_eq!(
             self.listed.get(&upstream),
             Some(&Availability::Ready),
-            "to {upstream:?}, which is draining, removed or unknown"
+            "an attempt at {upstream:?}, which is draining, removed or unknown"
         );
         let mut attempts = request.attempts.iter();
         assert!(
@@ -120,7 +125,7 @@
             "two attempts in flight without hedging"
         );
         let effect = self.settings.classes[request.class].effect;
-        request.check_further_attempt(effect, self.now, upstream);
+        request.check_another_attempt(effect, self.now, upstream);
         let now = self.now;
         let request = self.requests.get_mut(&id).expect("a known request");
         let times_out_at = timeout.map_or(request.deadline, |timeout| {
@@ -140,7 +145,7 @@
         assert_eq!(
             request.phase,
             RequestPhase::Waiting,
-            "a final response after the end or beside a stream"
+            "a final response to a request that has ended or whose response streams"
         );
         request.phase = RequestPhase::Answered { at: self.now };
     }
@@ -181,7 +186,7 @@
         in_flight
     }
 
-    /// Advances the clock, a millisecond at a time; time-outs come before timers.
+    /// Advances the clock in steps of 1 ms. In each step, attempts time out before timers fire.
     pub fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds {
             self.now += ms(1);
@@ -210,7 +215,8 @@
         }
     }
 
-    /// Applies an operation. `number` counts the operations; a request takes it for its id.
+    /// Applies an operation. `number` is the number of the operation, and the id of the request
+    /// that it submits.
     pub fn apply(&mut self, operation: &Operation, number: u32) {
         match operation {
             Operation::Request {
@@ -336,7 +342,7 @@
             });
         }
         let changes = changes.iter().map(|change| (change.id, change));
-        // The last entry of an id counts.
+        // If several entries have the same id, the last one is used.
         let changes: BTreeMap<u64, &EndpointChange> = changes.collect();
         let endpoints: Vec<Endpoint> = changes.values().map(|c| self.endpoint(c)).collect();
         if scope != UpdateScope::Delta {
