--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Token buckets, admission and the final responses of requests that are not served.
+//! Token buckets, admission, and the final responses to requests that are not served.
 
 mod common;
 
@@ -10,7 +10,7 @@
     Action, Effect, Endpoint, FailureReason, Outcome, RequestId, Settings, Tenant,
 };
 
-/// Each of a thousand balancers has spare capacity for a fraction of a request: none may starve
+/// Each of 1000 balancers has spare capacity for only a fraction of a request. This must not starve
 /// its tenants permanently.
 #[test]
 fn admits_all_requests_when_one_balancer_of_many_gets_little_traffic() {
@@ -24,11 +24,11 @@
         harness.advance(ms(450));
     }
     let rejected = harness.final_response_count(FinalResponse::Rejected);
-    assert_eq!(rejected, 0, "of 60 at two requests a second");
+    assert_eq!(rejected, 0, "rejected requests of 60 at two per second");
 }
 
-/// One tenant sends far more than its quota, and none of its requests gets a response in time, so
-/// that nothing but the guarantees is left to admit by.
+/// One tenant sends far more than its quota, and none of its requests gets a response in time.
+/// There is no spare capacity then, so that requests are admitted only by the tenants' guarantees.
 #[test]
 fn admits_guaranteed_requests_while_another_tenant_surges() {
     const SURGING: u32 = 0;
@@ -58,7 +58,7 @@
     }
     assert!(
         admitted * 10 >= sent * 9,
-        "admitted {admitted} of {sent} requests within the quota"
+        "{admitted} of {sent} requests within the quota admitted, expected nine of ten"
     );
 }
 
@@ -72,7 +72,8 @@
     assert!(harness.is_sent(id));
 }
 
-/// A second of the quota passes at once, before the first refill.
+/// The requests of 1 s of the quota and the minimum bucket size are admitted before the first
+/// refill.
 #[test]
 fn new_token_bucket_starts_full() {
     let mut harness = Harness::new(settings_with_quotas(1, &[20.0]), &endpoints(4));
@@ -81,7 +82,8 @@
     assert_eq!(sent, 23);
 }
 
-/// No request gets a response in time, so there is no spare capacity and guarantees give way too.
+/// No request gets a response in time. There is no spare capacity then, and the guarantees are cut
+/// as well.
 #[test]
 fn sheds_guaranteed_requests_when_every_upstream_times_out() {
     let mut harness = Harness::new(settings_with_quotas(1, &[100.0]), &endpoints(4));
@@ -99,12 +101,15 @@
             harness.time_out_attempts(id);
         }
     }
-    assert!(sent < 200, "{sent} of 400 sent while nothing responds");
-    assert!(sent > 0, "some are sent, to detect the recovery");
+    assert!(
+        sent < 200,
+        "{sent} of 400 requests sent while no upstream responds, expected fewer than 200"
+    );
+    assert!(sent > 0, "no request is sent that could detect a recovery");
 }
 
-/// A request that times out at its deadline has no time left, but its client may have: the
-/// rejection carries a `Retry-After`.
+/// A request that times out at its deadline has no time left, but its client may send another
+/// request. The rejection therefore has a `Retry-After`.
 #[test]
 fn rejection_at_the_deadline_has_a_retry_after() {
     let mut harness = Harness::new(settings_with_quotas(1, &[20.0]), &endpoints(2));
@@ -118,7 +123,7 @@
     let range = ms(10)..=Settings::default().max_retry_after;
     assert!(
         retry_after.is_some_and(|time| range.contains(&time)),
-        "{retry_after:?}"
+        "expected a Retry-After within {range:?}, got {retry_after:?}"
     );
 }
 
@@ -132,7 +137,7 @@
     harness
 }
 
-/// On-call staff go by what ended a request: each cause must be distinguishable from the others.
+/// Operators diagnose faults by the failure reason, so each cause must have a separate reason.
 #[test]
 fn final_response_has_the_failure_reason() {
     let mut harness = at_most_once_harness(&[]);
@@ -168,7 +173,7 @@
     assert_eq!(
         harness.failure_reasons.get(&slow),
         Some(&FailureReason::Timeout),
-        "the upstream has responded to another request meanwhile"
+        "the upstream has responded to another request since the attempt was sent"
     );
     let ids: Vec<RequestId> = (0..40).map(|_| harness.request()).collect();
     let last = ids.last().and_then(|id| harness.failure_reasons.get(id));
@@ -177,12 +182,12 @@
             last,
             Some(FailureReason::QuotaExceeded | FailureReason::NoSpareCapacity)
         ),
-        "the bucket is empty: {last:?}"
+        "expected a rejection for an empty token bucket, got {last:?}"
     );
 }
 
-/// Sends requests one after another and ends each of their attempts after `latency_ms`; returns how
-/// many were served.
+/// Submits `count` requests one after another and ends their attempts after `latency_ms`. Returns
+/// how many requests were served.
 fn run_phase(harness: &mut Harness, outcome: Outcome, latency_ms: u64, count: usize) -> usize {
     let mut served = 0;
     for _ in 0..count {
@@ -200,7 +205,8 @@
     served
 }
 
-/// After a time in which every attempt timed out nothing is admitted any more: it must not stay so.
+/// After a period in which every attempt timed out, no request is admitted. Admission must resume
+/// once attempts succeed.
 #[test]
 fn admission_recovers_after_all_attempts_timed_out() {
     let settings = settings_with_quotas(500, &[1000.0]);
@@ -209,5 +215,8 @@
     run_phase(&mut harness, Outcome::TimedOut, 990, 60);
     run_phase(&mut harness, Outcome::Ok, 50, 100);
     let served = run_phase(&mut harness, Outcome::Ok, 50, 50);
-    assert!(served >= 40, "{served} of 50 served long after the outage");
+    assert!(
+        served >= 40,
+        "{served} of 50 requests served long after the outage, expected at least 40"
+    );
 }
