--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts of a request: hedging, retries, time-outs, and connections closed before use.
+//! Attempts of a request: hedging, retries, timeouts, and idle connections that are closed before
+//! they are used.
 
 mod common;
 
@@ -34,18 +35,18 @@
     assert_eq!(
         harness.final_responses.get(&id),
         Some(&FinalResponse::Failed),
-        "a rejection would promise that a retry is harmless"
+        "expected a failure: a rejection would tell the client that a retry is harmless"
     );
     let id = harness.request();
     harness.end_attempt(id, 0, Outcome::ConnectFailed);
     assert!(
         harness.upstream_of(id, 1).is_some(),
-        "a request that never ran may be retried"
+        "a request that was not processed may be retried"
     );
 }
 
-/// An upstream that has responded to others since is not stuck: the request is a long one, and
-/// would be as long anywhere.
+/// The upstream has responded to other requests since the first attempt, so it is not stuck. The
+/// request takes long because it is expensive, and a hedge would take as long at another upstream.
 #[test]
 fn no_hedge_while_the_upstream_responds_to_other_requests() {
     let settings = settings_with_quotas(1, &[1000.0]);
@@ -58,7 +59,7 @@
         others
             .iter()
             .any(|id| harness.upstream_of(*id, 0) == upstream),
-        "others went there too"
+        "the upstream got other requests too"
     );
     for id in others {
         harness.end_attempt(*id, 0, Outcome::Ok);
@@ -67,7 +68,7 @@
     assert_eq!(harness.upstream_of(*long, 1), None, "no hedge");
 }
 
-/// Failures everywhere must not multiply the load.
+/// When all attempts fail, retries must not multiply the load.
 #[test]
 fn retries_stay_within_the_retry_budget() {
     let mut harness = Harness::new(single_class_settings(Effect::Idempotent), &endpoints(20));
@@ -77,28 +78,32 @@
     let max_attempts = requests + requests / 10 + 11;
     assert!(
         attempts <= max_attempts,
-        "{attempts} attempts for {requests} requests"
+        "{attempts} attempts for {requests} requests, expected {max_attempts} at most"
     );
 }
 
-/// An attempt that has no weight after its latency objective is not waited for; one that still has
-/// some then is.
+/// An attempt whose response has no weight after the latency objective is abandoned just before
+/// it. If a late response still has weight, the attempt runs until the client's deadline.
 #[test]
-fn attempt_timeout_ends_when_a_late_response_has_no_weight() {
+fn attempt_times_out_before_the_objective_if_a_late_response_has_no_weight() {
     for (late_weight_share, expected) in [(0.0, Some(ms(392))), (0.5, None)] {
         let mut settings = single_class_settings(Effect::AtMostOnce);
         settings.classes[0].late_weight_share = late_weight_share;
         let mut harness = Harness::new(settings, &endpoints(2));
         harness.request();
         let Some(Action::Attempt { timeout, .. }) = harness.actions.last() else {
-            panic!("not sent")
+            panic!("the request was not sent")
         };
-        assert_eq!(*timeout, expected, "late weight share {late_weight_share}");
+        assert_eq!(
+            *timeout, expected,
+            "timeout with a late weight share of {late_weight_share}"
+        );
     }
 }
 
-/// With low traffic every request uses an idle connection, and one in ten takes long. Two long ones
-/// in a row are chance: closing connections for them would cost a new one each.
+/// With low traffic every request uses an idle connection, and one in ten requests takes long. Two
+/// long requests in a row happen by chance. Closing the idle connections after them would only cost
+/// new connections.
 #[test]
 fn occasional_long_requests_close_no_idle_connections() {
     let mut harness = Harness::new(single_class_settings(Effect::AtMostOnce), &endpoints(2));
@@ -122,15 +127,18 @@
         harness.end_attempt(id, 0, outcome);
         harness.advance(ms(900));
     }
-    assert_eq!(closed, 0, "idle connections closed");
+    assert_eq!(
+        closed, 0,
+        "number of times that idle connections were closed"
+    );
 }
 
-/// Something on the network drops idle connections without notice: requests on connections that
-/// were idle for long get no response. The connections are closed before the next such request;
-/// requests soon after another need no new connection.
+/// The network drops connections silently once they have been idle for some time, and requests on
+/// them get no response. The balancer must close such connections before the next request uses
+/// them, but keep those that were used recently.
 #[test]
 fn closes_idle_connections_before_use_when_they_go_silent() {
-    const DROPPED_AFTER: Duration = ms(900);
+    const MAX_IDLE: Duration = ms(900);
     let mut harness = Harness::new(single_class_settings(Effect::AtMostOnce), &endpoints(2));
     let mut closed_at: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
     let mut last_used_at: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
@@ -147,7 +155,7 @@
         let last_used = last_used_at.get(&upstream);
         let idle = last_used.map_or(Duration::ZERO, |time| harness.now - *time);
         let is_new = closed_at.get(&upstream) == Some(&harness.now);
-        let is_lost = idle > DROPPED_AFTER && !is_new;
+        let is_lost = idle > MAX_IDLE && !is_new;
         harness.advance(ms(if is_lost { 600 } else { 20 }));
         let outcome = if is_lost {
             Outcome::TimedOut
@@ -162,10 +170,10 @@
     }
     assert!(
         lost > 0 && !closed_at.is_empty(),
-        "requests were lost and connections closed"
+        "expected lost requests and closed connections: {lost} lost, closed at {closed_at:?}"
     );
     assert!(
         lost_late <= 12,
-        "{lost_late} of the last 50 after a pause still lost, {lost} in all"
+        "{lost_late} of the last 50 requests after a pause lost, expected 12 at most; {lost} in all"
     );
 }
