--- a/tests/bounded_state.rs
+++ b/tests/bounded_state.rs
@@ -1,4 +1,4 @@
-//! State stays bounded however long a balancer runs.
+//! The state of a balancer stays bounded over a long run.
 
 mod common;
 
@@ -9,7 +9,7 @@
     settings_with_quotas(1, &[50.0])
 }
 
-/// All endpoints are replaced again and again; requests keep going to those that are listed.
+/// Each update replaces all endpoints. Requests must go only to endpoints of the present list.
 #[test]
 fn releases_state_of_replaced_upstreams() {
     let mut harness = Harness::new(settings(), &endpoints(4));
@@ -21,7 +21,7 @@
         if let Some(upstream) = harness.upstream_of(id, 0) {
             assert!(
                 listed.iter().any(|endpoint| endpoint.id == upstream),
-                "{upstream:?} is removed"
+                "sent to {upstream:?}, which has been removed"
             );
             harness.end_attempt(id, 0, Outcome::Ok);
         }
@@ -29,7 +29,7 @@
     let entries = harness.balancer.entries();
     assert!(
         entries <= 40,
-        "{entries} entries after two hundred lists of four endpoints"
+        "{entries} state entries after 200 lists of 4 endpoints, expected 40 at most"
     );
 }
 
@@ -41,6 +41,6 @@
     let entries = harness.balancer.entries();
     assert!(
         entries <= 20,
-        "{entries} entries after two thousand requests"
+        "{entries} state entries after 2000 completed requests, expected 20 at most"
     );
 }
