--- a/tests/endpoint_lease.rs
+++ b/tests/endpoint_lease.rs
@@ -1,6 +1,6 @@
-//! The lease on the list of endpoints, in simulated time: how it ends and is renewed, and a fleet
-//! whose watches all fall silent as an upstream begins to drain, before a discovery that answers
-//! one poll after another.
+//! The lease on the endpoint list, in simulated time: how it expires and how it is renewed. A
+//! simulated fleet polls a discovery that answers one poll after another, after all watches have
+//! stopped delivering data just when an upstream begins to drain.
 
 mod common;
 
@@ -12,20 +12,22 @@
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// What a silent watch misses counts as notified after this time; then the grace period begins.
+/// Time after which a change that a silent watch missed counts as notified; then the drain grace
+/// begins.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
-const GRACE: Duration = Duration::from_secs(1);
-/// When an embedder gives up a watch on which nothing arrives.
+/// The drain grace of the default settings.
+const DRAIN_GRACE: Duration = Duration::from_secs(1);
+/// Time without data after which an embedder treats a watch as failed.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 const STEP: Duration = ms(25);
-/// The longest that discovery takes to answer one poll.
+/// The longest time that discovery takes to answer one poll.
 const MAX_SERVICE_TIME: Duration = ms(250);
 /// Polls that have waited for this long are rejected.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(3);
 /// The upstream that begins to drain.
 const DRAINING: UpstreamId = UpstreamId(1);
 
-/// A balancer that has just got the whole list.
+/// Returns a balancer that has just received the complete endpoint list.
 fn harness(balancers: u32, index: u32) -> Harness {
     let settings = Settings {
         polls_endpoints: true,
@@ -45,7 +47,7 @@
     listed.filter(|endpoint| endpoint.id != DRAINING).collect()
 }
 
-/// A poll in discovery's queue.
+/// A poll that waits in the queue of discovery.
 #[derive(Clone, Copy)]
 struct Poll {
     balancer: usize,
@@ -55,11 +57,12 @@
 /// A poll that has ended.
 struct EndedPoll {
     balancer: usize,
-    /// It was answered, not rejected.
+    /// Whether the poll was answered; otherwise it was rejected.
     is_answered: bool,
 }
 
-/// Discovery: it answers one poll after another, and rejects those that have waited for too long.
+/// Simulates discovery, which answers one poll after another and rejects polls that have waited for
+/// too long.
 struct Discovery {
     service_time: Duration,
     queue: VecDeque<Poll>,
@@ -67,7 +70,8 @@
 }
 
 impl Discovery {
-    /// It needs `total_service_time` for a poll of each balancer.
+    /// Creates a discovery that needs `total_service_time` to answer one poll of each balancer, but
+    /// at most [`MAX_SERVICE_TIME`] for each poll.
     fn new(balancers: u32, total_service_time: Duration) -> Self {
         Self {
             service_time: (total_service_time / balancers).min(MAX_SERVICE_TIME),
@@ -76,13 +80,13 @@
         }
     }
 
-    /// Whether a further poll would wait for too long: it is rejected at once.
+    /// Returns whether another poll would wait for too long; such a poll is rejected immediately.
     fn is_full(&self) -> bool {
         self.service_time * (self.queue.len() as u32 + 1) > MAX_QUEUE_TIME
     }
 
-    /// The polls that end by now.
-    fn take_ended(&mut self, now: Duration) -> Vec<EndedPoll> {
+    /// Removes and returns the polls that have ended by `now`.
+    fn remove_ended(&mut self, now: Duration) -> Vec<EndedPoll> {
         let mut ended = Vec::new();
         while let Some(poll) = self.queue.front().copied() {
             let rejected_at = poll.arrived_at + MAX_QUEUE_TIME;
@@ -107,28 +111,28 @@
 /// One balancer of the simulated fleet.
 struct Member {
     harness: Harness,
-    polls_seen: usize,
+    forwarded_polls: usize,
     knows_of_drain: bool,
-    /// Seconds in which it paused its sends.
+    /// Seconds for which this balancer paused its sends.
     paused_s: f64,
 }
 
-/// What happened in a simulation.
+/// The results of a simulated fleet, for the assertions of a test.
 #[derive(Debug, Default)]
 struct Findings {
-    /// Requests sent to the draining upstream after the grace period.
+    /// Number of requests that were sent to the draining upstream after the drain grace.
     late_sends: usize,
-    /// When the last balancer learned of the drain.
+    /// The time at which the last balancer was notified of the drain.
     all_notified_at: Duration,
-    /// Balancers that paused their sends at some time.
+    /// Number of balancers that paused their sends at some time.
     paused_balancers: usize,
-    /// Seconds of it for each balancer in the mean.
+    /// Mean over all balancers of the seconds for which each paused its sends.
     mean_paused_s: f64,
-    /// Polls that discovery got.
+    /// Number of polls that discovery received.
     polls: usize,
 }
 
-/// A fleet whose watches all fall silent at time zero, when an upstream begins to drain.
+/// A fleet whose watches all stop delivering data at time zero, when an upstream begins to drain.
 struct Simulation {
     members: Vec<Member>,
     discovery: Discovery,
@@ -140,7 +144,7 @@
     fn new(balancers: u32, total_service_time: Duration) -> Self {
         let member = |index| Member {
             harness: harness(balancers, index),
-            polls_seen: 0,
+            forwarded_polls: 0,
             knows_of_drain: false,
             paused_s: 0.0,
         };
@@ -162,7 +166,7 @@
             for index in 0..self.members.len() {
                 self.members[index].harness.advance(STEP);
                 self.forward_poll(index);
-                // One request every quarter of a second each.
+                // Each balancer sends a request every quarter of a second.
                 if (self.now / 25).subsec_millis() % 10 == index as u32 % 10 {
                     self.send_request(index);
                 }
@@ -181,7 +185,7 @@
     }
 
     fn end_polls(&mut self) {
-        for poll in self.discovery.take_ended(self.now) {
+        for poll in self.discovery.remove_ended(self.now) {
             let member = &mut self.members[poll.balancer];
             if poll.is_answered {
                 let listed = endpoints_without_draining();
@@ -195,14 +199,14 @@
         }
     }
 
-    /// Passes a poll that the balancer has just begun to discovery.
+    /// Forwards a poll to discovery if the balancer has just sent one.
     fn forward_poll(&mut self, index: usize) {
         let member = &mut self.members[index];
         let polls = member.harness.polls.len();
-        if polls == member.polls_seen {
+        if polls == member.forwarded_polls {
             return;
         }
-        member.polls_seen = polls;
+        member.forwarded_polls = polls;
         self.findings.polls += 1;
         if self.discovery.is_full() {
             member.harness.fail_poll();
@@ -218,7 +222,7 @@
         let member = &mut self.members[index];
         let id = member.harness.request();
         if let Some(upstream) = member.harness.upstream_of(id, 0) {
-            let is_late = upstream == DRAINING && self.now >= NOTIFIED_WITHIN + GRACE;
+            let is_late = upstream == DRAINING && self.now >= NOTIFIED_WITHIN + DRAIN_GRACE;
             self.findings.late_sends += usize::from(is_late);
             member.harness.end_attempt(id, 0, Outcome::Ok);
         } else if member.harness.failure_reasons.get(&id) == Some(&FailureReason::StaleEndpoints) {
@@ -231,7 +235,7 @@
         let members = self.members.iter();
         assert!(
             members.clone().all(|member| member.knows_of_drain),
-            "all know in the end: {findings:?}"
+            "some balancers were never notified of the drain: {findings:?}"
         );
         let paused = members.map(|member| member.paused_s);
         findings.paused_balancers = paused.clone().filter(|seconds| *seconds > 0.0).count();
@@ -240,22 +244,23 @@
     }
 }
 
-/// Fleets of every size before a discovery that needs up to 8 s for a poll of each balancer: a
-/// balancer that has no list in time sends nothing, and few have to pause for long.
+/// Discovery needs up to 8 s to answer one poll of each balancer. In a fleet of any size, a
+/// balancer without a confirmed list sends nothing, and the mean pause of sends stays short.
 #[test]
 fn no_balancer_sends_by_a_stale_list_after_silent_watches() {
     for balancers in [2, 5, 20, 40, 60, 300, 900] {
         for total_service_time in [SECOND, 5 * SECOND, 8 * SECOND] {
             let findings = Simulation::new(balancers, total_service_time).run();
-            let context =
-                format!("{balancers} balancers, {total_service_time:?} for all: {findings:?}");
+            let context = format!(
+                "{balancers} balancers, {total_service_time:?} for all polls: {findings:?}"
+            );
             assert_eq!(findings.late_sends, 0, "{context}");
             assert!(findings.mean_paused_s <= 2.0, "{context}");
         }
     }
 }
 
-/// Whether a request is sent.
+/// Submits a request and returns whether it is sent to an upstream.
 fn sends(harness: &mut Harness) -> bool {
     let id = harness.request();
     harness.serve_if_sent(id);
@@ -269,47 +274,57 @@
             WatchEvent::Silent {
                 since: Duration::ZERO,
             },
-            NOTIFIED_WITHIN + GRACE,
+            NOTIFIED_WITHIN + DRAIN_GRACE,
         ),
         (
             WatchEvent::Rejected {
                 requested_at: Duration::ZERO,
             },
-            NOTIFIED_WITHIN + GRACE,
+            NOTIFIED_WITHIN + DRAIN_GRACE,
         ),
-        (WatchEvent::Moved, 4 * SECOND + GRACE),
-        (WatchEvent::Ended, 2 * SECOND + GRACE),
+        (WatchEvent::Moved, 4 * SECOND + DRAIN_GRACE),
+        (WatchEvent::Ended, 2 * SECOND + DRAIN_GRACE),
         (
             WatchEvent::Partial {
                 since: Duration::ZERO,
             },
-            GRACE,
+            DRAIN_GRACE,
         ),
     ] {
         let mut harness = harness(3, 0);
         harness.handle(Event::Watch(event));
         harness.advance(expires_at - ms(300));
-        assert!(sends(&mut harness), "{event:?}: the lease has not expired");
-        // A margin of 0.15 s is left for a pause before the write.
+        assert!(
+            sends(&mut harness),
+            "{event:?}: no request is sent although the lease has not expired"
+        );
+        // The lease expires at least 0.15 s early, as the embedder may pause before the write.
         harness.advance(ms(150));
-        assert!(!sends(&mut harness), "{event:?}: the lease has expired");
+        assert!(
+            !sends(&mut harness),
+            "{event:?}: a request is sent although the lease has expired"
+        );
         let pause = harness.balancer.send_pause().expect("sends are paused");
         assert!(
             pause.from <= expires_at - ms(150) && pause.until > expires_at,
-            "{pause:?}"
+            "{event:?}: expected a pause that contains {expires_at:?}, got {pause:?}"
         );
-        // Polls that fail renew nothing, and neither does a later silence.
+        // Neither a failed poll nor a later silence renews the lease.
         harness.fail_poll();
         let since = harness.now;
         harness.handle(Event::Watch(WatchEvent::Silent { since }));
         assert!(!sends(&mut harness));
         harness.update_endpoints(UpdateScope::Delta, &[]);
-        assert!(sends(&mut harness), "{event:?}: a heartbeat renews it");
+        assert!(
+            sends(&mut harness),
+            "{event:?}: a heartbeat must renew the lease"
+        );
         assert_eq!(harness.balancer.send_pause(), None);
     }
 }
 
-/// Polls that are rejected, or reach nobody, show that discovery is down and has no updates.
+/// A poll that cannot connect, or is rejected only after some time, shows that discovery is down. A
+/// discovery that is down notifies no changes.
 #[test]
 fn lease_is_restored_while_discovery_is_down() {
     let requested_at = 2 * SECOND;
@@ -323,7 +338,7 @@
         assert!(!sends(&mut harness));
         harness.handle(Event::Watch(event));
         harness.advance(60 * SECOND);
-        assert!(sends(&mut harness), "{event:?}");
+        assert!(sends(&mut harness), "{event:?}: the lease must be restored");
     }
 }
 
@@ -336,7 +351,7 @@
     assert!(sends(&mut harness));
 }
 
-/// A request is in flight as the lease expires.
+/// The lease expires while a request is in flight.
 #[test]
 fn no_retry_after_the_lease_has_expired() {
     let mut harness = harness(3, 0);
@@ -350,6 +365,6 @@
     assert!(harness.upstream_of(id, 1).is_none(), "no retry");
     assert!(
         harness.final_responses.contains_key(&id),
-        "a final response all the same"
+        "the request must still get a final response"
     );
 }
