--- a/tests/endpoint_polling.rs
+++ b/tests/endpoint_polling.rs
@@ -1,5 +1,5 @@
-//! When balancers poll for their endpoints, in simulated time: how long a change can stay unknown
-//! however polls fail, for fleets of many sizes, and that polls are spread over time.
+//! The polls for the endpoint list, in simulated time and for fleets of many sizes: how long a
+//! change can stay unknown when polls fail, and how polls are spread over time.
 
 mod common;
 
@@ -7,11 +7,12 @@
 use frostkeel_policy::{Effect, Settings, UpdateScope};
 use std::time::Duration;
 
-/// A change counts as notified this long after discovery had it and could be reached.
+/// Time after which a change counts as notified, counted from when discovery has it and can be
+/// reached.
 const NOTIFIED_WITHIN: Duration = ms(6000);
-/// How long a poll takes that discovery answers.
+/// The time that a successful poll takes.
 const POLL_DURATION: Duration = ms(1500);
-/// When a watch on which nothing arrives counts as broken.
+/// Time without data after which a watch counts as failed.
 const SILENCE_TIMEOUT: Duration = ms(3000);
 const STEP: Duration = ms(5);
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Up to four balancers of each of several fleets.
+/// Returns up to four balancers of each of several fleets.
 fn members_of_fleets() -> Vec<Member> {
     let mut members = Vec::new();
     for balancers in [2, 5, 20, 30] {
@@ -54,15 +55,16 @@
     members
 }
 
-/// How long the balancer waits after a failed poll before it polls again.
+/// Reports a failed poll and returns how long the balancer waits before it polls again.
 fn delay_after_failure(harness: &mut Harness) -> Duration {
     harness.fail_poll();
     let failed_at = harness.now;
     harness.advance_to_next_poll(STEP) - failed_at
 }
 
-/// A change is made right after a poll has begun, with discovery in reach from then on: it is known
-/// in time whether the poll is rejected at once or given up, and however many have failed before.
+/// A change is made right after a poll has begun, and discovery can be reached from then on. The
+/// balancer must know the change in time whether that poll is rejected immediately or times out,
+/// and for any number of earlier failures.
 #[test]
 fn learns_of_a_change_in_time_after_failed_polls() {
     for member in members_of_fleets() {
@@ -77,8 +79,8 @@
                 let delay = known_at - change_at;
                 assert!(
                     delay <= NOTIFIED_WITHIN,
-                    "{member:?}, polls of {failed_poll_duration:?}: known after {delay:?} \
-                     ({failures} failures before)"
+                    "{member:?}, polls that fail after {failed_poll_duration:?}: change known \
+                     after {delay:?}, after {failures} rounds of failures"
                 );
                 harness.advance(failed_poll_duration);
                 harness.fail_poll();
@@ -87,7 +89,8 @@
     }
 }
 
-/// The silence has to be noticed first, then the balancer waits, then it polls.
+/// The delay until a change is known consists of the time until the silence is detected, the
+/// backoff and the duration of the poll.
 #[test]
 fn learns_of_a_change_in_time_after_a_silent_watch() {
     for member in members_of_fleets() {
@@ -99,15 +102,16 @@
             let delay = SILENCE_TIMEOUT + delay_after_failure(&mut harness) + POLL_DURATION;
             assert!(
                 delay <= NOTIFIED_WITHIN,
-                "{member:?}: known after {delay:?}"
+                "{member:?}: change known after {delay:?}"
             );
         }
     }
 }
 
-/// In the largest fleets polls have to be spread as well: the delay alone is bounded there.
+/// In the largest fleet polls also have to be spread over time. Only the backoff is bounded there,
+/// not the total time until a change is known.
 #[test]
-fn poll_delay_is_bounded_in_the_largest_fleet() {
+fn poll_delay_is_bounded_for_300_balancers() {
     for index in 0..300 {
         let member = Member {
             balancers: 300,
@@ -120,16 +124,16 @@
             let delay = delay_after_failure(&mut harness);
             assert!(
                 delay <= NOTIFIED_WITHIN - POLL_DURATION,
-                "balancer {index} waits {delay:?}"
+                "balancer {index} waits for {delay:?} after a failed poll"
             );
             harness.fail_poll();
         }
     }
 }
 
-/// A site with local agents: no polls of other balancers wait there.
+/// A local agent gets no polls of other balancers, so that polls need not be spread over time.
 #[test]
-fn polls_a_local_agent_at_once() {
+fn polls_a_local_agent_without_delay() {
     let member = Member {
         balancers: 300,
         index: 7,
@@ -146,7 +150,7 @@
     }
 }
 
-/// When a balancer polls first, and how long after that poll has failed it polls again.
+/// The time of a balancer's first poll, and its backoff after that poll has failed.
 struct PollTimes {
     first: Duration,
     retry_delay: Duration,
@@ -164,7 +168,7 @@
         harness.advance_to_next_poll(STEP);
     }
     let first = harness.polls[0];
-    // The poll has waited in discovery's queue.
+    // The poll has waited in the queue of discovery for 3 s and fails.
     harness.advance(ms(3000));
     harness.fail_poll();
     let failed_at = harness.now;
@@ -174,7 +178,7 @@
     }
 }
 
-/// The most of these times that lie within one second.
+/// Returns the largest number of these times that lie within one second.
 fn max_within_a_second(times: &[Duration]) -> usize {
     let within = |start: &Duration| {
         let window = *start..*start + ms(1000);
@@ -183,8 +187,8 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-/// All balancers restart together, and discovery handles their polls one after another: neither the
-/// first polls nor those after a failure may come at once.
+/// All balancers restart together, and discovery answers their polls one after another. Neither the
+/// first polls nor the polls after a failure may arrive all at the same time.
 #[test]
 fn polls_of_many_balancers_are_spread() {
     let times: Vec<PollTimes> = (0..100).map(|index| poll_times(100, index)).collect();
@@ -192,20 +196,23 @@
     let retry_delays: Vec<Duration> = times.iter().map(|times| times.retry_delay).collect();
     for times in [first, retry_delays] {
         let max = max_within_a_second(&times);
-        assert!(max < 45, "{max} of 100 polls within a second");
+        assert!(
+            max < 45,
+            "{max} of 100 polls within a second, expected fewer than 45"
+        );
         assert!(
             times.iter().all(|time| *time <= ms(5100)),
-            "none much later than half of the poll interval"
+            "a poll is much later than half of the poll interval: {times:?}"
         );
     }
     let single = poll_times(1, 0);
     assert!(
         single.first <= ms(200),
-        "a single balancer has nobody to wait for"
+        "a single balancer must poll within 200 ms"
     );
 }
 
-/// Discovery is down: polls are retried with backoff, and the endpoints that are known stay in use.
+/// While discovery is down, polls are retried with backoff and the known endpoints stay in use.
 #[test]
 fn failed_polls_back_off_and_keep_the_endpoint_list() {
     let settings = Settings {
@@ -221,7 +228,10 @@
         }
     }
     let polls = harness.polls.len();
-    assert!((5..=30).contains(&polls), "{polls} polls in a minute");
+    assert!(
+        (5..=30).contains(&polls),
+        "{polls} polls in a minute, expected 5 to 30"
+    );
     let id = harness.request();
     assert!(harness.is_sent(id));
 }
