--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates, and events for requests and upstreams that are not known.
+//! Endpoint updates, and events for unknown requests and upstreams.
 
 mod common;
 
