--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Each file of the decision module stays small enough to be read whole: 400 lines, 100 characters
-//! each. How many lines they have together is not limited.
+//! Limits the size of each file of the decision module to 400 lines of at most 100 characters, so
+//! that it can be read in one go. The total number of lines is not limited.
 
 const MAX_FILE_LINES: usize = 400;
 const MAX_LINE_CHARACTERS: usize = 100;
@@ -89,59 +89,66 @@
     ),
 ];
 
-/// What of a file's text goes over the limits.
-fn breaches(text: &str) -> Vec<String> {
-    let mut found = Vec::new();
+/// Returns a message for each limit that the text of a file exceeds.
+fn limit_violations(text: &str) -> Vec<String> {
+    let mut violations = Vec::new();
     let lines = text.lines().count();
     if lines > MAX_FILE_LINES {
-        found.push(format!("{lines} lines, {MAX_FILE_LINES} at most"));
+        violations.push(format!("{lines} lines, expected {MAX_FILE_LINES} at most"));
     }
     for (n, line) in text
         .lines()
         .enumerate()
         .filter(|(_, l)| l.chars().count() > MAX_LINE_CHARACTERS)
     {
-        found.push(format!(
-            "line {} has {} characters",
+        violations.push(format!(
+            "line {} has {} characters, expected {MAX_LINE_CHARACTERS} at most",
             n + 1,
             line.chars().count()
         ));
     }
-    found
+    violations
 }
 
 #[test]
-fn the_decision_module_is_within_its_limits() {
+fn decision_module_is_within_the_size_limits() {
     for (name, text) in FILES {
-        let found = breaches(text);
-        assert!(found.is_empty(), "{name}: {found:?}");
+        let violations = limit_violations(text);
+        assert!(violations.is_empty(), "{name}: {violations:?}");
     }
 }
 
 #[test]
-fn the_deploy_file_names_its_files_and_no_other() {
+fn deploy_file_names_exactly_the_files_of_the_decision_module() {
     let deploy = include_str!("../deploy/balancer.toml");
-    let named = FILES.map(|(name, _)| format!("{name:?}")).join(", ");
+    let policy_files = FILES.map(|(name, _)| format!("{name:?}")).join(", ");
     assert!(
         deploy
             .lines()
-            .any(|l| l.starts_with(&format!("policy = [{named}]"))),
+            .any(|l| l.starts_with(&format!("policy = [{policy_files}]"))),
         "{deploy}"
     );
-    let there = std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/src/policy"))
-        .expect("a folder")
+    let file_count = std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/src/policy"))
+        .expect("src/policy is a readable folder")
         .count();
-    assert_eq!(there, FILES.len(), "files in src/policy");
+    assert_eq!(file_count, FILES.len(), "number of files in src/policy");
 }
 
 #[test]
-fn one_line_or_one_character_too_many_is_seen() {
+fn one_line_or_one_character_too_many_is_reported() {
     let full = "x\n".repeat(MAX_FILE_LINES);
-    assert!(breaches(&full).is_empty());
-    assert_eq!(breaches(&(full + "\n")).len(), 1, "blank lines count");
+    assert!(limit_violations(&full).is_empty());
+    assert_eq!(
+        limit_violations(&(full + "\n")).len(),
+        1,
+        "blank lines count"
+    );
     assert!(
-        breaches(&"é".repeat(MAX_LINE_CHARACTERS)).is_empty(),
+        limit_violations(&"é".repeat(MAX_LINE_CHARACTERS)).is_empty(),
         "characters, not bytes"
     );
-    assert_eq!(breaches(&"x".repeat(MAX_LINE_CHARACTERS + 1)).len(), 1);
+    assert_eq!(
+        limit_violations(&"x".repeat(MAX_LINE_CHARACTERS + 1)).len(),
+        1
+    );
 }
