--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! What load reports tell of upstreams: late ones, missing ones and invalid ones.
+//! The use of load reports of upstreams, including late, missing and invalid ones.
 
 mod common;
 
@@ -8,9 +8,8 @@
 };
 use frostkeel_policy::{Effect, LoadField, Outcome, UpdateScope, UpstreamId};
 
-/// A balancer with little traffic gets a report of each upstream about once a second. It goes by
-/// the latest one of each, not by a mean over fifty reports, which is several seconds of its
-/// traffic.
+/// A balancer with little traffic gets a report from each upstream about once a second. It must use
+/// the latest report of each: a mean over fifty reports would span several seconds of its traffic.
 #[test]
 fn utilization_follows_the_latest_report_of_each_upstream() {
     let settings = settings_with_quotas(100, &[1500.0]);
@@ -29,12 +28,12 @@
     let utilization = utilization_when_all_report(0.9);
     assert!(
         (utilization - 0.9).abs() < 0.01,
-        "{utilization} where all report 0.9"
+        "a utilization of {utilization}, expected the 0.9 that all upstreams report"
     );
 }
 
-/// Four of five upstreams report the requests that they have in flight; the fifth has not reported
-/// for seconds. If it counted as idle, all balancers would send it their requests.
+/// Four of five upstreams report their requests in flight, and the fifth has not reported for
+/// seconds. If it counted as idle, all balancers would send their requests to it.
 #[test]
 fn upstream_without_recent_reports_does_not_count_as_idle() {
     const LAST_REPORT_OF_ALL: usize = 100;
@@ -54,11 +53,12 @@
     let attempts = harness.attempt_count(UpstreamId(5));
     assert!(
         (90..=150).contains(&attempts),
-        "{attempts} of 600 at one of five"
+        "{attempts} of 600 attempts at the upstream without recent reports, expected 90 to 150"
     );
 }
 
-/// A single balancer knows all requests in flight: an old report says nothing of others.
+/// A single balancer knows all requests in flight itself. There are no other balancers whose
+/// requests an old report could show.
 #[test]
 fn single_balancer_ignores_stale_load_reports() {
     let settings = settings_with_quotas(1, &[1000.0]);
@@ -67,7 +67,10 @@
     let reporting = UpstreamId(1);
     for k in 0..300 {
         let id = harness.request();
-        assert!(harness.is_sent(id), "there is spare capacity for one");
+        assert!(
+            harness.is_sent(id),
+            "rejected although there is spare capacity for one request"
+        );
         harness.advance(ms(5));
         harness.end_attempt(id, 0, Outcome::Ok);
         let in_flight = if k % 2 == 0 { 9.0 } else { 0.0 };
@@ -76,11 +79,11 @@
     let attempts = harness.attempt_count(reporting);
     assert!(
         (85..=115).contains(&attempts),
-        "{attempts} of 300 at the upstream with old reports"
+        "{attempts} of 300 attempts at the upstream with old reports, expected 85 to 115"
     );
 }
 
-/// Invalid values neither panic nor spoil what is known.
+/// Invalid values neither cause a panic nor corrupt the load estimates.
 #[test]
 fn ignores_invalid_load_reports_and_weights() {
     let settings = single_class_settings(Effect::Idempotent);
@@ -96,8 +99,14 @@
     harness.advance(ms(10_000));
     harness.run_traffic(200, ms(30), |_| Some(Outcome::Ok));
     let served = harness.final_response_count(FinalResponse::Served);
-    assert!(served > 180, "{served} of 200 served");
+    assert!(
+        served > 180,
+        "{served} of 200 requests served, expected more than 180"
+    );
     for upstream in [UpstreamId(1), UpstreamId(2)] {
-        assert!(harness.attempt_count(upstream) > 20, "{upstream:?}");
+        assert!(
+            harness.attempt_count(upstream) > 20,
+            "{upstream:?} got 20 attempts or fewer"
+        );
     }
 }
