--- a/tests/log_events.rs
+++ b/tests/log_events.rs
@@ -1,9 +1,10 @@
-//! The texts of the decision module's log lines: operators and the simulator's wire get them byte for byte.
+//! The texts of the decision module's log events. Operators and the simulator get them byte for
+//! byte.
 
 use frostkeel_policy::{LogEvent, StalenessCause};
 
 #[test]
-fn a_confirmed_endpoint_list_says_how_long_sends_were_paused_and_why() {
+fn endpoints_confirmed_event_states_the_length_and_the_cause_of_the_pause() {
     for (cause, text) in [
         (StalenessCause::WatchSilent, "discovery was silent"),
         (StalenessCause::WatchEnded, "discovery ended the watch"),
