--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Which upstreams are ejected, for how long, and which are not.
-#![expect(clippy::expect_used, reason = "a step that fails fails the test")]
+//! Outlier detection: which upstreams are ejected, and for how long.
+#![expect(clippy::expect_used, reason = "a failing step fails the test")]
 
 mod common;
 
@@ -13,17 +13,17 @@
     Harness::new(settings, &endpoints(endpoint_count))
 }
 
-/// All upstreams are in the rotation, none in slow start, none ejected.
+/// Asserts that all upstreams are in the rotation, and that none is in slow start or ejected.
 fn assert_all_in_rotation(harness: &Harness, upstreams: usize, context: &str) {
     let status = harness.balancer.status();
     assert_eq!(
         (status.rotation_size, status.warming_up, status.ejected),
         (upstreams, 0, 0),
-        "in rotation, in slow start, ejected {context}"
+        "number of upstreams in the rotation, in slow start and ejected, {context}"
     );
 }
 
-/// Attempts in 3 s at an upstream that fails each of them, among four.
+/// Returns how many attempts one of four upstreams gets in 3 s if it fails each of them.
 fn attempts_at_failing_upstream(balancers: u32) -> usize {
     let settings = Settings {
         balancers,
@@ -44,21 +44,25 @@
     harness.attempt_count(failing) - before
 }
 
-/// Every balancer tries an ejected upstream again on its own. Where sixteen share it, each waits
-/// longer, so that together they are no load to an upstream that needs to recover.
+/// Each balancer sends trial requests to an ejected upstream independently of the others. With 16
+/// balancers each one waits longer, so that their trials together do not load an upstream that has
+/// to recover.
 #[test]
-fn ejection_lasts_longer_when_more_balancers_share_an_upstream() {
+fn ejection_time_grows_with_the_number_of_balancers_per_upstream() {
     let attempts = attempts_at_failing_upstream(1);
-    assert!(attempts > 0, "a single balancer tries it within 3 s");
+    assert!(
+        attempts > 0,
+        "a single balancer sends a trial request within 3 s"
+    );
     assert_eq!(
         attempts_at_failing_upstream(16),
         0,
-        "one of sixteen waits longer"
+        "one of 16 balancers sends no trial request within 3 s"
     );
 }
 
-/// Sends requests of which one in ten attempts fails anywhere, and every one at `failing`; returns
-/// the most upstreams that were ejected at a time.
+/// Sends requests of which every attempt at `failing`, and one in ten attempts at any other
+/// upstream, fails. Returns the largest number of upstreams that were ejected at the same time.
 fn run_with_background_errors(
     harness: &mut Harness,
     rng: &mut fastrand::Rng,
@@ -82,14 +86,17 @@
     max_ejected
 }
 
-/// Responses are lost on the network, one in ten from each upstream: that must eject none of them.
-/// One that gives nothing but errors is still found among them.
+/// One in ten attempts fails at each upstream, as when the network loses responses. This must eject
+/// no upstream, while an upstream that only sends errors must still be detected.
 #[test]
 fn ejects_the_upstream_with_only_errors_and_none_for_background_errors() {
     let mut harness = idempotent_harness(8);
     let mut rng = fastrand::Rng::with_seed(5);
     let ejected = run_with_background_errors(&mut harness, &mut rng, 3000, None);
-    assert_eq!(ejected, 0, "ejected at a time, of eight healthy upstreams");
+    assert_eq!(
+        ejected, 0,
+        "number of healthy upstreams that were ejected at the same time"
+    );
     let failing = UpstreamId(3);
     let ejected = run_with_background_errors(&mut harness, &mut rng, 600, Some(failing));
     assert!(ejected > 0);
@@ -98,22 +105,22 @@
     let attempts = harness.attempt_count(failing) - before;
     assert!(
         attempts < 40,
-        "{attempts} of some 700 attempts at the upstream that has only errors"
+        "{attempts} of about 700 attempts at the upstream with only errors, expected fewer than 40"
     );
 }
 
-/// The time-out of the attempt that the last event has led to.
+/// Returns the timeout of the attempt of a request that was sent in the last event.
 fn attempt_timeout(harness: &Harness, request: RequestId) -> Duration {
     let mut timeouts = harness.actions.iter().filter_map(|action| match action {
         Action::Attempt { id, timeout, .. } if *id == request => *timeout,
         _ => None,
     });
-    timeouts.next_back().expect("an attempt with a time-out")
+    timeouts.next_back().expect("an attempt with a timeout")
 }
 
-/// Without hedging an attempt is abandoned when it is overdue, just before the tick that would have
-/// found it so. It counts as unresponsive all the same, and an upstream that never responds gets
-/// hardly any further attempts.
+/// Without hedging an attempt is abandoned as soon as it is overdue, just before the tick that
+/// would detect it as overdue. It must still count as a sign of an unresponsive upstream, so that
+/// an upstream that never responds gets hardly any further attempts.
 #[test]
 fn ejects_an_upstream_whose_attempts_are_abandoned_as_overdue() {
     let effect = Effect::Deduplicated {
@@ -134,7 +141,10 @@
             if upstream == unresponsive {
                 sent_at.push(harness.now);
                 let timeout = attempt_timeout(&harness, id);
-                assert!(timeout > Duration::ZERO, "it is abandoned after some time");
+                assert!(
+                    timeout > Duration::ZERO,
+                    "the attempt has a timeout above zero"
+                );
                 harness.advance(timeout);
                 harness.end_attempt(id, attempt, Outcome::TimedOut);
             } else {
@@ -147,19 +157,19 @@
     let early = sent_at.iter().filter(|time| **time < ms(5000)).count();
     assert!(
         early <= 4,
-        "{early} attempts in 5 s at an unresponsive upstream"
+        "{early} attempts in 5 s at an unresponsive upstream, expected 4 at most"
     );
     assert!(
         sent_at.len() <= 6,
-        "{} attempts in 30 s: {sent_at:?}",
+        "{} attempts in 30 s at an unresponsive upstream, expected 6 at most: {sent_at:?}",
         sent_at.len()
     );
 }
 
-/// An upstream that fails at once has nothing in flight and so looks the least loaded: it must be
-/// ejected for a while.
+/// An upstream that fails attempts immediately has nothing in flight and therefore seems the least
+/// loaded. It must be ejected for some time.
 #[test]
-fn ejects_an_upstream_that_fails_at_once_and_restores_it() {
+fn ejects_an_upstream_that_fails_immediately_and_restores_it() {
     let mut harness = idempotent_harness(4);
     let failing = UpstreamId(2);
     harness.run_traffic(100, ms(10), |upstream| {
@@ -172,16 +182,17 @@
     let before = harness.attempt_count(failing);
     assert!(
         before <= 4,
-        "{before} attempts at an upstream that resets every connection"
+        "{before} attempts at an upstream that resets every connection, expected 4 at most"
     );
     harness.run_traffic(3000, ms(10), |_| Some(Outcome::Ok));
     assert!(
         harness.attempt_count(failing) > before + 50,
-        "it serves again after it has recovered"
+        "the upstream gets requests again after it has recovered"
     );
 }
 
-/// Connections that fail now and then, at any upstream, between responses: no process has died.
+/// Connections to any upstream fail occasionally, and responses arrive in between. No upstream
+/// process has died, so none may be ejected.
 #[test]
 fn isolated_connection_errors_eject_no_upstream() {
     for outcome in [Outcome::Reset, Outcome::ConnectFailed] {
@@ -202,11 +213,16 @@
         }
         let responses = harness.final_responses.values();
         let not_served = responses.filter(|response| **response != FinalResponse::Served);
-        assert_eq!(not_served.count(), 0, "of 600 after {outcome:?}");
+        assert_eq!(
+            not_served.count(),
+            0,
+            "requests of 600 that were not served, with {outcome:?} as the first outcome"
+        );
     }
 }
 
-/// Three resets in a row by chance, at an upstream that has just responded and goes on responding.
+/// Three resets in a row happen by chance at an upstream that responded just before them and
+/// responds after them.
 #[test]
 fn consecutive_resets_between_responses_eject_no_upstream() {
     let settings = settings_with_quotas(1, &[1000.0]);
@@ -215,7 +231,7 @@
     let ids: Vec<RequestId> = (0..12).map(|_| harness.request()).collect();
     assert!(
         ids.iter().all(|id| harness.is_sent(*id)),
-        "there is spare capacity for a dozen"
+        "rejected although there is spare capacity for twelve requests"
     );
     harness.advance(ms(20));
     let at_first = |id: &RequestId| harness.upstream_of(*id, 0) == Some(UpstreamId(1));
@@ -232,7 +248,7 @@
     assert_all_in_rotation(&harness, 2, "after three resets in a row");
 }
 
-/// It accepts connections and never responds.
+/// The upstream accepts connections but never responds.
 #[test]
 fn avoids_an_upstream_that_never_responds() {
     let mut harness = idempotent_harness(4);
@@ -241,10 +257,14 @@
         (upstream != unresponsive).then_some(Outcome::Ok)
     });
     let attempts = harness.attempt_count(unresponsive);
-    assert!(attempts * 8 < 400, "{attempts} of 400 went to it");
+    assert!(
+        attempts * 8 < 400,
+        "{attempts} of 400 requests sent to the unresponsive upstream, expected fewer than 50"
+    );
 }
 
-/// When all upstreams seem unhealthy the fault is not theirs: requests are sent all the same.
+/// When all upstreams seem unhealthy, the cause is probably not the upstreams. Requests are still
+/// sent to them.
 #[test]
 fn still_sends_requests_when_all_upstreams_are_ejected() {
     let mut harness = idempotent_harness(4);
@@ -252,5 +272,8 @@
     harness.advance(ms(1500));
     let before = harness.attempts.len();
     harness.run_traffic(20, ms(50), |_| Some(Outcome::Ok));
-    assert!(harness.attempts.len() > before, "some are sent");
+    assert!(
+        harness.attempts.len() > before,
+        "no request was sent after all upstreams had failed"
+    );
 }
