--- a/tests/outlier_detection_by_class.rs
+++ b/tests/outlier_detection_by_class.rs
@@ -1,4 +1,4 @@
-//! Upstreams that fail for one class of requests, or for all of them.
+//! Outlier detection for an upstream that fails for one class of requests, or for all classes.
 
 mod common;
 
@@ -8,13 +8,14 @@
 
 const FAULTY: UpstreamId = UpstreamId(2);
 const REQUESTS: usize = 600;
-/// The request with which the fault begins.
-const FAULT_BEGINS: usize = 200;
-/// The request from which attempts at the faulty upstream are counted.
+/// The number of the request from which on the upstream is faulty.
+const FAULTY_FROM: usize = 200;
+/// The number of the request from which on attempts at the faulty upstream are counted.
 const COUNTED_FROM: usize = 300;
 const SERVICE_TIME: Duration = ms(150);
-const FAULT_TIME: Duration = ms(20);
-/// When the test ends an attempt that gets no response.
+/// How long after its send an attempt at the faulty upstream ends with an outcome.
+const FAULT_LATENCY: Duration = ms(20);
+/// How long after its send the test ends an attempt that gets no response.
 const TIMEOUT: Duration = ms(1170);
 const EFFECTS: [Effect; 4] = [
     Effect::Idempotent,
@@ -23,7 +24,7 @@
     Effect::AtMostOnce,
 ];
 
-/// Attempts that were sent to the faulty upstream.
+/// Numbers of attempts that were sent to the faulty upstream.
 #[derive(Clone, Copy, Default)]
 struct FaultyAttempts {
     total: usize,
@@ -38,8 +39,8 @@
     at_most_once: bool,
 }
 
-/// The outcome at the faulty upstream, given how many attempts it has had; `None` if it never
-/// responds.
+/// Returns the outcome of an attempt at the faulty upstream, given how many attempts have ended
+/// there before it; `None` if the upstream never responds.
 type OutcomeAtFaulty = fn(usize) -> Option<Outcome>;
 
 /// Low traffic of four classes, one of them at-most-once, with one faulty upstream of ten.
@@ -52,7 +53,8 @@
 }
 
 impl LowTraffic {
-    /// Runs the traffic; returns the counted attempts at the faulty upstream.
+    /// Runs the traffic. Returns the attempts at the faulty upstream from request [`COUNTED_FROM`]
+    /// on.
     fn run(outcome_at_faulty: OutcomeAtFaulty) -> FaultyAttempts {
         let classes = EFFECTS.map(|effect| class(1200, 3000, effect)).to_vec();
         let settings = Settings {
@@ -71,7 +73,7 @@
             if k == COUNTED_FROM {
                 before = traffic.at_faulty;
             }
-            traffic.fault_has_begun = k >= FAULT_BEGINS;
+            traffic.fault_has_begun = k >= FAULTY_FROM;
             traffic.send_request(k * 7 / 3 % EFFECTS.len());
         }
         FaultyAttempts {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Sends a request and advances to the next one.
+    /// Sends a request and advances the clock to the time of the next one.
     fn send_request(&mut self, class: usize) {
         let id = self.harness.request_of(class as u16, 0, ms(2500));
         self.open.push(OpenAttempt {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Ends the attempt if it is due; returns what of the request is still open.
+    /// Ends the attempt if it is due. Returns the attempt of the request that is still open.
     fn end_if_due(&mut self, open: OpenAttempt) -> Option<OpenAttempt> {
         let OpenAttempt { id, attempt, .. } = open;
         let harness = &mut self.harness;
@@ -123,7 +125,7 @@
     fn end_at_faulty_if_due(&mut self, open: OpenAttempt) -> Option<OpenAttempt> {
         let OpenAttempt { id, attempt, .. } = open;
         let outcome = (self.outcome_at_faulty)(self.at_faulty.total);
-        let duration = outcome.map_or(TIMEOUT, |_| FAULT_TIME);
+        let duration = outcome.map_or(TIMEOUT, |_| FAULT_LATENCY);
         if self.harness.now < open.sent_at + duration {
             return Some(open);
         }
@@ -141,8 +143,9 @@
     }
 }
 
-/// What one class has met at an upstream the others need not meet as well: where each class alone
-/// sees few faults in a row, all of them together see enough.
+/// Faults of one class at an upstream do not imply faults of the others. If the upstream fails for
+/// all classes, each class alone sees too few consecutive faults, but all of them together see
+/// enough to eject it.
 #[test]
 fn ejects_for_all_classes_when_an_upstream_fails_for_all() {
     struct Case {
@@ -153,7 +156,7 @@
     }
     let cases = [
         Case {
-            name: "three of four attempts fail at once",
+            name: "three of four attempts fail immediately",
             outcome_at_faulty: |count| {
                 Some(if count % 4 == 3 {
                     Outcome::Ok
@@ -183,10 +186,13 @@
             at_most_once,
         } = LowTraffic::run(case.outcome_at_faulty);
         let name = case.name;
-        assert!(total <= case.max_attempts, "{name}: {total} of 300 sent");
+        assert!(
+            total <= case.max_attempts,
+            "{name}: {total} attempts at the faulty upstream in 300 requests"
+        );
         assert!(
             at_most_once <= case.max_at_most_once,
-            "{name}: {at_most_once} at-most-once requests sent"
+            "{name}: {at_most_once} at-most-once requests sent to the faulty upstream"
         );
     }
 }
@@ -199,11 +205,11 @@
     Harness::new(settings, &endpoints(4))
 }
 
-/// Requests of each class that went to one upstream.
+/// Numbers of requests that were sent to one upstream, by class.
 type CountByClass = [usize; 2];
 
-/// Sends requests of both classes in turn; returns how many went to `upstream`, which gives no
-/// response to class 0 if `times_out`.
+/// Sends requests of both classes alternately and returns how many were sent to `upstream`. If
+/// `times_out` is set, `upstream` does not respond to class 0.
 fn run_two_classes(
     harness: &mut Harness,
     upstream: UpstreamId,
@@ -230,25 +236,31 @@
     sent
 }
 
-/// An upstream gives no response to one class and serves the other: that class goes elsewhere, the
-/// other stays, and in time the upstream is tried again.
+/// An upstream does not respond to one class but serves the other. Only the first class is moved to
+/// other upstreams, and it returns some time after the upstream has recovered.
 #[test]
 fn timeouts_of_one_class_move_only_that_class() {
     let mut harness = two_class_harness();
     let upstream = UpstreamId(3);
     run_two_classes(&mut harness, upstream, 50, false);
     let [unserved, served] = run_two_classes(&mut harness, upstream, 400, true);
-    assert!(unserved <= 20, "{unserved} of 400 that get no response");
+    assert!(
+        unserved <= 20,
+        "{unserved} of 400 requests sent where they get no response, expected 20 at most"
+    );
     assert!(
         served >= 100,
-        "{served} of 400 of the class that is served there"
+        "{served} of 400 requests of the class that is served there, expected at least 100"
     );
     let [restored, _] = run_two_classes(&mut harness, upstream, 600, false);
-    assert!(restored >= 60, "{restored} of 600 after the recovery");
+    assert!(
+        restored >= 60,
+        "{restored} of 600 requests after the recovery, expected at least 60"
+    );
 }
 
-/// An upstream that rejects a class at once has nothing in flight and so looks the least loaded: it
-/// must not attract the class.
+/// An upstream that rejects a class immediately has nothing in flight and therefore seems the least
+/// loaded. It must not attract requests of the class.
 #[test]
 fn an_upstream_that_rejects_a_class_does_not_attract_it() {
     let mut harness = two_class_harness();
@@ -273,7 +285,10 @@
     }
     assert!(
         rejected <= 12,
-        "{rejected} attempts rejected by the upstream that takes none of the class"
+        "{rejected} attempts rejected by the upstream that rejects the class, expected 12 at most"
+    );
+    assert!(
+        served >= 60,
+        "{served} requests of the other class served there, expected at least 60"
     );
-    assert!(served >= 60, "{served} of the other class served there");
 }
