--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that permit no decision.
+//! Invalid settings, and a balancer without settings.
 
 mod common;
 
@@ -61,11 +61,14 @@
         ),
     ] {
         let error = error_of(settings).expect(field).to_string();
-        assert!(error.contains(field), "{error} names {field}");
+        assert!(
+            error.contains(field),
+            "the error must name {field}, got {error:?}"
+        );
     }
 }
 
-/// A balancer without settings has nothing to decide by.
+/// A default balancer has no class, so that every request is of an unknown class.
 #[test]
 fn default_balancer_fails_requests_without_panicking() {
     let mut harness = Harness::new(settings_with_quotas(1, &[20.0]), &endpoints(1));
