--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Upstreams in slow start under the sum of what all balancers send: a simulated fleet of the real
-//! decision module, at several sizes.
+//! Upstreams in slow start under the load of all balancers together. Each test simulates fleets of
+//! several sizes, in which every balancer runs the decision module.
 
 mod common;
 
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 const WARM_UPSTREAMS: u64 = 10;
-/// The load as a share of what the warm upstreams can serve.
-const LOAD: f64 = 0.7;
-/// When new upstreams start.
+/// The load as a fraction of what the warm upstreams can serve.
+const LOAD_FRACTION: f64 = 0.7;
+/// The time at which the new upstreams start.
 const UPSTREAM_START: Duration = Duration::from_secs(3);
-/// When half of the balancers restart.
+/// The time at which half of the balancers restart.
 const BALANCER_RESTART: Duration = Duration::from_secs(5);
 const SIMULATION_END: Duration = Duration::from_secs(14);
 const NEW_UPSTREAMS: [u64; 2] = [98, 99];
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Requests a second at all balancers together.
+    /// Returns the requests per second at all balancers together.
     fn arrival_rate(&self) -> f64 {
-        LOAD * (WARM_UPSTREAMS * self.service_rate) as f64
+        LOAD_FRACTION * (WARM_UPSTREAMS * self.service_rate) as f64
     }
 
     fn service_time(&self) -> Duration {
@@ -77,16 +77,17 @@
         Harness::starting_at(now, settings, seed, endpoints)
     }
 
-    /// The requests that an upstream can get in the window after `sent_at` without an overload.
+    /// Returns how many requests a new upstream can get in the window after `sent_at` without an
+    /// overload.
     fn budget(&self, sent_at: Duration) -> f64 {
         let settings = self.settings();
         let age = (sent_at - UPSTREAM_START).as_secs_f64();
         let progress = (age / settings.slow_start_duration.as_secs_f64()).min(1.0);
-        let initial_share = settings.slow_start_initial_share;
-        let capacity_share = initial_share + (1.0 - initial_share) * progress;
+        let initial_fraction = settings.slow_start_initial_share;
+        let capacity_fraction = initial_fraction + (1.0 - initial_fraction) * progress;
         settings.overload_multiple
             * self.service_rate as f64
-            * capacity_share
+            * capacity_fraction
             * settings.overload_window.as_secs_f64()
     }
 }
@@ -99,7 +100,7 @@
     id: RequestId,
 }
 
-/// A request that went to an upstream in slow start.
+/// A request that was sent to a new upstream.
 struct SentToNew {
     upstream: u64,
     sent_at: Duration,
@@ -212,8 +213,8 @@
         });
     }
 
-    /// The most requests that a new upstream got in a window over its budget and the variation that
-    /// is put down to chance, 2 x root of N + 2 for a budget of N.
+    /// Returns by how many requests a new upstream exceeded the limit of a window at most. The
+    /// limit is the budget N and a tolerance of 2 * sqrt(N) + 2 for random variation.
     fn max_excess(&self) -> f64 {
         let window = self.scenario.settings().overload_window;
         let mut max = f64::NEG_INFINITY;
@@ -221,7 +222,7 @@
             let sent = self.sent_to_new.iter();
             let sent = sent.filter(|sent| sent.upstream == upstream);
             let times: Vec<Duration> = sent.map(|sent| sent.sent_at).collect();
-            assert!(!times.is_empty(), "requests warm it up");
+            assert!(!times.is_empty(), "no request at upstream {upstream}");
             for (k, sent_at) in times.iter().enumerate() {
                 let count = count_in_window(&times[k..], window);
                 let budget = self.scenario.budget(*sent_at);
@@ -232,14 +233,14 @@
     }
 }
 
-/// How many of the ascending times lie in the window that begins with the first one.
+/// Returns how many of the ascending times lie in the window that begins at the first of them.
 fn count_in_window(times: &[Duration], window: Duration) -> f64 {
     let in_window = times.iter().take_while(|time| **time < times[0] + window);
     in_window.count() as f64
 }
 
-/// The sum of what all balancers send must not overload an upstream in slow start, also where half
-/// of them have just restarted themselves.
+/// The requests of all balancers together must not overload an upstream in slow start, even if half
+/// of the balancers have just restarted.
 #[test]
 fn fleets_of_any_size_stay_within_the_slow_start_budget() {
     for balancers in [2, 5, 20, 30, 300] {
@@ -253,19 +254,20 @@
                     balancers_restart,
                 };
                 let excess = Simulation::new(scenario).run().max_excess();
-                assert!(excess <= 0.0, "{scenario:?}: {excess:.1} too many");
+                assert!(excess <= 0.0, "{scenario:?}: {excess:.1} over the limit");
             }
         }
     }
 }
 
-/// A new upstream among ten warm ones that can each serve a hundred requests a second.
+/// A new upstream among ten warm ones, each of which can serve 100 requests per second.
 const NEW_UPSTREAM: UpstreamId = UpstreamId(99);
-const RATE_PER_S: u64 = 700;
+/// Requests per second at all balancers together.
+const ARRIVAL_RATE_PER_S: u64 = 700;
 const SERVICE_TIME: Duration = ms(20);
 const OVERLOAD_WINDOW: Duration = ms(2000);
 
-fn all_effects_fleet(balancers: u32, many_balancers: bool) -> Vec<Harness> {
+fn all_effects_balancers(balancers: u32, many_balancers: bool) -> Vec<Harness> {
     let settings = Settings {
         balancers,
         polls_endpoints: false,
@@ -274,7 +276,7 @@
         overload_multiple: 3.0,
         overload_window: OVERLOAD_WINDOW,
         tenants: vec![Tenant {
-            quota_per_s: RATE_PER_S as f64,
+            quota_per_s: ARRIVAL_RATE_PER_S as f64,
         }],
         ..settings_with_all_effects(&SiteOptions {
             many_balancers,
@@ -293,7 +295,8 @@
     (0..balancers).map(balancer).collect()
 }
 
-/// Advances all balancers; health checks report no load for the new upstream and some for others.
+/// Advances all balancers. The health checks report no load for the new upstream and some load for
+/// the others.
 fn advance_all(balancers: &mut [Harness], now: Duration) {
     for balancer in balancers {
         balancer.advance_to(now);
@@ -313,8 +316,8 @@
 }
 
 impl OpenRequest {
-    /// Ends the attempts that are due and notes those at the new upstream; returns whether the
-    /// request goes on.
+    /// Ends the attempts that are due and records those that were sent to the new upstream. Returns
+    /// whether the request is still open.
     fn end_due_attempts(
         &mut self,
         balancers: &mut [Harness],
@@ -339,13 +342,13 @@
     }
 }
 
-/// Twelve seconds in which one upstream starts; returns when it got requests.
+/// Simulates 12 s in which one upstream starts. Returns when requests were sent to it.
 fn run_with_new_upstream(mut balancers: Vec<Harness>) -> Vec<Duration> {
     let mut sent_to_new: Vec<Duration> = Vec::new();
     let mut open: Vec<OpenRequest> = Vec::new();
-    for step in 0..12 * RATE_PER_S {
-        let now = Duration::from_micros(step * 1_000_000 / RATE_PER_S);
-        if step == 3 * RATE_PER_S {
+    for step in 0..12 * ARRIVAL_RATE_PER_S {
+        let now = Duration::from_micros(step * 1_000_000 / ARRIVAL_RATE_PER_S);
+        if step == 3 * ARRIVAL_RATE_PER_S {
             announce_new_upstream(&mut balancers, now);
         }
         advance_all(&mut balancers, now);
@@ -373,14 +376,14 @@
     }
 }
 
-/// Many balancers together must not send a new upstream more than the stated multiple of what it
-/// can serve in any window, though it is idle and the others are not.
+/// In any window, all balancers together must not send a new upstream more than the overload
+/// multiple of what it can serve, although it is idle and the other upstreams are not.
 #[test]
 fn all_balancers_together_stay_within_a_new_upstreams_budget() {
     for (many_balancers, balancers) in [(false, 20), (true, 400)] {
-        let sent_to_new = run_with_new_upstream(all_effects_fleet(balancers, many_balancers));
+        let sent_to_new = run_with_new_upstream(all_effects_balancers(balancers, many_balancers));
         let total = sent_to_new.len();
-        assert!(total > 10, "requests warm it up: {total}");
+        assert!(total > 10, "{total} requests at the new upstream");
         for (k, sent_at) in sent_to_new.iter().enumerate() {
             let count = count_in_window(&sent_to_new[k..], OVERLOAD_WINDOW);
             let age = sent_at.saturating_sub(UPSTREAM_START).as_secs_f64();
@@ -388,7 +391,7 @@
             let budget = 3.0 * capacity * 2.0;
             assert!(
                 count <= budget,
-                "{count} in two seconds from {sent_at:?}, more than {budget} overload it"
+                "{count} requests in 2 s from {sent_at:?}, expected {budget} at most"
             );
         }
     }
