--- a/tests/spare_capacity.rs
+++ b/tests/spare_capacity.rs
@@ -1,4 +1,4 @@
-//! The service rate C and the spare capacity W, and which requests get it under overload.
+//! The service rate C, the spare capacity W, and the requests that are preferred under overload.
 
 mod common;
 
@@ -29,24 +29,24 @@
         }
     }
 
-    /// The values in the order of the settings' report fields.
+    /// Returns the values in the order of the settings' report fields.
     fn report(self) -> [f32; 2] {
         [self.utilization, self.in_flight]
     }
 }
 
-/// The settings of one of a hundred balancers that each get fifteen requests a second.
+/// Returns the settings of one of 100 balancers that each get 15 requests per second.
 fn shared_settings() -> Settings {
     let settings = settings_with_quotas(100, &[1500.0]);
     with_inline_reports(settings, &[LoadField::Utilization, LoadField::InFlight])
 }
 
-/// One of a hundred balancers that share ten upstreams.
+/// Returns one of 100 balancers that share ten upstreams.
 fn shared_harness() -> Harness {
     Harness::new(shared_settings(), &endpoints(10))
 }
 
-/// Ends the requests that are due; the upstream of each reports this load.
+/// Ends the requests that are due. The upstream of each one reports this load.
 fn complete_due(harness: &mut Harness, in_flight: &mut CompletionQueue, load: Load) {
     while let Some(id) = in_flight.pop_due(harness.now) {
         let upstream = harness.attempts[&id][0].upstream;
@@ -55,8 +55,8 @@
     }
 }
 
-/// Sends fifteen requests a second, each served after 100 ms with this load report; returns how
-/// many were sent.
+/// Submits 15 requests per second, which are served after 100 ms with this load report. Returns how
+/// many of them were sent.
 fn run_load(harness: &mut Harness, count: usize, load: Load) -> usize {
     let mut in_flight = CompletionQueue::default();
     let mut sent = 0;
@@ -75,24 +75,27 @@
     sent
 }
 
-/// Most of the upstreams are lost. If every balancer moved its load to the remaining ones at once,
-/// those would fail next.
+/// Six of ten upstreams are removed. If every balancer moved its load to the remaining ones
+/// immediately, those would fail next.
 #[test]
 fn remaining_upstreams_are_not_overloaded_when_others_are_removed() {
     let mut harness = shared_harness();
     let sent = run_load(&mut harness, 300, Load::MODERATE);
-    assert!(sent > 280, "{sent} of 300 sent while all are listed");
+    assert!(
+        sent > 280,
+        "{sent} of 300 requests sent while all upstreams are listed, expected more than 280"
+    );
     let removed = |id| endpoint_in_state(id, Availability::Removed);
     let removed: Vec<Endpoint> = (1..=6).map(removed).collect();
     harness.update_endpoints(UpdateScope::Delta, &removed);
     let sent = run_load(&mut harness, 45, Load::MODERATE);
     assert!(
         (10..=30).contains(&sent),
-        "{sent} of 45 in 3 s to four of ten upstreams that can serve 18"
+        "{sent} of 45 requests sent in 3 s, expected 10 to 30: the four upstreams can serve 18"
     );
 }
 
-/// Where little has been admitted, C is low: reports of idle cores must raise W all the same.
+/// After a period in which little was admitted, C is low. Reports of idle cores must still raise W.
 #[test]
 fn reported_idle_cores_raise_spare_capacity_after_low_admission() {
     let mut harness = shared_harness();
@@ -113,8 +116,9 @@
     );
 }
 
-/// Another balancer is lost: this one gets three times as many requests at once, while the
-/// upstreams report the same utilization. The service rate must keep up with the completions.
+/// Another balancer has failed, so that the tested balancer suddenly gets three times as many
+/// requests, while the upstreams report the same utilization. The service rate must follow the
+/// completions.
 #[test]
 fn service_rate_follows_completions_at_constant_utilization() {
     let settings = settings_with_quotas(2, &[200.0]);
@@ -144,21 +148,25 @@
     let service_rate = harness.balancer.status().service_rate;
     assert!(
         (completed - 42.0).abs() < 3.0 && (service_rate - completed).abs() < 8.0,
-        "{completed} completed a second, a service rate of {service_rate}"
+        "{completed} completions per second, a service rate of {service_rate}"
     );
     let completed = completions_per_s(&mut harness, 3, 2);
     let service_rate = harness.balancer.status().service_rate;
-    assert!(completed > 100.0, "{completed} completed a second");
+    assert!(
+        completed > 100.0,
+        "{completed} completions per second, expected over 100"
+    );
     assert!(
         service_rate > 0.6 * completed,
-        "a service rate of {service_rate} where {completed} are completed a second"
+        "a service rate of {service_rate} at {completed} completions per second"
     );
 }
 
-/// Each of a hundred balancers has saved sends for each upstream. If it spent them at once, they
-/// would overload what is left of a fleet in the second in which the others fail.
+/// Each of 100 balancers has accumulated a send budget for each upstream. If all balancers spent
+/// their budgets at the same time, they would overload the remaining upstreams in the second in
+/// which other upstreams fail.
 #[test]
-fn saved_send_budget_is_not_spent_at_once() {
+fn accumulated_send_budget_is_limited_to_a_small_burst() {
     let mut harness = shared_harness();
     run_load(&mut harness, 150, Load::MODERATE);
     harness.advance(ms(2000));
@@ -166,12 +174,12 @@
     let sent = ids.into_iter().filter(|id| harness.is_sent(*id)).count();
     assert!(
         (2..=6).contains(&sent),
-        "{sent} of 40 in an instant, where 15 a second are usual"
+        "{sent} of 40 simultaneous requests sent, expected 2 to 6 at 15 requests per second"
     );
 }
 
-/// After an overload little is admitted, so little is completed: that must not keep C low while
-/// cores are idle.
+/// After an overload few requests are admitted and therefore few are completed. This must not keep
+/// C low while cores are idle.
 #[test]
 fn service_rate_grows_with_idle_cores_while_sends_are_paced() {
     const OVERLOADED: Load = Load::new(1.0, 40.0);
@@ -184,14 +192,15 @@
     let six_seconds_later = run_load(&mut harness, 30, RECOVERED);
     assert!(
         at_first <= 5 && six_seconds_later >= 10,
-        "{at_first} of 30, then {six_seconds_later} of 30 six seconds later"
+        "{at_first} of 30 requests sent at first, {six_seconds_later} of 30 after about 6 s"
     );
 }
 
-/// No upstream's size is known yet, and reports come late: the stated rate would fill the cores, so
-/// that all balancers together would overload the small ones before the first report of them.
+/// The sizes of the upstreams are unknown, and load reports arrive late. At the rate of the quotas
+/// the cores would be fully used, and all balancers together would overload the small upstreams
+/// before the first reports of these arrive.
 #[test]
-fn sends_less_than_the_stated_rate_before_the_first_reports() {
+fn sends_below_the_quota_before_the_first_reports() {
     let settings = Settings {
         endpoint_weights: EndpointWeights::Off,
         ..shared_settings()
@@ -200,12 +209,12 @@
     let sent = run_load(&mut harness, 45, Load::MODERATE);
     assert!(
         (25..=34).contains(&sent),
-        "{sent} of 45 in 3 s, where 45 are stated"
+        "{sent} of 45 requests sent in 3 s, expected 25 to 34 at a quota of 45"
     );
 }
 
-/// Retries at once make a balancer's subset larger, but not its share of what all upstreams can
-/// serve.
+/// A burst of requests makes a balancer's subset larger, but must not raise this balancer's part of
+/// what all upstreams can serve.
 #[test]
 fn larger_subset_does_not_raise_the_service_rate() {
     let mut harness = Harness::new(shared_settings(), &endpoints(200));
@@ -218,19 +227,19 @@
     let after = harness.balancer.status();
     assert!(
         after.rotation_size > before.rotation_size,
-        "{} upstreams after {}",
+        "{} upstreams in the rotation after the burst, {} before",
         after.rotation_size,
         before.rotation_size
     );
     assert!(
         after.service_rate < 1.2 * before.service_rate,
-        "C is {} after {}",
+        "a service rate of {} after the burst, {} before",
         after.service_rate,
         before.service_rate
     );
 }
 
-/// A class of requests and the time that each of them takes.
+/// A class of requests and the time that an upstream needs for each of them.
 struct ServedClass {
     class: Class,
     service_time: Duration,
@@ -249,7 +258,7 @@
     }
 }
 
-/// One of the requests that come again and again under overload.
+/// One position in the repeated sequence of requests under overload.
 #[derive(Clone, Copy)]
 struct Arrival {
     class: u16,
@@ -272,15 +281,15 @@
     }
 }
 
-/// One request of the first class for each two of the second.
+/// A sequence with one request of the first class and two of the second.
 const ONE_TO_TWO: [Arrival; 3] = [
     Arrival::first_attempt(0),
     Arrival::first_attempt(1),
     Arrival::first_attempt(1),
 ];
 
-/// Three requests arrive for each that can be sent, in a fixed order; returns how many of each
-/// place in that order were sent.
+/// Submits the sequence of three arrivals 200 times, at three times the rate that can be sent.
+/// Returns how many requests of each position in the sequence were sent.
 fn sent_under_overload(classes: &[ServedClass], arrivals: [Arrival; 3]) -> [usize; 3] {
     const REPORTED: Load = Load::new(0.75, 12.0);
     let settings = Settings {
@@ -305,8 +314,8 @@
     sent
 }
 
-/// First come, first served is not good enough: a retry may be late already, and spare capacity
-/// that it takes turns a first attempt into a retry.
+/// Under overload, requests must not be sent simply in the order of arrival. A retry may already be
+/// too late, and the spare capacity that it uses turns a first attempt into another retry.
 #[test]
 fn prefers_first_attempts_over_retries_when_overloaded() {
     let arrivals = [
@@ -317,33 +326,33 @@
     let [first, second, third] = sent_under_overload(&[ServedClass::new(1.0, 100)], arrivals);
     assert!(
         first > 3 * (second + third),
-        "{first} first attempts, {second} and {third} retries"
+        "{first} first attempts sent, but {second} and {third} retries"
     );
 }
 
-/// Requests of ten times the priority weight go first, but the others are not starved.
+/// Requests of ten times the priority weight are preferred, but the other requests are not starved.
 #[test]
 fn prefers_the_class_with_higher_priority_weight_when_overloaded() {
     let classes = [ServedClass::new(10.0, 100), ServedClass::new(1.0, 100)];
     let [high, low, other_low] = sent_under_overload(&classes, ONE_TO_TWO);
     assert!(
         2 * high > 3 * low.max(other_low),
-        "{high} of high, {low} and {other_low} of low priority weight"
+        "{high} requests of high priority weight sent, {low} and {other_low} of low"
     );
     assert!(
         low + other_low > 20,
-        "{low} and {other_low} of low priority weight"
+        "{low} and {other_low} requests of low priority weight sent, expected over 20 together"
     );
 }
 
-/// Requests of three times the priority weight that take three times as long have no advantage:
-/// others could be served in that time.
+/// Requests of three times the priority weight that take three times as long are not preferred, as
+/// three other requests could be served in the time of each.
 #[test]
 fn weighs_a_class_by_its_service_time_when_overloaded() {
     let classes = [ServedClass::new(3.0, 150), ServedClass::new(1.0, 50)];
     let [heavy, light, other_light] = sent_under_overload(&classes, ONE_TO_TWO);
     assert!(
         heavy < 2 * (light + other_light),
-        "{heavy} heavy, {light} and {other_light} light requests"
+        "{heavy} heavy requests sent, {light} and {other_light} light ones"
     );
 }
