--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,5 +1,5 @@
-//! A balancer with little traffic keeps to a subset of the upstreams; all balancers together load
-//! every upstream alike.
+//! The subset of the upstreams that a balancer with little traffic sends to. The subsets of all
+//! balancers together load every upstream equally.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 const BALANCERS: u32 = 240;
 
-/// Settings of one balancer that gets two requests a second.
+/// Returns the settings of one balancer that gets two requests per second.
 fn settings(index: u32) -> Settings {
     Settings {
         index,
@@ -19,7 +19,7 @@
     }
 }
 
-/// Forty-eight endpoints whose ids are far apart.
+/// Returns 48 endpoints whose ids are far apart.
 fn sparse_endpoints() -> Vec<Endpoint> {
     (1..=48).map(|id| endpoint(id * 7919)).collect()
 }
@@ -29,16 +29,16 @@
     attempts.map(|sent| sent.upstream).collect()
 }
 
-/// The upstreams that get requests at two a second.
+/// Runs this many requests at two per second and returns the upstreams that got them.
 fn upstreams_used_by(harness: &mut Harness, requests: usize) -> BTreeSet<UpstreamId> {
     harness.attempts.clear();
     harness.run_traffic(requests, ms(500), |_| Some(Outcome::Ok));
     upstreams_used(harness)
 }
 
-/// Upstreams must not run out of connections.
+/// If every balancer used all upstreams, these would run out of connections.
 #[test]
-fn low_traffic_uses_a_small_subset_and_all_subsets_cover_the_fleet_evenly() {
+fn low_traffic_uses_a_small_subset_and_all_subsets_cover_the_upstreams_evenly() {
     let listed = sparse_endpoints();
     let mut users: BTreeMap<UpstreamId, usize> = BTreeMap::new();
     for index in 0..BALANCERS {
@@ -46,7 +46,7 @@
         let size = subset.len();
         assert!(
             (2..=10).contains(&size),
-            "{size} upstreams used by balancer {index}"
+            "{size} upstreams used by balancer {index}, expected 2 to 10"
         );
         for upstream in subset {
             *users.entry(upstream).or_default() += 1;
@@ -55,13 +55,16 @@
     assert_eq!(users.len(), listed.len(), "every upstream is used");
     let min = users.values().min().expect("at least one upstream");
     let max = users.values().max().expect("at least one upstream");
-    assert!(max * 2 <= min * 3, "used by {min} to {max} balancers");
+    assert!(
+        max * 2 <= min * 3,
+        "the upstreams are used by {min} to {max} balancers"
+    );
 }
 
 #[test]
-fn uses_all_upstreams_when_the_fleet_is_small_or_the_traffic_is_high() {
-    let mut small_fleet = Harness::new(settings(5), &endpoints(2));
-    assert_eq!(upstreams_used_by(&mut small_fleet, 100).len(), 2);
+fn uses_all_upstreams_when_they_are_few_or_the_traffic_is_high() {
+    let mut few_upstreams = Harness::new(settings(5), &endpoints(2));
+    assert_eq!(upstreams_used_by(&mut few_upstreams, 100).len(), 2);
     let high_traffic = Settings {
         balancers: 4,
         ..settings(3)
@@ -70,7 +73,8 @@
     assert_eq!(upstreams_used_by(&mut high_traffic, 300).len(), 60);
 }
 
-/// The subset outlives changes elsewhere; a removed upstream of it is replaced.
+/// The removal of other upstreams does not change the subset. Upstreams that are removed from the
+/// subset are replaced.
 #[test]
 fn subset_is_stable_and_replaces_removed_upstreams() {
     let listed = sparse_endpoints();
@@ -86,7 +90,7 @@
     assert_eq!(
         upstreams_used_by(&mut harness, 60),
         before,
-        "changes outside of the subset change nothing"
+        "the removal of upstreams outside the subset must not change it"
     );
     let two_removed = [removed(inside[0]), removed(inside[1])];
     harness.update_endpoints(UpdateScope::Delta, &two_removed);
@@ -95,9 +99,9 @@
     assert_eq!(after.intersection(&before).count(), before.len() - 2);
 }
 
-/// A balancer that gets ten times its equal share of the traffic would overload an equal share of
-/// the upstreams while others are idle. It uses more of them, keeps those that it has, and releases
-/// them once the traffic has moved on.
+/// A balancer that gets ten times an equal part of the traffic would overload an equal part of the
+/// upstreams while others are idle. It must add upstreams to its subset without removing any, and
+/// remove the added ones when the traffic decreases.
 #[test]
 fn subset_size_follows_the_traffic() {
     let mut harness = Harness::new(settings(17), &sparse_endpoints());
@@ -108,23 +112,23 @@
     let high_traffic = upstreams_used(&harness);
     assert!(
         (10..=24).contains(&high_traffic.len()),
-        "{} upstreams for 20 requests a second",
+        "{} upstreams used for 20 requests per second, expected 10 to 24",
         high_traffic.len()
     );
     assert!(
         low_traffic.is_subset(&high_traffic),
-        "its connections stay in use"
+        "the upstreams used before must stay in the subset, with their connections"
     );
     harness.run_traffic(30, ms(500), |_| Some(Outcome::Ok));
     let after = upstreams_used_by(&mut harness, 60);
     assert!(
         after.len() <= 2 * low_traffic.len(),
-        "{} upstreams for 2 requests a second",
+        "{} upstreams used for 2 requests per second, expected at most twice as many as before",
         after.len()
     );
 }
 
-/// The subset after 20 requests a second that never end.
+/// Returns the size of the subset after 8 s with 20 requests per second that never end.
 fn subset_size_under(is_retry: bool, retries_marked: bool) -> usize {
     let settings = Settings {
         retries_marked,
@@ -138,25 +142,29 @@
     harness.balancer.status().rotation_size
 }
 
-/// The demand at a balancer counts, not what it manages to serve on too few upstreams. Retries do
-/// not count: an overload multiplies them and would spread itself. Where they are not marked, only
-/// what is admitted counts.
+/// The size of the subset depends on the demand, not on the requests that a small subset can serve.
+/// Retries do not count as demand: an overload multiplies them, and would spread to more upstreams.
+/// If clients do not mark retries, only admitted requests count.
 #[test]
 fn subset_size_ignores_retries() {
     let first_attempts = subset_size_under(false, true);
     assert!(
         (10..=24).contains(&first_attempts),
-        "{first_attempts} for 20 first attempts a second"
+        "{first_attempts} upstreams for 20 first attempts per second, expected 10 to 24"
+    );
+    assert_eq!(
+        subset_size_under(true, true),
+        2,
+        "upstreams for 20 retries per second"
     );
-    assert_eq!(subset_size_under(true, true), 2, "for 20 retries a second");
     assert_eq!(
         subset_size_under(false, false),
         2,
-        "for 20 a second that may be retries, hardly any of them admitted"
+        "upstreams for 20 requests per second that may be retries, few of which are admitted"
     );
 }
 
-/// Without stated quotas a single balancer uses all upstreams, whatever its traffic.
+/// A single balancer without stated quotas uses all upstreams at any traffic.
 #[test]
 fn single_balancer_uses_all_upstreams() {
     let settings = Settings {
