--- a/src/interface.rs
+++ b/src/interface.rs
@@ -269,7 +269,7 @@
         /// Whether the request needs no further response: this outcome or an earlier event gave it
         /// its final response, or its client has disconnected.
         finished: bool,
-        /// A load report, with one value for each of [`Settings::report_fields`]; empty if there
+        /// A load report, with values in the order of [`Settings::report_fields`]; empty if there
         /// was none.
         report: &'a [f32],
     },
@@ -286,7 +286,7 @@
         outcome: Outcome,
         /// The time since the health check was sent.
         latency: Duration,
-        /// A load report, with one value for each of [`Settings::report_fields`]; empty if there
+        /// A load report, with values in the order of [`Settings::report_fields`]; empty if there
         /// was none.
         report: &'a [f32],
     },
--- a/src/log_event.rs
+++ b/src/log_event.rs
@@ -5,7 +5,7 @@
 /// An event for the operators' log. Its `Display` form is a line of text.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
-    /// Discovery has confirmed the endpoint list again, which ended a pause of sends.
+    /// Discovery has confirmed the endpoint list again, after a pause of sends.
     EndpointsConfirmed {
         /// The length of the pause, in which no attempt was sent, in seconds.
         paused_for_s: f64,
