--- a/balancer/src/event_loop/attempts.rs
+++ b/balancer/src/event_loop/attempts.rs
@@ -129,7 +129,7 @@
             // The client may have just disconnected, so that there is no receiver.
             let _ = reply.send(FinalResponse::Forwarded(response));
         }
-        let finished = in_flight.reply.is_none();
+        let request_finished = in_flight.reply.is_none();
         let report = &load_report;
         state.decide(
             now,
@@ -139,7 +139,7 @@
                 upstream,
                 outcome,
                 latency,
-                finished,
+                request_finished,
                 report,
             },
         );
--- a/simulator-adapter/src/decoder/records.rs
+++ b/simulator-adapter/src/decoder/records.rs
@@ -159,7 +159,7 @@
     let upstream = reader.upstream()?;
     let outcome = reader.u16_code("outcome", outcome_from_wire)?;
     let latency = reader.time("latency")?;
-    let finished = reader.u8("done flag")? != 0;
+    let request_finished = reader.u8("done flag")? != 0;
     let load_report = reader.load_report()?;
     let result = UpstreamResult {
         upstream,
@@ -170,7 +170,7 @@
     Ok(InstanceEvent::AttemptEnded {
         id,
         attempt,
-        finished,
+        request_finished,
         result,
     })
 }
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -140,7 +140,7 @@
         InstanceEvent::AttemptEnded {
             id,
             attempt,
-            finished,
+            request_finished,
             result,
         } => Event::AttemptEnded {
             id: *id,
@@ -148,7 +148,7 @@
             upstream: result.upstream,
             outcome: result.outcome,
             latency: result.latency,
-            finished: *finished,
+            request_finished: *request_finished,
             report: &result.load_report,
         },
         InstanceEvent::HealthCheckEnded { result } => Event::HealthCheckEnded {
--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -231,7 +231,7 @@
         /// The attempt.
         attempt: AttemptNo,
         /// The request has its final response.
-        finished: bool,
+        request_finished: bool,
         /// How the attempt ended.
         result: UpstreamResult,
     },
--- a/simulator-adapter/tests/codec.rs
+++ b/simulator-adapter/tests/codec.rs
@@ -48,11 +48,11 @@
     }
 }
 
-fn attempt_ended(outcome: Outcome, finished: bool, load_report: &[f32]) -> Record {
+fn attempt_ended(outcome: Outcome, request_finished: bool, load_report: &[f32]) -> Record {
     of_instance(InstanceEvent::AttemptEnded {
         id: REQUEST,
         attempt: AttemptNo(1),
-        finished,
+        request_finished,
         result: result(outcome, 4_500, load_report),
     })
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -268,7 +268,7 @@
         latency: Duration,
         /// Whether the request needs no further response: this outcome or an earlier event gave it
         /// its final response, or its client has disconnected.
-        finished: bool,
+        request_finished: bool,
         /// A load report, with values in the order of [`Settings::report_fields`]; empty if there
         /// was none.
         report: &'a [f32],
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,7 +58,7 @@
 //!     upstream: UpstreamId(7),
 //!     outcome: Outcome::Ok,
 //!     latency: ms(30),
-//!     finished: true,
+//!     request_finished: true,
 //!     report: &[],
 //! };
 //! balancer.handle(ms(35), ended, &mut actions);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -210,14 +210,14 @@
                 upstream,
                 outcome,
                 latency,
-                finished,
+                request_finished,
                 report,
             } => {
                 // An attempt that was abandoned at its overdue time ends before the tick that would
                 // have found it overdue.
                 self.handle_overdue_attempts();
                 self.on_load_report(upstream, report);
-                self.on_attempt_ended(id, attempt, outcome, latency, finished);
+                self.on_attempt_ended(id, attempt, outcome, latency, request_finished);
             }
             Event::ClientDisconnected { id } => self.complete(id),
             Event::HealthCheckEnded {
--- a/tests/action_digest/adapter.rs
+++ b/tests/action_digest/adapter.rs
@@ -26,7 +26,7 @@
     pub upstream: u64,
     pub outcome: usize,
     pub latency: Duration,
-    pub finished: bool,
+    pub request_finished: bool,
     pub report: Vec<f32>,
 }
 
@@ -273,7 +273,7 @@
         upstream: UpstreamId(ended.upstream),
         outcome: OUTCOMES[ended.outcome],
         latency: ended.latency,
-        finished: ended.finished,
+        request_finished: ended.request_finished,
         report: &ended.report,
     }
 }
--- a/tests/action_digest/model/clients.rs
+++ b/tests/action_digest/model/clients.rs
@@ -149,7 +149,7 @@
         if !request.is_disconnected && (outcome == OK || request.is_streaming) {
             request.has_final_response = true;
         }
-        let finished = request.has_final_response || request.is_disconnected;
+        let request_finished = request.has_final_response || request.is_disconnected;
         if let Some(server) = self.servers.get_mut(&upstream) {
             server.in_flight -= 1;
         }
@@ -174,7 +174,7 @@
             upstream,
             outcome,
             latency,
-            finished,
+            request_finished,
             report,
         });
         self.handle(name[outcome], input);
--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -212,7 +212,7 @@
 
     pub fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         let SentAttempt { sent_at, upstream } = self.attempts[&id][attempt];
-        let finished = outcome == Outcome::Ok || self.final_responses.contains_key(&id);
+        let request_finished = outcome == Outcome::Ok || self.final_responses.contains_key(&id);
         if outcome == Outcome::Ok {
             self.final_responses
                 .entry(id)
@@ -224,7 +224,7 @@
             upstream,
             outcome,
             latency: self.now - sent_at,
-            finished,
+            request_finished,
             report: &[],
         });
     }
--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -49,7 +49,7 @@
             upstream,
             outcome,
             latency,
-            finished: false,
+            request_finished: false,
             report,
         },
         Event::HealthCheckEnded {
--- a/tests/invariants/world.rs
+++ b/tests/invariants/world.rs
@@ -164,14 +164,14 @@
             }
             _ => {}
         }
-        let finished = !request.phase.is_open();
+        let request_finished = !request.phase.is_open();
         self.handle(Event::AttemptEnded {
             id,
             attempt: AttemptNo(attempt as u8),
             upstream,
             outcome,
             latency,
-            finished,
+            request_finished,
             report: &[report],
         });
     }
