--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -219,14 +219,14 @@
                 upstream,
                 outcome,
                 latency,
-                finished,
+                request_finished,
                 report,
             } => {
                 // Overdue attempts are handled first: an attempt that was abandoned at its overdue
                 // time ends before the next tick, which would otherwise find it overdue.
                 self.handle_overdue_attempts();
                 self.on_load_report(upstream, report);
-                self.on_attempt_ended(id, attempt, outcome, latency, finished);
+                self.on_attempt_ended(id, attempt, outcome, latency, request_finished);
             }
             Event::ClientDisconnected { id } => self.complete(id),
             Event::HealthCheckEnded {
--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates, and events for requests and upstreams that are not known.
+//! Endpoint updates, and events for unknown requests and upstreams.
 
 mod common;
 
@@ -49,7 +49,7 @@
             upstream,
             outcome,
             latency,
-            finished: false,
+            request_finished: false,
             report,
         },
         Event::HealthCheckEnded {
