--- a/balancer/src/event_loop/endpoints.rs
+++ b/balancer/src/event_loop/endpoints.rs
@@ -85,8 +85,8 @@
         if matches!(update.scope, UpdateScope::Snapshot | UpdateScope::Cached) {
             let listed: FxHashSet<UpstreamId> =
                 update.entries.iter().map(|entry| entry.id).collect();
-            self.upstreams.retain_listed(|id| listed.contains(&id));
-            incarnations.retain_listed(&listed);
+            self.upstreams.remove_unlisted(|id| listed.contains(&id));
+            incarnations.remove_unlisted(&listed);
         }
         let apply = |entry| self.apply_entry(entry, incarnations, now, is_first_list);
         update.entries.iter().map(apply).collect()
--- a/balancer/src/incarnations.rs
+++ b/balancer/src/incarnations.rs
@@ -69,7 +69,7 @@
     }
 
     /// Removes all upstreams that are not listed.
-    pub fn retain_listed(&mut self, listed: &FxHashSet<UpstreamId>) {
+    pub fn remove_unlisted(&mut self, listed: &FxHashSet<UpstreamId>) {
         self.0.retain(|id, _| listed.contains(id));
     }
 }
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -87,7 +87,7 @@
     }
 
     /// Removes all upstreams for which `is_listed` returns `false`.
-    pub fn retain_listed(&self, is_listed: impl Fn(UpstreamId) -> bool) {
+    pub fn remove_unlisted(&self, is_listed: impl Fn(UpstreamId) -> bool) {
         self.upstreams.borrow_mut().retain(|id, upstream| {
             let retained = is_listed(*id);
             if !retained {
