--- a/balancer/src/event_loop/endpoints.rs
+++ b/balancer/src/event_loop/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use crate::discovery::{DiscoveryEvent, EndpointEntry, EndpointUpdate};
-use crate::incarnations::{Incarnations, StartTimes};
+use crate::incarnations::{Incarnations, StartObservation};
 use frostkeel_policy::{Endpoint, Event, UpdateScope, UpstreamId, WatchEvent};
 use rustc_hash::FxHashSet;
 use std::net::SocketAddr;
@@ -100,7 +100,7 @@
         is_first_list: bool,
     ) -> Endpoint {
         self.upstreams.apply_endpoint(entry.id, &entry.state);
-        let by_wall_clock = self.clock.at_unix_ms(entry.state.boot_ms);
+        let wall_clock_start = self.clock.at_unix_ms(entry.state.boot_ms);
         Endpoint {
             id: entry.id,
             zone: entry.zone,
@@ -110,9 +110,9 @@
             weight: entry.weight,
             started: incarnations.observe(
                 entry,
-                &StartTimes {
+                &StartObservation {
                     now,
-                    by_wall_clock,
+                    wall_clock_start,
                     is_first_list,
                 },
             ),
--- a/balancer/src/incarnations.rs
+++ b/balancer/src/incarnations.rs
@@ -20,11 +20,11 @@
 }
 
 /// The times used to date a start.
-pub struct StartTimes {
+pub struct StartObservation {
     /// The time of the observation.
     pub now: Duration,
     /// The start by the wall clock; `None` if it is before the clock's zero.
-    pub by_wall_clock: Option<Duration>,
+    pub wall_clock_start: Option<Duration>,
     /// Whether it is in the first list of the process, which may contain starts of any age.
     pub is_first_list: bool,
 }
@@ -40,7 +40,11 @@
     }
 
     /// Records a listed upstream and returns its start time; `None` if it is unknown or before the clock's zero.
-    pub fn observe(&mut self, entry: &EndpointEntry, times: &StartTimes) -> Option<Duration> {
+    pub fn observe(
+        &mut self,
+        entry: &EndpointEntry,
+        observation: &StartObservation,
+    ) -> Option<Duration> {
         if entry.state.availability == Availability::Removed {
             self.0.remove(&entry.id);
             return None;
@@ -56,7 +60,7 @@
         let started_at = if boot_ms == 0 {
             None
         } else {
-            times.started_at()
+            observation.started_at()
         };
         self.0.insert(
             entry.id,
@@ -74,12 +78,12 @@
     }
 }
 
-impl StartTimes {
+impl StartObservation {
     fn started_at(&self) -> Option<Duration> {
         let is_plausible = |at: Duration| {
             at <= self.now && (self.is_first_list || self.now - at <= MAX_OBSERVATION_DELAY)
         };
-        match self.by_wall_clock {
+        match self.wall_clock_start {
             None if self.is_first_list => None,
             Some(at) if is_plausible(at) => Some(at),
             _ => Some(self.now),
