--- a/balancer/src/client/connection.rs
+++ b/balancer/src/client/connection.rs
@@ -1,9 +1,9 @@
-//! One client's connection: its requests, its idle time and its close.
+//! Client connections: how requests are served on them, and when they are closed.
 
 use super::Phase;
 use super::request::READ_TIMEOUT;
 use super::server::Server;
-use super::stream::{ClientState, ClientStream, ClientWatch};
+use super::stream::{ClientReceiver, ClientState, ClientStream};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
@@ -17,45 +17,48 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long a closing connection waits for the rest of a partial request head.
+/// The time for which a closing connection waits for the rest of a partial request head.
 const HEAD_GRACE: Duration = Duration::from_millis(250);
-/// How often a closing connection checks for the rest of a partial head.
+/// The interval at which a closing connection checks for the rest of a partial request head.
 const HEAD_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// A close within this time after a response could cause a reset that discards the response.
+/// The time after a response during which closing the connection could cause a reset that discards the response.
 const RESET_RISK_TIME: Duration = Duration::from_millis(500);
-/// A connection is closed if its client reads no byte of its response for this long.
+/// The longest time for which a client may read nothing of its response; the connection is closed after that.
 const MAX_WRITE_STALL: Duration = Duration::from_secs(10);
-/// How often a connection with a blocked write is checked.
+/// The interval between two checks of a connection whose write is blocked.
 const WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Size of a connection's buffer, and so the longest accepted head.
-const MAX_HEAD: usize = 32 * 1024;
+/// The size of a connection's buffer, which is also the maximum length of a request head.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// The current activity of a connection.
+/// The current activity of a connection. When a blocked write completes, the time in an idle state is set to that
+/// moment.
 #[derive(Clone, Copy)]
 enum Activity {
-    /// No request has been received since this moment, when the connection was accepted.
+    /// No request has been received on the connection since it was accepted at this time.
     AwaitingFirst(Instant),
     /// A request is in progress.
-    Busy,
-    /// Idle between requests since this moment.
+    RequestInProgress,
+    /// No request has been in progress since the last response, which ended at this time.
     Idle(Instant),
 }
 
-/// Why a connection is closed.
+/// The reason why a connection is closed.
 enum CloseReason {
     ClientDisconnected,
     Completed,
     ProtocolError(hyper::Error),
-    /// It was due to close, and at most a partial head had been received.
+    /// The balancer closed the connection while no response was pending. At most a partial request head had been
+    /// received.
     ClosedWhileIdle,
 }
 
-/// A client's connection.
+/// The state of a client's connection.
 pub(super) struct ClientConnection {
     state: ClientState,
     activity: Cell<Activity>,
     /// Notified when the connection must close: after the current response, or immediately if it is idle.
     close: Notify,
+    /// Whether [`Self::request_close`] has been called.
     is_close_requested: Cell<bool>,
 }
 
@@ -70,11 +73,11 @@
         })
     }
 
-    /// Serves requests until the connection is closed; nothing is sent after that.
+    /// Serves requests until the connection is closed and no further response can be sent.
     pub(super) async fn serve(
         self: &Rc<Self>,
         stream: ClientStream,
-        watch: &mut ClientWatch,
+        receiver: &mut ClientReceiver,
         server: &Rc<Server>,
     ) {
         let service = service_fn(|request| {
@@ -87,17 +90,18 @@
             }
         });
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MAX_HEAD);
+        builder.max_buf_size(MAX_HEAD_BYTES);
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
         let close = self.close_due(server.phase());
         tokio::pin!(close);
         let mut is_closing = false;
         let reason = loop {
-            // The watch is polled first, so that the server has all received bytes before its graceful shutdown starts.
+            // The receiver is polled first, so that the HTTP server has all received bytes before its graceful
+            // shutdown starts.
             tokio::select! {
                 biased;
-                () = self.disconnected_in_request(watch) => break CloseReason::ClientDisconnected,
+                () = self.disconnected_in_request(receiver) => break CloseReason::ClientDisconnected,
                 ended = connection.as_mut() => {
                     break ended.map_or_else(CloseReason::ProtocolError, |()| CloseReason::Completed);
                 }
@@ -105,7 +109,8 @@
                     is_closing = true;
                     tracing::debug!("client connection closing");
                     connection.as_mut().graceful_shutdown();
-                    // Poll once before the watch reads more: later bytes would be read but never answered.
+                    // The HTTP server is polled once before the receiver reads more. A request that is received after
+                    // that would get no response.
                     if poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx).is_ready())).await {
                         break CloseReason::Completed;
                     }
@@ -116,31 +121,32 @@
         reason.log();
     }
 
-    /// Whether the connection may be closed in favour of another: it is not closing, and no write is blocked.
+    /// Returns whether the connection may be closed to admit another one: its close has not been requested yet, and no
+    /// write is blocked.
     pub(super) fn may_be_closed(&self) -> bool {
         !self.is_close_requested.get() && self.state.write_blocked_since().is_none()
     }
 
-    /// Requests that the connection be closed.
+    /// Requests that the connection be closed after the current response, or immediately if it is idle.
     pub(super) fn request_close(&self) {
         self.is_close_requested.set(true);
         self.close.notify_one();
     }
 
-    /// When the connection became idle; `None` while a request is in progress.
+    /// Returns when the connection became idle; `None` while a request is in progress.
     pub(super) fn idle_since(&self) -> Option<Instant> {
         match self.activity.get() {
             Activity::AwaitingFirst(since) | Activity::Idle(since) => Some(since),
-            Activity::Busy => None,
+            Activity::RequestInProgress => None,
         }
     }
 
-    /// Whether the client has closed the connection or shut down its sending side.
+    /// Returns whether the client has closed the connection or shut down its sending side.
     pub(super) fn has_disconnected(&self) -> bool {
         self.state.has_disconnected()
     }
 
-    /// Whether no further request can be read.
+    /// Returns whether received bytes have been discarded, so that no further request can be read.
     pub(super) fn is_flooded(&self) -> bool {
         self.state.is_flooded()
     }
@@ -150,15 +156,15 @@
         self.state.set_responding(true);
     }
 
-    /// Whether a response was sent so recently that closing the connection could discard it.
-    pub(super) fn is_reset_risky(&self) -> bool {
-        let may_have_response = self.has_had_request() || self.state.head_since().is_some();
+    /// Returns whether a response may have been sent so recently that closing the connection could discard it.
+    pub(super) fn could_lose_response(&self) -> bool {
+        let may_have_response = self.has_received_request() || self.state.head_since().is_some();
         let idle_since = self.idle_since().filter(|_| may_have_response);
         idle_since.is_some_and(|since| since.elapsed() < RESET_RISK_TIME)
     }
 
     fn begin_request(&self) {
-        self.activity.set(Activity::Busy);
+        self.activity.set(Activity::RequestInProgress);
     }
 
     fn end_request(&self) {
@@ -166,29 +172,31 @@
         self.state.set_responding(false);
     }
 
-    fn has_had_request(&self) -> bool {
+    /// Returns whether a request has been received on this connection.
+    fn has_received_request(&self) -> bool {
         !matches!(self.activity.get(), Activity::AwaitingFirst(_))
     }
 
     /// Waits until the client disconnects while a response is pending.
-    async fn disconnected_in_request(&self, watch: &mut ClientWatch) {
-        watch.disconnected().await;
-        // Without a request in progress, the HTTP server itself detects the end of the stream. It is polled after this
-        // future in the same task, and a request that it reads then is rejected.
+    async fn disconnected_in_request(&self, receiver: &mut ClientReceiver) {
+        receiver.disconnected().await;
+        // If no request is in progress, the HTTP server itself detects the end of the stream. It is polled after this
+        // future in the same task; a request that it reads then is rejected, because the client has disconnected.
         if self.idle_since().is_some() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Waits until the connection must close: after the current response, or immediately if there is none.
+    /// Waits until the connection must close: because it was requested, in [`Phase::Closing`], or after the idle
+    /// timeout.
     async fn close_due(&self, mut phase: watch::Receiver<Phase>) {
         tokio::select! {
             () = self.close.notified() => (),
             _ = phase.wait_for(|phase| *phase == Phase::Closing) => (),
             () = self.idle_timeout() => return,
         }
-        // Let the poller run, then check the connection: closing it over a request that has just arrived would lose a
-        // response.
+        // Yielding lets the I/O driver process pending events before the connection is checked. If the connection were
+        // closed although a request has just been received, that request would get no response.
         yield_now().await;
         let deadline = Instant::now() + HEAD_GRACE;
         while self.idle_since().is_some()
@@ -199,21 +207,26 @@
         }
     }
 
-    /// The deadline for the start of the next request.
+    /// Returns the deadline for receiving the next request head.
     fn request_due_at(&self) -> Instant {
-        // While a request is in progress, the deadline is computed again later.
+        // While a request is in progress, this value only sets when the caller computes the deadline again.
         let idle_since = self.idle_since().unwrap_or_else(Instant::now);
-        // After the first request, the timeout of a head starts at its first byte.
-        let head_since = self.state.head_since().filter(|_| self.has_had_request());
+        // After the first request, the timeout of a request head starts again at its first byte.
+        let head_since = self
+            .state
+            .head_since()
+            .filter(|_| self.has_received_request());
         head_since.map_or(idle_since, |since| idle_since.max(since)) + READ_TIMEOUT
     }
 
-    /// Waits until no request has started within the read timeout, and no write is blocked. The HTTP server's own timer
-    /// is unsuitable: after the process was suspended, it fires before the received bytes are read.
+    /// Waits until no request head has been received within the read timeout, or a write has been blocked for
+    /// [`MAX_WRITE_STALL`]. The HTTP server's own timer is not used, because after a suspension of the process it fires
+    /// before the received bytes are read.
     async fn idle_timeout(&self) {
         loop {
             sleep_until(self.request_due_at()).await;
-            // Bytes received by now count, even if this process runs late.
+            // Yielding lets the I/O driver report bytes that have already arrived. They count even if this process runs
+            // late.
             yield_now().await;
             if self.state.write_blocked_since().is_some() && !self.write_completes().await {
                 return;
@@ -224,7 +237,8 @@
         }
     }
 
-    /// Waits until a blocked response has been written; `false` if the client reads nothing for [`MAX_WRITE_STALL`].
+    /// Waits until a blocked write has been completed, and then restarts the idle time. Returns `false` if the client
+    /// reads nothing for [`MAX_WRITE_STALL`].
     async fn write_completes(&self) -> bool {
         while let Some(since) = self.state.write_blocked_since() {
             if since.elapsed() >= MAX_WRITE_STALL {
@@ -236,18 +250,19 @@
         self.activity.set(match self.activity.get() {
             Activity::AwaitingFirst(_) => Activity::AwaitingFirst(now),
             Activity::Idle(_) => Activity::Idle(now),
-            Activity::Busy => Activity::Busy,
+            Activity::RequestInProgress => Activity::RequestInProgress,
         });
         true
     }
 
-    /// Waits until a closing connection has no pending response; at most a partial head has been received.
+    /// Waits until a closing connection has no request in progress and no blocked write, or until a write has been
+    /// blocked for [`MAX_WRITE_STALL`]. At most a partial request head has been received then.
     async fn idle_after_grace(&self) {
         loop {
             sleep(HEAD_GRACE).await;
-            let is_taken =
+            let is_written =
                 self.state.write_blocked_since().is_none() || self.write_completes().await;
-            if !is_taken || self.idle_since().is_some() {
+            if !is_written || self.idle_since().is_some() {
                 return;
             }
         }
--- a/balancer/src/client/mod.rs
+++ b/balancer/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The client side: connections, requests and responses.
+//! The client side of the balancer: connections, requests and responses.
 
 mod connection;
 mod request;
@@ -7,16 +7,17 @@
 mod stream;
 
 pub use request::{RequestError, RequestReader};
-pub use response::{plain_response, response_of};
+pub use response::{into_http_response, plain_response};
 pub use server::Server;
 
-/// The phase of the graceful shutdown.
+/// The phase of the process, from normal service to the end of the graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The shutdown has not started.
+    /// Normal service: the shutdown has not started.
     Serving,
-    /// Readiness checks fail; each connection closes after its next response.
+    /// The first phase of the shutdown: new connections are still accepted, but readiness checks of the balancer fail,
+    /// and each connection closes after its next response.
     Draining,
-    /// No new connections are accepted; idle connections are closed.
+    /// The second phase of the shutdown: no new connections are accepted, and idle connections are closed.
     Closing,
 }
--- a/balancer/src/client/request.rs
+++ b/balancer/src/client/request.rs
@@ -1,4 +1,4 @@
-//! Reads and validates client requests.
+//! The reading and validation of client requests.
 
 use super::response::plain_response;
 use crate::headers::{self, CORRELATION_ID, IDEMPOTENCY_KEY, RETRY, TENANT, TIME_LEFT, WORK_HINT};
@@ -15,46 +15,47 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The longest accepted request body.
-const MAX_BODY: usize = 64 * 1024;
-/// Subtracted from a client's time left, for network transit in both directions and timer delays.
+/// The maximum length of a request body.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// The part of a client's time left that is reserved for network transit in both directions and for timer delays.
 const TRANSIT_TIME: Duration = Duration::from_millis(4);
-/// The longest accepted time left, in milliseconds; a longer one is reduced to it.
+/// The maximum time left of a request; a longer one is reduced to this value.
 const MAX_TIME_LEFT_MS: u64 = 3_600_000;
-/// The timeout for receiving a head or a body. A peer that sends no valid request must get an error response or a
-/// close within 3 s of connecting.
+/// The timeout for receiving a request head, and for receiving a body. It ensures that a client that sends no valid
+/// request gets an error response or a close within 3 s of connecting.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Why a request is not submitted to the decision module. The client gets an error, and nothing is forwarded.
+/// The reason why a request is invalid. The client gets an error response, and the request is not submitted to the
+/// decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.message())]
 pub enum RequestError {
-    /// The path matches no class.
+    /// The first segment of the path is not the name of a class.
     UnknownClass,
-    /// The method does not match the class.
+    /// The method is not the one of the class: GET for idempotent classes, POST for others.
     WrongMethod,
-    /// The correlation id is missing or empty.
+    /// The header `X-Correlation-Id` is missing or empty.
     MissingCorrelationId,
-    /// The class requires an idempotency key, and there is none.
+    /// The class is deduplicated, and the header `Idempotency-Key` is missing.
     MissingIdempotencyKey,
-    /// The tenant is not configured for the site.
+    /// The site has tenants, and the header `X-Account` is missing or does not name one of them.
     UnknownTenant,
-    /// The time left is missing or not a number.
+    /// The header `X-Time-Left-Ms` is missing or is not an unsigned integer.
     UnreadableTimeLeft,
-    /// The work hint is not a number.
+    /// The header `X-Weight-Hint` is not a finite number of 0 or more.
     UnreadableWorkHint,
-    /// The body exceeds the limit for forwarded bodies.
+    /// The request body exceeds the limit for forwarded bodies.
     BodyTooLong,
-    /// The body ended early, or its framing is invalid.
+    /// The request body ended early, or its framing is invalid.
     BodyTruncated,
-    /// The body did not arrive in time.
+    /// The request body was not received in time.
     BodyTimeout,
-    /// The client has disconnected.
+    /// The client disconnected while its request was read.
     ClientDisconnected,
 }
 
 impl RequestError {
-    /// The HTTP status of the response.
+    /// Returns the HTTP status of the error response.
     pub fn status(self) -> StatusCode {
         match self {
             Self::UnknownClass => StatusCode::NOT_FOUND,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The text of the response body.
+    /// Returns the text of the error response's body.
     pub fn message(self) -> &'static str {
         match self {
             Self::UnknownClass => "unknown class",
@@ -88,20 +89,20 @@
         }
     }
 
-    /// The response to the client.
+    /// Returns the error response to the client.
     pub fn response(self) -> Response<Full<Bytes>> {
         plain_response(self.status(), self.message())
     }
 }
 
-/// The rules against which a request head is validated.
+/// The properties of a class against which a request head is validated.
 #[derive(Clone, Copy)]
 struct ClassRules {
     id: ClassId,
     effect: Effect,
 }
 
-/// Reads requests and validates them against the classes and tenants of a site.
+/// A reader of client requests, which validates them against the classes and tenants of a site.
 pub struct RequestReader {
     classes: FxHashMap<String, ClassRules>,
     tenants: FxHashMap<String, TenantId>,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Reads a request, including its body.
+    /// Reads a request, including its body, and validates it.
     pub async fn read(&self, request: Request<Incoming>) -> Result<ClientRequest, RequestError> {
         let received_at = Instant::now();
         let (parts, body) = request.into_parts();
@@ -162,7 +163,7 @@
         })
     }
 
-    /// The class that matches the path, if the rest of the head is valid for it.
+    /// Returns the class that the path names, if the method and the headers are valid for that class.
     fn class(
         &self,
         uri: &Uri,
@@ -203,8 +204,9 @@
         Ok(class.id)
     }
 
+    /// Returns the tenant that the headers name; id 0 at a site without tenants.
     fn tenant(&self, headers: &HeaderMap) -> Result<TenantId, RequestError> {
-        match text_of(headers, &TENANT).map(|name| self.tenants.get(name)) {
+        match header_text(headers, &TENANT).map(|name| self.tenants.get(name)) {
             Some(Some(tenant)) => Ok(*tenant),
             _ if self.tenants.is_empty() => Ok(TenantId(0)),
             _ => Err(RequestError::UnknownTenant),
@@ -212,13 +214,16 @@
     }
 }
 
+/// Returns the time for which the client will still wait, at most [`MAX_TIME_LEFT_MS`].
 fn time_left(headers: &HeaderMap) -> Result<Duration, RequestError> {
-    let left_ms = text_of(headers, &TIME_LEFT).and_then(|text| text.trim().parse::<u64>().ok());
-    let left_ms = left_ms.ok_or(RequestError::UnreadableTimeLeft)?;
-    Ok(Duration::from_millis(left_ms.min(MAX_TIME_LEFT_MS)))
+    let value_ms =
+        header_text(headers, &TIME_LEFT).and_then(|text| text.trim().parse::<u64>().ok());
+    let value_ms = value_ms.ok_or(RequestError::UnreadableTimeLeft)?;
+    Ok(Duration::from_millis(value_ms.min(MAX_TIME_LEFT_MS)))
 }
 
-/// The expected work in milliseconds, if the client states it; the header is in microseconds.
+/// Returns the expected CPU time in milliseconds; `None` if the client does not state it. The header is in
+/// microseconds.
 fn work_hint_ms(headers: &HeaderMap) -> Result<Option<f64>, RequestError> {
     let Some(hint) = headers.get(WORK_HINT) else {
         return Ok(None);
@@ -233,11 +238,12 @@
     }
 }
 
+/// Reads a complete body; the error is [`RequestError::BodyTimeout`] if it has not been received at `until`.
 async fn read_body(body: Incoming, until: Instant) -> Result<Bytes, RequestError> {
-    if body.size_hint().lower() > MAX_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLong);
     }
-    match timeout_at(until, Limited::new(body, MAX_BODY).collect()).await {
+    match timeout_at(until, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLong),
         Ok(Err(_)) => Err(RequestError::BodyTruncated),
@@ -245,6 +251,7 @@
     }
 }
 
-fn text_of<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// Returns the value of a header; `None` if it is missing or is not visible ASCII text.
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/balancer/src/client/server.rs
+++ b/balancer/src/client/server.rs
@@ -1,8 +1,8 @@
-//! Accepts client connections and responds to their requests.
+//! The server that accepts client connections and responds to their requests.
 
 use super::connection::ClientConnection;
 use super::request::{RequestError, RequestReader};
-use super::response::{plain_response, response_of};
+use super::response::{into_http_response, plain_response};
 use super::{Phase, stream};
 use crate::error_origin::ErrorOrigin;
 use crate::event_loop::EventLoop;
@@ -25,25 +25,29 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// How often a server at its connection limit looks for a connection to close in favour of a new one.
+/// The interval at which a server at its connection limit searches for an idle connection to close, while a new
+/// connection waits.
 const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause after a failed accept: if descriptors have run out, an immediate retry would spin.
+/// The pause after an accept that failed because of a local fault. While no descriptors are available, immediate
+/// retries would fail again and again and use all CPU time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long remaining client data is discarded after the last response.
+/// The longest time for which further client data is read and discarded after the last response, so that the client can
+/// receive the response before the connection is closed.
 const LINGER: Duration = Duration::from_millis(150);
 
-/// The server for clients.
+/// The HTTP server that accepts the connections of clients.
 pub struct Server {
     event_loop: Rc<EventLoop>,
     requests: RequestReader,
     phase: watch::Receiver<Phase>,
+    /// The open client connections, by number.
     clients: RefCell<FxHashMap<u64, Rc<ClientConnection>>>,
     next_client: Cell<u64>,
     accept_log: RateLimitedLog,
 }
 
 impl Server {
-    /// Creates a server that submits requests to `event_loop`.
+    /// Creates a server that submits requests to `event_loop` and follows the phases of the shutdown in `phase`.
     pub fn new(event_loop: Rc<EventLoop>, site: &Site, phase: watch::Receiver<Phase>) -> Rc<Self> {
         Rc::new(Self {
             event_loop,
@@ -55,8 +59,8 @@
         })
     }
 
-    /// Accepts clients, at most `max_clients` at a time, until the process is closing; returns when the last connection
-    /// has closed.
+    /// Accepts clients until [`Phase::Closing`], and serves at most `max_clients` at a time. Returns when the last
+    /// connection has closed.
     pub async fn run(self: Rc<Self>, listener: TcpListener, max_clients: usize) {
         let permits = Arc::new(Semaphore::new(max_clients));
         let connections = TaskGroup::default();
@@ -68,8 +72,8 @@
             };
             self.on_accept(accepted, &permits, &connections).await;
         }
-        // The kernel has already accepted these connections: requests on them need a response, even if an accept fails.
-        // The caller limits how long this takes.
+        // The kernel has already established the connections in the accept queue, so requests on them need a response.
+        // A failed accept does not end this loop; the caller limits its time.
         while let Some(accepted) = accept_waiting(&listener).await {
             self.on_accept(accepted, &permits, &connections).await;
         }
@@ -85,7 +89,7 @@
     ) {
         match accepted {
             Ok(stream) => {
-                let permit = self.permit(permits).await;
+                let permit = self.acquire_permit(permits).await;
                 let server = Rc::clone(self);
                 connections.spawn(async move {
                     server.serve_client(stream).await;
@@ -96,7 +100,8 @@
         }
     }
 
-    /// Pauses if an accept failed because of a local fault; otherwise the next one may succeed immediately.
+    /// Logs an accept error, and pauses if its cause is a local fault. After other errors the next accept may succeed
+    /// immediately.
     async fn on_accept_error(&self, error: &io::Error) {
         self.accept_log
             .warn(|suppressed| tracing::warn!(suppressed, %error, "accept failed"));
@@ -105,9 +110,9 @@
         }
     }
 
-    /// Waits for a connection permit, and closes idle connections until there is one.
-    async fn permit(&self, permits: &Arc<Semaphore>) -> OwnedSemaphorePermit {
-        // Retried in a loop: all clients may be busy now and become idle later.
+    /// Waits for a connection permit, and closes idle connections until one is available.
+    async fn acquire_permit(&self, permits: &Arc<Semaphore>) -> OwnedSemaphorePermit {
+        // The search is repeated, because all clients may be busy now and become idle later.
         loop {
             if permits.available_permits() == 0 {
                 self.close_longest_idle();
@@ -131,16 +136,16 @@
     }
 
     async fn serve_client(self: Rc<Self>, stream: TcpStream) {
-        // Without TCP_NODELAY responses are delayed; a failure to set it has no other effect.
+        // An error is ignored: without TCP_NODELAY responses may be delayed, but the connection works.
         let _ = stream.set_nodelay(true);
-        let (stream, mut watch, state) = stream::split(stream);
+        let (stream, mut receiver, state) = stream::split(stream);
         let number = self.next_client.replace(self.next_client.get() + 1);
         let client = ClientConnection::new(state);
         self.clients.borrow_mut().insert(number, Rc::clone(&client));
-        client.serve(stream, &mut watch, &self).await;
+        client.serve(stream, &mut receiver, &self).await;
         self.clients.borrow_mut().remove(&number);
-        if client.is_reset_risky() {
-            watch.discard_rest(LINGER).await;
+        if client.could_lose_response() {
+            receiver.discard_rest(LINGER).await;
         }
     }
 
@@ -148,7 +153,7 @@
         self.phase.clone()
     }
 
-    /// Responds to one request, or to a health check of the balancer.
+    /// Responds to a client's request, or to a health check of this balancer.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -183,11 +188,11 @@
             Err(error) => return error.response(),
         };
         client.begin_response();
-        response_of(self.event_loop.submit(request).response().await)
+        into_http_response(self.event_loop.submit(request).response().await)
     }
 }
 
-/// A connection from the accept queue, or why the accept failed; `None` if the queue is empty.
+/// Accepts a connection from the accept queue without waiting for a new one; `None` if the queue is empty.
 async fn accept_waiting(listener: &TcpListener) -> Option<io::Result<TcpStream>> {
     tokio::select! {
         biased;
--- a/balancer/src/client/stream.rs
+++ b/balancer/src/client/stream.rs
@@ -1,7 +1,7 @@
-//! A client's connection as the HTTP server sees it, with read-ahead.
+//! The two sides of a client's connection: the stream for the HTTP server, and the receiver that fills its buffer.
 //!
-//! The server reads only what it needs for the current request. Unread bytes after that request would hide the end of
-//! the stream. The watch therefore reads ahead, up to a limit, and detects a disconnect immediately.
+//! The HTTP server reads only the current request, and unread bytes after it would hide the end of the stream. The
+//! receiver therefore reads ahead, up to a limit, to detect a disconnect immediately.
 
 use crate::error_origin::retry_if_interrupted;
 use bytes::{Buf, BytesMut};
@@ -17,65 +17,68 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::{Instant, timeout};
 
-/// The read-ahead limit.
-const MAX_READ_AHEAD: usize = 32 * 1024;
-/// The size of one read.
-const READ_SIZE: usize = 4 * 1024;
-/// The most bytes discarded on one connection, after the current request or after the last response.
-const MAX_DISCARDED: usize = 1024 * 1024;
+/// The maximum number of bytes that are read ahead.
+const MAX_BUFFERED_BYTES: usize = 32 * 1024;
+/// The maximum number of bytes that are read at a time.
+const READ_SIZE_BYTES: usize = 4 * 1024;
+/// The maximum number of bytes that are discarded on one connection, after the current request or after the last
+/// response.
+const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
 
-/// How received bytes are handled.
+/// The way in which received bytes are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadMode {
-    /// Bytes are buffered; when the buffer is full, reading waits for the server.
+    /// Bytes are buffered. When the buffer is full, reading pauses until the HTTP server has taken some.
     Buffering,
-    /// Bytes are buffered while a response is pending. The server reads nothing then, so a full buffer means a flood.
+    /// Bytes are buffered while a response is pending. The HTTP server reads nothing during that time, so when the
+    /// buffer is full the client counts as flooding, and the mode changes to [`Self::Discarding`].
     Responding,
-    /// Bytes are discarded: the client has exceeded the buffer, or no further request will be read.
+    /// Bytes are discarded, because the client has exceeded the buffer or no further request will be read.
     Discarding,
 }
 
-/// State shared by both sides of a connection.
+/// The state shared by both sides of a connection.
 struct Shared {
+    /// The bytes that were read ahead.
     buffer: RefCell<BytesMut>,
-    /// How reading ended: cleanly, or with an error; `None` while it continues.
+    /// The result with which reading ended: the end of the stream, or an error. `None` while it continues.
     ended: RefCell<Option<Result<(), io::ErrorKind>>>,
-    /// Wakes the server when bytes have been received.
+    /// Wakes the HTTP server when bytes have been received.
     server_waker: RefCell<Option<Waker>>,
-    /// Wakes the watch when the buffer has space.
-    watch_waker: RefCell<Option<Waker>>,
+    /// Wakes the receiver when the buffer has space again.
+    receiver_waker: RefCell<Option<Waker>>,
     mode: Cell<ReadMode>,
-    /// When the first byte of an incomplete head was received.
+    /// Since when bytes of an incomplete request are available; `None` if there are none.
     head_since: Cell<Option<Instant>>,
-    /// Since when the client has read no byte of a pending write.
+    /// Since when a write has been blocked because the client reads nothing; `None` if no write is blocked.
     write_blocked_since: Cell<Option<Instant>>,
 }
 
-/// The side that the HTTP server reads and writes. Dropping it shuts down the sending side.
+/// The side that the HTTP server reads and writes. Dropping it shuts down the direction to the client.
 pub(super) struct ClientStream {
     shared: Rc<Shared>,
     writer: OwnedWriteHalf,
 }
 
 /// The side that reads ahead and detects that the client disconnects.
-pub(super) struct ClientWatch {
+pub(super) struct ClientReceiver {
     shared: Rc<Shared>,
     reader: OwnedReadHalf,
     discarded_bytes: usize,
 }
 
-/// A view of the connection's state, for the task that serves it.
+/// A handle to the connection's shared state, for the task that serves the connection.
 #[derive(Clone)]
 pub(super) struct ClientState(Rc<Shared>);
 
 /// Splits a client's connection into its two sides and its state.
-pub(super) fn split(stream: TcpStream) -> (ClientStream, ClientWatch, ClientState) {
+pub(super) fn split(stream: TcpStream) -> (ClientStream, ClientReceiver, ClientState) {
     let (reader, writer) = stream.into_split();
     let shared = Rc::new(Shared {
         buffer: RefCell::default(),
         ended: RefCell::default(),
         server_waker: RefCell::default(),
-        watch_waker: RefCell::default(),
+        receiver_waker: RefCell::default(),
         mode: Cell::new(ReadMode::Buffering),
         head_since: Cell::new(None),
         write_blocked_since: Cell::new(None),
@@ -87,7 +90,7 @@
     let state = ClientState(Rc::clone(&shared));
     (
         stream,
-        ClientWatch {
+        ClientReceiver {
             shared,
             reader,
             discarded_bytes: 0,
@@ -97,12 +100,13 @@
 }
 
 impl ClientState {
-    /// Whether the client has closed the connection or shut down its sending side.
+    /// Returns whether the client has closed the connection or shut down its sending side.
     pub(super) fn has_disconnected(&self) -> bool {
         self.0.ended.borrow().is_some()
     }
 
-    /// Records that a request has been read completely or responded to: later bytes belong to the next request.
+    /// Records that a response is now pending, or no longer pending. Bytes received from now on, and those in the
+    /// buffer, belong to the next request.
     pub(super) fn set_responding(&self, is_responding: bool) {
         if self.0.mode.get() != ReadMode::Discarding {
             self.0.mode.set(if is_responding {
@@ -111,47 +115,47 @@
                 ReadMode::Buffering
             });
         }
-        self.0.wake_watch();
+        self.0.wake_receiver();
         let has_bytes = !self.0.buffer.borrow().is_empty();
         self.0.head_since.set(has_bytes.then(Instant::now));
     }
 
-    /// When the first byte of a further, incomplete head was received.
+    /// Returns since when bytes of an incomplete request are available; `None` if there are none.
     pub(super) fn head_since(&self) -> Option<Instant> {
         self.0.head_since.get()
     }
 
-    /// Whether bytes from the client were discarded: no further request can be read.
+    /// Returns whether bytes from the client are discarded, so that no further request can be read.
     pub(super) fn is_flooded(&self) -> bool {
         self.0.mode.get() == ReadMode::Discarding
     }
 
-    /// Since when the client has read no byte of a pending write.
+    /// Returns since when a write has been blocked because the client reads nothing; `None` if no write is blocked.
     pub(super) fn write_blocked_since(&self) -> Option<Instant> {
         self.0.write_blocked_since.get()
     }
 }
 
 impl Shared {
-    fn end(&self, how: Result<(), io::ErrorKind>) {
-        *self.ended.borrow_mut() = Some(how);
+    fn end(&self, result: Result<(), io::ErrorKind>) {
+        *self.ended.borrow_mut() = Some(result);
         self.wake_server();
     }
 
-    fn wake_watch(&self) {
-        if let Some(watch) = self.watch_waker.borrow_mut().take() {
-            watch.wake();
+    fn wake_receiver(&self) {
+        if let Some(waker) = self.receiver_waker.borrow_mut().take() {
+            waker.wake();
         }
     }
 
     fn wake_server(&self) {
-        if let Some(server) = self.server_waker.borrow_mut().take() {
-            server.wake();
+        if let Some(waker) = self.server_waker.borrow_mut().take() {
+            waker.wake();
         }
     }
 }
 
-impl ClientWatch {
+impl ClientReceiver {
     /// Reads ahead until the client has closed the connection or shut down its sending side.
     pub(super) async fn disconnected(&mut self) {
         poll_fn(|cx| self.poll_disconnected(cx)).await;
@@ -159,12 +163,12 @@
 
     fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.shared.ended.borrow().is_none() {
-            let is_full = self.shared.buffer.borrow().len() >= MAX_READ_AHEAD;
+            let is_full = self.shared.buffer.borrow().len() >= MAX_BUFFERED_BYTES;
             if is_full && self.shared.mode.get() == ReadMode::Buffering {
-                *self.shared.watch_waker.borrow_mut() = Some(cx.waker().clone());
+                *self.shared.receiver_waker.borrow_mut() = Some(cx.waker().clone());
                 return Poll::Pending;
             }
-            let mut space = [0; READ_SIZE];
+            let mut space = [0; READ_SIZE_BYTES];
             let mut read = ReadBuf::new(&mut space);
             match retry_if_interrupted(Pin::new(&mut self.reader).poll_read(cx, &mut read), cx) {
                 Poll::Pending => return Poll::Pending,
@@ -176,17 +180,17 @@
         Poll::Ready(())
     }
 
-    /// Buffers received bytes for the server. A client that exceeds the buffer during a request is flooding: the rest
-    /// is discarded, because a full buffer would hide the end of the stream.
+    /// Buffers received bytes for the HTTP server. If the client exceeds the buffer while a response is pending,
+    /// discards all further bytes, because pausing at a full buffer would hide the end of the stream.
     fn on_bytes(&mut self, bytes: &[u8]) {
         let shared = &self.shared;
-        let is_full = shared.buffer.borrow().len() + bytes.len() > MAX_READ_AHEAD;
+        let is_full = shared.buffer.borrow().len() + bytes.len() > MAX_BUFFERED_BYTES;
         if is_full && shared.mode.get() == ReadMode::Responding {
             shared.mode.set(ReadMode::Discarding);
         }
         if shared.mode.get() == ReadMode::Discarding {
             self.discarded_bytes += bytes.len();
-            if self.discarded_bytes > MAX_DISCARDED {
+            if self.discarded_bytes > MAX_DISCARDED_BYTES {
                 shared.end(Err(io::ErrorKind::ConnectionAborted));
             }
             return;
@@ -198,10 +202,11 @@
         shared.wake_server();
     }
 
-    /// Discards further bytes until the client closes or the time is over: closing a connection with unread bytes
-    /// resets it, and the reset may discard the last response. The sending side must be shut down before.
+    /// Discards further bytes until the client closes the connection or `max_time` has passed. Closing a connection
+    /// with unread bytes resets it, and the reset may discard the last response. The direction to the client must have
+    /// been shut down before.
     pub(super) async fn discard_rest(mut self, max_time: Duration) {
-        // A client that keeps sending, or keeps the connection open, is closed after the timeout.
+        // After a timeout, the connection is closed although the client still sends or keeps it open.
         let _ = timeout(max_time, poll_fn(|cx| self.poll_discard(cx))).await;
     }
 
@@ -232,13 +237,14 @@
         let count = buffer.len().min(buf.remaining());
         buf.put_slice(&buffer[..count]);
         buffer.advance(count);
-        shared.wake_watch();
+        shared.wake_receiver();
         Poll::Ready(Ok(()))
     }
 }
 
 impl ClientStream {
-    fn note_write<T>(&self, poll: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    /// Records whether a write is blocked, and returns its result unchanged.
+    fn record_write<T>(&self, poll: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         let since = &self.shared.write_blocked_since;
         match poll {
             Poll::Pending if since.get().is_none() => since.set(Some(Instant::now())),
@@ -256,7 +262,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.writer).poll_write(cx, buf);
-        self.note_write(retry_if_interrupted(poll, cx))
+        self.record_write(retry_if_interrupted(poll, cx))
     }
 
     fn poll_write_vectored(
@@ -265,7 +271,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.writer).poll_write_vectored(cx, bufs);
-        self.note_write(retry_if_interrupted(poll, cx))
+        self.record_write(retry_if_interrupted(poll, cx))
     }
 
     fn is_write_vectored(&self) -> bool {
