--- a/balancer/src/discovery/endpoint_list.rs
+++ b/balancer/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in discovery's format: snapshots and deltas.
+//! The endpoint list in discovery's JSON format. A list is a snapshot, with all endpoints, or a delta, with changes.
 
 use crate::upstream::EndpointState;
 use frostkeel_policy::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
@@ -6,41 +6,43 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The maximum length of a line, and so of a list.
+/// The maximum length of a list.
 pub const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
-/// Offset basis and prime of the 64-bit FNV-1a hash.
+/// The offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// The prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A listed endpoint: its properties for the decision module, and its state for the connections.
+/// An entry of the endpoint list, converted for the decision module and for the connections to the upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Its id, derived from its uid alone: the same in every balancer, and independent of its address.
+    /// The id of the upstream, derived from its uid alone. It is the same in every balancer and independent of the
+    /// address.
     pub id: UpstreamId,
-    /// Its zone.
+    /// The failure domain of the upstream; all zones that are not in the settings share one id.
     pub zone: ZoneId,
-    /// Its kind.
+    /// The hardware kind of the upstream.
     pub kind: KindId,
-    /// Its cell.
+    /// The cell of the upstream: the upstreams of a cell share the idempotency keys that they have seen.
     pub cell: CellId,
-    /// Its weight.
+    /// The weight of the upstream, as listed; 1 if no weight is listed.
     pub weight: f64,
-    /// Its address and its state.
+    /// The address, the availability and the start time of the upstream.
     pub state: EndpointState,
 }
 
-/// An update of the endpoint list.
+/// An update of the endpoint list for the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// Whether it is a snapshot, a delta, cached or a failure.
+    /// Whether the update is a snapshot, a delta, the cached list or a failure.
     pub scope: UpdateScope,
-    /// The entries.
+    /// The entries of the update; empty for a failure.
     pub entries: Vec<EndpointEntry>,
 }
 
 impl EndpointUpdate {
-    /// An update without changes.
+    /// Returns an update without changes, which confirms the current list.
     pub fn unchanged() -> Self {
         Self {
             scope: UpdateScope::Delta,
@@ -48,7 +50,7 @@
         }
     }
 
-    /// An update that reports a failed call, or the end of a watch.
+    /// Returns an update that reports a failed call for a watch, or the end of a watch.
     pub fn failed() -> Self {
         Self {
             scope: UpdateScope::Failed,
@@ -57,61 +59,62 @@
     }
 }
 
-/// A parsed list.
+/// A parsed snapshot or delta.
 #[derive(Debug)]
 pub struct EndpointList {
-    /// Its revision.
+    /// The revision of the list; a higher one is newer.
     pub revision: u64,
-    /// Whether it is a complete list (a snapshot), as opposed to changes (a delta).
+    /// Whether the list is a snapshot, with all endpoints, as opposed to a delta, with changes.
     pub is_snapshot: bool,
-    /// The entries. One with a valid uid that is otherwise unreadable counts as draining.
+    /// The entries with a readable uid. An entry that is otherwise unreadable counts as draining.
     pub entries: Vec<EndpointEntry>,
-    /// How many entries have no uid.
-    pub unnamed_count: usize,
-    /// The error of the first unreadable entry.
+    /// The number of entries without a readable uid.
+    pub missing_uid_count: usize,
+    /// The error of the first unreadable entry; `None` if all entries are readable.
     pub first_error: Option<EntryError>,
 }
 
-/// Why a text is not a list. The complete list is requested next, because the unreadable text may contain a drain.
+/// The reason why a text is not a list. The text may contain a drain, so a snapshot is requested next.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// The text is not JSON in the form of a list.
-    #[error("no list: {0}")]
+    /// The text is not JSON, or does not have the form of a list.
+    #[error("invalid endpoint list: {0}")]
     Json(#[from] serde_json::Error),
-    /// A line ended, or another started, inside a list.
-    #[error("a list is truncated")]
+    /// A text line inside a list is empty or ends inside a string, or its first text line is not the start of valid
+    /// JSON.
+    #[error("endpoint list is truncated or is not valid JSON")]
     Truncated,
     /// The list is longer than [`MAX_LIST_BYTES`].
-    #[error("a list is longer than {MAX_LIST_BYTES} bytes")]
+    #[error("endpoint list must have at most {MAX_LIST_BYTES} bytes")]
     TooLong,
 }
 
-/// Why an entry of a list is unreadable. The other entries of the list remain valid.
+/// The reason why an entry of a list is unreadable. The other entries of the list remain valid.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// The entry has no uid.
-    #[error("an entry without a uid")]
+    /// The entry has no readable uid.
+    #[error("endpoint has no readable uid")]
     MissingUid,
     /// The entry does not have the expected form.
-    #[error("{uid}: {source}")]
+    #[error("endpoint {uid}: {source}")]
     Json {
-        /// The uid of the upstream.
+        /// The uid of the unreadable entry.
         uid: String,
-        /// The parse error.
+        /// The error of parsing the entry.
         source: serde_json::Error,
     },
-    /// The state is unknown.
-    #[error("{uid}: unknown state {state:?}")]
+    /// The state of the entry is unknown.
+    #[error("endpoint {uid}: state must be Ready, Terminating or Gone, got {state:?}")]
     UnknownState {
-        /// The uid of the upstream.
+        /// The uid of the unreadable entry.
         uid: String,
-        /// The unknown state.
+        /// The listed state, which is not a known one.
         state: String,
     },
     /// The upstream accepts requests, but its address is missing or unreadable.
-    #[error("{uid}: no address")]
+    #[error("endpoint {uid}: state Ready requires an address, as <ip>:<port>")]
     MissingAddress {
-        /// The uid of the upstream.
+        /// The uid of the unreadable entry.
         uid: String,
     },
 }
@@ -153,31 +156,31 @@
     }
 }
 
-/// The id of an upstream: the FNV-1a hash of its uid, stable across processes and builds.
+/// Returns the id of an upstream: the FNV-1a hash of its uid, which is the same in all processes and builds.
 fn stable_id(uid: &str) -> UpstreamId {
     let hash = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     UpstreamId(uid.bytes().fold(FNV_OFFSET_BASIS, hash))
 }
 
-/// Parses lists with the zone and kind names of a site.
+/// A parser of lists, which knows the names of zones and kinds at a site.
 pub struct EndpointListReader {
     names: Names,
 }
 
 impl EndpointListReader {
-    /// Creates a reader; `names` map zones and kinds to their ids.
+    /// Creates a reader; the position of a zone or kind in `names` is its id.
     pub fn new(names: Names) -> Self {
         Self { names }
     }
 
-    /// Parses the text of a list.
+    /// Parses the JSON text of a list.
     pub fn read(&self, text: &[u8]) -> Result<EndpointList, EndpointListError> {
         let raw: RawList<'_> = serde_json::from_slice(text)?;
         let mut list = EndpointList {
             revision: raw.rev,
             is_snapshot: raw.all,
             entries: Vec::new(),
-            unnamed_count: 0,
+            missing_uid_count: 0,
             first_error: None,
         };
         for target in raw.targets {
@@ -186,9 +189,11 @@
         Ok(list)
     }
 
+    /// Parses an entry and adds it to `list`. An unreadable entry counts as draining, or is only counted if it has no
+    /// readable uid.
     fn read_entry(&self, text: &str, list: &mut EndpointList) {
         let Ok(RawUid { uid }) = serde_json::from_str(text) else {
-            list.unnamed_count += 1;
+            list.missing_uid_count += 1;
             list.first_error.get_or_insert(EntryError::MissingUid);
             return;
         };
@@ -259,11 +264,13 @@
     }
 }
 
-/// The zone or kind of an upstream whose entry names one that is not in the settings.
+/// The zone of an upstream whose listed zone is not in the settings.
 const UNKNOWN_ZONE: ZoneId = ZoneId(u8::MAX);
+/// The kind of an upstream whose listed kind is not in the settings.
 const UNKNOWN_KIND: KindId = KindId(u16::MAX);
 
-/// Replaces an unreadable entry that has a uid: the upstream may be draining.
+/// Returns the entry that replaces an unreadable one with this uid. Its upstream counts as draining, because the
+/// unreadable entry may have been a drain.
 fn unreadable_entry(uid: &str) -> EndpointEntry {
     EndpointEntry {
         id: stable_id(uid),
--- a/balancer/src/discovery/error.rs
+++ b/balancer/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the watch on the endpoint list.
+//! Errors of a watch on the endpoint list.
 
 use super::endpoint_list::EndpointListError;
 use crate::error_origin::ErrorOrigin;
@@ -6,49 +6,51 @@
 use std::io;
 use tokio::time::error::Elapsed;
 
-/// Why a call for a watch failed, or the watch has ended. The caller polls again; the current list stays in effect.
+/// The reason why a call for a watch failed, or why an open watch ended. The current list stays in effect, and the
+/// decision module requests another watch.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// The connection could not be established. If the fault is local, this is no evidence about discovery.
-    #[error("no connection: {0}")]
+    /// The connection could not be established. An error of local origin, such as a shortage of descriptors, does not
+    /// mean that discovery is unreachable.
+    #[error("cannot connect to discovery: {0}")]
     Connect(#[source] io::Error),
-    /// The connection timed out.
-    #[error("no connection in time")]
+    /// The connection was not established within the timeout.
+    #[error("connecting to discovery timed out")]
     ConnectTimeout(#[source] Elapsed),
-    /// Discovery accepted the call but does not respond.
-    #[error("no response in time")]
+    /// Discovery accepted the connection but did not respond to the call within the timeout.
+    #[error("call to discovery timed out without a response")]
     Unresponsive(#[source] Elapsed),
-    /// Discovery has rejected the call.
-    #[error("rejected with status {0}")]
+    /// Discovery responded to the call with a status other than 200.
+    #[error("discovery rejected the call with status {0}, expected 200")]
     Rejected(StatusCode),
-    /// The request could not be built.
-    #[error("invalid request: {0}")]
+    /// The HTTP request for the watch could not be built.
+    #[error("cannot build the request to discovery: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
     /// The connection ended, or the received data is not valid HTTP.
-    #[error("the connection failed: {0}")]
+    #[error("connection to discovery failed: {0}")]
     Http(#[from] hyper::Error),
-    /// No data was received for too long, or a line was truncated.
-    #[error("the watch is stalled")]
+    /// The watch timed out: no line was started, or a line was not completed, within its time limit.
+    #[error("watch timed out: no complete line was received in time")]
     Stalled(#[source] Elapsed),
-    /// A line could not be parsed as a list.
+    /// A line is not a valid list.
     #[error(transparent)]
     List(#[from] EndpointListError),
-    /// A change with a lower revision than the current list.
-    #[error("changes of revision {received}, older than {current}")]
+    /// A delta has a lower revision than the current list.
+    #[error("delta must have revision {current} or higher, got {received}")]
     OutdatedRevision {
-        /// The revision received.
+        /// The revision of the received delta.
         received: u64,
-        /// The current revision.
+        /// The revision of the current list.
         current: u64,
     },
-    /// A change without the uid of its upstream.
-    #[error("a change of an upstream that is not named")]
-    UnnamedChange,
+    /// A delta has an entry without a readable uid, so that the upstream that changed is unknown.
+    #[error("delta has an entry without a readable uid")]
+    ChangeWithoutUid,
 }
 
 impl DiscoveryError {
-    /// Whether a call without a response means that discovery is unreachable. A local fault is no evidence of that, and
-    /// discovery that accepts calls without responding is unresponsive rather than unreachable.
+    /// Returns whether a call without a response means that discovery is unreachable. This is not the case if the cause
+    /// is a local fault, or if discovery accepted the connection but did not respond before the timeout.
     pub(super) fn is_unreachable(&self) -> bool {
         match self {
             Self::Unresponsive(_) => false,
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -1,5 +1,6 @@
-//! Discovery: the watch on the endpoint list. There is no separate call for the list: a watch from revision 0 starts
-//! with a snapshot.
+//! The client of discovery, the service that publishes the endpoint list. The list is received on a watch: one HTTP
+//! response that discovery keeps open, with one line for each snapshot, delta or heartbeat. There is no separate call
+//! for the list, because a watch that is requested from revision 0 starts with a snapshot.
 
 mod endpoint_list;
 mod error;
@@ -30,51 +31,53 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use watch_progress::WatchProgress;
 
-/// The timeout of a call. Discovery serves calls one after another, and fails those that wait too long.
+/// The timeout of a call for a watch, until its response head. Discovery serves calls one after another, and fails
+/// those that wait too long.
 const CALL_TIMEOUT: Duration = Duration::from_millis(3500);
-/// The timeout for connecting to discovery.
+/// The timeout for establishing a connection to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Identifies a watch within the process.
+/// The number of a watch, unique within the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchId(u64);
 
-/// An event of a watch, or of the call for one. The moments are on the monotonic clock.
+/// An event of a watch, or of the call for a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// A snapshot, a delta, or the end of the watch.
+    /// An update of the endpoint list, or the failure of the call or the end of the watch.
     Update(EndpointUpdate),
-    /// No data has been received since this moment; the watch or the call has timed out.
+    /// The watch or the call has timed out: no line, or no response, has been received since this time.
     Silent(Instant),
     /// Discovery has ended the watch.
     Ended,
-    /// Part of a response or of a line has been received, its first byte at this moment.
+    /// Part of a response or of a line has been received; its first byte was received at this time.
     Partial(Instant),
-    /// The call made at this moment was rejected.
+    /// Discovery rejected the call that was made at this time.
     Rejected(Instant),
-    /// The call made at this moment did not reach discovery, or was closed without a response.
+    /// The call that was made at this time did not reach discovery, or its connection closed without a response.
     Unreachable(Instant),
 }
 
-/// The content of one line of a watch.
+/// The parsed content of one line of a watch.
 enum WatchMessage {
     Heartbeat,
     Update(EndpointUpdate),
 }
 
-/// The address of discovery, and the revision of this balancer's list.
+/// The client of discovery, which knows its address and the revision of the current list.
 pub struct Discovery {
     address: Cell<SocketAddr>,
     reader: EndpointListReader,
     /// The revision of the current list; 0 if there is none.
     revision: Cell<u64>,
+    /// The task that runs the current watch; `None` before the first watch.
     watch_task: RefCell<Option<AbortHandle>>,
     current_watch: Cell<WatchId>,
     entry_log: RateLimitedLog,
 }
 
 impl Discovery {
-    /// Creates a client of discovery; `names` map zones and kinds to their ids.
+    /// Creates a client of discovery; the position of a zone or kind in `names` is its id.
     pub fn new(address: SocketAddr, names: Names) -> Self {
         Self {
             address: Cell::new(address),
@@ -86,14 +89,15 @@
         }
     }
 
-    /// The list in the configuration, as [`UpdateScope::Cached`].
+    /// Parses `text`, the list in the configuration, into an update with [`UpdateScope::Cached`]. The update has no
+    /// entries if the text is empty or unreadable.
     pub fn cached_list(&self, text: &str) -> EndpointUpdate {
         let mut update = EndpointUpdate {
             scope: UpdateScope::Cached,
             entries: Vec::new(),
         };
         if !text.is_empty() {
-            match self.accept(text.as_bytes()) {
+            match self.accept_list(text.as_bytes()) {
                 Ok(list) => update.entries = list.entries,
                 Err(error) => tracing::warn!(%error, "configured endpoint list unreadable"),
             }
@@ -101,12 +105,13 @@
         update
     }
 
-    /// Sets the address of discovery. Returns whether it has changed during a watch, which must then be replaced.
+    /// Sets the address of discovery. Returns whether the address has changed after a watch was started; that watch
+    /// must then be replaced.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         self.address.replace(address) != address && self.watch_task.borrow().is_some()
     }
 
-    /// Starts a watch in place of the previous one, which reports no further events.
+    /// Returns the number of a new watch, which becomes the current one. The previous watch reports no further events.
     pub fn begin_watch(&self) -> WatchId {
         let watch = WatchId(self.current_watch.get().0 + 1);
         self.current_watch.set(watch);
@@ -127,8 +132,8 @@
         }
     }
 
-    /// Runs a watch until it ends, and reports its events; the last one is a failure. A replaced watch reports no
-    /// further events, even if its task still runs.
+    /// Runs a watch until it ends, and passes its events to `report`. The last event is an update with
+    /// [`UpdateScope::Failed`]. A watch that has been replaced reports no further events, even if its task still runs.
     pub async fn watch(&self, watch: WatchId, mut report: impl FnMut(DiscoveryEvent)) {
         let mut report = |event| {
             if self.is_current(watch) {
@@ -172,7 +177,7 @@
         self.read_watch(watch, body, report).await
     }
 
-    /// Requests a watch on changes after a revision; `first_byte` records when its response starts.
+    /// Requests a watch on changes after `revision`; `first_byte` records when the response starts.
     async fn request_watch(
         &self,
         revision: u64,
@@ -195,7 +200,7 @@
         Ok((connection, response.into_body()))
     }
 
-    /// Reads the lines of a watch until it ends.
+    /// Reads the lines of a watch until it ends, and reports its events.
     async fn read_watch(
         &self,
         watch: WatchId,
@@ -218,7 +223,7 @@
                 progress.on_line();
                 match message {
                     WatchMessage::Update(update) => report(DiscoveryEvent::Update(update)),
-                    // A heartbeat in place of the first list means that the list is unchanged.
+                    // If the first line is a heartbeat, the current list is confirmed without changes.
                     WatchMessage::Heartbeat if is_first_line => {
                         report(DiscoveryEvent::Update(EndpointUpdate::unchanged()));
                     }
@@ -233,14 +238,14 @@
         Ok(())
     }
 
-    /// The next complete line of a watch. After an unreadable line the complete list is requested, because the line may
-    /// have contained a drain.
+    /// Parses the next complete line of a watch; `None` if more data is needed. After an unreadable line, which may
+    /// have contained a drain, the revision is set to 0, so that the next watch starts with a snapshot.
     fn next_message(&self, lines: &mut WatchLines) -> Result<Option<WatchMessage>, DiscoveryError> {
         let line = lines.next_line().map_err(DiscoveryError::from);
         let message = line.and_then(|line| match line {
             None => Ok(None),
             Some(WatchLine::Heartbeat) => Ok(Some(WatchMessage::Heartbeat)),
-            Some(WatchLine::List(text)) => self.accept(&text).map(|list| {
+            Some(WatchLine::List(text)) => self.accept_list(&text).map(|list| {
                 let scope = if list.is_snapshot {
                     UpdateScope::Snapshot
                 } else {
@@ -255,8 +260,8 @@
         message.inspect_err(|_| self.revision.set(0))
     }
 
-    /// Parses a list and sets its revision as the current one.
-    fn accept(&self, text: &[u8]) -> Result<EndpointList, DiscoveryError> {
+    /// Parses a list and makes its revision the current one.
+    fn accept_list(&self, text: &[u8]) -> Result<EndpointList, DiscoveryError> {
         let list = self.reader.read(text)?;
         if let Some(error) = &list.first_error {
             self.entry_log
@@ -269,8 +274,8 @@
                 current,
             });
         }
-        if !list.is_snapshot && list.unnamed_count > 0 {
-            return Err(DiscoveryError::UnnamedChange);
+        if !list.is_snapshot && list.missing_uid_count > 0 {
+            return Err(DiscoveryError::ChangeWithoutUid);
         }
         self.revision.set(list.revision);
         let EndpointList {
@@ -289,7 +294,7 @@
     }
 }
 
-/// Reports the outcome of the call for a watch.
+/// Reports the events that follow from the result of the call for a watch.
 fn report_call(
     error: Option<&DiscoveryError>,
     requested_at: Instant,
@@ -301,7 +306,7 @@
     }
     match (error, first_byte_at) {
         (Some(DiscoveryError::Rejected(_)), _) => report(DiscoveryEvent::Rejected(requested_at)),
-        // Any byte of a response shows that discovery is reachable.
+        // Even one byte of a response shows that discovery is reachable.
         (_, Some(since)) => report(DiscoveryEvent::Partial(since)),
         (Some(error), None) if error.is_unreachable() => {
             report(DiscoveryEvent::Unreachable(requested_at))
@@ -310,14 +315,14 @@
     }
 }
 
-/// The next data of a watch; `None` if discovery has ended it.
+/// Waits for the next data of a watch; `None` if discovery has ended the watch.
 async fn next_data(
     body: &mut Incoming,
     progress: &WatchProgress,
     report: &mut impl FnMut(DiscoveryEvent),
 ) -> Result<Option<Bytes>, DiscoveryError> {
     loop {
-        match timeout_at(progress.give_up_at(), body.frame()).await {
+        match timeout_at(progress.times_out_at(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 if let Ok(data) = frame.into_data() {
                     return Ok(Some(data));
