--- a/balancer/src/upstream/attempt.rs
+++ b/balancer/src/upstream/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt: a request to one upstream, and its outcome.
+//! Attempts: one request that is sent to one upstream, and its outcome.
 //!
-//! An attempt is reported as not executed only if that can be proved: no connection was established, the kernel did
-//! not accept the request's last byte before the connection ended, or the upstream itself reports it.
+//! The outcome of an attempt says that the request was not executed only if this is certain: no connection was
+//! established, the connection ended before the kernel accepted the request's last byte, or the upstream reports it.
 
 use super::Upstreams;
 use super::checkout::CheckedOutConnection;
@@ -19,35 +19,35 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, timeout_at};
 
-/// The progress of an attempt.
+/// The progress of an attempt, which its task shares with the event loop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Nothing has been written: the attempt can be dropped without any effect.
+    /// The attempt waits for a connection. Nothing has been written, so that aborting it has no effect on the upstream.
     #[default]
     WaitingForConnection,
-    /// Part of the request may have been written.
+    /// The request, or part of it, may have been written.
     Written,
-    /// It has ended.
+    /// The event loop has processed the end of the attempt.
     Ended,
 }
 
 /// An upstream's response with status 200.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// Its end-to-end headers.
+    /// The response's end-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete response body; empty if there is none.
     pub body: Bytes,
 }
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The outcome.
+    /// The outcome, as it is reported to the decision module.
     pub outcome: Outcome,
-    /// The response, with [`Outcome::Ok`].
+    /// The response to forward; `None` unless the outcome is [`Outcome::Ok`].
     pub response: Option<UpstreamResponse>,
-    /// The values of a load report, in the order of the settings; empty if there was none.
+    /// The values of the load report, in the order of the settings; empty if there was no readable load report.
     pub load_report: Vec<f32>,
 }
 
@@ -61,9 +61,11 @@
     }
 }
 
-/// How much of a request the kernel has accepted.
+/// The progress of writing one request.
 struct WriteProgress {
+    /// The number of bytes of the request that the kernel has accepted.
     written: u64,
+    /// The length of the complete request in bytes.
     length: u64,
 }
 
@@ -74,13 +76,13 @@
 }
 
 impl Upstreams {
-    /// Sends a request to an upstream and waits for the response until `give_up_at`. `state` is set to
+    /// Sends a request to an upstream and waits for the response until `expires_at`. `state` is set to
     /// [`AttemptState::Written`] before the first byte is written.
     pub async fn attempt(
         &self,
         id: UpstreamId,
         request: &ForwardedRequest,
-        give_up_at: Instant,
+        expires_at: Instant,
         state: &Cell<AttemptState>,
     ) -> AttemptResult {
         let upstream = self.upstreams.borrow().get(&id).map(Rc::clone);
@@ -89,16 +91,17 @@
         };
         loop {
             state.set(AttemptState::WaitingForConnection);
-            // Let the poller run first: an idle connection may have ended, and a request on it would end as a reset;
-            // or the client may have disconnected.
+            // Yielding lets the I/O driver process pending events first. An idle connection may have ended, and a
+            // request on it would end with a reset; or the client may have disconnected.
             yield_now().await;
-            let checked_out = match self.check_out(&upstream, give_up_at).await {
+            let checked_out = match self.check_out(&upstream, expires_at).await {
                 Ok(checked_out) => checked_out,
                 Err(outcome) => return outcome.into(),
             };
             let now = Instant::now();
-            let time_left = give_up_at.saturating_duration_since(now);
-            // The upstream may have started to drain while the connection was being established.
+            let time_left = expires_at.saturating_duration_since(now);
+            // The upstream may have started to drain, or the send pause may have begun, during the wait for a
+            // connection.
             if !upstream.is_ready() || time_left.is_zero() || self.is_paused(now) {
                 upstream.check_in(checked_out);
                 return Outcome::NotSent.into();
@@ -115,7 +118,7 @@
             );
             let request = request.for_attempt(time_left);
             if let Some(result) = self
-                .run_exchange(id, &upstream, checked_out, request, give_up_at)
+                .run_exchange(id, &upstream, checked_out, request, expires_at)
                 .await
             {
                 return result;
@@ -123,18 +126,19 @@
         }
     }
 
-    /// Runs one exchange on a connection. `None` if no byte was sent: the attempt continues on another connection.
+    /// Runs one exchange on a connection. `None` if a reused connection ended before any byte was sent, in which case
+    /// the attempt continues on another connection.
     async fn run_exchange(
         &self,
         id: UpstreamId,
         upstream: &Upstream,
         mut checked_out: CheckedOutConnection,
         request: Request<Full<Bytes>>,
-        give_up_at: Instant,
+        expires_at: Instant,
     ) -> Option<AttemptResult> {
         let connection = &mut checked_out.connection;
         let (written_before, length) = (connection.written(), wire_length(&request));
-        let exchanged = timeout_at(give_up_at, exchange(connection, request)).await;
+        let exchanged = timeout_at(expires_at, exchange(connection, request)).await;
         let progress = WriteProgress {
             written: connection.written() - written_before,
             length,
@@ -143,7 +147,7 @@
             Ok(Ok(response)) => {
                 Some(self.on_response(id, upstream, checked_out, &progress, response))
             }
-            // The connection had ended while it was idle.
+            // The connection had already ended while it was idle.
             Ok(Err(ExchangeError::ConnectionEnded(_)))
                 if checked_out.is_reused && progress.written == 0 =>
             {
@@ -163,17 +167,17 @@
         progress: &WriteProgress,
         response: Response<Bytes>,
     ) -> AttemptResult {
-        // A connection with an incompletely written request cannot be reused, even after a response.
+        // A connection is reused only if the request on it was written completely.
         if progress.is_complete() {
             upstream.check_in(checked_out);
         } else if response.status() == StatusCode::OK {
-            // An upstream processes a request only when it is complete: this response may be to an earlier request.
+            // An upstream processes a request only when it is complete, so this response may be to an earlier request.
             self.response_log.warn(|suppressed| {
                 tracing::warn!(suppressed, upstream = id.0, "response before request");
             });
             return Outcome::ConnectFailed.into();
         }
-        self.result_of(response)
+        self.attempt_result(response)
     }
 
     fn on_exchange_error(
@@ -183,7 +187,7 @@
         error: &ExchangeError,
     ) -> Outcome {
         if error.has_responded() {
-            // The upstream's process is alive, so that this does not count as a connection error.
+            // The upstream's process has responded, so this does not count as a connection error.
             self.response_log.warn(|suppressed| {
                 tracing::warn!(suppressed, upstream = id.0, %error, "response unreadable");
             });
@@ -198,7 +202,8 @@
         }
     }
 
-    fn result_of(&self, response: Response<Bytes>) -> AttemptResult {
+    /// Converts a complete response into the result of its attempt.
+    fn attempt_result(&self, response: Response<Bytes>) -> AttemptResult {
         let (parts, body) = response.into_parts();
         let mut headers = parts.headers;
         let load = headers
--- a/balancer/src/upstream/checkout.rs
+++ b/balancer/src/upstream/checkout.rs
@@ -1,4 +1,4 @@
-//! Connection checkout for attempts: an idle connection, or else a new one.
+//! The checkout of connections for attempts: an idle connection if there is one, otherwise a new connection.
 
 use super::Upstreams;
 use super::endpoint_state::Upstream;
@@ -10,28 +10,29 @@
 /// A connection in use by an attempt.
 pub(super) struct CheckedOutConnection {
     pub(super) connection: Connection,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request before.
     pub(super) is_reused: bool,
-    /// When the upstream's process started, as listed at checkout.
+    /// When the upstream's process started, in Unix milliseconds, as listed at the time of the checkout.
     pub(super) boot_ms: u64,
 }
 
 impl Upstreams {
-    /// Checks out an idle connection, or else a new one; the error is the attempt's outcome.
+    /// Checks out an idle connection if there is one, otherwise a new connection. If neither is available by
+    /// `expires_at`, the error is the attempt's outcome.
     pub(super) async fn check_out(
         &self,
         upstream: &Upstream,
-        give_up_at: Instant,
+        expires_at: Instant,
     ) -> Result<CheckedOutConnection, Outcome> {
         let boot_ms = upstream.boot_ms();
-        if let Some(connection) = self.idle_connection(upstream, give_up_at).await {
+        if let Some(connection) = self.idle_connection(upstream, expires_at).await {
             return Ok(CheckedOutConnection {
                 connection,
                 is_reused: true,
                 boot_ms,
             });
         }
-        let connection = self.connect(upstream, give_up_at).await?;
+        let connection = self.connect(upstream, expires_at).await?;
         Ok(CheckedOutConnection {
             connection,
             is_reused: false,
@@ -39,37 +40,39 @@
         })
     }
 
-    /// An idle connection that is still open. At the connection limit, one in its cooldown is awaited.
+    /// Returns an idle connection that is still open. If the connection limit is reached, waits for the end of a
+    /// connection's cooldown.
     async fn idle_connection(
         &self,
         upstream: &Upstream,
-        give_up_at: Instant,
+        expires_at: Instant,
     ) -> Option<Connection> {
-        while let Some(mut connection) = upstream.idle.take_usable(self.max_idle) {
-            if is_usable(&mut connection, give_up_at).await {
+        while let Some(mut connection) = upstream.idle.pop_usable(self.max_idle) {
+            if is_usable(&mut connection, expires_at).await {
                 return Some(connection);
             }
         }
         if !self.connection_limit.is_reached() {
             return None;
         }
-        let mut oldest = upstream.idle.take_oldest()?;
-        sleep_until(oldest.usable_at.min(give_up_at)).await;
-        is_usable(&mut oldest.connection, give_up_at)
+        let mut oldest = upstream.idle.pop_oldest()?;
+        sleep_until(oldest.usable_at.min(expires_at)).await;
+        is_usable(&mut oldest.connection, expires_at)
             .await
             .then_some(oldest.connection)
     }
 
+    /// Opens a new connection by `expires_at`; the error is the attempt's outcome.
     async fn connect(
         &self,
         upstream: &Upstream,
-        give_up_at: Instant,
+        expires_at: Instant,
     ) -> Result<Connection, Outcome> {
         let Some(address) = upstream.address() else {
             return Err(Outcome::NotSent);
         };
-        let deadline = give_up_at.min(Instant::now() + self.connect_timeout);
-        // A shortage of descriptors or time on this machine is no evidence of a fault of the upstream.
+        let deadline = expires_at.min(Instant::now() + self.connect_timeout);
+        // A permit that is not available in time is due to the connection limit, not to a fault of the upstream.
         let permit = self.connection_limit.acquire(|| self.close_any_idle());
         let Ok(permit) = timeout_at(deadline, permit).await else {
             return Err(Outcome::NotSent);
@@ -84,19 +87,21 @@
                     ErrorOrigin::Local | ErrorOrigin::Transient => Outcome::NotSent,
                 })
             }
-            Err(_) if deadline == give_up_at => Err(Outcome::NotSent),
+            Err(_) if deadline == expires_at => Err(Outcome::NotSent),
             Err(_) => Err(Outcome::ConnectFailed),
         }
     }
 
+    /// Closes one idle connection to any upstream, if there is one.
     fn close_any_idle(&self) {
         let upstreams = self.upstreams.borrow();
         upstreams
             .values()
-            .find_map(|upstream| upstream.idle.take_oldest());
+            .find_map(|upstream| upstream.idle.pop_oldest());
     }
 }
 
-async fn is_usable(connection: &mut Connection, give_up_at: Instant) -> bool {
-    timeout_at(give_up_at, connection.is_usable()).await == Ok(true)
+/// Waits until a connection is ready for a request; `false` if it is closed or is not ready by `expires_at`.
+async fn is_usable(connection: &mut Connection, expires_at: Instant) -> bool {
+    timeout_at(expires_at, connection.is_usable()).await == Ok(true)
 }
--- a/balancer/src/upstream/connection_limit.rs
+++ b/balancer/src/upstream/connection_limit.rs
@@ -1,17 +1,18 @@
-//! The limit on open connections to all upstreams.
+//! The limit on the total number of open connections to all upstreams.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The limit, and the number of open connections.
+/// A limit on open connections, which counts the permits that are in use.
 pub struct ConnectionLimit {
     max_open: usize,
     open_count: Cell<usize>,
+    /// Notified when a permit is released.
     released: Notify,
 }
 
-/// A permit for one connection, released when its descriptor is closed.
+/// A permit for one connection. The connection owns it until its descriptor is closed; dropping it releases it.
 pub struct ConnectionPermit(Rc<ConnectionLimit>);
 
 impl ConnectionLimit {
@@ -24,17 +25,17 @@
         })
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn open_count(&self) -> usize {
         self.open_count.get()
     }
 
-    /// Whether the limit is reached.
+    /// Returns whether the limit is reached.
     pub fn is_reached(&self) -> bool {
         self.open_count.get() >= self.max_open
     }
 
-    /// Waits for a permit. While none is available, it calls `close_idle` to close an idle connection.
+    /// Waits for a permit. Whenever none is available, calls `close_idle` to close an idle connection.
     pub async fn acquire(self: &Rc<Self>, close_idle: impl Fn()) -> ConnectionPermit {
         while self.is_reached() {
             close_idle();
--- a/balancer/src/upstream/endpoint_state.rs
+++ b/balancer/src/upstream/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! One upstream: its listed state and its idle connections.
+//! The state of one upstream: its entry in the endpoint list and its idle connections.
 
 use super::checkout::CheckedOutConnection;
 use super::idle_pool::IdlePool;
@@ -6,25 +6,25 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// The listed state of an upstream, as far as it matters for connections.
+/// The part of an upstream's entry in the endpoint list that matters for connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointState {
-    /// The address on which it listens; `None` if the entry has no readable address.
+    /// The address on which the upstream listens; `None` if the entry has no readable address.
     pub address: Option<SocketAddr>,
-    /// Whether it accepts requests.
+    /// Whether the upstream accepts requests.
     pub availability: Availability,
-    /// When its process last started, in Unix milliseconds, as listed.
+    /// When the upstream's process last started, in Unix milliseconds, as listed; 0 if that is not listed.
     pub boot_ms: u64,
 }
 
-/// One upstream. Attempts that wait for a connection share it, and check its state before they write.
+/// One upstream. It is shared with the attempts that wait for a connection, which check its state before they write.
 pub(super) struct Upstream {
     state: Cell<EndpointState>,
     pub(super) idle: IdlePool,
 }
 
 impl Upstream {
-    /// Creates an upstream that accepts no requests until a state is applied.
+    /// Creates an upstream that is treated as draining until a listed state is applied.
     pub(super) fn new(boot_ms: u64) -> Self {
         let state = EndpointState {
             address: None,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Applies a listed state; a missing address leaves the current one unchanged. Returns whether the upstream became
-    /// ready, or stopped being ready.
+    /// Applies a listed state; a missing address leaves the current address unchanged. Returns whether the upstream
+    /// became ready or stopped being ready.
     pub(super) fn apply(&self, listed: &EndpointState) -> bool {
         let previous = self.state.get();
         let current = EndpointState {
@@ -46,7 +46,7 @@
             ..*listed
         };
         self.state.set(current);
-        // Connections to a process that has ended, or no longer accepts requests, are useless.
+        // Idle connections to a process that has ended or no longer accepts requests cannot be reused.
         let has_restarted = current.boot_ms != previous.boot_ms;
         if has_restarted || current.address != previous.address || !self.is_ready() {
             self.idle.clear();
@@ -54,8 +54,8 @@
         (previous.availability == Availability::Ready) != self.is_ready()
     }
 
-    /// Marks the upstream as removed: nothing new is sent to it.
-    pub(super) fn retire(&self) {
+    /// Marks the upstream as removed, so that waiting attempts are not sent, and closes its idle connections.
+    pub(super) fn mark_removed(&self) {
         self.state.set(EndpointState {
             availability: Availability::Removed,
             ..self.state.get()
@@ -63,7 +63,7 @@
         self.idle.clear();
     }
 
-    /// Whether it accepts requests.
+    /// Returns whether the upstream accepts requests.
     pub(super) fn is_ready(&self) -> bool {
         self.state.get().availability == Availability::Ready
     }
@@ -76,7 +76,8 @@
         self.state.get().boot_ms
     }
 
-    /// Keeps a connection for reuse if it leads to the currently listed process, and that accepts requests.
+    /// Returns a connection to the idle pool if it is open, leads to the currently listed process, and the upstream
+    /// accepts requests; closes it otherwise.
     pub(super) fn check_in(&self, checked_out: CheckedOutConnection) {
         let CheckedOutConnection {
             connection,
@@ -85,7 +86,7 @@
         } = checked_out;
         let same_process = self.boot_ms() == boot_ms && self.address() == Some(connection.peer());
         if self.is_ready() && same_process && !connection.is_closed() {
-            self.idle.put(connection);
+            self.idle.add(connection);
         }
     }
 }
--- a/balancer/src/upstream/exchange.rs
+++ b/balancer/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on an upstream connection.
+//! Exchanges: one request and its response on an upstream connection.
 
 use crate::connection::Connection;
 use crate::headers::TIME_LEFT;
@@ -8,23 +8,23 @@
 use hyper::{Method, Request, Response, Uri};
 use std::time::Duration;
 
-/// The longest accepted response body.
-const MAX_BODY: usize = 64 * 1024;
+/// The maximum length of a response body.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A client's request in the form that is forwarded.
+/// A client's request without hop-by-hop headers, as it is forwarded to upstreams.
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The HTTP method of the client's request.
     pub method: Method,
-    /// Path and query.
+    /// The path and query of the request.
     pub target: Uri,
-    /// Its end-to-end headers.
+    /// The headers of the client's request, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete request body; empty if there is none.
     pub body: Bytes,
 }
 
 impl ForwardedRequest {
-    /// Builds the request of one attempt, which states how long the balancer will wait.
+    /// Builds the HTTP request of one attempt. Its header [`TIME_LEFT`] states how long the balancer will wait.
     pub fn for_attempt(&self, time_left: Duration) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         headers.insert(TIME_LEFT, HeaderValue::from(time_left.as_millis() as u64));
@@ -39,32 +39,32 @@
     }
 }
 
-/// Why an exchange failed.
+/// The reason why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection ended before the response head. Whether the request may have been executed depends on how much of
-    /// it was written.
-    #[error("the connection ended: {0}")]
+    /// The connection ended before the response head was received. The request may have been executed only if all of it
+    /// was written.
+    #[error("connection ended before the response head: {0}")]
     ConnectionEnded(#[source] hyper::Error),
-    /// The upstream sent something that is not a response head.
-    #[error("no HTTP response: {0}")]
+    /// The upstream sent data that is not an HTTP response head.
+    #[error("invalid response head: {0}")]
     InvalidHead(#[source] hyper::Error),
-    /// The body was truncated, or its framing is invalid.
-    #[error("the body is not complete: {0}")]
+    /// The response body was truncated, or its framing is invalid.
+    #[error("truncated or invalid response body: {0}")]
     InvalidBody(#[source] hyper::Error),
-    /// The body exceeds the limit for forwarded bodies.
-    #[error("the body is longer than {MAX_BODY} bytes")]
+    /// The response body exceeds the limit for forwarded bodies.
+    #[error("response body must have at most {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
 }
 
 impl ExchangeError {
-    /// Whether the upstream's process responded, even if the response cannot be forwarded.
+    /// Returns whether the upstream's process has responded, even if the response cannot be forwarded.
     pub fn has_responded(&self) -> bool {
         !matches!(self, Self::ConnectionEnded(_))
     }
 }
 
-/// Sends a request and reads the complete response.
+/// Sends a request on a connection and reads the complete response.
 pub async fn exchange(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
@@ -77,10 +77,10 @@
         }
     })?;
     let (parts, body) = response.into_parts();
-    let body = Limited::new(body, MAX_BODY).collect().await;
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let body = body.map_err(|error| match error.downcast::<hyper::Error>() {
         Ok(error) => ExchangeError::InvalidBody(*error),
-        // The only error that `Limited` adds.
+        // `Limited` adds no other error than the one for a body over the limit.
         Err(_) => ExchangeError::BodyTooLong,
     })?;
     Ok(Response::from_parts(parts, body.to_bytes()))
--- a/balancer/src/upstream/health_check.rs
+++ b/balancer/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks, and the load reports in their responses and in others.
+//! Health checks, and the load reports in responses to health checks and to attempts.
 
 use super::Upstreams;
 use super::attempt::AttemptResult;
@@ -14,14 +14,16 @@
 
 /// The timeout of a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-/// The paths of a health check without and with load reports.
+/// The path of a health check if the settings have load reports off.
 const LIVENESS_PATH: &str = "/health/live";
+/// The path of a health check whose response contains a load report.
 const LOAD_REPORT_PATH: &str = "/stats";
-/// How much of an unreadable load report is logged.
-const MAX_LOGGED_REPORT: usize = 80;
+/// The length to which an unreadable load report is cut in the log.
+const MAX_LOGGED_REPORT_BYTES: usize = 80;
 
 impl Upstreams {
-    /// Checks the health of an upstream.
+    /// Checks the health of an upstream. Unless load reports are off, the result contains the load report in the
+    /// response, if it is readable.
     pub async fn health_check(&self, id: UpstreamId) -> AttemptResult {
         let without_reports = self.load_reports == LoadReports::Off;
         let target = Uri::from_static(if without_reports {
@@ -37,9 +39,9 @@
             headers,
             body: Bytes::new(),
         };
-        let give_up_at = Instant::now() + HEALTH_CHECK_TIMEOUT;
+        let expires_at = Instant::now() + HEALTH_CHECK_TIMEOUT;
         let mut result = self
-            .attempt(id, &request, give_up_at, &Cell::default())
+            .attempt(id, &request, expires_at, &Cell::default())
             .await;
         if let Some(response) = &result.response
             && !without_reports
@@ -50,12 +52,14 @@
         result
     }
 
+    /// Parses a load report. If it is unreadable, logs a warning and returns no values.
     pub(super) fn read_load_report(&self, text: &[u8]) -> Vec<f32> {
         let report = std::str::from_utf8(text).ok();
         let values = report.and_then(|report| headers::load_report(report, &self.report_fields));
         values.unwrap_or_else(|| {
             self.report_log.warn(|suppressed| {
-                let report = String::from_utf8_lossy(&text[..text.len().min(MAX_LOGGED_REPORT)]);
+                let report =
+                    String::from_utf8_lossy(&text[..text.len().min(MAX_LOGGED_REPORT_BYTES)]);
                 tracing::warn!(suppressed, ?report, "load report unreadable");
             });
             Vec::new()
--- a/balancer/src/upstream/mod.rs
+++ b/balancer/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The upstreams: their addresses and connections, attempts and health checks.
+//! The upstreams: their addresses, their connections, and the attempts and health checks that are sent to them.
 
 mod attempt;
 mod checkout;
@@ -23,10 +23,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Fraction of the upstreams' idle timeout after which a connection is closed or no longer reused. A request sent
-/// while the upstream closes the connection ends as a reset; if it is not idempotent, it cannot be retried.
-const MAX_IDLE_SHARE: f64 = 0.8;
-/// How often idle connections are checked.
+/// The fraction of the upstreams' idle timeout after which a connection is closed or no longer reused. It is below 1
+/// because a request that is sent while the upstream closes the connection ends with a reset, and can then be retried
+/// only if it is idempotent.
+const MAX_IDLE_FRACTION: f64 = 0.8;
+/// The interval between two checks for expired idle connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// All listed upstreams.
@@ -34,23 +35,26 @@
     upstreams: RefCell<FxHashMap<UpstreamId, Rc<Upstream>>>,
     connection_limit: Rc<ConnectionLimit>,
     connect_timeout: Duration,
+    /// The time after which an idle connection has expired.
     max_idle: Duration,
     load_reports: LoadReports,
+    /// The fields of a load report that are read, in the order of the settings.
     report_fields: Vec<LoadField>,
-    /// When sends are paused because the endpoint list may be stale.
+    /// The time during which no attempt may be written because the endpoint list may be stale; `None` while the list is
+    /// confirmed.
     send_pause: RefCell<Option<Range<Instant>>>,
     report_log: RateLimitedLog,
     response_log: RateLimitedLog,
 }
 
 impl Upstreams {
-    /// Creates an empty set of upstreams; at most `max_connections` to them are open in total.
+    /// Creates an empty set of upstreams, with a limit of `max_connections` open connections in total.
     pub fn new(settings: &Settings, max_connections: usize) -> Self {
         Self {
             upstreams: RefCell::default(),
             connection_limit: ConnectionLimit::new(max_connections),
             connect_timeout: settings.connect_timeout,
-            max_idle: settings.connection_idle_timeout.mul_f64(MAX_IDLE_SHARE),
+            max_idle: settings.connection_idle_timeout.mul_f64(MAX_IDLE_FRACTION),
             load_reports: settings.load_reports,
             report_fields: settings.report_fields.clone(),
             send_pause: RefCell::default(),
@@ -59,7 +63,7 @@
         }
     }
 
-    /// Applies the listed state of one upstream.
+    /// Applies the listed state of one upstream, which is added or removed if necessary.
     pub fn apply_endpoint(&self, id: UpstreamId, listed: &EndpointState) {
         let mut upstreams = self.upstreams.borrow_mut();
         if listed.availability == Availability::Removed {
@@ -69,7 +73,7 @@
                     reason = "listed-as-removed",
                     "upstream removed"
                 );
-                upstream.retire();
+                upstream.mark_removed();
             }
             return;
         }
@@ -92,7 +96,7 @@
             let retained = is_listed(*id);
             if !retained {
                 tracing::debug!(upstream = id.0, reason = "not-listed", "upstream removed");
-                upstream.retire();
+                upstream.mark_removed();
             }
             retained
         });
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, until the task is aborted.
+    /// Closes expired idle connections at regular intervals; never returns.
     pub async fn close_expired_periodically(&self) {
         loop {
             sleep(IDLE_CHECK_INTERVAL).await;
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Sets when attempts must not be written.
+    /// Sets the time during which no attempt may be written; `None` for no pause.
     pub fn pause_sends(&self, pause: Option<Range<Instant>>) {
         self.send_pause.replace(pause);
     }
@@ -127,7 +131,7 @@
             .is_some_and(|pause| pause.contains(&now))
     }
 
-    /// The number of open connections to all upstreams.
+    /// Returns the total number of open connections to all upstreams.
     pub fn open_connections(&self) -> usize {
         self.connection_limit.open_count()
     }
