--- a/balancer/src/event_loop/actions.rs
+++ b/balancer/src/event_loop/actions.rs
@@ -1,4 +1,4 @@
-//! Performs the actions that the decision module returns.
+//! The actions that the decision module returns, and how the event loop performs them.
 
 use super::{EventLoop, LoopState};
 use crate::in_flight::FinalResponse;
--- a/balancer/src/event_loop/attempts.rs
+++ b/balancer/src/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: each runs as its own task, which ends with one event.
+//! Attempts at requests. Each runs as its own task, which queues one event when the attempt has ended.
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use crate::in_flight::{Attempt, FinalResponse};
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 impl EventLoop {
-    /// Starts an attempt; `timeout` may end it before the client's deadline.
+    /// Starts an attempt. It ends at the client's deadline, or after `timeout` if that is earlier.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         state: &mut LoopState,
@@ -24,7 +24,7 @@
         };
         let (started_at, attempt) = (Instant::now(), AttemptNo(in_flight.attempts.len() as u8));
         let deadline = in_flight.request.deadline;
-        let give_up_at = timeout.map_or(deadline, |timeout| deadline.min(started_at + timeout));
+        let expires_at = timeout.map_or(deadline, |timeout| deadline.min(started_at + timeout));
         let (event_loop, request) = (Rc::clone(self), Rc::clone(&in_flight.request));
         let mut force_close = self.force_close.subscribe();
         let attempt_state = Rc::new(Cell::new(AttemptState::default()));
@@ -36,7 +36,7 @@
                 let exchange = event_loop.upstreams.attempt(
                     upstream,
                     &request.forwarded,
-                    give_up_at,
+                    expires_at,
                     &shared_state,
                 );
                 tokio::select! {
@@ -59,12 +59,12 @@
         });
     }
 
-    /// Cancels an attempt, unless it has ended.
+    /// Cancels an attempt; no effect if it has ended.
     pub(super) fn cancel_attempt(&self, state: &LoopState, id: RequestId, attempt: AttemptNo) {
         self.abort_attempt(state, id, attempt, Outcome::Cancelled);
     }
 
-    /// Aborts the task of an attempt that has not ended, and queues its outcome.
+    /// Aborts the task of an attempt and queues `outcome` as its result; no effect if the attempt has ended.
     pub(super) fn abort_attempt(
         &self,
         state: &LoopState,
@@ -97,7 +97,7 @@
         let Some(in_flight) = state.in_flight.get_mut(id) else {
             return;
         };
-        // One event per attempt: a cancelled attempt may have completed just before.
+        // An attempt that ends just before it is cancelled has two events in the queue; the second is ignored.
         let Some(open) = in_flight.open_attempt(attempt) else {
             return;
         };
@@ -119,14 +119,14 @@
             ?load_report,
             "attempt ended"
         );
-        // The request already has its final response, so that the response of the hedge is dropped.
+        // If the request already has its final response, or its client has disconnected, this response is dropped.
         if let Some(response) = response
             && let Some(reply) = in_flight.reply.take()
         {
             state
                 .counters
                 .count_forwarded(class, in_flight.received_at.elapsed());
-            // The client may have just disconnected, so that there is no receiver.
+            // Sending fails if the client has just disconnected; its event is then in the queue.
             let _ = reply.send(FinalResponse::Forwarded(response));
         }
         let finished = in_flight.reply.is_none();
--- a/balancer/src/event_loop/background.rs
+++ b/balancer/src/event_loop/background.rs
@@ -1,11 +1,11 @@
-//! Periodic background work: closes expired connections and logs the balancer's status.
+//! Periodic background tasks: closing expired upstream connections and logging the balancer's status.
 
 use super::EventLoop;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the status is logged.
+/// The interval between two log entries of the status and the request counters.
 const STATUS_INTERVAL: Duration = Duration::from_secs(5);
 
 impl EventLoop {
--- a/balancer/src/event_loop/endpoints.rs
+++ b/balancer/src/event_loop/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies updates from discovery to the decision module and to the upstreams.
+//! Updates of the endpoint list, which the event loop passes to the decision module and applies to the upstreams.
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use crate::discovery::{DiscoveryEvent, EndpointEntry, EndpointUpdate};
@@ -11,7 +11,8 @@
 use tokio::task::spawn_local;
 
 impl EventLoop {
-    /// Sets the address of discovery; an active watch is restarted there.
+    /// Sets the address of discovery. If the address has changed, a watch at the old address is replaced by one at the
+    /// new address.
     pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.set_address(address) {
             self.enqueue(QueuedEvent::DiscoveryMoved);
@@ -19,7 +20,7 @@
         }
     }
 
-    /// Starts a watch in place of the previous one.
+    /// Starts a watch, which replaces the previous one.
     pub(super) fn start_watch(self: &Rc<Self>) {
         let event_loop = Rc::clone(self);
         let watch = self.discovery.begin_watch();
@@ -70,7 +71,8 @@
         self.apply_send_pause(state);
     }
 
-    /// Passes the module's send pause, which depends on its lease on the list, to the upstreams.
+    /// Passes the send pause to the upstreams: the time after the end of the decision module's lease on the endpoint
+    /// list, when the list may be outdated.
     fn apply_send_pause(&self, state: &LoopState) {
         let pause = state.balancer.send_pause();
         let instants =
@@ -78,7 +80,7 @@
         self.upstreams.pause_sends(instants);
     }
 
-    /// Applies an update to the upstreams, and returns its entries for the module.
+    /// Applies an update to the upstreams, and returns its entries in the form of the decision module.
     fn apply_update(&self, update: &EndpointUpdate) -> Vec<Endpoint> {
         let incarnations = &mut *self.incarnations.borrow_mut();
         let (now, is_first_list) = (self.clock.now(), incarnations.is_empty());
--- a/balancer/src/event_loop/health_checks.rs
+++ b/balancer/src/event_loop/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: each runs as its own task, which ends with one event.
+//! Health checks of upstreams. Each runs as its own task, which queues one event when the health check has ended.
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use crate::upstream::AttemptResult;
--- a/balancer/src/event_loop/mod.rs
+++ b/balancer/src/event_loop/mod.rs
@@ -1,8 +1,9 @@
-//! The event loop of the decision module: it converts I/O into the module's events, and performs the actions that the
-//! module returns, in their order. It makes no decisions itself.
+//! The event loop that drives the decision module, the crate `frostkeel-policy`. It converts the results of I/O into
+//! events for the module, and performs the actions that the module returns, in their order. It makes no decisions
+//! itself.
 //!
-//! All events are queued and processed one at a time, so that the module is never re-entered. Tasks only add to the
-//! queue.
+//! Events are queued and processed one at a time, so that an action that queues another event does not re-enter the
+//! module.
 
 mod actions;
 mod attempts;
@@ -26,7 +27,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// An event in the queue.
+/// An event in the queue of the event loop.
 enum QueuedEvent {
     /// An event of a watch on the endpoint list.
     Discovery(DiscoveryEvent),
@@ -34,7 +35,7 @@
     DiscoveryMoved,
     /// A client's request was submitted.
     RequestReceived(RequestId),
-    /// An attempt has ended, by itself or because it was cancelled.
+    /// An attempt has ended, or was cancelled or aborted.
     AttemptEnded {
         id: RequestId,
         attempt: AttemptNo,
@@ -52,16 +53,17 @@
     TimerDue(TimerId),
 }
 
-/// State that only the processing of an event may change.
+/// The state that is borrowed mutably for as long as an event is processed.
 struct LoopState {
     balancer: Balancer,
     in_flight: InFlightTable,
     counters: RequestCounters,
-    /// The actions of the current event.
+    /// The actions that the decision module returned for the current event.
     actions: Vec<Action>,
 }
 
 impl LoopState {
+    /// Passes an event to the decision module, which adds its actions to `actions`.
     fn decide(&mut self, now: Duration, event: Event<'_>) {
         self.balancer.handle(now, event, &mut self.actions);
     }
@@ -76,13 +78,13 @@
     upstreams: Upstreams,
     incarnations: RefCell<Incarnations>,
     discovery: Discovery,
-    /// Set when all attempts must be aborted.
+    /// Whether all attempts must be aborted, shortly before the process ends.
     force_close: watch::Sender<bool>,
     tasks: TaskGroup,
 }
 
 impl EventLoop {
-    /// Starts the loop with the cached endpoint list and the counters of its classes.
+    /// Starts the loop. Its first event is `cached_list`, the endpoint list in the configuration.
     pub fn start(
         balancer: Balancer,
         counters: RequestCounters,
@@ -112,19 +114,19 @@
         event_loop
     }
 
-    /// Aborts all current and future attempts before the process exits, so that the module gives every request in
-    /// flight its final response.
+    /// Aborts all current and future attempts, so that the decision module gives every request in flight its final
+    /// response before the process ends.
     pub fn force_close(&self) {
         self.force_close.send_replace(true);
     }
 
-    /// Aborts the tasks of the loop.
+    /// Aborts the watch on the endpoint list and all background tasks of the loop.
     pub fn stop(&self) {
         self.discovery.stop();
         self.tasks.abort_all();
     }
 
-    /// Queues an event, and processes the queue unless it is already being processed.
+    /// Queues an event, and processes the queue unless a caller is already processing it.
     fn enqueue(self: &Rc<Self>, event: QueuedEvent) {
         self.queue.borrow_mut().push_back(event);
         if self.is_processing.replace(true) {
@@ -138,7 +140,7 @@
         self.is_processing.set(false);
     }
 
-    /// Passes one event to the module and performs its actions.
+    /// Passes one event to the decision module, and performs the actions that the module returns.
     fn process_event(self: &Rc<Self>, state: &mut LoopState, event: QueuedEvent) {
         let now = self.clock.now();
         match event {
--- a/balancer/src/event_loop/requests.rs
+++ b/balancer/src/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: from submission to their final response.
+//! Requests, from their submission to their final response.
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use crate::headers::CORRELATION_ID;
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 
 impl EventLoop {
-    /// Submits a request to the decision module. Dropping the returned value before the final response means that the
+    /// Submits a request to the decision module. Dropping the returned value before the final response reports that the
     /// client has disconnected.
     pub fn submit(self: &Rc<Self>, request: ClientRequest) -> PendingResponse {
         let (reply, response) = oneshot::channel();
@@ -19,7 +19,7 @@
         PendingResponse::new(Rc::clone(self), id, response)
     }
 
-    /// Handles the disconnect of a client whose request has no final response.
+    /// Queues the event that a client has disconnected before the final response to its request.
     pub(crate) fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         self.enqueue(QueuedEvent::ClientDisconnected(id));
     }
@@ -69,7 +69,7 @@
         self.release(state, id);
     }
 
-    /// Completes a request with a final response that is not from an upstream.
+    /// Completes a request with a final response that does not come from an upstream.
     pub(super) fn respond(
         &self,
         state: &mut LoopState,
@@ -81,14 +81,15 @@
             && let Some(reply) = in_flight.reply.take()
         {
             state.counters.count_failed(in_flight.request.class, reason);
-            // The client may have just disconnected, so that there is no receiver.
+            // Sending fails if the client has just disconnected; its event is then in the queue.
             let _ = reply.send(response);
         }
         self.release(state, id);
     }
 
-    /// Removes a request that has its final response and no attempt in progress. Attempts of which nothing was written
-    /// are dropped even if the site does not allow cancellation: no byte was sent, and no client waits for them.
+    /// Removes a request that has its final response and no attempt in progress. First aborts those attempts of which
+    /// nothing was written. This is not a cancellation, which the settings of a site may forbid, because the upstream
+    /// has received nothing.
     pub(super) fn release(&self, state: &mut LoopState, id: RequestId) {
         let Some(in_flight) = state
             .in_flight
--- a/balancer/src/event_loop/timers.rs
+++ b/balancer/src/event_loop/timers.rs
@@ -1,4 +1,4 @@
-//! The decision module's timers.
+//! Timers that the decision module starts.
 
 use super::{EventLoop, LoopState, QueuedEvent};
 use frostkeel_policy::{Event, TimerId};
@@ -7,6 +7,7 @@
 use tokio::time::sleep;
 
 impl EventLoop {
+    /// Starts a timer, which queues one event when `after` has elapsed.
     pub(super) fn start_timer(self: &Rc<Self>, after: Duration, timer: TimerId) {
         let event_loop = Rc::clone(self);
         self.tasks.spawn(async move {
