--- a/balancer/src/members/mod.rs
+++ b/balancer/src/members/mod.rs
@@ -1,7 +1,8 @@
-//! The fleet's membership: connects its state machine to a datagram socket, the clock, the log and a status page.
+//! The balancer's part in the membership, a protocol by which the balancers of a fleet learn which of them are alive.
+//! It connects the state machine in `frostkeel-membership` to a datagram socket, the clock, the log and a status page.
 //!
-//! It does not affect the balancer's decisions, and runs only if it is configured. The log lines of this module are an
-//! interface: the lab parses them.
+//! It does not affect decisions, and runs only if it is configured. The crate `lab` parses its log entries, which must
+//! keep their form.
 
 mod page;
 
@@ -20,35 +21,36 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// Longer than any valid datagram, so that a datagram that fills the buffer is too long.
-const BUFFER_SIZE: usize = 512;
-/// How many datagrams are read before timers are checked again.
+/// The size of the receive buffer. It exceeds any valid datagram, so that a datagram that fills it is known to be too
+/// long.
+const BUFFER_BYTES: usize = 512;
+/// The maximum number of datagrams that are read before timers are checked again.
 const MAX_DATAGRAMS_AT_ONCE: usize = 256;
 
-/// Why the membership cannot be joined.
+/// The reason why the participation in the membership cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum MembersError {
     /// The state machine rejects the configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The datagram socket cannot be bound.
-    #[error("membership: peer_listen {address}: {source}")]
+    #[error("membership: cannot bind peer_listen {address}: {source}")]
     BindPeers {
-        /// The address.
+        /// The configured address for datagrams.
         address: SocketAddr,
-        /// The bind error.
+        /// The error of binding the datagram socket.
         source: io::Error,
     },
-    /// The listener of the page cannot be bound.
-    #[error("membership: page {address}: {source}")]
+    /// The listener of the status page cannot be bound.
+    #[error("membership: cannot bind page {address}: {source}")]
     BindPage {
-        /// The address.
+        /// The configured address of the status page.
         address: SocketAddr,
-        /// The bind error.
+        /// The error of binding the listener.
         source: io::Error,
     },
-    /// The system does not report a socket's local address.
-    #[error(transparent)]
+    /// The local address of the datagram socket or of the status page is unavailable.
+    #[error("membership: cannot get the local address of a socket: {0}")]
     LocalAddress(#[from] io::Error),
 }
 
@@ -58,20 +60,25 @@
     _tasks: TaskGroup,
 }
 
-/// Passes datagrams and timeouts to the state machine, and performs its outputs.
+/// The driver of the state machine: it passes datagrams and timeouts to the machine, and performs the machine's
+/// outputs.
 struct Driver {
     machine: RefCell<Membership>,
     socket: UdpSocket,
+    /// The address of each peer, by peer index.
     peers: Vec<SocketAddr>,
+    /// The peer index of each other balancer, by address.
     peer_by_address: FxHashMap<SocketAddr, PeerIndex>,
+    /// The name of the fleet, for the status page.
     fleet: String,
+    /// The zero of the times that are passed to the state machine.
     start: Instant,
-    /// Notified when the machine's next timeout may be earlier than before.
+    /// Notified when the machine's next timeout may have become earlier.
     due_changed: Notify,
 }
 
 impl Members {
-    /// Joins the membership, and participates until it is dropped.
+    /// Joins the membership. The balancer participates until the returned value is dropped.
     pub async fn start(config: &MembershipConfig, seed: u64) -> Result<Self, MembersError> {
         let machine = Membership::new(machine_config(config, seed), Duration::ZERO)?;
         let address = config.listen;
@@ -113,7 +120,7 @@
         })
     }
 
-    /// Announces to the peers that this balancer is leaving.
+    /// Announces to the peers that this balancer leaves the membership.
     pub fn leave(&self) {
         let driver = &self.driver;
         driver.machine.borrow_mut().leave(driver.start.elapsed());
@@ -122,6 +129,8 @@
     }
 }
 
+/// Returns the configuration of the state machine. The incarnation is the current Unix time in milliseconds, so that a
+/// restarted process has a higher one.
 fn machine_config(config: &MembershipConfig, seed: u64) -> Config {
     let incarnation = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -140,6 +149,7 @@
 }
 
 impl Driver {
+    /// Drives the state machine until the task is aborted or the datagram socket fails.
     async fn run(self: Rc<Self>) {
         self.perform_outputs();
         loop {
@@ -159,21 +169,21 @@
                 () = sleep_until(self.start + due) => {}
                 () = self.due_changed.notified() => {}
             }
-            // Datagrams are read first, so that a response received in time is not treated as late.
+            // Datagrams are read before timers run, so that a response received in time is not treated as late.
             self.read_datagrams();
             self.run_timers();
             self.perform_outputs();
         }
     }
 
-    /// Reads the received datagrams, up to a limit.
+    /// Reads the received datagrams, at most [`MAX_DATAGRAMS_AT_ONCE`].
     fn read_datagrams(&self) {
-        let mut buffer = [0; BUFFER_SIZE];
+        let mut buffer = [0; BUFFER_BYTES];
         for _ in 0..MAX_DATAGRAMS_AT_ONCE {
             match self.socket.try_recv_from(&mut buffer) {
                 Ok((length, from)) => self.on_datagram(from, &buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // An ICMP error for an earlier datagram to an unreachable peer.
+                // The error is an ICMP error for an earlier datagram to an unreachable peer.
                 Err(_) => {}
             }
         }
@@ -182,7 +192,8 @@
     fn on_datagram(&self, from: SocketAddr, datagram: &[u8]) {
         let (mut machine, now) = (self.machine.borrow_mut(), self.start.elapsed());
         match self.peer_by_address.get(&from) {
-            // The machine counts the reasons for dropped datagrams, and the page shows them.
+            // The error is ignored: the machine counts dropped datagrams by reason, and the status page shows the
+            // counters.
             Some(peer) => {
                 let _ = machine.handle_datagram(now, *peer, datagram);
             }
@@ -190,6 +201,7 @@
         }
     }
 
+    /// Handles the machine's next timeout if it is due.
     fn run_timers(&self) {
         let (mut machine, now) = (self.machine.borrow_mut(), self.start.elapsed());
         if machine.next_timeout().is_some_and(|due| due <= now) {
@@ -197,7 +209,7 @@
         }
     }
 
-    /// Sends outgoing datagrams, and logs changes.
+    /// Sends the machine's outgoing datagrams, and logs changes of the view.
     fn perform_outputs(&self) {
         loop {
             let output = self.machine.borrow_mut().poll_output();
@@ -205,7 +217,7 @@
                 None => return,
                 Some(Output::Send { to, datagram }) => {
                     if let Some(address) = self.peers.get(usize::from(to.0)) {
-                        // A full buffer loses the datagram, as the network may. The protocol tolerates that.
+                        // If the send buffer is full the datagram is lost. The protocol tolerates lost datagrams.
                         let _ = self.socket.try_send_to(&datagram, *address);
                     }
                 }
@@ -237,16 +249,16 @@
     );
 }
 
-/// Logs that an earlier process of this balancer had a higher incarnation, so that a new one above it is used.
+/// Logs that an earlier process of this balancer had a higher incarnation, and that this process now uses one above it.
 fn log_superseded(other: &Identity) {
     tracing::warn!(
         incarnation = other.incarnation,
-        hint = "was the clock set back?",
+        hint = "the system clock may have been set back",
         "incarnation superseded"
     );
 }
 
-/// Logs that a later process has this balancer's name, so that this one no longer participates.
+/// Logs that a later process has this balancer's name, and that this process therefore no longer participates.
 fn log_yielded(other: &Identity) {
     tracing::error!(
         name = %other.name,
--- a/balancer/src/members/page.rs
+++ b/balancer/src/members/page.rs
@@ -1,4 +1,4 @@
-//! The status page with this balancer's view of the members, in JSON.
+//! The HTTP status page that shows this balancer's view of the members as JSON.
 
 use super::Driver;
 use crate::task_group::TaskGroup;
@@ -19,10 +19,11 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// The path of the page.
+/// The path of the status page.
 const PATH: &str = "/members";
-/// How many readers are served concurrently, and the timeout of one.
+/// The maximum number of connections to the page that are served concurrently.
 const MAX_READERS: usize = 4;
+/// The longest time that one connection to the page is served.
 const READER_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Serialize)]
@@ -30,11 +31,11 @@
     fleet: &'a str,
     name: &'a str,
     phase: Phase,
-    /// 0: healthy.
+    /// This balancer's local health score: 0 means healthy, 4 is the worst.
     #[serde(rename = "slowness")]
     health_score: u32,
     version: u64,
-    /// Equal for equal views of the members that are present.
+    /// A digest of the live members, in hexadecimal: equal for balancers whose views have the same live members.
     digest: String,
     #[serde(rename = "there")]
     present_count: usize,
@@ -57,7 +58,7 @@
     reported_by: Option<&'a str>,
 }
 
-/// Serves the page.
+/// Serves the status page on `listener` until the task is aborted.
 pub(super) async fn serve(driver: Rc<Driver>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(MAX_READERS));
     let readers = TaskGroup::default();
@@ -70,7 +71,7 @@
         };
         let driver = Rc::clone(&driver);
         readers.spawn(async move {
-            // A reader that disconnects or sends nothing does not affect the others.
+            // An error or a timeout of one connection does not affect the others.
             let _ = timeout(READER_TIMEOUT, serve_reader(&driver, stream)).await;
             drop(permit);
         });
@@ -106,7 +107,7 @@
     let (machine, now) = (driver.machine.borrow(), driver.start.elapsed());
     let own = machine.identity();
     let view = machine.view();
-    // Copied first, because the rows borrow the names.
+    // The records are copied first, because the rows borrow the names from them.
     let members: Vec<MemberRecord> = view.members().copied().collect();
     let page = Page {
         fleet: &driver.fleet,
