--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a balancer: the JSON file that `NODE_CONFIG` names.
+//! The configuration of a balancer, a JSON file whose path is in the environment variable `NODE_CONFIG`.
 
 use frostkeel_membership::{Name, NameError, PeerIndex};
 use frostkeel_settings::{SettingsParseError, Site};
@@ -10,123 +10,129 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The environment variable that names the configuration file.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
-/// Descriptors reserved for uses other than clients and upstreams: standard streams, the poller, the listener,
-/// signals, calls to discovery.
+/// The number of descriptors reserved for uses other than connections to clients and upstreams: standard streams, the
+/// I/O driver, the listener, signals, calls to discovery.
 pub const RESERVED_SOCKETS: usize = 24;
-/// The fewest descriptors with which a balancer starts.
+/// The minimum of `limits.sockets`.
 const MIN_SOCKETS: usize = 2 * RESERVED_SOCKETS;
-/// Fraction of the remaining descriptors that connections to upstreams may use.
-const UPSTREAM_SHARE: f64 = 0.45;
-/// Default for `limits.sockets`.
+/// The fraction of the descriptors that are not reserved which connections to upstreams may use. Clients get the rest.
+const UPSTREAM_FRACTION: f64 = 0.45;
+/// The default of `limits.sockets`.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Default for `membership.forget_s`.
+/// The default of `membership.forget_s`, in seconds.
 const DEFAULT_FORGET_S: u64 = 600;
-/// Default for `membership.members_most`: this many for each peer, with a minimum number of peers.
+/// The default of `membership.members_most`, per peer.
 const DEFAULT_MEMBERS_PER_PEER: usize = 2;
+/// The minimum number of peers from which the default of `membership.members_most` is computed.
 const MIN_PEERS_FOR_DEFAULT: usize = 64;
 
 /// A balancer's configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// The address on which it accepts clients.
+    /// The address on which the balancer accepts clients.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// The address of discovery, which serves the endpoint list.
     pub discovery: SocketAddr,
-    /// The seed of all random choices.
+    /// The seed of the balancer's pseudorandom choices.
     pub seed: u64,
     /// The maximum number of open descriptors of the process.
     pub sockets: usize,
-    /// The last known endpoint list, in discovery's format; empty if there is none.
+    /// The last known endpoint list, which is used until discovery sends one; in its JSON format, empty if there is
+    /// none.
     pub cached_list: String,
-    /// The settings of the site.
+    /// The settings of the site, and the names of its classes, tenants, zones and kinds.
     pub site: Site,
-    /// The membership, if it is configured.
+    /// The configuration of the membership; `None` if the balancer does not participate.
     pub membership: Option<MembershipConfig>,
 }
 
 /// The configuration of a balancer's participation in the membership.
 #[derive(Debug)]
 pub struct MembershipConfig {
-    /// The fleet's name.
+    /// The name of the fleet, which is the same for all its members.
     pub fleet: String,
-    /// This balancer's name.
+    /// The name of this balancer among the members.
     pub name: Name,
-    /// Its position among the peers.
+    /// The index of this balancer in `peers`.
     pub peer: PeerIndex,
-    /// The address on which it receives datagrams.
+    /// The address on which this balancer receives datagrams.
     pub listen: SocketAddr,
-    /// The address of each peer, by position: the destination of datagrams to it, and the source of those from it.
+    /// The address of each peer, by peer index: the destination of datagrams to the peer, and the source of datagrams
+    /// from it.
     pub peers: Vec<SocketAddr>,
-    /// The address of the page with the view of the members.
+    /// The address of the status page with the view of the members; `None` for no page.
     pub page: Option<SocketAddr>,
     /// The maximum number of members in the view.
     pub max_members: usize,
-    /// How long a member that has left or failed is retained.
+    /// The time for which a member that has left or failed stays in the view.
     pub forget_after: Duration,
 }
 
-/// Why a configuration is invalid. A balancer does not start with it; a running one keeps its current configuration.
+/// The reason why a configuration is unavailable or invalid. A balancer does not start with it; a running balancer
+/// keeps its current configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment variable is not set.
-    #[error("{CONFIG_VARIABLE} names no configuration file")]
+    /// The environment variable `NODE_CONFIG` is not set.
+    #[error("{CONFIG_VARIABLE} is not set: set it to the path of the configuration file")]
     NoFile,
-    /// The file cannot be read.
-    #[error("{}: {source}", path.display())]
+    /// The configuration file cannot be read.
+    #[error("cannot read configuration file {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The read error.
+        /// The error of reading the file.
         source: io::Error,
     },
-    /// The file's content is not a valid configuration.
-    #[error("{}: {source}", path.display())]
+    /// The content of the configuration file is invalid.
+    #[error("invalid configuration file {}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The error in the content.
+        /// The reason why the content is invalid.
         source: Box<ConfigError>,
     },
-    /// The text is not JSON of the expected form.
+    /// The content is not JSON, or does not have the form of a configuration.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// The seed is not a hexadecimal number.
-    #[error("seed: {0}")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("seed must be a hexadecimal number of at most 64 bits: {0}")]
     Seed(#[source] ParseIntError),
     /// The settings of the site are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsParseError),
-    /// Too few descriptors to serve clients.
-    #[error("limits.sockets: {0} are too few")]
+    /// The limit of descriptors is too low to serve clients.
+    #[error("limits.sockets must be at least {MIN_SOCKETS}, got {0}")]
     TooFewSockets(usize),
-    /// The membership is invalid.
+    /// The configuration of the membership is invalid.
     #[error("membership: {0}")]
     Membership(#[from] MembershipConfigError),
 }
 
-/// Why a membership configuration is invalid.
+/// The reason why the configuration of the membership is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipConfigError {
-    /// The position of this balancer is unreadable.
-    #[error("settings.me: {0}")]
+    /// The position of this balancer is not a 16-bit number.
+    #[error("settings.me must be an integer from 0 to 65535: {0}")]
     Position(#[source] serde_json::Error),
     /// The address for datagrams is missing.
-    #[error("peer_listen is missing")]
+    #[error("peer_listen is missing: set it to the address for datagrams")]
     MissingListen,
     /// This balancer's position is outside the list of peers.
-    #[error("settings.me is {position}, and peers names {peer_count} addresses")]
+    #[error(
+        "settings.me must be an index into peers, which has {peer_count} addresses, got {position}"
+    )]
     PositionOutOfRange {
-        /// The position.
+        /// The configured value of `settings.me`.
         position: u16,
-        /// The number of peers.
+        /// The number of addresses in `peers`.
         peer_count: usize,
     },
-    /// The page would be reachable from other machines.
-    #[error("page {0}: it is shown on a loopback address only")]
+    /// The address of the status page is not a loopback address, so other machines could reach the page.
+    #[error("page must be a loopback address, got {0}")]
     PageNotLoopback(SocketAddr),
-    /// The balancer's name is invalid.
+    /// The name of this balancer is not valid for a member.
     #[error("{0}")]
     Name(#[from] NameError),
 }
@@ -167,7 +173,7 @@
     }
 }
 
-/// The position of this balancer, read from the site's settings.
+/// The position of this balancer among the peers, which is part of the site's settings.
 #[derive(Deserialize)]
 struct RawPosition {
     #[serde(default)]
@@ -189,7 +195,7 @@
 }
 
 impl Config {
-    /// Reads the file that `NODE_CONFIG` names.
+    /// Reads the configuration file whose path is in `NODE_CONFIG`.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = PathBuf::from(std::env::var_os(CONFIG_VARIABLE).ok_or(ConfigError::NoFile)?);
         let text = match std::fs::read_to_string(&path) {
@@ -202,12 +208,12 @@
         })
     }
 
-    /// Reads the text of a configuration.
+    /// Parses the text of a configuration file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: RawConfig<'_> = serde_json::from_str(text)?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(ConfigError::Seed)?;
         let mut site = frostkeel_settings::parse(raw.settings.get())?;
-        // In push mode a local agent receives the lists; on real sockets, the balancer watches that agent.
+        // Where the settings say that lists are pushed, a local agent receives them and this program watches the agent.
         site.settings.has_local_agent = !site.settings.polls_endpoints;
         site.settings.polls_endpoints = true;
         if raw.limits.sockets < MIN_SOCKETS {
@@ -226,18 +232,19 @@
         })
     }
 
-    /// The maximum number of open connections to upstreams.
+    /// Returns the maximum number of open connections to upstreams.
     pub fn max_upstream_connections(&self) -> usize {
-        ((self.sockets - RESERVED_SOCKETS) as f64 * UPSTREAM_SHARE) as usize
+        ((self.sockets - RESERVED_SOCKETS) as f64 * UPSTREAM_FRACTION) as usize
     }
 
-    /// The maximum number of open client connections.
+    /// Returns the maximum number of open client connections.
     pub fn max_client_connections(&self) -> usize {
         self.sockets - RESERVED_SOCKETS - self.max_upstream_connections()
     }
 }
 
 impl RawConfig<'_> {
+    /// Validates the configuration of the membership; `None` if there is none.
     fn membership(&self) -> Result<Option<MembershipConfig>, MembershipConfigError> {
         let Some(raw) = &self.membership else {
             return Ok(None);
--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -33,7 +33,11 @@
         (PeerIndex(1), 2, "n0")
     );
     for (from, to, named) in [
-        (r#""me": 1"#, r#""me": 2"#, "settings.me is 2"),
+        (
+            r#""me": 1"#,
+            r#""me": 2"#,
+            "settings.me must be an index into peers, which has 2 addresses, got 2",
+        ),
         (r#""peer_listen": "127.0.0.1:0","#, "", "peer_listen"),
         (
             r#""page": "127.0.0.1:0""#,
