--- a/balancer/src/incarnations.rs
+++ b/balancer/src/incarnations.rs
@@ -1,45 +1,49 @@
-//! The start times of upstreams on this balancer's own clock.
+//! The start times of upstream processes on this balancer's own clock.
 //!
-//! The endpoint list gives start times by the wall clock, and the wall clocks of two machines may differ by any amount.
-//! A start is therefore dated by the time of its first observation. The wall clock is used only to estimate how long
-//! before that it was, and only if the estimate is within the delay with which a list may arrive.
+//! The list gives start times in Unix time, and the wall clocks of two machines may differ by any amount. A listed time
+//! is therefore used only if it is at most 15 s before this balancer first observed the start. Otherwise the time of
+//! that observation is used.
 
 use crate::discovery::EndpointEntry;
 use frostkeel_policy::{Availability, UpstreamId};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::time::Duration;
 
-/// The longest delay between a start and its observation: the list may be updated late after a restart. A start that
-/// seems older, or in the future, was dated by a wrong clock, unless it is in the first list of the process.
+/// The longest plausible delay between a start and its observation; a delay arises where the list is updated late after
+/// a restart. A start that seems older than this, or in the future, was dated by a wrong clock. Starts in the first
+/// list of this process may be older.
 const MAX_OBSERVATION_DELAY: Duration = Duration::from_secs(15);
 
-/// The latest start of one upstream.
+/// The latest start of one upstream's process.
 struct Incarnation {
+    /// The start in Unix milliseconds, as listed; 0 if it is not listed.
     boot_ms: u64,
+    /// The start on this balancer's clock; `None` if it is unknown or precedes the clock's range.
     started_at: Option<Duration>,
 }
 
-/// The times used to date a start.
+/// The observation of a start in an endpoint list, by which the start is dated.
 pub struct StartObservation {
-    /// The time of the observation.
+    /// The time of the observation, on this balancer's clock.
     pub now: Duration,
-    /// The start by the wall clock; `None` if it is before the clock's zero.
+    /// The listed start, converted to this balancer's clock; `None` if it precedes the clock's range.
     pub wall_clock_start: Option<Duration>,
-    /// Whether it is in the first list of the process, which may contain starts of any age.
+    /// Whether the start is in the first list that this process has received, which may contain starts of any age.
     pub is_first_list: bool,
 }
 
-/// The latest start of each listed upstream.
+/// The latest start of each listed upstream's process.
 #[derive(Default)]
 pub struct Incarnations(FxHashMap<UpstreamId, Incarnation>);
 
 impl Incarnations {
-    /// Whether no list has been observed yet.
+    /// Returns whether no upstream is recorded, as before the first list.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Records a listed upstream and returns its start time; `None` if it is unknown or before the clock's zero.
+    /// Records a listed upstream and returns its start time on this balancer's clock; `None` if the start is unknown,
+    /// precedes the clock's range, or belongs to a removed upstream.
     pub fn observe(
         &mut self,
         entry: &EndpointEntry,
@@ -72,13 +76,15 @@
         started_at
     }
 
-    /// Removes all upstreams that are not listed.
+    /// Removes all upstreams that are not in `listed`.
     pub fn remove_unlisted(&mut self, listed: &FxHashSet<UpstreamId>) {
         self.0.retain(|id, _| listed.contains(id));
     }
 }
 
 impl StartObservation {
+    /// Returns the listed start if it is plausible, otherwise the time of the observation; `None` for a start in the
+    /// first list that precedes the clock's range.
     fn started_at(&self) -> Option<Duration> {
         let is_plausible = |at: Duration| {
             at <= self.now && (self.is_first_list || self.now - at <= MAX_OBSERVATION_DELAY)
