--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads its configuration, logs to standard error and serves until it is terminated.
+//! The program `frostkeel-balancer`. It reads its configuration, logs to standard error and serves until SIGTERM.
 
 use frostkeel_balancer::config::{Config, ConfigError};
 use frostkeel_balancer::process::{self, StartError};
@@ -7,12 +7,12 @@
 use tokio::runtime::LocalOptions;
 use tracing::level_filters::LevelFilter;
 
-/// Why the program exits with a failure.
+/// The reason why the program exits with a failure.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error(transparent)]
+    #[error("cannot create the async runtime: {0}")]
     Runtime(#[from] io::Error),
     #[error(transparent)]
     Start(#[from] StartError),
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: startup, shutdown at SIGTERM, and configuration reload at SIGHUP.
+//! The process of the balancer: its start, its shutdown at SIGTERM, and the reload of its configuration at SIGHUP.
 
 use crate::client::{Phase, Server};
 use crate::config::Config;
@@ -17,38 +17,39 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Why a balancer cannot start.
+/// The reason why a balancer cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The decision module rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The listener for clients cannot be bound.
-    #[error("listen on {address}: {source}")]
+    #[error("cannot listen for clients on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address for clients.
         address: SocketAddr,
-        /// The bind error.
+        /// The error of binding the listener.
         source: io::Error,
     },
-    /// The membership cannot be joined.
+    /// The participation in the membership cannot start.
     #[error(transparent)]
     Members(#[from] MembersError),
     /// A signal handler cannot be installed, or the listener's local address is unavailable.
-    #[error(transparent)]
+    #[error("cannot install a signal handler or get the listener's address: {0}")]
     System(#[from] io::Error),
 }
 
-/// A running balancer.
+/// The parts of a running balancer that its shutdown needs.
 pub(crate) struct RunningBalancer {
     pub(crate) event_loop: Rc<EventLoop>,
     /// Publishes the phase of the shutdown to the server.
     pub(crate) phase: watch::Sender<Phase>,
-    /// Completes when the last client has disconnected, in [`Phase::Closing`].
+    /// The server for clients. It completes in [`Phase::Closing`], when the last client connection has closed.
     pub(crate) server: JoinHandle<()>,
 }
 
-/// Serves clients until SIGTERM, then drains until the requests in flight have their final responses.
+/// Serves clients until SIGTERM, then drains until the requests in flight have their final responses, or until shortly
+/// before SIGKILL.
 pub async fn serve(config: Config) -> Result<(), StartError> {
     let balancer = Balancer::new(config.site.settings.clone(), config.seed)?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -72,7 +73,7 @@
     let event_loop = Rc::clone(&running.event_loop);
     tokio::select! {
         () = shutdown::drain(&config, &mut running) => (),
-        // Reloads continue while draining: the address of discovery may change while requests are in flight.
+        // Reloads continue during the drain, because the address of discovery may change while requests are in flight.
         () = reload::reload_on(&mut hangup, &event_loop) => (),
     }
     event_loop.stop();
--- a/balancer/src/reload.rs
+++ b/balancer/src/reload.rs
@@ -1,4 +1,4 @@
-//! Configuration reload at SIGHUP.
+//! Reload of the configuration at SIGHUP.
 
 use crate::config::Config;
 use crate::event_loop::EventLoop;
@@ -8,15 +8,16 @@
 use tokio::signal::unix::Signal;
 use tokio::time::sleep;
 
-/// How often, and how many times, an incomplete configuration file is read again after SIGHUP.
+/// The interval between two reads of an unreadable or incomplete configuration file after SIGHUP.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// The maximum number of reads after one SIGHUP.
 const MAX_READS: u32 = 240;
 
-/// Reloads at each signal; never returns.
+/// Reloads the configuration at each SIGHUP; never returns.
 pub(crate) async fn reload_on(hangup: &mut Signal, event_loop: &Rc<EventLoop>) {
     while hangup.recv().await.is_some() {
         let mut running = pin!(reload(event_loop));
-        // A further signal restarts the reload: the file may have been replaced after it was read.
+        // Another signal restarts the reload, because the file may have been replaced after it was read.
         while tokio::select! { () = &mut running => false, again = hangup.recv() => again.is_some() }
         {
             running.set(reload(event_loop));
@@ -25,8 +26,8 @@
     std::future::pending().await
 }
 
-/// Applies the address of discovery from the configuration file; other changes take effect only after a restart. A
-/// file that is unreadable or incomplete is read again a limited number of times.
+/// Applies the address of discovery from the configuration file; other changes take effect only after a restart. If the
+/// file is unreadable or incomplete, reads it again up to [`MAX_READS`] times in total.
 async fn reload(event_loop: &Rc<EventLoop>) {
     for read in 0..MAX_READS {
         match Config::from_env() {
--- a/balancer/src/shutdown.rs
+++ b/balancer/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown.
+//! The graceful shutdown after SIGTERM.
 
 use crate::client::Phase;
 use crate::config::Config;
@@ -6,20 +6,24 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// After SIGTERM, the platform's front end sends new connections for at most another 0.4 s.
-const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(600);
-/// SIGKILL may follow SIGTERM after the longest deadline, capped at 3 s, plus 0.7 s; the forced close is slightly
-/// earlier.
+/// The time after SIGTERM during which new connections are still accepted. The platform's front end opens new
+/// connections for up to 0.4 s after SIGTERM.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
+/// The highest deadline considered for the shutdown. SIGKILL may follow SIGTERM after the longest deadline of any
+/// class, capped at this value, plus 0.7 s.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(600);
-/// The time to send the responses of requests in flight at the forced close.
+/// The time from the longest deadline after SIGTERM to the end of the forced close. It is shorter than 0.7 s, so that
+/// the process has ended before SIGKILL.
+const FORCE_CLOSE_AFTER_DEADLINE: Duration = Duration::from_millis(600);
+/// The time reserved at the forced close for sending the final responses of the requests in flight.
 const FORCE_CLOSE_TIME: Duration = Duration::from_millis(200);
 
-/// Drains the balancer: connections close after their next response, then when they are idle. Requests still in flight
-/// shortly before SIGKILL are forced to close.
+/// Drains the balancer. At first each connection closes after its next response; then new connections are no longer
+/// accepted and idle connections are closed. Shortly before SIGKILL, the attempts of requests in flight are aborted, so
+/// that each request gets a final response.
 pub(crate) async fn drain(config: &Config, running: &mut RunningBalancer) {
     running.phase.send_replace(Phase::Draining);
-    sleep(ACCEPT_AFTER_TERM).await;
+    sleep(ACCEPT_AFTER_SIGTERM).await;
     running.phase.send_replace(Phase::Closing);
     let deadlines = config
         .site
@@ -28,9 +32,9 @@
         .iter()
         .map(|class| class.deadline);
     let longest = deadlines.max().unwrap_or_default().min(MAX_DEADLINE);
-    let time_left =
-        (longest + KILL_AFTER_DEADLINE).saturating_sub(ACCEPT_AFTER_TERM + FORCE_CLOSE_TIME);
-    if timeout(time_left, &mut running.server).await.is_err() {
+    let drain_timeout = (longest + FORCE_CLOSE_AFTER_DEADLINE)
+        .saturating_sub(ACCEPT_AFTER_SIGTERM + FORCE_CLOSE_TIME);
+    if timeout(drain_timeout, &mut running.server).await.is_err() {
         running.event_loop.force_close();
         let _ = timeout(FORCE_CLOSE_TIME, &mut running.server).await;
     }
