--- a/balancer/src/connection.rs
+++ b/balancer/src/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection to an upstream or to discovery. It counts how many bytes the kernel has accepted.
+//! HTTP connections to upstreams and to discovery. Each counts the bytes that the kernel has accepted for sending.
 
 use crate::error_origin::retry_if_interrupted;
 use bytes::Bytes;
@@ -18,19 +18,22 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Size of a connection's buffer, and so the longest head. It limits the memory that a peer can occupy.
-const MAX_HEAD: usize = 32 * 1024;
+/// The size of a connection's buffer, which is also the maximum length of a response head. It limits the memory that a
+/// peer can make the balancer use.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// Records when the first byte was received on a connection, for the task that opened it.
+/// The time at which the first byte was received on a connection, shared between the connection and the task that
+/// opened it.
 #[derive(Clone, Default)]
 pub struct FirstByte(Rc<Cell<Option<Instant>>>);
 
 impl FirstByte {
-    /// When it was received; `None` if it was not.
+    /// Returns when the first byte was received; `None` if none has been received.
     pub fn at(&self) -> Option<Instant> {
         self.0.get()
     }
 
+    /// Records that a byte has been received now; no effect after the first call.
     fn record(&self) {
         if self.0.get().is_none() {
             self.0.set(Some(Instant::now()));
@@ -38,7 +41,7 @@
     }
 }
 
-/// A stream that counts the bytes written to it, and releases `permit` when its descriptor is closed.
+/// A stream that counts the bytes written to it. It owns the connection's permit until its descriptor is closed.
 struct CountingStream<S> {
     stream: TcpStream,
     written: Rc<Cell<u64>>,
@@ -102,7 +105,7 @@
     }
 }
 
-/// An open connection. Dropping it closes it, even during an exchange.
+/// An open connection. Dropping it closes the connection, even during an exchange.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
@@ -111,12 +114,12 @@
 }
 
 impl Connection {
-    /// Opens a connection; `permit` is retained until its descriptor is closed.
+    /// Opens a connection, which owns `permit` until its descriptor is closed.
     pub async fn open<S: Unpin + 'static>(peer: SocketAddr, permit: S) -> io::Result<Self> {
         Self::open_timed(peer, permit, FirstByte::default()).await
     }
 
-    /// Opens a connection; `first_byte` records when its first byte is received.
+    /// Opens a connection like [`Self::open`]; `first_byte` records when the first byte is received on it.
     pub async fn open_timed<S: Unpin + 'static>(
         peer: SocketAddr,
         permit: S,
@@ -132,11 +135,11 @@
             _permit: permit,
         });
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(MAX_HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .handshake(io)
             .await
             .map_err(io::Error::other)?;
-        // The sender reports how the connection ended.
+        // The result is dropped, because the sender also reports how the connection ended.
         let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(Self {
             sender,
@@ -146,22 +149,22 @@
         })
     }
 
-    /// The address of the peer.
+    /// Returns the address of the peer.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Whether it is known to be closed.
+    /// Returns whether the connection is known to be closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until it is ready for a request; `false` if it has closed instead.
+    /// Waits until the connection is ready for a request; `false` if it has been closed.
     pub async fn is_usable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// The number of bytes that the kernel has accepted so far.
+    /// Returns the number of bytes that the kernel has accepted for sending on this connection.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
@@ -181,7 +184,7 @@
     }
 }
 
-/// The number of bytes that hyper writes for a request with a content length: request line, headers and body.
+/// Returns the number of bytes that hyper writes for a request with a content length: request line, headers and body.
 pub fn wire_length(request: &Request<Full<Bytes>>) -> u64 {
     use hyper::body::Body;
     let path = request
--- a/balancer/src/error_origin.rs
+++ b/balancer/src/error_origin.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::task::{Context, Poll};
 
-/// Linux error numbers for which `std` has no kind, or only one that is too coarse.
+/// Linux error numbers that `std::io::ErrorKind` does not represent, or not precisely enough.
 mod errno {
     pub const EPERM: i32 = 1;
     pub const EINTR: i32 = 4;
@@ -26,19 +26,21 @@
     pub const EHOSTUNREACH: i32 = 113;
 }
 
-/// The origin of an error.
+/// The origin of a system call error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorOrigin {
-    /// This machine: descriptors, memory, buffers, ports, routes or permissions. It is no evidence about a peer.
+    /// This machine: a shortage of descriptors, memory, buffers or ports, a missing route or a missing permission. The
+    /// error is no evidence of a fault of the peer.
     Local,
     /// The peer, or the network path to it.
     Peer,
-    /// Neither: the call can be retried immediately.
+    /// Neither: a signal interrupted the call, or `accept` failed for one connection only. The call can be retried
+    /// immediately.
     Transient,
 }
 
 impl ErrorOrigin {
-    /// The origin of an error of `connect`, `read` or `write`.
+    /// Returns the origin of an error of `connect`, `read` or `write`.
     pub fn of(error: &io::Error) -> Self {
         use errno::{
             EACCES, EADDRINUSE, EADDRNOTAVAIL, EAGAIN, EINTR, EMFILE, ENETDOWN, ENETUNREACH,
@@ -52,8 +54,8 @@
         }
     }
 
-    /// The origin of an error of `accept`. That call also returns errors of the connection that it would have accepted;
-    /// these concern that connection alone, and the next one may be ready.
+    /// Returns the origin of an error of `accept`. That call also reports network errors of the connection that it
+    /// would have accepted. These are [`Self::Transient`], because the next connection in the queue may be fine.
     pub fn of_accept(error: &io::Error) -> Self {
         use errno::{
             ECONNABORTED, EHOSTDOWN, EHOSTUNREACH, EINTR, ENETDOWN, ENETUNREACH, ENONET,
@@ -67,8 +69,8 @@
     }
 }
 
-/// Schedules a retry of a read or write that was interrupted by a signal. Such a call had no effect, and is no
-/// evidence about the connection.
+/// Returns the result of a read or write, and schedules a retry if a signal interrupted the call. An interrupted call
+/// had no effect and does not mean that the connection has ended.
 pub fn retry_if_interrupted<T>(poll: Poll<io::Result<T>>, cx: &Context<'_>) -> Poll<io::Result<T>> {
     match poll {
         Poll::Ready(Err(e)) if e.kind() == io::ErrorKind::Interrupted => {
--- a/balancer/src/headers.rs
+++ b/balancer/src/headers.rs
@@ -1,4 +1,4 @@
-//! Header names and formats, and the headers that are not forwarded.
+//! The names and formats of headers, and the removal of headers that are not forwarded.
 
 use frostkeel_policy::LoadField;
 use hyper::header::{
@@ -6,28 +6,28 @@
     TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// The id of a request; a client's retry has a new one.
+/// The client's id of a request; a client's retry has a new id.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
-/// The tenant.
+/// The name of the tenant that a request belongs to.
 pub const TENANT: HeaderName = HeaderName::from_static("x-account");
-/// How long the sender will still wait, in whole milliseconds.
+/// The time until the sender of a request stops waiting for the response, in whole milliseconds.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
-/// Marks a client's retry.
+/// The mark of a client's retry, with the value 1.
 pub const RETRY: HeaderName = HeaderName::from_static("x-repeat");
-/// The expected work, in microseconds.
+/// The CPU time that a request is expected to take, in microseconds, as stated by the client.
 pub const WORK_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
-/// The idempotency key, by which upstreams recognise a repeated request.
+/// The idempotency key, by which an upstream detects that it has already processed a request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Set to 1: the upstream rejected the request without processing it.
+/// The mark, with the value 1, of a response to a request that the upstream rejected without processing it.
 pub const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
-/// A load report.
+/// The upstream's load report, in the format that [`load_report`] parses.
 pub const LOAD_REPORT: HeaderName = HeaderName::from_static("x-backend-load");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const EXPECT: HeaderName = HeaderName::from_static("expect");
 
-/// Removes hop-by-hop and framing headers.
+/// Removes the hop-by-hop headers, including those that `Connection` names, and the headers for framing.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -54,8 +54,8 @@
     }
 }
 
-/// Parses a load report, `name=value,name=value`, into the values of `fields`. A missing or invalid value becomes NaN,
-/// which the decision module ignores; `None` if there are no valid values.
+/// Parses a load report of the form `name=value,name=value` and returns the values of `fields`, in their order. A
+/// missing or invalid value becomes NaN, which the decision module ignores. `None` if no value is valid.
 pub fn load_report(text: &str, fields: &[LoadField]) -> Option<Vec<f32>> {
     let mut values = vec![f32::NAN; fields.len()];
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
