--- a/balancer/src/in_flight.rs
+++ b/balancer/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: the client's request, its attempts and its pending response.
+//! The table of requests in flight: for each, the client's request, its attempts and its pending response.
 
 use crate::upstream::{AttemptState, ForwardedRequest, UpstreamResponse};
 use frostkeel_policy::{AttemptNo, ClassId, RequestId, TenantId, UpstreamId};
@@ -13,51 +13,51 @@
 /// The final response to a request.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// An upstream's response.
+    /// An upstream's response with status 200.
     Forwarded(UpstreamResponse),
-    /// The request was rejected; a retry is safe.
+    /// The request was rejected, and the client can safely retry it.
     Rejected {
-        /// How long the client should wait before it retries.
+        /// The time that the client should wait before it retries; `None` if the response states no time.
         retry_after: Option<Duration>,
     },
-    /// The request failed; it may have been executed.
+    /// The request failed, but an upstream may have executed it.
     Failed,
 }
 
-/// A client's request, as submitted to the decision module.
+/// A client's request that is ready to be submitted to the decision module.
 pub struct ClientRequest {
-    /// Its class.
+    /// The class of the request, which its path names.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant of the request; id 0 at a site without tenants.
     pub tenant: TenantId,
-    /// When the client stops waiting.
+    /// The time until which an attempt may run: when the client stops waiting, less the time in transit.
     pub deadline: Instant,
-    /// The expected work in milliseconds, where the client states it.
+    /// The CPU time that the request is expected to take, in milliseconds; `None` if the client does not state it.
     pub work_ms: Option<f64>,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// The request as it is forwarded.
+    /// The request in the form that is forwarded to upstreams.
     pub forwarded: ForwardedRequest,
 }
 
 impl ClientRequest {
-    /// How long the client will still wait.
+    /// Returns the time until the deadline; zero if it has passed.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
-/// One attempt of a request.
+/// One attempt at a request.
 pub(crate) struct Attempt {
     pub(crate) upstream: UpstreamId,
     pub(crate) started_at: Instant,
     pub(crate) task: AbortHandle,
-    /// Shared with the attempt's task, which updates it until the attempt has ended.
+    /// The progress of the attempt, shared with its task, which updates it.
     pub(crate) state: Rc<Cell<AttemptState>>,
 }
 
 impl Attempt {
-    /// Marks the attempt as ended; `false` if it had already ended.
+    /// Marks the attempt as ended. Returns `false` if it had already ended.
     pub(crate) fn end(&self) -> bool {
         self.state.replace(AttemptState::Ended) != AttemptState::Ended
     }
@@ -67,24 +67,24 @@
     }
 }
 
-/// A request with a pending response, or with attempts that have not ended.
+/// A request whose final response is pending, or of which an attempt has not ended.
 pub(crate) struct InFlightRequest {
     pub(crate) request: Rc<ClientRequest>,
     pub(crate) received_at: Instant,
-    /// Removed when the final response is sent.
+    /// Sends the final response; `None` once it has been sent or the client has disconnected.
     pub(crate) reply: Option<oneshot::Sender<FinalResponse>>,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl InFlightRequest {
-    /// The attempt with this number, unless it has ended.
+    /// Returns the attempt with a given number; `None` if it has ended.
     pub(crate) fn open_attempt(&self, attempt: AttemptNo) -> Option<&Attempt> {
         self.attempts
             .get(usize::from(attempt.0))
             .filter(|attempt| !attempt.is_ended())
     }
 
-    /// The numbers of the attempts of which nothing has been written.
+    /// Returns the numbers of the attempts of which nothing has been written.
     pub(crate) fn unwritten_attempts(&self) -> impl Iterator<Item = AttemptNo> {
         let waiting = |attempt: &Attempt| attempt.state.get() == AttemptState::WaitingForConnection;
         let attempts = self.attempts.iter().enumerate();
@@ -93,13 +93,13 @@
             .map(|(k, _)| AttemptNo(k as u8))
     }
 
-    /// Whether the final response was sent and every attempt has ended.
+    /// Returns whether no client waits for the final response and every attempt has ended.
     pub(crate) fn is_complete(&self) -> bool {
         self.reply.is_none() && self.attempts.iter().all(Attempt::is_ended)
     }
 }
 
-/// The requests in flight, by their ids.
+/// All requests in flight, by their ids.
 #[derive(Default)]
 pub(crate) struct InFlightTable {
     requests: FxHashMap<RequestId, InFlightRequest>,
@@ -113,7 +113,7 @@
         request: ClientRequest,
         reply: oneshot::Sender<FinalResponse>,
     ) -> RequestId {
-        // Ids in use are not reused in practice: they wrap only after 2^32 requests.
+        // An id is used again only after 2^32 further requests, when its first request is no longer in flight.
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1);
         let request = InFlightRequest {
@@ -134,7 +134,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// Removes a request that is complete.
+    /// Removes a request if it is complete.
     pub(crate) fn remove_if_complete(&mut self, id: RequestId) {
         if self
             .requests
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,9 +1,9 @@
-//! The balancer: a load balancer on real sockets, on one thread. `frostkeel-policy` makes every decision; this crate
-//! performs the I/O.
+//! A load balancer that serves HTTP on one thread. The decision module, the crate `frostkeel-policy`, makes every
+//! decision; this crate performs the I/O.
 //!
-//! [`client`] accepts a client's request and submits it to the [`event_loop`], [`upstream`] forwards it, and [`client`]
-//! sends the response. [`discovery`] watches the endpoint list. [`members`] participates in the fleet's membership if
-//! that is configured. [`process`] starts and stops all of them.
+//! [`client`] submits requests to the [`event_loop`], [`upstream`] forwards them, and [`client`] sends the responses.
+//! [`discovery`] watches the endpoint list. If configured, [`members`] learns which balancers of the fleet are alive.
+//! [`process`] starts and stops them.
 
 pub mod client;
 pub mod clock;
--- a/balancer/src/pending_response.rs
+++ b/balancer/src/pending_response.rs
@@ -1,4 +1,4 @@
-//! The client connection's handle of a request in flight.
+//! The handle with which a client connection waits for the final response to its request.
 
 use crate::event_loop::EventLoop;
 use crate::in_flight::FinalResponse;
@@ -6,10 +6,12 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request without a final response. Dropping it before that means that the client has disconnected.
+/// A request in flight whose final response the client connection awaits. Dropping this before the final response
+/// reports to the event loop that the client has disconnected.
 pub struct PendingResponse {
     event_loop: Rc<EventLoop>,
     id: RequestId,
+    /// Receives the final response; `None` once it has been received.
     response: Option<oneshot::Receiver<FinalResponse>>,
 }
 
@@ -26,7 +28,7 @@
         }
     }
 
-    /// Waits for the final response.
+    /// Waits for the final response; [`FinalResponse::Failed`] if the event loop has dropped the request.
     pub async fn response(mut self) -> FinalResponse {
         let Some(receiver) = &mut self.response else {
             return FinalResponse::Failed;
--- a/balancer/src/request_counters.rs
+++ b/balancer/src/request_counters.rs
@@ -1,22 +1,25 @@
-//! Counters of request outcomes by class since the last status log.
+//! Counters of requests and their outcomes, per class, since the counters were last logged.
 
 use frostkeel_policy::{Class, ClassId, FailureReason, Outcome};
 use frostkeel_settings::Site;
 use std::fmt;
 use std::time::Duration;
 
-/// Counts of one class.
+/// The counts of one class since they were last logged.
 #[derive(Default)]
 struct Counts {
     received: u32,
-    /// Forwarded responses within the latency objective, and after it.
+    /// The forwarded responses within the latency objective of the class.
     in_time: u32,
+    /// The forwarded responses after the latency objective of the class.
     late: u32,
-    /// The client disconnected before the response.
+    /// The requests whose client disconnected before the final response.
     client_disconnected: u32,
-    /// Attempts that ended, and those without a response that can be forwarded.
+    /// The attempts that have ended, with any outcome.
     attempts: u32,
+    /// The attempts that ended without a response that can be forwarded.
     failed_attempts: u32,
+    /// The rejected and failed requests, by the number of their [`FailureReason`].
     by_reason: [u32; FailureReason::ALL.len()],
 }
 
@@ -26,12 +29,13 @@
     counts: Counts,
 }
 
-/// The counters of all classes. The displayed form omits counters that are zero:
+/// The counters of all classes. The displayed form omits classes without requests or attempts, and counters that are
+/// zero:
 /// `pay: received 9, in-time 6, no-spare-capacity 2, upstream-unresponsive 1, attempts 7, failed-attempts 1`.
 pub struct RequestCounters(Vec<ClassCounters>);
 
 impl RequestCounters {
-    /// Creates counters for the classes of a site.
+    /// Creates counters for the classes of a site, all at zero.
     pub fn new(site: &Site) -> Self {
         let classes = site.names.classes.iter().zip(&site.settings.classes);
         let class = |(name, class): (&String, &Class)| ClassCounters {
@@ -49,12 +53,12 @@
             .for_each(|class| class.counts = Counts::default());
     }
 
-    /// Counts a request that was received.
+    /// Counts a request that has been received.
     pub fn count_received(&mut self, class: ClassId) {
         self.count(class, |counts| counts.received += 1);
     }
 
-    /// Counts a forwarded response, by the request's latency.
+    /// Counts a forwarded response as in time or late; `latency` is the time since the request was received.
     pub fn count_forwarded(&mut self, class: ClassId, latency: Duration) {
         let Some(class) = self.0.get_mut(usize::from(class.0)) else {
             return;
@@ -67,12 +71,12 @@
         } += 1;
     }
 
-    /// Counts a client that disconnected before its response.
+    /// Counts a request whose client disconnected before the final response.
     pub fn count_client_disconnected(&mut self, class: ClassId) {
         self.count(class, |counts| counts.client_disconnected += 1);
     }
 
-    /// Counts a request that was rejected or has failed.
+    /// Counts a request that was rejected or that failed.
     pub fn count_failed(&mut self, class: ClassId, reason: FailureReason) {
         self.count(class, |counts| counts.by_reason[reason as usize] += 1);
     }
@@ -97,7 +101,7 @@
         self.received + self.attempts == 0
     }
 
-    /// Each counter with its label, in the order of the log line.
+    /// Returns each counter with its label, in the order of the log entry.
     fn labelled(&self) -> impl Iterator<Item = (&'static str, u32)> {
         let reasons = FailureReason::ALL
             .iter()
@@ -122,7 +126,8 @@
         for class in self.0.iter().filter(|class| !class.counts.is_zero()) {
             write!(f, "{class_separator}{}: ", class.name)?;
             let mut separator = "";
-            // The received count is shown even if it is zero: attempts may outlive their requests.
+            // The first counter, of received requests, is shown even if it is zero. Attempts that end after the
+            // previous log entry may belong to requests that it counted.
             for (k, (label, count)) in class.counts.labelled().enumerate() {
                 if count > 0 || k == 0 {
                     write!(f, "{separator}{label} {count}")?;
