--- a/balancer/src/client/connection.rs
+++ b/balancer/src/client/connection.rs
@@ -47,8 +47,8 @@
     ClientDisconnected,
     Completed,
     ProtocolError(hyper::Error),
-    /// The balancer closed the connection while no response was pending. At most a partial request head had been
-    /// received.
+    /// The connection was due to close, and no request was in progress, or a write had been blocked for
+    /// [`MAX_WRITE_STALL`].
     ClosedWhileIdle,
 }
 
--- a/balancer/src/config.rs
+++ b/balancer/src/config.rs
@@ -17,7 +17,7 @@
 pub const RESERVED_SOCKETS: usize = 24;
 /// The minimum of `limits.sockets`.
 const MIN_SOCKETS: usize = 2 * RESERVED_SOCKETS;
-/// The fraction of the descriptors that are not reserved which connections to upstreams may use. Clients get the rest.
+/// The fraction of the unreserved descriptors for connections to upstreams. Connections to clients get the rest.
 const UPSTREAM_FRACTION: f64 = 0.45;
 /// The default of `limits.sockets`.
 const DEFAULT_SOCKETS: usize = 1024;
@@ -39,7 +39,7 @@
     pub seed: u64,
     /// The maximum number of open descriptors of the process.
     pub sockets: usize,
-    /// The last known endpoint list, which is used until discovery sends one; in its JSON format, empty if there is
+    /// The last known endpoint list in discovery's JSON format, used until discovery sends a list; empty if there is
     /// none.
     pub cached_list: String,
     /// The settings of the site, and the names of its classes, tenants, zones and kinds.
--- a/balancer/src/discovery/endpoint_list.rs
+++ b/balancer/src/discovery/endpoint_list.rs
@@ -92,7 +92,7 @@
 /// The reason why an entry of a list is unreadable. The other entries of the list remain valid.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// The entry has no readable uid.
+    /// The entry has no readable uid. A delta with an entry of this kind is rejected as a whole.
     #[error("endpoint has no readable uid")]
     MissingUid,
     /// The entry does not have the expected form.
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -44,7 +44,7 @@
 /// An event of a watch, or of the call for a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// An update of the endpoint list, or the failure of the call or the end of the watch.
+    /// An update of the endpoint list, or the failure of the call for a watch, or the end of the watch.
     Update(EndpointUpdate),
     /// The watch or the call has timed out: no line, or no response, has been received since this time.
     Silent(Instant),
--- a/balancer/src/shutdown.rs
+++ b/balancer/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown after SIGTERM.
+//! The graceful shutdown, which starts at SIGTERM and ends before SIGKILL.
 
 use crate::client::Phase;
 use crate::config::Config;
