--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -30,8 +30,8 @@
 use std::time::Duration;
 use suspicion::Suspicions;
 
-/// The number of peers that are contacted at the start: all but one of them immediately, and the
-/// last one with the first timeout.
+/// The number of peers that are contacted at the start: all but the last in [`Membership::new`],
+/// and the last on the first timeout, which is due immediately.
 const INITIAL_JOIN_COUNT: usize = 3;
 
 /// An action that the embedder has to carry out.
@@ -46,8 +46,9 @@
     },
     /// Record a change of the view.
     ViewChanged(ViewChange),
-    /// Record that an earlier start of this process had a later incarnation, which is given here,
-    /// and that this process has taken an incarnation that is later still.
+    /// Record that, shortly after its start, this process learned of a later incarnation of its own
+    /// name, which is given here, and took the incarnation after it. The later incarnation is that
+    /// of a previous start of this process if the clock was set back in between.
     Superseded(Identity),
     /// Record that a later incarnation, which is given here, claims this process's name. This
     /// process has yielded and is no longer a member.
@@ -60,7 +61,7 @@
 pub enum Phase {
     /// The process takes part in the membership.
     Member,
-    /// Another process has the name of this process, which is no longer a member.
+    /// A later incarnation has claimed this process's name, and this process is no longer a member.
     Yielded,
     /// The process has announced that it leaves and is no longer a member.
     Left,
@@ -133,15 +134,15 @@
         Ok(membership)
     }
 
-    /// Adds members that were remembered from before the start as alive, without disseminating
-    /// them. The protocol detects which of them have ended in the meantime.
+    /// Adds the members that the embedder persisted before this start as alive, without
+    /// disseminating them. Probes and checks detect which of them have ended in the meantime.
     pub fn restore(&mut self, now: Duration, ids: impl Iterator<Item = Identity>) {
         self.set_now(now);
         let own_name = self.identity().name;
         let known = ids.filter(|id| id.name != own_name && self.is_plausible(id));
         let updates: Vec<Member<Identity>> = known.map(Member::alive).collect();
         self.swim.merge(updates);
-        self.apply_protocol_changes(None);
+        self.process_swim_outputs(None);
     }
 
     /// Returns the identity of this process.
@@ -199,7 +200,7 @@
         };
         self.set_now(now);
         self.allow_for_lateness(now.saturating_sub(due_at));
-        self.handle_protocol_timers();
+        self.handle_swim_timers();
         if self.neighbor_monitor.next_timeout() <= now {
             self.monitor_neighbor();
         }
@@ -219,7 +220,7 @@
         }
         self.set_now(now);
         self.swim.leave();
-        self.apply_protocol_changes(None);
+        self.process_swim_outputs(None);
         self.phase = Phase::Left;
     }
 
@@ -228,9 +229,9 @@
         self.swim.set_now(now);
     }
 
-    /// Allows for the lateness of a timeout. If it shows that this process was paused, the check in
-    /// progress is abandoned, as it is no evidence of a failure, and all suspicions are extended by
-    /// the lateness.
+    /// Records how late a timeout is handled. If this process was paused, abandons the check in
+    /// progress, because a missing acknowledgement is then no evidence of a failure, and extends
+    /// all suspicions by the lateness.
     fn allow_for_lateness(&mut self, lateness: Duration) {
         self.health.record_lateness(lateness);
         if lateness > PAUSED_AFTER {
@@ -241,14 +242,14 @@
         }
     }
 
-    fn handle_protocol_timers(&mut self) {
+    fn handle_swim_timers(&mut self) {
         while let Some(timer) = self.swim.pop_due_timer(self.now) {
             self.swim.set_probe_time_factor(self.health.time_factor());
-            self.handle_protocol_timer(timer);
+            self.handle_swim_timer(timer);
         }
     }
 
-    fn handle_protocol_timer(&mut self, timer: Timer<Identity>) {
+    fn handle_swim_timer(&mut self, timer: Timer<Identity>) {
         if let Timer::RemoveDown(id) = &timer {
             self.view.forget(id);
         }
@@ -257,7 +258,7 @@
         }
         let is_probe = matches!(timer, Timer::ProbeRandomMember(_));
         self.swim.handle_timer(timer);
-        self.apply_protocol_changes(None);
+        self.process_swim_outputs(None);
         if is_probe {
             self.track_new_suspects();
         }
--- a/membership/src/membership/anti_entropy.rs
+++ b/membership/src/membership/anti_entropy.rs
@@ -48,8 +48,8 @@
         );
     }
 
-    /// Compares a peer's hashes with those of the own view, and sends hashes or members for the
-    /// children that differ.
+    /// Compares a peer's hashes with those of this process's view, and sends hashes or members for
+    /// the children that differ.
     pub(super) fn on_view_hashes(
         &mut self,
         from: &Identity,
@@ -59,9 +59,9 @@
         if !self.response_limiter.allows(self.now) || !self.is_live_sender(from) {
             return;
         }
-        let own = prefix.child_hashes(self.view.hashed_live_members());
+        let own_hashes = prefix.child_hashes(self.view.hashed_live_members());
         let positions = self.view.positions();
-        for follow_up in prefix.follow_ups(&own, hashes, positions, &mut self.rng) {
+        for follow_up in prefix.follow_ups(&own_hashes, hashes, positions, &mut self.rng) {
             match follow_up {
                 FollowUp::SendHashes(child) => self.send_view_hashes(from.peer, child),
                 FollowUp::SendMembers(child) => {
@@ -71,11 +71,12 @@
         }
     }
 
-    /// Merges the members that a peer knows, and sends those that it requests.
+    /// Merges the members received from a peer, and sends the peer the members that it requests in
+    /// return.
     pub(super) fn on_view_members(
         &mut self,
         from: Identity,
-        requested: Option<HashPrefix>,
+        requested_in_return: Option<HashPrefix>,
         members: &[Member<Identity>],
     ) {
         if !self.is_live_sender(&from) {
@@ -93,21 +94,22 @@
             // process; the others receive it by gossip.
             self.swim.announce_to(from);
         }
-        self.apply_protocol_changes(Some(from.name));
+        self.process_swim_outputs(Some(from.name));
         self.refresh_suspicions_among(members, from.name);
-        if let Some(prefix) = requested
+        if let Some(prefix) = requested_in_return
             && self.response_limiter.allows(self.now)
         {
             self.send_view_members(from.peer, prefix, None);
         }
     }
 
-    /// Sends the known members below a node, or a random selection if not all fit into a datagram.
+    /// Sends the remembered members below a hash tree node, or a random selection of them if not
+    /// all fit into a datagram.
     fn send_view_members(
         &mut self,
         to: PeerIndex,
         prefix: HashPrefix,
-        requested: Option<HashPrefix>,
+        requested_in_return: Option<HashPrefix>,
     ) {
         let mut known = self.known_members(prefix);
         known.shuffle(&mut self.rng);
@@ -115,13 +117,13 @@
             .saturating_sub(MAX_VIEW_MEMBERS_OVERHEAD_BYTES);
         let message = Message::ViewMembers {
             from: self.identity(),
-            requested,
+            requested_in_return,
             members: members_that_fit(known, capacity),
         };
         self.send_message(to, &message);
     }
 
-    /// Returns the remembered members below a node, this process included.
+    /// Returns the remembered members below a hash tree node, this process included.
     fn known_members(&self, prefix: HashPrefix) -> Vec<Member<Identity>> {
         let own_id = self.identity();
         let is_below = |id: &Identity| prefix.contains(hash_tree::name_position(&id.name));
--- a/membership/src/membership/join.rs
+++ b/membership/src/membership/join.rs
@@ -47,9 +47,9 @@
         self.interval = (self.interval * 2).min(MAX_INTERVAL);
     }
 
-    /// Restarts the backoff at the first interval, and moves the next contact forward if it is
-    /// later than that. Called when the number of live members has changed, because there may be
-    /// further members to find.
+    /// Resets the interval to `INITIAL_INTERVAL`, and makes the next contact due after one such
+    /// interval, with jitter, unless it is due earlier. Called when the number of live members has
+    /// changed, because there may be further members to find.
     pub(super) fn reset(&mut self, now: Duration, rng: &mut impl RngExt) {
         self.interval = INITIAL_INTERVAL;
         let next_at = now + INITIAL_INTERVAL.mul_f64(rng.random_range(JITTER));
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Returns the peers at which no live member is known.
     fn absent_peers(&self) -> impl Iterator<Item = PeerIndex> + use<> {
         let mut is_occupied = vec![false; usize::from(self.config.peer_count)];
         for member in self.view.members().filter(|member| member.state.is_live()) {
@@ -117,7 +118,7 @@
             self.on_name_conflict(from, ClaimSource::Claimant);
         } else if self.response_limiter.allows(self.now) {
             self.swim.announce_to(from);
-            self.apply_protocol_changes(None);
+            self.process_swim_outputs(None);
         }
     }
 }
--- a/membership/src/membership/name_conflict.rs
+++ b/membership/src/membership/name_conflict.rs
@@ -9,7 +9,7 @@
 /// The time after its start during which a process may supersede a later incarnation of its name.
 /// This covers a restart after the clock was set back.
 const SUPERSEDE_WINDOW: Duration = Duration::from_secs(5);
-/// The maximum number of incarnations that a process may supersede in that time.
+/// The maximum number of incarnations that a process may supersede within `SUPERSEDE_WINDOW`.
 const MAX_SUPERSEDED_COUNT: u32 = 3;
 
 /// The way in which this process learned of another claim to its name.
@@ -76,6 +76,6 @@
             ..self.identity()
         });
         self.outputs.push_back(Output::Superseded(claimant));
-        self.apply_protocol_changes(None);
+        self.process_swim_outputs(None);
     }
 }
--- a/membership/src/membership/neighbor_monitor.rs
+++ b/membership/src/membership/neighbor_monitor.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(super) struct NeighborMonitor {
     next_check_at: Duration,
-    current: Option<CheckInProgress>,
+    check_in_progress: Option<CheckInProgress>,
     last_nonce: u32,
 }
 
@@ -49,32 +49,32 @@
     pub(super) fn new(now: Duration, initial_nonce: u32) -> Self {
         Self {
             next_check_at: now + CHECK_INTERVAL,
-            current: None,
+            check_in_progress: None,
             last_nonce: initial_nonce,
         }
     }
 
     /// Returns the time at which the monitor acts next.
     pub(super) fn next_timeout(&self) -> Duration {
-        self.current
+        self.check_in_progress
             .map_or(self.next_check_at, |check| check.times_out_at)
     }
 
     /// Abandons the current check, if any. Called after this process was paused, as the check is
     /// then no evidence of a failure.
     pub(super) fn abandon_check(&mut self) {
-        self.current = None;
+        self.check_in_progress = None;
     }
 
     fn handle_timeout(&mut self, now: Duration, health: &LocalHealth) -> MonitorAction {
-        let Some(check) = self.current.take() else {
+        let Some(check) = self.check_in_progress.take() else {
             self.next_check_at = now + health.scale(CHECK_INTERVAL);
             return MonitorAction::BeginCheck;
         };
         if check.attempts >= MAX_ATTEMPTS {
             return MonitorAction::Suspect(check.target);
         }
-        self.current = Some(CheckInProgress {
+        self.check_in_progress = Some(CheckInProgress {
             attempts: check.attempts + 1,
             times_out_at: now + health.scale(ACK_TIMEOUT),
             ..check
@@ -88,7 +88,7 @@
     /// Begins a check and returns its nonce.
     fn begin_check(&mut self, target: Identity, now: Duration, health: &LocalHealth) -> u32 {
         self.last_nonce = self.last_nonce.wrapping_add(1);
-        self.current = Some(CheckInProgress {
+        self.check_in_progress = Some(CheckInProgress {
             target,
             nonce: self.last_nonce,
             attempts: 1,
@@ -101,7 +101,7 @@
     fn acknowledge(&mut self, nonce: u32, from: Name) -> bool {
         let is_current =
             |check: &mut CheckInProgress| check.nonce == nonce && check.target.name == from;
-        self.current.take_if(is_current).is_some()
+        self.check_in_progress.take_if(is_current).is_some()
     }
 }
 
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Sends the check again, and requests an indirect check from another member, because only the
-    /// link from this process may be down.
+    /// Sends the check again, and requests an indirect check from another member, because the
+    /// target may be alive and only the link between it and this process down.
     fn retry_check(&mut self, target: &Identity, nonce: u32) {
         self.send_message(target.peer, &Message::Check { nonce });
         let own_name = self.identity().name;
--- a/membership/src/membership/receive.rs
+++ b/membership/src/membership/receive.rs
@@ -98,13 +98,13 @@
             }
             Message::ViewMembers {
                 from,
-                requested,
+                requested_in_return,
                 members,
             } => {
                 self.validate_sender(source, &from)?;
                 self.validate_updates(&members)?;
-                ensure_plausible(requested.is_none_or(|prefix| prefix.is_valid()))?;
-                self.on_view_members(from, requested, &members);
+                ensure_plausible(requested_in_return.is_none_or(|prefix| prefix.is_valid()))?;
+                self.on_view_members(from, requested_in_return, &members);
             }
         }
         Ok(())
@@ -121,7 +121,7 @@
         }
         self.swim.set_probe_time_factor(self.health.time_factor());
         self.swim.handle_payload(payload);
-        self.apply_protocol_changes(Some(from.name));
+        self.process_swim_outputs(Some(from.name));
         self.refresh_suspicions_among(updates, from.name);
     }
 
@@ -149,7 +149,7 @@
         let is_own_name = from.name == self.identity().name;
         if !is_live && !is_own_name && self.response_limiter.allows(self.now) {
             self.swim.announce_to(*from);
-            self.apply_protocol_changes(None);
+            self.process_swim_outputs(None);
         }
         is_live
     }
@@ -175,8 +175,9 @@
     pub(super) fn is_plausible(&self, id: &Identity) -> bool {
         let is_known = self.view.get(&id.name).is_some();
         let has_capacity = self.view.len() < self.config.max_members;
-        // The wall clock is read only at the start, so the elapsed time is added to the own
-        // incarnation. The lead allows for a day of difference between the clocks in addition.
+        // The wall clock is read only at the start, so the latest plausible incarnation is this
+        // process's incarnation plus the elapsed time, plus the permitted difference between the
+        // clocks of two processes.
         let elapsed_ms = self.now.as_millis() as u64;
         let latest = self
             .config
--- a/membership/src/membership/suspicion.rs
+++ b/membership/src/membership/suspicion.rs
@@ -47,7 +47,7 @@
         timeouts.min()
     }
 
-    /// Postpones the expiry of all suspicions.
+    /// Postpones the expiry of all suspicions by a duration.
     pub(super) fn postpone(&mut self, by: Duration) {
         for entry in &mut self.entries {
             entry.expires_at += by;
@@ -88,19 +88,20 @@
 
 impl Membership {
     /// Suspects a member that did not acknowledge a check, and disseminates the suspicion. Has no
-    /// effect if the protocol no longer considers the member alive or suspect.
+    /// effect if the SWIM implementation no longer considers the member alive or suspect.
     pub(super) fn suspect(&mut self, id: Identity) {
         let Some(member) = self.swim.active_members().find(|member| *member.id() == id) else {
             return;
         };
         let suspect = SuspectId::of(member);
         self.swim.disseminate(suspect.update(State::Suspect));
-        self.apply_protocol_changes(None);
+        self.process_swim_outputs(None);
         self.refresh_suspicions(None, |member| *member.id() == id);
         self.track(suspect);
     }
 
-    /// Tracks the members that the protocol suspects after a random probe.
+    /// Adds a suspicion for each member that the SWIM implementation newly suspects after a random
+    /// probe failed.
     pub(super) fn track_new_suspects(&mut self) {
         let suspects = self.refresh_suspicions(None, |member| member.state() == State::Suspect);
         for suspect in suspects {
@@ -108,18 +109,20 @@
         }
     }
 
+    /// Adds a suspicion that this process has raised itself, so that its suspect is notified of it
+    /// and declared dead when it expires.
     fn track(&mut self, suspect: SuspectId) {
         let timeout = self.swim.suspicion_timeout();
         self.suspicions.add(suspect, self.now, timeout);
     }
 
-    /// Notifies the suspects that are due, so that a suspect that was only paused can refute the
-    /// suspicion immediately.
+    /// Notifies the suspects whose notification is due, so that a suspect that was only paused can
+    /// refute the suspicion immediately.
     pub(super) fn notify_suspects(&mut self) {
         for suspect in self.suspicions.reschedule_due_notifications(self.now) {
             let notification = Message::ViewMembers {
                 from: self.identity(),
-                requested: None,
+                requested_in_return: None,
                 members: vec![suspect.update(State::Suspect)],
             };
             self.send_message(suspect.id.peer, &notification);
@@ -131,14 +134,14 @@
         for suspect in self.suspicions.drain_expired(self.now) {
             if self.swim.is_suspect(&suspect) {
                 self.swim.disseminate(suspect.update(State::Down));
-                self.apply_protocol_changes(None);
+                self.process_swim_outputs(None);
             }
         }
     }
 
-    /// Returns whether a timer would end a suspicion that no longer applies, for example because it
-    /// was refuted. On such a timer the protocol would not change the member's state, but would
-    /// notify the member that it is dead and cause a needless rejoin.
+    /// Returns whether a timer would declare a member dead whose suspicion no longer applies, for
+    /// example because the member refuted it. On such a timer `foca` would not change the member's
+    /// state, but would notify the member that it is dead and cause a needless rejoin.
     pub(super) fn is_refuted_suspicion(&self, timer: &Timer<Identity>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -172,8 +175,9 @@
         }
     }
 
-    /// Copies the states of the selected members from the protocol to the view, and returns the new
-    /// suspects. The protocol sends no notification when a suspicion begins or is refuted.
+    /// Copies the states of the selected members from the SWIM implementation to the view, and
+    /// returns the new suspects. This is necessary because `foca` sends no notification when a
+    /// suspicion begins or is refuted.
     fn refresh_suspicions(
         &mut self,
         reported_by: Option<Name>,
@@ -207,7 +211,7 @@
     }
 }
 
-/// Returns the view's state for a member that the protocol considers active.
+/// Returns the view's state for a member that the SWIM implementation considers active.
 fn active_state(member: &Member<Identity>) -> MemberState {
     if member.state() == State::Suspect {
         MemberState::Suspect
--- a/membership/src/membership/view_updates.rs
+++ b/membership/src/membership/view_updates.rs
@@ -1,4 +1,5 @@
-//! Updates of the view after changes in the protocol, and the sending of the protocol's payloads.
+//! Processes the outputs of the SWIM implementation: applies its notifications to the view, and
+//! sends its payloads to peers.
 
 use super::{Membership, Output};
 use crate::identity::{Identity, Name};
@@ -20,8 +21,10 @@
         }
     }
 
-    /// Applies the notifications of the protocol to the view, and sends its payloads.
-    pub(super) fn apply_protocol_changes(&mut self, reported_by: Option<Name>) {
+    /// Applies the notifications of the SWIM implementation to the view, records this process's own
+    /// identity if it has changed, and sends the payloads. `reported_by` is the member whose
+    /// datagram reported the changes; `None` if this process detected them itself.
+    pub(super) fn process_swim_outputs(&mut self, reported_by: Option<Name>) {
         let own_id = self.identity();
         for notification in self.swim.drain_notifications() {
             if let Some((id, state)) = self.notified_state(&notification)
@@ -42,7 +45,7 @@
             };
             self.record_now(own_id, state, reported_by);
         }
-        self.send_protocol_payloads(own_id.name);
+        self.send_swim_payloads(own_id.name);
     }
 
     fn record_now(&mut self, id: Identity, state: MemberState, reported_by: Option<Name>) {
@@ -60,19 +63,19 @@
         notification: &OwnedNotification<Identity>,
     ) -> Option<(Identity, MemberState)> {
         match *notification {
-            OwnedNotification::MemberUp(id) => Some((id, state_of(&id, MemberState::Alive))),
-            OwnedNotification::MemberDown(id) => Some((id, state_of(&id, MemberState::Dead))),
+            OwnedNotification::MemberUp(id) => Some((id, state_or_left(&id, MemberState::Alive))),
+            OwnedNotification::MemberDown(id) => Some((id, state_or_left(&id, MemberState::Dead))),
             // If the earlier identity counted as active, no other notification follows. A leaving
             // identity counts as active until its end has been disseminated.
             OwnedNotification::Rename(_, id) if self.swim.is_active(&id) => {
-                Some((id, state_of(&id, MemberState::Alive)))
+                Some((id, state_or_left(&id, MemberState::Alive)))
             }
-            OwnedNotification::Rename(_, id) => Some((id, state_of(&id, MemberState::Dead))),
+            OwnedNotification::Rename(_, id) => Some((id, state_or_left(&id, MemberState::Dead))),
             _ => None,
         }
     }
 
-    fn send_protocol_payloads(&mut self, own_name: Name) {
+    fn send_swim_payloads(&mut self, own_name: Name) {
         for outgoing in self.swim.drain_payloads() {
             if outgoing.to.name != own_name {
                 let datagram = wire::encode_swim(&self.config.fleet, &outgoing.payload);
@@ -82,12 +85,12 @@
     }
 }
 
-/// Returns `Left` for a leaving member, whether or not it still runs, and `otherwise` for all
-/// others.
-fn state_of(id: &Identity, otherwise: MemberState) -> MemberState {
+/// Returns `Left` for a member that announced its leave, whether or not it still runs, and `state`
+/// for any other member.
+fn state_or_left(id: &Identity, state: MemberState) -> MemberState {
     if id.is_leaving {
         MemberState::Left
     } else {
-        otherwise
+        state
     }
 }
--- a/membership/src/wire/message.rs
+++ b/membership/src/wire/message.rs
@@ -11,7 +11,7 @@
 pub enum Message {
     /// A contact to a peer at which the sender knows no live member, so that a process there can
     /// announce itself. It also informs a process that claims the sender's name with an earlier
-    /// incarnation.
+    /// incarnation that the sender has the name.
     Join {
         /// The identity of the sender.
         from: Identity,
@@ -61,22 +61,25 @@
         /// The identity of the member that was checked.
         from: Identity,
     },
-    /// The hashes in the sender's view below a node of the hash tree, sent if the two views differ.
+    /// The hashes of the children of a hash tree node, computed from the sender's view. Sent to a
+    /// member whose view differs from the sender's.
     ViewHashes {
         /// The identity of the sender.
         from: Identity,
-        /// The node of the hash tree.
+        /// The hash tree node whose children are hashed.
         prefix: HashPrefix,
         /// The hashes of the node's children, over the live members.
         hashes: ChildHashes,
     },
     /// The members that the sender knows below a node of the hash tree; or a suspicion, sent to the
-    /// suspect so that it can refute it.
+    /// suspect so that the suspect can refute it.
     ViewMembers {
         /// The identity of the sender.
         from: Identity,
-        /// The node whose members the receiver is to send back; `None` if it is to send none.
-        requested: Option<HashPrefix>,
+        /// The hash tree node whose members the sender requests from the receiver in return; `None`
+        /// if it requests none.
+        #[serde(rename = "requested")]
+        requested_in_return: Option<HashPrefix>,
         /// The members, at most as many as fit into a datagram.
         members: Vec<Member<Identity>>,
     },
--- a/membership/tests/state_machine/datagrams.rs
+++ b/membership/tests/state_machine/datagrams.rs
@@ -68,7 +68,7 @@
         },
         Message::ViewMembers {
             from,
-            requested: None,
+            requested_in_return: None,
             members: updates.clone(),
         },
         Message::ViewHashes {
