--- a/membership/src/counters.rs
+++ b/membership/src/counters.rs
@@ -40,8 +40,8 @@
     /// The number of times that this process refuted a suspicion of itself.
     #[serde(rename = "refuted")]
     pub refutations: u64,
-    /// The number of timeouts that ran over 500 ms late, from which this process concludes that it
-    /// was paused.
+    /// The number of timeouts that this process handled more than 500 ms after they were due. It
+    /// concludes from each of them that it was paused.
     pub pauses: u64,
 }
 
--- a/membership/src/foca_runtime.rs
+++ b/membership/src/foca_runtime.rs
@@ -6,9 +6,9 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// A timer of the protocol. Timers are ordered by due time, and equal due times by submission.
+/// A timer of `foca`. Timers are ordered by due time, and equal due times by submission.
 struct ScheduledTimer {
-    at: Duration,
+    due_at: Duration,
     sequence: u64,
     timer: Timer<Identity>,
 }
@@ -29,11 +29,11 @@
 
 impl Ord for ScheduledTimer {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.sequence).cmp(&(other.at, other.sequence))
+        (self.due_at, self.sequence).cmp(&(other.due_at, other.sequence))
     }
 }
 
-/// A payload of the protocol that is to be sent, and its receiver.
+/// A payload of the SWIM protocol that is to be sent, and its receiver.
 pub(crate) struct OutgoingPayload {
     pub(crate) to: Identity,
     pub(crate) payload: Vec<u8>,
@@ -79,7 +79,9 @@
 
     /// Returns the time at which the next timer is due; `None` if there is no timer.
     pub(crate) fn next_timer_at(&self) -> Option<Duration> {
-        self.timers.peek().map(|Reverse(scheduled)| scheduled.at)
+        self.timers
+            .peek()
+            .map(|Reverse(scheduled)| scheduled.due_at)
     }
 
     /// Removes and returns the next timer if it is due.
@@ -90,12 +92,12 @@
         self.timers.pop().map(|Reverse(scheduled)| scheduled.timer)
     }
 
-    /// Postpones the timers that end suspicions.
+    /// Postpones, by a duration, the timers that declare suspects dead.
     pub(crate) fn postpone_suspicion_timers(&mut self, by: Duration) {
         let timers = std::mem::take(&mut self.timers).into_iter();
         let postponed = timers.map(|Reverse(mut scheduled)| {
             if matches!(scheduled.timer, Timer::ChangeSuspectToDown { .. }) {
-                scheduled.at += by;
+                scheduled.due_at += by;
             }
             Reverse(scheduled)
         });
@@ -135,7 +137,7 @@
         };
         self.next_sequence += 1;
         self.timers.push(Reverse(ScheduledTimer {
-            at: self.now + after * factor,
+            due_at: self.now + after * factor,
             sequence: self.next_sequence,
             timer,
         }));
--- a/membership/src/hash_tree.rs
+++ b/membership/src/hash_tree.rs
@@ -2,8 +2,9 @@
 //! datagrams.
 //!
 //! The position of a name is its hash. A [`HashPrefix`] is a node: all names whose position begins
-//! with the prefix. Two processes exchange the hashes of a node's children, descend where they
-//! differ, and send the members of nodes that have few.
+//! with the prefix. Two processes exchange the hashes of a node's children, descend to the
+//! children whose hashes differ, and send the members of a child that has at most
+//! [`MAX_MEMBERS_SENT`] of them.
 
 use crate::identity::{Identity, Name};
 use rand::RngExt;
@@ -118,8 +119,8 @@
     /// reconcile each. `positions` are the positions of all known names.
     pub fn follow_ups(
         self,
-        own: &ChildHashes,
-        peers: &ChildHashes,
+        own_hashes: &ChildHashes,
+        peer_hashes: &ChildHashes,
         positions: impl Iterator<Item = u32>,
         rng: &mut impl RngExt,
     ) -> Vec<FollowUp> {
@@ -129,7 +130,7 @@
         }
         let children = 0..FANOUT;
         let mut differing: Vec<usize> = children
-            .filter(|index| own[*index] != peers[*index])
+            .filter(|index| own_hashes[*index] != peer_hashes[*index])
             .collect();
         differing.shuffle(rng);
         differing.truncate(MAX_FOLLOW_UPS);
--- a/membership/src/identity.rs
+++ b/membership/src/identity.rs
@@ -89,12 +89,13 @@
 /// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The name of the process, which identifies it over restarts.
+    /// The name of the process, which identifies it across restarts.
     pub name: Name,
     /// The peer at whose address the process is reached.
     pub peer: PeerIndex,
-    /// The Unix time of the process's start, in milliseconds. If an earlier start had the same or a
-    /// later incarnation, the process takes that incarnation plus one.
+    /// The Unix time of the process's start, in milliseconds. If a previous start had the same or a
+    /// later incarnation, for example because the clock was set back, the process takes that
+    /// incarnation plus one.
     pub incarnation: u64,
     /// The number of times that the process has rejoined since its start because others had
     /// declared it dead.
--- a/membership/src/local_health.rs
+++ b/membership/src/local_health.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-/// The worst score. Each point adds one base duration to the intervals and timeouts of this
-/// process's own probes and checks.
+/// The worst score. With a score of n, the intervals and timeouts of this process's own probes and
+/// checks are multiplied by n + 1.
 const MAX_SCORE: u32 = 4;
 /// The lateness of a timeout above which this process counts as slow.
 const SLOW_AFTER: Duration = Duration::from_millis(250);
@@ -41,7 +41,8 @@
         self.score
     }
 
-    /// Returns the factor by which the current score lengthens probes and checks: 1 to 5.
+    /// Returns the factor by which the intervals and timeouts of probes and checks are multiplied
+    /// at the current score: 1 to 5.
     pub(crate) fn time_factor(&self) -> u32 {
         1 + self.score
     }
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -19,8 +19,9 @@
 /// `SUSPICION_BASE_MEMBER_COUNT` members.
 const BASE_SUSPICION_TIMEOUT: Duration = Duration::from_secs(3);
 const SUSPICION_BASE_MEMBER_COUNT: f64 = 128.0;
-/// The addition to the suspicion timeout for each tenfold increase of the fleet's size beyond that,
-/// because updates take longer to reach all members of a larger fleet.
+/// The addition to the suspicion timeout for each tenfold increase of the fleet's size beyond
+/// `SUSPICION_BASE_MEMBER_COUNT`, because updates take longer to reach all members of a larger
+/// fleet.
 const SUSPICION_TIMEOUT_PER_DECADE: Duration = Duration::from_secs(1);
 /// The periodic gossip while there are updates to disseminate.
 const GOSSIP: Periodic = Periodic {
@@ -43,7 +44,7 @@
 const TIMERS_PER_MEMBER: usize = 4;
 const EXTRA_TIMERS: usize = 64;
 
-/// A periodic activity of the protocol: in each interval it contacts `member_count` members.
+/// A periodic activity of the SWIM protocol: in each interval it contacts `member_count` members.
 struct Periodic {
     interval: Duration,
     member_count: usize,
@@ -97,7 +98,7 @@
 }
 
 impl Swim {
-    /// Creates the protocol for a process that knows no other member yet.
+    /// Creates the SWIM protocol for a process that knows no other member yet.
     pub(crate) fn new(id: Identity, config: &Config, now: Duration, rng: StdRng) -> Self {
         let configured_size = usize::from(config.peer_count);
         let max_payload_len = wire::payload_capacity(&config.fleet);
@@ -118,7 +119,7 @@
         *self.foca.identity()
     }
 
-    /// Returns the number of payloads, timers and requests that the protocol has rejected.
+    /// Returns the number of payloads, timers and requests that `foca` has rejected.
     pub(crate) fn error_count(&self) -> u64 {
         self.error_count
     }
@@ -183,7 +184,8 @@
         self.count_error(result);
     }
 
-    /// Announces in several gossip rounds that this process leaves, and ends the protocol.
+    /// Announces in several gossip rounds that this process leaves, and stops the SWIM
+    /// protocol.
     pub(crate) fn leave(&mut self) {
         let leaving = Identity {
             is_leaving: true,
@@ -197,22 +199,22 @@
         self.count_error(result);
     }
 
-    /// Returns the members that the protocol considers alive or suspect, this process excluded.
+    /// Returns the members that `foca` considers alive or suspect, this process excluded.
     pub(crate) fn active_members(&self) -> impl Iterator<Item = &Member<Identity>> {
         self.foca.iter_members()
     }
 
-    /// Returns all members that the protocol remembers, dead ones included.
+    /// Returns all members that `foca` remembers, dead ones included.
     pub(crate) fn all_members(&self) -> impl Iterator<Item = &Member<Identity>> {
         self.foca.iter_membership_state()
     }
 
-    /// Returns whether the protocol considers an identity alive or suspect.
+    /// Returns whether `foca` considers an identity alive or suspect.
     pub(crate) fn is_active(&self, id: &Identity) -> bool {
         self.active_members().any(|member| member.id() == id)
     }
 
-    /// Returns whether the protocol still suspects a member at the given refutation number.
+    /// Returns whether `foca` still suspects a member at the given refutation number.
     pub(crate) fn is_suspect(&self, suspect: &SuspectId) -> bool {
         let mut active = self.active_members();
         active.any(|member| member.state() == State::Suspect && SuspectId::of(member) == *suspect)
@@ -223,7 +225,7 @@
         suspicion_timeout(self.foca.num_members())
     }
 
-    /// Postpones the timers that end suspicions.
+    /// Postpones, by a duration, the timers that declare suspects dead.
     pub(crate) fn postpone_suspicion_timers(&mut self, by: Duration) {
         self.runtime.postpone_suspicion_timers(by);
     }
@@ -242,12 +244,12 @@
         }
     }
 
-    /// Removes and returns the payloads to send.
+    /// Removes and returns the payloads that are to be sent to other members.
     pub(crate) fn drain_payloads(&mut self) -> Vec<OutgoingPayload> {
         self.runtime.drain_payloads()
     }
 
-    /// Removes and returns the notifications of changes.
+    /// Removes and returns the notifications of changes of members' states or identities.
     pub(crate) fn drain_notifications(&mut self) -> Vec<OwnedNotification<Identity>> {
         self.runtime.drain_notifications()
     }
@@ -264,7 +266,7 @@
     BASE_SUSPICION_TIMEOUT + SUSPICION_TIMEOUT_PER_DECADE.mul_f64(decades)
 }
 
-/// Returns the parameters of the protocol for a fleet of `size` members.
+/// Returns the parameters of `foca` for a fleet of `size` members.
 fn parameters(size: usize, forget_after: Duration, max_payload_len: usize) -> foca::Config {
     let mut parameters = foca::Config::simple();
     parameters.probe_period = PROBE_INTERVAL;
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -8,7 +8,7 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// The number of latest changes that are retained for display.
+/// The maximum number of changes that are retained for display; older ones are dropped.
 const MAX_RETAINED_CHANGES: usize = 256;
 
 /// The state of a member. The serialized words are a published format and must not change.
@@ -67,7 +67,7 @@
     pub member: MemberRecord,
 }
 
-/// A member and its position in the hash tree.
+/// A member's record, and its position and hash in the hash tree.
 #[derive(Debug)]
 struct Entry {
     record: MemberRecord,
@@ -81,7 +81,8 @@
     version: u64,
     live_count: usize,
     digest: u64,
-    changes: VecDeque<ViewChange>,
+    /// The latest changes, oldest first, at most `MAX_RETAINED_CHANGES`.
+    recent_changes: VecDeque<ViewChange>,
 }
 
 impl View {
@@ -116,8 +117,8 @@
     }
 
     /// Returns the latest changes, oldest first, at most 256.
-    pub fn changes(&self) -> impl Iterator<Item = &ViewChange> {
-        self.changes.iter()
+    pub fn recent_changes(&self) -> impl Iterator<Item = &ViewChange> {
+        self.recent_changes.iter()
     }
 
     /// Returns a digest of the live members. Equal sets of members have equal digests; different
@@ -183,10 +184,10 @@
         self.version += 1;
         let version = self.version;
         let change = ViewChange { version, member };
-        if self.changes.len() >= MAX_RETAINED_CHANGES {
-            self.changes.pop_front();
+        if self.recent_changes.len() >= MAX_RETAINED_CHANGES {
+            self.recent_changes.pop_front();
         }
-        self.changes.push_back(change);
+        self.recent_changes.push_back(change);
         change
     }
 
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -22,7 +22,7 @@
 /// The version of this format, in the first byte of each datagram.
 const VERSION: u8 = 1;
 const CHECKSUM_LEN: usize = 4;
-/// The number of bytes of the version and of the length of the fleet's name.
+/// The number of bytes before the fleet's name: one for the version and one for the name's length.
 const PREFIX_LEN: usize = 2;
 const SWIM_KIND: u8 = 0;
 const MESSAGE_KIND: u8 = 1;
