--- a/membership/tests/state_machine/name_conflicts.rs
+++ b/membership/tests/state_machine/name_conflicts.rs
@@ -44,20 +44,20 @@
     assert_eq!(outputs(&mut earlier), []);
 }
 
-/// If the clock was set back before a restart, the restarted process has an earlier incarnation
-/// than the previous start, and must supersede it. The number of times that it may do so is
-/// limited.
+/// If the clock is set back before a restart, the restarted process has an earlier incarnation than
+/// the process that it replaces. It must nevertheless retain its name, by taking the incarnation
+/// after that of the replaced process. The number of times that it may do so is limited.
 #[test]
-fn a_restart_with_a_clock_set_back_supersedes_its_earlier_incarnation() {
+fn a_process_restarted_with_its_clock_set_back_supersedes_the_process_it_replaces() {
     let mut restarted = new_membership(0);
-    let previous = Identity {
+    let replaced = Identity {
         incarnation: BASE_INCARNATION + 60_000,
         ..restarted.identity()
     };
-    report_claim(&mut restarted, Duration::from_millis(100), previous);
-    assert!(outputs(&mut restarted).contains(&Output::Superseded(previous)));
+    report_claim(&mut restarted, Duration::from_millis(100), replaced);
+    assert!(outputs(&mut restarted).contains(&Output::Superseded(replaced)));
     assert_eq!(restarted.phase(), Phase::Member);
-    assert_eq!(restarted.identity().incarnation, previous.incarnation + 1);
+    assert_eq!(restarted.identity().incarnation, replaced.incarnation + 1);
     let own_id = restarted.identity();
     for minutes in 2..9 {
         let claimant = Identity {
--- a/membership/tests/state_machine/support.rs
+++ b/membership/tests/state_machine/support.rs
@@ -18,13 +18,13 @@
     Name::new(&format!("m{number}")).expect("a name")
 }
 
-/// Returns the identity of a member that started `incarnation` milliseconds after the base
-/// incarnation.
-pub fn identity(number: u16, incarnation: u64) -> Identity {
+/// Returns the identity of a member whose incarnation is `incarnation_offset_ms` after
+/// [`BASE_INCARNATION`].
+pub fn identity(number: u16, incarnation_offset_ms: u64) -> Identity {
     Identity {
         name: name(number),
         peer: PeerIndex(number),
-        incarnation: BASE_INCARNATION + incarnation,
+        incarnation: BASE_INCARNATION + incarnation_offset_ms,
         rejoin_count: 0,
         is_leaving: false,
     }
