--- a/membership/tests/wire_fixtures/captured.rs
+++ b/membership/tests/wire_fixtures/captured.rs
@@ -43,9 +43,9 @@
 /// one for the length of the fleet's name, the name, a checksum of four bytes, one byte that is 0
 /// for the SWIM protocol or 1 for the crate's own messages, and the message.
 pub fn kind_of(datagram: &[u8]) -> String {
-    let protocol = 2 + FLEET.len() + 4;
-    let mut payload = &datagram[protocol + 1..];
-    if datagram[protocol] != 0 {
+    let kind_at = 2 + FLEET.len() + 4;
+    let mut payload = &datagram[kind_at + 1..];
+    if datagram[kind_at] != 0 {
         return format!("own-{}", payload[0]);
     }
     let header: Header<Identity> = PostcardCodec.decode_header(&mut payload).expect("a header");
--- a/membership/tests/wire_fixtures/main.rs
+++ b/membership/tests/wire_fixtures/main.rs
@@ -129,8 +129,8 @@
             simulation.log().yielded_count > 0,
             "a process yields its name"
         );
-        let settled = simulation.machine(6).expect("the process at peer 6 runs");
-        assert!(settled.identity().incarnation >= EPOCH_MS && settled.view().version() > 8);
+        let machine = simulation.machine(6).expect("the process at peer 6 runs");
+        assert!(machine.identity().incarnation >= EPOCH_MS && machine.view().version() > 8);
     }
     let mut simulation = large_simulation();
     for end in (3..=LARGE_SIMULATION_END.as_secs()).step_by(3) {
--- a/membership/tests/wire_fixtures/output_log.rs
+++ b/membership/tests/wire_fixtures/output_log.rs
@@ -19,8 +19,10 @@
 
 /// A section of the log, which has a digest besides that of the entire log.
 pub struct Section {
-    outer: SipHasher13,
-    first_output: u64,
+    /// The hasher of the records before the section.
+    outer_hasher: SipHasher13,
+    /// The number of outputs before the section.
+    previous_output_count: u64,
 }
 
 /// The digest of a section, and the number of its outputs.
@@ -45,17 +47,17 @@
     /// Begins a section.
     pub fn begin_section(&mut self) -> Section {
         Section {
-            outer: std::mem::take(&mut self.hasher),
-            first_output: self.output_count,
+            outer_hasher: std::mem::take(&mut self.hasher),
+            previous_output_count: self.output_count,
         }
     }
 
     /// Ends a section, and records its digest in the log.
     pub fn end_section(&mut self, section: Section) -> SectionDigest {
-        let digest = std::mem::replace(&mut self.hasher, section.outer).finish();
+        let digest = std::mem::replace(&mut self.hasher, section.outer_hasher).finish();
         self.record(&digest.to_le_bytes());
         SectionDigest {
-            output_count: self.output_count - section.first_output,
+            output_count: self.output_count - section.previous_output_count,
             digest,
         }
     }
--- a/membership/tests/wire_fixtures/scenarios.rs
+++ b/membership/tests/wire_fixtures/scenarios.rs
@@ -6,7 +6,8 @@
 
 const SMALL_MEMBER_COUNT: u16 = 8;
 /// The number of members of the large fleet: enough that nodes of the hash tree below the root are
-/// compared by their children's hashes, and few enough that digests are equal on all processors.
+/// compared by their children's hashes, and at most 128, so that `log10`, whose result may differ
+/// between processors, has no effect on the digests.
 const LARGE_MEMBER_COUNT: u16 = 120;
 const LARGE_SIMULATION_SEED: u64 = 4;
 
@@ -35,11 +36,11 @@
     datagram
 }
 
-/// Returns datagrams that are dropped, for all reasons that their bytes can cause.
+/// Returns invalid datagrams, at least one for each drop reason that depends on a datagram's bytes.
 fn invalid_datagrams() -> Vec<Vec<u8>> {
     let check = [1, 1, 7];
-    // Used for requests of "m1" with another peer index than its source, with one that does not
-    // exist, and with an incarnation from the future.
+    // Encodes join messages of "m1": below, one has another peer index than the source, one a peer
+    // index that does not exist, and one an incarnation from the future.
     let join = |peer: u8, incarnation: &[u8]| {
         [&[1, 0, 2, b'm', b'1', peer], incarnation, &[0, 0]].concat()
     };
@@ -86,10 +87,10 @@
 fn join_storms() -> impl Iterator<Item = (Duration, Fault)> {
     let at =
         |start, step_ms: u64, index: u64| seconds(start) + Duration::from_millis(step_ms * index);
-    let requests = (0..1000).map(move |index| (at(125, 10, index), join(6, 1, 9, 125_000)));
+    let joins = (0..1000).map(move |index| (at(125, 10, index), join(6, 1, 9, 125_000)));
     let claims =
         (0..6).map(move |index| (at(141, 50, index), join(3, 1, 3, 200_000 + 1_000 * index)));
-    requests.chain(claims)
+    joins.chain(claims)
 }
 
 /// Returns faults that block links temporarily: three links in one direction each, and later all
@@ -116,8 +117,9 @@
     faults
 }
 
-/// Returns the kills, restarts, leaves, name conflicts, pauses, blocked links, lost and invalid
-/// datagrams of the small fleet.
+/// Returns the faults of the small simulation, each with the time at which it is applied: starts,
+/// kills, restarts, leaves, name conflicts, pauses, blocked links, lost datagrams, invalid
+/// datagrams and storms of join messages.
 fn small_simulation_faults() -> Vec<(Duration, Fault)> {
     let mut faults: Vec<(Duration, Fault)> = (0..SMALL_MEMBER_COUNT - 1)
         .map(|peer| {
@@ -152,11 +154,12 @@
         (seconds(38), Fault::Resume(4)),
         (seconds(56), Fault::Pause(6)),
         (seconds(68), Fault::Resume(6)),
-        // The clock was set back, so the incarnation is earlier than the previous one.
+        // The clock was set back before the restart, so the restarted process has an earlier
+        // incarnation than the process that it replaces.
         (seconds(70), Fault::Kill(1)),
         (seconds(71), start(1, 1, 0, false)),
-        // A later process claims the name of a live one. Then an earlier incarnation of that name
-        // starts again.
+        // The process at peer 7 claims the name of the live process at peer 0 with a later
+        // incarnation. Then a process with that name and an earlier incarnation starts at peer 0.
         (seconds(76), Fault::Kill(7)),
         (seconds(80), start(7, 0, 80_000, false)),
         (seconds(86), Fault::Kill(0)),
--- a/membership/tests/wire_fixtures/simulation.rs
+++ b/membership/tests/wire_fixtures/simulation.rs
@@ -78,9 +78,12 @@
 #[derive(Default)]
 struct Process {
     machine: Option<Membership>,
+    /// A number that changes whenever a process starts or ends at this peer, so that timeouts of an
+    /// earlier process have no effect.
     generation: u32,
     is_paused: bool,
     deferred_events: Vec<Event>,
+    /// The live members that the last process at this peer knew when it ended.
     persisted: Vec<Identity>,
 }
 
@@ -383,8 +386,8 @@
     }
 }
 
-/// Returns the name of a member. It has the maximum length, so that not all members of a comparison
-/// fit into one datagram.
+/// Returns the name of a member. It has the maximum length, so that not all members that are
+/// exchanged in a comparison of two views fit into one datagram.
 pub fn member_name(number: u16) -> Name {
     Name::new(&format!("member-{number:09}")).expect("a name")
 }
