--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -1,7 +1,7 @@
 //! The flow of an attempt: its send, retries and hedges, its end, and the effects of its outcome.
 
 use super::Balancer;
-use super::class_statistics::LatencySample;
+use super::class_statistics::LatencySource;
 use super::clock::JitteredClock;
 use super::requests::{Attempt, AttemptState, EndedAttempt, OverdueAttempt, Request};
 use super::round_robin::Deficit;
@@ -16,8 +16,8 @@
 /// processed: the retry then adds no work.
 const RETRY_COST: f64 = 1.0;
 const UNPROCESSED_RETRY_COST: f64 = 0.1;
-/// Time that a retry needs: seconds until the deadline, and a fraction of the class's mean latency
-/// until its response is of no use.
+/// Time that has to remain for a retry: seconds until the deadline; and, as a fraction of the
+/// class's mean latency, the time until a response is of no use.
 const MIN_RETRY_TIME_S: f64 = 1e-3;
 const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
 /// Spare capacity, in requests, above which hedged attempts are sent. It is negative because the
@@ -37,8 +37,8 @@
             return;
         };
         let class = request.class;
-        let overdue = Duration::from_secs_f64(self.classes.overdue_after_s(class));
-        let timeout = self.attempt_timeout(request, overdue);
+        let overdue_after = Duration::from_secs_f64(self.classes.overdue_after_s(class));
+        let timeout = self.attempt_timeout(request, overdue_after);
         let upstream = &mut self.upstreams[slot];
         let mut idle_s = upstream
             .connections
@@ -65,22 +65,24 @@
             state: AttemptState::InFlight,
             connection_idle_s: idle_s,
         };
-        self.requests.add_attempt(id, attempt, self.now + overdue);
+        self.requests
+            .add_attempt(id, attempt, self.now + overdue_after);
     }
 
-    /// Returns the time after which an attempt is abandoned; `None` for the client's deadline.
-    fn attempt_timeout(&self, request: &Request, overdue: Duration) -> Option<Duration> {
+    /// Returns the time after which an attempt is abandoned; `None` if that is the client's
+    /// deadline.
+    fn attempt_timeout(&self, request: &Request, overdue_after: Duration) -> Option<Duration> {
         let class = &self.settings.classes[request.class];
         // Without hedging, an attempt that can be retried is abandoned when it becomes overdue.
         let is_last = request.attempts.len() + 1 >= usize::from(self.settings.max_attempts);
         let is_retryable = class.effect != Effect::AtMostOnce && !class.streamed;
         let may_retry = is_retryable && !is_last && self.retry_budget.affords(RETRY_COST);
         if !self.settings.hedging && may_retry {
-            return Some(overdue);
+            return Some(overdue_after);
         }
         // An attempt is abandoned when its response would be of no use: upstreams that drop
-        // cancelled requests gain capacity for others, and an unresponsive upstream is detected
-        // sooner.
+        // cancelled requests gain capacity for other requests, and an unresponsive upstream is
+        // detected sooner.
         let useful_s = (request.useful_until_s - self.now_s).clamp(MIN_TIMEOUT_S, MAX_TIMEOUT_S);
         let ends_early = request.useful_until_s < request.deadline_s;
         ends_early.then(|| Duration::from_secs_f64(useful_s))
@@ -105,11 +107,12 @@
     }
 
     fn may_retry(&self, request: &Request, cost: f64) -> bool {
-        let latency_s = MIN_RETRY_LATENCY_FRACTION * self.classes.latency_s(request.class);
+        let min_remaining_s =
+            MIN_RETRY_LATENCY_FRACTION * self.classes.class_mean_latency_s(request.class);
         request.is_waiting()
             && request.attempts.len() < usize::from(self.settings.max_attempts)
             && self.now_s + MIN_RETRY_TIME_S < request.deadline_s
-            && self.now_s + latency_s < request.useful_until_s
+            && self.now_s + min_remaining_s < request.useful_until_s
             && self.retry_budget.affords(cost)
             && !self.upstreams.is_empty()
             && !self.lease.is_expired(self.now_s)
@@ -117,8 +120,8 @@
 
     /// Returns the target of a retry: among the next eligible upstreams, the one with the least in
     /// flight per capacity, preferably of this zone. Upstreams outside the subset, from index
-    /// `start` on, are used only if none in it is eligible, for instance if only one cell knows the
-    /// idempotency key.
+    /// `start` on, are used only if none in the subset is eligible, for instance if only one cell
+    /// knows the idempotency key.
     fn retry_target(&self, request: &Request, start: usize) -> Option<usize> {
         let count = self.upstreams.len();
         let others = (0..count).map(|step| (step + start % count) % count);
@@ -161,8 +164,9 @@
     }
 
     /// Handles an attempt that has become overdue. If its upstream has not responded to any request
-    /// since the send, the upstream is suspected, and a hedged attempt may be sent. Otherwise the
-    /// request is an expensive one and would take as long at another upstream.
+    /// since the send, the upstream is suspected, and a hedged attempt may be sent. If the upstream
+    /// has responded to another request, the overdue one is an expensive request that would take as
+    /// long at another upstream.
     fn handle_overdue(&mut self, attempt: &OverdueAttempt) {
         let Some(slot) = self.upstreams.slot(attempt.upstream) else {
             return;
@@ -197,12 +201,12 @@
             return;
         };
         let was_completed = request.is_completed();
-        let is_last = !request.has_attempt_in_flight();
+        let none_in_flight = !request.has_attempt_in_flight();
         if is_finished {
             self.complete(id);
-        } else if was_completed && is_last {
+        } else if was_completed && none_in_flight {
             self.requests.remove(id);
-        } else if is_last {
+        } else if none_in_flight {
             self.retry_or_end(id, &attempt);
         }
     }
@@ -246,18 +250,18 @@
     /// Records the outcome of an attempt in the statistics of its class, the capacity, the idle
     /// connections and its upstream.
     fn record_outcome(&mut self, attempt: &EndedAttempt) {
-        let sample = if attempt.outcome == Outcome::Ok {
+        let source = if attempt.outcome == Outcome::Ok {
             self.capacity.record_completion();
-            Some(LatencySample::Success)
+            Some(LatencySource::Success)
         } else {
-            attempt.is_abandoned().then_some(LatencySample::Abandoned)
+            attempt.is_abandoned().then_some(LatencySource::Abandoned)
         };
-        let latency_ratio = sample.map(|sample| {
-            let was_unanswered = sample == LatencySample::Abandoned;
+        let latency_ratio = source.map(|source| {
+            let was_unanswered = source == LatencySource::Abandoned;
             self.idle_connections
                 .record(attempt.connection_idle_s, was_unanswered, self.now_s);
             self.classes
-                .record_latency(attempt.class, sample, attempt.latency_s, self.now_s)
+                .record_latency(attempt.class, source, attempt.latency_s, self.now_s)
         });
         let Some(slot) = self.upstreams.slot(attempt.upstream) else {
             return;
@@ -289,8 +293,9 @@
         if attempt.outcome == Outcome::Rejected {
             upstream.load.record_rejected(self.now_s);
         }
-        // An ejection for the class shows a fault of this upstream alone, which is no evidence
-        // about capacity elsewhere.
+        // If the upstream is ejected for the class, the fault is that of this upstream alone: the
+        // abandoned attempt is no evidence about the capacity of others, and does not count as
+        // load.
         if attempt.is_abandoned() && !upstream.health.is_ejected_for(attempt.class) {
             upstream.load.record_abandoned();
         }
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -6,15 +6,15 @@
 use super::smoothing::newest_weight;
 use crate::interface::{Class, Settings};
 
-/// Time constant, in seconds, of a class's mean latency if responses are rare, and the bounds of
-/// the weight of the newest latency.
+/// Time constant, in seconds, of a class's mean latency, which applies while the weight of the
+/// newest latency is within its bounds; and the bounds of that weight.
 const LATENCY_TIME_CONSTANT_S: f64 = 3.0;
 const MIN_NEWEST_WEIGHT: f64 = 0.02;
 const MAX_NEWEST_WEIGHT: f64 = 0.2;
 /// Upper limit of one latency in the mean, as a multiple of the objective.
 const MAX_LATENCY_MULTIPLE: f64 = 2.0;
-/// Factor for the latency of an abandoned attempt in the mean: its response would have taken
-/// longer.
+/// Factor for the latency of an abandoned attempt in the mean: the response to the attempt would
+/// have taken longer.
 const TIMEOUT_LATENCY_MULTIPLE: f64 = 1.5;
 /// Quantile of a class's latencies after which an attempt is overdue, and the relative step of its
 /// estimate.
@@ -23,13 +23,13 @@
 /// Lower limit of the quantile in seconds: two ticks, as each tick looks for overdue attempts.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
 /// Fraction of the objective after which an attempt is overdue at the latest, so that a hedged
-/// attempt still has time.
+/// attempt can still succeed within the objective.
 const OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
 /// Mean latency of a class before its first response, as a fraction of the objective.
 const INITIAL_LATENCY_FRACTION: f64 = 0.3;
 /// Weight of the newest request in each class's fraction of the admitted requests.
 const ADMITTED_NEWEST_WEIGHT: f64 = 0.01;
-/// Fraction of the admitted requests that a class must exceed to limit the queues.
+/// Fraction of the admitted requests that a class must exceed for its latency to limit the queues.
 const MIN_ADMITTED_FRACTION: f64 = 0.02;
 /// Seconds without a latency after which the mean of a class decays, and the time constant of that
 /// decay.
@@ -39,12 +39,13 @@
 /// Lower limit, in seconds, of a latency that a priority weight is divided by.
 const MIN_LATENCY_S: f64 = TICK_S;
 
-/// The end of the attempt that a latency is taken from.
+/// Whether a recorded latency is that of a successful response or of an abandoned attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum LatencySample {
-    /// The upstream sent a successful response.
+pub(super) enum LatencySource {
+    /// Time from the send of the attempt to its successful response.
     Success,
-    /// The attempt was abandoned after it had become overdue.
+    /// Time from the send of the attempt to its time-out or cancellation, after it had become
+    /// overdue without a response.
     Abandoned,
 }
 
@@ -64,7 +65,9 @@
 /// The statistics of all classes, in the order of the settings.
 pub(super) struct ClassStatistics {
     classes: Vec<ClassRecord>,
-    /// Whether priority weights are already in proportion to the work of a request.
+    /// Whether `priority_weight` is a weight per unit of a request's work: an expensive request
+    /// then has a larger weight than a cheap one of its class. If false, it is a weight per
+    /// request.
     weight_by_work: bool,
 }
 
@@ -107,7 +110,7 @@
         objectives.fold(f64::INFINITY, f64::min)
     }
 
-    pub(super) fn latency_s(&self, class: usize) -> f64 {
+    pub(super) fn class_mean_latency_s(&self, class: usize) -> f64 {
         self.classes[class].mean_latency_s
     }
 
@@ -119,8 +122,10 @@
             .min(OVERDUE_OBJECTIVE_FRACTION * class.objective_s)
     }
 
-    /// Returns the priority weight that a class earns for the capacity it uses, as a fraction of
-    /// the highest of any class: an expensive request displaces several cheap ones.
+    /// Returns the priority weight of a class per unit of the capacity that its requests use,
+    /// divided by the highest of these values of all classes: 0 to 1. If weights are per request,
+    /// the mean latency of the class stands for the capacity that a request uses: an expensive
+    /// request displaces several cheap ones.
     pub(super) fn relative_value(&self, class: usize) -> f64 {
         let best = self
             .classes
@@ -139,8 +144,8 @@
     }
 
     /// Returns how much the queues may still grow, in seconds of latency; negative if they are too
-    /// long. All classes share the queues: the class whose latency comes closest to its limit
-    /// decides.
+    /// long. All classes share the queues: the class whose mean latency comes closest to its limit,
+    /// `objective_fraction` of its objective, decides.
     pub(super) fn queue_slack_s(&self, objective_fraction: f64) -> f64 {
         let counted = self
             .classes
@@ -160,29 +165,31 @@
         }
     }
 
-    /// Adds a latency. Returns it as a multiple of the previous mean of the class.
+    /// Adds the latency of an attempt to the statistics of its class. Returns it as a multiple of
+    /// the previous mean latency of the class.
     pub(super) fn record_latency(
         &mut self,
         class: usize,
-        sample: LatencySample,
+        source: LatencySource,
         latency_s: f64,
         now_s: f64,
     ) -> f64 {
         let record = &mut self.classes[class];
         let ratio = latency_s / record.mean_latency_s.max(1e-6);
-        let counted_s = match sample {
-            LatencySample::Success => {
+        let counted_s = match source {
+            LatencySource::Success => {
                 record.update_quantile(latency_s);
                 latency_s
             }
-            LatencySample::Abandoned => TIMEOUT_LATENCY_MULTIPLE * latency_s,
+            LatencySource::Abandoned => TIMEOUT_LATENCY_MULTIPLE * latency_s,
         };
         record.update_mean(counted_s, now_s);
         ratio
     }
 
-    /// Reduces the mean latency of classes without recent responses. Otherwise a high mean could
-    /// leave no spare capacity, and no request would be admitted that could correct it.
+    /// Reduces the mean latency of classes without recent responses. Without this, a high mean
+    /// could leave no spare capacity, and no request would be admitted whose latency could lower
+    /// the mean.
     pub(super) fn decay_stale_latencies(&mut self, elapsed_s: f64, now_s: f64) {
         let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
         for class in self.classes.iter_mut().filter(stale) {
