--- a/src/policy/endpoint_flow.rs
+++ b/src/policy/endpoint_flow.rs
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Chooses the subset again and restarts the round robin with its members.
+    /// Chooses the subset again, closes the idle connections to upstreams that left it, adapts the
+    /// capacity if a partial subset has grown, and restarts the round robin with the new members.
     pub(super) fn choose_subset(&mut self) {
         let choice = self.subset.choose(&mut self.upstreams, self.now_s);
         let close = |upstream| Action::CloseIdleConnections { upstream };
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -1,17 +1,22 @@
 //! The lease on the endpoint list: how long the list remains valid after discovery has stopped
 //! confirming it.
 //!
-//! A change that this balancer missed counts as notified some seconds after a watch has failed, or
-//! as soon as discovery writes it to a response, regardless of later polls. When the drain grace
-//! has passed after that, any upstream could be draining: no attempt is sent until a complete list
-//! or a heartbeat is received. Discovery notifies no change while it is down: polls that time out
-//! or are not accepted end the causes of staleness that [`ends_with_outage`] names, and no others.
+//! Sends to a draining or removed upstream have to stop within the drain grace after discovery has
+//! notified the balancer of the change. A balancer that missed a change nevertheless counts as
+//! notified of it: some seconds after its watch has failed, or as soon as discovery has written the
+//! change to a response, regardless of later polls. When the drain grace has passed after that, any
+//! upstream could be draining: no attempt is sent until a complete list or a heartbeat is received.
+//! While discovery is down, it notifies no balancer of a change, so no drain grace begins: when a
+//! poll can't connect, when its connection closes without a response, or when the poll is rejected
+//! after [`IMMEDIATE_REJECTION_S`] or more, the causes of staleness that [`ends_with_outage`] names
+//! end, and no others.
 
 use crate::interface::{LogEvent, SendPause, StalenessCause, WatchEvent};
 use std::time::Duration;
 
-/// Seconds after which missed changes count as notified: if a watch has no heartbeats or polls for
-/// one are rejected, if discovery ended the watch, and if discovery has moved to another address.
+/// Seconds after which this balancer counts as notified of the changes that it missed: if a watch
+/// has no heartbeats or polls are rejected, if discovery ended the watch, and if discovery has
+/// moved to another address.
 const NOTIFIED_AFTER_SILENCE_S: f64 = 6.0;
 const NOTIFIED_AFTER_END_S: f64 = 2.0;
 const NOTIFIED_AFTER_MOVE_S: f64 = 4.0;
@@ -34,7 +39,8 @@
     StalenessCause::PartialResponse,
 ];
 
-/// Returns the seconds after which changes that were missed for this cause count as notified.
+/// Returns how many seconds after the beginning of this cause the balancer counts as notified of
+/// the changes that it missed.
 fn notified_after_s(cause: StalenessCause) -> f64 {
     match cause {
         StalenessCause::WatchSilent | StalenessCause::PollsRejected => NOTIFIED_AFTER_SILENCE_S,
@@ -44,8 +50,9 @@
     }
 }
 
-/// Returns whether an outage of discovery ends the cause, as discovery notifies no change during an
-/// outage.
+/// Returns whether the cause ends when discovery is found to be down. While it is down, discovery
+/// notifies no balancer of a change, so no drain grace begins for a change that this balancer has
+/// missed.
 fn ends_with_outage(cause: StalenessCause) -> bool {
     matches!(
         cause,
@@ -62,11 +69,11 @@
 
 /// The lease on the endpoint list, and the causes for which the list may be stale.
 pub(super) struct EndpointLease {
-    /// Seconds after a notification for which a balancer may continue to send to a draining
-    /// upstream.
+    /// Seconds for which a balancer may continue to send to a draining upstream, counted from the
+    /// time at which it is, or counts as, notified of the change.
     drain_grace_s: f64,
-    /// Whether the list comes from a local agent. An agent responds immediately, and without a
-    /// response there is no change: only a partial response makes its list stale.
+    /// Whether the list comes from a local agent. An agent responds immediately, and no change
+    /// counts as notified without a response: only a partial response makes its list stale.
     has_local_agent: bool,
     /// Time since which each of [`CAUSES`] exists; `None` for a cause that does not exist.
     stale_since_s: [Option<f64>; CAUSES.len()],
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -10,9 +10,9 @@
 /// Upper limit of the time over which the polls of all balancers are spread, as a fraction of the
 /// poll interval.
 const MAX_SPREAD_FRACTION: f64 = 0.5;
-/// Seconds after which a change counts as notified, regardless of the polls for it; and two parts
-/// of this time: the duration of a successful poll with its connection, and the time until a watch
-/// without heartbeats is detected.
+/// Seconds after which this balancer counts as notified of a change, even if no poll has received
+/// it; and two parts of this time: the duration of a successful poll with its connection, and the
+/// time until a watch without heartbeats is detected.
 const NOTIFIED_WITHIN_S: f64 = 6.0;
 const POLL_DURATION_S: f64 = 1.5;
 const WATCH_SILENCE_S: f64 = 3.0;
@@ -26,7 +26,8 @@
 const MAX_BACKOFF_FRACTION: f64 = 0.8;
 const FIRST_BACKOFF_DIVISOR: f64 = 16.0;
 const MAX_DOUBLINGS: u32 = 4;
-/// Jitter of a backoff: its smallest fraction of the computed backoff, and the range above that.
+/// Jitter of a backoff: the smallest factor that multiplies the computed backoff, and the width of
+/// the range of factors above it.
 const MIN_BACKOFF_JITTER_FACTOR: f64 = 0.1;
 const BACKOFF_JITTER_RANGE: f64 = 0.9;
 /// Shortest time, in seconds, after which a poll of discovery without a response is retried.
@@ -59,7 +60,7 @@
     }
 }
 
-/// The state of the lease when a poll or a watch failed.
+/// The reason for which a poll or a watch failed.
 pub(super) struct PollFailure {
     /// Whether a response was truncated.
     pub(super) was_partial: bool,
@@ -116,7 +117,8 @@
         if self.target == PollTarget::Disabled || has_response || now_s < self.next_poll_at_s {
             return false;
         }
-        // A poll without a response is retried well before a change counts as notified.
+        // A poll without a response is retried well before this balancer counts as notified of the
+        // changes that it missed.
         let timeout_s =
             self.interval_s * (POLL_TIMEOUT_FRACTION + POLL_TIMEOUT_JITTER_RANGE * random.f64());
         let timeout_s = if self.target == PollTarget::LocalAgent {
@@ -154,8 +156,8 @@
     }
 
     /// Returns the backoff in seconds. It doubles with each failure, so that not all balancers poll
-    /// a recovered discovery at the same time. It is limited so that a change is received before it
-    /// counts as notified.
+    /// a recovered discovery at the same time. It is limited so that the next poll receives a
+    /// change before this balancer counts as notified of it.
     fn backoff_s(&self, failure: &PollFailure, now_s: f64) -> f64 {
         let spread_s = self.spread_s.min(MAX_BACKOFF_SPREAD_S);
         let backoff_s = if self.target == PollTarget::LocalAgent {
@@ -165,7 +167,7 @@
                 self.interval_s * MAX_BACKOFF_FRACTION / FIRST_BACKOFF_DIVISOR,
             )
             .max(spread_s)
-            .min(self.remaining_s(spread_s, now_s))
+            .min(self.longest_backoff_s(spread_s, now_s))
         };
         // The backoff is short after a truncated response: sends will have to pause soon, and no
         // other balancer is affected.
@@ -174,7 +176,7 @@
         } else {
             backoff_s
         };
-        // Rejections cost an overloaded discovery time as well: the backoff is limited but not
+        // An overloaded discovery spends time on each rejection: the backoff is limited but not
         // short.
         if failure.was_rejected {
             backoff_s.min(spread_s.max(MAX_REJECTED_BACKOFF_S))
@@ -187,16 +189,17 @@
         first_s * f64::from(1u32 << self.consecutive_failures.min(MAX_DOUBLINGS))
     }
 
-    /// Returns the seconds left for a backoff if the next poll is to receive a change in time; at
-    /// least a minimum, even if no time is left.
-    fn remaining_s(&self, spread_s: f64, now_s: f64) -> f64 {
+    /// Returns the longest backoff, in seconds, after which the next poll still receives a change
+    /// before this balancer counts as notified of it; at least a minimum, even if the poll would be
+    /// later than that.
+    fn longest_backoff_s(&self, spread_s: f64, now_s: f64) -> f64 {
         let elapsed_s = if self.is_watching {
             WATCH_SILENCE_S
         } else {
             now_s - self.last_poll_at_s
         };
-        // With the most balancers the spread remains: discovery serves few if all poll at the same
-        // time.
+        // If the number of balancers requires the longest spread, the backoff is not limited to
+        // less: discovery serves few of them if all poll at the same time.
         let min_s = if spread_s < MAX_BACKOFF_SPREAD_S {
             MIN_BACKOFF_S
         } else {
