--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -6,17 +6,17 @@
 use crate::random::Random;
 use std::time::Duration;
 
-/// Bucket size: one second of the guarantee or this many seconds of the tenant's demand, whichever
-/// is more, plus this many tokens, so that two simultaneous requests of a small tenant are not
-/// rejected.
+/// Parts of the size of a bucket: the seconds of the tenant's demand that it holds, unless one
+/// second of the guarantee is more; and the tokens that are added to this, so that two simultaneous
+/// requests of a small tenant are not rejected.
 const BUCKET_DEMAND_S: f64 = 0.2;
 const MIN_BUCKET_TOKENS: f64 = 3.0;
 /// Shortest window over which demand is averaged, in seconds and in requests: a single tick sees
 /// too few requests.
 const MIN_DEMAND_WINDOW_S: f64 = 1.0;
 const MIN_DEMAND_WINDOW_REQUESTS: f64 = 10.0;
-/// Guarantees grow with the median tenant's demand, multiplied by this margin, up to this multiple
-/// of their base.
+/// Factor that is applied to the median tenant's ratio of demand to base guarantee to get the
+/// growth of all guarantees; and the largest growth, as a multiple of the base.
 const GUARANTEE_MARGIN: f64 = 1.3;
 const MAX_GUARANTEE_GROWTH: f64 = 4.0;
 /// Fraction of a guarantee that is cut per unit of shortage, for a tenant whose demand is above its
@@ -28,7 +28,8 @@
 const WITHIN_GUARANTEE_CUT_MIN_SHORTAGE: f64 = 0.25;
 /// Guarantee of a tenant without a stated quota, in requests a second.
 const DEFAULT_GUARANTEE_PER_S: f64 = 1.0;
-/// Jitter of Retry-After: its smallest fraction of the longest wait, and the range above that.
+/// Jitter of Retry-After: the smallest factor that multiplies the wait, and the width of the range
+/// of factors above it.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
 const RETRY_AFTER_JITTER_RANGE: f64 = 0.5;
 
@@ -78,15 +79,15 @@
         } else {
             0.0
         };
-        // Only complete tokens are subtracted from W: otherwise the bucket would never reach one
-        // token while W is below one request.
+        // Only complete tokens are subtracted from W: if fractions of a token were subtracted too,
+        // the bucket would never reach one token while W is below one request.
         let ungranted_spare = (refill.spare_capacity - self.tokens.floor()).max(0.0);
         let guaranteed = (1.0 - cut).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
         let grant = guaranteed + demand_fraction * ungranted_spare;
         self.tokens += grant.min((size - self.tokens).max(0.0));
     }
 
-    /// Adds the requests received since the last tick to the demand.
+    /// Updates the smoothed demand with the requests received since the last tick.
     fn update_demand(&mut self, window_s: f64, elapsed_s: f64) {
         let per_s = per_second(self.arrivals, elapsed_s);
         self.demand_per_s += newest_weight(elapsed_s, window_s) * (per_s - self.demand_per_s);
@@ -98,7 +99,8 @@
 struct Refill {
     /// W, in requests.
     spare_capacity: f64,
-    /// Attempts in flight beyond the capacity, as a fraction of all in flight; zero: no shortage.
+    /// Attempts in flight beyond the capacity, as a fraction of all in flight; zero if there is no
+    /// shortage.
     shortage: f64,
     total_demand_per_s: f64,
     /// tau: seconds since the last tick.
@@ -150,7 +152,8 @@
 
     /// Refills the buckets, once per tick. In a shortage, the guarantees of tenants whose demand
     /// exceeds them are cut first. In a large shortage, such as after the loss of half the
-    /// upstreams, the others are cut as well: with full queues all responses would be late.
+    /// upstreams, the guarantees of the other tenants are cut as well: with full queues all
+    /// responses would be late.
     pub(super) fn refill(&mut self, spare_capacity: f64, shortage: f64, elapsed_s: f64) {
         let total_demand_per_s = self.demand_per_s();
         let growth = self.guarantee_growth(shortage);
@@ -173,30 +176,30 @@
 
     /// Returns the factor by which guarantees grow. It is above one if the demand of the median
     /// tenant, multiplied by [`GUARANTEE_MARGIN`], is above its base guarantee: this balancer then
-    /// gets more traffic than others, and it is not one tenant that surges. A shortage reduces the
-    /// growth, as retries then raise all demand.
+    /// gets more traffic than other balancers, and the cause is not a surge of one tenant. A
+    /// shortage reduces the growth, as retries raise the demand of all tenants during a shortage.
     fn guarantee_growth(&self, shortage: f64) -> f64 {
-        let demand =
+        let demand_ratio =
             |bucket: &TokenBucket| bucket.demand_per_s / bucket.base_guarantee_per_s.max(1e-9);
-        let mut demands: Vec<f64> = self.buckets.iter().map(demand).collect();
-        demands.sort_by(f64::total_cmp);
-        let median = demands.get(demands.len() / 2).unwrap_or(&1.0);
+        let mut demand_ratios: Vec<f64> = self.buckets.iter().map(demand_ratio).collect();
+        demand_ratios.sort_by(f64::total_cmp);
+        let median = demand_ratios.get(demand_ratios.len() / 2).unwrap_or(&1.0);
         let growth = (median * GUARANTEE_MARGIN).clamp(1.0, MAX_GUARANTEE_GROWTH);
         1.0 + (growth - 1.0) * (1.0 - shortage).max(0.0)
     }
 }
 
 /// Returns how long a rejected client should wait before a retry. Before jitter, the wait is half
-/// of the remaining time, but at least the duration of an attempt, as the client may send another
-/// request, and at most `longest`. The jitter is derived from the id of the request, so that
-/// clients rejected together do not retry together.
+/// of the remaining time, but at least `attempt_latency_s`, the mean latency of an attempt, as the
+/// client may send another request, and at most `longest`. The jitter is derived from the id of the
+/// request, so that clients rejected together do not retry together.
 pub(super) fn retry_after(
     id: RequestId,
     time_left: Duration,
-    attempt_s: f64,
+    attempt_latency_s: f64,
     longest: Duration,
 ) -> Duration {
-    let shortest = Duration::from_secs_f64(attempt_s);
+    let shortest = Duration::from_secs_f64(attempt_latency_s);
     let longest = longest.min(shortest.max(time_left / 2));
     let jitter = Random::with_seed(u64::from(id.0)).f64();
     longest.mul_f64(MIN_RETRY_AFTER_FRACTION + RETRY_AFTER_JITTER_RANGE * jitter)
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -93,9 +93,11 @@
             self.outliers
                 .eligibility(&self.upstreams, members, class, avoids_suspected);
         let accepts = |u: &Upstream| !self.pacing.is_exhausted(u) && eligibility.accepts(u);
-        let tick_s = self.last_tick_s;
-        let in_flight = |u: &Upstream| self.load_reports.in_flight_per_capacity(u, tick_s);
-        self.rotation.next(&mut self.upstreams, accepts, in_flight)
+        let last_tick_s = self.last_tick_s;
+        let in_flight_per_capacity =
+            |u: &Upstream| self.load_reports.in_flight_per_capacity(u, last_tick_s);
+        self.rotation
+            .next(&mut self.upstreams, accepts, in_flight_per_capacity)
     }
 
     /// Returns whether requests of a class avoid suspected upstreams. They do if they may not be
@@ -141,9 +143,9 @@
 
     /// Rejects a request, always with a Retry-After.
     fn reject(&mut self, id: RequestId, time_left: Duration, reason: FailureReason) {
-        let attempt_s = self.classes.mean_latency_s().max(TICK_S);
+        let attempt_latency_s = self.classes.mean_latency_s().max(TICK_S);
         let longest = self.settings.max_retry_after;
-        let retry_after = Some(retry_after(id, time_left, attempt_s, longest));
+        let retry_after = Some(retry_after(id, time_left, attempt_latency_s, longest));
         self.actions.push(Action::Reject {
             id,
             retry_after,
@@ -151,8 +153,8 @@
         });
     }
 
-    /// Ends a request that has no attempt in flight and may get no other one. It is rejected if no
-    /// attempt can have been processed or if it may be processed again; otherwise it fails.
+    /// Ends a request that has no attempt in flight and may get no further attempt. It is rejected
+    /// if no attempt can have been processed or if it may be processed again; otherwise it fails.
     pub(super) fn end_without_response(&mut self, id: RequestId, reason: FailureReason) {
         let Some(request) = self.requests.remove(id) else {
             return;
