--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -24,8 +24,8 @@
 const OVER_QUOTA_UTILIZATION: f64 = 0.4;
 const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
 /// Relative growth of the service rate per second if pacing rejects every request and the
-/// utilization is at most half of its bound; less in proportion. Growth is slow because reports are
-/// about a second old.
+/// utilization is at most half of its bound; with fewer rejections or a higher utilization, the
+/// growth is lower in proportion. Growth is slow because reports are about a second old.
 const PACED_GROWTH_PER_S: f64 = 0.7;
 /// Weight of the newest rejection in the fraction of requests that pacing rejects.
 const PACED_NEWEST_WEIGHT: f64 = 0.1;
@@ -75,7 +75,8 @@
     rotation_weight: f64,
     /// Fraction of requests that pacing rejects; grows with each rejection and decays with time.
     paced_fraction: f64,
-    /// Fraction of the upstreams' cores in use, from load reports; zero while unknown.
+    /// Fraction of the upstreams' cores in use, from load reports. Before the first report it is
+    /// the utilization bound if responses will contain reports, and zero if not.
     utilization: f64,
     /// The utilization, except that it falls slowly during the first seconds of reports.
     settled_utilization: f64,
@@ -97,8 +98,8 @@
         let will_report = settings.load_reports == LoadReports::Inline
             && settings.report_fields.contains(&LoadField::Utilization);
         let utilization = if will_report { bound } else { 0.0 };
-        // If the list states no sizes, the initial rate is lower: otherwise the small upstreams
-        // would be overloaded first.
+        // If the list states no sizes, the initial rate is lower: the expected rate would overload
+        // the small upstreams first.
         let are_sizes_unknown = settings.endpoint_weights == EndpointWeights::Off;
         let completions_per_s = if will_report && are_sizes_unknown {
             utilization * expected_requests_per_s
@@ -126,7 +127,8 @@
         self.service_rate
     }
 
-    /// Returns the fraction of the upstreams' cores in use; zero while unknown.
+    /// Returns the fraction of the upstreams' cores in use. Before the first report it is the
+    /// utilization bound if responses will contain reports, and zero if not.
     pub(super) fn utilization(&self) -> f64 {
         self.utilization
     }
@@ -140,7 +142,8 @@
         self.spare
     }
 
-    /// Returns the attempts in flight beyond the capacity, as a fraction of all in flight.
+    /// Returns the attempts in flight beyond the capacity, as a fraction of all in flight; zero if
+    /// there is spare capacity.
     pub(super) fn shortage(&self) -> f64 {
         (-self.spare / f64::max(self.in_flight, 1e-9)).max(0.0)
     }
@@ -230,8 +233,9 @@
         }
     }
 
-    /// Updates and returns the weight that the smoothed completions correspond to. It is smoothed
-    /// too: otherwise the rate of the remaining upstreams would rise as soon as others leave.
+    /// Updates and returns the weight that the smoothed completions correspond to. The weight is
+    /// smoothed as the completions are: without this the rate of the remaining upstreams would rise
+    /// as soon as others leave.
     fn smoothed_weight(&mut self, inputs: &CapacityInputs<'_>) -> f64 {
         let weight = inputs
             .members()
@@ -255,7 +259,7 @@
             self.utilization_bound / self.settled_utilization.max(MIN_SCALED_UTILIZATION);
         let achievable_rate = observed_rate * headroom.min(MAX_UTILIZATION_SCALE);
         // If pacing rejects requests, the completions only show the rate that was admitted, so the
-        // rate grows while cores are idle.
+        // service rate grows while cores are idle.
         let idle = (headroom - 1.0).clamp(0.0, 1.0);
         self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH_PER_S * self.paced_fraction * idle;
         let change =
@@ -271,8 +275,8 @@
             let rate = self.service_rate * upstream.weight.weight();
             let own = upstream.load.own_in_flight();
             // Overdue attempts reduce the capacity of an upstream, but all of its attempts in
-            // flight are subtracted: otherwise W and the shortage would both be zero when all
-            // upstreams are stuck, and no guarantee would be cut.
+            // flight are subtracted: if overdue ones were left out, W and the shortage would both
+            // be zero when all upstreams are stuck, and no guarantee would be cut.
             let responsive = upstream.load.responsive_fraction();
             let queue = self.queue_limit(inputs, upstream, rate * queue_s) * responsive;
             self.spare += inputs.elapsed_s * rate * responsive + queue - own;
@@ -288,13 +292,13 @@
         upstream: &Upstream,
         served_in_queue_time: f64,
     ) -> f64 {
-        // At least one attempt of all balancers together: without stated quotas, a start from zero
-        // would be slow.
+        // The limit is at least one attempt of all balancers together, times the weight: without
+        // stated quotas, a start from zero would be slow.
         let min_limit = upstream.weight.weight() / self.balancers;
-        // Also at least an equal part of what the idle cores can process, even if this balancer has
-        // admitted little recently.
-        let reports = upstream.load.has_utilization(inputs.now_s);
-        let idle = if reports && !upstream.weight.is_warming_up() {
+        // The limit is also at least an equal part of the requests that the idle cores can process,
+        // even if this balancer has admitted little recently.
+        let has_report = upstream.load.has_utilization(inputs.now_s);
+        let idle_core_requests = if has_report && !upstream.weight.is_warming_up() {
             let at_full = inputs.load_reports.in_flight_at_full_utilization();
             self.utilization_bound * at_full * upstream.endpoint.size()
                 - upstream.load.reported_in_flight()
@@ -303,6 +307,6 @@
         };
         served_in_queue_time
             .max(min_limit)
-            .max(idle / inputs.balancers_per_upstream)
+            .max(idle_core_requests / inputs.balancers_per_upstream)
     }
 }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -7,8 +7,8 @@
 /// Number of attempts in flight that one overdue attempt counts as: its upstream is stuck or
 /// unresponsive.
 const OVERDUE_ATTEMPT_WEIGHT: f64 = 4.0;
-/// Attempts of other balancers that are assumed at an upstream that rejects one: otherwise it would
-/// seem idle.
+/// Attempts of other balancers that are assumed at an upstream that rejects an attempt: without
+/// them the upstream would seem idle.
 const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_ATTEMPT_WEIGHT;
 /// Time constant, in seconds, of the decay of a report of the requests in flight, and the seconds
 /// for which the report counts in the mean.
@@ -29,7 +29,7 @@
 pub(super) struct UpstreamLoad {
     /// q_j: this balancer's attempts in flight.
     in_flight: u32,
-    /// Number of these attempts that are overdue.
+    /// Number of this balancer's attempts in flight that are overdue.
     overdue: u32,
     /// Number of this balancer's abandoned attempts that may still be processed; decays over the
     /// shortest objective.
@@ -94,7 +94,7 @@
     }
 
     /// Records that the upstream rejected an attempt, for any reason, as load by other balancers:
-    /// otherwise the upstream would seem idle.
+    /// without this load the upstream would seem idle.
     pub(super) fn record_rejected(&mut self, now_s: f64) {
         self.others_in_flight = self.others_in_flight.max(REJECTING_IN_FLIGHT);
         self.others_reported_at_s = now_s;
@@ -119,15 +119,16 @@
 /// Estimates from the load reports of all upstreams.
 pub(super) struct LoadReportTracker {
     fields: Vec<LoadField>,
-    /// Fraction of the requests in a report that are assumed to be of other balancers. The own
-    /// attempts are not subtracted instead: reports are old, and with the present own attempts
-    /// subtracted they would not show those of others.
+    /// Fraction of the requests in a report that are assumed to be of other balancers. This
+    /// balancer's own attempts in flight are not subtracted from the report instead: a report is
+    /// older than their present number, so the difference would not be the requests of other
+    /// balancers.
     others_fraction: f64,
     /// Requests of other balancers in flight per unit of capacity, as a mean over the upstreams of
     /// the rotation.
     mean_others_in_flight: f64,
-    /// Requests in flight at an upstream of unit size when all its cores are in use and none is
-    /// waiting; zero while unknown.
+    /// Requests in flight at an upstream of unit size when all its cores are in use and no request
+    /// is waiting; zero while unknown.
     in_flight_at_full_utilization: f64,
 }
 
@@ -215,12 +216,13 @@
         self.mean_others_in_flight = sum / f64::max(count, 1.0);
     }
 
-    /// Returns the requests in flight at an upstream per unit of capacity: own attempts, and
-    /// reported ones of other balancers. A report decays with its age to the mean over the
-    /// rotation: otherwise an upstream without reports would seem idle and attract all balancers.
-    pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, tick_s: f64) -> f64 {
+    /// Returns the requests in flight at an upstream per unit of capacity: this balancer's
+    /// attempts, and the reported requests of other balancers. A report decays with its age to the
+    /// mean over the rotation: without this decay, an upstream without reports would seem idle and
+    /// attract all balancers.
+    pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, last_tick_s: f64) -> f64 {
         let (load, capacity) = (&upstream.load, upstream.weight.capacity());
-        let age_s = (tick_s - load.others_reported_at_s).max(0.0);
+        let age_s = (last_tick_s - load.others_reported_at_s).max(0.0);
         let mean = self.mean_others_in_flight;
         let others = mean
             + (load.others_in_flight / capacity - mean) * (-age_s / REPORT_TIME_CONSTANT_S).exp();
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -14,12 +14,12 @@
 const BURST_S: f64 = 0.1;
 /// Largest factor by which budgets are larger if few balancers share an upstream.
 const MAX_UNSHARED_MULTIPLE: f64 = 1e3;
-/// Fraction of the burst that is reserved for first attempts of clients: a client's retry may be
-/// too late already, and each retry that is admitted in a shortage turns a first attempt into
-/// another retry.
+/// Fraction of the burst that is reserved for first attempts of clients: the response to a client's
+/// retry may be too late to be of use, and each retry that is admitted in a shortage turns a first
+/// attempt into another retry.
 const RESERVED_FROM_RETRIES: f64 = 0.6;
-/// Fraction of the burst that a class without value may not use, so that it is left for the class
-/// of the highest value.
+/// Fraction of the burst that a class with a relative value of zero may not use: it is reserved for
+/// the class with the highest value.
 const RESERVED_FOR_VALUE: f64 = 0.4;
 /// Limits of the factors by which an upstream's utilization and its queue change its send rate.
 const MIN_UTILIZATION_FACTOR: f64 = 0.5;
@@ -113,7 +113,8 @@
     }
 
     /// Returns whether too few sends are available for a request. Some are reserved for first
-    /// attempts, and some for classes with a high `relative_value`.
+    /// attempts, and some for classes with a high `relative_value`, which `class_statistics.rs`
+    /// computes: 0 to 1.
     pub(super) fn lacks_sends(&self, relative_value: f64, is_retry: bool) -> bool {
         let reserved_for_value = RESERVED_FOR_VALUE * (1.0 - relative_value);
         let reserved_fraction = if is_retry {
@@ -143,8 +144,9 @@
             // longer queue, and higher if it reports a lower utilization.
             rate *= (self.utilization / upstream.load.utilization().max(0.1))
                 .clamp(MIN_UTILIZATION_FACTOR, MAX_UTILIZATION_FACTOR);
-            let expected = in_flight_at_full_utilization * upstream.endpoint.size();
-            rate /= (upstream.load.reported_in_flight() / expected).clamp(1.0, MAX_QUEUE_FACTOR);
+            let full_in_flight = in_flight_at_full_utilization * upstream.endpoint.size();
+            rate /=
+                (upstream.load.reported_in_flight() / full_in_flight).clamp(1.0, MAX_QUEUE_FACTOR);
         }
         rate
     }
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -31,8 +31,8 @@
 /// The upstreams of the subset, in the order in which they take turns.
 #[derive(Default)]
 pub(super) struct Rotation {
-    /// Slots of the upstreams, in an order that differs between balancers: their cursors must not
-    /// be synchronized.
+    /// Slots of the upstreams, in an order that differs between balancers: the cursors of balancers
+    /// must not be synchronized.
     members: Vec<usize>,
     /// sigma: the position of the last member that was considered.
     cursor: usize,
@@ -85,24 +85,24 @@
         });
     }
 
-    /// Returns the next upstream in turn that `accepts` is true for and that has not clearly more
-    /// in flight than the lowest of those compared. An upstream that `accepts` is false for retains
-    /// its turn.
+    /// Returns the next upstream in turn that `accepts` is true for and whose
+    /// `in_flight_per_capacity` is not clearly more than the lowest of the upstreams compared. An
+    /// upstream that `accepts` is false for retains its turn.
     pub(super) fn next(
         &mut self,
         upstreams: &mut Upstreams,
         accepts: impl Fn(&Upstream) -> bool,
-        in_flight: impl Fn(&Upstream) -> f64,
+        in_flight_per_capacity: impl Fn(&Upstream) -> f64,
     ) -> Option<usize> {
         self.fill_lookahead(upstreams, &accepts);
         let accepted = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]));
-        let visible = accepted
+        let compared = accepted
             .take(LOOKAHEAD_COUNT)
-            .map(|slot| in_flight(&upstreams[*slot]));
-        let min_in_flight = visible.fold(f64::INFINITY, f64::min);
+            .map(|slot| in_flight_per_capacity(&upstreams[*slot]));
+        let min_in_flight_per_capacity = compared.fold(f64::INFINITY, f64::min);
         let mut position = 0;
         while let Some(&slot) = self.lookahead.get(position) {
             if !accepts(&upstreams[slot]) {
@@ -110,7 +110,9 @@
                 continue;
             }
             self.lookahead.remove(position);
-            if in_flight(&upstreams[slot]) <= min_in_flight * SKIP_MULTIPLE + SKIP_MARGIN_ATTEMPTS {
+            if in_flight_per_capacity(&upstreams[slot])
+                <= min_in_flight_per_capacity * SKIP_MULTIPLE + SKIP_MARGIN_ATTEMPTS
+            {
                 return Some(slot);
             }
         }
@@ -120,20 +122,20 @@
     /// Adds upcoming turns to the lookahead until `accepts` is true for [`LOOKAHEAD_COUNT`] of
     /// them.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
-        let longest = LOOKAHEAD_COUNT + self.members.len();
-        let mut visible = self
+        let max_len = LOOKAHEAD_COUNT + self.members.len();
+        let mut accepted_count = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]))
             .count();
-        while visible < LOOKAHEAD_COUNT && self.lookahead.len() < longest {
+        while accepted_count < LOOKAHEAD_COUNT && self.lookahead.len() < max_len {
             let Some(slot) = self.step(upstreams) else {
                 break;
             };
             self.lookahead.push_back(slot);
-            visible += usize::from(accepts(&upstreams[slot]));
+            accepted_count += usize::from(accepts(&upstreams[slot]));
         }
-        if self.lookahead.len() >= longest {
+        if self.lookahead.len() >= max_len {
             self.lookahead.pop_front();
         }
     }
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -1,14 +1,15 @@
-//! The present capacity of each upstream and the number of turns that follows from it: by size,
-//! slow start, latency and zone.
+//! The capacity of each upstream, from its size, slow start and latency; and its weight, the number
+//! of turns that it gets in each round, from its capacity, zone, availability and ejection.
 
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{Settings, ZoneId};
 
-/// Time constant, in seconds, of the decay of the samples of a latency ratio, and the weight of the
-/// prior in samples.
+/// Time constant, in seconds, of the decay of the number of latencies in a mean latency ratio; and
+/// the weight, as a number of latencies, of the prior ratio of one.
 const LATENCY_RATIO_TIME_CONSTANT_S: f64 = 10.0;
 const LATENCY_RATIO_PRIOR: f64 = 4.0;
-/// Bounds of the latency ratio that divides the capacity, and upper limit of one sample.
+/// Bounds of the latency ratio that divides the capacity, and upper limit of the ratio of a single
+/// latency.
 const MIN_LATENCY_RATIO: f64 = 0.25;
 const MAX_LATENCY_RATIO: f64 = 4.0;
 const MAX_SAMPLE_RATIO: f64 = 5.0;
@@ -21,7 +22,7 @@
 /// healthy ones; below it, the reduction is in proportion to the price.
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
 
-/// The present capacity of one upstream.
+/// The capacity and weight of one upstream, its slow start, and the statistics of its latency.
 #[derive(Default)]
 pub(super) struct UpstreamWeight {
     /// Work that the upstream can do now, as a fraction of that of the largest one in the rotation.
@@ -31,7 +32,8 @@
     weight: f64,
     /// Time at which slow start began or will begin; `None` outside slow start.
     slow_start_since_s: Option<f64>,
-    /// Mean of the latencies, each as a multiple of the mean latency of its class at that time.
+    /// Mean of the latencies, each as a multiple of the mean latency of its class just before that
+    /// latency was added.
     latency_ratio: f64,
     /// Number of latencies in that mean; decays with time.
     sample_count: f64,
@@ -58,12 +60,13 @@
         self.slow_start_since_s.is_some()
     }
 
-    /// Begins slow start at `at_s`, when the process starts or will start.
+    /// Begins slow start at `at_s`, the time at which the process has started or is expected to.
     pub(super) fn begin_slow_start(&mut self, at_s: f64) {
         self.slow_start_since_s = Some(at_s);
     }
 
-    /// Returns whether a start at `at_s` is later than the known one; true if none is known.
+    /// Returns whether a start of the process at `at_s` is later than the one that began the
+    /// present slow start; true outside slow start.
     pub(super) fn is_later_start(&self, at_s: f64) -> bool {
         self.slow_start_since_s.is_none_or(|known_s| at_s > known_s)
     }
@@ -83,12 +86,13 @@
     }
 }
 
-/// The rate of requests to upstreams in slow start.
+/// The rate of requests to an upstream in slow start: `steady_rate` times `multiple` times the
+/// weight of the upstream.
 #[derive(Clone, Copy)]
 pub(super) struct SlowStartRate {
     /// Mean service rate of an upstream outside slow start, in requests a second.
     pub(super) steady_rate: f64,
-    /// Multiple of the steady rate per unit of weight.
+    /// Rate per unit of weight in slow start, as a multiple of the steady rate.
     pub(super) multiple: f64,
 }
 
@@ -157,8 +161,8 @@
         upstream.endpoint.zone() == self.zone
     }
 
-    /// Returns the fraction of its work that an upstream can do at `now_s`, which is below one in
-    /// slow start; ends a slow start that is over.
+    /// Returns the fraction of its full capacity that an upstream has at `now_s`, which is below
+    /// one in slow start. Ends a slow start that is over.
     fn advance_slow_start(&self, weight: &mut UpstreamWeight, now_s: f64) -> f64 {
         let Some(since_s) = weight.slow_start_since_s else {
             return 1.0;
