--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -26,7 +26,7 @@
 /// The schedule of trials of the upstreams that are ejected for one class.
 #[derive(Clone, Default)]
 struct ClassTrials {
-    /// Number of trials since the last one that got a response in time.
+    /// Number of trials since the last one that got a successful response before it was overdue.
     unsuccessful: u32,
     /// Time at which the next trial is due.
     next_at_s: f64,
@@ -77,11 +77,12 @@
     erring as f64 / others().count().max(1) as f64
 }
 
-/// Returns the fault that an outcome is for all classes, if it is one.
-fn fault_of(outcome: Outcome, common_errors: f64) -> Option<Fault> {
+/// Returns the fault that an outcome counts as for all classes; `None` if it counts as none.
+/// `erring_fraction` is the fraction of the other upstreams with recent errors.
+fn fault_of(outcome: Outcome, erring_fraction: f64) -> Option<Fault> {
     match outcome {
         Outcome::Error => {
-            let weight = (1.0 - common_errors).max(MIN_ERROR_WEIGHT);
+            let weight = (1.0 - erring_fraction).max(MIN_ERROR_WEIGHT);
             Some(Fault::Error { weight })
         }
         Outcome::Rejected => Some(Fault::Rejected),
@@ -113,7 +114,7 @@
         clock: &mut JitteredClock<'_>,
     ) -> Option<Fault> {
         let now_s = clock.now_s;
-        let common_errors = common_error_fraction(upstreams, rotation, slot, now_s);
+        let erring_fraction = common_error_fraction(upstreams, rotation, slot, now_s);
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected_for(attempt.class);
         let ejected = rotation.iter().filter(is_ejected).count() + 1;
         let may_eject = may_be_ejected(ejected, rotation.len());
@@ -130,7 +131,7 @@
         } else if attempt.is_fault(!health.is_ejected(now_s)) {
             health.record_class_fault(attempt.class);
         }
-        let is_common = common_errors > COMMON_ERROR_FRACTION;
+        let is_common = erring_fraction > COMMON_ERROR_FRACTION;
         let max_faults = MAX_CLASS_FAULTS
             * if is_common {
                 COMMON_ERROR_FAULT_FACTOR
@@ -144,7 +145,7 @@
                 trials.next_at_s = clock.after_s(FIRST_EJECTION_S);
             }
         }
-        fault_of(attempt.outcome, common_errors)
+        fault_of(attempt.outcome, erring_fraction)
     }
 
     /// Returns the rule that decides which upstreams may take a request of a class.
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -19,7 +19,7 @@
 pub(super) enum AttemptState {
     /// The attempt is in flight and has not become overdue.
     InFlight,
-    /// The attempt has been in flight for longer than most attempts of its class.
+    /// The attempt is in flight, and its overdue time has passed.
     Overdue,
     /// The attempt has ended.
     Ended {
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -14,8 +14,8 @@
 use crate::interface::{Settings, UpstreamId};
 use crate::random::Random;
 
-/// Number of upstreams in a subset per request a second that the balancer may get, and the limits
-/// of that number.
+/// Number of upstreams in a subset per request a second that the balancer is expected to get, and
+/// the limits of the size of a subset.
 const UPSTREAMS_PER_REQUEST_PER_S: f64 = 0.7;
 const MIN_SIZE: f64 = 2.0;
 const MAX_SIZE: f64 = 1e6;
@@ -164,7 +164,7 @@
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected(now_s);
         let ejected = order.iter().filter(is_ejected).count();
         let may_eject = may_be_ejected(ejected, order.len());
-        let ejected_at_s = if may_eject { now_s } else { f64::INFINITY };
+        let ejection_check_at_s = if may_eject { now_s } else { f64::INFINITY };
         for upstream in upstreams.iter_mut() {
             upstream.membership.is_member &= upstream.endpoint.is_ready();
         }
@@ -175,7 +175,7 @@
         self.review_at_s = ejection_ends
             .filter(|end_s| *end_s > now_s)
             .fold(f64::INFINITY, f64::min);
-        let removed = set_members(&order, upstreams, &size, ejected_at_s);
+        let removed = set_members(&order, upstreams, &size, ejection_check_at_s);
         let equal_traffic_fraction =
             size.equal_traffic_size.min(order.len()) as f64 / order.len().max(1) as f64;
         self.balancers_per_upstream = (f64::from(self.balancers) * equal_traffic_fraction).max(1.0);
@@ -187,13 +187,13 @@
         }
     }
 
-    fn choose_size(&self, ready: usize) -> SubsetSize {
+    fn choose_size(&self, ready_count: usize) -> SubsetSize {
         let balancers = (self.balancers as usize).max(1);
         let equal_traffic_size = self
             .min_size
-            .max(MIN_SUBSETS_PER_UPSTREAM * ready / balancers);
+            .max(MIN_SUBSETS_PER_UPSTREAM * ready_count / balancers);
         let own_traffic_size = equal_traffic_size.max(self.size);
-        let includes_all = own_traffic_size * ALL_DENOMINATOR >= ready * ALL_NUMERATOR;
+        let includes_all = own_traffic_size * ALL_DENOMINATOR >= ready_count * ALL_NUMERATOR;
         SubsetSize {
             equal_traffic_size,
             own_traffic_size,
@@ -216,17 +216,18 @@
     }
 }
 
-/// Sets which upstreams are members. Returns the ready upstreams that are no longer members.
+/// Sets which upstreams are members. Returns the ready upstreams that are no longer members. Only
+/// upstreams that are ejected at `ejection_check_at_s` count as ejected: none if it is infinite.
 fn set_members(
     order: &[usize],
     upstreams: &mut Upstreams,
     size: &SubsetSize,
-    ejected_at_s: f64,
+    ejection_check_at_s: f64,
 ) -> Vec<UpstreamId> {
     let (mut members, mut unusable) = (0, 0);
     for (rank, slot) in order.iter().enumerate() {
         let upstream = &mut upstreams[*slot];
-        let is_usable = !upstream.health.is_ejected(ejected_at_s);
+        let is_usable = !upstream.health.is_ejected(ejection_check_at_s);
         let membership = &mut upstream.membership;
         // A member remains one, so that its connections are reused; new members are added in the
         // shared order.
@@ -243,7 +244,7 @@
         .max(unusable + size.own_traffic_size.div_ceil(2));
     for slot in order {
         let upstream = &mut upstreams[*slot];
-        let is_usable = !upstream.health.is_ejected(ejected_at_s);
+        let is_usable = !upstream.health.is_ejected(ejection_check_at_s);
         if members < target_size && !upstream.membership.is_member && is_usable {
             upstream.membership.is_member = true;
             members += 1;
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -20,8 +20,8 @@
 const SUSPICION_TIME_CONSTANT_S: f64 = 10.0;
 /// Length of the first ejection and of the longest, in seconds; each further ejection without a
 /// response doubles the length. Balancers probe an upstream independently: the first ejection grows
-/// with the square root of the number that share an upstream, a compromise between their joint load
-/// and the delay until each detects that the upstream is healthy.
+/// with the square root of the number of balancers that share an upstream, a compromise between
+/// their joint load and the delay until each detects that the upstream is healthy.
 pub(super) const FIRST_EJECTION_S: f64 = 1.5;
 const MAX_EJECTION_S: f64 = 12.0;
 /// Upper limit of the doublings of the first ejection.
@@ -37,7 +37,8 @@
 /// A fault that counts against an upstream for all classes.
 #[derive(Clone, Copy)]
 pub(super) enum Fault {
-    /// The upstream responded with an error, which adds this fraction of the usual suspicion.
+    /// The upstream responded with an error. `weight` is the fraction of the usual suspicion that
+    /// the error adds.
     Error { weight: f64 },
     /// The upstream rejected an attempt.
     Rejected,
@@ -165,8 +166,8 @@
         self.classes[class].consecutive_faults += 1;
     }
 
-    /// Returns whether the upstream should be ejected for a class: it is not yet, and has had at
-    /// least `max_faults` consecutive faults.
+    /// Returns whether the upstream should be ejected for a class: it is not ejected for that class
+    /// yet, and has had at least `max_faults` consecutive faults.
     pub(super) fn is_faulty_for(&self, class: usize, max_faults: u32) -> bool {
         let health = &self.classes[class];
         !health.is_ejected && health.consecutive_faults >= max_faults
@@ -205,8 +206,8 @@
         self.last_error_at_s > 0.0 && now_s - self.last_error_at_s < RECENT_ERROR_S
     }
 
-    /// Records the outcome of an attempt for all classes. If it is a fault, [`Self::record_fault`]
-    /// adds it to the suspicion.
+    /// Records the time of a response. A successful one reduces the suspicion and may end the
+    /// probation. A fault is added to the suspicion by [`Self::record_fault`].
     pub(super) fn record_response(&mut self, outcome: Outcome, now_s: f64) {
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.last_response_at_s = now_s;
@@ -232,14 +233,14 @@
         self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
         // A dead process breaks every connection, a lossy network only some: after a recent
         // response, a connection failure causes no ejection.
-        let has_responded_recently = matches!(fault, Fault::ConnectionFailure)
+        let is_likely_network_loss = matches!(fault, Fault::ConnectionFailure)
             && self.last_response_at_s + context.mean_latency_s >= clock.now_s;
         let is_outlier = match self.state(clock.now_s) {
             EjectionState::Ejected => false,
             EjectionState::HalfOpen => true,
             EjectionState::Serving => self.suspicion >= MAX_SUSPICION,
         };
-        if !is_outlier || has_responded_recently {
+        if !is_outlier || is_likely_network_loss {
             return false;
         }
         self.eject(
@@ -249,8 +250,8 @@
         true
     }
 
-    /// Ejects the upstream for all classes. The time is `first_s` seconds, and doubles with each
-    /// ejection since the probation last ended.
+    /// Ejects the upstream for all classes. The ejection lasts `first_s` seconds, doubled for each
+    /// ejection since the probation last ended, and at most [`MAX_EJECTION_S`] before jitter.
     fn eject(&mut self, first_s: f64, clock: &mut JitteredClock<'_>) {
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         let length_s = (first_s * f64::from(1 << doublings)).min(MAX_EJECTION_S);
