--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,11 @@
 //! The decisions of a balancer, made by [`Balancer`]. The events that it takes and the actions that
 //! it returns are declared in `interface.rs`.
 //!
-//! The ordinary path follows the paper whose symbols are listed below. Every tick refills one token
-//! bucket per tenant: by a guaranteed rate and by a fraction, in proportion to the tenant's demand,
-//! of the spare capacity W of the upstreams. A request is admitted if the bucket of its tenant has
-//! a token; otherwise it is rejected on arrival. Admitted requests are distributed round robin over
+//! The ordinary path follows the paper "Dynamic Admission Control for Improving Utilization of
+//! Parlay X Gateway", whose symbols are listed below. Every tick refills one token bucket per
+//! tenant: by a guaranteed rate and by a fraction, in proportion to the tenant's demand, of the
+//! spare capacity W of the upstreams. A request is admitted if the bucket of its tenant has a
+//! token; otherwise it is rejected on arrival. Admitted requests are distributed round robin over
 //! the ready upstreams; an upstream that has clearly more in flight than the next ones is skipped.
 //! Everything else is an exception to that path, and its comment states what it guards against.
 //!
@@ -64,7 +65,8 @@
 /// Seconds between ticks: much less than any latency objective, and much more than one pass over
 /// all upstreams takes.
 const TICK_S: f64 = 0.025;
-/// Upper limit, in seconds, of the time that one tick accounts for, even if the tick is later.
+/// Upper limit, in seconds, of the time that one tick accounts for, even if more time has passed
+/// since the last tick.
 const MAX_TICK_S: f64 = 1.0;
 const TICK_TIMER: TimerId = TimerId(0);
 
@@ -101,7 +103,7 @@
 }
 
 /// Returns the requests a second that a balancer expects before it has received any: an equal part
-/// of the sum of the stated quotas, which counts as at least one request a second.
+/// of the sum of the stated quotas. The sum counts as at least one request a second.
 fn expected_requests_per_s(settings: &Settings) -> f64 {
     let quotas = settings
         .tenants
@@ -119,8 +121,8 @@
 }
 
 impl Balancer {
-    /// Returns a balancer with these settings, or the error of [`Settings::check`]. `seed` is its
-    /// only source of randomness.
+    /// Returns a balancer with these settings, or the error of [`Settings::check`]. `seed` is the
+    /// balancer's only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self::with_settings(settings, seed))
@@ -222,8 +224,9 @@
                 request_finished,
                 report,
             } => {
-                // Overdue attempts are handled first: an attempt that was abandoned at its overdue
-                // time ends before the next tick, which would otherwise find it overdue.
+                // Attempts that have become overdue are handled before the end of this attempt: if
+                // only ticks did that, an attempt whose time-out is its overdue time would end
+                // before the next tick and never count as overdue.
                 self.handle_overdue_attempts();
                 self.on_load_report(upstream, report);
                 self.on_attempt_ended(id, attempt, outcome, latency, request_finished);
@@ -295,8 +298,9 @@
             .map(|slot| &self.upstreams[*slot])
     }
 
-    /// Updates the upstreams of the rotation: the present capacity and weight of each, and the
-    /// turns and sends that it gets.
+    /// Updates the upstreams of the rotation: decays their suspicion and their abandoned attempts,
+    /// sets the capacity and weight of each, and adds the turns and sends that each gains. Also
+    /// updates the mean of the load reports.
     fn update_weights(&mut self, elapsed_s: f64) {
         let now_s = self.now_s;
         let ready = || self.members().filter(|u| u.endpoint.is_ready());
@@ -329,7 +333,8 @@
             .refill(upstreams, members, &rates, elapsed_s, now_s);
     }
 
-    /// Updates the spare capacity, and refills the token buckets from it.
+    /// Decays stale latencies, updates the estimates of capacity, switches pacing on or off, and
+    /// refills the token buckets from the spare capacity.
     fn update_capacity(&mut self, elapsed_s: f64) {
         self.classes.decay_stale_latencies(elapsed_s, self.now_s);
         self.capacity.update(&CapacityInputs {
