--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -12,7 +12,7 @@
 enum ProgramError {
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("cannot create the async runtime: {0}")]
+    #[error(transparent)]
     Runtime(#[from] io::Error),
     #[error(transparent)]
     Start(#[from] StartError),
--- a/balancer/src/members/mod.rs
+++ b/balancer/src/members/mod.rs
@@ -50,7 +50,7 @@
         source: io::Error,
     },
     /// The local address of the datagram socket or of the status page is unavailable.
-    #[error("membership: cannot get the local address of a socket: {0}")]
+    #[error(transparent)]
     LocalAddress(#[from] io::Error),
 }
 
--- a/balancer/src/process.rs
+++ b/balancer/src/process.rs
@@ -35,7 +35,7 @@
     #[error(transparent)]
     Members(#[from] MembersError),
     /// A signal handler cannot be installed, or the listener's local address is unavailable.
-    #[error("cannot install a signal handler or get the listener's address: {0}")]
+    #[error(transparent)]
     System(#[from] io::Error),
 }
 
