--- a/registry/src/writer.rs
+++ b/registry/src/writer.rs
@@ -122,15 +122,15 @@
         match (was_self_preserving, self.registry.is_self_preserving()) {
             (false, true) => tracing::warn!(
                 "self-preservation on, expired leases are retained: too many at once, or shortly \
-                 after a start or a pause; check the network"
+                 after a pause; is it the network?"
             ),
             (true, false) => tracing::info!("self-preservation off"),
             _ => {}
         }
     }
 
-    /// Makes changes durable, then publishes them. If the commit fails, they stay in `uncommitted`,
-    /// and the next commit includes them if the disk was full.
+    /// Makes changes durable, then publishes them. If the commit fails, they stay in `uncommitted`:
+    /// the next commit includes them if the disk is full, and any other failure stops the service.
     fn commit(&mut self, uncommitted: &mut Vec<DirtyEntry>) -> Result<(), StoreError> {
         if uncommitted.is_empty() {
             return Ok(());
