--- a/registry/src/config.rs
+++ b/registry/src/config.rs
@@ -1,5 +1,6 @@
-//! The configuration of a registry service, in TOML. Operators write its keys, which must not
-//! change: a field with another name is bound to its key by a serde rename.
+//! The configuration of a registry service, in TOML. The keys of the file are an interface to
+//! operators and must not change: a field whose name differs from its key has a serde `rename` that
+//! states the key.
 
 use crate::policy::RegistryPolicy;
 use serde::Deserialize;
@@ -81,8 +82,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
-    /// The maximum fraction of all leases that may be expired at the same time, from 0 to 1. If
-    /// more are, no endpoint is removed. One expired lease never exceeds this limit.
+    /// The threshold for the fraction of all leases that are expired at the same time, from 0 to 1.
+    /// Above it, no endpoint is removed because of its lease. A single expired lease always counts
+    /// as within the threshold, even if it is a larger fraction of all leases.
     #[serde(rename = "lapse_share")]
     pub max_expired_fraction: f64,
     /// The time after a start or a pause of the service during which no endpoint is removed because
--- a/registry/src/write_request.rs
+++ b/registry/src/write_request.rs
@@ -42,7 +42,7 @@
     /// The body was not received within 5 s.
     #[error("the body did not come in time")]
     BodyTimeout,
-    /// The maximum number of writes are already waiting for the disk.
+    /// The number of writes that wait for the disk has reached its limit.
     #[error("too many writes are waiting for the disk; retry later")]
     Overloaded,
     /// The command was rejected, or could not be made durable.
--- a/registry/tests/support/mod.rs
+++ b/registry/tests/support/mod.rs
@@ -143,7 +143,8 @@
     }
 }
 
-/// Returns the bytes of a request that has the connection closed after the response.
+/// Returns the bytes of a request with the header `connection: close`, so that the service closes
+/// the connection after its response.
 pub fn request(head: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let head = format!("{head} HTTP/1.1\r\nhost: registry\r\nconnection: close\r\n");
