--- a/balancer/src/client/connection.rs
+++ b/balancer/src/client/connection.rs
@@ -151,8 +151,8 @@
         self.state.is_flooded()
     }
 
-    /// Records that the current request has been read completely.
-    pub(super) fn begin_response(&self) {
+    /// Records that the current request has been read completely, and that its response is now pending.
+    pub(super) fn mark_response_pending(&self) {
         self.state.set_responding(true);
     }
 
--- a/balancer/src/client/request.rs
+++ b/balancer/src/client/request.rs
@@ -17,7 +17,7 @@
 
 /// The maximum length of a request body.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The part of a client's time left that is reserved for network transit in both directions and for timer delays.
+/// The time subtracted from a request's time left, to allow for network transit in both directions and timer delays.
 const TRANSIT_TIME: Duration = Duration::from_millis(4);
 /// The maximum time left of a request; a longer one is reduced to this value.
 const MAX_TIME_LEFT_MS: u64 = 3_600_000;
--- a/balancer/src/client/server.rs
+++ b/balancer/src/client/server.rs
@@ -112,7 +112,8 @@
 
     /// Waits for a connection permit, and closes idle connections until one is available.
     async fn acquire_permit(&self, permits: &Arc<Semaphore>) -> OwnedSemaphorePermit {
-        // The search is repeated, because all clients may be busy now and become idle later.
+        // Each iteration searches for an idle connection, because all clients may be busy now and one may become idle
+        // later.
         loop {
             if permits.available_permits() == 0 {
                 self.close_longest_idle();
@@ -187,7 +188,7 @@
             Ok(request) => request,
             Err(error) => return error.response(),
         };
-        client.begin_response();
+        client.mark_response_pending();
         into_http_response(self.event_loop.submit(request).response().await)
     }
 }
--- a/balancer/src/event_loop/requests.rs
+++ b/balancer/src/event_loop/requests.rs
@@ -81,7 +81,7 @@
             && let Some(reply) = in_flight.reply.take()
         {
             state.counters.count_failed(in_flight.request.class, reason);
-            // Sending fails if the client has just disconnected; its event is then in the queue.
+            // Sending fails if the client has just disconnected; the event of the disconnect is then in the queue.
             let _ = reply.send(response);
         }
         self.release(state, id);
--- a/balancer/src/upstream/attempt.rs
+++ b/balancer/src/upstream/attempt.rs
@@ -187,10 +187,10 @@
         error: &ExchangeError,
     ) -> Outcome {
         if error.has_responded() {
-            // The upstream's process has responded, so this does not count as a connection error.
             self.response_log.warn(|suppressed| {
                 tracing::warn!(suppressed, upstream = id.0, %error, "response unreadable");
             });
+            // The upstream's process has responded, so this does not count as a connection error.
             return Outcome::Error;
         }
         let WriteProgress { written, length } = *progress;
