--- a/src/log_event.rs
+++ b/src/log_event.rs
@@ -7,7 +7,7 @@
 pub enum LogEvent {
     /// Discovery has confirmed the endpoint list again, after a pause of sends.
     EndpointsConfirmed {
-        /// The length of the pause, in which no attempt was sent, in seconds.
+        /// The duration of the pause of sends, in seconds.
         paused_for_s: f64,
         /// Why the endpoint list may have been out of date.
         cause: StalenessCause,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -325,7 +325,8 @@
     }
 }
 
-/// Checks that a value is finite and not negative; `name` is its documented name.
+/// Checks that a value is finite and not negative. `name` is the key of the value in the site's
+/// settings file; a key of a class has the prefix "class", as in "class worth".
 fn check_not_negative(value: f64, name: &'static str) -> Result<(), SettingsError> {
     if value >= 0.0 && value.is_finite() {
         Ok(())
