--- a/tests/action_digest/model/mod.rs
+++ b/tests/action_digest/model/mod.rs
@@ -121,9 +121,11 @@
     requests: BTreeMap<u32, Request>,
     last_request_id: u32,
     last_server_number: u64,
-    /// Mean time between arrivals of requests.
+    /// Mean time between the arrivals of two requests. Each change of load chooses a request rate,
+    /// and sets this to the interval of that rate multiplied by `gap_scale`.
     mean_gap_ns: u64,
-    /// Multiple of the time between arrivals for these settings.
+    /// Factor by which the arrivals are further apart than at the chosen request rate. It depends
+    /// on the settings that the model runs, and does not change during the run.
     gap_scale: u64,
     discovery: Discovery,
     is_watching: bool,
--- a/tests/endpoint_lease.rs
+++ b/tests/endpoint_lease.rs
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn lease_expires_on_each_watch_failure_and_an_update_renews_it() {
+fn lease_expires_some_time_after_each_watch_failure_and_an_update_renews_it() {
     for (event, expires_at) in [
         (
             WatchEvent::Silent {
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -44,8 +44,8 @@
         let id = harness.request();
         harness.advance(ms(20));
         harness.serve_if_sent(id);
-        let reporting = if k < LAST_REPORT_OF_ALL { 5 } else { 4 };
-        for upstream in (1..=reporting).map(UpstreamId) {
+        let reporting_count = if k < LAST_REPORT_OF_ALL { 5 } else { 4 };
+        for upstream in (1..=reporting_count).map(UpstreamId) {
             harness.report_load(upstream, &[8.0]);
         }
         harness.advance(ms(30));
--- a/tests/spare_capacity.rs
+++ b/tests/spare_capacity.rs
@@ -314,8 +314,10 @@
     sent
 }
 
-/// Under overload, requests must not be sent simply in the order of arrival. A retry may already be
-/// too late, and the spare capacity that it uses turns a first attempt into another retry.
+/// Under overload, requests must not be sent simply in the order of arrival. A request that its
+/// client marks as a retry may already be too late for the latency objective, which counts from the
+/// client's first attempt. If the retry uses the last spare capacity, the first attempt of another
+/// request is rejected, and the client of that request sends it again, as one more retry.
 #[test]
 fn prefers_first_attempts_over_retries_when_overloaded() {
     let arrivals = [
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -105,24 +105,24 @@
 #[test]
 fn subset_size_follows_the_traffic() {
     let mut harness = Harness::new(settings(17), &sparse_endpoints());
-    let low_traffic = upstreams_used_by(&mut harness, 60);
+    let used_at_low_traffic = upstreams_used_by(&mut harness, 60);
     harness.run_traffic(200, ms(50), |_| Some(Outcome::Ok));
     harness.attempts.clear();
     harness.run_traffic(200, ms(50), |_| Some(Outcome::Ok));
-    let high_traffic = upstreams_used(&harness);
+    let used_at_high_traffic = upstreams_used(&harness);
     assert!(
-        (10..=24).contains(&high_traffic.len()),
+        (10..=24).contains(&used_at_high_traffic.len()),
         "{} upstreams used for 20 requests per second, expected 10 to 24",
-        high_traffic.len()
+        used_at_high_traffic.len()
     );
     assert!(
-        low_traffic.is_subset(&high_traffic),
+        used_at_low_traffic.is_subset(&used_at_high_traffic),
         "the upstreams used before must stay in the subset, with their connections"
     );
     harness.run_traffic(30, ms(500), |_| Some(Outcome::Ok));
     let after = upstreams_used_by(&mut harness, 60);
     assert!(
-        after.len() <= 2 * low_traffic.len(),
+        after.len() <= 2 * used_at_low_traffic.len(),
         "{} upstreams used for 2 requests per second, expected at most twice as many as before",
         after.len()
     );
