--- a/balancer/tests/common/client.rs
+++ b/balancer/tests/common/client.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// The size of a receive buffer that is far smaller than a response.
-const SMALL_BUFFER: usize = 2048;
+const SMALL_BUFFER_BYTES: usize = 2048;
 
 /// A client's connection.
 pub struct Client {
@@ -17,18 +17,18 @@
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Self {
-        Self::on(address, TcpStream::connect(address).unwrap())
+        Self::from_stream(address, TcpStream::connect(address).unwrap())
     }
 
     /// A connection that takes little of a response until it is read.
     pub fn connect_with_small_buffer(address: SocketAddr) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.set_recv_buffer_size(SMALL_BUFFER).unwrap();
+        socket.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
         socket.connect(&address.into()).unwrap();
-        Self::on(address, TcpStream::from(socket))
+        Self::from_stream(address, TcpStream::from(socket))
     }
 
-    fn on(address: SocketAddr, stream: TcpStream) -> Self {
+    fn from_stream(address: SocketAddr, stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let reader = BufReader::new(stream);
         Self { address, reader }
--- a/balancer/tests/common/process.rs
+++ b/balancer/tests/common/process.rs
@@ -243,7 +243,7 @@
         config.discovery = discovery.address;
         config.polls_endpoints = true;
         let process = config.start();
-        let poll = discovery.next_requested();
+        let poll = discovery.next_connection_with_request();
         Self {
             process,
             discovery,
--- a/balancer/tests/common/upstream.rs
+++ b/balancer/tests/common/upstream.rs
@@ -136,7 +136,7 @@
     }
 
     /// The next connection, with the request on it read.
-    pub fn next_requested(&self) -> TcpStream {
+    pub fn next_connection_with_request(&self) -> TcpStream {
         let connection = self.next_connection();
         assert!(read_request(&connection).is_some(), "a request");
         connection
--- a/balancer/tests/common/upstream_pool.rs
+++ b/balancer/tests/common/upstream_pool.rs
@@ -19,10 +19,10 @@
 /// The upstream that a [`TestPool`] begins with.
 pub const UPSTREAM: UpstreamId = UpstreamId(7);
 /// Longer than a connection rests after a response before it is used again.
-pub const REST_TIME: Duration = Duration::from_millis(40);
+pub const COOLDOWN_WAIT: Duration = Duration::from_millis(40);
 
 /// Settings in which nothing times out before the test does.
-pub fn patient_settings() -> Settings {
+pub fn long_timeout_settings() -> Settings {
     Settings {
         connect_timeout: TIMEOUT,
         connection_idle_timeout: TIMEOUT,
@@ -50,7 +50,7 @@
 }
 
 /// The same socket for use with tokio.
-pub fn into_async(listener: Socket) -> TcpListener {
+pub fn into_tokio_listener(listener: Socket) -> TcpListener {
     listener.set_nonblocking(true).unwrap();
     TcpListener::from_std(listener.into()).unwrap()
 }
@@ -66,11 +66,11 @@
 impl TestPool {
     pub async fn start(max_connections: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        Self::on(listener, max_connections)
+        Self::with_listener(listener, max_connections)
     }
 
-    pub fn on(listener: TcpListener, max_connections: usize) -> Self {
-        let upstreams = Rc::new(Upstreams::new(&patient_settings(), max_connections));
+    pub fn with_listener(listener: TcpListener, max_connections: usize) -> Self {
+        let upstreams = Rc::new(Upstreams::new(&long_timeout_settings(), max_connections));
         let endpoint = ready_endpoint(listener.local_addr().unwrap());
         upstreams.apply_endpoint(UPSTREAM, &endpoint);
         Self {
--- a/balancer/tests/end_to_end.rs
+++ b/balancer/tests/end_to_end.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    Behavior, ERROR_RESPONSE, OK_RESPONSE, REST_TIME, TestConfig, Upstream, at_most_once_request,
-    unreachable_address, wait_until,
+    Behavior, COOLDOWN_WAIT, ERROR_RESPONSE, OK_RESPONSE, TestConfig, Upstream,
+    at_most_once_request, unreachable_address, wait_until,
 };
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
     let mut client = process.connect();
     for _ in 0..3 {
         // A connection that has just been used is left to rest for 30 ms.
-        std::thread::sleep(REST_TIME);
+        std::thread::sleep(COOLDOWN_WAIT);
         let response = client.exchange(&at_most_once_request(TIME_LEFT_MS, "a day"));
         assert_eq!((response.status(), &response.body[..]), (200, &b"done"[..]));
         assert_eq!(response.header("x-own"), Some("kept"));
@@ -103,7 +103,7 @@
             upstream.closed_connection_count() == n
         });
         // Only a connection that has rested would be used again.
-        std::thread::sleep(REST_TIME);
+        std::thread::sleep(COOLDOWN_WAIT);
     }
     assert_eq!(
         (upstream.request_count(), upstream.connection_count()),
@@ -144,7 +144,7 @@
 }
 
 /// The longest body that the balancer forwards.
-const MAX_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// None of them stops the balancer or reaches an upstream.
 #[test]
@@ -182,7 +182,7 @@
             "{invalid:?}: {status}"
         );
     }
-    let too_long = "y".repeat(MAX_BODY + 1);
+    let too_long = "y".repeat(MAX_BODY_BYTES + 1);
     let chunked = format!(
         "Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{too_long}\r\n0\r\n\r\n",
         too_long.len()
--- a/balancer/tests/endpoint_watch.rs
+++ b/balancer/tests/endpoint_watch.rs
@@ -146,7 +146,7 @@
     config.discovery = discovery.address;
     config.polls_endpoints = true;
     let _process = config.start();
-    let mut watch = discovery.next_requested();
+    let mut watch = discovery.next_connection_with_request();
     watch.write_all(text.as_bytes()).unwrap();
     let silent_since = Instant::now();
     let reopened = discovery.connections.recv_timeout(TIMEOUT);
--- a/balancer/tests/operations_page/architecture.rs
+++ b/balancer/tests/operations_page/architecture.rs
@@ -1,11 +1,11 @@
 //! Holds the repository paths on `docs/ARCHITECTURE.md` to what is there.
 
-use super::page::{is_repository_path, page, quoted, root};
+use super::page::{is_repository_path, page, root, texts_in_backticks};
 
 #[test]
 fn paths_on_the_architecture_page_exist() {
     let text = page("ARCHITECTURE.md");
-    let paths: Vec<String> = quoted(&text)
+    let paths: Vec<String> = texts_in_backticks(&text)
         .into_iter()
         .filter(|text| is_repository_path(text))
         .collect();
@@ -41,7 +41,7 @@
         "a semicolon ends a statement in Mermaid"
     );
     assert!(names.len() > 10, "only {} names were found", names.len());
-    let paths = quoted(&text);
+    let paths = texts_in_backticks(&text);
     let is_known = |name: &str| {
         paths
             .iter()
--- a/balancer/tests/operations_page/main.rs
+++ b/balancer/tests/operations_page/main.rs
@@ -17,7 +17,7 @@
 use logging_calls::{
     Events, event_of, events_in_code, level_named, logging_calls, macro_arguments, sources,
 };
-use page::{is_repository_path, names_in, page, quoted, root, rows, section};
+use page::{is_repository_path, names_in_tables, page, root, rows, section, texts_in_backticks};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -36,8 +36,8 @@
             row.iter().all(|cell| !cell.is_empty()),
             "an empty cell: {row:?}"
         );
-        let name = quoted(row[0]).remove(0);
-        let fields = quoted(row[2]).into_iter().collect();
+        let name = texts_in_backticks(row[0]).remove(0);
+        let fields = texts_in_backticks(row[2]).into_iter().collect();
         let before = events.insert((name, level_named(row[1])), fields);
         assert!(before.is_none(), "on the page twice: {row:?}");
     }
@@ -81,7 +81,10 @@
     let reasons = FailureReason::ALL
         .iter()
         .map(|reason| reason.as_str().to_owned());
-    assert_eq!(names_in(section(&text, "## Reasons")), reasons.collect());
+    assert_eq!(
+        names_in_tables(section(&text, "## Reasons")),
+        reasons.collect()
+    );
 }
 
 /// Counters of one class, `c`, of which none is zero.
@@ -103,8 +106,8 @@
 #[test]
 fn page_describes_each_request_counter() {
     let text = page("OPERATIONS.md");
-    let mut described = names_in(section(&text, "### Request counters"));
-    described.extend(names_in(section(&text, "## Reasons")));
+    let mut described = names_in_tables(section(&text, "### Request counters"));
+    described.extend(names_in_tables(section(&text, "## Reasons")));
     let shown = counters_above_zero().to_string();
     let counters = shown.strip_prefix("c: ").expect("the class").split(", ");
     let names = counters.map(|counter| counter.split_once(' ').expect("a name and a number").0);
@@ -114,7 +117,7 @@
 #[test]
 fn page_describes_each_cause_of_a_pause() {
     let text = page("OPERATIONS.md");
-    let described = names_in(section(&text, "## Causes of a pause"));
+    let described = names_in_tables(section(&text, "## Causes of a pause"));
     let causes = StalenessCause::ALL.map(|cause| cause.as_str().to_owned());
     assert_eq!(described, BTreeSet::from(causes));
 }
@@ -138,7 +141,7 @@
 #[test]
 fn page_describes_each_field_of_the_status_line() {
     let text = page("OPERATIONS.md");
-    let described = names_in(section(&text, "### Status fields"));
+    let described = names_in_tables(section(&text, "### Status fields"));
     let events = events_in_code(&BALANCER_SOURCES);
     let logged = &events[&("status".to_owned(), "info")];
     assert_eq!(&described, logged);
@@ -164,7 +167,7 @@
         arguments[0].trim_matches('"').to_owned()
     });
     let text = page("OPERATIONS.md");
-    let described = names_in(section(&text, "## Registry metrics"));
+    let described = names_in_tables(section(&text, "## Registry metrics"));
     assert_eq!(described, calls.collect());
 }
 
@@ -184,7 +187,7 @@
     let code = sources(&folders).concat();
     let is_word_part = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-';
     let words: BTreeSet<&str> = code.split(|c| !is_word_part(c)).collect();
-    for name in quoted(&text) {
+    for name in texts_in_backticks(&text) {
         if is_repository_path(&name) {
             assert!(root().join(&name).exists(), "{name:?} does not exist");
             continue;
--- a/balancer/tests/operations_page/page.rs
+++ b/balancer/tests/operations_page/page.rs
@@ -14,7 +14,7 @@
 }
 
 /// The texts of a page that stand in backticks, but for its code blocks.
-pub fn quoted(page: &str) -> Vec<String> {
+pub fn texts_in_backticks(page: &str) -> Vec<String> {
     let prose: Vec<&str> = page.split("```").step_by(2).collect();
     let texts = prose
         .iter()
@@ -55,14 +55,14 @@
 }
 
 /// The names in the first column of a section's tables; none stands twice.
-pub fn names_in(section: &str) -> BTreeSet<String> {
+pub fn names_in_tables(section: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for row in rows(section) {
         assert!(
             row.iter().all(|cell| !cell.is_empty()),
             "an empty cell: {row:?}"
         );
-        for name in quoted(row[0]) {
+        for name in texts_in_backticks(row[0]) {
             assert!(names.insert(name.clone()), "{name:?} is on the page twice");
         }
     }
--- a/balancer/tests/races_clients.rs
+++ b/balancer/tests/races_clients.rs
@@ -47,7 +47,7 @@
             let process = TestConfig::with_upstreams(&[upstream.address, upstream.address]).start();
             let mut client = process.connect();
             client.write(&idempotent_request(8000));
-            let mut attempt = upstream.next_requested();
+            let mut attempt = upstream.next_connection_with_request();
             client.write_nonblocking(&vec![b'x'; extra_bytes]);
             process.round_trip();
             let _reading = disconnect.perform(client);
@@ -125,28 +125,28 @@
 /// bytes are read before the close.
 #[test]
 fn response_is_complete_when_extra_bytes_follow_the_request() {
-    const BODY_LENGTH: usize = 60_000;
+    const BODY_BYTES: usize = 60_000;
     let upstream = RawPeer::start();
     let process = TestConfig::with_upstreams(&[upstream.address]).start();
     let mut client = Client::connect_with_small_buffer(process.address);
     client.write(&idempotent_request(8000).replace("Host", "Connection: close\r\nHost"));
-    let mut attempt = upstream.next_requested();
+    let mut attempt = upstream.next_connection_with_request();
     // The first of these may be read with the request; the second is not, unless the balancer takes
     // care to.
     for _ in 0..2 {
         client.write("GET /look HTTP/1.1\r\nHost");
         process.round_trip();
     }
-    let body = "y".repeat(BODY_LENGTH);
+    let body = "y".repeat(BODY_BYTES);
     write!(
         attempt,
-        "HTTP/1.1 200 OK\r\nContent-Length: {BODY_LENGTH}\r\n\r\n{body}"
+        "HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n\r\n{body}"
     )
     .unwrap();
     wait_until("the response begins", || client.has_unread_bytes());
     process.round_trip();
     let response = client.read_response().expect("the complete response");
-    assert_eq!((response.status(), response.body.len()), (200, BODY_LENGTH));
+    assert_eq!((response.status(), response.body.len()), (200, BODY_BYTES));
 }
 
 /// Each client that sends something else than a request, much of it or little, gets an error or a
--- a/balancer/tests/races_shutdown.rs
+++ b/balancer/tests/races_shutdown.rs
@@ -129,7 +129,7 @@
     watch.send("");
     let mut client = process.connect();
     client.write(&at_most_once_request(3000, "x"));
-    let mut attempt = upstream.next_requested();
+    let mut attempt = upstream.next_connection_with_request();
     process.terminate();
     process.wait_until_draining();
     process.terminate();
--- a/balancer/tests/races_simultaneous_events.rs
+++ b/balancer/tests/races_simultaneous_events.rs
@@ -37,7 +37,7 @@
         let TwoUpstreams { process, upstream } = TwoUpstreams::start(8000);
         let mut client = process.connect();
         client.write(&idempotent_request(8000));
-        let mut attempt = upstream.next_requested();
+        let mut attempt = upstream.next_connection_with_request();
         process.suspend();
         // The failure is seen first, if events are seen in the order of time.
         attempt.write_all(error.as_bytes()).unwrap();
@@ -59,7 +59,9 @@
     for client in &mut clients {
         client.write(&idempotent_request(8000));
     }
-    let mut attempts: Vec<TcpStream> = (0..CLIENTS).map(|_| upstream.next_requested()).collect();
+    let mut attempts: Vec<TcpStream> = (0..CLIENTS)
+        .map(|_| upstream.next_connection_with_request())
+        .collect();
     process.suspend();
     for attempt in attempts.iter_mut().step_by(2) {
         attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
@@ -77,7 +79,7 @@
     }
     let mut client = process.connect();
     client.write(&idempotent_request(8000));
-    let mut attempt = upstream.next_requested();
+    let mut attempt = upstream.next_connection_with_request();
     attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
     let response = client.read_response().expect("a response");
     assert_eq!(response.status(), 200);
@@ -97,7 +99,10 @@
     let TwoUpstreams { process, upstream } = TwoUpstreams::start(1500);
     let mut client = process.connect();
     client.write(&idempotent_request(1500));
-    let mut attempts = [upstream.next_requested(), upstream.next_requested()];
+    let mut attempts = [
+        upstream.next_connection_with_request(),
+        upstream.next_connection_with_request(),
+    ];
     process.suspend();
     for attempt in &mut attempts {
         attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
@@ -112,7 +117,7 @@
     let TwoUpstreams { process, upstream } = TwoUpstreams::start(400);
     let mut client = process.connect();
     client.write(&at_most_once_request(400, "x"));
-    let mut attempt = upstream.next_requested();
+    let mut attempt = upstream.next_connection_with_request();
     process.suspend();
     attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(500));
--- a/balancer/tests/races_upstream_connections.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -4,8 +4,9 @@
 mod common;
 
 use common::{
-    EMPTY_RESPONSE, ERROR_RESPONSE, REST_TIME, RawPeer, TIMEOUT, TestConfig, TestPool, UPSTREAM,
-    attempt, idempotent_request, into_async, raw_listener, read_request, ready_endpoint,
+    COOLDOWN_WAIT, EMPTY_RESPONSE, ERROR_RESPONSE, RawPeer, TIMEOUT, TestConfig, TestPool,
+    UPSTREAM, attempt, idempotent_request, into_tokio_listener, raw_listener, read_request,
+    ready_endpoint,
 };
 use frostkeel_balancer::upstream::Upstreams;
 use frostkeel_policy::{Outcome, Settings};
@@ -99,7 +100,7 @@
         let (ended, mut stream) = tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next());
         assert_eq!(ended.outcome, Outcome::Ok);
         // Only a connection that has rested would be used again.
-        tokio::time::sleep(REST_TIME).await;
+        tokio::time::sleep(COOLDOWN_WAIT).await;
         stream.write_all(unsolicited.as_bytes()).await.unwrap();
         let both = async { tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next()) };
         let both = tokio::time::timeout(TIMEOUT, both).await;
@@ -111,12 +112,12 @@
 /// A response that is there before its request has been sent completely belongs to something else.
 #[tokio::test(flavor = "local")]
 async fn response_before_the_end_of_the_request_is_not_forwarded() {
-    const SMALL_BUFFER: usize = 2048;
+    const SMALL_BUFFER_BYTES: usize = 2048;
     const LARGE_BODY: usize = 8_000_000;
     let configure = |listener: &socket2::Socket| {
-        listener.set_recv_buffer_size(SMALL_BUFFER).unwrap();
+        listener.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
     };
-    let pool = TestPool::on(into_async(raw_listener(configure, 8)), 8);
+    let pool = TestPool::with_listener(into_tokio_listener(raw_listener(configure, 8)), 8);
     let rejected = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     for (response, outcome) in [
         (EMPTY_RESPONSE, Outcome::ConnectFailed),
@@ -210,7 +211,7 @@
     let mut client = process.connect();
     let requested_at = Instant::now();
     client.write(&idempotent_request(TIME_LEFT_MS));
-    let mut first = upstream.next_requested();
+    let mut first = upstream.next_connection_with_request();
     std::thread::sleep(Duration::from_millis(200));
     let elapsed_ms = requested_at.elapsed().as_millis() as u64;
     first.write_all(ERROR_RESPONSE.as_bytes()).unwrap();
--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{idempotent_request, into_async, raw_listener, unreachable_address};
+use common::{idempotent_request, into_tokio_listener, raw_listener, unreachable_address};
 use frostkeel_balancer::client::{Phase, Server};
 use frostkeel_balancer::discovery::Discovery;
 use frostkeel_balancer::discovery::{EndpointEntry, EndpointUpdate};
@@ -24,9 +24,9 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-const BODY_LENGTH: usize = 60_000;
+const BODY_BYTES: usize = 60_000;
 /// Far less than a response.
-const SMALL_BUFFER: usize = 2048;
+const SMALL_BUFFER_BYTES: usize = 2048;
 
 fn site() -> Site {
     let class = Class {
@@ -87,8 +87,9 @@
             cached_list(upstream.local_addr().unwrap()),
         );
         // Connections inherit this from their listener.
-        let configure = |listener: &Socket| listener.set_send_buffer_size(SMALL_BUFFER).unwrap();
-        let listener = into_async(raw_listener(configure, 8));
+        let configure =
+            |listener: &Socket| listener.set_send_buffer_size(SMALL_BUFFER_BYTES).unwrap();
+        let listener = into_tokio_listener(raw_listener(configure, 8));
         let address = listener.local_addr().unwrap();
         let (phase, phases) = watch::channel(Phase::Serving);
         spawn_local(Server::new(event_loop, &site, phases).run(listener, 8));
@@ -103,15 +104,15 @@
 /// Serves the request on a connection to the upstream.
 async fn respond(mut stream: TcpStream, headers: &str) -> TcpStream {
     assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
-    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_LENGTH}\r\n{headers}\r\n");
-    let response = [head.as_bytes(), &[b'y'; BODY_LENGTH]].concat();
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n{headers}\r\n");
+    let response = [head.as_bytes(), &[b'y'; BODY_BYTES]].concat();
     stream.write_all(&response).await.unwrap();
     stream
 }
 
 fn connect_with_small_buffer(address: SocketAddr) -> TcpStream {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.set_recv_buffer_size(SMALL_BUFFER).unwrap();
+    socket.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
     socket.connect(&SockAddr::from(address)).unwrap();
     socket.set_nonblocking(true).unwrap();
     TcpStream::from_std(socket.into()).unwrap()
@@ -136,7 +137,7 @@
         tokio::time::sleep(Duration::from_secs(8)).await;
         let mut received = 0;
         let mut buffer = [0; 1000];
-        while received < BODY_LENGTH {
+        while received < BODY_BYTES {
             match client.read(&mut buffer).await {
                 Ok(length) if length > 0 => received += length,
                 ended => panic!(
--- a/balancer/tests/upstream_attempts.rs
+++ b/balancer/tests/upstream_attempts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{EMPTY_RESPONSE, REST_TIME, TIMEOUT, TestPool, UPSTREAM, attempt};
+use common::{COOLDOWN_WAIT, EMPTY_RESPONSE, TIMEOUT, TestPool, UPSTREAM, attempt};
 use frostkeel_policy::{Availability, Outcome, UpstreamId};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -88,7 +88,7 @@
         assert_eq!(ended.outcome, Outcome::Ok);
         // Only a connection that has rested is used again. No task runs between its end and the next
         // attempt.
-        tokio::time::sleep(REST_TIME).await;
+        tokio::time::sleep(COOLDOWN_WAIT).await;
         drop(stream);
     }
 }
--- a/balancer/tests/wire_fixtures/bad_requests.rs
+++ b/balancer/tests/wire_fixtures/bad_requests.rs
@@ -6,7 +6,7 @@
 use crate::transcript::Transcript;
 
 /// The longest body that is accepted.
-const MAX_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The length of a header that exceeds the limit for heads.
 const OVERSIZED_HEADER: usize = 40_000;
 
@@ -126,11 +126,14 @@
         assert_ne!(request, valid, "{case}");
         record_rejection(&mut transcript, case, &request, &balancer);
     }
-    let oversized_chunk = format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n", MAX_BODY + 1);
+    let oversized_chunk = format!(
+        "Transfer-Encoding: chunked\r\n\r\n{:x}\r\n",
+        MAX_BODY_BYTES + 1
+    );
     let oversized = valid.replacen("Content-Length: 1\r\n\r\nx", &oversized_chunk, 1);
     let mut client = RawClient::connect(balancer.address);
     client.send(oversized.as_bytes());
-    client.send("y".repeat(MAX_BODY + 1).as_bytes());
+    client.send("y".repeat(MAX_BODY_BYTES + 1).as_bytes());
     transcript.add_received(
         "body too long, in chunks: the client receives",
         &client.response(),
--- a/balancer/tests/wire_fixtures/connections.rs
+++ b/balancer/tests/wire_fixtures/connections.rs
@@ -61,7 +61,7 @@
     let balancer = TestConfig::with_upstreams(&[peer.address]).start();
     let mut client = RawClient::connect(balancer.address);
     client.send(idempotent_request(TIME_LEFT_MS).as_bytes());
-    let upstream = peer.next_requested();
+    let upstream = peer.next_connection_with_request();
     client.send(&[b'x'; FLOOD_SIZE]);
     balancer.round_trip();
     (&upstream).write_all(WITH_LENGTH.as_bytes()).unwrap();
