--- a/balancer/tests/common/client.rs
+++ b/balancer/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! A client of the balancer.
+//! A client of the balancer that the test controls.
 
 use super::{Message, TIMEOUT};
 use socket2::{Domain, SockRef, Socket, Type};
@@ -6,10 +6,10 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The size of a receive buffer that is far smaller than a response.
+/// The receive buffer requested for a client that must not receive a complete response at once.
 const SMALL_BUFFER_BYTES: usize = 2048;
 
-/// A client's connection.
+/// A client with one connection to the balancer.
 pub struct Client {
     address: SocketAddr,
     reader: BufReader<TcpStream>,
@@ -20,7 +20,8 @@
         Self::from_stream(address, TcpStream::connect(address).unwrap())
     }
 
-    /// A connection that takes little of a response until it is read.
+    /// Connects with a small receive buffer, so that a long response is received only as it is
+    /// read.
     pub fn connect_with_small_buffer(address: SocketAddr) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
@@ -38,7 +39,8 @@
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Writes as much as fits into the buffers, without waiting for the other side.
+    /// Writes as many of the bytes as fit into the socket buffers, without waiting for the balancer
+    /// to read them.
     pub fn write_nonblocking(&mut self, bytes: &[u8]) {
         let stream = self.reader.get_mut();
         stream.set_nonblocking(true).unwrap();
@@ -46,8 +48,8 @@
         stream.set_nonblocking(false).unwrap();
     }
 
-    /// Closes the connection now. A plain drop may come later: a process that another test is just
-    /// starting holds copies of all descriptors until its program runs.
+    /// Closes the connection immediately. Dropping the client could close it later: if another test
+    /// starts a process at this moment, that process holds a copy of the descriptor until `exec`.
     pub fn disconnect(self) {
         self.reader.get_ref().shutdown(Shutdown::Both).unwrap();
     }
@@ -58,12 +60,12 @@
         socket.set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Closes the sending side; what arrives can still be read.
+    /// Closes the sending side of the connection. The client can still read.
     pub fn shutdown_write(&self) {
         self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Whether something has arrived that is not read yet.
+    /// Returns whether received bytes are waiting to be read.
     pub fn has_unread_bytes(&self) -> bool {
         let stream = self.reader.get_ref();
         stream.set_nonblocking(true).unwrap();
@@ -72,13 +74,14 @@
         peeked.is_ok_and(|length| length > 0)
     }
 
-    /// The next response; `None` if the connection ends instead.
+    /// Reads the next response; `None` if the connection ends before a complete response.
     pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
-    /// Sends a request and reads its response. As clients do, it sends the request once more where
-    /// the connection was closed between requests.
+    /// Sends a request and reads its response. If the connection ends without a response, it sends
+    /// the request again on a new connection, once, because the balancer may close idle
+    /// connections.
     pub fn exchange(&mut self, request: &str) -> Message {
         if self.reader.get_mut().write_all(request.as_bytes()).is_ok()
             && let Some(response) = self.read_response()
@@ -90,14 +93,15 @@
         self.read_response().expect("a response")
     }
 
-    /// Whether the other side has closed the connection, or does so within [`TIMEOUT`].
+    /// Returns whether the balancer has closed the connection or closes it within [`TIMEOUT`]. The
+    /// caller must have read all data that was sent before.
     pub fn is_closed(&mut self) -> bool {
         let read = self.reader.read(&mut [0; 1]);
         let timed_out = |kind| matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut);
         !read.is_err_and(|error| timed_out(error.kind()))
     }
 
-    /// Whether the connection ends with nothing more on it.
+    /// Returns whether the connection ends normally, without further data.
     pub fn is_closed_without_data(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).is_ok() && rest.is_empty()
--- a/balancer/tests/common/config.rs
+++ b/balancer/tests/common/config.rs
@@ -3,30 +3,34 @@
 use super::{endpoint_json, endpoint_list_json, unreachable_address};
 use std::net::SocketAddr;
 
-/// A configuration, to be changed before the start.
+/// A configuration whose fields a test can change before it starts the balancer.
 pub struct TestConfig {
+    /// The address of discovery, or of the local agent.
     pub discovery: SocketAddr,
-    /// The endpoint list known from before the start.
+    /// The endpoint list in the configuration file, as JSON. The balancer uses it until it receives
+    /// a newer list.
     pub cached_list: String,
-    /// The descriptors that the balancer may use.
+    /// The number of descriptors that the balancer may use, reserved ones included.
     pub max_sockets: usize,
-    /// Balancers of the fleet.
+    /// The number of balancers in the fleet.
     pub balancers: usize,
-    /// The deadline and latency objective of every class.
+    /// The deadline and the latency objective of every class, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether the balancer polls for its endpoints; otherwise they are pushed to a local agent.
+    /// Whether the balancer polls discovery for its endpoints. If not, the discovery mode is
+    /// `automatic`: endpoints are pushed to a local agent, which the balancer watches.
     pub polls_endpoints: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether the balancer may cancel attempts that are in flight.
     pub cancellation: bool,
-    /// How long an upstream that has started is in slow start.
+    /// The duration of an upstream's slow start, in milliseconds.
     pub slow_start_ms: u64,
-    /// The variables of the preloaded library that lets system calls fail; see the crate
-    /// `frostkeel-syscall-faults`.
+    /// The environment variables for the preloaded library that makes system calls fail; see the
+    /// crate `frostkeel-syscall-faults`. If empty, the library is not loaded.
     pub syscall_faults: Vec<(&'static str, String)>,
 }
 
 impl TestConfig {
-    /// A balancer that knows these upstreams, under the names `s-0`, `s-1`, ...
+    /// Returns a configuration whose endpoint list contains these upstreams as ready, with the
+    /// names `s-0`, `s-1`, ... Discovery is unreachable.
     pub fn with_upstreams(upstreams: &[SocketAddr]) -> Self {
         let upstreams = upstreams.iter().enumerate();
         let entries =
@@ -44,7 +48,7 @@
         }
     }
 
-    /// The text of the configuration file.
+    /// Returns the content of the configuration file.
     pub fn to_json(&self) -> String {
         let Self {
             discovery,
--- a/balancer/tests/common/discovery.rs
+++ b/balancer/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: its endpoint lists and its watches.
+//! A stand-in for discovery, and the endpoint lists that it sends.
 
 use super::{CHUNKED_HEAD, Message, TIMEOUT};
 use std::io::{BufReader, Write};
@@ -8,21 +8,24 @@
 /// A watch that a balancer has opened.
 #[derive(Debug)]
 pub struct Watch {
-    /// The target of the request.
+    /// The path and query of the request that opened the watch.
     pub target: String,
+    /// The connection, on which the response head has been sent.
     pub stream: TcpStream,
 }
 
 impl Watch {
-    /// Writes one line.
+    /// Sends one line. An empty line is a heartbeat.
     pub fn send(&self, line: &str) {
         send_chunked_line(&self.stream, line);
     }
 }
 
-/// A discovery that answers each request with a watch that begins with a heartbeat.
+/// A stand-in for discovery. It opens a watch for each request and sends a first line, a delta
+/// without changes.
 pub struct Discovery {
     pub address: SocketAddr,
+    /// The opened watches, in the order of their requests.
     pub watches: Receiver<Watch>,
 }
 
@@ -39,7 +42,8 @@
                 let target = message.start_line.split(' ').nth(1);
                 let target = target.unwrap_or_default().to_owned();
                 (&stream).write_all(CHUNKED_HEAD.as_bytes()).unwrap();
-                // A watch begins with what has changed after the revision that is asked for.
+                // The first line of a watch contains the changes after the requested revision.
+                // There are none here.
                 let revision = target.split("index=").nth(1);
                 let revision = revision.and_then(|text| text.parse().ok()).unwrap_or(0);
                 let watch = Watch { target, stream };
@@ -50,23 +54,25 @@
         Self { address, watches }
     }
 
-    /// The next watch.
+    /// Waits for the next watch, for at most [`TIMEOUT`].
     pub fn next_watch(&self) -> Watch {
         self.watches.recv_timeout(TIMEOUT).expect("a watch")
     }
 }
 
-/// Writes a line of a watch as a chunk.
+/// Sends one line of a watch as one chunk of the response body.
 pub fn send_chunked_line(mut stream: &TcpStream, line: &str) {
     write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1).unwrap();
 }
 
-/// An entry of a list, of an upstream that started long ago.
+/// Returns the list entry of an upstream that started at Unix time 0, so that its slow start is
+/// over.
 pub fn endpoint_json(name: &str, address: SocketAddr, state: &str) -> String {
     started_endpoint_json(name, address, state, 0)
 }
 
-/// An entry of a list, of an upstream that started at this Unix time in milliseconds.
+/// Returns the list entry of an upstream that started at `started_at_ms`, a Unix time in
+/// milliseconds.
 pub fn started_endpoint_json(
     name: &str,
     address: SocketAddr,
@@ -78,7 +84,8 @@
     )
 }
 
-/// A list of a revision: all endpoints, or those that have changed.
+/// Returns an endpoint list with this revision: all endpoints if `is_snapshot`, otherwise the ones
+/// that have changed.
 pub fn endpoint_list_json(revision: u64, is_snapshot: bool, entries: &[String]) -> String {
     let entries = entries.join(",");
     format!(r#"{{"rev":{revision},"all":{is_snapshot},"targets":[{entries}]}}"#)
--- a/balancer/tests/common/message.rs
+++ b/balancer/tests/common/message.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages as they are read from a connection, and the requests that tests send.
+//! HTTP/1.1 messages as read from a connection, and requests and responses that the tests send.
 
 use std::io::{BufRead, BufReader};
 use std::net::TcpStream;
@@ -6,29 +6,33 @@
 pub const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Own: kept\r\n\r\ndone";
 pub const EMPTY_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 pub const ERROR_RESPONSE: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
-/// The head of a response whose body comes in chunks.
+/// The head of a response with a chunked body.
 pub const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 pub const LIVENESS_REQUEST: &str = "GET /health/live HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 pub const READINESS_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
-/// A request for a path that belongs to no class.
+/// A request for a path that does not belong to any class.
 pub const UNKNOWN_PATH_REQUEST: &str = "GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n";
 
 /// The correlation id of [`idempotent_request`].
 pub const CORRELATION_ID: &str = "77aa";
 
-/// A message: its first line, its headers in lower case, its body.
+/// An HTTP/1.1 request or response.
 #[derive(Clone, Debug)]
 pub struct Message {
+    /// The request line or the status line.
     pub start_line: String,
+    /// Names and values of the headers, with the names in lower case.
     pub headers: Vec<(String, String)>,
+    /// The body; empty if there is no content length.
     pub body: Vec<u8>,
-    /// Bytes from first to last.
+    /// The number of bytes of the head and the body.
     pub length: usize,
 }
 
 impl Message {
-    /// Reads a message; `None` if the connection ends instead.
+    /// Reads a message; `None` if the connection ends or a read fails before the message is
+    /// complete.
     pub fn read(stream: &mut impl BufRead) -> Option<Self> {
         let mut start_line = String::new();
         let mut length = read_line(stream, &mut start_line)?;
@@ -55,13 +59,14 @@
         Some(message)
     }
 
+    /// Returns the value of the first header with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.headers.iter();
         let (_, value) = headers.find(|(header, _)| header == name)?;
         Some(value)
     }
 
-    /// The status code of a response.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
         let code = self.start_line.split(' ').nth(1);
         let code = code.and_then(|code| code.parse().ok());
@@ -73,12 +78,12 @@
     stream.read_line(line).ok().filter(|length| *length > 0)
 }
 
-/// The next request on a connection that the test itself reads.
+/// Reads the next request on a connection; `None` if the connection ends or a read fails.
 pub fn read_request(stream: &TcpStream) -> Option<Message> {
     Message::read(&mut BufReader::new(stream))
 }
 
-/// A request of the class `book`, which may not run twice.
+/// Returns a request of the class `book`, which is at-most-once.
 pub fn at_most_once_request(time_left_ms: u64, body: &str) -> String {
     format!(
         "POST /book/day?n=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: 9b1f03aa\r\nX-Account: acme\r\n\
@@ -87,7 +92,7 @@
     )
 }
 
-/// A request of the class `look`, which is idempotent.
+/// Returns a request of the class `look`, which is idempotent.
 pub fn idempotent_request(time_left_ms: u64) -> String {
     format!(
         "GET /look HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {CORRELATION_ID}\r\nX-Account: acme\r\n\
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,14 +1,15 @@
-//! Support for tests of the balancer on real sockets: the balancer as a process, and small peers
-//! on loopback. Ports are the system's choice; waits are on conditions, for at most [`TIMEOUT`].
+//! Support for tests of the balancer on real sockets: the balancer as a process, and clients,
+//! upstreams and discovery on loopback. The system assigns the ports. Tests wait for conditions,
+//! for at most [`TIMEOUT`].
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each test binary uses a part of this module"
+    reason = "each test binary uses only a part of this module"
 )]
 #![expect(
     clippy::expect_used,
     clippy::unwrap_used,
-    reason = "a step that fails fails the test"
+    reason = "a failed step fails the test"
 )]
 
 mod client;
@@ -29,10 +30,11 @@
 
 use std::time::{Duration, Instant};
 
-/// The longest that a test waits for something.
+/// The longest time for which a test waits for one condition.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until a condition holds.
+/// Waits until `holds` returns true. Fails after [`TIMEOUT`] with `description`, which completes
+/// "timed out waiting until".
 pub fn wait_until(description: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
--- a/balancer/tests/common/process.rs
+++ b/balancer/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! The balancer as a process.
+//! The balancer as a child process of the test.
 
 use super::{
     Client, Discovery, LIVENESS_REQUEST, READINESS_REQUEST, RawPeer, TestConfig, Upstream,
@@ -12,24 +12,26 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Lines of the log that are retained for a test that fails.
+/// The number of last log lines that are shown if the test fails.
 const RETAINED_LOG_LINES: usize = 60;
-/// What the system counts processor time in.
+/// The number of clock ticks per second. A clock tick is the unit of the CPU times in
+/// `/proc/PID/stat`.
 const CLOCK_TICKS_PER_S: f64 = 100.0;
 
 type LogLines = Arc<Mutex<VecDeque<String>>>;
 
-/// A running balancer; killed when dropped.
+/// A running balancer process, which is killed when dropped.
 pub struct BalancerProcess {
     child: Child,
+    /// The address at which the balancer accepts clients.
     pub address: SocketAddr,
     config_path: PathBuf,
-    /// The end of its log, shown where a test fails.
+    /// The last lines of the log, which are printed if the test fails.
     log_lines: LogLines,
 }
 
 impl TestConfig {
-    /// Starts a balancer and waits until it listens.
+    /// Starts a balancer with this configuration and waits until it listens.
     pub fn start(&self) -> BalancerProcess {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let number = COUNT.fetch_add(1, Ordering::SeqCst);
@@ -58,19 +60,24 @@
     }
 }
 
-/// Reads the log up to the line that names the address at which the balancer listens.
+/// Reads the log up to the line with the balancer's listen address, and returns that address.
 fn read_listen_address(log: &mut impl BufRead) -> SocketAddr {
     let mut line = String::new();
     while !line.contains("listen=") {
         line.clear();
-        assert_ne!(log.read_line(&mut line).unwrap(), 0, "it has ended");
+        assert_ne!(
+            log.read_line(&mut line).unwrap(),
+            0,
+            "the balancer exited before it logged its listen address"
+        );
     }
     let value = line.split("listen=").nth(1);
     let address = value.and_then(|rest| rest.split(' ').next()).unwrap();
     address.trim().parse().unwrap()
 }
 
-/// Goes on reading the log: otherwise its pipe would fill and block the balancer.
+/// Reads the rest of the log in a thread and retains its last lines. If the log were not read, the
+/// pipe would fill and block the balancer.
 fn retain_log_lines(log: BufReader<ChildStderr>) -> LogLines {
     let log_lines = LogLines::default();
     let retained = Arc::clone(&log_lines);
@@ -86,7 +93,8 @@
     log_lines
 }
 
-/// The preloaded library that lets system calls fail, built beside the tests.
+/// Returns the path of the preloaded library that makes system calls fail. Cargo builds it into the
+/// folder of the test binaries.
 fn syscall_faults_library() -> PathBuf {
     let test = std::env::current_exe().unwrap();
     let path = test.with_file_name("libfrostkeel_syscall_faults.so");
@@ -99,19 +107,20 @@
         Client::connect(self.address)
     }
 
-    /// The status of the response to a request on a connection of its own.
+    /// Sends a request on a new connection and returns the status of its response.
     pub fn status_of(&self, request: &str) -> u16 {
         self.connect().exchange(request).status()
     }
 
-    /// Sends a request again and again until its response has this status.
+    /// Sends a request repeatedly until its response has this status.
     pub fn wait_for_status(&self, request: &str, status: u16) {
         wait_until(&format!("the status is {status}"), || {
             self.status_of(request) == status
         });
     }
 
-    /// Two health checks: the balancer has seen what reached it before.
+    /// Requests the balancer's liveness twice. The balancer has then processed the events that
+    /// reached it before.
     pub fn round_trip(&self) {
         for _ in 0..2 {
             assert_eq!(self.status_of(LIVENESS_REQUEST), 200);
@@ -123,12 +132,13 @@
         self.signal("TERM");
     }
 
-    /// Waits until a balancer that has got SIGTERM has begun its shutdown.
+    /// Waits until the balancer, after SIGTERM, reports that it is not ready.
     pub fn wait_until_draining(&self) {
         self.wait_for_status(READINESS_REQUEST, 503);
     }
 
-    /// Suspends the process: it finds all that happens meanwhile at once.
+    /// Suspends the process with SIGSTOP. When it resumes, all events of the meantime are pending
+    /// at the same time.
     pub fn suspend(&self) {
         self.signal("STOP");
         let stat = self.proc_path("stat");
@@ -137,11 +147,12 @@
         });
     }
 
+    /// Resumes the suspended process.
     pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// Seconds of a core that it has used.
+    /// Returns the CPU time that the process has used, in seconds.
     pub fn cpu_s(&self) -> f64 {
         let stat = std::fs::read_to_string(self.proc_path("stat")).unwrap();
         let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
@@ -149,7 +160,7 @@
         (user + system) / CLOCK_TICKS_PER_S
     }
 
-    /// The most memory that it has used, in megabytes.
+    /// Returns the peak resident memory of the process, in megabytes.
     pub fn peak_memory_mb(&self) -> f64 {
         let status = std::fs::read_to_string(self.proc_path("status")).unwrap();
         let mut lines = status.lines();
@@ -162,20 +173,22 @@
         std::fs::read_dir(self.proc_path("fd")).unwrap().count()
     }
 
-    /// Prevents it from opening any further descriptor.
+    /// Sets the descriptor limit of the process to its lowest free descriptor, so that it cannot
+    /// open another one.
     pub fn exhaust_descriptors(&self) {
         let descriptors = self.proc_path("fd");
         let is_open = |fd: &u64| descriptors.join(fd.to_string()).exists();
         self.limit_descriptors((0..).find(|fd| !is_open(fd)).unwrap());
     }
 
+    /// Sets the descriptor limit of the process while it runs.
     pub fn limit_descriptors(&self, max: u64) {
         let pid = self.child.id().to_string();
         let limit = format!("--nofile={max}:");
         let status = Command::new("prlimit")
             .args(["--pid", &pid, &limit])
             .status();
-        assert!(status.expect("prlimit, of util-linux").success());
+        assert!(status.expect("prlimit (util-linux) must run").success());
     }
 
     /// Replaces the configuration file and sends SIGHUP.
@@ -184,6 +197,7 @@
         self.signal("HUP");
     }
 
+    /// Replaces the configuration file without a signal.
     pub fn replace_configuration(&self, text: &str) {
         std::fs::write(&self.config_path, text).unwrap();
     }
@@ -207,7 +221,7 @@
         assert!(status.unwrap().success());
     }
 
-    /// A file of the process under `/proc`.
+    /// Returns the path of a file of the process under `/proc`.
     fn proc_path(&self, file: &str) -> PathBuf {
         Path::new("/proc")
             .join(self.child.id().to_string())
@@ -223,16 +237,16 @@
         if std::thread::panicking() {
             let lines = self.log_lines.lock().unwrap();
             let indented: String = lines.iter().map(|line| format!("  {line}\n")).collect();
-            eprintln!("the end of the balancer's log:\n{indented}");
+            eprintln!("last lines of the balancer's log:\n{indented}");
         }
     }
 }
 
-/// A balancer whose first poll for its endpoints waits for a response.
+/// A balancer that has sent its first poll for the endpoint list and waits for the response.
 pub struct PollingBalancer {
     pub process: BalancerProcess,
     pub discovery: RawPeer,
-    /// The connection of the first poll.
+    /// The connection of the first poll, whose request has been read.
     pub poll: TcpStream,
 }
 
@@ -252,7 +266,7 @@
     }
 }
 
-/// A balancer that has opened a watch.
+/// A balancer with an open watch.
 pub struct WatchingBalancer {
     pub process: BalancerProcess,
     pub discovery: Discovery,
@@ -260,11 +274,13 @@
 }
 
 impl WatchingBalancer {
-    /// Starts a balancer that knows these upstreams.
+    /// Starts a balancer whose configuration contains these upstreams, and waits for its watch.
     pub fn start(upstreams: &[SocketAddr]) -> Self {
         Self::start_with(TestConfig::with_upstreams(upstreams))
     }
 
+    /// Starts a balancer with this configuration, except that it polls a new stand-in for
+    /// discovery.
     pub fn start_with(mut config: TestConfig) -> Self {
         let discovery = Discovery::start();
         config.discovery = discovery.address;
--- a/balancer/tests/common/upstream.rs
+++ b/balancer/tests/common/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams, and peers whose connections the test itself reads and writes.
+//! Upstreams with a fixed behavior, and peers whose connections the test itself reads and writes.
 
 use super::{Message, OK_RESPONSE, TIMEOUT, read_request};
 use std::io::{BufReader, Write};
@@ -7,20 +7,20 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
 
-/// What an upstream does with every request.
+/// The behavior of an upstream, the same for every request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behavior {
-    /// Responds with these bytes and keeps the connection.
+    /// Sends this response and keeps the connection open.
     Respond(&'static str),
-    /// Responds, and closes the connection without having announced it.
+    /// Sends this response, then closes the connection without a `Connection: close` header.
     RespondAndClose(&'static str),
-    /// Closes the connection.
+    /// Closes the connection without a response.
     Close,
-    /// Never responds.
+    /// Sends no response and keeps the connection open.
     NeverRespond,
 }
 
-/// What an upstream has seen.
+/// The requests that an upstream has received, and its numbers of connections.
 #[derive(Default)]
 struct Record {
     requests: Mutex<Vec<Message>>,
@@ -28,7 +28,7 @@
     closed_connections: AtomicUsize,
 }
 
-/// An upstream.
+/// An upstream that records its requests and connections.
 pub struct Upstream {
     pub address: SocketAddr,
     record: Arc<Record>,
@@ -53,7 +53,7 @@
         upstream
     }
 
-    /// An upstream that serves every request.
+    /// Starts an upstream that serves every request with [`OK_RESPONSE`].
     pub fn healthy() -> Self {
         Self::start(Behavior::Respond(OK_RESPONSE))
     }
@@ -66,11 +66,12 @@
         self.record.requests.lock().unwrap().len()
     }
 
+    /// Returns the number of connections that have been accepted, closed ones included.
     pub fn connection_count(&self) -> usize {
         self.record.opened_connections.load(Ordering::SeqCst)
     }
 
-    /// Connections that have been closed, by either side.
+    /// Returns the number of connections that either side has closed.
     pub fn closed_connection_count(&self) -> usize {
         self.record.closed_connections.load(Ordering::SeqCst)
     }
@@ -94,8 +95,8 @@
     record.closed_connections.fetch_add(1, Ordering::SeqCst);
 }
 
-/// An address at which nobody listens. Its port stays taken, so that no other peer of these tests
-/// gets it.
+/// Returns an address that refuses connections. Its port stays bound, so that the system does not
+/// assign it to another peer of these tests.
 pub fn unreachable_address() -> SocketAddr {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -104,10 +105,10 @@
     address
 }
 
-/// An upstream, or discovery, whose connections the test itself reads and writes, in the order in
-/// which they come.
+/// An upstream or a stand-in for discovery whose connections the test itself reads and writes.
 pub struct RawPeer {
     pub address: SocketAddr,
+    /// The accepted connections, in the order of their arrival.
     pub connections: Receiver<TcpStream>,
 }
 
@@ -129,13 +130,13 @@
         }
     }
 
-    /// The next connection.
+    /// Waits for the next connection, for at most [`TIMEOUT`].
     pub fn next_connection(&self) -> TcpStream {
         let connection = self.connections.recv_timeout(TIMEOUT);
         connection.expect("a connection")
     }
 
-    /// The next connection, with the request on it read.
+    /// Waits for the next connection and reads one request from it.
     pub fn next_connection_with_request(&self) -> TcpStream {
         let connection = self.next_connection();
         assert!(read_request(&connection).is_some(), "a request");
--- a/balancer/tests/common/upstream_pool.rs
+++ b/balancer/tests/common/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! The balancer's connections to upstreams, in the test's own process.
+//! The balancer's pool of connections to upstreams, run in the test's own process.
 
 use super::{EMPTY_RESPONSE, TIMEOUT};
 use bytes::Bytes;
@@ -16,12 +16,13 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-/// The upstream that a [`TestPool`] begins with.
+/// The id of the upstream of a [`TestPool`].
 pub const UPSTREAM: UpstreamId = UpstreamId(7);
-/// Longer than a connection rests after a response before it is used again.
+/// The time for which tests wait after a response, until its connection can be used again. It is
+/// longer than the connection's cooldown of 30 ms.
 pub const COOLDOWN_WAIT: Duration = Duration::from_millis(40);
 
-/// Settings in which nothing times out before the test does.
+/// Returns settings whose connection timeouts are as long as the test's own timeout.
 pub fn long_timeout_settings() -> Settings {
     Settings {
         connect_timeout: TIMEOUT,
@@ -30,7 +31,7 @@
     }
 }
 
-/// The state of a ready endpoint.
+/// Returns the state of a ready endpoint at this address.
 pub fn ready_endpoint(address: SocketAddr) -> EndpointState {
     EndpointState {
         address: Some(address),
@@ -39,7 +40,7 @@
     }
 }
 
-/// A listening socket with options that the standard library does not offer.
+/// Returns a listening socket with a backlog and options that the standard library cannot set.
 pub fn raw_listener(configure: impl FnOnce(&Socket), backlog: i32) -> Socket {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     configure(&listener);
@@ -49,26 +50,29 @@
     listener
 }
 
-/// The same socket for use with tokio.
+/// Converts a listening socket into a tokio listener.
 pub fn into_tokio_listener(listener: Socket) -> TcpListener {
     listener.set_nonblocking(true).unwrap();
     TcpListener::from_std(listener.into()).unwrap()
 }
 
-/// Connections to one ready upstream, which the test plays.
+/// The balancer's connections to one ready upstream, whose side the test reads and writes.
 pub struct TestPool {
     pub upstreams: Rc<Upstreams>,
+    /// The upstream's listener.
     pub listener: TcpListener,
-    /// The state of the upstream's endpoint.
+    /// The state of the upstream's endpoint. It takes effect with [`Self::apply_endpoint`].
     pub endpoint: EndpointState,
 }
 
 impl TestPool {
+    /// Starts a pool with at most `max_connections` open connections.
     pub async fn start(max_connections: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         Self::with_listener(listener, max_connections)
     }
 
+    /// Creates a pool whose upstream accepts connections on `listener`.
     pub fn with_listener(listener: TcpListener, max_connections: usize) -> Self {
         let upstreams = Rc::new(Upstreams::new(&long_timeout_settings(), max_connections));
         let endpoint = ready_endpoint(listener.local_addr().unwrap());
@@ -80,29 +84,30 @@
         }
     }
 
-    /// Applies the endpoint's state after a change by the test.
+    /// Applies the endpoint's state after the test has changed it.
     pub fn apply_endpoint(&self) {
         self.upstreams.apply_endpoint(UPSTREAM, &self.endpoint);
     }
 
+    /// Sends a request to the upstream; see [`attempt`].
     pub async fn attempt(&self, body_length: usize, time_limit: Duration) -> AttemptResult {
         attempt(&self.upstreams, UPSTREAM, body_length, time_limit).await
     }
 
-    /// Begins an attempt that goes on beside the test.
+    /// Starts an attempt in a separate task.
     pub fn spawn_attempt(&self) -> JoinHandle<AttemptResult> {
         let upstreams = Rc::clone(&self.upstreams);
         spawn_local(async move { attempt(&upstreams, UPSTREAM, 1, TIMEOUT).await })
     }
 
-    /// The next connection, with its request read.
+    /// Accepts the next connection and reads the first bytes of its request.
     pub async fn accept_request(&self) -> TcpStream {
         let (mut stream, _) = self.listener.accept().await.unwrap();
         assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
         stream
     }
 
-    /// Serves the request on the next connection.
+    /// Accepts the next connection and responds to its request with [`EMPTY_RESPONSE`].
     pub async fn serve_next(&self) -> TcpStream {
         let mut stream = self.accept_request().await;
         stream.write_all(EMPTY_RESPONSE.as_bytes()).await.unwrap();
@@ -110,7 +115,8 @@
     }
 }
 
-/// Sends a request to the upstream and waits for its response up to a time.
+/// Sends a request with a body of `body_length` bytes to the upstream `id`, and waits for the
+/// response for at most `time_limit`.
 pub async fn attempt(
     upstreams: &Upstreams,
     id: UpstreamId,
@@ -123,8 +129,8 @@
         headers: HeaderMap::new(),
         body: Bytes::from(vec![b'x'; body_length]),
     };
-    let give_up_at = Instant::now() + time_limit;
+    let expires_at = Instant::now() + time_limit;
     upstreams
-        .attempt(id, &request, give_up_at, &Cell::default())
+        .attempt(id, &request, expires_at, &Cell::default())
         .await
 }
