--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration file, and errors in it.
+//! Parsing of the configuration file, and the errors for invalid values.
 
 use frostkeel_balancer::config::{Config, RESERVED_SOCKETS};
 use frostkeel_membership::PeerIndex;
