--- a/balancer/tests/config.rs
+++ b/balancer/tests/config.rs
@@ -44,7 +44,11 @@
             r#""page": "10.0.0.4:80""#,
             "loopback",
         ),
-        (r#""name": "n0""#, r#""name": "n 0""#, "no name"),
+        (
+            r#""name": "n0""#,
+            r#""name": "n 0""#,
+            r#"a name must have 1 to 16 ASCII letters, digits, '.', '_' or '-', got "n 0""#,
+        ),
         (r#""fleet": "f""#, r#""fleets": "f""#, "fleets"),
     ] {
         let error = Config::parse(&with_membership.replace(from, to))
