--- a/balancer/tests/client_connections.rs
+++ b/balancer/tests/client_connections.rs
@@ -1,17 +1,19 @@
-//! Connections of clients: their number, and clients that keep them without a request.
+//! The limit on client connections, and clients that occupy a connection without a complete
+//! request.
 
 mod common;
 
 use common::{Client, TestConfig, Upstream, at_most_once_request, idempotent_request};
 
-/// A configuration in which few clients can be connected at a time.
+/// Returns a configuration with a low limit on client connections: 22.
 fn small_config(upstream: &Upstream) -> TestConfig {
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.max_sockets = 64;
     config
 }
 
-/// Clients that only keep their connections must not lock out others.
+/// Idle clients must not prevent others from connecting. At the limit, the connection that has been
+/// idle for the longest time is closed.
 #[test]
 fn closes_the_longest_idle_client_at_the_connection_limit() {
     let upstream = Upstream::healthy();
@@ -24,12 +26,13 @@
     }
     assert!(
         clients[0].is_closed_without_data(),
-        "the longest idle one was closed between requests"
+        "the connection that was idle for the longest time must be closed without data"
     );
     assert!(process.is_running());
 }
 
-/// Clients that begin a request and never complete it must not lock out others.
+/// Clients that send part of a request head and never complete it must not prevent others from
+/// being served.
 #[test]
 fn clients_with_unfinished_heads_do_not_block_others() {
     let upstream = Upstream::healthy();
@@ -43,8 +46,8 @@
     assert_eq!(process.status_of(&idempotent_request(8000)), 200);
 }
 
-/// A client that sends nothing, or stops within its request, soon gets an error or a close, however
-/// long it states that it would wait.
+/// A client that sends no request, or only part of one, must get an error or a close soon,
+/// regardless of the time left that its request states.
 #[test]
 fn closes_clients_that_never_complete_a_request() {
     let upstream = Upstream::healthy();
@@ -64,7 +67,7 @@
     };
     let mut clients: Vec<Client> = texts.into_iter().map(connect).collect();
     for (k, client) in clients.iter_mut().enumerate() {
-        // Reading fails after `TIMEOUT`, a third of what the last client states.
+        // Reading times out after `TIMEOUT`, a third of the time left that the last client states.
         let response = client.read_response();
         let is_error = response
             .as_ref()
