--- a/balancer/tests/endpoint_lease.rs
+++ b/balancer/tests/endpoint_lease.rs
@@ -1,8 +1,8 @@
-//! How long a balancer sends by an endpoint list that discovery no longer confirms. What discovery
-//! had counts as notified some seconds later whatever the polls for it met, and as soon as it was
-//! written on a response; a grace period after that, nothing may go to an upstream that could have
-//! begun to drain.
-#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
+//! How long a balancer sends requests with an endpoint list that discovery no longer confirms.
+//! Missed changes count as notified some seconds after the watch failed, regardless of later polls,
+//! or as soon as part of them is written to a response. A grace period later, nothing may be sent
+//! to an upstream that could be draining.
+#![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
 
@@ -15,55 +15,59 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// What a watch that fell silent has missed counts as notified after this time.
+/// The time after which changes that a silent watch missed count as notified.
 const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
-/// What a watch has missed that was closed counts as notified after the time that a poll for
-/// another takes.
+/// The time after which changes that a closed watch missed count as notified: the time that a poll
+/// for another watch takes.
 const NOTIFIED_AFTER_CLOSE: Duration = Duration::from_secs(2);
-/// The grace period after that.
+/// The time after a notification for which requests may still be sent to a draining upstream.
 const GRACE: Duration = Duration::from_secs(1);
-/// Discovery rejects polls that have waited in its queue for this long.
+/// The time for which a poll waits in discovery's queue before it is rejected.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(3);
-/// How long the balancer is observed after the grace period.
-const OBSERVED: Duration = Duration::from_millis(1500);
+/// The time for which the balancer is observed after the grace period.
+const OBSERVATION_TIME: Duration = Duration::from_millis(1500);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 const REJECTION: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// How the watch fails after its list.
+/// The failure of the watch after its first list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WatchFailure {
-    FallsSilent,
-    IsClosed,
+    Silent,
+    Closed,
 }
 
-/// What becomes of the polls that follow.
+/// The failure of the polls that follow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum PollFailure {
     Unanswered,
     Rejected,
+    /// The poll is rejected after [`MAX_QUEUE_TIME`].
     RejectedLate,
+    /// Only the head of the response is sent.
     HeadOnly,
+    /// Half of the list is sent.
     HalfList,
+    /// Half of the list is sent, then the connection is closed.
     HalfListAndClose,
 }
 
-/// The requests that tell whether the balancer sends by its list.
+/// Returns a request that succeeds only while the balancer sends requests with its list.
 fn request() -> String {
     at_most_once_request(5000, "x")
 }
 
-/// The line of a watch that has the whole list.
+/// Returns a line of a watch that contains the complete list.
 fn snapshot(upstream: &Upstream) -> String {
     let entry = endpoint_json("s-0", upstream.address, "Ready");
     endpoint_list_json(1, true, &[entry]) + "\n"
 }
 
-/// The same line as the beginning of a response.
+/// Returns the beginning of a watch's response: its head and this line.
 fn snapshot_response(snapshot: &str) -> String {
     format!("{CHUNKED_HEAD}{:x}\r\n{snapshot}\r\n", snapshot.len())
 }
 
-/// The bytes that a poll gets which is not rejected.
+/// Returns the part of a response that a poll gets; empty if it is rejected or unanswered.
 fn partial_response(failure: PollFailure, snapshot: &str) -> String {
     match failure {
         PollFailure::HeadOnly => CHUNKED_HEAD.to_owned(),
@@ -84,7 +88,8 @@
     });
 }
 
-/// Lets polls fail up to a time; returns when the first part of a response was written.
+/// Makes all polls fail until `end`. Returns when part of a response was first written; `None` if
+/// none was.
 fn fail_polls(
     polls: &Receiver<TcpStream>,
     failure: PollFailure,
@@ -112,7 +117,7 @@
     first_written_at
 }
 
-/// When the requests began that were served, up to a time.
+/// Sends requests until `end`, and returns the start times of those that were served.
 fn served_until(process: &BalancerProcess, end: Instant) -> Vec<Instant> {
     let mut served_at = Vec::new();
     let mut client = process.connect();
@@ -126,7 +131,7 @@
     served_at
 }
 
-/// Answers each poll with the whole list.
+/// Answers each poll with `response`, in a separate thread.
 fn answer_polls(polls: Receiver<TcpStream>, response: String) {
     std::thread::spawn(move || {
         let mut open = Vec::new();
@@ -137,7 +142,8 @@
     });
 }
 
-/// A watch fails after its list, and the polls that follow bring no list.
+/// Checks that the balancer stops sending in time when its watch fails after the first list and no
+/// later poll returns a list, and that a complete list lets it send again.
 fn check_lease(watch_failure: WatchFailure, poll_failure: PollFailure) {
     let upstream = Upstream::healthy();
     let mut balancer = PollingBalancer::start(&upstream);
@@ -146,14 +152,14 @@
     balancer.poll.write_all(response.as_bytes()).unwrap();
     let failed_at = Instant::now();
     let notified_after = match watch_failure {
-        WatchFailure::FallsSilent => NOTIFIED_AFTER_SILENCE,
-        WatchFailure::IsClosed => {
+        WatchFailure::Silent => NOTIFIED_AFTER_SILENCE,
+        WatchFailure::Closed => {
             balancer.poll.shutdown(Shutdown::Both).unwrap();
             NOTIFIED_AFTER_CLOSE
         }
     };
     let latest = failed_at + notified_after + GRACE;
-    let end = latest + OBSERVED;
+    let end = latest + OBSERVATION_TIME;
     let polls = balancer.discovery.connections;
     let failing = std::thread::spawn(move || {
         let first_written_at = fail_polls(&polls, poll_failure, &snapshot, end);
@@ -162,19 +168,19 @@
     let served_at = served_until(&balancer.process, end);
     let (first_written_at, polls) = failing.join().unwrap();
     let case = format!("{watch_failure:?}, {poll_failure:?}");
-    let early = failed_at + Duration::from_secs(2);
+    let initial_period_end = failed_at + Duration::from_secs(2);
     assert!(
-        served_at.iter().any(|time| *time < early),
-        "{case}: served at first"
+        served_at.iter().any(|time| *time < initial_period_end),
+        "{case}: no request was served in the first 2 s"
     );
-    // Nothing may be sent from `latest` on, whatever became of the polls; a response that broke off
-    // may have ended the lease earlier.
+    // The lease ends at `latest`, regardless of the polls. A partial response ends it earlier, one
+    // grace period after its first part.
     let expires_at = first_written_at.map_or(latest, |time| latest.min(time + GRACE));
     let late = served_at.iter().filter(|time| **time >= expires_at);
     let late: Vec<Duration> = late.map(|time| *time - failed_at).collect();
     assert!(
         late.is_empty(),
-        "{case}: sent at {late:?}, {:?} at the latest",
+        "{case}: requests were served {late:?} after the failure, but the lease ended after {:?}",
         expires_at - failed_at
     );
     // A complete list renews the lease.
@@ -184,7 +190,7 @@
     });
 }
 
-/// Checks these cases at the same time.
+/// Runs [`check_lease`] for all these poll failures at the same time.
 fn check_all(watch_failure: WatchFailure, poll_failures: &[PollFailure]) {
     std::thread::scope(|scope| {
         let checks: Vec<_> = poll_failures
@@ -193,11 +199,12 @@
             .collect();
         let results = checks.into_iter().map(|check| check.join());
         let failed = results.filter(Result::is_err).count();
-        assert_eq!(failed, 0, "cases that failed");
+        assert_eq!(failed, 0, "number of failed cases");
     });
 }
 
-/// Discovery is slow, overloaded or breaks off.
+/// The watch becomes silent. Then discovery does not answer, rejects polls late, or sends truncated
+/// responses.
 #[test]
 fn stops_sending_after_a_silent_watch_that_no_poll_confirms() {
     let poll_failures = [
@@ -207,18 +214,19 @@
         PollFailure::HalfList,
         PollFailure::HalfListAndClose,
     ];
-    check_all(WatchFailure::FallsSilent, &poll_failures);
+    check_all(WatchFailure::Silent, &poll_failures);
 }
 
-/// Discovery has closed the watch without an update, and polls for another are rejected at once or
-/// wait among many.
+/// Discovery closes the watch without an update. Then polls for another watch are rejected
+/// immediately or get no response.
 #[test]
 fn stops_sending_after_a_closed_watch_that_no_poll_confirms() {
     let poll_failures = [PollFailure::Unanswered, PollFailure::Rejected];
-    check_all(WatchFailure::IsClosed, &poll_failures);
+    check_all(WatchFailure::Closed, &poll_failures);
 }
 
-/// While discovery is down no balancer can be notified of anything, so the list stays in use.
+/// While discovery is down, no balancer can be notified of a change, so the list must remain in
+/// use.
 #[test]
 fn keeps_sending_while_discovery_is_unreachable() {
     let upstream = Upstream::healthy();
@@ -226,7 +234,7 @@
     config.polls_endpoints = true;
     let process = config.start();
     let start = Instant::now();
-    while start.elapsed() < NOTIFIED_AFTER_SILENCE + GRACE + OBSERVED {
+    while start.elapsed() < NOTIFIED_AFTER_SILENCE + GRACE + OBSERVATION_TIME {
         let status = process.status_of(&request());
         assert_eq!(status, 200, "after {:?}", start.elapsed());
         std::thread::sleep(Duration::from_millis(100));
