--- a/balancer/tests/endpoint_updates.rs
+++ b/balancer/tests/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates and the requests that follow them.
+//! The effect of endpoint updates on subsequent requests and on open connections.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// Once a balancer has been notified, nothing new goes there, not even on a connection that is
-/// still open.
+/// After the notification, no request may be sent to an upstream that is draining or removed, not
+/// even on a connection that was open before.
 #[test]
 fn sends_nothing_to_a_draining_or_removed_upstream() {
     for state in ["Terminating", "Gone"] {
@@ -26,7 +26,7 @@
         assert_eq!(client.exchange(&request).status(), 200);
         let entry = endpoint_json("s-0", upstream.address, state);
         balancer.watch.send(&endpoint_list_json(2, false, &[entry]));
-        wait_until("its idle connection is closed", || {
+        wait_until("the idle connection to the upstream is closed", || {
             upstream.closed_connection_count() == 1
         });
         assert_eq!(client.exchange(&request).status(), 503, "{state}");
@@ -34,7 +34,8 @@
     }
 }
 
-/// An upstream is known by its name, not by its address.
+/// An upstream is identified by its name. If its address changes, requests must go to the new
+/// address only.
 #[test]
 fn follows_an_upstream_to_its_new_address() {
     let (before, after) = (Upstream::healthy(), Upstream::healthy());
@@ -44,15 +45,15 @@
     assert_eq!(client.exchange(&request).status(), 200);
     let entry = endpoint_json("s-0", after.address, "Ready");
     balancer.watch.send(&endpoint_list_json(2, false, &[entry]));
-    wait_until("the connection to its old address is closed", || {
+    wait_until("the connection to the old address is closed", || {
         before.closed_connection_count() == 1
     });
     assert_eq!(client.exchange(&request).status(), 200);
     assert_eq!((before.request_count(), after.request_count()), (1, 1));
 }
 
-/// A line that can't be read may have been a drain, so the whole list is fetched. An entry of it
-/// that can't be read costs only itself.
+/// An unreadable line could be a drain, so the complete list must be requested. Unreadable entries
+/// in that list must not prevent the readable ones from being applied.
 #[test]
 fn refetches_the_list_after_an_unreadable_line() {
     let upstream = Upstream::healthy();
@@ -76,15 +77,17 @@
     assert!(balancer.process.is_running());
 }
 
-/// A watch may be dead without having ended: one on which no line arrives for long is replaced.
+/// The connection of a failed watch may remain open. A watch must be replaced if it receives no
+/// line for too long.
 #[test]
-fn gives_up_a_silent_watch() {
+fn replaces_a_silent_watch() {
     let balancer = WatchingBalancer::start(&[unreachable_address()]);
-    // Each watch has a line first: a poll that was never answered is repeated for that reason.
+    // Each watch receives a line first. Otherwise the poll would be retried because it had no
+    // response, and the test would not show that silent watches are replaced.
     balancer.watch.send(&endpoint_list_json(2, true, &[]));
     let second = balancer.discovery.next_watch();
     second.send(&endpoint_list_json(3, true, &[]));
-    // Bytes without a line do not count either.
+    // Bytes without a line end do not count as a line.
     let mut stream = second.stream;
     std::thread::spawn(move || {
         while stream.write_all(b"1\r\n \r\n").is_ok() {
