--- a/balancer/tests/endpoint_watch.rs
+++ b/balancer/tests/endpoint_watch.rs
@@ -1,6 +1,6 @@
-//! The watch on the endpoint list: silence, heartbeats, and lists that are split, long, slow or
-//! partly unreadable.
-#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
+//! The watch on the endpoint list: silent watches, heartbeats, and lists that are split, long, slow
+//! or partly unreadable.
+#![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
 
@@ -18,23 +18,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a silent watch has missed counts as notified after this time.
+/// The time after which changes that a silent watch missed count as notified.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
-/// The request that tells whether upstream `s-0` may be sent to.
+/// Returns a request whose status shows whether upstream `s-0` may be sent requests: 200, or 503 if
+/// it is draining.
 fn request() -> String {
     at_most_once_request(5000, "x")
 }
 
-fn drain(upstream: &Upstream) -> String {
+fn draining_entry(upstream: &Upstream) -> String {
     endpoint_json("s-0", upstream.address, "Terminating")
 }
 
-fn ready(upstream: &Upstream) -> String {
+fn ready_entry(upstream: &Upstream) -> String {
     endpoint_json("s-0", upstream.address, "Ready")
 }
 
-/// Where lists are pushed, the balancer's agent knows of changes, so it is watched from the start.
+/// In automatic mode endpoints are pushed to a local agent, which receives the changes. The
+/// balancer must watch it from the start.
 #[test]
 fn watches_the_local_agent_from_the_start_in_automatic_mode() {
     let upstream = Upstream::healthy();
@@ -45,7 +47,7 @@
     let watch = agent.watches.recv_timeout(Duration::from_secs(3));
     let watch = watch.expect("a watch");
     assert!(watch.target.contains("stream=1"), "{watch:?}");
-    watch.send(&endpoint_list_json(2, false, &[drain(&upstream)]));
+    watch.send(&endpoint_list_json(2, false, &[draining_entry(&upstream)]));
     process.wait_for_status(&request(), 503);
 }
 
@@ -53,15 +55,15 @@
 fn reads_an_endpoint_list_with_line_breaks() {
     let upstream = Upstream::healthy();
     let balancer = WatchingBalancer::start(&[upstream.address]);
-    let text = endpoint_list_json(2, false, &[drain(&upstream)]);
+    let text = endpoint_list_json(2, false, &[draining_entry(&upstream)]);
     let text = text.replace('{', "{\n  ").replace(',', ",\n  ");
     balancer.watch.send(&text.replace('}', "\n}"));
     balancer.process.wait_for_status(&request(), 503);
-    let further = balancer.discovery.watches.try_recv();
-    assert!(further.is_err(), "the watch goes on");
+    let next_call = balancer.discovery.watches.try_recv();
+    assert!(next_call.is_err(), "the watch was reopened: {next_call:?}");
 }
 
-/// An entry that can't be read may have been a drain of its upstream.
+/// An unreadable entry could be a drain of its upstream.
 #[test]
 fn treats_an_unreadable_entry_as_a_drain() {
     let upstream = Upstream::healthy();
@@ -74,15 +76,15 @@
         let WatchingBalancer { process, watch, .. } = &balancer;
         assert_eq!(process.status_of(&request()), 200, "{unreadable}");
         watch.send(&endpoint_list_json(2, false, &[unreadable.to_owned()]));
-        wait_until(&format!("{unreadable} counts as a drain"), || {
+        wait_until(&format!("{unreadable} is treated as a drain"), || {
             process.status_of(&request()) == 503
         });
-        watch.send(&endpoint_list_json(3, false, &[ready(&upstream)]));
+        watch.send(&endpoint_list_json(3, false, &[ready_entry(&upstream)]));
         process.wait_for_status(&request(), 200);
     }
 }
 
-/// A change that can't be applied may have been a drain of any upstream.
+/// A change that cannot be applied could be a drain of any upstream.
 #[test]
 fn refetches_the_list_after_a_change_that_cannot_be_applied() {
     let upstream = Upstream::healthy();
@@ -94,7 +96,7 @@
         ),
         (
             "a change older than the list",
-            endpoint_list_json(3, false, &[ready(&upstream)]),
+            endpoint_list_json(3, false, &[ready_entry(&upstream)]),
         ),
         (
             "half a list and a heartbeat",
@@ -104,16 +106,17 @@
         ("half a string", "\"rev".to_owned()),
     ] {
         let balancer = WatchingBalancer::start(&[upstream.address]);
-        let snapshot = endpoint_list_json(5, true, &[ready(&upstream)]);
+        let snapshot = endpoint_list_json(5, true, &[ready_entry(&upstream)]);
         balancer.watch.send(&snapshot);
         balancer.watch.send(&line);
         let watch = balancer.discovery.watches.recv_timeout(TIMEOUT);
-        let watch = watch.unwrap_or_else(|e| panic!("{name}: no further watch: {e}"));
+        let watch = watch.unwrap_or_else(|e| panic!("{name}: no other watch: {e}"));
         assert!(watch.target.contains("index=0"), "{name}: {watch:?}");
     }
 }
 
-/// Wherever a watch falls silent, it is reopened in time for what it has missed to be known.
+/// A watch can become silent at any point of its response. It must be reopened before the changes
+/// that it missed count as notified.
 #[test]
 fn reopens_a_silent_watch_in_time() {
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
@@ -139,7 +142,8 @@
     });
 }
 
-/// A watch falls silent after this text.
+/// Sends `text` as the only part of the response to a poll, and checks that the balancer polls
+/// again in time.
 fn check_silent_watch(name: &str, text: &str) {
     let discovery = RawPeer::start();
     let mut config = TestConfig::with_upstreams(&[unreachable_address()]);
@@ -156,15 +160,15 @@
     assert!(delay < max_delay, "{name}: after {delay:?}");
 }
 
-/// Writes a list of 3,201 entries, all of which drain, in pieces over some seconds.
+/// Sends a list of 3,201 draining entries in 40 pieces, over 7 s.
 fn send_long_list_slowly(mut watch: &TcpStream, upstream: &Upstream) {
-    const PIECES: usize = 40;
+    const PIECE_COUNT: usize = 40;
     const PAUSE: Duration = Duration::from_millis(175);
     let others = 0..3200;
     let others = others.map(|k| endpoint_json(&format!("t-{k}"), upstream.address, "Terminating"));
-    let entries: Vec<String> = others.chain([drain(upstream)]).collect();
+    let entries: Vec<String> = others.chain([draining_entry(upstream)]).collect();
     let text = endpoint_list_json(2, true, &entries) + "\n";
-    for piece in text.as_bytes().chunks(text.len().div_ceil(PIECES)) {
+    for piece in text.as_bytes().chunks(text.len().div_ceil(PIECE_COUNT)) {
         write!(watch, "{:x}\r\n", piece.len()).unwrap();
         watch.write_all(piece).unwrap();
         watch.write_all(b"\r\n").unwrap();
@@ -172,8 +176,8 @@
     }
 }
 
-/// A list that goes on arriving is read to its end, on a watch and as the response to the first
-/// poll.
+/// A list that takes seconds to receive must be read completely while data continues to arrive,
+/// both on an open watch and as the response to the first poll.
 #[test]
 fn reads_a_long_list_that_arrives_slowly() {
     let upstream = Upstream::healthy();
@@ -182,16 +186,19 @@
             let balancer = WatchingBalancer::start(&[upstream.address]);
             send_long_list_slowly(&balancer.watch.stream, &upstream);
             balancer.process.wait_for_status(&request(), 503);
-            let further = balancer.discovery.watches.try_recv();
-            assert!(further.is_err(), "the watch goes on");
+            let next_call = balancer.discovery.watches.try_recv();
+            assert!(next_call.is_err(), "the watch was reopened: {next_call:?}");
         });
         scope.spawn(|| {
             let mut balancer = PollingBalancer::start(&upstream);
             balancer.poll.write_all(CHUNKED_HEAD.as_bytes()).unwrap();
             send_long_list_slowly(&balancer.poll, &upstream);
             balancer.process.wait_for_status(&request(), 503);
-            let further = balancer.discovery.connections.try_recv();
-            assert!(further.is_err(), "the first poll goes on");
+            let next_call = balancer.discovery.connections.try_recv();
+            assert!(
+                next_call.is_err(),
+                "the first poll was repeated: {next_call:?}"
+            );
         });
     });
 }
@@ -202,14 +209,17 @@
     let mut balancer = PollingBalancer::start(&upstream);
     balancer.poll.write_all(CHUNKED_HEAD.as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(1500));
-    let snapshot = endpoint_list_json(2, true, &[ready(&upstream)]);
+    let snapshot = endpoint_list_json(2, true, &[ready_entry(&upstream)]);
     send_chunked_line(&balancer.poll, &snapshot);
     balancer.process.wait_for_status(&request(), 200);
-    let further = balancer.discovery.connections.try_recv();
-    assert!(further.is_err(), "the first poll goes on");
+    let next_call = balancer.discovery.connections.try_recv();
+    assert!(
+        next_call.is_err(),
+        "the first poll was repeated: {next_call:?}"
+    );
 }
 
-/// Blank lines must not keep a watch alive that has broken off within a line.
+/// A watch whose last line is incomplete must be reopened, even if blank lines follow.
 #[test]
 fn blank_lines_within_a_list_are_not_heartbeats() {
     let upstream = Upstream::healthy();
@@ -222,14 +232,14 @@
         }
     });
     let watch = balancer.discovery.watches.recv_timeout(NOTIFIED_WITHIN);
-    let watch = watch.expect("a further watch");
+    let watch = watch.expect("another watch");
     assert!(watch.target.contains("index=0"), "{watch:?}");
 }
 
-/// Idle clients use all descriptors that are theirs, while discovery is down, comes back and has
-/// moved.
+/// More idle clients connect than the descriptor limit allows. Requests must still be served, and
+/// discovery, which is first unreachable, must be watched at its new address.
 #[test]
-fn idle_clients_leave_descriptors_for_discovery_and_upstreams() {
+fn idle_clients_do_not_exhaust_descriptors_of_discovery_and_upstreams() {
     let upstream = Upstream::healthy();
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.max_sockets = 64;
@@ -241,7 +251,7 @@
     config.discovery = discovery.address;
     process.reload(&config.to_json());
     let watch = discovery.next_watch();
-    watch.send(&endpoint_list_json(2, true, &[ready(&upstream)]));
+    watch.send(&endpoint_list_json(2, true, &[ready_entry(&upstream)]));
     for _ in 0..10 {
         assert_eq!(process.status_of(&idempotent_request(5000)), 200);
     }
@@ -249,13 +259,14 @@
     drop(idle_clients);
 }
 
-/// A watch is replaced at SIGHUP or by a poll, and its task may still be reading.
+/// A watch is replaced at SIGHUP or by a poll, while its task may still be reading. The lines that
+/// it reads after that must not be reported.
 #[tokio::test(flavor = "local")]
-async fn replaced_watch_reports_no_more_events() {
+async fn replaced_watch_reports_no_events() {
     let discovery = Discovery::start();
     let client = Rc::new(DiscoveryClient::new(discovery.address, Names::default()));
     let scopes = Rc::new(RefCell::new(Vec::new()));
-    let number = client.begin_watch();
+    let watch_id = client.begin_watch();
     let (watching, reported) = (Rc::clone(&client), Rc::clone(&scopes));
     let task = tokio::task::spawn_local(async move {
         let report = |event| match event {
@@ -263,7 +274,7 @@
             DiscoveryEvent::Partial(_) => (),
             other => panic!("{other:?}"),
         };
-        watching.watch(number, report).await;
+        watching.watch(watch_id, report).await;
     });
     let watch = tokio::task::spawn_blocking(move || discovery.next_watch());
     let watch = watch.await.unwrap();
@@ -275,15 +286,14 @@
     watch.send(&endpoint_list_json(6, true, &[]));
     drop(watch);
     let ended = tokio::time::timeout(TIMEOUT, task).await;
-    ended.expect("the task ends").unwrap();
+    ended.expect("the task of the replaced watch ends").unwrap();
     assert_eq!(
         *scopes.borrow(),
         [UpdateScope::Delta, UpdateScope::Snapshot]
     );
 }
 
-/// On a healthy watch on which nothing has changed a heartbeat answers the poll, so it is not
-/// repeated.
+/// On a watch without changes, a heartbeat completes the poll. The poll must not be repeated.
 #[test]
 fn heartbeat_completes_the_poll() {
     let discovery = Discovery::start();
@@ -292,6 +302,6 @@
     let _process = config.start();
     let watch = discovery.next_watch();
     watch.send("");
-    let further = discovery.watches.recv_timeout(Duration::from_millis(2500));
-    assert!(further.is_err(), "polled again: {further:?}");
+    let next_call = discovery.watches.recv_timeout(Duration::from_millis(2500));
+    assert!(next_call.is_err(), "the poll was repeated: {next_call:?}");
 }
