--- a/balancer/tests/end_to_end.rs
+++ b/balancer/tests/end_to_end.rs
@@ -1,4 +1,5 @@
-//! Requests and responses through the balancer as a process, between small peers on loopback.
+//! Requests and responses that pass through a balancer process, between clients and upstreams on
+//! loopback.
 
 mod common;
 
@@ -12,7 +13,7 @@
     "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 const PLAIN_503: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
 const TRUNCATED_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nhalf";
-/// The statuses after which a client may take it that its request has run, or retry it.
+/// The statuses that tell a client that its request has run, or that it can safely be retried.
 const SUCCESS_OR_RETRYABLE: [u16; 3] = [200, 429, 503];
 
 #[test]
@@ -22,7 +23,7 @@
     let process = TestConfig::with_upstreams(&[upstream.address]).start();
     let mut client = process.connect();
     for _ in 0..3 {
-        // A connection that has just been used is left to rest for 30 ms.
+        // A connection is used again only after its cooldown of 30 ms.
         std::thread::sleep(COOLDOWN_WAIT);
         let response = client.exchange(&at_most_once_request(TIME_LEFT_MS, "a day"));
         assert_eq!((response.status(), &response.body[..]), (200, &b"done"[..]));
@@ -42,7 +43,8 @@
     );
 }
 
-/// A request that may have run is not sent again, nor rejected as if a retry were harmless.
+/// If an at-most-once request may have run, it must not be sent again, and the status must not tell
+/// the client that a retry is safe.
 #[test]
 fn fails_an_at_most_once_request_that_may_have_run() {
     for behavior in [
@@ -64,7 +66,7 @@
     }
 }
 
-/// The other side of that: a request that was proved not to have run goes to another upstream.
+/// If an at-most-once request has provably not run, it must be sent to another upstream.
 #[test]
 fn retries_an_at_most_once_request_that_never_ran() {
     let rejecting = Upstream::start(Behavior::Respond(REJECTED_UNPROCESSED));
@@ -89,10 +91,10 @@
     assert!(seconds > 0.0 && seconds <= 1.0, "{seconds}");
 }
 
-/// A connection that the upstream has closed while it was idle is not used: the request could then
-/// not be told from one that ran.
+/// A connection that the upstream closed while it was idle must not be used. If a request were
+/// written to it, the balancer could not prove that the request did not run.
 #[test]
-fn connection_closed_while_idle_costs_no_request() {
+fn no_request_is_lost_on_a_connection_closed_while_idle() {
     let upstream = Upstream::start(Behavior::RespondAndClose(OK_RESPONSE));
     let process = TestConfig::with_upstreams(&[upstream.address]).start();
     let mut client = process.connect();
@@ -102,7 +104,7 @@
         wait_until("the upstream has closed its connection", || {
             upstream.closed_connection_count() == n
         });
-        // Only a connection that has rested would be used again.
+        // A connection could be used again only after its cooldown.
         std::thread::sleep(COOLDOWN_WAIT);
     }
     assert_eq!(
@@ -128,7 +130,7 @@
     });
     assert!(
         disconnected_at.elapsed() < Duration::from_secs(5),
-        "by the disconnect, not by the deadline"
+        "the connection was closed at the deadline, not at the disconnect"
     );
 }
 
@@ -143,10 +145,11 @@
     });
 }
 
-/// The longest body that the balancer forwards.
+/// The length of the longest body that the balancer forwards.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// None of them stops the balancer or reaches an upstream.
+/// An invalid request must get an error, must not reach an upstream, and must not stop the
+/// balancer.
 #[test]
 fn rejects_invalid_requests_without_forwarding_them() {
     let upstream = Upstream::healthy();
