--- a/balancer/tests/error_origin.rs
+++ b/balancer/tests/error_origin.rs
@@ -7,11 +7,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// An upstream must not be ejected for what this machine ran out of, and an accept must not give up
-/// the connections that wait behind one that has been aborted.
+/// A shortage on this machine must not count against an upstream. A connection that is aborted
+/// before it is accepted must not prevent the next ones in the queue from being accepted.
 #[test]
 fn classifies_system_errors_by_origin() {
-    // Number, name, origin on a connection, origin of a failed accept.
+    // Error number, name, origin of an error on a connection, origin of an error of `accept`.
     let errors = [
         (1, "EPERM", Local, Local),
         (4, "EINTR", Transient, Transient),
@@ -38,13 +38,9 @@
         assert_eq!(
             ErrorOrigin::of(&error),
             connection,
-            "{name} of a connection"
-        );
-        assert_eq!(
-            ErrorOrigin::of_accept(&error),
-            accept,
-            "{name} of an accept"
+            "{name} on a connection"
         );
+        assert_eq!(ErrorOrigin::of_accept(&error), accept, "{name} of `accept`");
     }
 }
 
@@ -57,8 +53,8 @@
     }
 }
 
-/// A signal must not be taken for the end of a connection: the call is retried, and nothing else is
-/// changed.
+/// A call that a signal interrupts must be retried, not treated as the end of the connection. All
+/// other results must be returned unchanged.
 #[test]
 fn retries_an_interrupted_call() {
     let wakes = Arc::new(WakeCounter::default());
@@ -69,7 +65,11 @@
         retry_if_interrupted(failed(4), &context).is_pending(),
         "EINTR"
     );
-    assert_eq!(wakes.0.load(Ordering::SeqCst), 1, "it is polled again");
+    assert_eq!(
+        wakes.0.load(Ordering::SeqCst),
+        1,
+        "the task is woken to retry"
+    );
     assert!(
         matches!(
             retry_if_interrupted(failed(104), &context),
@@ -82,5 +82,9 @@
         Poll::Ready(Ok(3))
     ));
     assert!(retry_if_interrupted(Poll::<io::Result<usize>>::Pending, &context).is_pending());
-    assert_eq!(wakes.0.load(Ordering::SeqCst), 1, "no further wake");
+    assert_eq!(
+        wakes.0.load(Ordering::SeqCst),
+        1,
+        "the task is not woken again"
+    );
 }
