--- a/balancer/tests/fleet_size.rs
+++ b/balancer/tests/fleet_size.rs
@@ -1,6 +1,6 @@
-//! What one balancer uses as its fleet grows sixteenfold: the same traffic, capacity and limits for
-//! each balancer, 900 of them with 3,200 upstreams in place of 300 with 200, and a list that goes on
-//! changing.
+//! Compares the resources that one balancer uses in a small fleet, with 300 balancers and 200
+//! upstreams, and in a large fleet, with 900 balancers and 3,200 upstreams. Traffic, capacity and
+//! limits of the balancer are the same, and the endpoint list changes continuously.
 
 mod common;
 
@@ -11,30 +11,32 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Listeners behind all upstreams of a fleet.
-const LISTENERS: usize = 16;
+/// The number of listeners that all upstreams of a fleet share.
+const LISTENER_COUNT: usize = 16;
 const RUN_TIME: Duration = Duration::from_secs(6);
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How much the processor time may grow. The operators' bound holds for the program as it is
-/// shipped (`cargo test --release -p frostkeel-balancer --test fleet_size`); without optimization
-/// its passes over the list take longer.
-const MAX_CPU_GROWTH: f64 = if cfg!(debug_assertions) { 4.0 } else { 1.4 };
+/// The maximum growth factor of the CPU time. The operators' bound, 1.4, applies to the optimized
+/// build (`cargo test --release -p frostkeel-balancer --test fleet_size`). Without optimization,
+/// iterating over the list takes longer.
+const MAX_CPU_GROWTH_FACTOR: f64 = if cfg!(debug_assertions) { 4.0 } else { 1.4 };
 
-/// What a balancer used and served in one run.
+/// The resources that a balancer used in one run, and the fraction of requests that it served.
 #[derive(Debug)]
 struct Usage {
     cpu_s: f64,
     peak_memory_mb: f64,
+    /// The largest number of open descriptors.
     descriptors: usize,
+    /// The number of connections opened to upstreams.
     connections: usize,
-    served_share: f64,
+    served_fraction: f64,
 }
 
-/// A list in which one upstream begins to drain and another one is added.
+/// Returns a delta in which one upstream begins to drain and another one is added.
 fn update(revision: u64, upstreams: &[Upstream]) -> String {
-    let address = upstreams[revision as usize % LISTENERS].address;
+    let address = upstreams[revision as usize % LISTENER_COUNT].address;
     let draining = endpoint_json(&format!("s-{revision}"), address, "Terminating");
     let added = endpoint_json(&format!("t-{revision}"), address, "Ready");
     endpoint_list_json(revision, false, &[draining, added])
@@ -49,11 +51,11 @@
     }
 }
 
-/// Runs one balancer of a fleet.
+/// Runs one balancer of a fleet with these numbers of balancers and upstreams.
 fn run_balancer(balancers: usize, upstream_count: usize) -> Usage {
-    let upstreams: Vec<Upstream> = (0..LISTENERS).map(|_| Upstream::healthy()).collect();
+    let upstreams: Vec<Upstream> = (0..LISTENER_COUNT).map(|_| Upstream::healthy()).collect();
     let addresses: Vec<_> = (0..upstream_count)
-        .map(|k| upstreams[k % LISTENERS].address)
+        .map(|k| upstreams[k % LISTENER_COUNT].address)
         .collect();
     let mut config = TestConfig::with_upstreams(&addresses);
     config.balancers = balancers;
@@ -80,26 +82,26 @@
         peak_memory_mb: process.peak_memory_mb(),
         descriptors,
         connections: upstreams.iter().map(Upstream::connection_count).sum(),
-        served_share: served as f64 / sent as f64,
+        served_fraction: served as f64 / sent as f64,
     }
 }
 
-/// The bounds are the operators'.
+/// The operators set the bounds of this test.
 #[test]
-fn resource_use_is_bounded_in_a_fleet_sixteen_times_as_large() {
+fn resource_use_is_bounded_with_sixteen_times_as_many_upstreams() {
     const THOUSANDS_OF_UPSTREAMS: f64 = 3.2;
-    let usual = run_balancer(300, 200);
+    let small = run_balancer(300, 200);
     let large = run_balancer(900, 3200);
-    let context = format!("{large:?}, {usual:?}");
+    let context = format!("{large:?}, {small:?}");
     println!("{context}");
-    let max_cpu_s = MAX_CPU_GROWTH * usual.cpu_s + 0.02 + 0.03 * THOUSANDS_OF_UPSTREAMS;
+    let max_cpu_s = MAX_CPU_GROWTH_FACTOR * small.cpu_s + 0.02 + 0.03 * THOUSANDS_OF_UPSTREAMS;
     assert!(large.cpu_s <= max_cpu_s, "{context}");
-    let max_memory_mb = 1.5 * usual.peak_memory_mb + 8.0 + 4.0 * THOUSANDS_OF_UPSTREAMS;
+    let max_memory_mb = 1.5 * small.peak_memory_mb + 8.0 + 4.0 * THOUSANDS_OF_UPSTREAMS;
     assert!(large.peak_memory_mb <= max_memory_mb, "{context}");
-    let max_descriptors = 2 * usual.descriptors + 40;
+    let max_descriptors = 2 * small.descriptors + 40;
     assert!(large.descriptors <= max_descriptors, "{context}");
-    let max_connections = usual.connections * 5 / 2 + 40;
+    let max_connections = small.connections * 5 / 2 + 40;
     assert!(large.connections <= max_connections, "{context}");
-    let min_served_share = 0.85 * usual.served_share;
-    assert!(large.served_share >= min_served_share, "{context}");
+    let min_served_fraction = 0.85 * small.served_fraction;
+    assert!(large.served_fraction >= min_served_fraction, "{context}");
 }
