--- a/balancer/tests/headers.rs
+++ b/balancer/tests/headers.rs
@@ -1,4 +1,4 @@
-//! Load reports, and headers that are not forwarded.
+//! Parsing of load reports, and removal of the headers that are not forwarded.
 
 use frostkeel_balancer::headers::{CORRELATION_ID, load_report, strip_hop_by_hop};
 use frostkeel_policy::LoadField;
