--- a/balancer/tests/members_page.rs
+++ b/balancer/tests/members_page.rs
@@ -1,5 +1,5 @@
-//! What a balancer shows of the membership: the page's JSON and the log lines that the lab reads, compared with
-//! committed data. Incarnations, times, ports and the digest of the view are masked, and the counters' digits left out.
+//! Compares the membership page's JSON and the membership's log lines, both of which the lab reads, with committed
+//! data. Incarnations, times, ports and the digest of the view are masked. The digits of the counters are removed.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command, Stdio};
 
-/// A balancer's process; killed when dropped.
+/// A balancer process, which is killed when dropped.
 struct Member(Child);
 
 impl Drop for Member {
@@ -18,7 +18,7 @@
     }
 }
 
-/// A configuration with a membership of two, of which the other is not there.
+/// Returns a configuration with two peers: this balancer, and one that is unreachable.
 fn configuration() -> String {
     let membership = format!(
         r#""peer_listen":"127.0.0.1:0","peers":["127.0.0.1:5","{}"],
@@ -30,13 +30,13 @@
         .replacen(r#""settings":{"#, &membership, 1)
 }
 
-/// What follows a key in a line of the log.
+/// Returns the value of the field `key=value` in a log line.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     line.split(' ')
         .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
-/// Masks the numbers behind these keys, whole words up to a comma, a space or a brace.
+/// Replaces the values that follow these keys by `<masked>`. A value ends at a comma, a space or a closing brace.
 fn masked(text: &str, keys: &[&str]) -> String {
     let mut masked = text.to_owned();
     for key in keys {
@@ -80,7 +80,7 @@
     let mut response = String::new();
     stream.read_to_string(&mut response).unwrap();
     let json = response.split("\r\n\r\n").nth(1).expect("a body");
-    // The counters depend on the moment: their digits are left out.
+    // The digits are removed because the counters vary between runs.
     let counters = json.find(r#""counters":"#).expect("counters");
     let (view, counters) = json.split_at(counters);
     lines.push(masked(
