--- a/balancer/tests/process_lifecycle.rs
+++ b/balancer/tests/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, reload and exit of the balancer's process.
+//! Start, reload and exit of the balancer process.
 
 mod common;
 
@@ -8,8 +8,8 @@
 };
 use std::process::{Command, Stdio};
 
-/// At SIGTERM the balancer is not ready any more, connections end with their next response, what is
-/// still unanswered gets its final response, and the process exits by itself.
+/// After SIGTERM, the balancer must report that it is not ready, close each connection after its
+/// next response, send a final response to each request in flight, and exit.
 #[test]
 fn shutdown_answers_all_accepted_requests() {
     let upstream = Upstream::start(Behavior::NeverRespond);
@@ -23,23 +23,25 @@
         upstream.request_count() == 1
     });
     process.terminate();
-    wait_until("the balancer is not ready any more", || {
+    wait_until("the balancer is no longer ready", || {
         let response = process.connect().exchange(READINESS_REQUEST);
         let status = response.status();
         assert!(status == 200 || response.header("connection") == Some("close"));
         status == 503
     });
-    let response = waiting.read_response().expect("a response before the end");
+    let response = waiting
+        .read_response()
+        .expect("a response before the balancer exits");
     assert!(
         ![200, 429, 503].contains(&response.status()),
-        "it may have run: {response:?}"
+        "the request may have run, but the status says otherwise: {response:?}"
     );
     assert!(idle.is_closed_without_data(), "idle connections are closed");
     assert!(process.wait_for_exit().success());
 }
 
-/// SIGHUP ends nothing, and updates come from discovery's new address. A file that can't be read
-/// changes nothing.
+/// A reload at SIGHUP must not interrupt the service. After it, updates come from discovery's new
+/// address. An unreadable configuration file must change nothing.
 #[test]
 fn reload_follows_discovery_to_its_new_address() {
     let upstream = Upstream::healthy();
@@ -78,7 +80,7 @@
     Command::new(env!("CARGO_BIN_EXE_frostkeel-balancer"))
 }
 
-/// A balancer with an invalid configuration does not start.
+/// A balancer with an invalid configuration must not start, and its error must name the setting.
 #[test]
 fn startup_error_names_the_invalid_setting() {
     let name = format!("frostkeel-balancer-bad-{}.json", std::process::id());
@@ -97,7 +99,7 @@
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(
             !output.status.success() && error.contains(named),
-            "{error} names {named}"
+            "the error must name {named}: {error}"
         );
     }
     std::fs::remove_file(&path).unwrap();
