--- a/balancer/tests/races_clients.rs
+++ b/balancer/tests/races_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect, flood, or read their responses slowly, while something else happens.
+//! Clients that disconnect during a request, send too many bytes, or read their responses slowly.
 
 mod common;
 
@@ -10,16 +10,17 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-/// How a client disconnects.
+/// The way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Close,
     Reset,
+    /// The client closes only its sending side.
     ShutdownWrite,
 }
 
 impl Disconnect {
-    /// Disconnects; returns the client if it goes on reading.
+    /// Disconnects the client; returns it if it can still read.
     fn perform(self, client: Client) -> Option<Client> {
         match self {
             Self::Close => client.disconnect(),
@@ -33,8 +34,8 @@
     }
 }
 
-/// However a client disconnects, and whatever of it waits unread behind its request, its attempt is
-/// cancelled at once and no further one begins.
+/// When a client disconnects, its attempt must be cancelled and no other one may start, regardless
+/// of the way in which it disconnects and of the number of bytes that it sent after its request.
 #[test]
 fn cancels_the_attempt_when_the_client_disconnects() {
     for disconnect in [
@@ -54,45 +55,47 @@
             attempt.set_read_timeout(Some(TIMEOUT)).unwrap();
             assert!(
                 read_request(&attempt).is_none(),
-                "{disconnect:?} with {extra_bytes} bytes behind: not cancelled"
+                "{disconnect:?} with {extra_bytes} extra bytes: the attempt was not cancelled"
             );
-            // If it counted as an error of the upstream, the next attempt would be sent now.
+            // If this response were evaluated, it would count as an upstream error and be retried.
             let _ = attempt.write_all(ERROR_RESPONSE.as_bytes());
             process.round_trip();
-            let further = upstream.connections.try_iter().count();
+            let later_attempts = upstream.connections.try_iter().count();
             assert_eq!(
-                further, 0,
-                "{disconnect:?} with {extra_bytes} bytes behind: attempts after the disconnect"
+                later_attempts, 0,
+                "{disconnect:?} with {extra_bytes} extra bytes: attempts after the disconnect"
             );
         }
     }
 }
 
-/// Sends a request with this correlation id.
-fn send_identified(client: &mut Client, correlation_id: &str) {
+/// Sends an idempotent request with this correlation id.
+fn send_with_correlation_id(client: &mut Client, correlation_id: &str) {
     client.write(&idempotent_request(8000).replace(CORRELATION_ID, correlation_id));
 }
 
-/// The site allows no attempt to be cancelled; one that still waits for a connection has not been
-/// sent, so it is dropped all the same.
+/// Even if cancellation is off, an attempt that still waits for a connection must be dropped when
+/// its client disconnects, because it has not been sent.
 #[test]
 fn drops_an_attempt_waiting_for_a_connection_when_the_client_disconnects() {
-    // Of 64 descriptors 24 are reserved, and of the rest 18 are for upstreams.
+    // Of 64 descriptors, 24 are reserved. Of the other 40, 18 are for connections to upstreams.
     const MAX_SOCKETS: usize = 64;
-    const MAX_CONNECTIONS: usize = 18;
+    const MAX_UPSTREAM_CONNECTIONS: usize = 18;
     let upstream = RawPeer::start();
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.max_sockets = MAX_SOCKETS;
     config.cancellation = false;
     let process = config.start();
-    let mut clients: Vec<Client> = (0..MAX_CONNECTIONS).map(|_| process.connect()).collect();
+    let mut clients: Vec<Client> = (0..MAX_UPSTREAM_CONNECTIONS)
+        .map(|_| process.connect())
+        .collect();
     for (k, client) in clients.iter_mut().enumerate() {
-        send_identified(client, &format!("in-flight-{k}"));
+        send_with_correlation_id(client, &format!("in-flight-{k}"));
     }
-    let connections: Vec<TcpStream> = (0..MAX_CONNECTIONS)
+    let connections: Vec<TcpStream> = (0..MAX_UPSTREAM_CONNECTIONS)
         .map(|_| upstream.next_connection())
         .collect();
-    // Each of them is in use by a request of its own: there is no connection for another.
+    // Each connection carries a different request, so none is available for another request.
     let ids: BTreeSet<String> = connections
         .iter()
         .map(|connection| {
@@ -100,14 +103,14 @@
             request.header("x-correlation-id").unwrap().to_owned()
         })
         .collect();
-    assert_eq!(ids.len(), MAX_CONNECTIONS, "{ids:?}");
+    assert_eq!(ids.len(), MAX_UPSTREAM_CONNECTIONS, "{ids:?}");
     let mut disconnecting = process.connect();
-    send_identified(&mut disconnecting, "disconnects");
+    send_with_correlation_id(&mut disconnecting, "disconnects");
     process.round_trip();
     disconnecting.disconnect();
     process.round_trip();
     let mut waiting = process.connect();
-    send_identified(&mut waiting, "waits");
+    send_with_correlation_id(&mut waiting, "waits");
     process.round_trip();
     let closing = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     for mut connection in connections {
@@ -121,8 +124,8 @@
     );
 }
 
-/// A connection that is closed with bytes unread is reset, which would discard the response: extra
-/// bytes are read before the close.
+/// If a connection is closed with bytes unread, it is reset, which discards the response. The
+/// balancer must read extra bytes before it closes the connection.
 #[test]
 fn response_is_complete_when_extra_bytes_follow_the_request() {
     const BODY_BYTES: usize = 60_000;
@@ -131,8 +134,8 @@
     let mut client = Client::connect_with_small_buffer(process.address);
     client.write(&idempotent_request(8000).replace("Host", "Connection: close\r\nHost"));
     let mut attempt = upstream.next_connection_with_request();
-    // The first of these may be read with the request; the second is not, unless the balancer takes
-    // care to.
+    // The balancer may read the first of these along with the request. The second one remains
+    // unread unless the balancer reads extra bytes.
     for _ in 0..2 {
         client.write("GET /look HTTP/1.1\r\nHost");
         process.round_trip();
@@ -149,8 +152,9 @@
     assert_eq!((response.status(), response.body.len()), (200, BODY_BYTES));
 }
 
-/// Each client that sends something else than a request, much of it or little, gets an error or a
-/// close; none of it reaches an upstream, and a valid request beside it is served.
+/// A client that sends a malformed or too long request must get an error, and its connection must
+/// be closed. Nothing of the request may reach an upstream, and valid requests must still be
+/// served.
 #[test]
 fn malformed_requests_get_an_error_and_do_not_affect_others() {
     let upstream = Upstream::healthy();
@@ -179,10 +183,10 @@
         let mut client = process.connect();
         client.write_nonblocking(text.as_bytes());
         let response = client.read_response();
-        let response = response.unwrap_or_else(|| panic!("an error for {shown:?}"));
+        let response = response.unwrap_or_else(|| panic!("no response to {shown:?}"));
         assert!(
             statuses.contains(&response.status()),
-            "{response:?} for {shown:?}"
+            "{response:?} to {shown:?}"
         );
         assert!(client.is_closed(), "{shown:?}");
     }
