--- a/balancer/tests/races_shutdown.rs
+++ b/balancer/tests/races_shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown, in a race with connections, requests and signals.
+//! Races of the graceful shutdown with connections, requests and signals.
 
 mod common;
 
@@ -10,11 +10,12 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// While all connections are in use, further ones wait in the listener's queue. The system has
-/// accepted them, and the listener is closed at the shutdown.
+/// While all client connections are in use, new ones wait in the listener's queue. The system has
+/// already accepted them, and closing the listener at the shutdown would discard them. Their
+/// requests must get a response.
 #[test]
 fn shutdown_serves_requests_waiting_in_the_accept_queue() {
-    // Of 64 descriptors 24 are reserved; 22 of the rest are for clients and 18 for upstreams.
+    // Of 64 descriptors, 24 are reserved. Of the other 40, 22 are for clients and 18 for upstreams.
     const MAX_SOCKETS: usize = 64;
     const MAX_CLIENTS: usize = 22;
     const MAX_UPSTREAM_CONNECTIONS: usize = 18;
@@ -27,11 +28,12 @@
     for client in &mut accepted {
         client.write(&at_most_once_request(1500, "x"));
     }
-    // Some send more behind their request, for which a connection would be reset at the exit.
+    // Some clients send a second request. If its bytes were unread at the exit, the connection
+    // would be reset.
     for client in accepted.iter_mut().step_by(3) {
         client.write(&idempotent_request(1500));
     }
-    wait_until("all are in flight or waiting", || {
+    wait_until("all upstream connections are in use", || {
         upstream.request_count() == MAX_UPSTREAM_CONNECTIONS
     });
     let mut waiting: Vec<Client> = (0..4).map(|_| process.connect()).collect();
@@ -48,8 +50,8 @@
     assert!(process.wait_for_exit().success());
 }
 
-/// A request arrives on an idle connection during the shutdown: it is served, or the connection
-/// ends before anything of it has been forwarded.
+/// A request that arrives on an idle connection during the shutdown must either be served, or not
+/// be forwarded at all before the connection is closed.
 #[test]
 fn shutdown_serves_or_never_forwards_requests_on_idle_connections() {
     let upstream = Upstream::healthy();
@@ -60,8 +62,8 @@
     }
     process.terminate();
     process.wait_until_draining();
-    // Each sends as soon as the one before has its response: some before the connections are
-    // closed, one or two at the same time, the rest after that.
+    // The clients send one after another, 60 ms apart: some before the balancer closes idle
+    // connections, one or two at about that time, and the rest later.
     let (mut served, mut closed) = (0, 0);
     for client in &mut clients {
         client.write_nonblocking(idempotent_request(3000).as_bytes());
@@ -87,8 +89,8 @@
     assert!(process.wait_for_exit().success());
 }
 
-/// Half of a request has arrived at SIGTERM: it is served if the rest arrives in time, and the
-/// process exits if it does not.
+/// Part of a request has arrived at SIGTERM. The request must be served if the rest arrives in
+/// time, and the process must exit even if it does not.
 #[test]
 fn shutdown_serves_a_partial_request_once_it_is_complete() {
     let upstream = Upstream::healthy();
@@ -114,8 +116,8 @@
     assert_eq!(upstream.request_count(), 2);
 }
 
-/// A second SIGTERM must not cut the shutdown short, and the endpoint list must not become stale
-/// because discovery moves after the shutdown has begun.
+/// A second SIGTERM must not end the shutdown early. If discovery moves during the shutdown, SIGHUP
+/// must still take effect, so that the endpoint list does not become stale.
 #[test]
 fn shutdown_ignores_repeated_sigterm_and_applies_sighup() {
     let upstream = RawPeer::start();
@@ -143,7 +145,7 @@
     assert!(process.wait_for_exit().success());
 }
 
-/// A balancer gets SIGTERM as soon as it serves, with discovery down.
+/// The balancer gets SIGTERM immediately after its start, while discovery is down.
 #[test]
 fn shutdown_right_after_start_answers_accepted_requests() {
     let upstream = Upstream::start(Behavior::NeverRespond);
