--- a/balancer/tests/races_simultaneous_events.rs
+++ b/balancer/tests/races_simultaneous_events.rs
@@ -1,6 +1,6 @@
-//! Two events at the same time: the balancer is suspended, both happen, and it resumes with both
-//! before it.
-#![expect(clippy::expect_used, reason = "a step that fails fails the test")]
+//! Races between two events. The balancer is suspended while both happen, so that both are pending
+//! when it resumes.
+#![expect(clippy::expect_used, reason = "a failed step fails the test")]
 
 mod common;
 
@@ -13,7 +13,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// A balancer with two upstreams at one address, whose connections the test reads and writes.
+/// A balancer with two upstreams at the same address, whose connections the test reads and writes.
 struct TwoUpstreams {
     process: BalancerProcess,
     upstream: RawPeer,
@@ -39,27 +39,29 @@
         client.write(&idempotent_request(8000));
         let mut attempt = upstream.next_connection_with_request();
         process.suspend();
-        // The failure is seen first, if events are seen in the order of time.
+        // The attempt fails before the client disconnects, so the balancer may process the failure
+        // first.
         attempt.write_all(error.as_bytes()).unwrap();
         attempt.shutdown(Shutdown::Both).unwrap();
         client.disconnect();
         process.resume();
         process.round_trip();
         let retry = upstream.connections.try_recv();
-        assert!(retry.is_err(), "a retry after {error:?}");
+        assert!(retry.is_err(), "a retry was sent after {error:?}");
     }
 }
 
-/// Many clients disconnect at once, half of them as their responses arrive.
+/// Many clients disconnect at the same time, half of them as their responses arrive. The remaining
+/// attempts must be cancelled, and the balancer must continue to serve requests.
 #[test]
-fn clients_that_disconnect_as_responses_arrive_leave_no_work_behind() {
-    const CLIENTS: usize = 40;
+fn cancels_attempts_when_clients_disconnect_as_responses_arrive() {
+    const CLIENT_COUNT: usize = 40;
     let TwoUpstreams { process, upstream } = TwoUpstreams::start(8000);
-    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| process.connect()).collect();
+    let mut clients: Vec<Client> = (0..CLIENT_COUNT).map(|_| process.connect()).collect();
     for client in &mut clients {
         client.write(&idempotent_request(8000));
     }
-    let mut attempts: Vec<TcpStream> = (0..CLIENTS)
+    let mut attempts: Vec<TcpStream> = (0..CLIENT_COUNT)
         .map(|_| upstream.next_connection_with_request())
         .collect();
     process.suspend();
@@ -74,7 +76,7 @@
         attempt.set_read_timeout(Some(TIMEOUT)).unwrap();
         assert!(
             read_request(attempt).is_none(),
-            "an attempt goes on for a client that is gone"
+            "an attempt continues although its client has disconnected"
         );
     }
     let mut client = process.connect();
@@ -85,17 +87,21 @@
     assert_eq!(response.status(), 200);
 }
 
-/// Reads the final response and sends another request on the connection: a second final response
-/// would be read in place of its own.
-fn read_only_response(client: &mut Client) -> u16 {
+/// Reads the final response and returns its status, after a check that no second one follows: the
+/// next request on the connection must get its own response.
+fn read_single_response(client: &mut Client) -> u16 {
     let status = client.read_response().expect("a response").status();
     let next = client.exchange(UNKNOWN_PATH_REQUEST);
-    assert_eq!(next.status(), 404, "a second response: {next:?}");
+    assert_eq!(
+        next.status(),
+        404,
+        "a second final response was sent: {next:?}"
+    );
     status
 }
 
 #[test]
-fn simultaneous_hedge_responses_give_one_final_response() {
+fn simultaneous_hedge_responses_result_in_one_final_response() {
     let TwoUpstreams { process, upstream } = TwoUpstreams::start(1500);
     let mut client = process.connect();
     client.write(&idempotent_request(1500));
@@ -108,12 +114,13 @@
         attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
     }
     process.resume();
-    assert_eq!(read_only_response(&mut client), 200);
+    assert_eq!(read_single_response(&mut client), 200);
 }
 
-/// The deadline passes as the last byte of the response arrives.
+/// The deadline passes at the same time as the response arrives. The client must get exactly one
+/// final response.
 #[test]
-fn response_at_the_deadline_gives_one_final_response() {
+fn response_at_the_deadline_results_in_one_final_response() {
     let TwoUpstreams { process, upstream } = TwoUpstreams::start(400);
     let mut client = process.connect();
     client.write(&at_most_once_request(400, "x"));
@@ -122,11 +129,12 @@
     attempt.write_all(OK_RESPONSE.as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(500));
     process.resume();
-    let status = read_only_response(&mut client);
+    let status = read_single_response(&mut client);
     assert!([200, 502].contains(&status), "{status}");
 }
 
-/// A request arrives as its connection is due to be closed for being idle.
+/// A request arrives at the same time as the idle timeout of its connection passes. It must be
+/// served.
 #[test]
 fn request_at_the_client_idle_timeout_is_served() {
     let upstream = Upstream::healthy();
@@ -141,7 +149,8 @@
     assert_eq!(response.status(), 200);
 }
 
-/// A drain is notified as requests arrive: none of them goes there.
+/// A drain update and a request arrive at the same time. Later requests must not be sent to the
+/// draining upstream.
 #[test]
 fn drain_update_applies_to_requests_that_arrive_with_it() {
     let upstream = Upstream::healthy();
@@ -155,7 +164,7 @@
     client.write(&idempotent_request(8000));
     process.resume();
     assert!(client.read_response().is_some());
-    // That request may have been read before the update; none that comes after it may go there.
+    // That request may have been processed before the update; later ones must not be.
     let before = upstream.request_count();
     for _ in 0..3 {
         assert_eq!(client.exchange(&idempotent_request(8000)).status(), 503);
@@ -163,8 +172,8 @@
     assert_eq!(upstream.request_count(), before);
 }
 
-/// A list must not become stale: a watch that ends without an update is reopened at once, and an
-/// upstream that the next snapshot does not contain is removed, though it still responds.
+/// A watch that ends without an update must be reopened, so that the list does not become stale. An
+/// upstream that the next snapshot does not contain must be removed, although it still responds.
 #[test]
 fn reopens_a_watch_that_ends_without_an_update() {
     let upstream = Upstream::healthy();
