--- a/balancer/tests/races_upstream_connections.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams, in a race with restarts, late responses and truncated responses.
-#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
+//! Races on connections to upstreams, with restarts, late responses and truncated responses.
+#![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
 
@@ -17,8 +17,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The upstream is listed with a new start while a response of the old process is under way: its
-/// connection must not carry a further request.
+/// The upstream is listed with a later start time while a request to its previous process is in
+/// flight. After the response, the connection to that process must be closed.
 #[tokio::test(flavor = "local")]
 async fn closes_connections_to_the_previous_incarnation() {
     let mut pool = TestPool::start(8).await;
@@ -32,63 +32,72 @@
     assert_eq!(
         pool.upstreams.open_connections(),
         0,
-        "the connection to the old process is retained"
+        "the connection to the previous process is still open"
     );
     assert_eq!(stream.read(&mut [0; 16]).await.unwrap(), 0);
 }
 
-/// What an upstream does after the first part of its response.
+/// The behavior of an upstream after the first part of its response.
 #[derive(Clone, Copy, Debug)]
-enum AfterPart {
+enum AfterFirstPart {
     Close,
     Reset,
     NeverContinue,
 }
 
-/// Writes part of a response; returns the connection if it stays open.
-async fn respond_in_part(pool: &TestPool, part: &str, then: AfterPart) -> Option<TcpStream> {
+/// Sends part of a response to the next request; returns the connection if it stays open.
+async fn send_partial_response(
+    pool: &TestPool,
+    part: &str,
+    then: AfterFirstPart,
+) -> Option<TcpStream> {
     let mut stream = pool.accept_request().await;
     stream.write_all(part.as_bytes()).await.unwrap();
     let linger = match then {
-        AfterPart::NeverContinue => return Some(stream),
-        AfterPart::Close => None,
-        AfterPart::Reset => Some(Duration::ZERO),
+        AfterFirstPart::NeverContinue => return Some(stream),
+        AfterFirstPart::Close => None,
+        AfterFirstPart::Reset => Some(Duration::ZERO),
     };
-    // The bytes have to be there before the reset, which would overtake them.
+    // The balancer must receive the bytes before the reset, which would discard them.
     tokio::task::yield_now().await;
     SockRef::from(&stream).set_linger(linger).unwrap();
     None
 }
 
-/// A truncated response must not pass for a complete one, nor be waited for longer than the time
-/// limit. One without a length ends with its connection; a reset does not complete it.
+/// A truncated response must not be forwarded, and its attempt must end at the time limit. A
+/// response without a length is complete if its connection is closed, but not if it is reset.
 #[tokio::test(flavor = "local")]
 async fn truncated_response_is_not_forwarded() {
     let no_length = "HTTP/1.1 200 OK\r\n\r\nhalf";
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n";
     let (short, long) = (Duration::from_millis(50), TIMEOUT);
     for (part, then, time_limit, outcome) in [
-        (no_length, AfterPart::Close, long, Outcome::Ok),
-        (no_length, AfterPart::Reset, long, Outcome::Error),
+        (no_length, AfterFirstPart::Close, long, Outcome::Ok),
+        (no_length, AfterFirstPart::Reset, long, Outcome::Error),
         (
             no_length,
-            AfterPart::NeverContinue,
+            AfterFirstPart::NeverContinue,
+            short,
+            Outcome::TimedOut,
+        ),
+        (chunked, AfterFirstPart::Close, long, Outcome::Error),
+        (chunked, AfterFirstPart::Reset, long, Outcome::Error),
+        (
+            chunked,
+            AfterFirstPart::NeverContinue,
             short,
             Outcome::TimedOut,
         ),
-        (chunked, AfterPart::Close, long, Outcome::Error),
-        (chunked, AfterPart::Reset, long, Outcome::Error),
-        (chunked, AfterPart::NeverContinue, short, Outcome::TimedOut),
     ] {
         let pool = TestPool::start(8).await;
-        let respond = respond_in_part(&pool, part, then);
+        let respond = send_partial_response(&pool, part, then);
         let (ended, _open) = tokio::join!(pool.attempt(1, time_limit), respond);
         assert_eq!(ended.outcome, outcome, "{part:?}, then {then:?}");
         assert_eq!(ended.response.is_some(), outcome == Outcome::Ok);
     }
 }
 
-/// Bytes that belong to no request: the connection must not be used any more.
+/// A connection that receives bytes while no request is in flight must not be used again.
 #[tokio::test(flavor = "local")]
 async fn unsolicited_bytes_close_an_idle_connection() {
     for unsolicited in [
@@ -99,7 +108,7 @@
         let pool = TestPool::start(8).await;
         let (ended, mut stream) = tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next());
         assert_eq!(ended.outcome, Outcome::Ok);
-        // Only a connection that has rested would be used again.
+        // A connection could be used again only after its cooldown.
         tokio::time::sleep(COOLDOWN_WAIT).await;
         stream.write_all(unsolicited.as_bytes()).await.unwrap();
         let both = async { tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next()) };
@@ -109,11 +118,13 @@
     }
 }
 
-/// A response that is there before its request has been sent completely belongs to something else.
+/// A response that is received before its request has been written completely cannot belong to that
+/// request. It must not be forwarded. The attempt counts as a failed connect, or as rejected if the
+/// response is a rejection.
 #[tokio::test(flavor = "local")]
 async fn response_before_the_end_of_the_request_is_not_forwarded() {
     const SMALL_BUFFER_BYTES: usize = 2048;
-    const LARGE_BODY: usize = 8_000_000;
+    const LARGE_BODY_BYTES: usize = 8_000_000;
     let configure = |listener: &socket2::Socket| {
         listener.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
     };
@@ -128,9 +139,10 @@
             stream.write_all(response.as_bytes()).await.unwrap();
             stream
         };
-        let (ended, _stream) = tokio::join!(pool.attempt(LARGE_BODY, TIMEOUT), respond);
+        let (ended, _stream) = tokio::join!(pool.attempt(LARGE_BODY_BYTES, TIMEOUT), respond);
         assert_eq!(ended.outcome, outcome);
-        // The connection ends with the next turn of the loop: the rest of the request is in the way.
+        // The connection is closed in a later iteration of the event loop, because part of the
+        // request is still unwritten.
         let closed = async {
             while pool.upstreams.open_connections() > 0 {
                 tokio::task::yield_now().await;
@@ -141,10 +153,11 @@
     }
 }
 
-/// A connection that comes up after its attempt was given up must not carry the request.
+/// A connection that is not established in time must not be used for the request of its attempt,
+/// which has ended.
 #[tokio::test(flavor = "local")]
 async fn connection_established_after_the_timeout_is_not_used() {
-    // With a full backlog the system leaves further connections pending until there is space.
+    // While the backlog is full, the system keeps other connections pending.
     let listener = raw_listener(|_| (), 0);
     let address = listener.local_addr().unwrap().as_socket().unwrap();
     let _fills_backlog = BlockingStream::connect(address).unwrap();
@@ -158,23 +171,25 @@
     assert_eq!(
         ended.outcome,
         Outcome::NotSent,
-        "given up before the connection counts as failed"
+        "the attempt ended before the connect timeout"
     );
     let ended = attempt(&upstreams, UPSTREAM, 1, TIMEOUT).await;
     assert_eq!(ended.outcome, Outcome::ConnectFailed);
     assert_eq!(upstreams.open_connections(), 0);
 }
 
-/// How late an upstream may send a second response.
+/// The delay within which an upstream may send a second response.
 const SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(25);
 
-/// Serves requests on a connection. A request that follows a response so soon that it would meet
-/// a second response to the one before gets that one.
-fn respond_twice(mut stream: BlockingStream) {
+/// Serves requests on a connection like an upstream that sends each response twice. A request that
+/// arrives within [`SECOND_RESPONSE_DELAY`] after a response gets the second response to the
+/// previous request, with the body `late` instead of `mine`.
+fn serve_with_second_responses(mut stream: BlockingStream) {
     let mut responded_at: Option<Instant> = None;
     while read_request(&stream).is_some() {
-        let meets_second = responded_at.is_some_and(|at| at.elapsed() < SECOND_RESPONSE_DELAY);
-        let body = if meets_second { "late" } else { "mine" };
+        let gets_second_response =
+            responded_at.is_some_and(|at| at.elapsed() < SECOND_RESPONSE_DELAY);
+        let body = if gets_second_response { "late" } else { "mine" };
         responded_at = Some(Instant::now());
         let head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
         if write!(stream, "{head}{body}").is_err() {
@@ -183,15 +198,16 @@
     }
 }
 
-/// An upstream may send a second response some milliseconds late, and on a connection in use again
-/// by then nothing tells whose it is: it must not reach another client.
+/// An upstream may send a second response some milliseconds after the first. If the connection were
+/// already in use again, the response could not be distinguished from the one to the next request.
+/// It must not reach another client.
 #[test]
 fn late_second_response_reaches_no_other_request() {
     let upstream = RawPeer::start();
     let address = upstream.address;
     std::thread::spawn(move || {
         for stream in upstream.connections {
-            std::thread::spawn(move || respond_twice(stream));
+            std::thread::spawn(move || serve_with_second_responses(stream));
         }
     });
     let process = TestConfig::with_upstreams(&[address]).start();
@@ -202,7 +218,8 @@
     }
 }
 
-/// A retry states no more time than the client has left then.
+/// The time left that a retry states must not exceed the time that the client has left when the
+/// retry is sent.
 #[test]
 fn retry_carries_the_remaining_time() {
     const TIME_LEFT_MS: u64 = 3000;
@@ -220,6 +237,6 @@
     let stated_ms: u64 = stated.parse().unwrap();
     assert!(
         stated_ms + elapsed_ms <= TIME_LEFT_MS,
-        "{stated_ms} ms stated after {elapsed_ms} of {TIME_LEFT_MS}"
+        "{stated_ms} ms stated after {elapsed_ms} of {TIME_LEFT_MS} ms"
     );
 }
