--- a/balancer/tests/request_counters.rs
+++ b/balancer/tests/request_counters.rs
@@ -1,4 +1,4 @@
-//! Request counters as they are shown in the log.
+//! The text of the request counters in the log.
 
 use frostkeel_balancer::request_counters::RequestCounters;
 use frostkeel_policy::{ClassId, FailureReason, Outcome};
@@ -13,7 +13,10 @@
     assert_eq!(counters.to_string(), "");
     let pay = ClassId(1);
     for (k, reason) in FailureReason::ALL.iter().enumerate() {
-        assert_eq!(*reason as usize, k, "the order of the numbers");
+        assert_eq!(
+            *reason as usize, k,
+            "the reasons must be in the order of their discriminants"
+        );
     }
     (0..4).for_each(|_| counters.count_received(pay));
     counters.count_forwarded(pay, Duration::from_millis(200));
