--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -1,6 +1,6 @@
-//! Clients that read their responses slowly or never, with the balancer in the test's own process,
-//! so that the clock and the sizes of the system's buffers are the test's.
-#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
+//! Clients that read their responses slowly or never. The balancer's server runs in the test's own
+//! process, so that the test controls the clock and the sizes of the socket buffers.
+#![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
 
@@ -25,7 +25,7 @@
 use tokio::task::spawn_local;
 
 const BODY_BYTES: usize = 60_000;
-/// Far less than a response.
+/// The size requested for socket buffers, far smaller than a response.
 const SMALL_BUFFER_BYTES: usize = 2048;
 
 fn site() -> Site {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A list of one ready endpoint.
+/// Returns a list with one ready endpoint.
 fn cached_list(address: SocketAddr) -> EndpointUpdate {
     let state = EndpointState {
         address: Some(address),
@@ -67,7 +67,7 @@
     }
 }
 
-/// A server in this process, and one upstream that the test plays.
+/// A server in the test's process, and one upstream whose side the test reads and writes.
 struct TestServer {
     address: SocketAddr,
     phase: watch::Sender<Phase>,
@@ -75,7 +75,7 @@
 }
 
 impl TestServer {
-    /// A server that sends little at a time.
+    /// Starts a server with small send buffers.
     async fn start() -> Self {
         let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let site = site();
@@ -86,7 +86,7 @@
             Discovery::new(unreachable_address(), site.names.clone()),
             cached_list(upstream.local_addr().unwrap()),
         );
-        // Connections inherit this from their listener.
+        // Accepted connections inherit the buffer size from the listener.
         let configure =
             |listener: &Socket| listener.set_send_buffer_size(SMALL_BUFFER_BYTES).unwrap();
         let listener = into_tokio_listener(raw_listener(configure, 8));
@@ -101,7 +101,8 @@
     }
 }
 
-/// Serves the request on a connection to the upstream.
+/// Reads a request on a connection to the upstream, and sends a response with a long body and these
+/// additional headers.
 async fn respond(mut stream: TcpStream, headers: &str) -> TcpStream {
     assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n{headers}\r\n");
@@ -118,11 +119,11 @@
     TcpStream::from_std(socket.into()).unwrap()
 }
 
-/// A client that is slow to read its response does not count as idle, neither for the idle timeout
-/// nor at the shutdown.
+/// A client that reads its response slowly must not count as idle, neither for the idle timeout nor
+/// during the shutdown. Otherwise its connection would be closed and the response truncated.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn slowly_read_response_is_not_truncated() {
-    for shuts_down in [false, true] {
+    for is_shutting_down in [false, true] {
         let server = TestServer::start().await;
         let mut client = connect_with_small_buffer(server.address);
         let request = idempotent_request(50_000);
@@ -130,10 +131,10 @@
         let (stream, _) = server.upstream.accept().await.unwrap();
         let _stream = respond(stream, "").await;
         client.readable().await.unwrap();
-        if shuts_down {
+        if is_shutting_down {
             server.phase.send_replace(Phase::Closing);
         }
-        // Nothing is read for longer than a client may be idle.
+        // The client reads nothing for longer than the idle timeout.
         tokio::time::sleep(Duration::from_secs(8)).await;
         let mut received = 0;
         let mut buffer = [0; 1000];
@@ -141,21 +142,22 @@
             match client.read(&mut buffer).await {
                 Ok(length) if length > 0 => received += length,
                 ended => panic!(
-                    "truncated after {received} bytes, shutting down: {shuts_down}: {ended:?}"
+                    "truncated after {received} bytes, shutting down: {is_shutting_down}: {ended:?}"
                 ),
             }
         }
     }
 }
 
-/// A client that reads nothing of its response must not occupy its connection permanently.
+/// A client that never reads its response must be disconnected, so that it does not occupy a
+/// connection permanently.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn closes_a_client_that_never_reads_its_response() {
     let server = TestServer::start().await;
     let mut client = TcpStream::connect(server.address).await.unwrap();
     let request = idempotent_request(50_000);
     let mut responses = 0;
-    // As many responses as it takes to fill the system's buffers.
+    // Enough responses to fill the socket buffers.
     for _ in 0..40 {
         if client.write_all(request.as_bytes()).await.is_err() {
             break;
