--- a/balancer/tests/syscall_failures.rs
+++ b/balancer/tests/syscall_failures.rs
@@ -1,4 +1,4 @@
-//! System calls of the balancer that fail for a while.
+//! Temporary failures of the balancer's system calls.
 
 mod common;
 
@@ -9,17 +9,18 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// When the listener is closed after SIGTERM, and some time more.
+/// A time after SIGTERM at which the balancer no longer accepts new connections: 600 ms, and a
+/// margin.
 const LISTENER_CLOSED_AFTER: Duration = Duration::from_millis(1000);
-const MAX_DESCRIPTORS: u64 = 1024;
-const CONNECTIONS: usize = 20;
+const DESCRIPTOR_LIMIT: u64 = 1024;
+const CONNECTION_COUNT: usize = 20;
 const REQUESTS_PER_CONNECTION: usize = 10;
-const REQUESTS: usize = CONNECTIONS * REQUESTS_PER_CONNECTION;
+const REQUEST_COUNT: usize = CONNECTION_COUNT * REQUESTS_PER_CONNECTION;
 
-/// Connections wait in the listener's queue at the shutdown, when `accept` fails: each is owed a
-/// response once it works again.
+/// Connections wait in the listener's queue during the shutdown while `accept` fails. Once it
+/// succeeds again, each of them must get a response.
 #[test]
-fn failing_accept_during_shutdown_loses_no_waiting_client() {
+fn waiting_clients_get_a_response_when_accept_fails_during_shutdown() {
     let upstream = Upstream::healthy();
     let mut process = TestConfig::with_upstreams(&[upstream.address]).start();
     assert_eq!(process.status_of(&idempotent_request(5000)), 200);
@@ -30,17 +31,18 @@
     }
     process.terminate();
     std::thread::sleep(LISTENER_CLOSED_AFTER);
-    process.limit_descriptors(MAX_DESCRIPTORS);
+    process.limit_descriptors(DESCRIPTOR_LIMIT);
     for (k, client) in clients.iter_mut().enumerate() {
         assert!(
             client.read_response().is_some(),
-            "client {k} gets a response"
+            "client {k} got no response"
         );
     }
     assert!(process.wait_for_exit().success());
 }
 
-/// That this machine has no descriptor for a connection says nothing about the upstreams.
+/// A shortage of descriptors on this machine must not eject an upstream, because it is not the
+/// upstream's fault.
 #[test]
 fn descriptor_exhaustion_ejects_no_upstream() {
     let closing = || Upstream::start(Behavior::RespondAndClose(OK_RESPONSE));
@@ -50,20 +52,20 @@
     let mut client = process.connect();
     let request = idempotent_request(5000);
     assert_eq!(client.exchange(&request).status(), 200);
-    wait_until("no descriptor is left", || {
+    wait_until("requests fail because no descriptor is available", || {
         process.exhaust_descriptors();
         client.exchange(&request).status() == 503
     });
     for _ in 0..20 {
         assert_eq!(client.exchange(&request).status(), 503);
     }
-    process.limit_descriptors(MAX_DESCRIPTORS);
+    process.limit_descriptors(DESCRIPTOR_LIMIT);
     let status = client.exchange(&request).status();
-    assert_eq!(status, 200, "no upstream is ejected");
+    assert_eq!(status, 200, "an upstream was ejected");
 }
 
-/// The configuration file is half written, or can't be read, at SIGHUP: it is read again until it
-/// is complete.
+/// The configuration file may be incomplete or unreadable at SIGHUP. It must be read again until it
+/// is complete, and the balancer must continue to serve requests.
 #[test]
 fn rereads_a_partially_written_configuration() {
     let upstream = Upstream::healthy();
@@ -81,8 +83,9 @@
     assert!(process.is_running());
 }
 
-/// Sends requests on many connections to a balancer with these faults; returns how many were
-/// served. Each gets a final response, and no at-most-once request reaches an upstream twice.
+/// Sends requests on many connections to a balancer with these faults, and returns the number of
+/// requests served. Checks that each request gets a final response and that no at-most-once request
+/// reaches an upstream twice.
 fn count_served(behavior: Behavior, faults: &[(&'static str, &str)]) -> usize {
     let upstreams = [Upstream::start(behavior), Upstream::start(behavior)];
     let addresses = upstreams.each_ref().map(|upstream| upstream.address);
@@ -93,7 +96,7 @@
         .collect();
     let mut process = config.start();
     let mut served = 0;
-    for k in 0..CONNECTIONS {
+    for k in 0..CONNECTION_COUNT {
         let mut client = process.connect();
         for n in 0..REQUESTS_PER_CONNECTION {
             let request = if k % 2 == 0 {
@@ -121,36 +124,36 @@
     served
 }
 
-/// System calls fail for reasons of this machine, or for nobody's: none of them loses a request or
-/// counts against an upstream.
+/// System calls fail for local or transient reasons. No failure may lose a request or count against
+/// an upstream.
 #[test]
 fn intermittent_syscall_failures_lose_no_request() {
-    let keeps = Behavior::Respond(OK_RESPONSE);
-    let closes = Behavior::RespondAndClose(OK_RESPONSE);
+    let respond = Behavior::Respond(OK_RESPONSE);
+    let close_after_response = Behavior::RespondAndClose(OK_RESPONSE);
     for (name, value, behavior, min_served) in [
         (
             "FAULT_ACCEPT",
             "0.5:ECONNABORTED,EMFILE,ENOBUFS,EPROTO",
-            keeps,
-            REQUESTS,
+            respond,
+            REQUEST_COUNT,
         ),
-        ("FAULT_READ", "0.3:EINTR", keeps, REQUESTS),
-        ("FAULT_WRITE", "0.3:EINTR", keeps, REQUESTS),
+        ("FAULT_READ", "0.3:EINTR", respond, REQUEST_COUNT),
+        ("FAULT_WRITE", "0.3:EINTR", respond, REQUEST_COUNT),
         (
             "FAULT_CONNECT",
             "0.5:EADDRNOTAVAIL,ENOBUFS,ENETUNREACH,ENOMEM",
-            closes,
-            REQUESTS * 13 / 20,
+            close_after_response,
+            REQUEST_COUNT * 13 / 20,
         ),
-        ("FAULT_WALL_MS", "3600000", keeps, REQUESTS),
-        ("FAULT_WALL_MS", "-3600000", keeps, REQUESTS),
+        ("FAULT_WALL_MS", "3600000", respond, REQUEST_COUNT),
+        ("FAULT_WALL_MS", "-3600000", respond, REQUEST_COUNT),
     ] {
         for seed in ["1", "2", "3"] {
             let faults = [(name, value), ("FAULT_SEED", seed)];
             let served = count_served(behavior, &faults);
             assert!(
                 served >= min_served,
-                "{faults:?}: served {served} of {REQUESTS}"
+                "{faults:?}: served {served} of {REQUEST_COUNT}"
             );
         }
     }
