--- a/balancer/tests/upstream_attempts.rs
+++ b/balancer/tests/upstream_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at upstreams on real sockets.
+//! Attempts to send requests to upstreams, on real sockets.
 
 mod common;
 
@@ -8,13 +8,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout_at};
 
-/// An attempt was decided on before the update and has no connection yet: it must not be sent.
+/// An attempt started before a drain update and still waits for a connection. It must not be sent.
 #[tokio::test(flavor = "local")]
 async fn attempt_waiting_for_a_connection_is_not_sent_after_a_drain() {
     let mut pool = TestPool::start(1).await;
     let first = pool.spawn_attempt();
     let mut stream = pool.accept_request().await;
-    // The only connection is in use: this attempt waits.
+    // The only connection is in use, so this attempt waits.
     let second = pool.spawn_attempt();
     tokio::task::yield_now().await;
     pool.endpoint.availability = Availability::Draining;
@@ -24,13 +24,13 @@
     assert_eq!(outcome, Outcome::Ok, "requests in flight complete");
     assert_eq!(second.await.unwrap().outcome, Outcome::NotSent);
     let read = stream.read(&mut [0; 1024]).await.unwrap_or(0);
-    assert_eq!(read, 0, "nothing more was sent");
+    assert_eq!(read, 0, "another request was sent");
 }
 
-/// Only a connection that ends without a response shows that the process may have died. A response
-/// that can't be read does not, though the request may have run.
+/// If a connection ends without a response, the upstream's process may have died, and the outcome
+/// is a reset. An unreadable response is no sign of that, although the request may have run.
 #[tokio::test(flavor = "local")]
-async fn unreadable_response_is_an_error_and_a_missing_one_a_reset() {
+async fn outcome_is_error_for_an_unreadable_response_and_reset_for_none() {
     let pool = TestPool::start(8).await;
     let long_head = format!(
         "HTTP/1.1 200 OK\r\nX-Long: {}\r\n\r\n",
@@ -66,7 +66,7 @@
     ] {
         let respond = async {
             let mut stream = pool.accept_request().await;
-            // The balancer may close as soon as it has seen enough.
+            // The write can fail, because the balancer may close the connection before the end.
             let _ = stream.write_all(response.as_bytes()).await;
         };
         let (ended, ()) = tokio::join!(pool.attempt(1, TIMEOUT), respond);
@@ -76,25 +76,27 @@
     }
 }
 
-/// The upstream closes a connection just before the balancer takes it for a request.
+/// The upstream closes an idle connection just before the balancer would use it for a request. The
+/// request must be sent on a new connection.
 #[tokio::test(flavor = "local")]
 async fn does_not_write_to_a_connection_closed_by_the_upstream() {
     let pool = TestPool::start(8).await;
     for _ in 0..20 {
-        // If the request went into the old connection, no new one would ever come.
+        // If the request were written to the old connection, no new connection would be opened.
         let both = async { tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next()) };
         let both = timeout_at(Instant::now() + TIMEOUT, both).await;
         let (ended, stream) = both.expect("a new connection");
         assert_eq!(ended.outcome, Outcome::Ok);
-        // Only a connection that has rested is used again. No task runs between its end and the next
-        // attempt.
+        // A connection is used again only after its cooldown. No task runs between the close and
+        // the next attempt.
         tokio::time::sleep(COOLDOWN_WAIT).await;
         drop(stream);
     }
 }
 
-/// The balancer must not run out of descriptors: an idle connection makes way for another, and
-/// where all are in use the wait ends as not sent, which says nothing about the upstream.
+/// At the connection limit, an idle connection must be closed before another one is opened, so that
+/// the balancer does not run out of descriptors. If all connections are in use, an attempt that
+/// gets none in time ends as not sent, which does not count against the upstream.
 #[tokio::test(flavor = "local")]
 async fn open_connections_stay_within_the_limit() {
     let pool = TestPool::start(1).await;
