--- a/balancer/tests/upstream_connection.rs
+++ b/balancer/tests/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream.
+//! The number of bytes that a connection to an upstream writes.
 
 use frostkeel_balancer::connection::{Connection, wire_length};
 use http_body_util::Full;
@@ -7,7 +7,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// That a request never ran is proved by the bytes written: their number must be known in advance.
+/// If fewer bytes than a complete request have been written, the request cannot have run. To prove
+/// this, the balancer must know the length of the request in advance.
 #[tokio::test(flavor = "local")]
 async fn wire_length_predicts_the_bytes_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
