--- a/balancer/tests/wall_clock_skew.rs
+++ b/balancer/tests/wall_clock_skew.rs
@@ -1,6 +1,7 @@
-//! Start times of upstreams, which the list states by the wall clock, where that clock is an hour
-//! off: this balancer's or the others' may have been stepped.
-#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
+//! Slow start with wall clocks that differ by an hour. The endpoint list states the start times of
+//! upstreams by the wall clock, and the clock of this balancer or of another machine may have been
+//! stepped.
+#![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
 
@@ -11,19 +12,19 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const HOUR_MS: u64 = 3_600_000;
-/// Requests by which an upstream's share is measured.
-const REQUESTS: usize = 300;
-/// The largest share of one of two upstreams while it is in slow start.
-const MAX_SLOW_START_SHARE: f64 = 0.15;
-/// The smallest share of one of two upstreams after that.
-const MIN_WARM_SHARE: f64 = 0.25;
+/// The number of requests from which an upstream's fraction of the requests is computed.
+const REQUEST_COUNT: usize = 300;
+/// The upper limit of an upstream's fraction of the requests during slow start, with two upstreams.
+const MAX_SLOW_START_FRACTION: f64 = 0.15;
+/// The lower limit of that fraction after slow start.
+const MIN_FRACTION_AFTER_SLOW_START: f64 = 0.25;
 
 fn wall_clock_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.unwrap().as_millis() as u64
 }
 
-/// A balancer with two upstreams, of which the second one restarts.
+/// A balancer with two upstreams, the second of which is listed with a later start time.
 struct RestartTest {
     balancer: WatchingBalancer,
     upstreams: [Upstream; 2],
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Sends a list in which the second upstream has started at this time.
+    /// Sends a snapshot in which the second upstream started at this Unix time in milliseconds.
     fn send_list(&self, revision: u64, started_at_ms: u64) {
         let [first, second] = self.upstreams.each_ref().map(|upstream| upstream.address);
         let first = endpoint_json("s-0", first, "Ready");
@@ -50,22 +51,22 @@
         self.balancer.watch.send(&list);
     }
 
-    /// The share of requests that the second upstream gets now.
-    fn second_share(&self) -> f64 {
+    /// Sends requests and returns the fraction of them that the second upstream receives.
+    fn second_upstream_fraction(&self) -> f64 {
         let before = self.upstreams[1].request_count();
         let mut client = self.balancer.process.connect();
-        for _ in 0..REQUESTS {
+        for _ in 0..REQUEST_COUNT {
             let response = client.exchange(&at_most_once_request(5000, "x"));
             assert_eq!(response.status(), 200);
         }
-        (self.upstreams[1].request_count() - before) as f64 / REQUESTS as f64
+        (self.upstreams[1].request_count() - before) as f64 / REQUEST_COUNT as f64
     }
 }
 
-/// A start time ahead of this balancer's clock must not count as a new start with each list: the
-/// upstream would be in slow start permanently.
+/// A start time ahead of this balancer's clock must not begin slow start again with each list.
+/// Otherwise the upstream would remain in slow start permanently.
 #[test]
-fn start_time_ahead_of_the_wall_clock_counts_once() {
+fn start_time_in_the_future_begins_slow_start_once() {
     let test = RestartTest::start(1000);
     let started_at_ms = wall_clock_ms() + HOUR_MS;
     for revision in 2..12 {
@@ -74,22 +75,25 @@
     }
     test.send_list(12, started_at_ms);
     test.balancer.process.round_trip();
-    let share = test.second_share();
+    let fraction = test.second_upstream_fraction();
     assert!(
-        share > MIN_WARM_SHARE,
-        "long after its start it gets {share}"
+        fraction > MIN_FRACTION_AFTER_SLOW_START,
+        "fraction {fraction} after slow start"
     );
 }
 
-/// A start that looks an hour old by this balancer's clock has just happened: the upstream must not
-/// get its full share at once.
+/// An upstream has just started, but by this balancer's clock it started an hour ago. It must still
+/// begin in slow start, not with its full fraction of the requests.
 #[test]
-fn start_time_behind_the_wall_clock_begins_slow_start() {
+fn start_time_in_the_past_begins_slow_start() {
     let test = RestartTest::start(20_000);
     test.send_list(2, wall_clock_ms() - HOUR_MS);
     test.balancer.process.round_trip();
-    let share = test.second_share();
-    assert!(share < MAX_SLOW_START_SHARE, "just started it gets {share}");
+    let fraction = test.second_upstream_fraction();
+    assert!(
+        fraction < MAX_SLOW_START_FRACTION,
+        "fraction {fraction} in slow start"
+    );
 }
 
 #[test]
@@ -97,12 +101,15 @@
     let test = RestartTest::start(2000);
     test.send_list(2, wall_clock_ms());
     test.balancer.process.round_trip();
-    let share = test.second_share();
-    assert!(share < MAX_SLOW_START_SHARE, "just started it gets {share}");
+    let fraction = test.second_upstream_fraction();
+    assert!(
+        fraction < MAX_SLOW_START_FRACTION,
+        "fraction {fraction} in slow start"
+    );
     std::thread::sleep(Duration::from_millis(2500));
-    let share = test.second_share();
+    let fraction = test.second_upstream_fraction();
     assert!(
-        share > MIN_WARM_SHARE,
-        "after its slow start it gets {share}"
+        fraction > MIN_FRACTION_AFTER_SLOW_START,
+        "fraction {fraction} after slow start"
     );
 }
