--- a/balancer/tests/wire_fixtures/bad_requests.rs
+++ b/balancer/tests/wire_fixtures/bad_requests.rs
@@ -1,16 +1,16 @@
-//! The responses to invalid requests, of which none is forwarded.
+//! The responses to invalid requests, none of which is forwarded.
 
 use crate::common::{BalancerProcess, TestConfig};
 use crate::peers::{RawClient, Recorder, WITH_LENGTH};
 use crate::post;
 use crate::transcript::Transcript;
 
-/// The longest body that is accepted.
+/// The length of the longest body that the balancer accepts.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The length of a header that exceeds the limit for heads.
-const OVERSIZED_HEADER: usize = 40_000;
+/// The length of a header value that exceeds the limit for request heads.
+const OVERSIZED_HEADER_BYTES: usize = 40_000;
 
-/// An invalid request: a valid one with one part replaced.
+/// An invalid request: a valid one in which the first occurrence of `replaced` becomes `replacement`.
 struct BadRequest {
     case: &'static str,
     replaced: &'static str,
@@ -142,7 +142,7 @@
     client.send(
         format!(
             "GET /look HTTP/1.1\r\nX-Long: {}\r\n",
-            "y".repeat(OVERSIZED_HEADER)
+            "y".repeat(OVERSIZED_HEADER_BYTES)
         )
         .as_bytes(),
     );
@@ -151,7 +151,7 @@
     transcript.check();
 }
 
-/// Records a request that is not forwarded, and its response, with an interim response before it if there is one.
+/// Records an invalid request and its response, and the interim response before it if there is one.
 fn record_rejection(
     transcript: &mut Transcript,
     case: &str,
--- a/balancer/tests/wire_fixtures/connections.rs
+++ b/balancer/tests/wire_fixtures/connections.rs
@@ -1,4 +1,4 @@
-//! Responses that depend on the state of their connection: during a shutdown, and after a flood.
+//! Responses during the shutdown, and after a client has sent more bytes than the balancer buffers.
 
 use crate::TIME_LEFT_MS;
 use crate::common::{
@@ -9,10 +9,10 @@
 use crate::transcript::Transcript;
 use std::io::Write;
 
-/// A deadline that ends after the forced close of the shutdown.
+/// A deadline later than the forced close of the shutdown.
 const DEADLINE_MS: u64 = 60_000;
-/// More bytes than the balancer buffers behind a request.
-const FLOOD_SIZE: usize = 100_000;
+/// The number of bytes sent after a request, more than the balancer buffers.
+const FLOOD_BYTES: usize = 100_000;
 
 #[test]
 fn the_responses_of_a_shutdown_are_as_committed() {
@@ -62,7 +62,7 @@
     let mut client = RawClient::connect(balancer.address);
     client.send(idempotent_request(TIME_LEFT_MS).as_bytes());
     let upstream = peer.next_connection_with_request();
-    client.send(&[b'x'; FLOOD_SIZE]);
+    client.send(&[b'x'; FLOOD_BYTES]);
     balancer.round_trip();
     (&upstream).write_all(WITH_LENGTH.as_bytes()).unwrap();
     transcript.add_received(
--- a/balancer/tests/wire_fixtures/forwarding.rs
+++ b/balancer/tests/wire_fixtures/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests and responses that the balancer forwards, and its own responses if no upstream response can be forwarded.
+//! Requests and responses that the balancer forwards, and the balancer's own responses if it cannot forward one.
 
 use crate::common::{TestConfig, at_most_once_request, idempotent_request};
 use crate::peers::{RawClient, Recorder, UNTIL_CLOSE, WITH_LENGTH};
@@ -12,7 +12,8 @@
 const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 4\r\nX-Own: kept\r\n\r\nlost";
 const REJECTED: &str = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// Records one request through the balancer: as sent, as received by the upstream, and its response.
+/// Records one exchange: the request as sent, the request as received by the upstream, the response as received by the
+/// client, and whether the client's connection is kept.
 fn record_exchange(transcript: &mut Transcript, case: &str, request: &str, upstream: &Recorder) {
     let balancer = TestConfig::with_upstreams(&[upstream.address]).start();
     let mut client = RawClient::connect(balancer.address);
@@ -38,7 +39,7 @@
     ) + "3\r\none\r\n4\r\n two\r\n0\r\n\r\n";
     let idempotent = post("/keyed/a", "Idempotency-Key: \"k-1\"\r\n", "x");
     let http_1_0 = idempotent_request(TIME_LEFT_MS).replace("HTTP/1.1", "HTTP/1.0");
-    let http_1_0_kept = http_1_0.replace("Host", "Connection: keep-alive\r\nHost");
+    let http_1_0_keep_alive = http_1_0.replace("Host", "Connection: keep-alive\r\nHost");
     let with_body =
         idempotent_request(TIME_LEFT_MS).replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\nabc");
     let connection_close =
@@ -51,7 +52,7 @@
         ("GET with an absolute target", &absolute_target),
         ("GET, the last on its connection", &connection_close),
         ("GET of HTTP/1.0", &http_1_0),
-        ("GET of HTTP/1.0, kept", &http_1_0_kept),
+        ("GET of HTTP/1.0, kept", &http_1_0_keep_alive),
         ("POST", &post("/book/day?n=1", "", "a day")),
         ("POST with an empty body", &post("/book", "", "")),
         (
--- a/balancer/tests/wire_fixtures/outgoing_calls.rs
+++ b/balancer/tests/wire_fixtures/outgoing_calls.rs
@@ -1,4 +1,4 @@
-//! The requests that the balancer itself makes: watches on the endpoint list, and health checks.
+//! The requests that the balancer itself sends: watch requests to discovery, and health checks.
 
 use crate::common::{RawPeer, TestConfig, endpoint_json, endpoint_list_json, send_chunked_line};
 use crate::peers::{Recorder, WITH_LENGTH, read_raw};
@@ -34,7 +34,7 @@
     transcript.check();
 }
 
-/// The bytes that an upstream receives as a health check.
+/// Sends a health check with this setting and returns the bytes that the upstream receives.
 async fn received_health_check(load_reports: LoadReports) -> Vec<u8> {
     let upstream = Recorder::start(WITH_LENGTH);
     let settings = Settings {
--- a/balancer/tests/wire_fixtures/peers.rs
+++ b/balancer/tests/wire_fixtures/peers.rs
@@ -1,4 +1,4 @@
-//! The peers of the balancer, as raw bytes: upstreams that record what they receive, and clients.
+//! Peers of the balancer that work with raw bytes: upstreams that record what they receive, and clients.
 
 use crate::common::{LIVENESS_REQUEST, TIMEOUT, unreachable_address};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,11 +8,11 @@
 /// A response with a content length.
 pub const WITH_LENGTH: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Own: kept\r\nServer: s\r\n\
     Content-Type: text/plain\r\nX-Backend-Load: cpu=0.5\r\nX-Unprocessed: 0\r\nKeep-Alive: timeout=5\r\n\r\ndone";
-/// A response whose body ends with the connection.
+/// A response without a length, whose body ends when the connection is closed.
 pub const UNTIL_CLOSE: &str =
     "HTTP/1.1 200 Fine\r\nX-Own: kept\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n\r\nup to the end";
 
-/// Reads the bytes of one message, head and body; fewer if the connection ends before.
+/// Reads the bytes of one message, head and body; fewer if the connection ends before the end of the message.
 pub fn read_raw(stream: &mut impl BufRead) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut body_length = 0;
@@ -40,7 +40,8 @@
 }
 
 impl Recorder {
-    /// Sends no response if `response` is empty. Closes the connection after [`UNTIL_CLOSE`], which has no length.
+    /// Starts an upstream that sends `response`; no response if it is empty. After [`UNTIL_CLOSE`], which has no
+    /// length, the connection is closed.
     pub fn start(response: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -55,7 +56,7 @@
         Self { address, received }
     }
 
-    /// A recorder that never started: nothing listens on its address.
+    /// Returns a recorder at an address on which nothing listens.
     pub fn unreachable() -> Self {
         Self {
             address: unreachable_address(),
@@ -63,6 +64,7 @@
         }
     }
 
+    /// Returns the requests received, in the order of their arrival.
     pub fn received(&self) -> Vec<Vec<u8>> {
         self.received.lock().unwrap().clone()
     }
@@ -84,7 +86,7 @@
     }
 }
 
-/// A client that returns the bytes that it receives.
+/// A client that sends and receives raw bytes.
 pub struct RawClient(BufReader<TcpStream>);
 
 impl RawClient {
@@ -98,12 +100,13 @@
         self.0.get_mut().write_all(bytes).unwrap();
     }
 
+    /// Reads the next response; empty if the connection ends instead.
     pub fn response(&mut self) -> Vec<u8> {
         read_raw(&mut self.0)
     }
 
-    /// Whether the connection is kept after a response, so that another request on it is answered, or is closed without
-    /// further bytes.
+    /// Sends another request after a response, and returns the transcript's text for the result: the connection is kept
+    /// if the request gets a response, and closed if no bytes are received.
     pub fn after_response(mut self) -> &'static [u8] {
         let sent = self
             .0
--- a/balancer/tests/wire_fixtures/transcript.rs
+++ b/balancer/tests/wire_fixtures/transcript.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the bytes on the wire, and their comparison with committed data.
+//! Transcripts of the bytes on the wire, and their comparison with the committed files.
 
 use crate::TIME_LEFT_MS;
 use std::fmt::Write as _;
@@ -6,16 +6,18 @@
 use std::path::PathBuf;
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The date that an upstream of these tests sends. It is forwarded unchanged, so that it is not masked.
+/// The date that an upstream of these tests sends. It is not masked, because it must be forwarded unchanged.
 const FIXED_DATE: &str = "Thu, 01 Jan 1970 00:00:00 GMT";
 
-/// The recorded bytes, in the format of the committed data.
+/// The recorded bytes, in the format of the committed files. Every byte is shown: each line on the wire is one line of
+/// the file, which ends with the escaped `\r\n`, and bytes other than printable ASCII are escaped.
 pub struct Transcript {
     name: &'static str,
     text: String,
 }
 
 impl Transcript {
+    /// Creates an empty transcript to be compared with the file of this name.
     pub fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -31,12 +33,12 @@
         }
     }
 
-    /// Adds bytes under a heading, with the values masked that vary between runs.
+    /// Adds bytes under a heading, and masks the header values that vary between runs.
     pub fn add_received(&mut self, heading: &str, bytes: &[u8]) {
         self.add(heading, &mask(bytes));
     }
 
-    /// Compares the whole transcript with the committed file.
+    /// Compares the complete transcript with the committed file, or writes the file if `WIRE_FIXTURES` is `write`.
     pub fn check(self) {
         let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
             .join("tests/data/wire")
@@ -51,7 +53,7 @@
             assert_eq!(
                 actual,
                 expected,
-                "{} line {}: actual and committed",
+                "{} line {}: actual (left) and committed (right)",
                 self.name,
                 index + 1
             );
@@ -60,7 +62,7 @@
     }
 }
 
-/// Masks header values that vary between runs.
+/// Masks the header values of a message that vary between runs.
 fn mask(bytes: &[u8]) -> Vec<u8> {
     let head_length = bytes
         .windows(HEAD_END.len())
@@ -82,12 +84,16 @@
     masked
 }
 
-/// The masked form of a header's value; `None` if it does not vary.
+/// Returns the masked value of a header; `None` if the value does not vary:
+/// - a `date` other than [`FIXED_DATE`] becomes `<date>`;
+/// - the `x-time-left-ms` that the balancer sends becomes `<ms>`, after a check of its range;
+/// - each digit of a `retry-after` becomes `#`;
+/// - the port of a `host` at 127.0.0.1 becomes `<port>`.
 fn mask_value(name: &str, value: &str) -> Option<String> {
     match name {
         "date" if value != FIXED_DATE => Some("<date>".to_owned()),
         "x-time-left-ms" => {
-            let time_left_ms: u64 = value.parse().expect("whole milliseconds");
+            let time_left_ms: u64 = value.parse().expect("a time left in integer milliseconds");
             assert!(
                 time_left_ms > 0 && time_left_ms < TIME_LEFT_MS,
                 "{time_left_ms}"
