--- a/balancer/tests/operations_page/architecture.rs
+++ b/balancer/tests/operations_page/architecture.rs
@@ -1,4 +1,5 @@
-//! Holds the repository paths on `docs/ARCHITECTURE.md` to what is there.
+//! Checks that the repository paths on `docs/ARCHITECTURE.md` exist, and that its text gives the path of each source
+//! file in its diagrams.
 
 use super::page::{is_repository_path, page, root, texts_in_backticks};
 
@@ -20,12 +21,12 @@
     );
 }
 
-/// The names of source files in the code blocks of a page.
+/// Returns the names of source files in the code blocks of a page.
 fn source_names_in_diagrams(page: &str) -> Vec<&str> {
     let blocks = page.split("```").skip(1).step_by(2);
-    let words = blocks
+    let tokens = blocks
         .flat_map(|block| block.split(|c: char| !c.is_ascii_alphanumeric() && !"_./".contains(c)));
-    words.filter(|word| word.ends_with(".rs")).collect()
+    tokens.filter(|token| token.ends_with(".rs")).collect()
 }
 
 #[test]
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn repository_paths_are_told_from_other_texts() {
+fn recognizes_repository_paths() {
     for path in ["src/policy/", "Cargo.toml", "balancer/tests/sockets.rs"] {
         assert!(is_repository_path(path), "{path}");
     }
--- a/balancer/tests/operations_page/logging_calls.rs
+++ b/balancer/tests/operations_page/logging_calls.rs
@@ -1,4 +1,4 @@
-//! The events that the sources can log, read from the calls of the logging macros.
+//! The events that the code can log, parsed from the calls of the logging macros in its source files.
 
 use super::page::root;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,9 +10,10 @@
 /// Events by name and level, with their fields.
 pub type Events = BTreeMap<(String, &'static str), BTreeSet<String>>;
 
+/// Returns the level of this name.
 pub fn level_named(name: &str) -> &'static str {
     let known = LEVELS.iter().find(|level| **level == name);
-    known.unwrap_or_else(|| panic!("{name:?} is no level"))
+    known.unwrap_or_else(|| panic!("the level must be one of {LEVELS:?}, got {name:?}"))
 }
 
 fn collect_sources(folder: &Path, files: &mut Vec<PathBuf>) {
@@ -27,7 +28,7 @@
     }
 }
 
-/// The texts of all source files under some folders.
+/// Returns the contents of all source files in these folders.
 pub fn sources(folders: &[&str]) -> Vec<String> {
     let mut files = Vec::new();
     for folder in folders {
@@ -37,7 +38,7 @@
     files.iter().map(read).collect()
 }
 
-/// The rest of a string literal whose opening quote has been read, with its closing quote.
+/// Reads the rest of a string literal, after its opening quote, up to and including its closing quote.
 fn rest_of_string(characters: &mut impl Iterator<Item = char>) -> String {
     let mut text = String::new();
     while let Some(c) = characters.next() {
@@ -51,7 +52,7 @@
     text
 }
 
-/// The arguments of a macro or a function, from behind its opening parenthesis on.
+/// Returns the arguments of a call of a macro or a function. `text` starts after the opening parenthesis.
 pub fn macro_arguments(text: &str) -> Vec<String> {
     let (mut arguments, mut argument, mut depth) = (Vec::new(), String::new(), 0_u32);
     let mut characters = text.chars().peekable();
@@ -83,14 +84,15 @@
         .collect()
 }
 
-/// The text of a string literal that goes over several lines.
+/// Returns the text of a string literal, with its line continuations joined.
 fn joined_lines(literal: &str) -> String {
     let mut lines = literal.split("\\\n");
     let first = lines.next().unwrap_or_default().to_owned();
     lines.fold(first, |text, line| text + line.trim_start())
 }
 
-/// The name and the fields of the event that a logging macro writes. What follows the name only fills placeholders.
+/// Returns the name and the fields of the event of a logging call. Arguments after the name fill its placeholders and
+/// are not fields.
 pub fn event_of(arguments: &[String]) -> (String, BTreeSet<String>) {
     let mut fields = BTreeSet::new();
     for argument in arguments {
@@ -103,7 +105,7 @@
     (String::new(), fields)
 }
 
-/// The arguments of each call of a logging macro in a source.
+/// Returns the level and the arguments of each logging call in a source file.
 pub fn logging_calls(source: &str) -> Vec<(&'static str, Vec<String>)> {
     let mut calls = Vec::new();
     for level in LEVELS {
@@ -118,7 +120,7 @@
     calls
 }
 
-/// All events that the sources under some folders can write.
+/// Returns all events that the source files in these folders can log.
 pub fn events_in_code(folders: &[&str]) -> Events {
     let mut events = Events::new();
     for source in sources(folders) {
--- a/balancer/tests/operations_page/main.rs
+++ b/balancer/tests/operations_page/main.rs
@@ -1,9 +1,9 @@
-//! Holds `docs/OPERATIONS.md` to the code: every name that the log can print is on the page, and every name on the
-//! page can be printed.
+//! Checks that `docs/OPERATIONS.md` and the code match: every event that the code can log is on the page, and every
+//! name on the page is in the code.
 
 #![expect(
     clippy::expect_used,
-    reason = "a test fails where its own data is not as it must be"
+    reason = "a test fails if its own data is invalid"
 )]
 
 mod architecture;
@@ -21,17 +21,18 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Where the programs log: the balancer with its decisions, and the command line with the registry.
+/// The source folders of the balancer, which includes the decision module.
 const BALANCER_SOURCES: [&str; 2] = ["balancer/src", "src"];
+/// The source folders of the registry and the command line.
 const REGISTRY_SOURCES: [&str; 2] = ["registry/src", "frostkeel/src"];
-/// The columns of a table of events.
-const EVENT_COLUMNS: usize = 6;
+/// The number of columns in a table of events.
+const EVENT_COLUMN_COUNT: usize = 6;
 
-/// The events that a section of the page describes.
+/// Returns the events that a section of the page describes.
 fn events_on_page(section: &str) -> Events {
     let mut events = Events::new();
     for row in rows(section) {
-        assert_eq!(row.len(), EVENT_COLUMNS, "{row:?}");
+        assert_eq!(row.len(), EVENT_COLUMN_COUNT, "{row:?}");
         assert!(
             row.iter().all(|cell| !cell.is_empty()),
             "an empty cell: {row:?}"
@@ -39,12 +40,12 @@
         let name = texts_in_backticks(row[0]).remove(0);
         let fields = texts_in_backticks(row[2]).into_iter().collect();
         let before = events.insert((name, level_named(row[1])), fields);
-        assert!(before.is_none(), "on the page twice: {row:?}");
+        assert!(before.is_none(), "an event is on the page twice: {row:?}");
     }
     events
 }
 
-/// Fails unless a section describes the events that the sources under some folders can log, and no other.
+/// Fails unless a section describes exactly the events that the sources in these folders can log.
 fn assert_page_matches(heading: &str, folders: &[&str]) {
     let text = page("OPERATIONS.md");
     let (described, code) = (
@@ -87,7 +88,7 @@
     );
 }
 
-/// Counters of one class, `c`, of which none is zero.
+/// Returns counters of one class, `c`, all of which are above zero.
 fn counters_above_zero() -> RequestCounters {
     let settings = r#"{"classes": [{"name": "c", "aim_ms": 100}]}"#;
     let site = frostkeel_settings::parse(settings).expect("valid settings");
@@ -122,7 +123,7 @@
     assert_eq!(described, BTreeSet::from(causes));
 }
 
-/// The names of the fields in a `Debug` text without nested structs.
+/// Returns the names of a struct's fields from its `Debug` text, without nested structs.
 fn field_names(debug: &str) -> BTreeSet<String> {
     let fields = debug.split_once('{').expect("a struct with fields").1;
     let named = fields.trim_end_matches([' ', '}']).split(", ");
@@ -171,7 +172,7 @@
     assert_eq!(described, calls.collect());
 }
 
-/// A name as the code writes it: a command's option is a field there.
+/// Returns a name on the page as it is written in the code, where a command-line option is a field.
 fn as_in_code(name: &str) -> String {
     match name.strip_prefix("--") {
         Some(option) => option.replace('-', "_"),
@@ -185,8 +186,8 @@
     let mut folders = [BALANCER_SOURCES, REGISTRY_SOURCES].concat();
     folders.extend(["membership/src", "settings/src"]);
     let code = sources(&folders).concat();
-    let is_word_part = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-';
-    let words: BTreeSet<&str> = code.split(|c| !is_word_part(c)).collect();
+    let is_identifier_char = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-';
+    let identifiers: BTreeSet<&str> = code.split(|c| !is_identifier_char(c)).collect();
     for name in texts_in_backticks(&text) {
         if is_repository_path(&name) {
             assert!(root().join(&name).exists(), "{name:?} does not exist");
@@ -194,8 +195,8 @@
         }
         let name = as_in_code(&name);
         let unknown = name
-            .split(|c| !is_word_part(c))
-            .find(|word| !words.contains(word));
+            .split(|c| !is_identifier_char(c))
+            .find(|word| !identifiers.contains(word));
         assert_eq!(
             unknown, None,
             "{name:?} on docs/OPERATIONS.md is not in the code"
@@ -204,7 +205,7 @@
 }
 
 #[test]
-fn macro_arguments_give_the_event_with_its_fields() {
+fn logging_call_is_parsed_into_its_event_and_fields() {
     let source = r#"warn!(watch = number, ?error, %list.rev, "a, (b) \"c\"", x); my_warn!("no")"#;
     let calls = logging_calls(source);
     assert_eq!(calls.len(), 1);
--- a/balancer/tests/operations_page/page.rs
+++ b/balancer/tests/operations_page/page.rs
@@ -1,19 +1,21 @@
-//! Pages as texts: their sections, tables and names.
+//! Parsing of Markdown pages: their sections, tables, and names in backticks.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
+/// Returns the root folder of the repository.
 pub fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
+/// Returns the content of a page in the folder `docs`.
 pub fn page(name: &str) -> String {
     let path = root().join("docs").join(name);
     fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// The texts of a page that stand in backticks, but for its code blocks.
+/// Returns the texts in backticks on a page, without its code blocks.
 pub fn texts_in_backticks(page: &str) -> Vec<String> {
     let prose: Vec<&str> = page.split("```").step_by(2).collect();
     let texts = prose
@@ -22,8 +24,8 @@
     texts.map(str::to_owned).collect()
 }
 
-/// Whether a text looks like the path of a file or folder of the repository. One that begins with a slash belongs to
-/// an address or to the machine.
+/// Returns whether a text looks like the path of a file or folder of the repository. A text that begins with a slash
+/// does not: it is part of a URL or a path on the machine.
 pub fn is_repository_path(text: &str) -> bool {
     const EXTENSIONS: [&str; 5] = [".rs", ".toml", ".md", ".sh", ".svg"];
     let is_path = text
@@ -33,7 +35,7 @@
     is_path && !text.starts_with('/') && (text.contains('/') || has_extension)
 }
 
-/// The text between a heading and the next one of the same level or above.
+/// Returns the text between a heading and the next one of the same or a higher level.
 pub fn section<'a>(page: &'a str, heading: &str) -> &'a str {
     let level = heading.bytes().take_while(|b| *b == b'#').count();
     let start = page.find(&format!("\n{heading}\n"));
@@ -46,7 +48,7 @@
     next.map_or(body, |(at, _)| &body[..at])
 }
 
-/// The cells of the table rows of a section that begin with a name.
+/// Returns the cells of a section's table rows that begin with a name in backticks.
 pub fn rows(section: &str) -> Vec<Vec<&str>> {
     let lines = section.lines().filter(|line| line.starts_with("| `"));
     lines
@@ -54,7 +56,7 @@
         .collect()
 }
 
-/// The names in the first column of a section's tables; none stands twice.
+/// Returns the names in the first column of a section's tables. Fails if a name occurs twice or a cell is empty.
 pub fn names_in_tables(section: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for row in rows(section) {
