--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -1,10 +1,10 @@
-//! Clients that read their responses slowly or never, with the balancer in the test's own process,
-//! so that the clock and the sizes of the system's buffers are the test's.
-#![expect(clippy::unwrap_used, reason = "a step that fails fails the test")]
+//! Clients that read their responses slowly or never. The balancer's server runs in the test's own
+//! process, so that the test controls the clock and the sizes of the socket buffers.
+#![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
 
-use common::{idempotent_request, into_async, raw_listener, unreachable_address};
+use common::{idempotent_request, into_tokio_listener, raw_listener, unreachable_address};
 use frostkeel_balancer::client::{Phase, Server};
 use frostkeel_balancer::discovery::Discovery;
 use frostkeel_balancer::discovery::{EndpointEntry, EndpointUpdate};
@@ -24,9 +24,9 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-const BODY_LENGTH: usize = 60_000;
-/// Far less than a response.
-const SMALL_BUFFER: usize = 2048;
+const BODY_BYTES: usize = 60_000;
+/// The size requested for socket buffers, far smaller than a response.
+const SMALL_BUFFER_BYTES: usize = 2048;
 
 fn site() -> Site {
     let class = Class {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A list of one ready endpoint.
+/// Returns a list with one ready endpoint.
 fn cached_list(address: SocketAddr) -> EndpointUpdate {
     let state = EndpointState {
         address: Some(address),
@@ -67,7 +67,7 @@
     }
 }
 
-/// A server in this process, and one upstream that the test plays.
+/// A server in the test's process, and one upstream whose side the test reads and writes.
 struct TestServer {
     address: SocketAddr,
     phase: watch::Sender<Phase>,
@@ -75,7 +75,7 @@
 }
 
 impl TestServer {
-    /// A server that sends little at a time.
+    /// Starts a server with small send buffers.
     async fn start() -> Self {
         let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let site = site();
@@ -86,9 +86,10 @@
             Discovery::new(unreachable_address(), site.names.clone()),
             cached_list(upstream.local_addr().unwrap()),
         );
-        // Connections inherit this from their listener.
-        let configure = |listener: &Socket| listener.set_send_buffer_size(SMALL_BUFFER).unwrap();
-        let listener = into_async(raw_listener(configure, 8));
+        // Accepted connections inherit the buffer size from the listener.
+        let configure =
+            |listener: &Socket| listener.set_send_buffer_size(SMALL_BUFFER_BYTES).unwrap();
+        let listener = into_tokio_listener(raw_listener(configure, 8));
         let address = listener.local_addr().unwrap();
         let (phase, phases) = watch::channel(Phase::Serving);
         spawn_local(Server::new(event_loop, &site, phases).run(listener, 8));
@@ -100,28 +101,29 @@
     }
 }
 
-/// Serves the request on a connection to the upstream.
+/// Reads a request on a connection to the upstream, and sends a response with a long body and these
+/// additional headers.
 async fn respond(mut stream: TcpStream, headers: &str) -> TcpStream {
     assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
-    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_LENGTH}\r\n{headers}\r\n");
-    let response = [head.as_bytes(), &[b'y'; BODY_LENGTH]].concat();
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n{headers}\r\n");
+    let response = [head.as_bytes(), &[b'y'; BODY_BYTES]].concat();
     stream.write_all(&response).await.unwrap();
     stream
 }
 
 fn connect_with_small_buffer(address: SocketAddr) -> TcpStream {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.set_recv_buffer_size(SMALL_BUFFER).unwrap();
+    socket.set_recv_buffer_size(SMALL_BUFFER_BYTES).unwrap();
     socket.connect(&SockAddr::from(address)).unwrap();
     socket.set_nonblocking(true).unwrap();
     TcpStream::from_std(socket.into()).unwrap()
 }
 
-/// A client that is slow to read its response does not count as idle, neither for the idle timeout
-/// nor at the shutdown.
+/// A client that reads its response slowly must not count as idle, neither for the idle timeout nor
+/// during the shutdown. Otherwise its connection would be closed and the response truncated.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn slowly_read_response_is_not_truncated() {
-    for shuts_down in [false, true] {
+    for is_shutting_down in [false, true] {
         let server = TestServer::start().await;
         let mut client = connect_with_small_buffer(server.address);
         let request = idempotent_request(50_000);
@@ -129,32 +131,33 @@
         let (stream, _) = server.upstream.accept().await.unwrap();
         let _stream = respond(stream, "").await;
         client.readable().await.unwrap();
-        if shuts_down {
+        if is_shutting_down {
             server.phase.send_replace(Phase::Closing);
         }
-        // Nothing is read for longer than a client may be idle.
+        // The client reads nothing for longer than the idle timeout.
         tokio::time::sleep(Duration::from_secs(8)).await;
         let mut received = 0;
         let mut buffer = [0; 1000];
-        while received < BODY_LENGTH {
+        while received < BODY_BYTES {
             match client.read(&mut buffer).await {
                 Ok(length) if length > 0 => received += length,
                 ended => panic!(
-                    "truncated after {received} bytes, shutting down: {shuts_down}: {ended:?}"
+                    "truncated after {received} bytes, shutting down: {is_shutting_down}: {ended:?}"
                 ),
             }
         }
     }
 }
 
-/// A client that reads nothing of its response must not occupy its connection permanently.
+/// A client that never reads its response must be disconnected, so that it does not occupy a
+/// connection permanently.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn closes_a_client_that_never_reads_its_response() {
     let server = TestServer::start().await;
     let mut client = TcpStream::connect(server.address).await.unwrap();
     let request = idempotent_request(50_000);
     let mut responses = 0;
-    // As many responses as it takes to fill the system's buffers.
+    // Enough responses to fill the socket buffers.
     for _ in 0..40 {
         if client.write_all(request.as_bytes()).await.is_err() {
             break;
