--- a/frostkeel/src/commands/agent.rs
+++ b/frostkeel/src/commands/agent.rs
@@ -29,31 +29,31 @@
 const LEASE_RANGE_S: RangeInclusive<f64> = 1.0..=3600.0;
 const DRAIN_RANGE_S: RangeInclusive<f64> = 0.0..=3600.0;
 
-/// Runs a command and keeps it on the list: registered once it runs, renewed, drained at SIGTERM, gone when it ends.
+/// Arguments of `frostkeel agent`.
 #[derive(Args)]
 pub struct AgentArgs {
-    /// The list service's writing address.
-    #[arg(long)]
-    write: SocketAddr,
-    /// Who the upstream is; it lasts over restarts.
+    /// Address of the registry's interface for writes, e.g. 127.0.0.1:7100.
+    #[arg(long = "write", value_name = "ADDRESS")]
+    write_address: SocketAddr,
+    /// Identifier of the upstream, which must stay the same over restarts of the command, e.g. u2.
     #[arg(long)]
     uid: String,
-    /// Where it is reached.
-    #[arg(long)]
+    /// Address at which balancers reach the upstream, e.g. 10.0.0.1:80.
+    #[arg(long, value_name = "ADDRESS")]
     endpoint: SocketAddr,
-    /// Its zone.
-    #[arg(long, default_value = "")]
-    az: String,
-    /// Its kind.
+    /// Availability zone of the upstream, e.g. zone-a.
+    #[arg(long = "az", value_name = "ZONE", default_value = "")]
+    zone: String,
+    /// Model of the upstream's machine, e.g. m5.
     #[arg(long, default_value = "")]
     model: String,
-    /// Seconds of its lease; it is renewed after a third.
-    #[arg(long, default_value_t = 10.0)]
+    /// Duration of the upstream's lease in seconds, 1 to 3600; the agent renews it after a third of that time.
+    #[arg(long, value_name = "SECONDS", default_value_t = 10.0)]
     ttl_s: f64,
-    /// Seconds for which it finishes what it has before it is asked to end.
-    #[arg(long, default_value_t = 5.0)]
+    /// Seconds, 0 to 3600, that the draining upstream has to finish its requests before the command gets SIGTERM.
+    #[arg(long, value_name = "SECONDS", default_value_t = 5.0)]
     drain_s: f64,
-    /// The command, and its arguments.
+    /// Command to run, with its arguments.
     #[arg(last = true, required = true)]
     command: Vec<String>,
 }
@@ -217,13 +217,13 @@
     async fn register(&self) -> Result<CompleteResponse, ClientError> {
         let body = json!({
             "endpoint": self.args.endpoint.to_string(),
-            "az": self.args.az,
+            "az": self.args.zone,
             "model": self.args.model,
             "boot_ms": self.boot_ms,
             "ttl_s": self.args.ttl_s,
         });
         call(
-            self.args.write,
+            self.args.write_address,
             Method::PUT,
             &self.target(""),
             body.to_string(),
@@ -234,7 +234,7 @@
     async fn renew(&self) -> Result<CompleteResponse, ClientError> {
         let target = self.target("/renew");
         call(
-            self.args.write,
+            self.args.write_address,
             Method::POST,
             &target,
             self.incarnation_body(),
@@ -251,7 +251,7 @@
     async fn deregister(&self) {
         let target = self.target("");
         let request = call(
-            self.args.write,
+            self.args.write_address,
             Method::DELETE,
             &target,
             self.incarnation_body(),
@@ -278,7 +278,12 @@
 
     async fn drain(&self) {
         let target = self.target("/drain");
-        let request = call(self.args.write, Method::POST, &target, String::new());
+        let request = call(
+            self.args.write_address,
+            Method::POST,
+            &target,
+            String::new(),
+        );
         match timeout(SHUTDOWN_REQUEST_TIMEOUT, request).await {
             Ok(Ok(_)) => {}
             Ok(Err(error)) => tracing::warn!("{}: not drained: {error}", self.args.uid),
--- a/frostkeel/src/commands/guard.rs
+++ b/frostkeel/src/commands/guard.rs
@@ -1,8 +1,9 @@
-//! `frostkeel guard`: ends the children of a lab that was killed. Only the lab starts it.
+//! `frostkeel guard`: kills the child processes of a lab that was itself killed. Only the lab starts it.
 
 use crate::exit::{CommandOutcome, CommandResult};
 
-/// Follows the list of children on standard input; at its end, kills those that still run.
+/// Reads which child processes of the lab are running from standard input, which ends when the lab ends; then kills
+/// those that are still running.
 pub fn run() -> CommandResult {
     frostkeel_lab::guard::watch(std::io::stdin().lock());
     Ok(CommandOutcome::Passed)
--- a/frostkeel/src/commands/lab/compare.rs
+++ b/frostkeel/src/commands/lab/compare.rs
@@ -10,39 +10,41 @@
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
 
-/// What is compared.
+/// Arguments of `frostkeel lab compare`.
 #[derive(Args)]
 pub struct CompareArgs {
-    /// The experiment.
+    /// Path of the experiment file of the side `before`, in TOML.
     file: PathBuf,
-    /// The experiment that is compared with it; the same unless named.
+    /// Path of the experiment file of the side `after` [default: the same file].
+    #[arg(value_name = "OTHER_FILE")]
     other: Option<PathBuf>,
-    /// The balancer's program that is compared with; beside this one unless named.
-    #[arg(long)]
+    /// Path of the balancer program of the side `before` [default: the program of --balancer].
+    #[arg(long, value_name = "PROGRAM")]
     before: Option<PathBuf>,
-    /// The balancer's program that is compared; beside this one unless named.
-    #[arg(long)]
+    /// Path of the balancer program of the side `after` [default: the program of --balancer].
+    #[arg(long, value_name = "PROGRAM")]
     after: Option<PathBuf>,
-    /// Plays of each, on as many seeds.
-    #[arg(long, default_value_t = 3)]
-    plays: u32,
+    /// Number of runs of each side, on consecutive seeds.
+    #[arg(long = "plays", value_name = "COUNT", default_value_t = 3)]
+    run_count: u32,
     #[command(flatten)]
     run: RunArgs,
 }
 
-/// One of the two that are compared.
+/// One of the two experiments and balancer programs that are compared.
 struct Side {
     name: &'static str,
     experiment: Experiment,
     program: PathBuf,
-    /// The served shares of the runs that count.
+    /// The share of the requested priority weight that was served within the latency objective, in each run that is not
+    /// void.
     served_shares: Vec<f64>,
 }
 
 /// Runs both sides and prints each run and a summary of each side.
 pub fn run(args: CompareArgs) -> CommandResult {
     let sides = sides(&args)?;
-    runtime::for_lab()?.block_on(compare(sides, args.plays, &args.run))
+    runtime::for_lab()?.block_on(compare(sides, args.run_count, &args.run))
 }
 
 fn sides(args: &CompareArgs) -> Result<[Side; 2], CommandError> {
@@ -69,22 +71,22 @@
     ])
 }
 
-async fn compare(mut sides: [Side; 2], rounds: u32, args: &RunArgs) -> CommandResult {
+async fn compare(mut sides: [Side; 2], run_count: u32, args: &RunArgs) -> CommandResult {
     let folder = args.output_folder(&sides[0].experiment.name);
     let first_seed = args.seed.unwrap_or(sides[0].experiment.seed);
     let stop = interrupt_signal();
-    let mut all_count = true;
-    for round in 0..u64::from(rounds.max(1)) {
+    let mut all_valid = true;
+    for round in 0..u64::from(run_count.max(1)) {
         for side in &mut sides {
             let folder = folder.join(format!("{}-{round}", side.name));
             let outcome = side.run(first_seed + round, &folder, &stop).await?;
-            all_count &= outcome.void_reason.is_none();
+            all_valid &= outcome.void_reason.is_none();
         }
     }
     for side in &mut sides {
         side.print_summary();
     }
-    Ok(CommandOutcome::from_check(all_count))
+    Ok(CommandOutcome::from_check(all_valid))
 }
 
 impl Side {
--- a/frostkeel/src/commands/lab/mod.rs
+++ b/frostkeel/src/commands/lab/mod.rs
@@ -15,19 +15,19 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The balancer's program, in the folder of this one.
+/// The file name of the balancer program, which is expected in the folder of this program.
 const BALANCER_PROGRAM: &str = "frostkeel-balancer";
 
-/// The programs, the folder and the seed of a run.
+/// The balancer program, the output folder and the seed of a run.
 #[derive(Args)]
 pub struct RunArgs {
-    /// The balancer's program; beside this one unless named.
-    #[arg(long)]
+    /// Path of the balancer program [default: frostkeel-balancer in the folder of this program].
+    #[arg(long, value_name = "PROGRAM")]
     balancer: Option<PathBuf>,
-    /// Folder for the report, the events and the children's logs; a new one in the temporary folder unless named.
-    #[arg(long)]
+    /// Folder for the results and the logs of the processes [default: frostkeel-NAME-PID in the temporary folder].
+    #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
-    /// Seed in place of the experiment's own.
+    /// Seed of the random numbers, a whole number [default: the seed of the experiment].
     #[arg(long)]
     seed: Option<u64>,
 }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The folder for the results of a run with this name.
+    /// Returns `--out`, or else a folder in the temporary folder whose name has the name of the run and the process ID.
     fn output_folder(&self, name: &str) -> PathBuf {
         let process = std::process::id();
         let new_folder = || std::env::temp_dir().join(format!("frostkeel-{name}-{process}"));
@@ -48,26 +48,40 @@
     }
 }
 
-/// What the lab does.
+/// The subcommands of `frostkeel lab`.
 #[derive(Subcommand)]
 pub enum LabCommand {
-    /// Play an experiment, check every rule over its whole history, and write a report.
+    /// Run an experiment with balancer processes, check all its events against the rules, and write a report.
+    ///
+    /// The command exits with 1 if a rule was violated, an expectation was missed, or the run is void.
+    ///
+    /// A run is void, so that its figures do not count, if the lab sent requests too late or dropped events.
     Run {
-        /// The experiment.
+        /// Path of the experiment file, in TOML.
         file: PathBuf,
         #[command(flatten)]
         args: RunArgs,
     },
-    /// Say whether an experiment can be meant.
+    /// Check that an experiment file is valid, without running the experiment.
     Check {
-        /// The experiment.
+        /// Path of the experiment file, in TOML.
         file: PathBuf,
     },
-    /// Play what an experiment does to balancers with the membership's state machines alone, in simulated time.
+    /// Simulate only the membership protocol of the balancers, with an experiment's faults, in simulated time.
+    ///
+    /// Columns: `dgrams` and `bytes` are the datagrams and bytes that each member sent per second.
+    ///
+    /// `p50 s`, `p99 s` and `worst` are seconds until 99% of the other members had detected a kill.
+    ///
+    /// `false` and `held` count how often a member declared a running or a paused member dead.
+    ///
+    /// `equal s` is the second since which all views are equal, `unequal` the number of views that differ at the end.
     Simulate(simulate::SimulateArgs),
-    /// Put many watchers and writers on a list service, kill it now and then, and check all that they saw.
+    /// Run watchers and writers on a registry process, optionally kill it, and check what the watchers receive.
     Registry(registry::RegistryRunArgs),
-    /// Play two programs, or two experiments, in turn on the same seeds, and compare their figures.
+    /// Run two balancer programs, or two experiments, in turn on the same seeds, and compare the results.
+    ///
+    /// A side is an experiment with a balancer program. The two sides are called `before` and `after`.
     Compare(compare::CompareArgs),
 }
 
@@ -93,19 +107,19 @@
     })
 }
 
-/// The value of `--seconds` as a time.
+/// Returns the value of `--seconds` as a duration. Negative, infinite and too large values are errors.
 fn parse_seconds(seconds: f64) -> Result<Duration, CommandError> {
     Duration::try_from_secs_f64(seconds).map_err(|source| CommandError::Seconds { seconds, source })
 }
 
-/// Becomes `true` at the first Ctrl-C.
+/// Returns a channel whose value becomes `true` at the first Ctrl-C.
 fn interrupt_signal() -> watch::Receiver<bool> {
     let (sender, receiver) = watch::channel(false);
     tokio::spawn(async move {
         if tokio::signal::ctrl_c().await.is_ok() {
             sender.send_replace(true);
         }
-        // Dropping the sender would wake the receivers: it lives as long as they do.
+        // The sender must exist for as long as the receivers: dropping it would wake them.
         sender.closed().await;
     });
     receiver
--- a/frostkeel/src/commands/lab/registry.rs
+++ b/frostkeel/src/commands/lab/registry.rs
@@ -1,4 +1,4 @@
-//! `frostkeel lab registry`: watchers and writers on a registry that is killed repeatedly.
+//! `frostkeel lab registry`: runs watchers and writers on a registry process that is killed and restarted.
 
 use super::{RunArgs, parse_seconds};
 use crate::error::CommandError;
@@ -8,38 +8,38 @@
 use frostkeel_lab::runs::registry_run::{RegistryRunOptions, RegistryRunOutcome, run_registry};
 use std::ops::RangeInclusive;
 
-/// The name of the folder with the results.
+/// The name of the run, which is part of the name of the default output folder.
 const RUN_NAME: &str = "registry";
 const DEFAULT_SEED: u64 = 1;
-/// Changes a second that the writers can make.
-const CHANGE_RATES: RangeInclusive<f64> = 0.1..=100_000.0;
+/// The range of `--changes`: changes per second, by all writers together.
+const CHANGES_PER_S_RANGE: RangeInclusive<f64> = 0.1..=100_000.0;
 
-/// The load on the registry.
+/// Arguments of `frostkeel lab registry`.
 #[derive(Args)]
 pub struct RegistryRunArgs {
-    /// Watchers.
-    #[arg(long, default_value_t = 1000)]
+    /// Number of clients that watch the endpoint list, at least 1.
+    #[arg(long, value_name = "COUNT", default_value_t = 1000)]
     watchers: u32,
-    /// Upstreams on the list.
-    #[arg(long, default_value_t = 200)]
+    /// Number of upstreams on the endpoint list, at least 1.
+    #[arg(long, value_name = "COUNT", default_value_t = 200)]
     upstreams: u32,
-    /// Changes a second.
-    #[arg(long, default_value_t = 50.0)]
-    changes: f64,
-    /// Writers that send them.
-    #[arg(long, default_value_t = 10)]
+    /// Changes of the endpoint list per second by all writers together, 0.1 to 100000.
+    #[arg(long = "changes", value_name = "PER_SECOND", default_value_t = 50.0)]
+    changes_per_s: f64,
+    /// Number of clients that write the changes, at least 1.
+    #[arg(long, value_name = "COUNT", default_value_t = 10)]
     writers: u32,
-    /// For so long.
+    /// Time in seconds for which changes are written.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
-    /// Times that the service is killed meanwhile.
-    #[arg(long, default_value_t = 0)]
+    /// Number of times that the registry is killed and restarted during that time, at equal intervals.
+    #[arg(long, value_name = "COUNT", default_value_t = 0)]
     kills: u32,
     #[command(flatten)]
     run: RunArgs,
 }
 
-/// Runs the load and prints how soon the watchers had the changes.
+/// Runs the load, and prints how soon the watchers received the changes and which rules were violated.
 pub fn run(args: &RegistryRunArgs) -> CommandResult {
     let options = run_options(args)?;
     let folder = args.run.output_folder(RUN_NAME);
@@ -52,13 +52,13 @@
 fn run_options(args: &RegistryRunArgs) -> Result<RegistryRunOptions, CommandError> {
     let duration = parse_seconds(args.seconds)?;
     let has_load = args.watchers > 0 && args.writers > 0 && args.upstreams > 0;
-    if !has_load || !CHANGE_RATES.contains(&args.changes) {
+    if !has_load || !CHANGES_PER_S_RANGE.contains(&args.changes_per_s) {
         return Err(CommandError::RegistryLoad);
     }
     Ok(RegistryRunOptions {
         watchers: args.watchers,
         upstreams: args.upstreams,
-        changes_per_s: args.changes,
+        changes_per_s: args.changes_per_s,
         writers: args.writers,
         duration,
         kills: args.kills,
--- a/frostkeel/src/commands/lab/simulate.rs
+++ b/frostkeel/src/commands/lab/simulate.rs
@@ -1,4 +1,5 @@
-//! `frostkeel lab simulate`: an experiment's faults on the membership's state machines alone, in simulated time.
+//! `frostkeel lab simulate`: runs only the state machines of the membership protocol, in simulated time, with the
+//! faults that an experiment has for balancers.
 
 use super::{parse_seconds, read_experiment};
 use crate::error::CommandError;
@@ -10,72 +11,72 @@
 use frostkeel_lab::runs::simulation::{SimulationOutcome, simulate};
 use std::path::PathBuf;
 
-/// Lines about what went wrong in a simulation.
+/// The maximum number of missed expectations, violations and differences that are printed for a simulation.
 const MAX_PRINTED_DEVIATIONS: usize = 6;
 
-/// What is simulated.
+/// Arguments of `frostkeel lab simulate`.
 #[derive(Args)]
 pub struct SimulateArgs {
-    /// The experiment.
+    /// Path of the experiment file, in TOML.
     file: PathBuf,
-    /// Sizes of the fleet, in place of the experiment's own.
-    #[arg(long, value_delimiter = ',')]
-    members: Vec<u32>,
-    /// Seed in place of the experiment's own.
+    /// Numbers of balancers to simulate, separated by commas, e.g. 10,100 [default: the experiment's number].
+    #[arg(long = "members", value_name = "COUNT", value_delimiter = ',')]
+    member_counts: Vec<u32>,
+    /// Seed of the first simulation of each size, a whole number [default: the seed of the experiment].
     #[arg(long)]
     seed: Option<u64>,
-    /// Plays of each size, on as many seeds.
-    #[arg(long, default_value_t = 1)]
-    plays: u64,
-    /// Seconds in place of the experiment's own.
+    /// Number of simulations of each size, on consecutive seeds.
+    #[arg(long = "plays", value_name = "COUNT", default_value_t = 1)]
+    seed_count: u64,
+    /// Simulated time in seconds [default: the duration of the experiment].
     #[arg(long)]
     seconds: Option<f64>,
-    /// All know each other from the start on; unless said, they have to find each other.
+    /// Let all members know each other from the start; without this flag they have to discover each other.
     #[arg(long)]
     known: bool,
-    /// A plot over the sizes, as SVG.
-    #[arg(long)]
+    /// Path of an SVG file to write, which plots detection times and traffic over the sizes.
+    #[arg(long, value_name = "FILE")]
     plot: Option<PathBuf>,
 }
 
-/// A simulation and the expectations of the experiment that it missed.
+/// The outcome of a simulation, and the experiment's expectations that it missed.
 struct Simulated {
     outcome: SimulationOutcome,
     missed: Vec<String>,
 }
 
-/// Simulates each size on each seed and prints a line for each.
+/// Simulates each fleet size on each seed, and prints a line for each simulation.
 pub fn run(args: &SimulateArgs) -> CommandResult {
     let mut experiment = read_experiment(&args.file)?;
     if let Some(seconds) = args.seconds {
         experiment.length = parse_seconds(seconds)?;
     }
-    let own_size = [experiment.fleet.balancers];
-    let sizes = if args.members.is_empty() {
-        &own_size[..]
+    let experiment_size = [experiment.fleet.balancers];
+    let sizes = if args.member_counts.is_empty() {
+        &experiment_size[..]
     } else {
-        &args.members
+        &args.member_counts
     };
     print_header();
     let mut outcomes = Vec::new();
-    let mut expectations_held = true;
+    let mut expectations_met = true;
     for size in sizes {
         experiment.fleet.balancers = *size;
         for simulated in simulate_seeds(&experiment, args) {
             let simulated = simulated?;
             print_row(&simulated.outcome);
             print_deviations(&experiment, &simulated);
-            expectations_held &= simulated.missed.is_empty();
+            expectations_met &= simulated.missed.is_empty();
             outcomes.push(simulated.outcome);
         }
     }
     if let Some(path) = &args.plot {
         std::fs::write(path, size_plot(&outcomes))?;
     }
-    Ok(CommandOutcome::from_check(expectations_held))
+    Ok(CommandOutcome::from_check(expectations_met))
 }
 
-/// Simulates an experiment on all seeds at the same time; the results are in the order of the seeds.
+/// Simulates an experiment on all seeds concurrently. The results are in the order of the seeds.
 fn simulate_seeds(
     experiment: &Experiment,
     args: &SimulateArgs,
@@ -87,7 +88,7 @@
         Ok(Simulated { outcome, missed })
     };
     std::thread::scope(|scope| {
-        let seeds = first_seed..first_seed + args.plays;
+        let seeds = first_seed..first_seed + args.seed_count;
         let threads: Vec<_> = seeds
             .map(|seed| scope.spawn(move || simulate_seed(seed)))
             .collect();
--- a/frostkeel/src/commands/list.rs
+++ b/frostkeel/src/commands/list.rs
@@ -12,24 +12,24 @@
 use std::net::SocketAddr;
 
 const LIST_TARGET: &str = "/registry/instances";
-/// A watch from the beginning: first the complete list, then each change.
+/// The target of a watch from index 0, which delivers the complete list first and then each change.
 const WATCH_TARGET: &str = "/registry/instances?stream=1&index=0";
 
-/// Shows the list of a list service.
+/// Arguments of `frostkeel list`.
 #[derive(Args)]
 pub struct ListArgs {
-    /// Its reading address.
-    #[arg(long)]
-    read: SocketAddr,
-    /// Go on, and show each change.
+    /// Address of the registry's interface for reads and watches, e.g. 127.0.0.1:7101.
+    #[arg(long = "read", value_name = "ADDRESS")]
+    read_address: SocketAddr,
+    /// Print the list, then each change of it, until the registry ends the watch.
     #[arg(long)]
     watch: bool,
-    /// Write what the service says, in JSON, one line for each.
+    /// Print the registry's JSON as received, one line for each list or change, instead of a table.
     #[arg(long)]
     json: bool,
 }
 
-/// Prints the list, and with `--watch` each change until the registry ends the watch.
+/// Prints the list. With `--watch`, then prints each change, and returns an error when the registry ends the watch.
 pub fn run(args: &ListArgs) -> CommandResult {
     let runtime = runtime::multi_threaded()?;
     if args.watch {
@@ -40,12 +40,12 @@
 }
 
 async fn print_once(args: &ListArgs) -> CommandResult {
-    let response = call(args.read, Method::GET, LIST_TARGET, String::new()).await;
+    let response = call(args.read_address, Method::GET, LIST_TARGET, String::new()).await;
     let CompleteResponse { status, body } = response?;
     if status != StatusCode::OK {
         let message = String::from_utf8_lossy(&body).trim().to_owned();
         return Err(CommandError::RegistryRejected {
-            subject: args.read.to_string(),
+            subject: args.read_address.to_string(),
             message,
         });
     }
@@ -54,7 +54,7 @@
 }
 
 async fn print_changes(args: &ListArgs) -> CommandResult {
-    let response = send_request(args.read, Method::GET, WATCH_TARGET, String::new()).await;
+    let response = send_request(args.read_address, Method::GET, WATCH_TARGET, String::new()).await;
     let mut body = response?.into_body();
     let mut pending = BytesMut::new();
     while let Some(frame) = body.frame().await {
@@ -63,18 +63,18 @@
         };
         pending.extend_from_slice(&data);
         while let Some(line) = next_line(&mut pending) {
-            // The registry sends blank lines as heartbeats of an idle watch.
+            // A blank line is a heartbeat, which the registry sends on an idle watch.
             if !line.trim_ascii().is_empty() {
                 print_update(&line, args.json)?;
             }
         }
     }
     Err(CommandError::WatchEnded {
-        registry: args.read,
+        registry: args.read_address,
     })
 }
 
-/// Splits off the first line, with its end; `None` if it isn't complete yet.
+/// Removes and returns the first line, including its line feed. `None` if no line is complete yet.
 fn next_line(pending: &mut BytesMut) -> Option<Bytes> {
     let end = pending.iter().position(|byte| *byte == b'\n')?;
     Some(pending.split_to(end + 1).freeze())
--- a/frostkeel/src/commands/members/mod.rs
+++ b/frostkeel/src/commands/members/mod.rs
@@ -1,4 +1,4 @@
-//! `frostkeel members`: who is present, by the pages of the balancers.
+//! `frostkeel members`: prints which members balancers see, from the membership pages of the balancers.
 
 mod page;
 mod tables;
@@ -14,29 +14,32 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a watch reads the pages.
+/// The pause of `--watch` between two reads of the pages.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whose views are shown, and how.
+/// Arguments of `frostkeel members`.
 #[derive(Args)]
 pub struct MembersArgs {
-    /// Addresses of the pages, as `page` in the configuration or in the log's line `joining`.
+    /// Address of a balancer's membership page, e.g. 127.0.0.1:7000; without --all, only the first is read.
+    ///
+    /// It is the value of `page` in the balancer's configuration, and in the balancer's log line `joining`.
+    #[arg(value_name = "ADDRESS")]
     pages: Vec<SocketAddr>,
-    /// A file with one such address a line.
+    /// Path of a file with further addresses of membership pages, one per line.
     #[arg(long)]
     file: Option<PathBuf>,
-    /// Show all views side by side and where they differ, not only the first.
+    /// Read the pages of all addresses, and show how their views differ.
     #[arg(long)]
     all: bool,
-    /// Go on, and show each change.
+    /// Read the pages every second until interrupted, and print them whenever one has changed.
     #[arg(long)]
     watch: bool,
-    /// Write what the pages say, in JSON, one line each.
+    /// Print the JSON body of each page as received, instead of tables.
     #[arg(long)]
     json: bool,
 }
 
-/// Prints the views, and with `--watch` each change.
+/// Prints the views. With `--watch`, prints them again whenever one has changed, and does not return.
 pub fn run(args: &MembersArgs) -> CommandResult {
     let mut addresses = args.pages.clone();
     if let Some(file) = &args.file {
@@ -106,7 +109,8 @@
     }
 }
 
-/// A text that differs whenever there is something new to be shown.
+/// Returns the names, phases and versions of all views, and the errors, as one text. It changes whenever a page must be
+/// printed again.
 fn versions(pages: &[FetchedPage]) -> String {
     let version = |page: &FetchedPage| match &page.view {
         Ok(View {
@@ -120,7 +124,7 @@
     pages.iter().map(version).collect::<Vec<_>>().join("\n")
 }
 
-/// Whether all balancers that have joined see the same members.
+/// Returns whether the views of all balancers that have joined are equal. Unread pages don't count.
 fn are_equal(pages: &[FetchedPage]) -> bool {
     let views = pages.iter().filter_map(|page| page.view.as_ref().ok());
     let joined = views.filter(|view| view.has_joined());
--- a/frostkeel/src/commands/registry.rs
+++ b/frostkeel/src/commands/registry.rs
@@ -1,4 +1,4 @@
-//! `frostkeel registry`: runs a registry server, or asks one for its status.
+//! `frostkeel registry`: runs a registry server, or prints the status of one.
 
 use crate::error::CommandError;
 use crate::exit::{CommandOutcome, CommandResult};
@@ -11,12 +11,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Runs a list service, or asks one how it stands.
+/// Arguments of `frostkeel registry`.
 #[derive(Args)]
 #[command(args_conflicts_with_subcommands = true)]
 pub struct RegistryArgs {
-    /// Its configuration, in TOML.
-    #[arg(long)]
+    /// Path of the registry's configuration, in TOML; runs a registry with it until a signal ends it.
+    #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
     query: Option<RegistryQuery>,
@@ -24,19 +24,19 @@
 
 #[derive(Subcommand)]
 enum RegistryQuery {
-    /// Say how a list service stands.
+    /// Print the status of a running registry as JSON.
     Status {
-        /// Its writing address.
-        #[arg(long)]
-        write: SocketAddr,
+        /// Address of the registry's interface for writes, status and metrics, e.g. 127.0.0.1:7100.
+        #[arg(long = "write", value_name = "ADDRESS")]
+        write_address: SocketAddr,
     },
 }
 
-/// Runs a registry server until it receives a signal to end, or prints the status of one.
+/// Runs a registry server until it receives a signal to end, or prints the status of a running one.
 pub fn run(args: RegistryArgs) -> CommandResult {
     match (args.config, args.query) {
         (Some(path), None) => serve(path),
-        (None, Some(RegistryQuery::Status { write })) => print_status(write),
+        (None, Some(RegistryQuery::Status { write_address })) => print_status(write_address),
         _ => Err(CommandError::NoRegistryAction),
     }
 }
--- a/frostkeel/src/main.rs
+++ b/frostkeel/src/main.rs
@@ -1,5 +1,5 @@
-//! `frostkeel`: the command line. Each command is a module of [`commands`]; what a command starts lies in the other
-//! crates. Errors are [`error::CommandError`], exit codes are [`exit`]'s.
+//! The `frostkeel` command line. Each command is a module of [`commands`]; the servers and experiments that commands
+//! start are in other crates. [`error::CommandError`] has the errors of all commands, [`exit`] the exit codes.
 
 mod commands;
 mod error;
@@ -13,46 +13,70 @@
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
 
-/// Keeps a large fleet of balancers serving through failures.
+/// Runs and inspects the parts of the frostkeel load balancer, and tests them in experiments.
+///
+/// The balancer itself is the program `frostkeel-balancer`. It reads the addresses of upstream servers from a registry.
+///
+/// `registry` runs that registry, and `agent` registers an upstream with it; `list` and `drain` use a running registry.
+///
+/// `members` shows which balancers a running balancer considers alive. `demo` and `lab` run experiments.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Cli {
-    /// How much the log on standard error says.
-    #[arg(long, global = true, default_value = "warn")]
+    /// Lowest level of the log lines on standard error: off, error, warn, info, debug or trace.
+    #[arg(long, value_name = "LEVEL", global = true, default_value = "warn")]
     log: LevelFilter,
-    /// How the log is written.
-    #[arg(long, global = true, value_enum, default_value_t = LogForm::Text)]
-    log_form: LogForm,
+    /// Format of the log on standard error.
+    #[arg(long = "log-form", value_name = "FORMAT", global = true, value_enum, default_value_t = LogFormat::Text)]
+    log_format: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
-    /// For people.
+enum LogFormat {
+    /// Plain text, one line for each log event.
     Text,
-    /// One JSON object a line.
+    /// JSON, one object on a line for each log event.
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Show the balancer at work: three of them, ten upstreams, one killed, some replaced; 20 seconds.
+    /// Run the built-in 20-second experiment: 3 balancers and 10 upstreams, one killed and four replaced.
+    ///
+    /// It shows its progress, writes a report, and checks the same rules as `frostkeel lab run`.
     Demo(lab::RunArgs),
-    /// Play experiments on a fleet of real processes.
+    /// Run experiments: start a fleet of balancers or a registry, inject faults, and check the results.
     #[command(subcommand)]
     Lab(lab::LabCommand),
-    /// Show who is present, as one balancer sees it, or as all do and where they differ.
+    /// Show the members of a fleet of balancers, as one balancer sees them or with all views compared.
+    ///
+    /// `standing` is the state of a member, and `for s` the time in seconds since it changed.
+    ///
+    /// `life` is a member's incarnation: the start of its process and, after the dot, its number of rejoins.
+    ///
+    /// `from` is the balancer that reported the state. `there` is the number of members seen as present.
+    ///
+    /// Without --watch, the command exits with 1 if a page can't be read, or if the views of joined balancers differ.
     Members(members::MembersArgs),
-    /// Run a list service, or ask one how it stands.
+    /// Run a registry, which maintains the endpoint list of upstreams, or show the status of one.
     Registry(registry::RegistryArgs),
-    /// Show the list of a list service.
+    /// Print the endpoint list of a registry: each upstream with its address, state and weight.
     List(list::ListArgs),
-    /// Let an upstream get nothing new.
+    /// Drain an upstream: mark it in the registry, so that balancers send it no new requests.
     Drain(drain::DrainArgs),
-    /// Run a command and keep it on the list of a list service.
+    /// Run a command as an upstream, registered with a registry for as long as the command runs.
+    ///
+    /// The agent registers the upstream when the command has started, and then renews its lease.
+    ///
+    /// On SIGTERM or SIGINT it drains the upstream, waits --drain-s, and sends the command SIGTERM, after 10 s SIGKILL.
+    ///
+    /// When the command has ended, the agent removes the upstream from the list and exits with the command's exit code.
+    ///
+    /// If the registry rejects the registration, the agent kills the command and exits with 1.
     Agent(agent::AgentArgs),
-    /// End the children of a lab that is gone; started by the lab itself.
+    /// Kill the child processes of a lab that has ended without stopping them. Only the lab starts this command.
     #[command(hide = true)]
     Guard,
 }
@@ -72,19 +96,19 @@
     }
 }
 
-fn start_logging(level: LevelFilter, form: LogForm) {
+fn start_logging(level: LevelFilter, format: LogFormat) {
     let log = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_max_level(level);
-    match form {
-        LogForm::Text => log.init(),
-        LogForm::Json => log.json().init(),
+    match format {
+        LogFormat::Text => log.init(),
+        LogFormat::Json => log.json().init(),
     }
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    start_logging(cli.log, cli.log_form);
+    start_logging(cli.log, cli.log_format);
     exit::exit_code(cli.command.run())
 }
