--- a/frostkeel/src/commands/members/page.rs
+++ b/frostkeel/src/commands/members/page.rs
@@ -1,4 +1,4 @@
-//! A balancer's page with its view of the members.
+//! A balancer's membership page, which has the balancer's view of the members of its fleet.
 
 use bytes::Bytes;
 use frostkeel_registry::client::{ClientError, call};
@@ -7,28 +7,28 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// What a balancer sees.
+/// The members of a fleet, as one balancer sees them.
 #[derive(Deserialize)]
 pub struct View {
-    /// The balancer's name.
+    /// The name of the balancer that has this view.
     pub name: String,
-    /// The name of its fleet.
+    /// The name of the fleet that the balancer belongs to.
     pub fleet: String,
-    /// How far it has joined.
+    /// The phase of the balancer's own membership, e.g. `joining`; it has joined when this is `member`.
     pub phase: String,
-    /// The version of its view.
+    /// The number of changes of the view so far.
     pub version: u64,
-    /// Equal for equal views.
+    /// The digest of the members that are present. It is equal for equal views.
     pub digest: String,
-    /// How many members it sees as present.
+    /// The number of members that the balancer sees as present.
     #[serde(rename = "there")]
     pub present_count: usize,
-    /// The members.
+    /// The members in the view. They include members that are no longer present.
     pub members: Vec<Member>,
 }
 
 impl View {
-    /// Whether the balancer is a member itself, so that its view should equal the others'.
+    /// Returns whether the balancer has joined its fleet. The views of all that have joined should be equal.
     pub fn has_joined(&self) -> bool {
         self.phase == "member"
     }
@@ -37,59 +37,59 @@
 /// A member as a balancer sees it.
 #[derive(Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The name of the member.
     pub name: String,
-    /// Its incarnation: when its process started.
+    /// The incarnation of the member, given by the start time of its process.
     pub incarnation: u64,
-    /// How often it has rejoined in this incarnation.
+    /// How often the member has rejoined the fleet in this incarnation.
     #[serde(rename = "turn")]
     pub rejoin_count: u16,
-    /// Its state.
+    /// The state of the member, e.g. `present`, `suspect`, `left` or `gone`.
     #[serde(rename = "standing")]
     pub state: String,
-    /// For how long it has had this state.
+    /// The time since the balancer recorded the state, in seconds.
     pub since_s: f64,
-    /// Who reported the state; none if the balancer itself did.
+    /// The member whose datagram reported the state. `None` if the balancer detected it itself.
     #[serde(rename = "from")]
     pub reported_by: Option<String>,
 }
 
 impl Member {
-    /// Whether it counts as present; suspects do.
+    /// Returns whether the member counts as present. A suspected member does.
     pub fn is_present(&self) -> bool {
         matches!(self.state.as_str(), "present" | "suspect")
     }
 
-    /// Its incarnation and how often it has rejoined in it.
+    /// Returns the incarnation and the number of rejoins in it, separated by a dot.
     pub fn full_incarnation(&self) -> String {
         format!("{}.{}", self.incarnation, self.rejoin_count)
     }
 }
 
-/// Why there is no view of a balancer.
+/// An error that prevents the view of a balancer from being read.
 #[derive(Debug, Error)]
 pub enum ViewError {
-    /// The page can't be fetched.
+    /// A request for the page failed before its response was complete.
     #[error(transparent)]
     Fetch(#[from] ClientError),
-    /// The balancer responds with an error.
-    #[error("{address}: answered {status}")]
+    /// The balancer responded with a status other than 200.
+    #[error("{address}: expected status 200 for the membership page, got {status}")]
     Status {
-        /// The page's address.
+        /// The address of the page.
         address: SocketAddr,
-        /// The status code.
+        /// The status code of the response.
         status: u16,
     },
-    /// The page can't be parsed.
-    #[error("the page cannot be read: {0}")]
+    /// The page is not valid JSON, or lacks a field.
+    #[error("cannot parse the membership page: {0}")]
     Parse(#[from] serde_json::Error),
 }
 
-/// A page as it was fetched.
+/// The result of fetching a page.
 pub struct FetchedPage {
-    /// Its text, if there is one.
+    /// The body of the page. `None` if the page could not be fetched.
     pub text: Option<Bytes>,
-    /// The view in it.
+    /// The view that was parsed from the body, or the error.
     pub view: Result<View, ViewError>,
 }
 
--- a/frostkeel/src/error.rs
+++ b/frostkeel/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command can't do its work, and what to do about it.
+//! The errors of all commands.
 
 use frostkeel_lab::LabError;
 use frostkeel_lab::experiment::ParseError;
@@ -11,127 +11,133 @@
 use std::time::{SystemTimeError, TryFromFloatSecsError};
 use thiserror::Error;
 
-/// Why a command can't do its work. The message is what the user sees.
+/// An error that ends a command. Its message is printed to standard error.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The operating system reports an error that belongs to no file.
+    /// An operation of the operating system failed. The error has no path to report.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A file can't be read.
     #[error("{path}: {source}")]
     ReadFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file is not an experiment that can be run.
+    /// A file is not a valid experiment.
     #[error("{path}: {source}")]
     ExperimentFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The reason, with the line in the file.
         source: ParseError,
     },
-    /// The built-in experiment can't be run.
+    /// The experiment that is built into the program is not valid.
     #[error(transparent)]
     BuiltInExperiment(#[from] ParseError),
-    /// `--seconds` is not a time.
-    #[error("--seconds {seconds}: {source}")]
+    /// The value of `--seconds` is not a duration.
+    #[error("--seconds must be a duration in seconds, at least 0, got {seconds}: {source}")]
     Seconds {
-        /// The value.
+        /// The value of `--seconds`.
         seconds: f64,
-        /// Why not.
+        /// The error of the conversion to a duration.
         source: TryFromFloatSecsError,
     },
-    /// A file of balancers' pages has a line that is no address.
-    #[error("{path}: {line:?}: {source}")]
+    /// A file with addresses of membership pages has a line that is not an address.
+    #[error("{path}: expected an address and port on each line, got {line:?}: {source}")]
     PageAddress {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The line.
+        /// The text of the line.
         line: String,
-        /// Why not.
+        /// The error of the parser.
         source: AddrParseError,
     },
-    /// No page to ask for its view was named.
-    #[error("whose view? name the address of a page, or a --file of them")]
+    /// `frostkeel members` was given no address of a membership page.
+    #[error("no membership page to read: pass its address, or a file of addresses with --file")]
     NoPages,
-    /// The load of a registry experiment can't be made.
-    #[error("one watcher, writer and upstream at least, and 0.1 to 100000 changes a second")]
+    /// An option of `frostkeel lab registry` is out of range.
+    #[error(
+        "--watchers, --writers and --upstreams must be at least 1, --changes between 0.1 and 100000 per second"
+    )]
     RegistryLoad,
-    /// Nothing that could differ was given to compare.
-    #[error("nothing to compare: name a second experiment, or --before and --after")]
+    /// Both sides of a comparison have the same experiment and the same balancer program.
+    #[error(
+        "nothing to compare: pass a second experiment, or different programs with --before and --after"
+    )]
     NothingToCompare,
-    /// A comparison was interrupted before its end.
-    #[error("interrupted: nothing is compared")]
+    /// A comparison was interrupted before its last run ended.
+    #[error("comparison interrupted before its last run ended: no summary is printed")]
     Interrupted,
-    /// An experiment has ended early.
+    /// An experiment could not be run to its end.
     #[error(transparent)]
     Lab(#[from] LabError),
-    /// A simulated member can't be configured.
+    /// The configuration of a simulated member is not valid.
     #[error(transparent)]
     Membership(#[from] ConfigError),
-    /// Neither a configuration to run with nor a registry to ask was named.
-    #[error("registry --config FILE runs one, registry status asks one")]
+    /// `frostkeel registry` was given neither a configuration nor a subcommand.
+    #[error(
+        "no action given: use `registry --config FILE` to run a registry, or `registry status` to query one"
+    )]
     NoRegistryAction,
-    /// A registry's configuration can't be used.
+    /// A registry's configuration is not valid.
     #[error("{path}: {source}")]
     RegistryConfig {
-        /// The file.
+        /// The path of the configuration file.
         path: PathBuf,
-        /// Why not.
+        /// The reason, with the setting that is not valid.
         source: frostkeel_registry::config::ConfigError,
     },
-    /// The registry server has ended early.
+    /// The registry server could not start, or ended with an error.
     #[error(transparent)]
     Registry(#[from] ServiceError),
-    /// A registry or a balancer's page can't be reached.
+    /// A request to a registry failed before its response was complete.
     #[error(transparent)]
     Call(#[from] ClientError),
-    /// A registry responds to a request with an error.
-    #[error("{subject}: {message}")]
+    /// A registry responded to a request with an error status.
+    #[error("{subject}: the registry rejected the request: {message}")]
     RegistryRejected {
-        /// The upstream or the address that the request was for.
+        /// The upstream that the request was about, or the registry's address.
         subject: String,
-        /// The registry's text.
+        /// The body of the registry's response.
         message: String,
     },
-    /// A watch on the endpoint list can't be read.
+    /// The connection of a watch on the endpoint list failed.
     #[error(transparent)]
     WatchBody(#[from] hyper::Error),
-    /// The registry has ended a watch.
-    #[error("{registry}: the watch has ended")]
+    /// The registry ended a watch on the endpoint list.
+    #[error("{registry}: the registry ended the watch; run the command again to start a new one")]
     WatchEnded {
-        /// The registry's address.
+        /// The address of the registry's interface for reads.
         registry: SocketAddr,
     },
-    /// A text of the registry can't be parsed.
+    /// An endpoint list from the registry is not valid JSON, or lacks a field.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The agent's times are out of range.
-    #[error("ttl-s of 1 to 3600 and drain-s of 0 to 3600 are possible")]
+    /// `--ttl-s` or `--drain-s` is out of range.
+    #[error("--ttl-s must be between 1 and 3600 s, and --drain-s must be between 0 and 3600 s")]
     AgentTimes,
-    /// The agent was given no command.
-    #[error("a command is needed")]
+    /// `frostkeel agent` was given no command to run.
+    #[error("no command given: pass one after --")]
     NoCommand,
     /// The agent's command can't be started.
-    #[error("{program}: {source}")]
+    #[error("cannot start {program}: {source}")]
     StartProgram {
-        /// The command.
+        /// The first word of the command.
         program: String,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The wall clock shows a time before 1970.
     #[error(transparent)]
     WallClock(#[from] SystemTimeError),
-    /// The registry will not list the agent's upstream.
-    #[error("{uid}: the list service refuses it: {message}")]
+    /// The registry rejected the agent's registration or the renewal of its lease. A retry would be rejected too.
+    #[error("{uid}: the registry rejected the registration: {message}")]
     RegistrationRejected {
-        /// The upstream.
+        /// The identifier of the upstream.
         uid: String,
-        /// The registry's text.
+        /// The body of the registry's response.
         message: String,
     },
 }
