--- a/frostkeel/src/commands/lab/check.rs
+++ b/frostkeel/src/commands/lab/check.rs
@@ -4,11 +4,11 @@
 use crate::exit::{CommandOutcome, CommandResult};
 use std::path::Path;
 
-/// Prints what the experiment has if it can be run.
+/// Prints the name, size and duration of the experiment if it is valid; otherwise returns the error.
 pub fn run(file: &Path) -> CommandResult {
     let experiment = read_experiment(file)?;
     println!(
-        "{}: {} balancers, {} upstreams, {} faults in {:?}: it can be played",
+        "{}: {} balancers, {} upstreams, {} faults in {:?}: the experiment is valid",
         experiment.name,
         experiment.fleet.balancers,
         experiment.fleet.upstreams,
--- a/frostkeel/src/commands/lab/compare.rs
+++ b/frostkeel/src/commands/lab/compare.rs
@@ -41,7 +41,7 @@
     served_shares: Vec<f64>,
 }
 
-/// Runs both sides and prints each run and a summary of each side.
+/// Runs both sides in turn, and prints each run and a summary of each side.
 pub fn run(args: CompareArgs) -> CommandResult {
     let sides = sides(&args)?;
     runtime::for_lab()?.block_on(compare(sides, args.run_count, &args.run))
@@ -90,7 +90,7 @@
 }
 
 impl Side {
-    /// Runs the experiment once, and prints and records its result.
+    /// Runs the experiment once, prints its result, and records its served share unless the run is void.
     async fn run(
         &mut self,
         seed: u64,
@@ -120,7 +120,7 @@
         let void = outcome.void_reason.as_ref();
         let void = void.map(|reason| format!(", VOID: {reason}"));
         println!(
-            "{:6} seed {seed}: served {:.3}, worst class {:.3}, p99 {:.0} ms, {} breaches{}",
+            "{:6} seed {seed}: served {:.3}, worst class {:.3}, p99 {:.0} ms, {} violations{}",
             self.name,
             figures.served_share,
             figures.worst_class_share,
@@ -137,10 +137,10 @@
         let median = shares.get(shares.len() / 2);
         match (shares.first(), median, shares.last()) {
             (Some(worst), Some(median), Some(best)) => println!(
-                "{name:6} served: median {median:.3}, worst {worst:.3}, best {best:.3} of {} plays",
+                "{name:6} served: median {median:.3}, worst {worst:.3}, best {best:.3} of {} runs",
                 shares.len()
             ),
-            _ => println!("{name:6} no play counts"),
+            _ => println!("{name:6} no valid run"),
         }
     }
 }
--- a/frostkeel/src/commands/lab/registry.rs
+++ b/frostkeel/src/commands/lab/registry.rs
@@ -68,9 +68,9 @@
 
 fn print_outcome(outcome: &RegistryRunOutcome) {
     println!(
-        "{} changes acknowledged after {:.1} ms (median), {:.1} ms (99th percentile), {} without an answer; \
-         99% of the watchers had them after {:.1} ms (median), {:.1} ms (99th percentile), {:.1} ms \
-         at worst; {} lines",
+        "{} changes acknowledged after {:.1} ms (median), {:.1} ms (99th percentile), {} without a response; \
+         99% of the watchers received them after {:.1} ms (median), {:.1} ms (99th percentile), {:.1} ms \
+         at most; {} lines received",
         outcome.acknowledged_count,
         outcome.acknowledgement.p50_ms,
         outcome.acknowledgement.p99_ms,
@@ -81,6 +81,6 @@
         outcome.line_count
     );
     for violation in &outcome.violations {
-        println!("  BROKEN: {violation}");
+        println!("  VIOLATION: {violation}");
     }
 }
--- a/frostkeel/src/commands/lab/simulate.rs
+++ b/frostkeel/src/commands/lab/simulate.rs
@@ -153,6 +153,6 @@
         .chain(violations)
         .chain(&outcome.figures.differences);
     for deviation in deviations.take(MAX_PRINTED_DEVIATIONS) {
-        println!("        missed: {deviation}");
+        println!("        deviation: {deviation}");
     }
 }
--- a/frostkeel/src/commands/list.rs
+++ b/frostkeel/src/commands/list.rs
@@ -87,10 +87,10 @@
     }
     let update: EndpointUpdate = serde_json::from_slice(text)?;
     println!(
-        "version {}{}",
+        "revision {}{}",
         update.revision,
         if update.is_snapshot {
-            ", the whole list"
+            ", the complete list"
         } else {
             ""
         }
--- a/frostkeel/src/commands/members/tables.rs
+++ b/frostkeel/src/commands/members/tables.rs
@@ -1,22 +1,22 @@
-//! The tables that show one view, or compare several.
+//! The tables that `frostkeel members` prints: one view, or a comparison of several.
 
 use super::page::{FetchedPage, View, ViewError};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Balancers that are named for each way in which a member is seen.
+/// The maximum number of balancers that are named for one observation of a member.
 const MAX_NAMED_BALANCERS: usize = 8;
 
-/// Balancers by what they see of a member.
+/// The names of balancers, by the text that says how they see one member.
 type BalancersByObservation<'a> = BTreeMap<String, Vec<&'a str>>;
 
-/// The table of one view.
+/// Returns the table of one view, or the error as a line.
 pub fn single_view(view: &Result<View, ViewError>) -> String {
     let view = match view {
         Ok(view) => view,
         Err(error) => return format!("{error}\n"),
     };
     let mut text = format!(
-        "{} of {} ({}): version {}, {} there, digest {}\n",
+        "{} of fleet {} ({}): view version {}, {} members present, digest {}\n",
         view.name, view.fleet, view.phase, view.version, view.present_count, view.digest
     );
     text += &format!(
@@ -36,7 +36,8 @@
     text
 }
 
-/// One line for each balancer; below, for each member that they see differently, who sees what.
+/// Returns a line for each balancer, then the errors, then for each member that joined balancers see differently a line
+/// for each observation with the balancers that made it.
 pub fn comparison(pages: &[FetchedPage]) -> String {
     let views: Vec<&View> = pages
         .iter()
@@ -48,7 +49,7 @@
     }
     let differences = differences(&views);
     if differences.is_empty() {
-        return text + "all views are alike\n";
+        return text + "all views are equal\n";
     }
     for (member, observations) in &differences {
         for (observation, balancers) in observations {
@@ -72,7 +73,7 @@
     text
 }
 
-/// What the balancers that have joined see of the members on which they don't agree.
+/// Returns the members that the joined balancers see differently, each with its observations.
 fn differences<'a>(views: &[&'a View]) -> BTreeMap<&'a str, BalancersByObservation<'a>> {
     let joined: Vec<&View> = views
         .iter()
@@ -97,19 +98,24 @@
     differences
 }
 
-/// What a balancer sees of a member.
+/// Returns whether a member is present in a view, and its incarnation if it is.
 fn observation(view: &View, name: &str) -> String {
     match view.members.iter().find(|member| member.name == name) {
-        Some(member) if member.is_present() => format!("there, life {}", member.full_incarnation()),
-        _ => "not there".to_owned(),
+        Some(member) if member.is_present() => {
+            format!("present, life {}", member.full_incarnation())
+        }
+        _ => "not present".to_owned(),
     }
 }
 
 fn difference_line(member: &str, observation: &str, balancers: &[&str]) -> String {
     let named = &balancers[..balancers.len().min(MAX_NAMED_BALANCERS)];
-    let more = match balancers.len() - named.len() {
+    let unnamed = match balancers.len() - named.len() {
         0 => String::new(),
         count => format!(" and {count} more"),
     };
-    format!("{member}: {observation}, say {}{more}\n", named.join(" "))
+    format!(
+        "{member}: {observation}, in the view of {}{unnamed}\n",
+        named.join(" ")
+    )
 }
--- a/frostkeel/src/output/mod.rs
+++ b/frostkeel/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands of the lab print.
+//! The progress and the results that `frostkeel lab run` and `frostkeel demo` print.
 
 pub mod progress;
 pub mod results;
--- a/frostkeel/src/output/progress.rs
+++ b/frostkeel/src/output/progress.rs
@@ -1,18 +1,20 @@
-//! The progress of a run: a table that is rewritten on a terminal, else a line every few seconds.
+//! The progress of a run: a table that is updated in place on a terminal, and a line every 5 seconds elsewhere.
 
 use frostkeel_lab::experiment::Experiment;
 use frostkeel_lab::{RunProgress, runs::BalancerStatus};
 use std::io::{IsTerminal, Write};
 
-/// Up to so many processes have a row each on a terminal.
+/// The maximum number of balancers and upstreams with a row each on a terminal. With more, only the summary is shown.
 const MAX_TABLE_ROWS: usize = 24;
-/// Seconds between two lines where there is no terminal.
+/// The time between two lines where the output is not a terminal, in seconds.
 const LINE_INTERVAL_S: u64 = 5;
-/// Characters of the bar of an upstream with all its cores in use, and of the longest bar.
+/// The length of the bar of an upstream with all its cores in use, in characters.
 const FULL_BAR_WIDTH: f64 = 20.0;
+/// The maximum length of a bar, in characters.
 const MAX_BAR_WIDTH: f64 = 40.0;
-/// Control sequences of terminals.
+/// The terminal control sequence that clears the line from the cursor to its end.
 const CLEAR_LINE_END: &str = "\x1b[K";
+/// The terminal control sequence that clears the screen from the cursor to its end.
 const CLEAR_BELOW: &str = "\x1b[J";
 
 /// Shows the progress of one run.
@@ -20,14 +22,14 @@
     is_terminal: bool,
     length_s: f64,
     fault_starts_s: Vec<f64>,
-    /// The responses of each balancer when its row was last shown.
+    /// The total number of responses of each balancer when its row was last shown.
     response_counts: Vec<u64>,
-    /// The lines of the table that the terminal shows.
+    /// The number of lines that the terminal shows, which the next update replaces.
     shown_lines: usize,
 }
 
 impl ProgressDisplay {
-    /// Begins to show a run of this experiment.
+    /// Prints that the run starts, and returns a display for it.
     pub fn start(experiment: &Experiment) -> Self {
         let balancers = experiment.fleet.balancers;
         println!("{}: starting {balancers} balancers", experiment.name);
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Shows how far the run is.
+    /// Prints the progress: on a terminal at each call, elsewhere when the elapsed seconds are a multiple of 5.
     pub fn show(&mut self, progress: &RunProgress) {
         let elapsed_s = progress.elapsed.as_secs_f64();
         if self.is_terminal {
@@ -68,14 +70,14 @@
             .iter()
             .map(|upstream| upstream.in_flight)
             .sum();
-        let begun = self
+        let started = self
             .fault_starts_s
             .iter()
             .filter(|start| **start <= elapsed_s)
             .count();
         format!(
-            "{elapsed_s:5.0} of {:.0} s  {running} balancers  {up} upstreams hold {in_flight} requests  {begun} of {} \
-             faults begun",
+            "{elapsed_s:5.0} of {:.0} s  {running} balancers  {up} upstreams  {in_flight} requests in flight  \
+             {started} of {} faults started",
             self.length_s,
             self.fault_starts_s.len()
         )
@@ -99,11 +101,11 @@
 
     fn balancer_rows(&mut self, progress: &RunProgress) -> Vec<String> {
         let balancers = progress.balancers.iter().zip(&mut self.response_counts);
-        let row = |(number, (balancer, before)): (usize, (&BalancerStatus, &mut u64))| {
-            let responses = balancer.response_count - *before;
-            *before = balancer.response_count;
+        let row = |(number, (balancer, previous_count)): (usize, (&BalancerStatus, &mut u64))| {
+            let responses = balancer.response_count - *previous_count;
+            *previous_count = balancer.response_count;
             format!(
-                "  b{number:<3} {:8} {responses:>4} answers in the last second",
+                "  b{number:<3} {:8} {responses:>4} responses since the last update",
                 balancer.state
             )
         };
@@ -119,7 +121,7 @@
             .clamp(0.0, MAX_BAR_WIDTH);
         let bar = "#".repeat(width as usize);
         format!(
-            "  u{:<3} {:8} {:>4} held  {bar}",
+            "  u{:<3} {:8} {:>4} in flight  {bar}",
             upstream.number, upstream.state, upstream.in_flight
         )
     });
--- a/frostkeel/src/output/results.rs
+++ b/frostkeel/src/output/results.rs
@@ -1,11 +1,11 @@
-//! The results of a run.
+//! The results that a run prints at its end.
 
 use frostkeel_lab::{RunOutcome, runs::MembershipOutcome};
 
-/// Violations that are printed; the report has all of them.
+/// The maximum number of violations that are printed. The report has all of them.
 const MAX_PRINTED_VIOLATIONS: usize = 10;
 
-/// Prints the figures of a run, the rules that it broke and the expectations that it missed.
+/// Prints the figures of a run, the rules that it violated and the expectations that it missed.
 pub fn print_results(outcome: &RunOutcome) {
     print_classes(outcome);
     print_service(outcome);
@@ -37,8 +37,8 @@
 fn print_service(outcome: &RunOutcome) {
     let figures = &outcome.figures;
     println!(
-        "served {:.1}% of the worth in time; answers {:.0} ms (median), {:.0} ms (99th percentile); \
-         {:.2} attempts a request; {} calls of one balancer for its list in a second at most",
+        "served {:.1}% of the priority weight in time; latency {:.0} ms (median), {:.0} ms (99th percentile); \
+         {:.2} attempts per request; at most {} discovery requests by one balancer in a second",
         figures.served_share * 100.0,
         figures.p50_ms,
         figures.p99_ms,
@@ -46,7 +46,7 @@
         figures.max_discovery_calls
     );
     println!(
-        "the lab: {:.1} ms late (99th percentile), {:.2} cores",
+        "lab overhead: requests sent {:.1} ms late (99th percentile), {:.2} cores used",
         outcome.lab.late_p99_ms, outcome.lab.cores
     );
 }
@@ -57,9 +57,9 @@
         .converged_since_s
         .map(|seconds| format!("{seconds:.1} s"));
     println!(
-        "members: {} kills known to 99% after {:.2} s (median), {:.2} s at worst, {} never; {} leaves, {:.2} s at \
-         worst, {} taken for gone; living ones taken for gone {} times, stopped ones {} times; suspected {} times; \
-         views equal since {}, {} unequal",
+        "membership: {} kills, detected by 99% of the members after {:.2} s (median), {:.2} s at most, {} departures \
+         undetected; {} leaves, detected after {:.2} s at most, {} declared dead; running members declared dead {} \
+         times, paused members {} times; members suspected {} times; views equal since {}, {} unequal at the end",
         figures.kill_count,
         figures.detection_p50_s,
         figures.detection_max_s,
@@ -74,7 +74,7 @@
         figures.divergent_view_count
     );
     println!(
-        "each sent {:.2} datagrams and {:.0} bytes a second; balancers took {:.4} cores (mean), {:.4} at most",
+        "each balancer sent {:.2} datagrams and {:.0} bytes per second, and used {:.4} cores (mean), {:.4} at most",
         membership.datagrams_per_s,
         membership.bytes_per_s,
         outcome.balancer_cores.mean,
@@ -85,13 +85,13 @@
 fn print_verdict(outcome: &RunOutcome) {
     match &outcome.void_reason {
         Some(reason) => println!("VOID: {reason}"),
-        None if outcome.violations.is_empty() => println!("all rules kept"),
-        None => println!("{} BREACHES of the rules", outcome.violations.len()),
+        None if outcome.violations.is_empty() => println!("no rule violated"),
+        None => println!("{} VIOLATIONS of the rules", outcome.violations.len()),
     }
     for violation in outcome.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("  {}: {}", violation.rule, violation.description);
     }
     for missed in &outcome.missed_expectations {
-        println!("  missed: {missed}");
+        println!("  expectation missed: {missed}");
     }
 }
--- a/frostkeel/tests/command_line.rs
+++ b/frostkeel/tests/command_line.rs
@@ -253,8 +253,8 @@
 fn masked_verdict(line: &str) -> String {
     let line = line.split(", VOID:").next().unwrap_or(line);
     masked(line).replace("since never,", "since # s,").replace(
-        "no play counts",
-        "served: median #, worst #, best # of # plays",
+        "no valid run",
+        "served: median #, worst #, best # of # runs",
     )
 }
 
--- a/frostkeel/tests/lab.rs
+++ b/frostkeel/tests/lab.rs
@@ -117,14 +117,14 @@
         let output = run_frostkeel(&["members", "--all", "--file", pages]);
         let views = String::from_utf8_lossy(&output.stdout).into_owned();
         // The views may differ at first; the run's own result is judged at its end.
-        if views.contains("all views are alike") || lab.try_wait().expect("a child").is_some() {
+        if views.contains("all views are equal") || lab.try_wait().expect("a child").is_some() {
             break views;
         }
         assert!(start.elapsed().as_secs() < 60, "timed out: {views}");
         std::thread::sleep(std::time::Duration::from_millis(50));
     };
     lab.wait().expect("ended");
-    assert!(views.contains("all views are alike"), "{views}");
+    assert!(views.contains("all views are equal"), "{views}");
     let result = std::fs::read_to_string(out.join("result.json")).expect("a result");
     let result: serde_json::Value = serde_json::from_str(&result).expect("a result");
     assert_eq!(result["broken"], serde_json::json!([]));
