--- a/frostkeel/src/commands/agent.rs
+++ b/frostkeel/src/commands/agent.rs
@@ -16,17 +16,19 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// The wait before a failed request is sent again, at first and at most.
+/// The starting value of the backoff, which doubles with each failed request.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
+/// The maximum of the backoff before jitter is applied.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
-/// How long the command may take to end after SIGTERM; then it is killed.
+/// The time that the command has to end after SIGTERM. After it, the command is killed.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long the registry may take for the requests of a shutdown.
+/// The time that the registry has to respond to each of the requests that the agent sends before it ends.
 const SHUTDOWN_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Renewals in the time of a lease.
+/// The number of renewals within the duration of a lease.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Possible values of `--ttl-s` and of `--drain-s`.
+/// The range of `--ttl-s`, in seconds.
 const LEASE_RANGE_S: RangeInclusive<f64> = 1.0..=3600.0;
+/// The range of `--drain-s`, in seconds.
 const DRAIN_RANGE_S: RangeInclusive<f64> = 0.0..=3600.0;
 
 /// Arguments of `frostkeel agent`.
@@ -58,7 +60,7 @@
     command: Vec<String>,
 }
 
-/// Runs the command until it ends or the agent receives a signal to end.
+/// Runs the command and keeps it registered, until the command ends or the agent receives a signal and ends it.
 pub fn run(args: AgentArgs) -> CommandResult {
     if !LEASE_RANGE_S.contains(&args.ttl_s) || !DRAIN_RANGE_S.contains(&args.drain_s) {
         return Err(CommandError::AgentTimes);
@@ -96,7 +98,7 @@
     })
 }
 
-/// The signals that ask the agent to end.
+/// Receives SIGTERM and SIGINT, the signals that ask the agent to end.
 struct ShutdownSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -120,23 +122,24 @@
     }
 }
 
-/// One incarnation of the upstream.
+/// An agent with one incarnation of its upstream.
 struct Agent {
     args: AgentArgs,
-    /// When it has started.
+    /// The start of the upstream's incarnation, in milliseconds of Unix time.
     boot_ms: u64,
 }
 
 /// The result of a registration or a renewal.
 enum RegistrationResult {
     Accepted,
-    /// The registry doesn't list the upstream.
+    /// The registry responded 404: the upstream is not on the endpoint list.
     NotListed,
-    /// Another incarnation has replaced it, or the registry will never list it.
+    /// The registry responded 400 or 409: the request is not valid, the address is in use, or this incarnation is
+    /// superseded.
     Rejected {
         message: String,
     },
-    /// The registry can't be reached, or can't respond now.
+    /// The request failed, or the registry responded with a status other than 200, 400, 404 and 409.
     Failed {
         reason: String,
     },
@@ -168,7 +171,7 @@
         format!("/upstreams/{}{action}", self.args.uid)
     }
 
-    /// Registers and renews the lease; returns only if the registry will never list this incarnation (again).
+    /// Registers the upstream and renews its lease. Returns only if the registry rejects the incarnation.
     async fn maintain_registration(&self) -> CommandError {
         let uid = &self.args.uid;
         let lease = Duration::from_secs_f64(self.args.ttl_s);
@@ -242,12 +245,12 @@
         .await
     }
 
-    /// The body of requests that are for this incarnation only.
+    /// Returns the body of a request that the registry applies only to this incarnation.
     fn incarnation_body(&self) -> String {
         json!({ "boot_ms": self.boot_ms }).to_string()
     }
 
-    /// Takes the upstream off the list. If the registry can't be reached the lease ends by itself.
+    /// Removes the upstream from the endpoint list. If that fails, the upstream is removed when its lease expires.
     async fn deregister(&self) {
         let target = self.target("");
         let request = call(
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Drains the upstream, waits for its requests, and ends the command.
+    /// Drains the upstream, waits `--drain-s` for its requests, and ends the command if it is still running.
     async fn drain_and_terminate(&self, child: &mut Child) -> io::Result<ExitStatus> {
         self.drain().await;
         let drained_at = Instant::now() + Duration::from_secs_f64(self.args.drain_s);
@@ -296,13 +299,14 @@
     (backoff * 2).min(MAX_BACKOFF)
 }
 
-/// The backoff times 0.5 to 1.5, drawn from the clock: the agents of one registry must not all retry together.
+/// Returns the backoff multiplied by a factor from 0.5 to 1.5, so that agents of the same registry retry at different
+/// times. The factor is derived from the clock.
 fn with_jitter(backoff: Duration, sent_at: Instant) -> Duration {
     let fraction = f64::from(sent_at.elapsed().subsec_nanos() % 1000) / 1000.0;
     backoff.mul_f64(0.5 + fraction)
 }
 
-/// Sends SIGTERM, and SIGKILL if that isn't heeded in time.
+/// Sends SIGTERM, and SIGKILL if the command has not ended after [`TERMINATION_TIMEOUT`].
 async fn terminate(child: &mut Child) -> io::Result<ExitStatus> {
     let pid = child
         .id()
--- a/frostkeel/src/commands/lab/mod.rs
+++ b/frostkeel/src/commands/lab/mod.rs
@@ -27,7 +27,7 @@
     /// Folder for the results and the logs of the processes [default: frostkeel-NAME-PID in the temporary folder].
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
-    /// Seed of the random numbers, a whole number [default: the seed of the experiment].
+    /// Seed of the random numbers, an integer [default: the seed of the experiment].
     #[arg(long)]
     seed: Option<u64>,
 }
@@ -48,7 +48,7 @@
     }
 }
 
-/// The subcommands of `frostkeel lab`.
+/// A subcommand of `frostkeel lab`, with its arguments.
 #[derive(Subcommand)]
 pub enum LabCommand {
     /// Run an experiment with balancer processes, check all its events against the rules, and write a report.
--- a/frostkeel/src/commands/lab/simulate.rs
+++ b/frostkeel/src/commands/lab/simulate.rs
@@ -22,7 +22,7 @@
     /// Numbers of balancers to simulate, separated by commas, e.g. 10,100 [default: the experiment's number].
     #[arg(long = "members", value_name = "COUNT", value_delimiter = ',')]
     member_counts: Vec<u32>,
-    /// Seed of the first simulation of each size, a whole number [default: the seed of the experiment].
+    /// Seed of the first simulation of each size, an integer [default: the seed of the experiment].
     #[arg(long)]
     seed: Option<u64>,
     /// Number of simulations of each size, on consecutive seeds.
--- a/frostkeel/src/commands/members/page.rs
+++ b/frostkeel/src/commands/members/page.rs
@@ -16,7 +16,7 @@
     pub fleet: String,
     /// The phase of the balancer's own membership, e.g. `joining`; it has joined when this is `member`.
     pub phase: String,
-    /// The number of changes of the view so far.
+    /// The number of changes of the view since the balancer started.
     pub version: u64,
     /// The digest of the members that are present. It is equal for equal views.
     pub digest: String,
@@ -37,7 +37,7 @@
 /// A member as a balancer sees it.
 #[derive(Deserialize)]
 pub struct Member {
-    /// The name of the member.
+    /// The name of the balancer that is the member.
     pub name: String,
     /// The incarnation of the member, given by the start time of its process.
     pub incarnation: u64,
@@ -75,7 +75,7 @@
     /// The balancer responded with a status other than 200.
     #[error("{address}: expected status 200 for the membership page, got {status}")]
     Status {
-        /// The address of the page.
+        /// The address from which the page was requested.
         address: SocketAddr,
         /// The status code of the response.
         status: u16,
--- a/frostkeel/src/commands/mod.rs
+++ b/frostkeel/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! The commands of the `frostkeel` program, one module for each.
 
 pub mod agent;
 pub mod demo;
--- a/frostkeel/src/error.rs
+++ b/frostkeel/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of all commands.
+//! The errors with which commands of the `frostkeel` program end.
 
 use frostkeel_lab::LabError;
 use frostkeel_lab::experiment::ParseError;
@@ -20,7 +20,7 @@
     /// A file can't be read.
     #[error("{path}: {source}")]
     ReadFile {
-        /// The path of the file.
+        /// The path of the file that was to be read.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
@@ -28,9 +28,9 @@
     /// A file is not a valid experiment.
     #[error("{path}: {source}")]
     ExperimentFile {
-        /// The path of the file.
+        /// The path of the experiment file.
         path: PathBuf,
-        /// The reason, with the line in the file.
+        /// The reason why it is not valid.
         source: ParseError,
     },
     /// The experiment that is built into the program is not valid.
@@ -39,7 +39,7 @@
     /// The value of `--seconds` is not a duration.
     #[error("--seconds must be a duration in seconds, at least 0, got {seconds}: {source}")]
     Seconds {
-        /// The value of `--seconds`.
+        /// The value that was passed, in seconds.
         seconds: f64,
         /// The error of the conversion to a duration.
         source: TryFromFloatSecsError,
@@ -47,11 +47,11 @@
     /// A file with addresses of membership pages has a line that is not an address.
     #[error("{path}: expected an address and port on each line, got {line:?}: {source}")]
     PageAddress {
-        /// The path of the file.
+        /// The path of the file with the addresses.
         path: PathBuf,
-        /// The text of the line.
+        /// The text of the line that is not an address.
         line: String,
-        /// The error of the parser.
+        /// The reason why the line is not an address.
         source: AddrParseError,
     },
     /// `frostkeel members` was given no address of a membership page.
@@ -86,7 +86,7 @@
     RegistryConfig {
         /// The path of the configuration file.
         path: PathBuf,
-        /// The reason, with the setting that is not valid.
+        /// The reason why it is not valid.
         source: frostkeel_registry::config::ConfigError,
     },
     /// The registry server could not start, or ended with an error.
@@ -135,7 +135,7 @@
     /// The registry rejected the agent's registration or the renewal of its lease. A retry would be rejected too.
     #[error("{uid}: the registry rejected the registration: {message}")]
     RegistrationRejected {
-        /// The identifier of the upstream.
+        /// The identifier of the upstream that the agent runs.
         uid: String,
         /// The body of the registry's response.
         message: String,
--- a/frostkeel/src/exit.rs
+++ b/frostkeel/src/exit.rs
@@ -2,36 +2,36 @@
 //!
 //! | code | meaning |
 //! | --- | --- |
-//! | 0 | the command has done its work, and every check held |
-//! | 1 | a check failed, or an error is on standard error |
-//! | 2 | the arguments can't be parsed (by `clap`) |
-//! | other | that of the process which `frostkeel agent` ran |
+//! | 0 | the command succeeded, and every check passed |
+//! | 1 | a check failed, or an error was printed to standard error |
+//! | 2 | the arguments are not valid (reported by `clap`) |
+//! | any | `frostkeel agent` exits with the code of the command that it ran |
 
 use crate::error::CommandError;
 use std::process::{ExitCode, ExitStatus};
 
-/// What a command returns.
+/// The result of a command, which [`exit_code`] turns into an exit code.
 pub type CommandResult = Result<CommandOutcome, CommandError>;
 
-/// How a command that could do its work has ended.
+/// The outcome of a command that ended without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It succeeded, and every check held.
+    /// The command succeeded, and every check passed.
     Passed,
-    /// A check failed; what failed has been printed.
+    /// A check failed. The command has printed which one.
     Failed,
-    /// The process that it ran has ended.
+    /// The process that `frostkeel agent` ran has ended with this status.
     ChildEnded(ExitStatus),
 }
 
 impl CommandOutcome {
-    /// `Passed` if the checks held.
-    pub fn from_check(held: bool) -> Self {
-        if held { Self::Passed } else { Self::Failed }
+    /// Returns `Passed` if the checks passed, otherwise `Failed`.
+    pub fn from_check(passed: bool) -> Self {
+        if passed { Self::Passed } else { Self::Failed }
     }
 }
 
-/// The exit code for a result; an error is printed to standard error.
+/// Returns the exit code for the result of a command. Prints an error to standard error.
 pub fn exit_code(result: CommandResult) -> ExitCode {
     match result {
         Ok(CommandOutcome::Passed) => ExitCode::SUCCESS,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The child's own code. A child that a signal has ended has none and counts as failed.
+/// Returns the exit code of the child process, or 1 if a signal ended it, because it has no exit code then.
 fn child_exit_code(status: ExitStatus) -> ExitCode {
     status
         .code()
