--- a/frostkeel/examples/bad_balancer.rs
+++ b/frostkeel/examples/bad_balancer.rs
@@ -1,5 +1,5 @@
-//! A stand-in balancer for the tests of the lab: it does the least that a balancer must, and the
-//! one thing wrong that `MISBEHAVIOR` names in its environment. Without it, it does nothing wrong.
+//! A minimal balancer for the tests of the lab. It misbehaves in the one way that the environment
+//! variable `MISBEHAVIOR` names, and not at all if the variable is unset or has an unknown value.
 
 #[path = "../tests/common/misbehavior.rs"]
 mod misbehavior;
@@ -13,21 +13,21 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How often it polls the endpoint list.
+/// The pause before each poll of the endpoint list.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// It misbehaves on every request of so many.
+/// The period of a misbehavior that does not affect all requests: it affects one request in 5.
 const MISBEHAVIOR_PERIOD: u64 = 5;
-/// Requests that it serves before it crashes.
-const REQUESTS_BEFORE_CRASH: u64 = 20;
-/// Memory that is over the limit, in bytes.
-const EXCESS_MEMORY: usize = 100 << 20;
+/// The highest number of a request that is served before the crash. Numbers start at 0.
+const LAST_REQUEST_BEFORE_CRASH: u64 = 20;
+/// The memory that the balancer allocates to exceed its limit, in bytes.
+const EXCESS_MEMORY_BYTES: usize = 100 << 20;
 const STATUS_OK: u16 = 200;
 const STATUS_BAD_GATEWAY: u16 = 502;
 const STATUS_UNAVAILABLE: u16 = 503;
 
 struct BadBalancer {
     misbehavior: Misbehavior,
-    /// Ready upstreams by number.
+    /// The addresses of the upstreams in the state `Ready`, by the number of the upstream.
     ready: Mutex<BTreeMap<u32, SocketAddr>>,
     request_count: AtomicU64,
 }
@@ -57,7 +57,8 @@
         .ok_or(io::ErrorKind::InvalidInput)?;
     let poller = Arc::clone(&balancer);
     std::thread::spawn(move || poller.poll_list(discovery));
-    let _excess = (misbehavior == Misbehavior::ExceedsMemory).then(|| vec![1u8; EXCESS_MEMORY]);
+    let _excess =
+        (misbehavior == Misbehavior::ExceedsMemory).then(|| vec![1u8; EXCESS_MEMORY_BYTES]);
     for stream in listener.incoming() {
         let balancer = Arc::clone(&balancer);
         std::thread::spawn(move || balancer.serve(stream?));
@@ -65,7 +66,7 @@
     Ok(())
 }
 
-/// Handles SIGTERM and does nothing about it.
+/// Installs a handler for SIGTERM that does nothing, so that the signal does not end the process.
 fn ignore_sigterm() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -84,13 +85,13 @@
     is_handled.recv().map_err(io::Error::other)
 }
 
-/// A response to a request without a body.
+/// The response to a request of [`exchange`].
 struct Response {
     status: u16,
     body: String,
 }
 
-/// Sends a request without a body and reads its response.
+/// Sends a request that has no body, and reads the response until the connection is closed.
 fn exchange(address: SocketAddr, head: &str) -> io::Result<Response> {
     let mut stream = TcpStream::connect(address)?;
     write!(stream, "{head}host: app.svc\r\nconnection: close\r\n\r\n")?;
@@ -107,7 +108,8 @@
     })
 }
 
-/// The head of a request without the client's own host and connection; `None` at the end.
+/// Reads the head of a request and returns it without the fields `host` and `connection`. `None` if
+/// the client has closed the connection.
 fn read_head(lines: &mut impl BufRead) -> io::Result<Option<String>> {
     let mut head = String::new();
     loop {
@@ -165,7 +167,7 @@
             let is_due = number % MISBEHAVIOR_PERIOD == MISBEHAVIOR_PERIOD - 1;
             let status = match self.misbehavior {
                 Misbehavior::ClosesWithoutResponse if is_due => return Ok(()),
-                Misbehavior::Crashes if number > REQUESTS_BEFORE_CRASH => std::process::exit(3),
+                Misbehavior::Crashes if number > LAST_REQUEST_BEFORE_CRASH => std::process::exit(3),
                 Misbehavior::RespondsByItself if is_due => STATUS_OK,
                 _ => self.forward(&head, number),
             };
@@ -174,7 +176,8 @@
         Ok(())
     }
 
-    /// Forwards a request, possibly too often; the status of the last response.
+    /// Forwards a request, more than once if the misbehavior asks for it, and returns the status of the
+    /// last response.
     fn forward(&self, head: &str, number: u64) -> u16 {
         let attempts = match self.misbehavior {
             Misbehavior::SendsTwice => 2,
--- a/frostkeel/tests/bad_balancer.rs
+++ b/frostkeel/tests/bad_balancer.rs
@@ -1,5 +1,5 @@
-//! Each check of the lab fails on a real process that breaks its rule, and on one that breaks none it
-//! does not.
+//! Tests the checks of the lab on real processes: each check fails on a balancer that violates its
+//! rule, and no check fails on a balancer that violates none.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -15,20 +15,23 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A drain and a successor in slow start after 1.5 s, and two balancers that are asked to shut down at
-/// the end. Only a load that is meant to can overload the successor.
+/// An experiment that replaces an upstream after 1.5 s: one is drained, and its successor is in slow
+/// start. Both balancers are asked to shut down at the end. The rate of the load is too low to
+/// overload the successor, except where that is the misbehavior.
 const EXPERIMENT: &str = "name = \"bad\"\nseconds = 6.0\nseed = 2\n[fleet]\nbalancers = 2\n\
     upstreams = 4\nmemory_mb = 80\n[load]\nrate = RATE\nretries = 0\nswing = 0.0\n[discovery]\n\
     notice_s = 0.1\n[[fault]]\nat_s = 1.5\nkind = \"replace\"\ntarget = \"u0\"\nbatch = 1\n\
     every_s = 1.0\ndrain_s = 1.0\n";
 
-/// What a run has written.
-struct Written {
+/// The files that a run has written.
+struct RunFiles {
+    /// The contents of `result.json`.
     result: Value,
+    /// The contents of `events.jsonl`, one event a line.
     events: String,
 }
 
-fn run(misbehavior: Misbehavior) -> Written {
+fn run(misbehavior: Misbehavior) -> RunFiles {
     let name = misbehavior.name();
     let folder = empty_folder(&format!("bad-{name}"));
     let file = folder.join("bad.toml");
@@ -48,18 +51,18 @@
         .arg(&folder)
         .env("MISBEHAVIOR", name)
         .output()
-        .expect("it starts");
+        .expect("frostkeel starts");
     let result = std::fs::read_to_string(folder.join("result.json"));
     let stderr = String::from_utf8_lossy(&output.stderr);
     let result = result.unwrap_or_else(|e| panic!("{name}: {e}: {stderr}"));
-    Written {
+    RunFiles {
         result: serde_json::from_str(&result).expect("a result"),
         events: std::fs::read_to_string(folder.join("events.jsonl")).expect("events"),
     }
 }
 
-/// The rule that a misbehavior breaks. One that ignores shutdown is killed, which breaks none.
-fn broken_rule(misbehavior: Misbehavior) -> Option<Rule> {
+/// Returns the rule that a misbehavior violates. A balancer that ignores shutdown is killed, which violates no rule.
+fn violated_rule(misbehavior: Misbehavior) -> Option<Rule> {
     match misbehavior {
         Misbehavior::Nothing | Misbehavior::IgnoresShutdown => None,
         Misbehavior::ClosesWithoutResponse => Some(Rule::ExactlyOneResponse),
@@ -72,8 +75,8 @@
     }
 }
 
-/// The rules that were broken, each once, by their names in the result.
-fn broken_rules(result: &Value) -> Vec<Value> {
+/// Returns the names of the violated rules, each once, as they are in the result.
+fn violated_rules(result: &Value) -> Vec<Value> {
     let violations = result["broken"].as_array().expect("a list");
     let mut rules: Vec<Value> = violations.iter().map(|v| v["rule"].clone()).collect();
     rules.sort_by_key(Value::to_string);
@@ -82,26 +85,30 @@
 }
 
 #[test]
-fn each_check_fails_on_a_process_that_breaks_its_rule() {
+fn each_check_fails_on_a_process_that_violates_its_rule() {
     std::thread::scope(|scope| {
         let shuts_down = |misbehavior: &Misbehavior| *misbehavior != Misbehavior::IgnoresShutdown;
         for misbehavior in Misbehavior::ALL.into_iter().filter(shuts_down) {
             scope.spawn(move || {
                 let result = run(misbehavior).result;
                 let name = |rule: Rule| serde_json::to_value(rule).expect("a name");
-                let expected = Vec::from_iter(broken_rule(misbehavior).map(name));
+                let expected = Vec::from_iter(violated_rule(misbehavior).map(name));
                 let first = &result["broken"][0];
-                assert_eq!(broken_rules(&result), expected, "{misbehavior:?}: {first}");
+                assert_eq!(
+                    violated_rules(&result),
+                    expected,
+                    "{misbehavior:?}: {first}"
+                );
             });
         }
     });
 }
 
-/// SIGKILL follows where SIGTERM is ignored: the lab ends all the same, and leaves no process.
+/// The lab sends SIGKILL to balancers that ignore SIGTERM, so that the run ends and both balancers have ended.
 #[test]
 fn a_child_that_ignores_shutdown_is_killed() {
-    let Written { result, events } = run(Misbehavior::IgnoresShutdown);
-    assert_eq!(broken_rules(&result), Vec::<Value>::new());
+    let RunFiles { result, events } = run(Misbehavior::IgnoresShutdown);
+    assert_eq!(violated_rules(&result), Vec::<Value>::new());
     let state_count = |state: &str| {
         let state = format!("\"became\":\"{state}\"");
         let of_balancers = events.lines().filter(|line| line.contains("\"balancer\":"));
@@ -112,5 +119,9 @@
         state_count("killed"),
         state_count("ended"),
     );
-    assert_eq!(counts, (2, 2, 2), "both had to be killed");
+    assert_eq!(
+        counts,
+        (2, 2, 2),
+        "expected both balancers to be asked to end, killed, and ended"
+    );
 }
--- a/frostkeel/tests/common/misbehavior.rs
+++ b/frostkeel/tests/common/misbehavior.rs
@@ -1,32 +1,32 @@
-//! What the misbehaving balancer of the lab's tests does wrong: one list for it and for the tests.
+//! The misbehaviors of the example `bad_balancer`, shared by that program and the tests that run it.
 
-/// What a balancer does wrong.
+/// A way in which the balancer violates a rule of the lab.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Misbehavior {
-    /// Nothing.
+    /// The balancer behaves correctly.
     Nothing,
-    /// It closes every fifth client's connection without a response.
+    /// The balancer closes every fifth client's connection without a response.
     ClosesWithoutResponse,
-    /// It responds to every fifth request by itself.
+    /// The balancer responds to every fifth request without asking an upstream.
     RespondsByItself,
-    /// It sends everything to two upstreams.
+    /// The balancer sends each request to two upstreams.
     SendsTwice,
-    /// It sends idempotent requests four times.
+    /// The balancer sends each GET request four times.
     ExceedsAttemptLimit,
-    /// It ignores changes of the endpoint list.
+    /// The balancer ignores changes of the endpoint list, and so sends requests to drained upstreams.
     IgnoresDrains,
-    /// It sends everything to the newest upstream.
+    /// The balancer sends all requests to the upstream with the highest number, which is the newest.
     OverloadsSlowStart,
-    /// It exits by itself.
+    /// The balancer exits with code 3 while it serves requests.
     Crashes,
-    /// It uses more memory than its limit.
+    /// The balancer uses more memory than its limit.
     ExceedsMemory,
-    /// It does not exit when it is asked to.
+    /// The balancer does not exit on SIGTERM.
     IgnoresShutdown,
 }
 
 impl Misbehavior {
-    /// All of them.
+    /// All misbehaviors, including `Nothing`.
     pub const ALL: [Self; 10] = [
         Self::Nothing,
         Self::ClosesWithoutResponse,
@@ -40,7 +40,7 @@
         Self::IgnoresShutdown,
     ];
 
-    /// Its name in the environment of the balancer.
+    /// Returns the value of the environment variable `MISBEHAVIOR` that selects this misbehavior.
     pub fn name(self) -> &'static str {
         match self {
             Self::Nothing => "nothing",
