--- a/frostkeel/tests/common/folder.rs
+++ b/frostkeel/tests/common/folder.rs
@@ -1,8 +1,8 @@
-//! Folders for the files of a test.
+//! Provides folders for the files that tests write.
 
 use std::path::{Path, PathBuf};
 
-/// An empty folder of this name; the files of an earlier run are removed.
+/// Returns an empty folder with this name. Removes the files of an earlier test run.
 pub fn empty_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
--- a/frostkeel/tests/lab.rs
+++ b/frostkeel/tests/lab.rs
@@ -1,4 +1,4 @@
-//! The lab by its command line, with the real balancer as children.
+//! Tests `frostkeel lab` and `frostkeel members` with the real balancer program as child processes.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -12,10 +12,13 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// The output of a run of an experiment.
+/// The results of an experiment that was run to its end.
 struct Run {
+    /// The folder with the files that the run has written.
     folder: PathBuf,
+    /// The standard output.
     printed: String,
+    /// The contents of `result.json`.
     result: serde_json::Value,
 }
 
@@ -37,7 +40,7 @@
         .args(["lab", "run", &file, "--out", out.to_str().expect("a path")])
         .stdout(Stdio::null())
         .spawn()
-        .expect("it starts")
+        .expect("frostkeel starts")
 }
 
 fn run_experiment(name: &str) -> Run {
@@ -55,8 +58,8 @@
     }
 }
 
-/// Guards the complete path: children start, are killed and restarted, requests get responses, no rule is violated, and
-/// the report shows it. How late a busy machine made the lab is no part of the verdict.
+/// Checks a complete run: balancers start, are killed and restarted, requests receive responses, no rule is violated,
+/// and the report is written. A run that is void because the machine is busy passes too.
 #[test]
 fn short_experiment_with_faults_keeps_every_rule() {
     let run = run_experiment("balancer-short");
@@ -73,7 +76,7 @@
     let request_count: u64 = requests.sum();
     assert!(
         request_count > 150,
-        "{request_count} requests of some 240 drawn"
+        "expected over 150 of about 240 requests to be sent, got {request_count}"
     );
     let events = run.events();
     for (event, min_count) in [
@@ -83,16 +86,17 @@
     ] {
         assert!(
             events.matches(event).count() >= min_count,
-            "{event} in the events"
+            "expected at least {min_count} events with {event}"
         );
     }
     let report = std::fs::read_to_string(run.folder.join("report.html")).expect("a page");
     assert!(report.contains("<svg"));
 }
 
-/// Guards requests that arrive while a balancer is paused, on connections that have timed out when it resumes.
+/// Checks that no rule is violated by requests that arrive while a balancer is paused, on connections whose timeouts
+/// have passed when it resumes.
 #[test]
-fn paused_balancer_answers_requests_that_arrived_meanwhile() {
+fn paused_balancer_responds_to_requests_that_arrived_during_the_pause() {
     let run = run_experiment("balancer-stopped");
     assert_eq!(
         run.result["broken"],
@@ -101,11 +105,14 @@
         run.printed
     );
     let resumed = run.events().matches("\"became\":\"released\"").count();
-    assert_eq!(resumed, 2, "two were paused");
+    assert_eq!(
+        resumed, 2,
+        "expected two balancers to be paused and resumed"
+    );
 }
 
-/// Guards the complete path of membership: real balancers discover each other, detect a kill and a leave, show their
-/// views, and serve meanwhile.
+/// Checks membership with real balancers: they discover each other, detect a kill and a graceful leave, show equal
+/// views, and serve requests throughout.
 #[test]
 fn balancers_detect_a_kill_and_a_graceful_leave() {
     let out = empty_folder("members");
@@ -116,7 +123,7 @@
     let views = loop {
         let output = run_frostkeel(&["members", "--all", "--file", pages]);
         let views = String::from_utf8_lossy(&output.stdout).into_owned();
-        // The views may differ at first; the run's own result is judged at its end.
+        // The views may differ while balancers start. Errors of the run itself are checked after its end.
         if views.contains("all views are equal") || lab.try_wait().expect("a child").is_some() {
             break views;
         }
@@ -154,7 +161,7 @@
     );
 }
 
-/// A lab that is killed must leave no processes behind.
+/// Checks that the child processes of a lab end when the lab is killed.
 #[test]
 fn children_end_when_the_lab_is_killed() {
     let out = empty_folder("killed");
--- a/frostkeel/tests/registry.rs
+++ b/frostkeel/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry by its command line: a real process with its folder, written to, read, killed and started again.
+//! Tests the registry as a real process that is started from the command line, written to, read, killed and restarted.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -14,15 +14,18 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-struct Service {
+/// A running registry, which is killed when this is dropped.
+struct Registry {
     child: Child,
-    read: String,
-    write: String,
+    /// The address of the interface for reads and watches.
+    read_address: String,
+    /// The address of the interface for writes, status and metrics.
+    write_address: String,
 }
 
-impl Drop for Service {
+impl Drop for Registry {
     fn drop(&mut self) {
-        // SIGKILL: acknowledged writes must survive it.
+        // Sends SIGKILL, which acknowledged writes must survive.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -38,17 +41,18 @@
     file
 }
 
-fn start(folder: &Path) -> Service {
+fn start(folder: &Path) -> Registry {
     let mut child = Command::new(FROSTKEEL)
         .args(["--log", "info", "registry", "--config"])
         .arg(config(folder, "r0"))
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+        .expect("frostkeel starts");
+    let mut lines =
+        BufReader::new(child.stderr.take().expect("the standard error is piped")).lines();
     let serving = lines
         .find_map(|line| line.ok().filter(|line| line.contains("serving")))
-        .expect("it serves");
+        .expect("a log line `serving`");
     std::thread::spawn(move || lines.for_each(drop));
     let field = |name: &str| {
         let value = serving.split(' ').find_map(|word| word.strip_prefix(name));
@@ -56,10 +60,10 @@
             .unwrap_or_else(|| panic!("{name} in {serving}"))
             .to_owned()
     };
-    Service {
+    Registry {
         child,
-        read: field("read="),
-        write: field("write="),
+        read_address: field("read="),
+        write_address: field("write="),
     }
 }
 
@@ -69,7 +73,7 @@
 }
 
 fn call(address: &str, head: &str, body: &str) -> Response {
-    let mut stream = TcpStream::connect(address).expect("it listens");
+    let mut stream = TcpStream::connect(address).expect("the registry listens");
     let length = body.len();
     let fields = format!("host: r\r\nconnection: close\r\ncontent-length: {length}");
     write!(stream, "{head} HTTP/1.1\r\n{fields}\r\n\r\n{body}").expect("written");
@@ -86,18 +90,22 @@
     }
 }
 
-/// The endpoint list as readers get it.
-fn list(service: &Service) -> String {
-    call(&service.read, "GET /registry/instances", "").body
+/// Returns the endpoint list, as the registry sends it to readers.
+fn list(registry: &Registry) -> String {
+    call(&registry.read_address, "GET /registry/instances", "").body
 }
 
-/// Registers u1 to u3, drains u2 and removes u3; checks what is accepted and what is rejected.
-fn write_endpoints(service: &Service) {
+/// Registers u1 to u3, drains u2 and removes u3. Also checks the status of valid and of invalid requests.
+fn write_endpoints(registry: &Registry) {
     for n in 1..=3 {
         let body = format!(
             r#"{{"endpoint":"10.0.0.{n}:80","boot_ms":{n},"ttl_s":60,"az":"a","model":"m"}}"#
         );
-        let response = call(&service.write, &format!("PUT /upstreams/u{n}"), &body);
+        let response = call(
+            &registry.write_address,
+            &format!("PUT /upstreams/u{n}"),
+            &body,
+        );
         assert_eq!(
             (response.status, response.body.trim()),
             (200, format!(r#"{{"rev":{n}}}"#).as_str())
@@ -112,17 +120,20 @@
         ("PUT /upstreams/u1", &too_long, 413),
     ] {
         assert_eq!(
-            call(&service.write, head, body).status,
+            call(&registry.write_address, head, body).status,
             status,
             "{head} {body:.20}"
         );
     }
-    let drained = run_frostkeel(&["drain", "u2", "--write", &service.write]);
+    let drained = run_frostkeel(&["drain", "u2", "--write", &registry.write_address]);
     assert!(drained.status.success());
-    assert_eq!(call(&service.write, "DELETE /upstreams/u3", "").status, 200);
+    assert_eq!(
+        call(&registry.write_address, "DELETE /upstreams/u3", "").status,
+        200
+    );
 }
 
-/// The error of a second registry on the same folder.
+/// Starts a second registry with the same data folder, which must fail, and returns the error that it printed.
 fn error_of_second_registry(folder: &Path, name: &str) -> String {
     let config = config(folder, name);
     let output = run_frostkeel(&["registry", "--config", config.to_str().expect("a path")]);
@@ -130,14 +141,14 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// Watches from revision 5 and checks that the next change is received.
-fn assert_watch_resumes(service: &Service) {
-    let mut watch = TcpStream::connect(&service.read).expect("it listens");
+/// Watches the list from revision 5, makes a change, and checks that the watch receives it.
+fn assert_watch_resumes(registry: &Registry) {
+    let mut watch = TcpStream::connect(&registry.read_address).expect("the registry listens");
     let request = "GET /registry/instances?stream=1&index=5 HTTP/1.1\r\nhost: r\r\n\r\n";
     watch.write_all(request.as_bytes()).expect("written");
     let weight = r#"{"capacity_hint":2.5}"#;
     assert_eq!(
-        call(&service.write, "PUT /upstreams/u1/weight", weight).status,
+        call(&registry.write_address, "PUT /upstreams/u1/weight", weight).status,
         200
     );
     let mut lines = BufReader::new(watch).lines().map_while(Result::ok);
@@ -149,35 +160,35 @@
 #[test]
 fn acknowledged_writes_survive_a_kill_and_watches_resume() {
     let folder = empty_folder("registry");
-    let service = start(&folder);
-    write_endpoints(&service);
+    let registry = start(&folder);
+    write_endpoints(&registry);
     let expected = r#"{"rev":5,"all":true,"targets":[{"uid":"u1","endpoint":"10.0.0.1:80","az":"a","model":"m","pod_group":0,"state":"Ready","capacity_hint":1.0,"boot_ms":1},{"uid":"u2","endpoint":"10.0.0.2:80","az":"a","model":"m","pod_group":0,"state":"Terminating","capacity_hint":1.0,"boot_ms":2}]}"#;
-    assert_eq!(list(&service), expected);
+    assert_eq!(list(&registry), expected);
 
     let error = error_of_second_registry(&folder, "r0");
     assert!(error.contains("in use by another process"), "{error}");
-    drop(service);
+    drop(registry);
     let error = error_of_second_registry(&folder, "r1");
     assert!(error.contains("belongs to r0"), "{error}");
 
-    let service = start(&folder);
-    assert_eq!(list(&service), expected, "after a kill");
-    let printed = run_frostkeel(&["list", "--read", &service.read]);
+    let registry = start(&folder);
+    assert_eq!(list(&registry), expected, "the list changed over a kill");
+    let printed = run_frostkeel(&["list", "--read", &registry.read_address]);
     assert!(String::from_utf8_lossy(&printed.stdout).contains("Terminating"));
-    assert_watch_resumes(&service);
-    let metrics = call(&service.write, "GET /metrics", "").body;
+    assert_watch_resumes(&registry);
+    let metrics = call(&registry.write_address, "GET /metrics", "").body;
     assert!(
         metrics.contains("frostkeel_registry_version 6"),
         "{metrics}"
     );
 }
 
-/// An agent registers its command, drains it at SIGTERM, and takes it off the list.
+/// Checks that an agent registers its command, drains it on SIGTERM, and removes it from the list at its end.
 #[test]
 fn agent_keeps_its_command_on_the_endpoint_list() {
     let folder = empty_folder("agent");
-    let service = start(&folder);
-    let list = || list(&service);
+    let registry = start(&folder);
+    let list = || list(&registry);
     let wait_for = |text: &str| {
         let start = std::time::Instant::now();
         while !list().contains(text) {
@@ -194,7 +205,7 @@
             .args([
                 "agent",
                 "--write",
-                &service.write,
+                &registry.write_address,
                 "--uid",
                 "a1",
                 "--endpoint",
@@ -203,7 +214,7 @@
             .args(["--ttl-s", "1", "--drain-s", "1", "--"])
             .args(command)
             .spawn()
-            .expect("it starts")
+            .expect("frostkeel starts")
     };
     let mut running = agent(&["sleep", "60"]);
     wait_for("\"a1\"");
@@ -213,47 +224,48 @@
         Command::new("kill")
             .args(["-TERM", &id])
             .status()
-            .expect("a kill")
+            .expect("the program kill starts")
             .success()
     );
     wait_for("Terminating");
     assert!(
         !running.wait().expect("ended").success(),
-        "its command was ended by a signal"
+        "the command was ended by a signal, so the agent must fail"
     );
     assert!(list().contains("\"targets\":[]"), "{}", list());
     let mut short = agent(&["sh", "-c", "exit 7"]);
     assert_eq!(short.wait().expect("ended").code(), Some(7));
 }
 
-/// Clients that open a connection and send nothing, or never complete their request, do not block others.
+/// Checks that clients that open a connection and send nothing, or never complete their request, are disconnected and
+/// do not block other clients.
 #[test]
-fn silent_and_endless_callers_are_disconnected() {
+fn idle_and_incomplete_clients_are_disconnected() {
     let folder = empty_folder("silent");
-    let service = start(&folder);
-    let mut silent: Vec<TcpStream> = [&service.read, &service.write]
-        .map(|address| TcpStream::connect(address).expect("it listens"))
+    let registry = start(&folder);
+    let mut idle: Vec<TcpStream> = [&registry.read_address, &registry.write_address]
+        .map(|address| TcpStream::connect(address).expect("the registry listens"))
         .into();
-    let mut endless = TcpStream::connect(&service.write).expect("it listens");
+    let mut incomplete = TcpStream::connect(&registry.write_address).expect("the registry listens");
     write!(
-        endless,
+        incomplete,
         "PUT /upstreams/u1 HTTP/1.1\r\nhost: r\r\ncontent-length: 100\r\n\r\n{{"
     )
     .expect("written");
     let body = r#"{"endpoint":"10.0.0.1:80","boot_ms":1,"ttl_s":60}"#;
     assert_eq!(
-        call(&service.write, "PUT /upstreams/u2", body).status,
+        call(&registry.write_address, "PUT /upstreams/u2", body).status,
         200,
-        "others go on"
+        "other clients are still served"
     );
-    for stream in &mut silent {
+    for stream in &mut idle {
         let mut response = Vec::new();
         stream.read_to_end(&mut response).expect("closed");
         let is_rejection = response.is_empty() || response.starts_with(b"HTTP/1.1 4");
         assert!(is_rejection, "{}", String::from_utf8_lossy(&response));
     }
     let mut response = [0; 12];
-    endless.read_exact(&mut response).expect("a response");
+    incomplete.read_exact(&mut response).expect("a response");
     assert_eq!(&response, b"HTTP/1.1 408");
-    assert!(list(&service).contains("\"u2\""));
+    assert!(list(&registry).contains("\"u2\""));
 }
