--- a/frostkeel/src/runtime.rs
+++ b/frostkeel/src/runtime.rs
@@ -3,8 +3,8 @@
 use std::io;
 use tokio::runtime::{Builder, Runtime};
 
-/// The number of threads of a lab. The lab's stand-ins, e.g. for clients and upstreams, must not wait for a core while a
-/// hundred balancers run on the same machine.
+/// The number of threads of a lab. The lab's stand-ins, e.g. for clients and upstreams, must not wait for a core while
+/// a hundred balancers run on the same machine.
 const LAB_THREAD_COUNT: usize = 4;
 
 /// Returns a runtime for a command that makes only a few requests.
--- a/frostkeel/tests/command_line.rs
+++ b/frostkeel/tests/command_line.rs
@@ -1,8 +1,8 @@
-//! The command line as people and scripts see it: the help of each command, printed results, error texts and exit
-//! codes, compared with texts that an earlier version printed.
+//! Compares the help, results, error texts and exit codes of `frostkeel` with the transcripts in `data/command_line`.
 //!
-//! A file of `data/command_line` has for each call a line `$ frostkeel ARGUMENTS`, its exit code, and each line that it
-//! printed after `out|` or `err|`. Names in braces replace addresses and folders, which differ between runs.
+//! A transcript has a line `$ frostkeel ARGUMENTS` for each call, then the exit code, and then the lines of standard
+//! output after `out|` and those of standard error after `err|`. Names in braces stand for addresses and folders, which
+//! differ between runs.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -35,10 +35,10 @@
 const LIST: &str = r#"{"rev":5,"all":true,"targets":[{"uid":"u1","endpoint":"10.0.0.1:80","az":"a","model":"m","pod_group":0,"state":"Ready","capacity_hint":1.0,"boot_ms":1700000000123},{"uid":"u2","endpoint":"10.0.0.2:80","az":"b","model":"wide","pod_group":1,"state":"Terminating","capacity_hint":2.5,"boot_ms":2}]}"#;
 const CHANGE: &str = r#"{"rev":6,"all":false,"targets":[{"uid":"u2","endpoint":"10.0.0.2:80","az":"b","model":"wide","pod_group":1,"state":"Gone","capacity_hint":2.5,"boot_ms":2}]}"#;
 
-/// The responses of a stub of a balancer's page or a registry: for each request line its status and body.
-type Answers = &'static [(&'static str, u16, &'static str)];
+/// The responses of a stub server for a membership page or a registry: method and path, status and body.
+type Responses = &'static [(&'static str, u16, &'static str)];
 
-const STUB_SERVERS: [(&str, Answers); 6] = [
+const STUB_SERVERS: [(&str, Responses); 6] = [
     ("{page-a}", &[("GET /members", 200, PAGE_A)]),
     ("{page-same}", &[("GET /members", 200, PAGE_SAME)]),
     ("{page-other}", &[("GET /members", 200, PAGE_OTHER)]),
@@ -61,14 +61,15 @@
     ),
 ];
 
-/// Serves requests until the test ends.
-fn serve(listener: TcpListener, answers: Answers) {
+/// Responds to all requests of a listener, until the test process ends.
+fn serve(listener: TcpListener, responses: Responses) {
     for stream in listener.incoming().map_while(Result::ok) {
-        let _ = answer(&stream, answers);
+        let _ = respond(&stream, responses);
     }
 }
 
-fn answer(mut stream: &TcpStream, answers: Answers) -> std::io::Result<()> {
+/// Reads a request and writes its response. Responds 503 to a request that the stub does not know.
+fn respond(mut stream: &TcpStream, responses: Responses) -> std::io::Result<()> {
     let mut lines = BufReader::new(stream).lines();
     let line = lines.next().unwrap_or_else(|| Ok(String::new()))?;
     let head = lines
@@ -76,11 +77,11 @@
         .take_while(|line| !line.is_empty());
     head.for_each(drop);
     let target = line.trim_end_matches(" HTTP/1.1");
-    if let Some((_, status, list)) = answers
+    if let Some((_, status, list)) = responses
         .iter()
-        .find(|(of, ..)| target == format!("{of}?stream=1&index=0"))
+        .find(|(request, ..)| target == format!("{request}?stream=1&index=0"))
     {
-        // A watch that ends: the list, an empty line as a heartbeat, and a change in two pieces.
+        // The watch delivers the list, an empty line as a heartbeat, and a change in two pieces, and then ends.
         write!(
             stream,
             "HTTP/1.1 {status} x\r\nconnection: close\r\n\r\n{list}\n\n"
@@ -92,7 +93,7 @@
         std::thread::sleep(std::time::Duration::from_millis(50));
         return writeln!(stream, "{second}");
     }
-    let (status, body) = match answers.iter().find(|(of, ..)| target == *of) {
+    let (status, body) = match responses.iter().find(|(request, ..)| target == *request) {
         Some((_, status, body)) => (*status, *body),
         None => (503, "not now\n"),
     };
@@ -103,17 +104,17 @@
     )
 }
 
-/// The names in braces, and the addresses and the folder that replace them.
+/// Starts the stub servers. Returns each name in braces with the address or folder that it stands for.
 fn addresses() -> Vec<(&'static str, String)> {
     let listen = || TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = |listener: &TcpListener| listener.local_addr().expect("its address").to_string();
     let mut addresses = Vec::new();
-    for (name, answers) in STUB_SERVERS {
+    for (name, responses) in STUB_SERVERS {
         let listener = listen();
         addresses.push((name, address(&listener)));
-        std::thread::spawn(move || serve(listener, answers));
+        std::thread::spawn(move || serve(listener, responses));
     }
-    // Nobody listens there.
+    // No process listens on this address.
     addresses.push(("{closed}", "127.0.0.1:1".to_owned()));
     addresses.push((
         "{out}",
@@ -122,7 +123,7 @@
     addresses
 }
 
-/// A call and its result in the form of the files.
+/// Runs the call of a line `$ frostkeel ARGUMENTS`, and returns the part of the transcript for it.
 fn transcript(line: &str, addresses: &[(&str, String)]) -> String {
     let replaced = addresses
         .iter()
@@ -148,7 +149,8 @@
     text
 }
 
-/// Repeats each call of a file and compares; what is printed instead is written to the folder of the test's output.
+/// Repeats each call of a transcript, and panics if the result differs. The new transcript is then written to the
+/// folder for the files of tests.
 fn compare(name: &str, expected: &str) {
     let addresses = addresses();
     let calls = expected
@@ -161,9 +163,9 @@
         let differs = printed
             .lines()
             .zip(expected.lines())
-            .find(|(now, before)| now != before);
+            .find(|(now, expected)| now != expected);
         panic!(
-            "{differs:#?}: the first line that differs, now and before; all of it is in {}",
+            "{differs:#?}: the first line that differs, as printed now and as expected; the new transcript is in {}",
             file.display()
         );
     }
@@ -174,7 +176,7 @@
     compare("help.txt", include_str!("data/command_line/help.txt"));
 }
 
-/// Guards the data of the test above: each command that the help names has its own help there.
+/// Checks that the transcript of the help has the help of each command that a help text lists.
 #[test]
 fn help_data_covers_every_command() {
     let text = include_str!("data/command_line/help.txt");
@@ -215,7 +217,8 @@
     compare("printed.txt", include_str!("data/command_line/printed.txt"));
 }
 
-/// The figures of the simulated membership: one thread each seed, in the order of the seeds.
+/// Checks that the figures of simulated membership are the same in each run, and in the order of the seeds although
+/// each seed has its own thread.
 #[test]
 fn prints_simulated_membership_figures() {
     compare(
@@ -224,7 +227,7 @@
     );
 }
 
-/// A line with `#` for each number, and one space for many.
+/// Returns a line with `#` in place of each number, and with one space between words.
 fn masked(line: &str) -> String {
     let digit = |c: char| c.is_ascii_digit();
     let mut masked = String::new();
@@ -248,9 +251,9 @@
     masked.trim_end().to_owned()
 }
 
-/// A line as it would be on an idle machine: on a busy one the views of so short a run may never have been equal, and
-/// the lab may have been too late for its figures to count.
-fn masked_verdict(line: &str) -> String {
+/// Returns a masked line as an idle machine would print it. On a busy machine, the views of a short run may never have
+/// been equal, and the run may be void because the lab was too late.
+fn masked_result(line: &str) -> String {
     let line = line.split(", VOID:").next().unwrap_or(line);
     masked(line).replace("since never,", "since # s,").replace(
         "no valid run",
@@ -258,18 +261,19 @@
     )
 }
 
-/// Checks that the lines are printed in this order, others between them.
-fn in_order(printed: &str, expected: &str, what: &str) {
-    let mut lines = printed.lines().map(masked_verdict);
+/// Checks that the expected lines are printed in their order. Other lines may be between them.
+fn assert_lines_in_order(printed: &str, expected: &str, call: &str) {
+    let mut lines = printed.lines().map(masked_result);
     for line in expected.lines() {
         assert!(
             lines.any(|printed| printed == line),
-            "{what}: {line:?} is not there, or not in its place, in\n{printed}"
+            "{call}: expected the line {line:?} after the expected lines before it, in\n{printed}"
         );
     }
 }
 
-/// The form of the results; their figures differ between runs, and on a busy machine the verdict does too.
+/// Checks the form of the results. Their numbers differ between runs. On a busy machine, the lines that say whether the
+/// run is void or violated rules differ too.
 #[test]
 fn prints_experiment_results_in_a_fixed_form() {
     let folder = empty_folder("command_line");
@@ -315,7 +319,7 @@
                     .replace(out, "{out}");
                 let errors = String::from_utf8_lossy(&output.stderr);
                 assert!(!printed.is_empty(), "{name}: {errors}");
-                in_order(&printed, expected, name);
+                assert_lines_in_order(&printed, expected, name);
             });
         }
     });
