--- a/frostkeel/src/commands/agent.rs
+++ b/frostkeel/src/commands/agent.rs
@@ -250,7 +250,7 @@
         json!({ "boot_ms": self.boot_ms }).to_string()
     }
 
-    /// Removes the upstream from the endpoint list. If that fails, the upstream is removed when its lease expires.
+    /// Removes the upstream from the endpoint list. If that fails, its lease still expires.
     async fn deregister(&self) {
         let target = self.target("");
         let request = call(
--- a/frostkeel/src/commands/guard.rs
+++ b/frostkeel/src/commands/guard.rs
@@ -2,8 +2,8 @@
 
 use crate::exit::{CommandOutcome, CommandResult};
 
-/// Reads which child processes of the lab are running from standard input, which ends when the lab ends; then kills
-/// those that are still running.
+/// Reads from standard input which child processes of the lab are running. The input ends when the lab ends; then kills
+/// the processes that are still running.
 pub fn run() -> CommandResult {
     frostkeel_lab::guard::watch(std::io::stdin().lock());
     Ok(CommandOutcome::Passed)
--- a/frostkeel/src/commands/lab/run.rs
+++ b/frostkeel/src/commands/lab/run.rs
@@ -10,7 +10,7 @@
 use frostkeel_lab::{RunOptions, run as run_experiment};
 use std::path::Path;
 
-/// Runs the experiment of a file.
+/// Reads an experiment from a file and runs it as [`run_and_report`] does.
 pub fn run(file: &Path, args: RunArgs) -> CommandResult {
     let experiment = read_experiment(file)?;
     runtime::for_lab()?.block_on(run_and_report(experiment, args))
--- a/frostkeel/src/commands/members/mod.rs
+++ b/frostkeel/src/commands/members/mod.rs
@@ -124,7 +124,7 @@
     pages.iter().map(version).collect::<Vec<_>>().join("\n")
 }
 
-/// Returns whether the views of all balancers that have joined are equal. Unread pages don't count.
+/// Returns whether the views of all balancers that have joined are equal. Ignores pages that could not be read.
 fn are_equal(pages: &[FetchedPage]) -> bool {
     let views = pages.iter().filter_map(|page| page.view.as_ref().ok());
     let joined = views.filter(|view| view.has_joined());
--- a/frostkeel/src/commands/members/tables.rs
+++ b/frostkeel/src/commands/members/tables.rs
@@ -98,7 +98,7 @@
     differences
 }
 
-/// Returns whether a member is present in a view, and its incarnation if it is.
+/// Returns a text that says whether a member is present in a view, with its incarnation if it is.
 fn observation(view: &View, name: &str) -> String {
     match view.members.iter().find(|member| member.name == name) {
         Some(member) if member.is_present() => {
--- a/frostkeel/src/error.rs
+++ b/frostkeel/src/error.rs
@@ -62,7 +62,7 @@
         "--watchers, --writers and --upstreams must be at least 1, --changes between 0.1 and 100000 per second"
     )]
     RegistryLoad,
-    /// Both sides of a comparison have the same experiment and the same balancer program.
+    /// `frostkeel lab compare` was given neither a second experiment nor two different balancer programs.
     #[error(
         "nothing to compare: pass a second experiment, or different programs with --before and --after"
     )]
