--- a/frostkeel/src/commands/lab/mod.rs
+++ b/frostkeel/src/commands/lab/mod.rs
@@ -71,7 +71,7 @@
     ///
     /// Columns: `dgrams` and `bytes` are the datagrams and bytes that each member sent per second.
     ///
-    /// `p50 s`, `p99 s`, `worst`: seconds until 99% of the survivors detected a kill (median, 99th percentile, maximum).
+    /// `p50 s`, `p99 s`, `worst`: seconds until 99% of survivors detected a kill (median, 99th percentile, maximum).
     ///
     /// `false` and `held` count how often a member declared a running or a paused member dead.
     ///
