--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -12,22 +12,26 @@
 
 /// Number of eligible upstreams that are compared to choose the target of a retry.
 const MAX_RETRY_CANDIDATES: usize = 6;
-/// Cost of a retry, in retries of the budget. It is lower if the previous attempt was not
-/// processed: the retry then adds no work.
+/// Cost of a retry or a hedged attempt, as a number of retries in the retry budget.
 const RETRY_COST: f64 = 1.0;
+/// Cost of a retry after an attempt that was not processed, as a number of retries in the retry
+/// budget. It is lower because the retry adds no work.
 const UNPROCESSED_RETRY_COST: f64 = 0.1;
-/// Time that has to remain for a retry: seconds until the deadline; and, as a fraction of the
-/// class's mean latency, the time until a response is of no use.
+/// Seconds that have to remain until the deadline for a retry.
 const MIN_RETRY_TIME_S: f64 = 1e-3;
+/// Time that has to remain for a retry until a response is of no use, as a fraction of the mean
+/// latency of the class.
 const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
-/// Spare capacity, in requests, above which hedged attempts are sent. It is negative because the
-/// overdue attempt itself counts as in flight.
+/// Spare capacity, in requests, above which hedged attempts are sent. It is negative because an
+/// overdue attempt, which the hedged attempt duplicates, itself counts as in flight.
 const MIN_HEDGE_SPARE_CAPACITY: f64 = -1.0;
-/// Bounds of the time-out of an attempt, in seconds.
+/// Shortest time-out of an attempt, in seconds.
 const MIN_TIMEOUT_S: f64 = 1e-3;
+/// Longest time-out of an attempt, in seconds.
 const MAX_TIMEOUT_S: f64 = 1e6;
-/// Penalty in the rank of a retry candidate: once for an upstream of another zone, twice for one
-/// outside the subset. It outweighs any number of requests in flight.
+/// Penalty that is added to the rank of a retry candidate, of which the lowest is chosen: once for
+/// an upstream of another zone, twice for one outside the subset. It outweighs any number of
+/// requests in flight.
 const DISTANCE_PENALTY: f64 = 1e6;
 
 impl Balancer {
@@ -57,10 +61,12 @@
             upstream: upstream.endpoint.id(),
             timeout,
         });
+        // The attempt records the zone and the dedup cell of its upstream: they decide which other
+        // upstreams know the idempotency key, and so where a retry may be sent.
         let attempt = Attempt {
             upstream: upstream.endpoint.id(),
             zone: upstream.endpoint.zone(),
-            cell: upstream.endpoint.cell(),
+            dedup_cell: upstream.endpoint.dedup_cell(),
             sent_at_s: self.now_s,
             state: AttemptState::InFlight,
             connection_idle_s: idle_s,
@@ -119,9 +125,9 @@
     }
 
     /// Returns the target of a retry: among the next eligible upstreams, the one with the least in
-    /// flight per capacity, preferably of this zone. Upstreams outside the subset, from index
-    /// `start` on, are used only if none in the subset is eligible, for instance if only one cell
-    /// knows the idempotency key.
+    /// flight per unit of capacity, preferably of this zone. Upstreams outside the subset, from
+    /// index `start` on, are used only if none in the subset is eligible, for instance if only the
+    /// upstreams of one dedup cell know the idempotency key.
     fn retry_target(&self, request: &Request, start: usize) -> Option<usize> {
         let count = self.upstreams.len();
         let others = (0..count).map(|step| (step + start % count) % count);
@@ -302,9 +308,9 @@
         let is_ejected = fault.is_some_and(|fault| self.record_fault(slot, fault));
         if is_ejected && attempt.outcome == Outcome::ConnectFailed {
             // No process listens at the upstream: the process has died, and its successor will be
-            // in slow start. Each balancer sends to it again at a random time. An upstream that
-            // accepts connections, even if it only resets them, has not restarted and retains its
-            // capacity.
+            // in slow start. It counts as started at the end of the ejection, which is a random
+            // time in each balancer. An upstream that accepts connections, even if it only resets
+            // them, has not restarted and retains its capacity.
             let upstream = &mut self.upstreams[slot];
             upstream
                 .weight
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -13,16 +13,20 @@
 };
 use crate::random::Random;
 
-/// Removed upstreams are forgotten when they are more than one in this many of the known upstreams.
+/// Removed upstreams without attempts in flight are forgotten if there are more of them than the
+/// number of known upstreams divided by this, and whenever the list adds an upstream.
 const MAX_REMOVED_DIVISOR: usize = 4;
 
 /// The entry of one upstream in the list.
 pub(super) struct EndpointRecord {
     id: UpstreamId,
     zone: ZoneId,
-    cell: CellId,
+    /// Group of upstreams that share a record of the idempotency keys they have received, and that
+    /// this upstream belongs to.
+    dedup_cell: CellId,
     availability: Availability,
-    /// Size in the list; with live weights, the largest weight received.
+    /// Size of the upstream according to the list; with live weights, the largest weight received;
+    /// one if weights have no meaning.
     size: f64,
 }
 
@@ -35,11 +39,11 @@
         self.zone
     }
 
-    pub(super) fn cell(&self) -> CellId {
-        self.cell
+    pub(super) fn dedup_cell(&self) -> CellId {
+        self.dedup_cell
     }
 
-    /// Returns the capacity relative to the other upstreams, outside slow start.
+    /// Returns the capacity outside slow start, relative to the sizes of the other upstreams.
     pub(super) fn size(&self) -> f64 {
         self.size
     }
@@ -62,7 +66,7 @@
             endpoint: EndpointRecord {
                 id,
                 zone: ZoneId::default(),
-                cell: CellId::default(),
+                dedup_cell: CellId::default(),
                 availability: Availability::Removed,
                 size: 0.0,
             },
@@ -157,7 +161,7 @@
     ) -> bool {
         let was_ready = upstream.endpoint.is_ready();
         upstream.endpoint.zone = endpoint.zone;
-        upstream.endpoint.cell = endpoint.cell;
+        upstream.endpoint.dedup_cell = endpoint.cell;
         upstream.endpoint.availability = endpoint.availability;
         self.apply_weight(upstream, endpoint.weight);
         let restarted_at_s = started_at_s.filter(|at_s| {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -7,11 +7,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Retries that each admitted request adds to the retry budget, and the largest budget in retries.
+/// Number of retries that each admitted request adds to the retry budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Largest number of retries in the retry budget.
 const MAX_BUDGETED_RETRIES: f64 = 10.0;
-/// Margin for the network, in seconds: a retry with an idempotency key is sent only while more than
-/// the connect time-out and this margin remain until the upstream forgets the key.
+/// Margin for the network, in seconds. A retry with an idempotency key is sent only if the time
+/// until the upstreams forget the key is longer than the connect time-out plus this margin.
 const KEY_EXPIRY_MARGIN_S: f64 = 0.05;
 
 /// The state of an attempt.
@@ -32,7 +33,9 @@
 pub(super) struct Attempt {
     pub(super) upstream: UpstreamId,
     pub(super) zone: ZoneId,
-    pub(super) cell: CellId,
+    /// Group of upstreams that share a record of the idempotency keys they have received, and that
+    /// the upstream of this attempt belongs to.
+    pub(super) dedup_cell: CellId,
     pub(super) sent_at_s: f64,
     pub(super) state: AttemptState,
     /// Seconds for which the connections to the upstream had been idle at the send; zero if one was
@@ -83,9 +86,9 @@
 /// The state of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RequestState {
-    /// No final response has been given, and no response streams.
+    /// The request has no final response, and no response is being streamed.
     Waiting,
-    /// A response streams: no other attempt may be sent.
+    /// A response is being streamed: no other attempt may be sent.
     Streaming,
     /// The request has ended; attempts of it may still be in flight.
     Completed,
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Returns whether the request has not ended and no response streams yet.
+    /// Returns whether the request has no final response and no response is being streamed.
     pub(super) fn is_waiting(&self) -> bool {
         self.state == RequestState::Waiting
     }
@@ -122,7 +125,7 @@
         self.state == RequestState::Completed
     }
 
-    /// Records that a response streams from now on, unless the request has ended.
+    /// Records that a response is being streamed from now on, unless the request has ended.
     pub(super) fn start_streaming(&mut self) {
         if self.state == RequestState::Waiting {
             self.state = RequestState::Streaming;
@@ -162,7 +165,7 @@
         let shares_keys = match group {
             DedupGroup::All => true,
             DedupGroup::Zone => upstream.endpoint.zone() == first.zone,
-            DedupGroup::Cell => upstream.endpoint.cell() == first.cell,
+            DedupGroup::Cell => upstream.endpoint.dedup_cell() == first.dedup_cell,
         };
         // The attempt may have to wait for a new connection.
         let margin_s = connect_timeout.as_secs_f64() + KEY_EXPIRY_MARGIN_S;
@@ -201,8 +204,8 @@
     }
 }
 
-/// The time at which an attempt becomes overdue. Deadlines are ordered by it; it is an exact
-/// `Duration`, so that it can be a key of an ordered set.
+/// The time at which one attempt becomes overdue. Deadlines are ordered by `at` first, which is a
+/// `Duration` and not a number of seconds so that it can be a key of an ordered set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OverdueDeadline {
     at: Duration,
