--- a/src/policy/clock.rs
+++ b/src/policy/clock.rs
@@ -2,9 +2,10 @@
 
 use crate::random::Random;
 
-/// Smallest jitter factor, and the range above it: a span is shortened or extended by up to a
-/// quarter.
+/// Smallest jitter factor: a time span is shortened by up to a quarter.
 const MIN_JITTER_FACTOR: f64 = 0.75;
+/// Width of the range of jitter factors above [`MIN_JITTER_FACTOR`]: a time span is extended by up
+/// to a quarter.
 const JITTER_RANGE: f64 = 0.5;
 
 /// The time of a decision, and the random numbers that spread the times it schedules.
@@ -14,8 +15,8 @@
 }
 
 impl JitteredClock<'_> {
-    /// Returns the time after `span_s` seconds with jitter, so that balancers do not act at the
-    /// same time.
+    /// Returns the time `span_s` seconds from now. Jitter changes the span, so that balancers do
+    /// not act at the same time.
     pub(super) fn after_s(&mut self, span_s: f64) -> f64 {
         self.now_s + span_s * (MIN_JITTER_FACTOR + JITTER_RANGE * self.random.f64())
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,32 +1,36 @@
 //! Outlier detection: compares the outcomes of an upstream with those of the others, ejects it for
-//! single classes, schedules the trials that end these ejections, and decides which upstreams a
-//! class may be sent to.
+//! single classes, and decides which upstreams a request of a class may be sent to. An ejection for
+//! a class ends after a successful trial: a request of the class that is sent to the upstream
+//! although it is ejected.
 
 use super::clock::JitteredClock;
 use super::requests::EndedAttempt;
-use super::upstream_health::{FIRST_EJECTION_S, Fault};
+use super::upstream_health::{BASE_EJECTION_S, Fault};
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::Outcome;
 
-/// Upper limit of the doublings of the time between trials of upstreams that are ejected for a
-/// class.
+/// Upper limit of the number of times that the time between trials is doubled.
 const MAX_TRIAL_DOUBLINGS: u32 = 4;
 /// Fraction of the ready upstreams that may be ejected: if more seem unhealthy, the cause is common
 /// to them.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
 /// Consecutive faults after which an upstream is ejected for the class that they occurred in.
 const MAX_CLASS_FAULTS: u32 = 2;
-/// Fraction of the other upstreams with recent errors above which the cause is common, such as the
-/// network; the lowest weight of an error, which falls as that fraction rises; and the factor by
-/// which a common cause raises the number of consecutive faults for an ejection.
+/// Fraction of the other upstreams with recent errors above which the errors have a common cause,
+/// such as the network.
 const COMMON_ERROR_FRACTION: f64 = 0.5;
+/// Lowest weight of an error. The weight falls as the fraction of the other upstreams with recent
+/// errors rises.
 const MIN_ERROR_WEIGHT: f64 = 0.3;
+/// Factor by which a common cause raises the number of consecutive faults that lead to an ejection
+/// for a class.
 const COMMON_ERROR_FAULT_FACTOR: u32 = 4;
 
 /// The schedule of trials of the upstreams that are ejected for one class.
 #[derive(Clone, Default)]
 struct ClassTrials {
-    /// Number of trials since the last one that got a successful response before it was overdue.
+    /// Number of trials since the last one that got a successful response before it became overdue.
+    /// Each of them doubles the time to the next trial.
     unsuccessful: u32,
     /// Time at which the next trial is due.
     next_at_s: f64,
@@ -36,9 +40,9 @@
 pub(super) struct ClassEligibility {
     class: usize,
     /// Whether the class avoids suspected upstreams: its requests may not be processed twice, and
-    /// those of other classes can show whether such an upstream is healthy.
+    /// requests of other classes can show whether a suspected upstream is healthy.
     avoids_suspected: bool,
-    /// Whether no upstream is healthy for the class, so that all are accepted.
+    /// Whether all upstreams are accepted, as none is healthy for the class.
     ignores_health: bool,
 }
 
@@ -104,7 +108,8 @@
     }
 
     /// Records the outcome of an attempt in the health of its upstream for the class of the
-    /// attempt. Returns the fault that the outcome is for all classes, if it is one.
+    /// attempt. Returns the fault that the outcome counts as for all classes; `None` if it counts
+    /// as none.
     pub(super) fn record_outcome(
         &mut self,
         upstreams: &mut Upstreams,
@@ -142,7 +147,7 @@
             health.eject_for(attempt.class, now_s);
             if trials.next_at_s <= now_s {
                 trials.unsuccessful = 0;
-                trials.next_at_s = clock.after_s(FIRST_EJECTION_S);
+                trials.next_at_s = clock.after_s(BASE_EJECTION_S);
             }
         }
         fault_of(attempt.outcome, erring_fraction)
@@ -190,7 +195,7 @@
             .min_by(|a, b| last_trial_at_s(a).total_cmp(&last_trial_at_s(b)))?;
         trials.unsuccessful += 1;
         let doublings = trials.unsuccessful.min(MAX_TRIAL_DOUBLINGS);
-        trials.next_at_s = clock.after_s(FIRST_EJECTION_S * f64::from(1 << doublings));
+        trials.next_at_s = clock.after_s(BASE_EJECTION_S * f64::from(1 << doublings));
         upstreams[oldest].health.record_trial(class, clock.now_s);
         Some(oldest)
     }
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -1,30 +1,34 @@
 //! The health of one upstream: suspicion raised by the faults of its attempts, ejection for all
-//! classes, and the return on probation.
+//! classes, and probation after an ejection.
 
 use super::clock::JitteredClock;
 use crate::interface::Outcome;
 
-/// Changes of the suspicion of an upstream, which is between zero and one and covers all classes.
-/// An error, a rejection, or an overdue attempt without a response since its send adds the first
-/// fraction of the distance to one; a connection error adds the second. A successful response
-/// multiplies the suspicion by the third.
+/// Suspicion that a fault other than a connection error adds, as a fraction of the distance to the
+/// highest suspicion, one. The faults are an error, a rejection, and an overdue attempt after whose
+/// send the upstream has not responded to any request.
 const FAULT_SUSPICION: f64 = 0.4;
+/// Suspicion that a connection error adds, as a fraction of the distance to one.
 const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
+/// Factor by which a successful response multiplies the suspicion.
 const SUCCESS_SUSPICION_FACTOR: f64 = 0.6;
-/// Suspicion above which an upstream gets one attempt at a time and only requests that may be
-/// retried; and suspicion at which it is ejected: two faults in a row, or three connection errors
-/// without a response.
+/// Suspicion above which an upstream is on probation: it gets one attempt at a time and only
+/// requests that may be retried.
 const PROBATION_SUSPICION: f64 = 0.35;
-const MAX_SUSPICION: f64 = 0.6;
+/// Suspicion at which an upstream is ejected: it is reached by two faults in a row, or by three
+/// connection errors without a response.
+const EJECTION_SUSPICION: f64 = 0.6;
 /// Time constant, in seconds, of the decay of suspicion.
 const SUSPICION_TIME_CONSTANT_S: f64 = 10.0;
-/// Length of the first ejection and of the longest, in seconds; each further ejection without a
-/// response doubles the length. Balancers probe an upstream independently: the first ejection grows
-/// with the square root of the number of balancers that share an upstream, a compromise between
-/// their joint load and the delay until each detects that the upstream is healthy.
-pub(super) const FIRST_EJECTION_S: f64 = 1.5;
+/// Base of ejection times, in seconds. The first ejection of an upstream lasts this long times the
+/// square root of the number of balancers that share the upstream: they probe it independently, and
+/// this is a compromise between their joint load and the delay until each of them detects that the
+/// upstream is healthy. Each further ejection in the same probation doubles the length. The times
+/// between trials of upstreams that are ejected for one class are multiples of this base.
+pub(super) const BASE_EJECTION_S: f64 = 1.5;
+/// Longest ejection in seconds, before jitter.
 const MAX_EJECTION_S: f64 = 12.0;
-/// Upper limit of the doublings of the first ejection.
+/// Upper limit of the number of times that the length of the first ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Seconds for which an error response counts as recent.
 const RECENT_ERROR_S: f64 = 5.0;
@@ -66,7 +70,7 @@
     pub(super) balancers_per_upstream: f64,
 }
 
-/// Whether an upstream receives requests, for all classes.
+/// Whether an upstream is ejected for all classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectionState {
     /// The upstream receives requests.
@@ -85,7 +89,8 @@
     consecutive_faults: u32,
     /// Whether the upstream is ejected for this class alone.
     is_ejected: bool,
-    /// Time of the last trial, or of the ejection if there was no trial since.
+    /// Time of the last trial, which is a request of the class that was sent to the upstream
+    /// although it was ejected for the class; time of the ejection if there was no trial since.
     last_trial_at_s: f64,
 }
 
@@ -94,7 +99,7 @@
     /// Suspicion between zero and one: grows with the faults of all classes, decreases with
     /// successful responses and with time.
     suspicion: f64,
-    /// Ejections since the last response that ended the probation.
+    /// Number of ejections for all classes since the last response that ended the probation.
     consecutive_ejections: u32,
     /// End of the ejection for all classes; zero if there was none.
     ejected_until_s: f64,
@@ -231,20 +236,20 @@
         clock: &mut JitteredClock<'_>,
     ) -> bool {
         self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
-        // A dead process breaks every connection, a lossy network only some: after a recent
-        // response, a connection failure causes no ejection.
+        // A dead process breaks every connection, a lossy network only some. The upstream is
+        // therefore not ejected for a connection failure if it has responded recently.
         let is_likely_network_loss = matches!(fault, Fault::ConnectionFailure)
             && self.last_response_at_s + context.mean_latency_s >= clock.now_s;
         let is_outlier = match self.state(clock.now_s) {
             EjectionState::Ejected => false,
             EjectionState::HalfOpen => true,
-            EjectionState::Serving => self.suspicion >= MAX_SUSPICION,
+            EjectionState::Serving => self.suspicion >= EJECTION_SUSPICION,
         };
         if !is_outlier || is_likely_network_loss {
             return false;
         }
         self.eject(
-            FIRST_EJECTION_S * context.balancers_per_upstream.sqrt(),
+            BASE_EJECTION_S * context.balancers_per_upstream.sqrt(),
             clock,
         );
         true
