--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -7,31 +7,35 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{EndpointWeights, LoadField, LoadReports, Settings};
 
-/// Time constants, in seconds: of smoothed rates and of the service rate in overload; and of the
-/// decay of a previously reached service rate without overload.
+/// Time constant, in seconds, of smoothed rates. It applies to the service rate in overload, and
+/// always if load reports contain the utilization.
 pub(super) const RATE_TIME_CONSTANT_S: f64 = 2.0;
+/// Time constant, in seconds, with which the service rate falls to the observed rate while there is
+/// no overload and the utilization is not known.
 const UNLOADED_RATE_TIME_CONSTANT_S: f64 = 30.0;
-/// Mean latency, as a fraction of the objective, from which on the queues count as full; above it
-/// many responses are late.
+/// Mean latency, as a fraction of the latency objective, from which on the queues count as full;
+/// above it many responses are late.
 pub(super) const QUEUE_OBJECTIVE_FRACTION: f64 = 0.4;
-/// Replaces [`QUEUE_OBJECTIVE_FRACTION`] if load reports contain the utilization: latency is then
-/// only a second limit.
+/// Replaces [`QUEUE_OBJECTIVE_FRACTION`] if load reports contain the utilization: the utilization
+/// is then the first limit of the load, and the latency only the second.
 const REPORTED_QUEUE_OBJECTIVE_FRACTION: f64 = 0.55;
-/// Fraction of the upstreams' cores that may be in use if load reports contain the utilization; its
-/// increase for demand over the quotas, per unit of that demand's weight; and the upper limit of
-/// that weight. Demand of little weight justifies little risk.
+/// Fraction of the upstreams' cores that may be in use if load reports contain the utilization and
+/// demand over the quotas has a weight of zero.
 const BASE_UTILIZATION_BOUND: f64 = 0.62;
+/// Increase of the fraction of the cores that may be in use, per unit of the weight of demand over
+/// the quotas: demand of little weight justifies little risk.
 const OVER_QUOTA_UTILIZATION: f64 = 0.4;
+/// Upper limit of the weight of demand over the quotas that [`OVER_QUOTA_UTILIZATION`] multiplies.
 const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
-/// Relative growth of the service rate per second if pacing rejects every request and the
-/// utilization is at most half of its bound; with fewer rejections or a higher utilization, the
-/// growth is lower in proportion. Growth is slow because reports are about a second old.
+/// Largest relative growth of the service rate per second. It applies while pacing rejects every
+/// request and the utilization is at most half of its bound; fewer rejections or a higher
+/// utilization reduce the growth. Growth is slow because reports are about a second old.
 const PACED_GROWTH_PER_S: f64 = 0.7;
 /// Weight of the newest rejection in the fraction of requests that pacing rejects.
 const PACED_NEWEST_WEIGHT: f64 = 0.1;
-/// Limits for scaling a rate up to the utilization bound: the lowest utilization that is assumed,
-/// and the largest factor.
+/// Lowest utilization that is assumed when an observed rate is scaled up to the utilization bound.
 const MIN_SCALED_UTILIZATION: f64 = 0.1;
+/// Largest factor by which an observed rate is scaled up to the utilization bound.
 const MAX_UTILIZATION_SCALE: f64 = 2.0;
 
 /// Returns the fraction of the upstreams' cores that may be in use.
@@ -49,7 +53,7 @@
     pub(super) load_reports: &'a LoadReportTracker,
     /// Number of balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
-    /// tau: seconds since the last tick.
+    /// Seconds since the last tick (tau in the paper).
     pub(super) elapsed_s: f64,
     pub(super) now_s: f64,
 }
@@ -66,10 +70,12 @@
     utilization_bound: f64,
     /// Number of balancers in the settings, including this one.
     balancers: f64,
-    /// Completions a second per unit of weight; C_j is this times the weight of an upstream.
+    /// Requests of this balancer that an upstream can complete per second and unit of its weight.
+    /// This rate times the weight of the upstream is C_j in the paper.
     service_rate: f64,
-    /// Completions since the last tick, and the smoothed rate per second.
+    /// Successful responses since the last tick.
     completions: f64,
+    /// Successful responses per second, smoothed.
     completions_per_s: f64,
     /// Sum of the weights in the rotation, smoothed.
     rotation_weight: f64,
@@ -78,11 +84,13 @@
     /// Fraction of the upstreams' cores in use, from load reports. Before the first report it is
     /// the utilization bound if responses will contain reports, and zero if not.
     utilization: f64,
-    /// The utilization, except that it falls slowly during the first seconds of reports.
+    /// Utilization that the service rate follows: equal to `utilization`, except that it falls
+    /// slowly during the first seconds of reports.
     settled_utilization: f64,
     /// Seconds for which the utilization has been reported.
     reported_for_s: f64,
-    /// W, in requests; negative if more is in flight than there is capacity for.
+    /// Spare capacity in requests (W in the paper); negative if more is in flight than there is
+    /// capacity for.
     spare: f64,
     /// This balancer's attempts in flight at the last update, including abandoned ones that may
     /// still run.
@@ -122,7 +130,8 @@
         }
     }
 
-    /// Returns the completions a second per unit of weight.
+    /// Returns how many requests of this balancer an upstream can complete per second and unit of
+    /// its weight.
     pub(super) fn service_rate(&self) -> f64 {
         self.service_rate
     }
@@ -137,7 +146,8 @@
         self.utilization > 0.0
     }
 
-    /// Returns W, in requests.
+    /// Returns the spare capacity in requests (W in the paper); negative if more is in flight than
+    /// there is capacity for.
     pub(super) fn spare(&self) -> f64 {
         self.spare
     }
@@ -157,8 +167,8 @@
         self.paced_fraction += PACED_NEWEST_WEIGHT * (1.0 - self.paced_fraction);
     }
 
-    /// Adapts the estimates after the rotation has grown by `factor`. The total rate of this
-    /// balancer stays the same, as other balancers send to the new upstreams too.
+    /// Adapts the estimates after the rotation has grown to `factor` times its size. The total rate
+    /// of this balancer stays the same, as other balancers send to the new upstreams too.
     pub(super) fn on_rotation_grown(&mut self, factor: f64) {
         self.service_rate /= factor;
         self.rotation_weight *= factor;
@@ -174,18 +184,19 @@
         };
         let slack_s = inputs.classes.queue_slack_s(objective_fraction);
         let latency_s = inputs.classes.mean_latency_s();
-        let queue_s = (latency_s + slack_s).max(0.0);
+        let allowed_queue_s = (latency_s + slack_s).max(0.0);
         self.update_service_rate(inputs, slack_s);
-        let queue_s = if self.knows_utilization() {
-            queue_s.min(latency_s)
+        let allowed_queue_s = if self.knows_utilization() {
+            allowed_queue_s.min(latency_s)
         } else {
-            queue_s
+            allowed_queue_s
         };
-        self.update_spare(inputs, queue_s);
+        self.update_spare(inputs, allowed_queue_s);
     }
 
-    /// Sets the utilization to the mean, weighted by size, of the last valid reports of all
-    /// upstreams, even if few of them respond to this balancer in a second.
+    /// Sets the utilization to the mean of the reported utilizations, weighted by the size of the
+    /// upstreams. The last report of an upstream counts for [`UTILIZATION_VALID_S`], even if the
+    /// upstream does not respond to this balancer again in that time.
     fn update_utilization(&mut self, inputs: &CapacityInputs<'_>) {
         let (mut cores_in_use, mut cores) = (0.0, 0.0);
         for upstream in inputs
@@ -199,7 +210,8 @@
         if cores <= 0.0 {
             return;
         }
-        // The first reports come from idle upstreams, and must not set the rate alone.
+        // The first reports come from idle upstreams and must not set the service rate alone: the
+        // settled utilization approaches them slowly.
         self.reported_for_s += inputs.elapsed_s;
         let weight_of_newest = if self.reported_for_s < UTILIZATION_VALID_S {
             newest_weight(inputs.elapsed_s, RATE_TIME_CONSTANT_S)
@@ -233,9 +245,9 @@
         }
     }
 
-    /// Updates and returns the weight that the smoothed completions correspond to. The weight is
-    /// smoothed as the completions are: without this the rate of the remaining upstreams would rise
-    /// as soon as others leave.
+    /// Updates and returns the sum of the weights in the rotation, smoothed with the same time
+    /// constant as the completions: otherwise the estimated service rate of the remaining upstreams
+    /// would rise as soon as others leave.
     fn smoothed_weight(&mut self, inputs: &CapacityInputs<'_>) -> f64 {
         let weight = inputs
             .members()
@@ -252,8 +264,8 @@
         self.rotation_weight
     }
 
-    /// Adapts the service rate to the known utilization. A previously reached rate does not
-    /// persist: it would continue to admit requests that slow an overloaded upstream down.
+    /// Adapts the service rate to the known utilization. A rate that was reached earlier is not
+    /// retained: it would continue to admit requests that slow an overloaded upstream down.
     fn follow_utilization(&mut self, observed_rate: f64, elapsed_s: f64) {
         let headroom =
             self.utilization_bound / self.settled_utilization.max(MIN_SCALED_UTILIZATION);
@@ -268,35 +280,40 @@
         self.service_rate = (self.service_rate + change).max(observed_rate.min(achievable_rate));
     }
 
-    /// Sets W = sum of (tau C_j + (Q_j - q_j)), where all terms count this balancer alone.
-    fn update_spare(&mut self, inputs: &CapacityInputs<'_>, queue_s: f64) {
+    /// Sets the spare capacity: the sum, over the upstreams with a weight, of the attempts that an
+    /// upstream completes between two ticks and of its queue limit, minus its attempts in flight.
+    /// In the paper, W = sum of (tau C_j + (Q_j - q_j)). All terms count this balancer alone.
+    fn update_spare(&mut self, inputs: &CapacityInputs<'_>, allowed_queue_s: f64) {
         (self.spare, self.in_flight) = (0.0, 0.0);
         for upstream in inputs.members().filter(|u| u.weight.weight() > 0.0) {
             let rate = self.service_rate * upstream.weight.weight();
             let own = upstream.load.own_in_flight();
             // Overdue attempts reduce the capacity of an upstream, but all of its attempts in
-            // flight are subtracted: if overdue ones were left out, W and the shortage would both
-            // be zero when all upstreams are stuck, and no guarantee would be cut.
+            // flight are subtracted: if overdue ones were left out, the spare capacity and the
+            // shortage would both be zero when all upstreams are stuck, and no guarantee would be
+            // cut.
             let responsive = upstream.load.responsive_fraction();
-            let queue = self.queue_limit(inputs, upstream, rate * queue_s) * responsive;
+            let queue = self.queue_limit(inputs, upstream, rate * allowed_queue_s) * responsive;
             self.spare += inputs.elapsed_s * rate * responsive + queue - own;
             self.in_flight += own;
         }
     }
 
-    /// Returns Q_j: the number of this balancer's attempts that an upstream may have in flight.
-    /// `served_in_queue_time` is the number that it serves within the allowed time in the queue.
+    /// Returns how many attempts of this balancer an upstream may have in flight (Q_j in the
+    /// paper). `served_in_queue_time` is the number that the upstream completes within the time
+    /// that an attempt may spend in its queue.
     fn queue_limit(
         &self,
         inputs: &CapacityInputs<'_>,
         upstream: &Upstream,
         served_in_queue_time: f64,
     ) -> f64 {
-        // The limit is at least one attempt of all balancers together, times the weight: without
-        // stated quotas, a start from zero would be slow.
+        // The limit is at least this balancer's equal part of one attempt, times the weight of the
+        // upstream. The initial service rate derives from the stated quotas: if none is stated, it
+        // is close to zero, and the limit would rise only slowly without this minimum.
         let min_limit = upstream.weight.weight() / self.balancers;
-        // The limit is also at least an equal part of the requests that the idle cores can process,
-        // even if this balancer has admitted little recently.
+        // The limit is also at least this balancer's equal part of the requests that the idle cores
+        // can process, even if this balancer has admitted few requests recently.
         let has_report = upstream.load.has_utilization(inputs.now_s);
         let idle_core_requests = if has_report && !upstream.weight.is_warming_up() {
             let at_full = inputs.load_reports.in_flight_at_full_utilization();
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,40 +1,43 @@
-//! Statistics of each class of requests: mean latency, an upper quantile of latency, and the
-//! fraction of the admitted requests.
+//! Statistics of each class of requests: its mean latency, an upper quantile of its latencies, and
+//! its fraction of the admitted requests.
 
 use super::TICK_S;
 use super::capacity::QUEUE_OBJECTIVE_FRACTION;
 use super::smoothing::newest_weight;
 use crate::interface::{Class, Settings};
 
-/// Time constant, in seconds, of a class's mean latency, which applies while the weight of the
-/// newest latency is within its bounds; and the bounds of that weight.
+/// Time constant, in seconds, of a class's mean latency. It gives the weight of the newest latency,
+/// from [`MIN_NEWEST_WEIGHT`] to [`MAX_NEWEST_WEIGHT`].
 const LATENCY_TIME_CONSTANT_S: f64 = 3.0;
+/// Lower limit of the weight of the newest latency in the mean.
 const MIN_NEWEST_WEIGHT: f64 = 0.02;
+/// Upper limit of the weight of the newest latency in the mean.
 const MAX_NEWEST_WEIGHT: f64 = 0.2;
-/// Upper limit of one latency in the mean, as a multiple of the objective.
+/// Upper limit of a latency that is added to the mean, as a multiple of the objective.
 const MAX_LATENCY_MULTIPLE: f64 = 2.0;
-/// Factor for the latency of an abandoned attempt in the mean: the response to the attempt would
-/// have taken longer.
-const TIMEOUT_LATENCY_MULTIPLE: f64 = 1.5;
-/// Quantile of a class's latencies after which an attempt is overdue, and the relative step of its
-/// estimate.
+/// Factor that is applied to the latency of an abandoned attempt before it is added to the mean:
+/// the response would have taken longer than the time until the attempt was abandoned.
+const ABANDONED_LATENCY_MULTIPLE: f64 = 1.5;
+/// Quantile of a class's latencies after which an attempt is overdue.
 const OVERDUE_QUANTILE: f64 = 0.95;
+/// Relative step by which each latency changes the estimate of that quantile: this is multiplied by
+/// [`OVERDUE_QUANTILE`] for a rise, and by one minus it for a fall.
 const QUANTILE_STEP: f64 = 0.05;
 /// Lower limit of the quantile in seconds: two ticks, as each tick looks for overdue attempts.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
-/// Fraction of the objective after which an attempt is overdue at the latest, so that a hedged
-/// attempt can still succeed within the objective.
+/// Fraction of the objective after which an attempt is overdue even if the quantile is longer, so
+/// that a hedged attempt can still succeed within the objective.
 const OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
 /// Mean latency of a class before its first response, as a fraction of the objective.
 const INITIAL_LATENCY_FRACTION: f64 = 0.3;
-/// Weight of the newest request in each class's fraction of the admitted requests.
+/// Weight of the newest admitted request in each class's fraction of the admitted requests.
 const ADMITTED_NEWEST_WEIGHT: f64 = 0.01;
-/// Fraction of the admitted requests that a class must exceed for its latency to limit the queues.
+/// Fraction of the admitted requests above which the latency of a class limits the queues.
 const MIN_ADMITTED_FRACTION: f64 = 0.02;
-/// Seconds without a latency after which the mean of a class decays, and the time constant of that
-/// decay.
+/// Seconds without a new latency after which the mean of a class decays; also the time constant of
+/// this decay.
 const LATENCY_VALID_S: f64 = 5.0;
-/// Fraction of the objective that the mean decays to.
+/// Mean latency, as a fraction of the objective, that the decay approaches.
 const DECAYED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
 /// Lower limit, in seconds, of a latency that a priority weight is divided by.
 const MIN_LATENCY_S: f64 = TICK_S;
@@ -56,7 +59,7 @@
     mean_latency_s: f64,
     /// Time at which the last latency was added to the mean.
     last_sample_at_s: f64,
-    /// Estimate of the quantile [`OVERDUE_QUANTILE`] of the latencies.
+    /// Estimate of the quantile [`OVERDUE_QUANTILE`] of the latencies of successful responses.
     latency_quantile_s: f64,
     /// Fraction of the admitted requests that are of this class, smoothed.
     admitted_fraction: f64,
@@ -65,8 +68,8 @@
 /// The statistics of all classes, in the order of the settings.
 pub(super) struct ClassStatistics {
     classes: Vec<ClassRecord>,
-    /// Whether `priority_weight` is a weight per unit of a request's work: an expensive request
-    /// then has a larger weight than a cheap one of its class. If false, it is a weight per
+    /// Whether `priority_weight` is a weight per unit of a request's work, so that an expensive
+    /// request has a larger weight than a cheap one of its class. If false, it is a weight per
     /// request.
     weight_by_work: bool,
 }
@@ -122,10 +125,10 @@
             .min(OVERDUE_OBJECTIVE_FRACTION * class.objective_s)
     }
 
-    /// Returns the priority weight of a class per unit of the capacity that its requests use,
-    /// divided by the highest of these values of all classes: 0 to 1. If weights are per request,
-    /// the mean latency of the class stands for the capacity that a request uses: an expensive
-    /// request displaces several cheap ones.
+    /// Returns the value of a class as a fraction, 0 to 1, of the highest value of all classes. The
+    /// value is the priority weight per unit of the capacity that a request uses, as an expensive
+    /// request displaces several cheap ones. If weights are per request, the mean latency of the
+    /// class stands for that capacity.
     pub(super) fn relative_value(&self, class: usize) -> f64 {
         let best = self
             .classes
@@ -181,7 +184,7 @@
                 record.update_quantile(latency_s);
                 latency_s
             }
-            LatencySource::Abandoned => TIMEOUT_LATENCY_MULTIPLE * latency_s,
+            LatencySource::Abandoned => ABANDONED_LATENCY_MULTIPLE * latency_s,
         };
         record.update_mean(counted_s, now_s);
         ratio
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -4,22 +4,26 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{LoadField, Settings};
 
-/// Number of attempts in flight that one overdue attempt counts as: its upstream is stuck or
-/// unresponsive.
+/// Number of attempts in flight that are added to the load of an upstream for each overdue attempt:
+/// the upstream is stuck or unresponsive.
 const OVERDUE_ATTEMPT_WEIGHT: f64 = 4.0;
-/// Attempts of other balancers that are assumed at an upstream that rejects an attempt: without
-/// them the upstream would seem idle.
+/// Number of attempts that other balancers are assumed to have in flight at an upstream that
+/// rejects an attempt: without them the upstream would seem idle.
 const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_ATTEMPT_WEIGHT;
-/// Time constant, in seconds, of the decay of a report of the requests in flight, and the seconds
-/// for which the report counts in the mean.
+/// Time constant, in seconds, with which the requests in flight of a report decay to the mean over
+/// the rotation.
 const REPORT_TIME_CONSTANT_S: f64 = 1.0;
+/// Seconds for which a report of the requests in flight counts in the mean over the rotation.
 const REPORT_VALID_S: f64 = 3.0;
-/// Seconds for which a reported utilization is valid if the upstream reports no other.
+/// Seconds for which a reported utilization is valid, unless the upstream reports another one.
 pub(super) const UTILIZATION_VALID_S: f64 = 3.0;
-/// Range of utilization in which a report counts for the estimate of the requests in flight at full
-/// utilization, and the weight of the newest report in that estimate.
+/// Lowest utilization in a report that counts for the estimate of the requests in flight at full
+/// utilization.
 const MIN_INFORMATIVE_UTILIZATION: f64 = 0.2;
+/// Upper limit of the utilization in a report that counts for the estimate of the requests in
+/// flight at full utilization.
 const MAX_INFORMATIVE_UTILIZATION: f64 = 0.8;
+/// Weight of the newest report in the estimate of the requests in flight at full utilization.
 const FULL_UTILIZATION_NEWEST_WEIGHT: f64 = 0.02;
 /// Largest plausible value in a report; a larger one is reduced to it.
 const MAX_REPORTED: f64 = 1e4;
@@ -27,14 +31,15 @@
 /// The load of one upstream.
 #[derive(Default)]
 pub(super) struct UpstreamLoad {
-    /// q_j: this balancer's attempts in flight.
+    /// Number of this balancer's attempts in flight (q_j in the paper).
     in_flight: u32,
     /// Number of this balancer's attempts in flight that are overdue.
     overdue: u32,
-    /// Number of this balancer's abandoned attempts that may still be processed; decays over the
-    /// shortest objective.
+    /// Number of this balancer's abandoned attempts that may still be processed. It decays with the
+    /// shortest latency objective as its time constant.
     abandoned_attempts: f64,
-    /// Requests of other balancers in flight, by the latest report or live weight.
+    /// Requests of other balancers in flight, by the latest load report or by the latest live
+    /// weight in the endpoint list ([`Live`](crate::interface::EndpointWeights::Live)).
     others_in_flight: f64,
     others_reported_at_s: f64,
     /// Requests of all balancers in flight, by the latest report.
@@ -119,10 +124,9 @@
 /// Estimates from the load reports of all upstreams.
 pub(super) struct LoadReportTracker {
     fields: Vec<LoadField>,
-    /// Fraction of the requests in a report that are assumed to be of other balancers. This
-    /// balancer's own attempts in flight are not subtracted from the report instead: a report is
-    /// older than their present number, so the difference would not be the requests of other
-    /// balancers.
+    /// Fraction of the reported requests that are assumed to be of other balancers: all balancers
+    /// count as having equal parts. This balancer's own attempts in flight can't be subtracted from
+    /// a report instead, as the report is older than their present number.
     others_fraction: f64,
     /// Requests of other balancers in flight per unit of capacity, as a mean over the upstreams of
     /// the rotation.
@@ -179,7 +183,7 @@
         load.record_others_in_flight(in_flight * self.others_fraction, now_s);
     }
 
-    /// Records the requests that each core has in flight, from a live weight.
+    /// Records the requests in flight per core that a live weight states.
     pub(super) fn record_live_weight(&self, load: &mut UpstreamLoad, in_flight: f64, now_s: f64) {
         load.record_others_in_flight(in_flight * self.others_fraction, now_s);
     }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,6 +1,6 @@
-//! Send pacing: limits the send rate to each upstream by its capacity. Load reports show the load
-//! by other balancers late; if few balancers share an upstream, this balancer's own attempts show
-//! the load immediately.
+//! Send pacing: limits the send rate to each upstream by its capacity. The limit is low if many
+//! balancers share an upstream, as load reports show the load of other balancers late. It is higher
+//! if few do, as this balancer's own attempts show most of the load immediately.
 
 use super::load::LoadReportTracker;
 use super::upstreams::{Upstream, Upstreams};
@@ -8,22 +8,27 @@
 
 /// Largest budget of one upstream, in sends, if many balancers share it.
 const MAX_UPSTREAM_BUDGET_SENDS: f64 = 1.5;
-/// Largest number of sends available for all upstreams together: the first value, plus the sends
-/// gained in as many seconds as the second states.
+/// Fixed part of the burst, in sends. The burst is the largest number of sends that are available
+/// for all upstreams together.
 const MIN_BURST_SENDS: f64 = 3.0;
+/// Variable part of the burst: the sends that all upstreams gain in this many seconds.
 const BURST_S: f64 = 0.1;
-/// Largest factor by which budgets are larger if few balancers share an upstream.
+/// Upper limit of the factor that increases send rates and budgets if few balancers share an
+/// upstream; it is reached if only one balancer sends to the upstream.
 const MAX_UNSHARED_MULTIPLE: f64 = 1e3;
-/// Fraction of the burst that is reserved for first attempts of clients: the response to a client's
-/// retry may be too late to be of use, and each retry that is admitted in a shortage turns a first
-/// attempt into another retry.
+/// Fraction of the burst that is reserved for first attempts of clients. The response to a client's
+/// retry may be too late to be of use; and each retry that is admitted in a shortage takes the
+/// place of a first attempt, which is then retried too.
 const RESERVED_FROM_RETRIES: f64 = 0.6;
-/// Fraction of the burst that a class with a relative value of zero may not use: it is reserved for
-/// the class with the highest value.
-const RESERVED_FOR_VALUE: f64 = 0.4;
-/// Limits of the factors by which an upstream's utilization and its queue change its send rate.
+/// Fraction of the burst that a class with a relative value of zero may not use. The fraction falls
+/// as the relative value rises, and the class with the highest value may use the complete burst.
+const RESERVED_FOR_HIGH_VALUE: f64 = 0.4;
+/// Smallest factor of an upstream's send rate if its utilization is higher than the mean.
 const MIN_UTILIZATION_FACTOR: f64 = 0.5;
+/// Largest factor of an upstream's send rate if its utilization is lower than the mean.
 const MAX_UTILIZATION_FACTOR: f64 = 1.5;
+/// Largest divisor of an upstream's send rate if it has more requests in flight than it has at full
+/// utilization.
 const MAX_QUEUE_FACTOR: f64 = 4.0;
 
 /// The number of sends that one upstream may still get.
@@ -41,21 +46,24 @@
 
 /// Inputs of [`SendPacing::refill`].
 pub(super) struct PacingRates<'a> {
-    /// Completions a second per unit of weight.
+    /// Requests of this balancer that an upstream can complete per second and unit of its weight.
     pub(super) service_rate: f64,
     pub(super) slow_start: SlowStartRate,
-    /// Mean utilization of the upstreams that report it; zero if none does, and nothing is paced.
+    /// Fraction of the upstreams' cores in use, as `capacity.rs` estimates it; zero if it is not
+    /// known, and sends are not paced then.
     pub(super) utilization: f64,
     /// Number of balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
     pub(super) load_reports: &'a LoadReportTracker,
 }
 
-/// The number of sends that all upstreams together may still get, and its upper limit.
+/// The budget of sends that all upstreams share.
 pub(super) struct SendPacing {
+    /// Number of sends that are available now; negative after more sends than were available.
     available_sends: f64,
+    /// Upper limit of `available_sends`.
     burst: f64,
-    /// Whether upstreams report their utilization: sends are paced only then.
+    /// Whether the utilization of the upstreams is known: sends are paced only then.
     is_active: bool,
 }
 
@@ -113,14 +121,14 @@
     }
 
     /// Returns whether too few sends are available for a request. Some are reserved for first
-    /// attempts, and some for classes with a high `relative_value`, which `class_statistics.rs`
-    /// computes: 0 to 1.
+    /// attempts, and some for classes with a high `relative_value`: 0 to 1, from
+    /// [`relative_value`](super::class_statistics::ClassStatistics::relative_value).
     pub(super) fn lacks_sends(&self, relative_value: f64, is_retry: bool) -> bool {
-        let reserved_for_value = RESERVED_FOR_VALUE * (1.0 - relative_value);
+        let reserved_for_high_value = RESERVED_FOR_HIGH_VALUE * (1.0 - relative_value);
         let reserved_fraction = if is_retry {
             RESERVED_FROM_RETRIES
         } else {
-            reserved_for_value
+            reserved_for_high_value
         };
         let reserved = (self.burst - 1.0) * reserved_fraction;
         self.is_active && self.available_sends < 1.0 + reserved
@@ -140,8 +148,9 @@
         let mut rate = (self.service_rate * weight).max(weight / self.balancers_per_upstream);
         let in_flight_at_full_utilization = self.load_reports.in_flight_at_full_utilization();
         if upstream.load.utilization_is_recent(now_s) && in_flight_at_full_utilization > 0.0 {
-            // The rate is lower if the upstream reports a higher utilization than the mean or a
-            // longer queue, and higher if it reports a lower utilization.
+            // The rate is lower if the upstream reports a higher utilization than the mean, and
+            // higher if it reports a lower one. The rate is also lower if the upstream reports more
+            // requests in flight than it has at full utilization, as the others wait in its queue.
             rate *= (self.utilization / upstream.load.utilization().max(0.1))
                 .clamp(MIN_UTILIZATION_FACTOR, MAX_UTILIZATION_FACTOR);
             let full_in_flight = in_flight_at_full_utilization * upstream.endpoint.size();
