--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -5,38 +5,44 @@
 use super::weights::SlowStartRate;
 use std::collections::VecDeque;
 
-/// Number of turns that the skip rule compares; the design has two.
+/// Number of turns that the skip rule compares. The published round-robin design that this rule
+/// extends compares the next two turns.
 const LOOKAHEAD_COUNT: usize = 3;
-/// An upstream is skipped if it has more in flight per capacity than the lowest value compared,
-/// multiplied by this factor, plus this margin.
+/// Factor of the skip rule: an upstream is skipped if it has more in flight per unit of capacity
+/// than the lowest value compared, times this factor, plus [`SKIP_MARGIN_ATTEMPTS`].
 const SKIP_MULTIPLE: f64 = 1.5;
+/// Margin of the skip rule, in attempts in flight per unit of capacity.
 const SKIP_MARGIN_ATTEMPTS: f64 = 0.5;
-/// Largest deficits, in turns, outside slow start and in slow start.
+/// Largest deficit, in turns, of an upstream outside slow start.
 const MAX_DEFICIT: f64 = 2.0;
+/// Largest deficit, in turns, of an upstream in slow start.
 const MAX_SLOW_START_DEFICIT: f64 = 1.5;
-/// Rounds of the rotation after which the search for an upstream with a turn ends.
+/// Number of rounds of the rotation after which the search for an upstream with a turn ends without
+/// one.
 const MAX_ROUNDS: usize = 8;
 
-/// The turns that one upstream has gained and not taken, as in deficit round robin.
+/// The number of turns that one upstream has gained and not taken, as in deficit round robin.
 pub(super) struct Deficit {
-    amount: f64,
+    turns: f64,
 }
 
 impl Deficit {
-    pub(super) fn new(amount: f64) -> Self {
-        Self { amount }
+    pub(super) fn new(turns: f64) -> Self {
+        Self { turns }
     }
 }
 
 /// The upstreams of the subset, in the order in which they take turns.
 #[derive(Default)]
 pub(super) struct Rotation {
-    /// Slots of the upstreams, in an order that differs between balancers: the cursors of balancers
-    /// must not be synchronized.
+    /// Slots of the upstreams, in an order that differs between balancers: balancers must not step
+    /// through the upstreams in the same order.
     members: Vec<usize>,
-    /// sigma: the position of the last member that was considered.
+    /// Position in `members` of the last member that was considered for a turn (sigma in the
+    /// paper).
     cursor: usize,
-    /// The upcoming turns, already subtracted from the deficits.
+    /// Slots of the upstreams that have the upcoming turns, in order. These turns are already
+    /// subtracted from the deficits.
     lookahead: VecDeque<usize>,
 }
 
@@ -58,8 +64,9 @@
         self.lookahead.clear();
     }
 
-    /// Adds turns to the upstreams in slow start, in proportion to time: they must not get more
-    /// turns if others are skipped.
+    /// Adds turns to the upstreams in slow start, in proportion to `elapsed_s`. Other upstreams
+    /// gain turns in each round, but rounds follow faster while upstreams are skipped, and an
+    /// upstream in slow start must not get more turns then.
     pub(super) fn add_slow_start_deficit(
         &self,
         upstreams: &mut Upstreams,
@@ -69,10 +76,10 @@
         for slot in &self.members {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let added_deficit =
+                let added_turns =
                     elapsed_s * rate.steady_rate * rate.multiple * upstream.weight.weight();
-                let amount = upstream.deficit.amount + added_deficit;
-                upstream.deficit.amount = amount.min(MAX_SLOW_START_DEFICIT);
+                let turns = upstream.deficit.turns + added_turns;
+                upstream.deficit.turns = turns.min(MAX_SLOW_START_DEFICIT);
             }
         }
     }
@@ -85,9 +92,9 @@
         });
     }
 
-    /// Returns the next upstream in turn that `accepts` is true for and whose
-    /// `in_flight_per_capacity` is not clearly more than the lowest of the upstreams compared. An
-    /// upstream that `accepts` is false for retains its turn.
+    /// Returns the next upstream in turn that `accepts` is true for and that the skip rule does not
+    /// skip: its `in_flight_per_capacity` is not clearly more than the lowest of the upstreams
+    /// compared. A skipped upstream loses its turn; one that `accepts` is false for retains it.
     pub(super) fn next(
         &mut self,
         upstreams: &mut Upstreams,
@@ -141,6 +148,7 @@
     }
 
     /// Moves the cursor to the next upstream with a turn, and subtracts the turn from its deficit.
+    /// Returns its slot; `None` if no upstream gains a turn within [`MAX_ROUNDS`].
     fn step(&mut self, upstreams: &mut Upstreams) -> Option<usize> {
         for _ in 0..self.members.len() * MAX_ROUNDS {
             self.cursor = (self.cursor + 1) % self.members.len();
@@ -150,7 +158,7 @@
             if weight <= 0.0 {
                 continue;
             }
-            let deficit = &mut upstream.deficit.amount;
+            let deficit = &mut upstream.deficit.turns;
             if !upstream.weight.is_warming_up() {
                 *deficit = (*deficit + weight).min(MAX_DEFICIT);
             }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -4,8 +4,8 @@
 //!
 //! Balancers share a shuffled order of the upstreams and take adjacent parts of it, so that each
 //! upstream is in about as many subsets as any other. A subset guards against connection exhaustion
-//! at the upstreams and against decisions based on stale data. It leaves fewer upstreams to choose
-//! from.
+//! at the upstreams and against decisions based on stale data. Its disadvantage is that there are
+//! fewer upstreams to choose from.
 
 use super::capacity::RATE_TIME_CONSTANT_S;
 use super::outlier_detection::may_be_ejected;
@@ -14,30 +14,36 @@
 use crate::interface::{Settings, UpstreamId};
 use crate::random::Random;
 
-/// Number of upstreams in a subset per request a second that the balancer is expected to get, and
-/// the limits of the size of a subset.
+/// Number of upstreams in a subset for each request per second that the balancer gets or is
+/// expected to get.
 const UPSTREAMS_PER_REQUEST_PER_S: f64 = 0.7;
+/// Smallest size of a subset that the traffic can give, in upstreams.
 const MIN_SIZE: f64 = 2.0;
+/// Largest size of a subset that the traffic can give, in upstreams.
 const MAX_SIZE: f64 = 1e6;
-/// Smallest number of subsets that contain each upstream: few balancers take larger subsets, and a
-/// single balancer takes all upstreams.
+/// Smallest mean number of subsets that contain an upstream. If there are few balancers, their
+/// subsets are therefore larger; a single balancer takes all upstreams.
 const MIN_SUBSETS_PER_UPSTREAM: usize = 4;
-/// Fraction of the ready upstreams, as numerator and denominator, from which on the subset contains
-/// all of them.
-const ALL_NUMERATOR: usize = 4;
-const ALL_DENOMINATOR: usize = 5;
-/// The size changes only when it would grow to three halves or shrink to a third, so that random
-/// variation does not change it.
+/// Numerator of the fraction of the ready upstreams from which on the subset contains all of them.
+const INCLUDES_ALL_NUMERATOR: usize = 4;
+/// Denominator of the fraction of the ready upstreams from which on the subset contains all of
+/// them.
+const INCLUDES_ALL_DENOMINATOR: usize = 5;
+/// Numerator of the growth factor. The size for the traffic replaces the present size if it is at
+/// least the present size times this factor, so that random variation does not change the subset.
 const GROWTH_NUMERATOR: usize = 3;
+/// Denominator of the growth factor that [`GROWTH_NUMERATOR`] describes.
 const GROWTH_DENOMINATOR: usize = 2;
+/// Divisor for a smaller size. The size for the traffic replaces the present size if it is at most
+/// the present size divided by this, so that random variation does not change the subset.
 const SHRINK_DENOMINATOR: usize = 3;
 
 /// The membership of one upstream in the subset.
 #[derive(Clone, Copy)]
 pub(super) struct SubsetMembership {
     is_member: bool,
-    /// Whether the upstream has been new, restarted or ejected since it was last usable in a choice
-    /// of the subset.
+    /// Whether the upstream was added after the first list, has restarted, or has been ejected. A
+    /// choice of the subset clears this if the upstream is ready and not ejected.
     is_new: bool,
 }
 
@@ -68,11 +74,13 @@
     pub(super) is_partial: bool,
 }
 
-/// The number of ready upstreams that a subset should contain.
+/// The number of ready upstreams that the subset should contain.
 struct SubsetSize {
-    /// The number for an equal part of the traffic.
+    /// The number for an equal part of the traffic of all balancers; the parts of the shared order
+    /// have this length.
     equal_traffic_size: usize,
-    /// The number for the traffic that this balancer gets.
+    /// The number for the traffic that this balancer gets, and at least the number for an equal
+    /// part.
     own_traffic_size: usize,
     /// Whether the subset contains all ready upstreams.
     includes_all: bool,
@@ -83,7 +91,7 @@
     balancers: u32,
     /// This balancer's number among all balancers, from 0.
     index: u32,
-    /// The size for an equal part of the traffic.
+    /// The size for an equal part of the traffic of all balancers.
     min_size: usize,
     /// The size for the traffic that this balancer gets.
     size: usize,
@@ -94,7 +102,7 @@
     first_attempts_per_s: f64,
     /// Number of balancers that send to each upstream if the subsets are spread equally.
     balancers_per_upstream: f64,
-    /// Time from which on the subset is chosen again at the next tick.
+    /// Time of the next choice of the subset, which is made at the first tick from then on.
     review_at_s: f64,
 }
 
@@ -119,7 +127,7 @@
     }
 
     /// Records a client's first attempt. If clients do not mark their retries, the caller records
-    /// admitted requests instead: unmarked retries would count as traffic.
+    /// the admitted requests instead: if it recorded all requests, retries would count as traffic.
     pub(super) fn record_first_attempt(&mut self) {
         self.first_attempts += 1.0;
     }
@@ -134,7 +142,7 @@
     }
 
     /// Adapts the size to the traffic, once per tick. Traffic is uneven: a balancer with several
-    /// times the mean would overload an equal part of the upstreams while others are idle.
+    /// times the mean traffic would overload a subset of equal size while other upstreams are idle.
     /// `has_upstreams_outside` is true if there are upstreams outside the subset.
     pub(super) fn update_size(&mut self, has_upstreams_outside: bool, elapsed_s: f64, now_s: f64) {
         let per_s = per_second(self.first_attempts, elapsed_s);
@@ -193,7 +201,8 @@
             .min_size
             .max(MIN_SUBSETS_PER_UPSTREAM * ready_count / balancers);
         let own_traffic_size = equal_traffic_size.max(self.size);
-        let includes_all = own_traffic_size * ALL_DENOMINATOR >= ready_count * ALL_NUMERATOR;
+        let includes_all =
+            own_traffic_size * INCLUDES_ALL_DENOMINATOR >= ready_count * INCLUDES_ALL_NUMERATOR;
         SubsetSize {
             equal_traffic_size,
             own_traffic_size,
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -4,22 +4,25 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{Settings, ZoneId};
 
-/// Time constant, in seconds, of the decay of the number of latencies in a mean latency ratio; and
-/// the weight, as a number of latencies, of the prior ratio of one.
+/// Time constant, in seconds, with which the number of latencies in a mean latency ratio decays, so
+/// that older latencies count less.
 const LATENCY_RATIO_TIME_CONSTANT_S: f64 = 10.0;
+/// Number of assumed latencies with a ratio of one that are added to a mean latency ratio as a
+/// prior: without them a few latencies would determine it.
 const LATENCY_RATIO_PRIOR: f64 = 4.0;
-/// Bounds of the latency ratio that divides the capacity, and upper limit of the ratio of a single
-/// latency.
+/// Lower limit of the latency ratio that the capacity is divided by.
 const MIN_LATENCY_RATIO: f64 = 0.25;
+/// Upper limit of the latency ratio that the capacity is divided by.
 const MAX_LATENCY_RATIO: f64 = 4.0;
+/// Upper limit of the ratio of a single latency to the mean latency of its class.
 const MAX_SAMPLE_RATIO: f64 = 5.0;
 /// Lower limit of the capacity of an upstream, relative to the largest one.
 const MIN_CAPACITY: f64 = 1e-3;
-/// Rate of requests to an upstream in slow start, as a fraction of the rate above which it is
-/// overloaded.
+/// Rate of requests to an upstream in slow start, as a fraction of the rate above which the
+/// upstream would be overloaded.
 const SLOW_START_LOAD_FRACTION: f64 = 0.4;
 /// Cross-zone price from which on upstreams of other zones get no turns while the own zone has
-/// healthy ones; below it, the reduction is in proportion to the price.
+/// healthy upstreams. A lower price reduces their turns in proportion to the price.
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
 
 /// The capacity and weight of one upstream, its slow start, and the statistics of its latency.
@@ -27,8 +30,8 @@
 pub(super) struct UpstreamWeight {
     /// Work that the upstream can do now, as a fraction of that of the largest one in the rotation.
     capacity: f64,
-    /// Turns that the upstream gets in each round of the rotation; its rate C_j is the service rate
-    /// times this.
+    /// Turns that the upstream gets in each round of the rotation. The rate of the upstream (C_j in
+    /// the paper) is the service rate times this weight.
     weight: f64,
     /// Time at which slow start began or will begin; `None` outside slow start.
     slow_start_since_s: Option<f64>,
@@ -65,8 +68,8 @@
         self.slow_start_since_s = Some(at_s);
     }
 
-    /// Returns whether a start of the process at `at_s` is later than the one that began the
-    /// present slow start; true outside slow start.
+    /// Returns whether a start of the process at `at_s` is later than the beginning of the present
+    /// slow start; true outside slow start.
     pub(super) fn is_later_start(&self, at_s: f64) -> bool {
         self.slow_start_since_s.is_none_or(|known_s| at_s > known_s)
     }
@@ -101,8 +104,10 @@
     zone: ZoneId,
     /// Fraction of their turns that upstreams of other zones get while this zone has healthy ones.
     other_zone_fraction: f64,
+    /// Fraction of its full capacity that an upstream has when it starts.
     slow_start_initial_share: f64,
     slow_start_duration_s: f64,
+    /// Multiple of its present capacity above which load overloads an upstream in slow start.
     overload_multiple: f64,
 }
 
