--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -6,45 +6,48 @@
 use crate::random::Random;
 use std::time::Duration;
 
-/// Parts of the size of a bucket: the seconds of the tenant's demand that it holds, unless one
-/// second of the guarantee is more; and the tokens that are added to this, so that two simultaneous
-/// requests of a small tenant are not rejected.
+/// Seconds of the tenant's demand that a bucket holds, unless one second of the guarantee is more.
 const BUCKET_DEMAND_S: f64 = 0.2;
+/// Tokens that a bucket holds in addition to those for the demand or the guarantee, so that two
+/// simultaneous requests of a small tenant are not rejected.
 const MIN_BUCKET_TOKENS: f64 = 3.0;
-/// Shortest window over which demand is averaged, in seconds and in requests: a single tick sees
-/// too few requests.
+/// Shortest window, in seconds, over which demand is averaged: a single tick sees too few requests.
 const MIN_DEMAND_WINDOW_S: f64 = 1.0;
+/// Smallest mean number of requests, of all tenants together, in the window over which demand is
+/// averaged. If demand is low, the window is longer for this.
 const MIN_DEMAND_WINDOW_REQUESTS: f64 = 10.0;
-/// Factor that is applied to the median tenant's ratio of demand to base guarantee to get the
-/// growth of all guarantees; and the largest growth, as a multiple of the base.
+/// Factor that is applied to the median tenant's ratio of demand to base guarantee: the result is
+/// the growth of all guarantees, if it is above one.
 const GUARANTEE_MARGIN: f64 = 1.3;
+/// Largest guarantee as a multiple of the base guarantee.
 const MAX_GUARANTEE_GROWTH: f64 = 4.0;
 /// Fraction of a guarantee that is cut per unit of shortage, for a tenant whose demand is above its
 /// guarantee.
 const OVER_GUARANTEE_CUT: f64 = 20.0;
 /// Fraction of a guarantee that is cut per unit of shortage, for a tenant whose demand is within
-/// its guarantee; only the shortage above the second value counts.
+/// its guarantee. Only the shortage above [`WITHIN_GUARANTEE_CUT_MIN_SHORTAGE`] counts.
 const WITHIN_GUARANTEE_CUT: f64 = 2.0;
+/// Shortage up to which the guarantee of a tenant whose demand is within it is not cut.
 const WITHIN_GUARANTEE_CUT_MIN_SHORTAGE: f64 = 0.25;
 /// Guarantee of a tenant without a stated quota, in requests a second.
 const DEFAULT_GUARANTEE_PER_S: f64 = 1.0;
-/// Jitter of Retry-After: the smallest factor that multiplies the wait, and the width of the range
-/// of factors above it.
+/// Smallest factor by which jitter multiplies the wait in a Retry-After.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
+/// Width of the range of jitter factors above [`MIN_RETRY_AFTER_FRACTION`].
 const RETRY_AFTER_JITTER_RANGE: f64 = 0.5;
 
 /// The token bucket of a tenant.
 struct TokenBucket {
-    /// mu_i: the tokens in the bucket.
+    /// Number of tokens in the bucket (mu_i in the paper).
     tokens: f64,
-    /// V_i: requests received since the last tick.
+    /// Number of requests received since the last tick (V_i in the paper).
     arrivals: f64,
-    /// V_i in requests a second, smoothed.
+    /// Demand of the tenant: requests received per second, smoothed.
     demand_per_s: f64,
     /// This balancer's equal part of the tenant's quota, in requests a second; a default if no
     /// quota is stated.
     base_guarantee_per_s: f64,
-    /// u_g_i in requests a second: the guaranteed rate after its growth with demand.
+    /// Guaranteed rate in requests a second, after its growth with demand (u_g_i in the paper).
     guarantee_per_s: f64,
 }
 
@@ -60,13 +63,14 @@
         }
     }
 
-    /// Returns T_i: the size of the bucket in tokens.
+    /// Returns the size of the bucket in tokens (T_i in the paper).
     fn size(&self) -> f64 {
         MIN_BUCKET_TOKENS + (BUCKET_DEMAND_S * self.demand_per_s).max(self.guarantee_per_s)
     }
 
-    /// Adds u_i: the guarantee, reduced in a shortage, and the tenant's fraction of W. The bucket
-    /// is not filled beyond its size.
+    /// Adds the tokens that the tenant gains in a tick (u_i in the paper): the guarantee, reduced
+    /// in a shortage, and the tenant's fraction of the spare capacity. The bucket is not filled
+    /// beyond its size.
     fn refill(&mut self, refill: &Refill) {
         let size = self.size();
         let cut = if self.demand_per_s > self.guarantee_per_s {
@@ -79,8 +83,9 @@
         } else {
             0.0
         };
-        // Only complete tokens are subtracted from W: if fractions of a token were subtracted too,
-        // the bucket would never reach one token while W is below one request.
+        // Only complete tokens are subtracted from the spare capacity: if fractions of a token were
+        // subtracted too, the bucket would never reach one token while the spare capacity is below
+        // one request.
         let ungranted_spare = (refill.spare_capacity - self.tokens.floor()).max(0.0);
         let guaranteed = (1.0 - cut).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
         let grant = guaranteed + demand_fraction * ungranted_spare;
@@ -97,13 +102,13 @@
 
 /// Inputs of a refill that are the same for all buckets.
 struct Refill {
-    /// W, in requests.
+    /// Spare capacity in requests (W in the paper).
     spare_capacity: f64,
     /// Attempts in flight beyond the capacity, as a fraction of all in flight; zero if there is no
     /// shortage.
     shortage: f64,
     total_demand_per_s: f64,
-    /// tau: seconds since the last tick.
+    /// Seconds since the last tick (tau in the paper).
     elapsed_s: f64,
 }
 
@@ -150,10 +155,10 @@
         self.buckets.iter().map(|bucket| bucket.demand_per_s).sum()
     }
 
-    /// Refills the buckets, once per tick. In a shortage, the guarantees of tenants whose demand
-    /// exceeds them are cut first. In a large shortage, such as after the loss of half the
-    /// upstreams, the guarantees of the other tenants are cut as well: with full queues all
-    /// responses would be late.
+    /// Refills the buckets, once per tick. In a shortage, a guarantee is cut first if the demand of
+    /// its tenant exceeds it. In a large shortage, such as after the loss of half the upstreams,
+    /// the guarantees of the other tenants are cut as well: otherwise the queues would be full and
+    /// all responses late.
     pub(super) fn refill(&mut self, spare_capacity: f64, shortage: f64, elapsed_s: f64) {
         let total_demand_per_s = self.demand_per_s();
         let growth = self.guarantee_growth(shortage);
@@ -190,9 +195,10 @@
 }
 
 /// Returns how long a rejected client should wait before a retry. Before jitter, the wait is half
-/// of the remaining time, but at least `attempt_latency_s`, the mean latency of an attempt, as the
-/// client may send another request, and at most `longest`. The jitter is derived from the id of the
-/// request, so that clients rejected together do not retry together.
+/// of `time_left`. It is at least `attempt_latency_s`, the mean latency of an attempt, even if
+/// little time is left, as the client may send another request; and it is at most `longest`. The
+/// jitter derives from the id of the request, so that clients rejected together do not retry
+/// together.
 pub(super) fn retry_after(
     id: RequestId,
     time_left: Duration,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,19 +4,21 @@
 //! The ordinary path follows the paper "Dynamic Admission Control for Improving Utilization of
 //! Parlay X Gateway", whose symbols are listed below. Every tick refills one token bucket per
 //! tenant: by a guaranteed rate and by a fraction, in proportion to the tenant's demand, of the
-//! spare capacity W of the upstreams. A request is admitted if the bucket of its tenant has a
-//! token; otherwise it is rejected on arrival. Admitted requests are distributed round robin over
-//! the ready upstreams; an upstream that has clearly more in flight than the next ones is skipped.
-//! Everything else is an exception to that path, and its comment states what it guards against.
+//! spare capacity of the upstreams (W in the paper). A request is admitted if the bucket of its
+//! tenant has a token; otherwise it is rejected on arrival. Admitted requests are distributed round
+//! robin over the ready upstreams; an upstream that has clearly more in flight than the next ones
+//! is skipped. Everything else is an exception to that path, and its comment states what it guards
+//! against.
 //!
 //! Each module owns its constants and its state, including its state of each upstream; [`Balancer`]
 //! passes it the inputs from other modules. `request_flow.rs`, `attempt_flow.rs` and
 //! `endpoint_flow.rs` show how a request, an attempt and an endpoint update pass through the
-//! modules. Names that end in `_s` hold seconds: durations, or times on the embedder's clock.
+//! modules. Names that end in `_s` hold seconds: durations, or times on the embedder's clock. Names
+//! that end in `_per_s` hold rates per second.
 //!
 //! The paper's symbols are given where each quantity is declared: V_i, mu_i, u_g_i, u_i and T_i in
 //! `admission.rs`; W, C_j and Q_j in `capacity.rs`; q_j in `load.rs`; sigma in `round_robin.rs`.
-//! tau is the time since the last tick, `elapsed_s`.
+//! The time since the last tick, `elapsed_s`, is tau in the paper.
 
 mod admission;
 mod attempt_flow;
@@ -263,8 +265,8 @@
         });
     }
 
-    /// Processes a tick: updates the subset, the weights, W and the token buckets, then handles
-    /// overdue attempts and polls discovery if a poll is due.
+    /// Processes a tick: updates the subset, the weights, the spare capacity and the token buckets,
+    /// then handles overdue attempts and polls discovery if a poll is due.
     fn on_tick(&mut self) {
         let elapsed_s = (self.now_s - self.last_tick_s).clamp(0.0, MAX_TICK_S);
         self.last_tick_s = self.now_s;
@@ -299,8 +301,8 @@
     }
 
     /// Updates the upstreams of the rotation: decays their suspicion and their abandoned attempts,
-    /// sets the capacity and weight of each, and adds the turns and sends that each gains. Also
-    /// updates the mean of the load reports.
+    /// sets the capacity and weight of each, adds turns to those in slow start, and refills the
+    /// send budgets. Also updates the mean of the load reports.
     fn update_weights(&mut self, elapsed_s: f64) {
         let now_s = self.now_s;
         let ready = || self.members().filter(|u| u.endpoint.is_ready());
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -11,7 +11,7 @@
 /// Fraction of the latency objective at which an attempt is abandoned if a late response is of no
 /// use: just before the objective, not after it.
 const USEFUL_OBJECTIVE_FRACTION: f64 = 0.98;
-/// Upper limit, in seconds, of the remaining time from which a rejection computes its Retry-After.
+/// Upper limit, in seconds, of the time until the deadline that a Retry-After is computed from.
 const MAX_REMAINING_S: f64 = 1e6;
 
 /// A request that has just been received.
@@ -111,8 +111,8 @@
                 .any(|other| other.effect != Effect::AtMostOnce)
     }
 
-    /// Returns whether pacing holds back an upstream that has a weight and is not ejected for the
-    /// class.
+    /// Returns whether the rotation has an upstream that has a weight and is not ejected for the
+    /// class, but can't be used now because of pacing.
     fn has_paced_upstream(&self, class: usize, lacks_sends: bool) -> bool {
         self.members().any(|upstream| {
             upstream.weight.weight() > 0.0
