--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -2,23 +2,28 @@
 //! confirming it.
 //!
 //! Sends to a draining or removed upstream have to stop within the drain grace after discovery has
-//! notified the balancer of the change. A balancer that missed a change nevertheless counts as
-//! notified of it: some seconds after its watch has failed, or as soon as discovery has written the
-//! change to a response, regardless of later polls. When the drain grace has passed after that, any
-//! upstream could be draining: no attempt is sent until a complete list or a heartbeat is received.
-//! While discovery is down, it notifies no balancer of a change, so no drain grace begins: when a
-//! poll can't connect, when its connection closes without a response, or when the poll is rejected
-//! after [`IMMEDIATE_REJECTION_S`] or more, the causes of staleness that [`ends_with_outage`] names
-//! end, and no others.
+//! notified the balancer of the change. A balancer that missed a change also counts as notified of
+//! it: some seconds after its watch has failed, or as soon as discovery has written the change to a
+//! response, regardless of later polls. If the drain grace has passed since then, any upstream may
+//! be draining or removed: no attempt is sent until an update of the list or a heartbeat confirms
+//! the list, for at most [`MAX_PAUSE_S`].
+//!
+//! While discovery is down, it notifies no balancer of a change, so no drain grace begins.
+//! Discovery counts as down if a poll can't connect, if its connection closes without a response,
+//! or if the poll is rejected after [`IMMEDIATE_REJECTION_S`] or more. This ends the causes of
+//! staleness that [`ends_with_outage`] accepts; the other causes remain.
 
 use crate::interface::{LogEvent, SendPause, StalenessCause, WatchEvent};
 use std::time::Duration;
 
-/// Seconds after which this balancer counts as notified of the changes that it missed: if a watch
-/// has no heartbeats or polls are rejected, if discovery ended the watch, and if discovery has
-/// moved to another address.
+/// Seconds after which this balancer counts as notified of the changes that it missed, if a watch
+/// has no heartbeats or if polls are rejected.
 const NOTIFIED_AFTER_SILENCE_S: f64 = 6.0;
+/// Seconds after which this balancer counts as notified of the changes that it missed, if discovery
+/// has ended the watch.
 const NOTIFIED_AFTER_END_S: f64 = 2.0;
+/// Seconds after which this balancer counts as notified of the changes that it missed, if discovery
+/// has moved to another address.
 const NOTIFIED_AFTER_MOVE_S: f64 = 4.0;
 /// Seconds subtracted from the drain grace: for a pause between reading the clock and writing an
 /// attempt, and for the network.
@@ -26,8 +31,8 @@
 /// Seconds within which an overloaded discovery rejects a poll. A later rejection counts as an
 /// outage, as discovery that is down does not respond.
 const IMMEDIATE_REJECTION_S: f64 = 0.5;
-/// Longest pause of sends, in seconds: a balancer that is partitioned for longer serves with a
-/// stale list.
+/// Longest pause of sends, in seconds. A balancer that can't reach discovery for longer sends
+/// again, with a list that may be stale.
 const MAX_PAUSE_S: f64 = 24.0;
 
 /// All causes, in the order of their discriminants.
@@ -72,14 +77,15 @@
     /// Seconds for which a balancer may continue to send to a draining upstream, counted from the
     /// time at which it is, or counts as, notified of the change.
     drain_grace_s: f64,
-    /// Whether the list comes from a local agent. An agent responds immediately, and no change
-    /// counts as notified without a response: only a partial response makes its list stale.
+    /// Whether the list comes from a local agent. An agent responds immediately, and the balancer
+    /// counts as notified of a change only after a response: only a partial response makes the list
+    /// of an agent stale.
     has_local_agent: bool,
     /// Time since which each of [`CAUSES`] exists; `None` for a cause that does not exist.
     stale_since_s: [Option<f64>; CAUSES.len()],
     /// Time at which the list last counted as current: it was confirmed, discovery ended a watch,
-    /// or discovery seemed to be down. If discovery rejects polls, changes since then may be
-    /// missed.
+    /// or discovery seemed to be down. If discovery rejects polls, this balancer may have missed
+    /// the changes since then.
     last_current_at_s: f64,
 }
 
@@ -154,10 +160,10 @@
     /// while the list is confirmed.
     pub(super) fn send_pause(&self) -> Option<SendPause> {
         let from_s = self.expiry()?.at_s;
-        let point = |at_s: f64| Duration::from_secs_f64(at_s.clamp(0.0, 1e9));
+        let to_duration = |at_s: f64| Duration::from_secs_f64(at_s.clamp(0.0, 1e9));
         Some(SendPause {
-            from: point(from_s),
-            until: point(from_s + MAX_PAUSE_S),
+            from: to_duration(from_s),
+            until: to_duration(from_s + MAX_PAUSE_S),
         })
     }
 
@@ -170,7 +176,8 @@
         self.stale_since_s[cause as usize].is_some()
     }
 
-    /// Records that discovery seemed to be down at `at_s`, which ends some of the causes.
+    /// Records that discovery seemed to be down at `at_s`, which ends the causes that
+    /// [`ends_with_outage`] accepts.
     fn record_outage(&mut self, at_s: f64) {
         self.last_current_at_s = self.last_current_at_s.max(at_s);
         for cause in CAUSES.iter().filter(|cause| ends_with_outage(**cause)) {
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -11,30 +11,37 @@
 /// poll interval.
 const MAX_SPREAD_FRACTION: f64 = 0.5;
 /// Seconds after which this balancer counts as notified of a change, even if no poll has received
-/// it; and two parts of this time: the duration of a successful poll with its connection, and the
-/// time until a watch without heartbeats is detected.
+/// it.
 const NOTIFIED_WITHIN_S: f64 = 6.0;
+/// Part of [`NOTIFIED_WITHIN_S`] that a successful poll takes, including its connection.
 const POLL_DURATION_S: f64 = 1.5;
+/// Part of [`NOTIFIED_WITHIN_S`] that passes until the loss of the heartbeats of a watch is
+/// detected.
 const WATCH_SILENCE_S: f64 = 3.0;
-/// Longest backoff, in seconds, after a poll that was rejected immediately, if few balancers poll.
+/// Longest backoff, in seconds, after a poll that was rejected immediately. If there are so many
+/// balancers that their polls are spread over a longer time, that time is the longest backoff.
 const MAX_REJECTED_BACKOFF_S: f64 = 2.0;
-/// Shortest backoff in seconds, and the longest time over which many balancers spread their polls.
+/// Shortest backoff in seconds, before jitter.
 const MIN_BACKOFF_S: f64 = 0.25;
+/// Longest time, in seconds, over which many balancers spread their polls after failures.
 const MAX_BACKOFF_SPREAD_S: f64 = 3.0;
-/// Longest exponential backoff, as a fraction of the poll interval; the divisor that gives the
-/// first backoff; and the number of doublings between the two.
+/// Longest exponential backoff, as a fraction of the poll interval.
 const MAX_BACKOFF_FRACTION: f64 = 0.8;
+/// Divisor of the longest exponential backoff that gives the first one.
 const FIRST_BACKOFF_DIVISOR: f64 = 16.0;
-const MAX_DOUBLINGS: u32 = 4;
-/// Jitter of a backoff: the smallest factor that multiplies the computed backoff, and the width of
-/// the range of factors above it.
+/// Number of doublings from the first exponential backoff to the longest.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Smallest factor by which jitter multiplies a backoff.
 const MIN_BACKOFF_JITTER_FACTOR: f64 = 0.1;
+/// Width of the range of jitter factors above [`MIN_BACKOFF_JITTER_FACTOR`].
 const BACKOFF_JITTER_RANGE: f64 = 0.9;
 /// Shortest time, in seconds, after which a poll of discovery without a response is retried.
 const MIN_POLL_TIMEOUT_S: f64 = 4.0;
-/// The time after which a poll of discovery without a response is retried, as a fraction of the
-/// poll interval, and the range of its jitter.
+/// Time after which a poll of discovery without a response is retried, as a fraction of the poll
+/// interval, before jitter is added.
 const POLL_TIMEOUT_FRACTION: f64 = 0.4;
+/// Largest jitter that is added to the time after which a poll of discovery is retried, as a
+/// fraction of the poll interval.
 const POLL_TIMEOUT_JITTER_RANGE: f64 = 0.2;
 /// Seconds after which a poll of a local agent, which responds immediately, is retried.
 const LOCAL_AGENT_POLL_TIMEOUT_S: f64 = 1.0;
@@ -42,7 +49,7 @@
 /// The service to which polls are sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollTarget {
-    /// No target, as the list is pushed to the balancer.
+    /// No target: the list is pushed to the balancer, which does not poll.
     Disabled,
     /// Discovery, together with all other balancers.
     Discovery,
@@ -60,11 +67,11 @@
     }
 }
 
-/// The reason for which a poll or a watch failed.
+/// How a poll or a watch failed.
 pub(super) struct PollFailure {
-    /// Whether a response was truncated.
+    /// Whether the response to the poll was truncated.
     pub(super) was_partial: bool,
-    /// Whether discovery rejects polls immediately.
+    /// Whether discovery rejects polls immediately, as an overloaded discovery does.
     pub(super) was_rejected: bool,
 }
 
@@ -176,8 +183,9 @@
         } else {
             backoff_s
         };
-        // An overloaded discovery spends time on each rejection: the backoff is limited but not
-        // short.
+        // While polls are rejected, the list stays unconfirmed and sends will have to pause, so the
+        // backoff is limited. The limit is not short, as an overloaded discovery spends time on
+        // each rejection.
         if failure.was_rejected {
             backoff_s.min(spread_s.max(MAX_REJECTED_BACKOFF_S))
         } else {
@@ -186,20 +194,20 @@
     }
 
     fn exponential_backoff_s(&self, first_s: f64) -> f64 {
-        first_s * f64::from(1u32 << self.consecutive_failures.min(MAX_DOUBLINGS))
+        first_s * f64::from(1u32 << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS))
     }
 
     /// Returns the longest backoff, in seconds, after which the next poll still receives a change
-    /// before this balancer counts as notified of it; at least a minimum, even if the poll would be
-    /// later than that.
+    /// before this balancer counts as notified of it. The result has a lower limit, which applies
+    /// even if the next poll is then too late for that.
     fn longest_backoff_s(&self, spread_s: f64, now_s: f64) -> f64 {
         let elapsed_s = if self.is_watching {
             WATCH_SILENCE_S
         } else {
             now_s - self.last_poll_at_s
         };
-        // If the number of balancers requires the longest spread, the backoff is not limited to
-        // less: discovery serves few of them if all poll at the same time.
+        // If there are so many balancers that their polls are spread over the longest time, the
+        // limit is at least that time: discovery serves few of them if all poll at the same time.
         let min_s = if spread_s < MAX_BACKOFF_SPREAD_S {
             MIN_BACKOFF_S
         } else {
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -1,16 +1,18 @@
 //! Detects idle connections that the network has silently dropped. If requests are lost on idle
 //! connections and not on those in use, idle connections are closed before they are used again.
 
-/// Idle seconds after which a connection may have been dropped, and seconds for which a suspicion
-/// lasts.
+/// Seconds without use after which a connection counts as idle and may have been dropped.
 const MIN_IDLE_S: f64 = 0.3;
+/// Seconds for which idle connections remain suspected after the last unanswered attempt on one.
 const SUSPICION_VALID_S: f64 = 15.0;
-/// Weight of the newest attempt in the fractions of unanswered attempts: low, as two long requests
-/// in a row are no evidence.
+/// Weight of the newest attempt in the fractions of unanswered attempts. It is low, as two long
+/// requests in a row are no evidence that connections were dropped.
 const NEWEST_WEIGHT: f64 = 0.05;
-/// Fraction of unanswered attempts on idle connections that has to be exceeded for a suspicion, and
-/// the multiple of the fraction on connections in use that has to be exceeded too.
+/// Fraction of unanswered attempts on idle connections above which these connections are suspected,
+/// if [`UNANSWERED_RATIO`] is exceeded too.
 const MIN_UNANSWERED_FRACTION: f64 = 0.3;
+/// Ratio of the fraction of unanswered attempts on idle connections to that on connections in use,
+/// above which idle connections are suspected.
 const UNANSWERED_RATIO: f64 = 2.0;
 
 /// The last use of the connections to one upstream.
@@ -36,16 +38,17 @@
     }
 }
 
-/// Statistics of attempts on idle connections. While a wrong suspicion lasts, it costs a handshake
-/// for each use of an idle connection.
+/// Statistics of attempts on idle connections and on connections in use. If idle connections are
+/// suspected wrongly, each attempt that could have used one costs a handshake.
 #[derive(Default)]
 pub(super) struct IdleConnections {
-    /// Fractions of attempts without a response, on connections in use and on idle ones.
+    /// Fraction of the attempts on connections in use that got no response, smoothed.
     unanswered_in_use: f64,
+    /// Fraction of the attempts on idle connections that got no response, smoothed.
     unanswered_idle: f64,
-    /// Idle seconds after which a connection may be dead, and the time until which that is
-    /// suspected.
+    /// Seconds without use above which a connection is suspected to be dropped.
     max_idle_s: f64,
+    /// Time until which such connections are suspected.
     suspect_until_s: f64,
 }
 
