--- a/balancer/src/members/mod.rs
+++ b/balancer/src/members/mod.rs
@@ -143,7 +143,7 @@
         peer_count: config.peers.len() as u16,
         incarnation,
         max_members: config.max_members,
-        forget_after: config.forget_after,
+        down_member_retention: config.forget_after,
         seed,
     }
 }
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -261,7 +261,7 @@
             peer_count,
             incarnation: EPOCH_MS + self.now.as_millis() as u64,
             max_members: 2 * usize::from(peer_count),
-            forget_after: self.experiment.membership.unwrap_or_default().retention(),
+            down_member_retention: self.experiment.membership.unwrap_or_default().retention(),
             seed,
         };
         member.machine = Some(Membership::new(config, self.now)?);
--- a/membership/fuzz/fuzz_targets/datagram.rs
+++ b/membership/fuzz/fuzz_targets/datagram.rs
@@ -36,7 +36,7 @@
         peer_count: PEER_COUNT,
         incarnation: 1_700_000_000_000,
         max_members: MAX_MEMBERS,
-        forget_after: Duration::from_secs(600),
+        down_member_retention: Duration::from_secs(600),
         seed: 1,
     };
     Membership::new(config, Duration::ZERO).expect("a valid configuration")
--- a/membership/src/config.rs
+++ b/membership/src/config.rs
@@ -9,8 +9,8 @@
 const MAX_FLEET_NAME_BYTES: usize = 32;
 /// The maximum of [`Config::peer_count`].
 const MAX_PEERS: usize = 8192;
-/// The permitted values of [`Config::forget_after`]: 60 s to 7 days.
-const FORGET_AFTER_RANGE: RangeInclusive<Duration> =
+/// The permitted values of [`Config::down_member_retention`]: 60 s to 7 days.
+const DOWN_MEMBER_RETENTION_RANGE: RangeInclusive<Duration> =
     Duration::from_secs(60)..=Duration::from_secs(7 * 86_400);
 
 /// The configuration of one member, which the embedder provides.
@@ -30,7 +30,7 @@
     /// least `peer_count`.
     pub max_members: usize,
     /// The time for which a member that left or died is remembered: 60 s to 7 days.
-    pub forget_after: Duration,
+    pub down_member_retention: Duration,
     /// The seed of the random number generators.
     pub seed: u64,
 }
@@ -65,7 +65,7 @@
     },
     /// The time for which members that left or died are remembered is out of range.
     #[error("forget_s must be between 60 s and 7 days, got {0:?}")]
-    ForgetAfter(Duration),
+    DownMemberRetention(Duration),
 }
 
 impl Config {
@@ -91,8 +91,8 @@
                 peer_count,
             });
         }
-        if !FORGET_AFTER_RANGE.contains(&self.forget_after) {
-            return Err(ConfigError::ForgetAfter(self.forget_after));
+        if !DOWN_MEMBER_RETENTION_RANGE.contains(&self.down_member_retention) {
+            return Err(ConfigError::DownMemberRetention(self.down_member_retention));
         }
         Ok(())
     }
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -92,7 +92,7 @@
     runtime: FocaRuntime,
     /// The size of the fleet for which the parameters were last set.
     configured_size: usize,
-    forget_after: Duration,
+    down_member_retention: Duration,
     max_payload_len: usize,
     error_count: u64,
 }
@@ -102,13 +102,17 @@
     pub(crate) fn new(id: Identity, config: &Config, now: Duration, rng: StdRng) -> Self {
         let configured_size = usize::from(config.peer_count);
         let max_payload_len = wire::payload_capacity(&config.fleet);
-        let parameters = parameters(configured_size, config.forget_after, max_payload_len);
+        let parameters = parameters(
+            configured_size,
+            config.down_member_retention,
+            max_payload_len,
+        );
         let max_timers = TIMERS_PER_MEMBER * config.max_members + EXTRA_TIMERS;
         Self {
             foca: Foca::new(id, parameters, rng, PostcardCodec),
             runtime: FocaRuntime::new(now, max_timers),
             configured_size,
-            forget_after: config.forget_after,
+            down_member_retention: config.down_member_retention,
             max_payload_len,
             error_count: 0,
         }
@@ -237,7 +241,7 @@
         let has_shrunk = size * 5 < self.configured_size * 4;
         let has_grown = size * 4 > self.configured_size * 5;
         if has_shrunk || has_grown {
-            let parameters = parameters(size, self.forget_after, self.max_payload_len);
+            let parameters = parameters(size, self.down_member_retention, self.max_payload_len);
             let result = self.foca.set_config(parameters);
             self.count_error(result);
             self.configured_size = size;
@@ -267,14 +271,18 @@
 }
 
 /// Returns the parameters of `foca` for a fleet of `size` members.
-fn parameters(size: usize, forget_after: Duration, max_payload_len: usize) -> foca::Config {
+fn parameters(
+    size: usize,
+    down_member_retention: Duration,
+    max_payload_len: usize,
+) -> foca::Config {
     let mut parameters = foca::Config::simple();
     parameters.probe_period = PROBE_INTERVAL;
     parameters.probe_rtt = PROBE_TIMEOUT;
     let transmissions = BASE_TRANSMISSIONS + size.max(1).ilog2() as u8;
     parameters.max_transmissions = NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN);
     parameters.suspect_to_down_after = suspicion_timeout(size);
-    parameters.remove_down_after = Some(forget_after);
+    parameters.remove_down_after = Some(down_member_retention);
     let default_len = parameters.max_packet_size;
     parameters.max_packet_size = NonZeroUsize::new(max_payload_len).unwrap_or(default_len);
     parameters.notify_down_members = true;
--- a/membership/tests/state_machine/support.rs
+++ b/membership/tests/state_machine/support.rs
@@ -39,7 +39,7 @@
         peer_count: PEER_COUNT,
         incarnation: BASE_INCARNATION,
         max_members: MAX_MEMBERS,
-        forget_after: Duration::from_secs(600),
+        down_member_retention: Duration::from_secs(600),
         seed: 7 + u64::from(number),
     };
     Membership::new(config, Duration::ZERO).expect("a valid configuration")
--- a/membership/tests/wire_fixtures/simulation.rs
+++ b/membership/tests/wire_fixtures/simulation.rs
@@ -229,7 +229,7 @@
             peer_count,
             incarnation: EPOCH_MS + incarnation_ms,
             max_members: usize::from(peer_count) + 4,
-            forget_after: Duration::from_secs(60),
+            down_member_retention: Duration::from_secs(60),
             seed: self.seed.wrapping_mul(1_000_003)
                 + u64::from(peer) * 1_009
                 + u64::from(process.generation),
