--- a/balancer/src/members/mod.rs
+++ b/balancer/src/members/mod.rs
@@ -222,7 +222,7 @@
                     }
                 }
                 Some(Output::ViewChanged(change)) => log_change(&change),
-                Some(Output::Superseded(other)) => log_superseded(&other),
+                Some(Output::SupersededClaimant(other)) => log_superseded(&other),
                 Some(Output::Yielded(other)) => log_yielded(&other),
             }
         }
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -290,7 +290,7 @@
                     state: change.member.state,
                     version: change.version,
                 }),
-                Output::Superseded(_) => {}
+                Output::SupersededClaimant(_) => {}
                 Output::Yielded(_) => self.record(&EventKind::NameYielded { balancer: number }),
             }
         }
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -49,7 +49,7 @@
     /// Record that, shortly after its start, this process learned of a later incarnation of its own
     /// name, which is given here, and took the incarnation after it. The later incarnation is that
     /// of a previous start of this process if the clock was set back in between.
-    Superseded(Identity),
+    SupersededClaimant(Identity),
     /// Record that a later incarnation, which is given here, claims this process's name. This
     /// process has yielded and is no longer a member.
     Yielded(Identity),
--- a/membership/src/membership/name_conflict.rs
+++ b/membership/src/membership/name_conflict.rs
@@ -75,7 +75,7 @@
             rejoin_count: 0,
             ..self.identity()
         });
-        self.outputs.push_back(Output::Superseded(claimant));
+        self.outputs.push_back(Output::SupersededClaimant(claimant));
         self.process_swim_outputs(None);
     }
 }
--- a/membership/tests/state_machine/name_conflicts.rs
+++ b/membership/tests/state_machine/name_conflicts.rs
@@ -55,7 +55,7 @@
         ..restarted.identity()
     };
     report_claim(&mut restarted, Duration::from_millis(100), replaced);
-    assert!(outputs(&mut restarted).contains(&Output::Superseded(replaced)));
+    assert!(outputs(&mut restarted).contains(&Output::SupersededClaimant(replaced)));
     assert_eq!(restarted.phase(), Phase::Member);
     assert_eq!(restarted.identity().incarnation, replaced.incarnation + 1);
     let own_id = restarted.identity();
--- a/membership/tests/wire_fixtures/output_log.rs
+++ b/membership/tests/wire_fixtures/output_log.rs
@@ -108,7 +108,7 @@
                 self.record(&nanoseconds(member.since).to_le_bytes());
                 self.record(reported_by.unwrap_or_default().as_bytes());
             }
-            Output::Superseded(id) => {
+            Output::SupersededClaimant(id) => {
                 self.superseded_count += 1;
                 self.record(&[2]);
                 self.record_identity(id);
