--- a/balancer/src/members/mod.rs
+++ b/balancer/src/members/mod.rs
@@ -223,7 +223,7 @@
                 }
                 Some(Output::ViewChanged(change)) => log_change(&change),
                 Some(Output::SupersededClaimant(other)) => log_superseded(&other),
-                Some(Output::Yielded(other)) => log_yielded(&other),
+                Some(Output::YieldedTo(other)) => log_yielded(&other),
             }
         }
     }
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -291,7 +291,7 @@
                     version: change.version,
                 }),
                 Output::SupersededClaimant(_) => {}
-                Output::Yielded(_) => self.record(&EventKind::NameYielded { balancer: number }),
+                Output::YieldedTo(_) => self.record(&EventKind::NameYielded { balancer: number }),
             }
         }
         self.schedule_timer(number);
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -52,7 +52,7 @@
     SupersededClaimant(Identity),
     /// Record that a later incarnation, which is given here, claims this process's name. This
     /// process has yielded and is no longer a member.
-    Yielded(Identity),
+    YieldedTo(Identity),
 }
 
 /// The phase of this process in the membership.
--- a/membership/src/membership/name_conflict.rs
+++ b/membership/src/membership/name_conflict.rs
@@ -56,7 +56,7 @@
             self.supersede(claimant);
         } else {
             self.phase = Phase::Yielded;
-            self.outputs.push_back(Output::Yielded(claimant));
+            self.outputs.push_back(Output::YieldedTo(claimant));
         }
     }
 
--- a/membership/tests/state_machine/name_conflicts.rs
+++ b/membership/tests/state_machine/name_conflicts.rs
@@ -32,7 +32,7 @@
         ..earlier.identity()
     };
     report_claim(&mut earlier, Duration::from_secs(60), later);
-    assert!(outputs(&mut earlier).contains(&Output::Yielded(later)));
+    assert!(outputs(&mut earlier).contains(&Output::YieldedTo(later)));
     assert_eq!(earlier.phase(), Phase::Yielded);
     assert_eq!(earlier.next_timeout(), None);
     let join = Message::Join {
--- a/membership/tests/wire_fixtures/output_log.rs
+++ b/membership/tests/wire_fixtures/output_log.rs
@@ -113,7 +113,7 @@
                 self.record(&[2]);
                 self.record_identity(id);
             }
-            Output::Yielded(id) => {
+            Output::YieldedTo(id) => {
                 self.yielded_count += 1;
                 self.record(&[3]);
                 self.record_identity(id);
