--- a/membership/src/membership/neighbor_monitor.rs
+++ b/membership/src/membership/neighbor_monitor.rs
@@ -12,7 +12,8 @@
 
 /// The interval from the start of a check to the start of the next one.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The time to wait for an acknowledgement before the check is retried or has failed.
+/// The time to wait for the acknowledgement of an attempt, after which the check is retried or,
+/// after the last attempt, has failed.
 const ACK_TIMEOUT: Duration = Duration::from_millis(190);
 /// The number of times that a check is sent before it has failed.
 const MAX_ATTEMPTS: u32 = 4;
@@ -60,8 +61,8 @@
             .map_or(self.next_check_at, |check| check.times_out_at)
     }
 
-    /// Abandons the current check, if any. Called after this process was paused, as the check is
-    /// then no evidence of a failure.
+    /// Abandons the current check, if any. Called after this process was paused, because a missing
+    /// acknowledgement is then no evidence of a failure.
     pub(super) fn abandon_check(&mut self) {
         self.check_in_progress = None;
     }
@@ -97,10 +98,11 @@
         self.last_nonce
     }
 
-    /// Ends the current check if `nonce` and `from` match it, and returns whether they do.
-    fn acknowledge(&mut self, nonce: u32, from: Name) -> bool {
+    /// Ends the current check if it has this nonce and a target with this name, and returns whether
+    /// it does.
+    fn acknowledge(&mut self, nonce: u32, target_name: Name) -> bool {
         let is_current =
-            |check: &mut CheckInProgress| check.nonce == nonce && check.target.name == from;
+            |check: &mut CheckInProgress| check.nonce == nonce && check.target.name == target_name;
         self.check_in_progress.take_if(is_current).is_some()
     }
 }
@@ -175,9 +177,13 @@
         }
     }
 
-    /// Ends the current check if this acknowledgement belongs to it, and returns whether it does.
-    pub(super) fn on_check_acknowledged(&mut self, nonce: u32, from: &Identity) -> bool {
-        let is_current = self.neighbor_monitor.acknowledge(nonce, from.name);
+    /// Handles the acknowledgement of a check by the checked member, received directly or
+    /// forwarded. Ends the current check if the acknowledgement belongs to it, and returns whether
+    /// it does.
+    pub(super) fn on_check_acknowledged(&mut self, nonce: u32, checked_member: &Identity) -> bool {
+        let is_current = self
+            .neighbor_monitor
+            .acknowledge(nonce, checked_member.name);
         if is_current {
             self.health.improve();
         }
@@ -217,10 +223,16 @@
         &mut self,
         nonce: u32,
         requester: PeerIndex,
-        from: Identity,
+        checked_member: Identity,
     ) {
         if self.is_other_peer(requester) {
-            self.send_message(requester, &Message::ForwardedCheckAck { nonce, from });
+            self.send_message(
+                requester,
+                &Message::ForwardedCheckAck {
+                    nonce,
+                    checked_member,
+                },
+            );
         }
     }
 }
--- a/membership/src/membership/receive.rs
+++ b/membership/src/membership/receive.rs
@@ -18,8 +18,9 @@
         self.counters.record_dropped(DropReason::UnknownSender);
     }
 
-    /// Handles a datagram from a peer. Returns an error with the reason if the datagram is dropped,
-    /// and counts it. Ignores datagrams once this process is no longer a member.
+    /// Handles a datagram from a peer. If the datagram is invalid, drops it, counts the drop and
+    /// returns the reason as an error. Ignores all datagrams once this process is no longer a
+    /// member.
     pub fn handle_datagram(
         &mut self,
         now: Duration,
@@ -83,9 +84,12 @@
                 self.validate_sender(source, &from)?;
                 self.on_indirect_check_ack(nonce, requester, from);
             }
-            Message::ForwardedCheckAck { nonce, from } => {
-                self.validate_plausible(&from)?;
-                self.on_check_acknowledged(nonce, &from);
+            Message::ForwardedCheckAck {
+                nonce,
+                checked_member,
+            } => {
+                self.validate_plausible(&checked_member)?;
+                self.on_check_acknowledged(nonce, &checked_member);
             }
             Message::ViewHashes {
                 from,
@@ -141,8 +145,8 @@
         is_suspected
     }
 
-    /// Returns whether a sender is live in the view. If it is not, sends it an announcement, so
-    /// that both learn of each other.
+    /// Returns whether a sender is live in the view. If it is not, and the response limiter allows,
+    /// announces this process to the sender, so that both learn of each other.
     pub(super) fn is_live_sender(&mut self, from: &Identity) -> bool {
         let known = self.view.get(&from.name);
         let is_live = known.is_some_and(|member| member.id == *from && member.state.is_live());
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -62,13 +62,18 @@
     /// The sender claims another peer index than that of its source address.
     #[error("the sender's peer index is not that of the datagram's source address")]
     SenderMismatch,
-    /// The datagram contains a member that exceeds the maximum number of members, a peer that does
-    /// not exist, an incarnation from the future, or an invalid node of the hash tree.
-    #[error("the datagram contains a member or hash tree node that cannot exist")]
+    /// The datagram contains a new member although the maximum number of members is already
+    /// remembered, a peer index that does not exist, an incarnation more than a day in the future,
+    /// or an invalid node of the hash tree.
+    #[error(
+        "the datagram contains a new member beyond the maximum number of members, a peer index \
+         that does not exist, an incarnation more than a day in the future, or an invalid hash \
+         tree node"
+    )]
     Implausible,
 }
 
-/// Returns the maximum length of a payload in a datagram of a fleet, in bytes.
+/// Returns the maximum length of a payload in a datagram of the given fleet, in bytes.
 pub fn payload_capacity(fleet: &str) -> usize {
     MAX_DATAGRAM_LEN - PREFIX_LEN - fleet.len() - CHECKSUM_LEN - KIND_LEN
 }
@@ -119,7 +124,8 @@
     }
 }
 
-/// Validates the length, version, fleet and checksum of a datagram, and returns its body.
+/// Validates the length, version, fleet and checksum of a datagram, and returns its body: the kind
+/// and the payload or message.
 fn validated_body<'a>(fleet: &str, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
     if datagram.len() > MAX_DATAGRAM_LEN {
         return Err(DropReason::Malformed);
--- a/membership/src/wire/message.rs
+++ b/membership/src/wire/message.rs
@@ -9,9 +9,9 @@
 /// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A contact to a peer at which the sender knows no live member, so that a process there can
-    /// announce itself. It also informs a process that claims the sender's name with an earlier
-    /// incarnation that the sender has the name.
+    /// Makes the sender known to a process at a peer at which the sender knows no live member. The
+    /// process responds with an announcement. Also sent to a process that claims the sender's name
+    /// with an earlier incarnation, to inform that process that it has lost the name.
     Join {
         /// The identity of the sender.
         from: Identity,
@@ -25,9 +25,9 @@
     CheckAck {
         /// The nonce of the acknowledged check.
         nonce: u32,
-        /// The identity of the member that was checked.
+        /// The identity of the sender, which is the member that was checked.
         from: Identity,
-        /// The digest of that member's view.
+        /// The digest of the sender's view.
         digest: u64,
     },
     /// A request for an indirect check of a member that did not acknowledge the sender's check in
@@ -51,15 +51,16 @@
         nonce: u32,
         /// The peer that requested the indirect check.
         requester: PeerIndex,
-        /// The identity of the member that was checked.
+        /// The identity of the sender, which is the member that was checked.
         from: Identity,
     },
-    /// The acknowledgement of an indirect check, forwarded to the peer that requested it.
+    /// The acknowledgement of an indirect check, forwarded to the peer that requested the check.
     ForwardedCheckAck {
         /// The nonce of the receiver's own check.
         nonce: u32,
-        /// The identity of the member that was checked.
-        from: Identity,
+        /// The identity of the member that was checked, which is not the sender of this message.
+        #[serde(rename = "from")]
+        checked_member: Identity,
     },
     /// The hashes of the children of a hash tree node, computed from the sender's view. Sent to a
     /// member whose view differs from the sender's.
@@ -68,16 +69,16 @@
         from: Identity,
         /// The hash tree node whose children are hashed.
         prefix: HashPrefix,
-        /// The hashes of the node's children, over the live members.
+        /// The hashes of the node's children, computed from the live members.
         hashes: ChildHashes,
     },
-    /// The members that the sender knows below a node of the hash tree; or a suspicion, sent to the
-    /// suspect so that the suspect can refute it.
+    /// Members that the sender knows below a node of the hash tree. Also sent to a suspect, with
+    /// the suspicion as the only update, so that the suspect can refute the suspicion.
     ViewMembers {
         /// The identity of the sender.
         from: Identity,
-        /// The hash tree node whose members the sender requests from the receiver in return; `None`
-        /// if it requests none.
+        /// The hash tree node whose members the receiver is to send in return; `None` if the sender
+        /// requests no members.
         #[serde(rename = "requested")]
         requested_in_return: Option<HashPrefix>,
         /// The members, at most as many as fit into a datagram.
