--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -30,8 +30,8 @@
 use std::time::Duration;
 use suspicion::Suspicions;
 
-/// The number of peers that are contacted at the start: all but the last in [`Membership::new`],
-/// and the last on the first timeout, which is due immediately.
+/// The number of join messages that are sent at the start. [`Membership::new`] sends all but one of
+/// them, and the first timeout, which is due immediately, sends the last.
 const INITIAL_JOIN_COUNT: usize = 3;
 
 /// An action that the embedder has to carry out.
@@ -46,12 +46,13 @@
     },
     /// Record a change of the view.
     ViewChanged(ViewChange),
-    /// Record that, shortly after its start, this process learned of a later incarnation of its own
-    /// name, which is given here, and took the incarnation after it. The later incarnation is that
-    /// of a previous start of this process if the clock was set back in between.
+    /// Record that this process superseded another claimant to its name, which is given here: the
+    /// claimant took precedence, but this process then took the incarnation after the claimant's.
+    /// This happens only shortly after the start of this process, for example if the clock was set
+    /// back before a restart, so that the claimant is the previous start of this process.
     SupersededClaimant(Identity),
-    /// Record that a later incarnation, which is given here, claims this process's name. This
-    /// process has yielded and is no longer a member.
+    /// Record that this process yielded its name to the claimant that is given here, which takes
+    /// precedence, and is no longer a member.
     YieldedTo(Identity),
 }
 
@@ -61,7 +62,7 @@
 pub enum Phase {
     /// The process takes part in the membership.
     Member,
-    /// A later incarnation has claimed this process's name, and this process is no longer a member.
+    /// The process has yielded its name to another claimant and is no longer a member.
     Yielded,
     /// The process has announced that it leaves and is no longer a member.
     Left,
@@ -70,8 +71,9 @@
 /// The membership state machine of one process.
 ///
 /// All times are on the monotonic clock of the embedder. Before the embedder calls
-/// [`handle_timeout`](Self::handle_timeout), it passes in all received datagrams, so that a
-/// response that was received in time does not seem late.
+/// [`handle_timeout`](Self::handle_timeout), it must pass all received datagrams to
+/// [`handle_datagram`](Self::handle_datagram), so that a response that was received in time is not
+/// treated as late.
 pub struct Membership {
     config: Config,
     swim: Swim,
@@ -134,8 +136,8 @@
         Ok(membership)
     }
 
-    /// Adds the members that the embedder persisted before this start as alive, without
-    /// disseminating them. Probes and checks detect which of them have ended in the meantime.
+    /// Adds the members that the embedder persisted before this start. They are assumed to be alive
+    /// and are not disseminated; probes and checks detect those that have ended in the meantime.
     pub fn restore(&mut self, now: Duration, ids: impl Iterator<Item = Identity>) {
         self.set_now(now);
         let own_name = self.identity().name;
--- a/membership/src/membership/anti_entropy.rs
+++ b/membership/src/membership/anti_entropy.rs
@@ -8,10 +8,10 @@
 use foca::Member;
 use rand::seq::SliceRandom;
 
-/// The number of consecutive checks that find a different view before the two views are compared.
-/// Gossip resolves most differences earlier.
+/// The number of consecutive checks that must find a different view at the checked member before
+/// the two views are compared. Gossip resolves most differences earlier.
 const MIN_CONSECUTIVE_DIFFERENCES: u32 = 2;
-/// The maximum number of bytes that a [`Message::ViewMembers`] takes in addition to its members.
+/// The maximum number of bytes of an encoded [`Message::ViewMembers`] without its members.
 const MAX_VIEW_MEMBERS_OVERHEAD_BYTES: usize = 56;
 
 /// Decides when this process compares its view with that of another member.
--- a/membership/src/membership/join.rs
+++ b/membership/src/membership/join.rs
@@ -15,12 +15,13 @@
 const MAX_INTERVAL: Duration = Duration::from_secs(8);
 /// The range of the random factor by which each interval is multiplied.
 const JITTER: Range<f64> = 0.5..1.5;
-/// The maximum number of responses in a burst; `RESPONSES_PER_S` is the sustained rate. The limits
-/// prevent a storm of contacts from causing a storm of responses.
+/// The maximum number of responses in a burst; `RESPONSES_PER_S` is the maximum sustained rate.
+/// Both limits prevent a storm of contacts from causing an equally large number of responses.
 const MAX_RESPONSE_BURST: f64 = 20.0;
 const RESPONSES_PER_S: f64 = 20.0;
 
-/// The schedule of contacts to peers: an exponential backoff with jitter.
+/// The schedule of contacts to peers at which no live member is known: an exponential backoff with
+/// jitter.
 #[derive(Debug)]
 pub(super) struct JoinSchedule {
     next_at: Duration,
--- a/membership/src/membership/name_conflict.rs
+++ b/membership/src/membership/name_conflict.rs
@@ -1,15 +1,15 @@
-//! Conflicts over this process's name: the latest incarnation retains the name, and the others
-//! yield.
+//! Conflicts over this process's name: the process with the latest incarnation retains the name,
+//! and the others yield.
 
 use super::{Membership, Output, Phase};
 use crate::identity::Identity;
 use crate::wire::Message;
 use std::time::Duration;
 
-/// The time after its start during which a process may supersede a later incarnation of its name.
-/// This covers a restart after the clock was set back.
+/// The time after its start during which a process may supersede a claimant with a later
+/// incarnation. This covers a restart after the clock was set back.
 const SUPERSEDE_WINDOW: Duration = Duration::from_secs(5);
-/// The maximum number of incarnations that a process may supersede within `SUPERSEDE_WINDOW`.
+/// The maximum number of claimants that a process may supersede within `SUPERSEDE_WINDOW`.
 const MAX_SUPERSEDED_COUNT: u32 = 3;
 
 /// The way in which this process learned of another claim to its name.
@@ -21,7 +21,8 @@
     Report,
 }
 
-/// This process's claim to its name.
+/// This process's claim to its name, which limits how often, and until how long after its start,
+/// the process may supersede other claimants.
 #[derive(Debug)]
 pub(super) struct NameClaim {
     started_at: Duration,
@@ -43,9 +44,10 @@
 }
 
 impl Membership {
-    /// Resolves a claim to this process's name. This process supersedes a later claim or yields to
-    /// it, and informs an earlier claimant that sent the claim itself. A claim by this process's
-    /// own identity has no effect.
+    /// Resolves a claim to this process's name. If the claimant takes precedence, this process
+    /// supersedes it or yields to it. If this process takes precedence and the claimant sent the
+    /// claim itself, this process informs the claimant. A claim by this process's own identity has
+    /// no effect.
     pub(super) fn on_name_conflict(&mut self, claimant: Identity, source: ClaimSource) {
         let own_id = self.identity();
         if !claimant.supersedes(&own_id) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Sends a message by which a claimant that is still running learns who has the name.
+    /// Sends a join message, from which the claimant learns which process has the name.
     fn inform_superseded_claimant(&mut self, claimant: &Identity) {
         if self.response_limiter.allows(self.now) {
             let from = self.identity();
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Takes the incarnation after the claimant's, so that this process takes precedence.
     fn supersede(&mut self, claimant: Identity) {
         self.name_claim.superseded_count += 1;
         self.swim.change_identity(Identity {
--- a/membership/src/membership/suspicion.rs
+++ b/membership/src/membership/suspicion.rs
@@ -13,7 +13,8 @@
 /// can refute it as soon as it runs again.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A suspicion that this process has raised itself, not one that another member reported.
+/// A suspicion that this process raised itself; suspicions that other members report are not stored
+/// here.
 #[derive(Debug)]
 struct Suspicion {
     suspect: SuspectId,
@@ -21,7 +22,7 @@
     expires_at: Duration,
 }
 
-/// The suspicions that this process has raised itself.
+/// The suspicions that this process raised itself.
 #[derive(Debug)]
 pub(super) struct Suspicions {
     entries: Vec<Suspicion>,
@@ -109,15 +110,15 @@
         }
     }
 
-    /// Adds a suspicion that this process has raised itself, so that its suspect is notified of it
+    /// Adds a suspicion that this process raised itself, so that its suspect is notified of it
     /// and declared dead when it expires.
     fn track(&mut self, suspect: SuspectId) {
         let timeout = self.swim.suspicion_timeout();
         self.suspicions.add(suspect, self.now, timeout);
     }
 
-    /// Notifies the suspects whose notification is due, so that a suspect that was only paused can
-    /// refute the suspicion immediately.
+    /// Notifies each suspect that is due for a notification, so that a suspect that was only paused
+    /// can refute the suspicion immediately.
     pub(super) fn notify_suspects(&mut self) {
         for suspect in self.suspicions.reschedule_due_notifications(self.now) {
             let notification = Message::ViewMembers {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Declares the suspects dead that have not refuted the suspicion in time.
+    /// Declares dead each suspect that has not refuted the suspicion before it expired.
     pub(super) fn expire_suspicions(&mut self) {
         for suspect in self.suspicions.drain_expired(self.now) {
             if self.swim.is_suspect(&suspect) {
@@ -139,9 +140,10 @@
         }
     }
 
-    /// Returns whether a timer would declare a member dead whose suspicion no longer applies, for
-    /// example because the member refuted it. On such a timer `foca` would not change the member's
-    /// state, but would notify the member that it is dead and cause a needless rejoin.
+    /// Returns whether a timer is to declare a suspect dead although the suspicion no longer
+    /// applies, for example because the member refuted it. If `foca` handled this timer, it would
+    /// not change the member's state, but would notify the member that it is dead and so cause a
+    /// needless rejoin.
     pub(super) fn is_refuted_suspicion(&self, timer: &Timer<Identity>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -158,8 +160,8 @@
         !self.swim.is_suspect(&suspect)
     }
 
-    /// Updates the suspicions in the view for the members whose suspicion a received datagram can
-    /// have changed: those in `updates`, and its sender.
+    /// Updates the view for the members that a received datagram may have made suspect or cleared
+    /// of a suspicion: the members in `updates`, and the sender `from`.
     pub(super) fn refresh_suspicions_among(&mut self, updates: &[Member<Identity>], from: Name) {
         let is_suspect = |name: &Name| {
             let member = self.view.get(name);
--- a/membership/src/membership/view_updates.rs
+++ b/membership/src/membership/view_updates.rs
@@ -65,8 +65,8 @@
         match *notification {
             OwnedNotification::MemberUp(id) => Some((id, state_or_left(&id, MemberState::Alive))),
             OwnedNotification::MemberDown(id) => Some((id, state_or_left(&id, MemberState::Dead))),
-            // If the earlier identity counted as active, no other notification follows. A leaving
-            // identity counts as active until its end has been disseminated.
+            // If the earlier identity was active, `foca` reports the new one by this notification
+            // alone. A leaving identity remains active until it is declared down.
             OwnedNotification::Rename(_, id) if self.swim.is_active(&id) => {
                 Some((id, state_or_left(&id, MemberState::Alive)))
             }
