--- a/membership/src/config.rs
+++ b/membership/src/config.rs
@@ -29,7 +29,8 @@
     /// The maximum number of members that are remembered, including those that left or died; at
     /// least `peer_count`.
     pub max_members: usize,
-    /// The time for which a member that left or died is remembered: 60 s to 7 days.
+    /// The time for which a member is remembered after this process learned that the member left or
+    /// died: 60 s to 7 days.
     pub down_member_retention: Duration,
     /// The seed of the random number generators.
     pub seed: u64,
--- a/membership/src/counters.rs
+++ b/membership/src/counters.rs
@@ -33,8 +33,8 @@
     /// The number of datagrams dropped as [`DropReason::Implausible`].
     #[serde(rename = "beyond")]
     pub implausible: u64,
-    /// The number of payloads, timers and requests that the SWIM protocol rejected in its current
-    /// state.
+    /// The number of payloads, timers and requests that the SWIM implementation rejected with an
+    /// error.
     #[serde(rename = "odd")]
     pub protocol_errors: u64,
     /// The number of times that this process refuted a suspicion of itself.
--- a/membership/src/foca_runtime.rs
+++ b/membership/src/foca_runtime.rs
@@ -6,7 +6,8 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// A timer of `foca`. Timers are ordered by due time, and equal due times by submission.
+/// A timer of `foca`. Timers are ordered by due time; timers that are due at the same time are in
+/// the order in which `foca` submitted them.
 struct ScheduledTimer {
     due_at: Duration,
     sequence: u64,
--- a/membership/src/hash_tree.rs
+++ b/membership/src/hash_tree.rs
@@ -19,7 +19,8 @@
 const BITS_PER_LEVEL: u32 = 4;
 /// The depth of the leaves; the root has depth 0.
 pub const MAX_DEPTH: u8 = 7;
-/// The maximum number of members of a node for which the members are sent instead of hashes.
+/// The maximum number of members of a node whose members are sent to the peer. If a node has more
+/// members and is not a leaf, the hashes of its children are sent instead.
 pub const MAX_MEMBERS_SENT: usize = 8;
 /// The maximum number of differing children that are reconciled in one exchange. They are selected
 /// at random, so that later exchanges reach the others.
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -12,16 +12,16 @@
 //! - **Local health**, after Lifeguard (Dadgar, Phillips and Currey, 2018): a process that notices
 //!   that it ran late, or that others suspect it, allows other members more time to respond. The
 //!   time during which a process was itself paused does not count against any other member.
-//! - **Names and incarnations.** A process is identified by its name and the incarnation of its
-//!   start, not by an address. If two processes claim the same name, the later incarnation retains
-//!   it; the earlier one yields and reports that it did.
+//! - **Names and incarnations.** A process is identified by its name and its incarnation, which is
+//!   the time of its start, and not by an address. If two processes claim the same name, the one
+//!   with the later incarnation retains it; the other yields and reports that it did.
 //! - **Graceful leave**, which is distinguished from a failure.
 //! - **Join retries.** Peers at which no live member is known are contacted at a bounded, jittered
 //!   rate, so that a process joins through the first peer that responds and the sides of a network
 //!   partition find each other again.
-//! - **Anti-entropy.** Responses to the neighbor monitor carry a digest of the view. Two views that
-//!   differ persistently are compared by a tree of hashes, so that no process misses an update
-//!   permanently.
+//! - **Anti-entropy.** The acknowledgement of a check by the neighbor monitor carries a digest of
+//!   the checked member's view. Two views that differ persistently are compared by a tree of
+//!   hashes, so that no process misses an update permanently.
 
 mod config;
 mod counters;
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -33,9 +33,9 @@
     interval: Duration::from_secs(10),
     member_count: 1,
 };
-/// The number of times that each member transmits an update, to which the binary logarithm of the
-/// fleet's size is added. With n transmissions by each member, a fraction e^-n of the members does
-/// not receive an update until anti-entropy delivers it.
+/// The number of times that a member transmits an update in a fleet of one member. In a larger
+/// fleet, the binary logarithm of the fleet's size is added. With n transmissions by each member, a
+/// fraction e^-n of the members does not receive an update until anti-entropy delivers it.
 const BASE_TRANSMISSIONS: u8 = 8;
 /// The number of gossip rounds in which a leave is announced.
 const LEAVE_GOSSIP_ROUNDS: usize = 3;
@@ -86,12 +86,14 @@
     }
 }
 
-/// The SWIM protocol of one process.
+/// The state of the SWIM protocol in one process.
 pub(crate) struct Swim {
     foca: Foca<Identity, PostcardCodec, StdRng, NoCustomBroadcast>,
     runtime: FocaRuntime,
-    /// The size of the fleet for which the parameters were last set.
+    /// The number of members for which the parameters of `foca` were last set.
     configured_size: usize,
+    /// The time for which `foca` remembers a member after this process learned that the member left
+    /// or died.
     down_member_retention: Duration,
     max_payload_len: usize,
     error_count: u64,
@@ -234,8 +236,8 @@
         self.runtime.postpone_suspicion_timers(by);
     }
 
-    /// Updates the parameters if the fleet has shrunk by more than a fifth or grown by more than a
-    /// quarter since they were last set.
+    /// Sets the parameters of `foca` for the current number of members if the fleet has shrunk by
+    /// more than a fifth or grown by more than a quarter since they were last set.
     pub(crate) fn adapt_to_member_count(&mut self) {
         let size = self.foca.num_members() + 1;
         let has_shrunk = size * 5 < self.configured_size * 4;
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -127,8 +127,8 @@
         self.digest
     }
 
-    /// Returns the first alive member after a name in the order of names, which continues with the
-    /// first name after the last; `None` if no other member is alive.
+    /// Returns the first alive member after a name in the order of names, which wraps around from
+    /// the last name to the first; `None` if no other member is alive.
     pub fn successor(&self, name: &Name) -> Option<&MemberRecord> {
         let later = self
             .entries
