--- a/membership/tests/wire_fixtures/main.rs
+++ b/membership/tests/wire_fixtures/main.rs
@@ -14,7 +14,7 @@
 mod scenarios;
 mod simulation;
 
-use captured::{Captured, bytes_from_hex};
+use captured::{CapturedDatagram, bytes_from_hex};
 use scenarios::{large_simulation, small_simulation};
 use simulation::EPOCH_MS;
 use std::collections::BTreeSet;
@@ -66,29 +66,33 @@
 fn every_kind_of_datagram_is_encoded_byte_for_byte_as_committed() {
     let mut simulation = small_simulation(SMALL_SIMULATION_SEEDS[0]);
     simulation.run_until(SMALL_SIMULATION_END);
-    let own = (0..OWN_MESSAGE_COUNT).map(|position| format!("own-{position}"));
-    let swim = SWIM_MESSAGES.iter().map(|kind| format!("swim-{kind}"));
-    let kinds: BTreeSet<String> = own.chain(swim).collect();
+    let own_kinds = (0..OWN_MESSAGE_COUNT).map(|position| format!("own-{position}"));
+    let swim_kinds = SWIM_MESSAGES.iter().map(|kind| format!("swim-{kind}"));
+    let kinds: BTreeSet<String> = own_kinds.chain(swim_kinds).collect();
     let captured: BTreeSet<String> = simulation
         .captured
         .iter()
         .map(|datagram| datagram.kind.clone())
         .collect();
     assert_eq!(captured, kinds, "the scenario sends every kind of datagram");
-    let lines: String = simulation.captured.iter().map(Captured::line).collect();
+    let lines: String = simulation
+        .captured
+        .iter()
+        .map(CapturedDatagram::line)
+        .collect();
     assert_matches_file("datagrams.txt", &lines);
 }
 
 /// The committed datagrams are delivered instead of those that the current version encodes, to
-/// receivers in the same state as when they were captured.
+/// receivers in the same state as when the committed datagrams were captured.
 #[test]
 fn every_kind_of_committed_datagram_has_the_committed_effect() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/datagrams.txt");
     let committed = fs::read_to_string(file).expect("the committed datagrams can be read");
     let mut simulation = small_simulation(SMALL_SIMULATION_SEEDS[0]);
-    for fixture in committed.lines() {
-        let fields: Vec<&str> = fixture.split(' ').collect();
-        let send_number = fields[1].parse().expect("a number");
+    for committed_line in committed.lines() {
+        let fields: Vec<&str> = committed_line.split(' ').collect();
+        let send_number = fields[1].parse().expect("the send number is an integer");
         simulation
             .replacements
             .insert(send_number, bytes_from_hex(fields[4]));
@@ -98,8 +102,8 @@
         simulation.replacements.is_empty(),
         "all committed datagrams are delivered"
     );
-    for (captured, fixture) in simulation.captured.iter().zip(committed.lines()) {
-        assert_eq!(captured.line().trim_end(), fixture);
+    for (captured, committed_line) in simulation.captured.iter().zip(committed.lines()) {
+        assert_eq!(captured.line().trim_end(), committed_line);
     }
     assert_eq!(simulation.captured.len(), committed.lines().count());
 }
@@ -119,18 +123,20 @@
         assert_eq!(
             reasons,
             [1, 2, 3, 5, 6],
-            "each reason to drop a datagram occurs"
+            "each drop reason that handle_datagram returns occurs"
         );
         assert!(
             simulation.log().superseded_count > 0,
-            "a process whose clock was set back supersedes its previous incarnation"
+            "a process restarted with its clock set back supersedes its previous incarnation"
         );
         assert!(
             simulation.log().yielded_count > 0,
             "a process yields its name"
         );
-        let machine = simulation.machine(6).expect("the process at peer 6 runs");
-        assert!(machine.identity().incarnation >= EPOCH_MS && machine.view().version() > 8);
+        let membership = simulation
+            .membership(6)
+            .expect("the process at peer 6 runs");
+        assert!(membership.identity().incarnation >= EPOCH_MS && membership.view().version() > 8);
     }
     let mut simulation = large_simulation();
     for end in (3..=LARGE_SIMULATION_END.as_secs()).step_by(3) {
--- a/membership/tests/wire_fixtures/output_log.rs
+++ b/membership/tests/wire_fixtures/output_log.rs
@@ -5,27 +5,30 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// A digest of outputs, timeouts and counters. Enum variants are recorded by position, so that
-/// renaming a variant does not change the digest.
+/// A digest of the outputs, timeouts, phases, health scores and counters of all members. Enum
+/// variants are recorded by position, so that renaming a variant does not change the digest.
 #[derive(Default)]
 pub struct OutputLog {
     hasher: SipHasher13,
     output_count: u64,
-    /// The number of outputs that report a superseded incarnation.
+    /// The number of outputs that report that a process superseded another claimant to its name.
     pub superseded_count: u64,
     /// The number of outputs that report that a process yielded its name.
     pub yielded_count: u64,
 }
 
-/// A section of the log, which has a digest besides that of the entire log.
-pub struct Section {
-    /// The hasher of the records before the section.
-    outer_hasher: SipHasher13,
+/// The state of the log before the section that is currently recorded. A section is a sequence of
+/// records with a digest of its own: [`OutputLog::begin_section`] saves the log's hasher here and
+/// starts an empty one for the section; [`OutputLog::end_section`] restores the saved hasher and
+/// records the section's digest in it.
+pub struct StateBeforeSection {
+    /// The hasher of all records before the section.
+    hasher: SipHasher13,
     /// The number of outputs before the section.
-    previous_output_count: u64,
+    output_count: u64,
 }
 
-/// The digest of a section, and the number of its outputs.
+/// The digest of a section, and the number of outputs in the section.
 pub struct SectionDigest {
     /// The number of outputs in the section.
     pub output_count: u64,
@@ -34,46 +37,46 @@
 }
 
 impl OutputLog {
-    /// Returns the digest of all records since the start.
+    /// Returns the digest of all records since the start of the simulation.
     pub fn digest(&self) -> u64 {
         self.hasher.finish()
     }
 
-    /// Returns the number of outputs since the start.
+    /// Returns the number of outputs since the start of the simulation.
     pub fn output_count(&self) -> u64 {
         self.output_count
     }
 
-    /// Begins a section.
-    pub fn begin_section(&mut self) -> Section {
-        Section {
-            outer_hasher: std::mem::take(&mut self.hasher),
-            previous_output_count: self.output_count,
+    /// Begins a section. No other section may be open.
+    pub fn begin_section(&mut self) -> StateBeforeSection {
+        StateBeforeSection {
+            hasher: std::mem::take(&mut self.hasher),
+            output_count: self.output_count,
         }
     }
 
-    /// Ends a section, and records its digest in the log.
-    pub fn end_section(&mut self, section: Section) -> SectionDigest {
-        let digest = std::mem::replace(&mut self.hasher, section.outer_hasher).finish();
+    /// Ends the section that began in the state `before`, and records its digest in the log.
+    pub fn end_section(&mut self, before: StateBeforeSection) -> SectionDigest {
+        let digest = std::mem::replace(&mut self.hasher, before.hasher).finish();
         self.record(&digest.to_le_bytes());
         SectionDigest {
-            output_count: self.output_count - section.previous_output_count,
+            output_count: self.output_count - before.output_count,
             digest,
         }
     }
 
-    /// Records bytes.
+    /// Adds bytes to the digest.
     pub fn record(&mut self, bytes: &[u8]) {
         self.hasher.write(bytes);
     }
 
     /// Records the next timeout, phase, health score and counters of a member.
-    pub fn record_status(&mut self, machine: &Membership) {
-        let due_ns = machine.next_timeout().map_or(u64::MAX, nanoseconds);
+    pub fn record_status(&mut self, membership: &Membership) {
+        let due_ns = membership.next_timeout().map_or(u64::MAX, nanoseconds);
         self.record(&due_ns.to_le_bytes());
-        let phase = phase_position(machine.phase());
-        self.record(&[phase, machine.health_score() as u8]);
-        let counters = machine.counters();
+        let phase = phase_position(membership.phase());
+        self.record(&[phase, membership.health_score() as u8]);
+        let counters = membership.counters();
         for count in [
             counters.sent,
             counters.sent_bytes,
@@ -122,7 +125,7 @@
     }
 
     fn record_identity(&mut self, id: &Identity) {
-        self.record(&postcard::to_allocvec(id).expect("an identity fits"));
+        self.record(&postcard::to_allocvec(id).expect("an identity can be encoded"));
     }
 }
 
--- a/membership/tests/wire_fixtures/scenarios.rs
+++ b/membership/tests/wire_fixtures/scenarios.rs
@@ -15,66 +15,73 @@
     Duration::from_secs(seconds)
 }
 
-fn start(peer: u16, name: u16, incarnation_ms: u64, is_restored: bool) -> Fault {
+fn start(peer: u16, name: u16, incarnation_offset_ms: u64, is_restored: bool) -> Fault {
     Fault::Start {
         peer,
         name,
-        incarnation_ms,
+        incarnation_offset_ms,
         is_restored,
     }
 }
 
-/// Encodes a datagram with a correct checksum over any bytes as its message.
-fn encode_with_checksum(fleet: &str, message: &[u8]) -> Vec<u8> {
+/// Encodes a datagram with a correct checksum. `body` is the kind and the message, and may be
+/// invalid.
+fn encode_with_checksum(fleet: &str, body: &[u8]) -> Vec<u8> {
     let mut checksum = crc32fast::Hasher::new();
     checksum.update(fleet.as_bytes());
-    checksum.update(message);
+    checksum.update(body);
     let mut datagram = vec![1, fleet.len() as u8];
     datagram.extend(fleet.as_bytes());
     datagram.extend(checksum.finalize().to_le_bytes());
-    datagram.extend(message);
+    datagram.extend(body);
     datagram
 }
 
-/// Returns invalid datagrams, at least one for each drop reason that depends on a datagram's bytes.
+/// Returns datagrams that are invalid when they are received from peer 1, at least one for each
+/// drop reason except `UnknownSender`.
 fn invalid_datagrams() -> Vec<Vec<u8>> {
-    let check = [1, 1, 7];
-    // Encodes join messages of "m1": below, one has another peer index than the source, one a peer
-    // index that does not exist, and one an incarnation from the future.
-    let join = |peer: u8, incarnation: &[u8]| {
+    let check_body = [1, 1, 7];
+    // Returns the body of a join message from a process named "m1". `peer` is the peer index that
+    // the process claims, and `incarnation` is its encoded incarnation.
+    let join_body = |peer: u8, incarnation: &[u8]| {
         [&[1, 0, 2, b'm', b'1', peer], incarnation, &[0, 0]].concat()
     };
-    let mut flipped = encode_with_checksum(FLEET, &check);
-    flipped[3] ^= 1;
-    let mut unsupported_version = encode_with_checksum(FLEET, &check);
+    let mut flipped_bit = encode_with_checksum(FLEET, &check_body);
+    flipped_bit[3] ^= 1;
+    let mut unsupported_version = encode_with_checksum(FLEET, &check_body);
     unsupported_version[0] = 2;
     vec![
         Vec::new(),
+        // One byte longer than permitted.
         vec![1; 257],
-        flipped,
+        flipped_bit,
         unsupported_version,
-        encode_with_checksum("other", &check),
+        encode_with_checksum("other", &check_body),
+        // A message of a kind that does not exist.
         encode_with_checksum(FLEET, &[1, 99]),
-        encode_with_checksum(FLEET, &join(2, &[1])),
-        encode_with_checksum(FLEET, &join(9, &[1])),
+        // The claimed peer index is not that of the source.
+        encode_with_checksum(FLEET, &join_body(2, &[1])),
+        // The claimed peer index does not exist.
+        encode_with_checksum(FLEET, &join_body(9, &[1])),
+        // The incarnation is in the future: 2^63 - 1 ms.
         encode_with_checksum(
             FLEET,
-            &join(1, &[255, 255, 255, 255, 255, 255, 255, 255, 127]),
+            &join_body(1, &[255, 255, 255, 255, 255, 255, 255, 255, 127]),
         ),
     ]
 }
 
 /// Returns a fault that delivers a join message as a process at the peer `from` would send it.
-fn join(to: u16, from: u16, name: u16, incarnation_ms: u64) -> Fault {
+fn join(to: u16, from: u16, name: u16, incarnation_offset_ms: u64) -> Fault {
     let (name, peer) = (member_name(name), PeerIndex(from));
     let id = Identity {
         name,
         peer,
-        incarnation: EPOCH_MS + incarnation_ms,
+        incarnation: EPOCH_MS + incarnation_offset_ms,
         rejoin_count: 0,
         is_leaving: false,
     };
-    let id = postcard::to_allocvec(&id).expect("an identity fits");
+    let id = postcard::to_allocvec(&id).expect("an identity can be encoded");
     Fault::Inject {
         to,
         from,
@@ -82,36 +89,38 @@
     }
 }
 
-/// Returns more join messages over ten seconds than the receiver may respond to, and more claims to
-/// a name than a process that has just started may supersede.
+/// Returns faults that deliver more join messages over ten seconds than the receiver may respond
+/// to, and faults that deliver claims to a name by more claimants than a process that has just
+/// started may supersede.
 fn join_storms() -> impl Iterator<Item = (Duration, Fault)> {
-    let at =
-        |start, step_ms: u64, index: u64| seconds(start) + Duration::from_millis(step_ms * index);
+    let at = |start_s, step_ms: u64, index: u64| {
+        seconds(start_s) + Duration::from_millis(step_ms * index)
+    };
     let joins = (0..1000).map(move |index| (at(125, 10, index), join(6, 1, 9, 125_000)));
     let claims =
         (0..6).map(move |index| (at(141, 50, index), join(3, 1, 3, 200_000 + 1_000 * index)));
     joins.chain(claims)
 }
 
-/// Returns faults that block links temporarily: three links in one direction each, and later all
-/// links of one member.
+/// Returns faults that block links temporarily: first the links from peer 1 to 2, from 2 to 1 and
+/// from 4 to 5, and later all links from and to peer 3.
 fn link_faults() -> Vec<(Duration, Fault)> {
     let mut faults = Vec::new();
-    let link = |from, to| {
+    let block_and_unblock = |from, to| {
         (
             Fault::BlockLink { from, to },
             Fault::UnblockLink { from, to },
         )
     };
     for (from, to) in [(1, 2), (2, 1), (4, 5)] {
-        let (block, unblock) = link(from, to);
+        let (block, unblock) = block_and_unblock(from, to);
         faults.extend([(seconds(8), block), (seconds(18), unblock)]);
     }
     let isolated = (0..SMALL_MEMBER_COUNT)
         .filter(|other| *other != 3)
         .flat_map(|other| [(3, other), (other, 3)]);
     for (from, to) in isolated {
-        let (block, unblock) = link(from, to);
+        let (block, unblock) = block_and_unblock(from, to);
         faults.extend([(seconds(40), block), (seconds(52), unblock)]);
     }
     faults
--- a/membership/tests/wire_fixtures/simulation.rs
+++ b/membership/tests/wire_fixtures/simulation.rs
@@ -4,7 +4,7 @@
 //! floating-point function whose result may differ between processors, `log10`, has an effect only
 //! with more than 128 members, so the digests of smaller fleets are the same on all processors.
 
-use crate::captured::{Captured, kind_of};
+use crate::captured::{CapturedDatagram, kind_of};
 use crate::output_log::{OutputLog, SectionDigest, drop_position};
 use frostkeel_membership::{Config, Identity, Membership, Name, Output, PeerIndex};
 use rand::rngs::StdRng;
@@ -15,7 +15,7 @@
 
 /// The fleet's name in each datagram.
 pub const FLEET: &str = "fixture";
-/// Unix time of the start of the simulation, in milliseconds.
+/// The Unix time of the start of the simulation, in milliseconds.
 pub const EPOCH_MS: u64 = 1_700_000_000_000;
 /// The minimum delay of a datagram; a random value below `MAX_EXTRA_DELAY_US` is added.
 const MIN_DELAY_US: u64 = 300;
@@ -27,16 +27,17 @@
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// A process starts at a peer. If `is_restored`, it restores the live members that the previous
-    /// process at this peer knew.
+    /// process at this peer knew. `name` is the number for [`member_name`], and the incarnation is
+    /// `incarnation_offset_ms` after [`EPOCH_MS`].
     Start {
         peer: u16,
         name: u16,
-        incarnation_ms: u64,
+        incarnation_offset_ms: u64,
         is_restored: bool,
     },
     /// The process at a peer ends without an announcement.
     Kill(u16),
-    /// The process at a peer leaves.
+    /// The process at a peer announces that it leaves, and ends.
     Leave(u16),
     /// The process at a peer is paused. Arriving datagrams are delivered when it resumes.
     Pause(u16),
@@ -44,53 +45,55 @@
     Resume(u16),
     /// All datagrams that one peer sends to another from now on are lost.
     BlockLink { from: u16, to: u16 },
-    /// Datagrams that one peer sends to another are delivered again.
+    /// The link from one peer to another is unblocked: datagrams sent from now on are delivered.
     UnblockLink { from: u16, to: u16 },
-    /// The given percentage of all datagrams is lost.
+    /// From now on, the given percentage of all datagrams is lost.
     Loss(u32),
-    /// A datagram arrives that no process sent.
+    /// A datagram that no process sent arrives at the peer `to`, with peer `from` as its source.
     Inject {
         to: u16,
         from: u16,
         datagram: Vec<u8>,
     },
-    /// A datagram arrives from an unknown address.
+    /// A datagram from an unknown address arrives at a peer.
     UnknownSender(u16),
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// A datagram arrives. `send_number` is its position among all datagrams sent, or `u64::MAX` if
+    /// a fault injected the datagram.
     Arrival {
         to: u16,
         from: u16,
         send_number: u64,
         datagram: Vec<u8>,
     },
-    Timeout {
-        peer: u16,
-        generation: u32,
-    },
+    /// A timeout of the process that runs at a peer in the given generation is due.
+    Timeout { peer: u16, generation: u32 },
+    /// The fault at this index of [`Simulation::faults`] occurs.
     Fault(usize),
 }
 
 /// The state of one peer: its process, if one runs, and the events that are deferred while the
 /// process is paused.
 #[derive(Default)]
-struct Process {
-    machine: Option<Membership>,
+struct PeerState {
+    membership: Option<Membership>,
     /// A number that changes whenever a process starts or ends at this peer, so that timeouts of an
     /// earlier process have no effect.
     generation: u32,
     is_paused: bool,
     deferred_events: Vec<Event>,
     /// The live members that the last process at this peer knew when it ended.
-    persisted: Vec<Identity>,
+    persisted_members: Vec<Identity>,
 }
 
-/// The simulated fleet: its processes, its links and the pending events.
+/// The simulated fleet: its peers, its links and the pending events.
 pub struct Simulation {
     now: Duration,
-    processes: Vec<Process>,
+    peers: Vec<PeerState>,
+    /// The pending events, each with its time and its number.
     queue: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     next_event_number: u64,
     next_send_number: u64,
@@ -101,11 +104,11 @@
     seed: u64,
     log: OutputLog,
     /// The first delivered datagrams of each kind.
-    pub captured: Vec<Captured>,
+    pub captured: Vec<CapturedDatagram>,
     captured_per_kind: BTreeMap<String, usize>,
-    /// The datagrams to deliver instead of those sent, by the number of the sent datagram.
+    /// The datagrams to deliver instead of sent ones, by the send number of the replaced datagram.
     pub replacements: BTreeMap<u64, Vec<u8>>,
-    /// The number of dropped datagrams, by the position of the reason (see [`drop_position`]).
+    /// The number of dropped datagrams for each drop reason, by the reason's [`drop_position`].
     pub drops: BTreeMap<u8, u64>,
 }
 
@@ -114,7 +117,7 @@
     pub fn new(peer_count: u16, seed: u64, faults: Vec<(Duration, Fault)>) -> Self {
         let mut simulation = Self {
             now: Duration::ZERO,
-            processes: (0..peer_count).map(|_| Process::default()).collect(),
+            peers: (0..peer_count).map(|_| PeerState::default()).collect(),
             queue: BinaryHeap::new(),
             next_event_number: 0,
             next_send_number: 0,
@@ -156,14 +159,14 @@
         self.now = end;
     }
 
-    /// Returns the log of all outputs since the start.
+    /// Returns the log of all outputs since the start of the simulation.
     pub fn log(&self) -> &OutputLog {
         &self.log
     }
 
     /// Returns the state machine at a peer; `None` if no process runs there.
-    pub fn machine(&self, peer: u16) -> Option<&Membership> {
-        self.processes[usize::from(peer)].machine.as_ref()
+    pub fn membership(&self, peer: u16) -> Option<&Membership> {
+        self.peers[usize::from(peer)].membership.as_ref()
     }
 
     fn push(&mut self, at: Duration, event: Event) {
@@ -177,24 +180,24 @@
             Fault::Start {
                 peer,
                 name,
-                incarnation_ms,
+                incarnation_offset_ms,
                 is_restored,
-            } => self.start(peer, name, incarnation_ms, is_restored),
+            } => self.start(peer, name, incarnation_offset_ms, is_restored),
             Fault::Kill(peer) => self.end_process(peer),
             Fault::Leave(peer) => {
                 let now = self.now;
-                if let Some(machine) = &mut self.processes[usize::from(peer)].machine {
-                    machine.leave(now);
+                if let Some(membership) = &mut self.peers[usize::from(peer)].membership {
+                    membership.leave(now);
                     self.process_outputs(peer);
                 }
                 self.end_process(peer);
             }
-            Fault::Pause(peer) => self.processes[usize::from(peer)].is_paused = true,
+            Fault::Pause(peer) => self.peers[usize::from(peer)].is_paused = true,
             Fault::Resume(peer) => {
-                let process = &mut self.processes[usize::from(peer)];
-                process.is_paused = false;
-                let generation = process.generation;
-                for event in std::mem::take(&mut process.deferred_events) {
+                let peer_state = &mut self.peers[usize::from(peer)];
+                peer_state.is_paused = false;
+                let generation = peer_state.generation;
+                for event in std::mem::take(&mut peer_state.deferred_events) {
                     self.deliver(event);
                 }
                 self.handle_timeout_event(peer, generation);
@@ -211,49 +214,52 @@
                 });
             }
             Fault::UnknownSender(peer) => {
-                if let Some(machine) = &mut self.processes[usize::from(peer)].machine {
-                    machine.record_unknown_sender();
+                if let Some(membership) = &mut self.peers[usize::from(peer)].membership {
+                    membership.record_unknown_sender();
                 }
             }
         }
     }
 
-    fn start(&mut self, peer: u16, name: u16, incarnation_ms: u64, is_restored: bool) {
-        let peer_count = self.processes.len() as u16;
-        let process = &mut self.processes[usize::from(peer)];
-        process.generation += 1;
+    fn start(&mut self, peer: u16, name: u16, incarnation_offset_ms: u64, is_restored: bool) {
+        let peer_count = self.peers.len() as u16;
+        let peer_state = &mut self.peers[usize::from(peer)];
+        peer_state.generation += 1;
         let config = Config {
             fleet: FLEET.into(),
             name: member_name(name),
             peer: PeerIndex(peer),
             peer_count,
-            incarnation: EPOCH_MS + incarnation_ms,
+            incarnation: EPOCH_MS + incarnation_offset_ms,
             max_members: usize::from(peer_count) + 4,
             down_member_retention: Duration::from_secs(60),
             seed: self.seed.wrapping_mul(1_000_003)
                 + u64::from(peer) * 1_009
-                + u64::from(process.generation),
+                + u64::from(peer_state.generation),
         };
-        let mut machine = Membership::new(config, self.now).expect("a valid configuration");
+        let mut membership = Membership::new(config, self.now).expect("a valid configuration");
         if is_restored {
-            machine.restore(self.now, std::mem::take(&mut process.persisted).into_iter());
+            membership.restore(
+                self.now,
+                std::mem::take(&mut peer_state.persisted_members).into_iter(),
+            );
         }
-        process.machine = Some(machine);
+        peer_state.membership = Some(membership);
         self.process_outputs(peer);
     }
 
     fn end_process(&mut self, peer: u16) {
-        let process = &mut self.processes[usize::from(peer)];
-        if let Some(machine) = process.machine.take() {
-            let live = machine
+        let peer_state = &mut self.peers[usize::from(peer)];
+        if let Some(membership) = peer_state.membership.take() {
+            let live = membership
                 .view()
                 .members()
                 .filter(|member| member.state.is_live());
-            process.persisted = live.map(|member| member.id).collect();
+            peer_state.persisted_members = live.map(|member| member.id).collect();
         }
-        process.generation += 1;
-        process.is_paused = false;
-        process.deferred_events.clear();
+        peer_state.generation += 1;
+        peer_state.is_paused = false;
+        peer_state.deferred_events.clear();
     }
 
     fn deliver(&mut self, event: Event) {
@@ -266,22 +272,22 @@
         else {
             return;
         };
-        let (now, process) = (self.now, &mut self.processes[usize::from(to)]);
-        if process.is_paused {
-            process.deferred_events.push(event);
+        let (now, peer_state) = (self.now, &mut self.peers[usize::from(to)]);
+        if peer_state.is_paused {
+            peer_state.deferred_events.push(event);
             return;
         }
-        let Some(machine) = &mut process.machine else {
+        let Some(membership) = &mut peer_state.membership else {
             return;
         };
-        let result = machine.handle_datagram(now, PeerIndex(from), datagram);
+        let result = membership.handle_datagram(now, PeerIndex(from), datagram);
         let result = result.err().map_or(0, drop_position);
         if result != 0 {
             *self.drops.entry(result).or_default() += 1;
         }
-        let section = self.log.begin_section();
+        let before = self.log.begin_section();
         self.process_outputs(to);
-        let outputs = self.log.end_section(section);
+        let outputs = self.log.end_section(before);
         self.log.record(&[result]);
         if send_number < u64::MAX && result == 0 {
             self.capture(event, &outputs);
@@ -304,10 +310,10 @@
             return;
         }
         *count += 1;
-        let Some(machine) = &self.processes[usize::from(to)].machine else {
+        let Some(membership) = &self.peers[usize::from(to)].membership else {
             return;
         };
-        let view = machine.view();
+        let view = membership.view();
         let effect = format!(
             "{} outputs {:016x}, view {} {:016x}",
             outputs.output_count,
@@ -315,7 +321,7 @@
             view.version(),
             view.digest()
         );
-        self.captured.push(Captured {
+        self.captured.push(CapturedDatagram {
             kind,
             send_number,
             from,
@@ -326,24 +332,25 @@
     }
 
     fn handle_timeout_event(&mut self, peer: u16, generation: u32) {
-        let (now, process) = (self.now, &mut self.processes[usize::from(peer)]);
-        if process.is_paused || process.generation != generation {
+        let (now, peer_state) = (self.now, &mut self.peers[usize::from(peer)]);
+        if peer_state.is_paused || peer_state.generation != generation {
             return;
         }
-        let Some(machine) = &mut process.machine else {
+        let Some(membership) = &mut peer_state.membership else {
             return;
         };
-        if machine.next_timeout().is_some_and(|due| due <= now) {
-            machine.handle_timeout(now);
+        if membership.next_timeout().is_some_and(|due| due <= now) {
+            membership.handle_timeout(now);
             self.process_outputs(peer);
         }
     }
 
-    /// Records the outputs of a state machine, sends its datagrams, and schedules its next timeout.
+    /// Records the outputs of the process at a peer, sends its datagrams, and schedules its next
+    /// timeout.
     fn process_outputs(&mut self, peer: u16) {
         let index = usize::from(peer);
-        while let Some(output) = self.processes[index]
-            .machine
+        while let Some(output) = self.peers[index]
+            .membership
             .as_mut()
             .and_then(Membership::poll_output)
         {
@@ -352,13 +359,13 @@
                 self.send(peer, to.0, datagram);
             }
         }
-        let process = &self.processes[index];
-        let Some(machine) = &process.machine else {
+        let peer_state = &self.peers[index];
+        let Some(membership) = &peer_state.membership else {
             return;
         };
-        self.log.record_status(machine);
-        let generation = process.generation;
-        if let Some(due_at) = machine.next_timeout() {
+        self.log.record_status(membership);
+        let generation = peer_state.generation;
+        if let Some(due_at) = membership.next_timeout() {
             let at = due_at.max(self.now);
             self.push(at, Event::Timeout { peer, generation });
         }
@@ -386,8 +393,8 @@
     }
 }
 
-/// Returns the name of a member. It has the maximum length, so that not all members that are
-/// exchanged in a comparison of two views fit into one datagram.
+/// Returns the name of the member with a number. It has the maximum length, so that the members
+/// that are exchanged in a comparison of two views do not always fit into one datagram.
 pub fn member_name(number: u16) -> Name {
-    Name::new(&format!("member-{number:09}")).expect("a name")
+    Name::new(&format!("member-{number:09}")).expect("a valid name")
 }
