--- a/membership/fuzz/fuzz_targets/datagram.rs
+++ b/membership/fuzz/fuzz_targets/datagram.rs
@@ -31,7 +31,7 @@
 fn member() -> Membership {
     let config = Config {
         fleet: "fuzz".into(),
-        name: Name::new("m0").expect("a name"),
+        name: Name::new("m0").expect("a valid name"),
         peer: PeerIndex(0),
         peer_count: PEER_COUNT,
         incarnation: 1_700_000_000_000,
--- a/membership/tests/hash_tree.rs
+++ b/membership/tests/hash_tree.rs
@@ -12,10 +12,11 @@
 use rand::rngs::StdRng;
 
 const MEMBER_COUNT: u64 = 2000;
+/// The number of the only member whose incarnation differs between the two views.
 const DIFFERING_MEMBER: usize = 700;
 
 fn hashed_member(number: u64, incarnation: u64) -> HashedMember {
-    let name = Name::new(&format!("m{number}")).expect("a name");
+    let name = Name::new(&format!("m{number}")).expect("a valid name");
     HashedMember::new(&Identity {
         name,
         peer: PeerIndex(0),
@@ -27,24 +28,26 @@
 
 #[test]
 fn following_differing_hashes_finds_the_member_that_differs() {
-    let own: Vec<HashedMember> = (0..MEMBER_COUNT)
+    let own_members: Vec<HashedMember> = (0..MEMBER_COUNT)
         .map(|number| hashed_member(number, 1))
         .collect();
-    let mut peers = own.clone();
-    peers[DIFFERING_MEMBER] = hashed_member(DIFFERING_MEMBER as u64, 2);
-    let differing_position = own[DIFFERING_MEMBER].position;
+    let mut peer_members = own_members.clone();
+    peer_members[DIFFERING_MEMBER] = hashed_member(DIFFERING_MEMBER as u64, 2);
+    let differing_position = own_members[DIFFERING_MEMBER].position;
     let mut prefix = HashPrefix::default();
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..MAX_DEPTH {
         assert!(prefix.is_valid() && prefix.contains(differing_position));
-        let own_hashes = prefix.child_hashes(own.iter().copied());
-        let peer_hashes = prefix.child_hashes(peers.iter().copied());
-        let positions = own.iter().map(|member| member.position);
+        let own_hashes = prefix.child_hashes(own_members.iter().copied());
+        let peer_hashes = prefix.child_hashes(peer_members.iter().copied());
+        let positions = own_members.iter().map(|member| member.position);
         match prefix.follow_ups(&own_hashes, &peer_hashes, positions, &mut rng)[..] {
             [FollowUp::SendHashes(child)] => prefix = child,
             [FollowUp::SendMembers(child)] => {
                 assert!(child.contains(differing_position));
-                let sent = own.iter().filter(|member| child.contains(member.position));
+                let sent = own_members
+                    .iter()
+                    .filter(|member| child.contains(member.position));
                 assert!((1..=MAX_MEMBERS_SENT).contains(&sent.count()));
                 return;
             }
--- a/membership/tests/serialized_forms.rs
+++ b/membership/tests/serialized_forms.rs
@@ -26,7 +26,7 @@
         pauses: 13,
     };
     assert_eq!(
-        serde_json::to_string(&counters).expect("plain numbers"),
+        serde_json::to_string(&counters).expect("the counters can be serialized"),
         COUNTERS
     );
 }
@@ -39,7 +39,10 @@
         (MemberState::Left, "left"),
         (MemberState::Dead, "gone"),
     ] {
-        assert_eq!(serde_json::to_value(state).expect("a word"), word);
+        assert_eq!(
+            serde_json::to_value(state).expect("the value can be serialized"),
+            word
+        );
         assert_eq!(state.as_str(), word);
     }
     for (phase, word) in [
@@ -47,6 +50,9 @@
         (Phase::Yielded, "yielded"),
         (Phase::Left, "left"),
     ] {
-        assert_eq!(serde_json::to_value(phase).expect("a word"), word);
+        assert_eq!(
+            serde_json::to_value(phase).expect("the value can be serialized"),
+            word
+        );
     }
 }
--- a/membership/tests/state_machine/datagrams.rs
+++ b/membership/tests/state_machine/datagrams.rs
@@ -20,9 +20,13 @@
     foreign_fleet[2] = b'T';
     let unsupported_version = [&[9], &valid[1..]].concat();
     let mut flipped_bit = valid.clone();
-    *flipped_bit.last_mut().expect("a byte") ^= 1;
-    let unknown_peer = [Member::alive(identity(9, 0))];
-    let unknown_peer = encode_gossip(identity(1, 0), receiver.identity(), &unknown_peer);
+    *flipped_bit.last_mut().expect("the datagram is not empty") ^= 1;
+    let update_with_unknown_peer = [Member::alive(identity(9, 0))];
+    let unknown_peer = encode_gossip(
+        identity(1, 0),
+        receiver.identity(),
+        &update_with_unknown_peer,
+    );
     let future_incarnation = encode_gossip(identity(1, 1 << 40), receiver.identity(), &[]);
     let too_long = vec![1; MAX_DATAGRAM_LEN + 1];
     for (datagram, source, reason) in [
@@ -53,7 +57,7 @@
 }
 
 /// Returns valid datagrams of several kinds, from which mutated ones are derived.
-fn mutation_seeds(receiver: Identity) -> [Vec<u8>; 6] {
+fn datagrams_to_mutate(receiver: Identity) -> [Vec<u8>; 6] {
     let states = [State::Alive, State::Suspect, State::Down];
     let update =
         |number: u16| Member::new(identity(number, 3), number, states[usize::from(number) % 3]);
@@ -100,7 +104,8 @@
     }
 }
 
-fn check_outputs(membership: &mut Membership) {
+/// Asserts that all datagrams to send have an existing peer as the receiver and a permitted length.
+fn assert_sends_are_valid(membership: &mut Membership) {
     while let Some(output) = membership.poll_output() {
         if let Output::Send { to, datagram } = output {
             assert!(to.0 < PEER_COUNT && datagram.len() <= MAX_DATAGRAM_LEN);
@@ -108,15 +113,15 @@
     }
 }
 
-/// The fuzz target checks the same properties with arbitrary bytes.
+/// The fuzz target `fuzz/fuzz_targets/datagram.rs` checks the same properties with arbitrary bytes.
 #[test]
 fn a_million_mutated_datagrams_cause_no_panic_and_no_unbounded_growth() {
     let mut rng = StdRng::seed_from_u64(11);
     let mut receiver = new_membership(0);
-    let seeds = mutation_seeds(receiver.identity());
+    let valid_datagrams = datagrams_to_mutate(receiver.identity());
     let mut now = Duration::from_secs(1);
     for round in 0..1_000_000 {
-        let mut datagram = seeds[rng.random_range(0..seeds.len())].clone();
+        let mut datagram = valid_datagrams[rng.random_range(0..valid_datagrams.len())].clone();
         mutate(&mut datagram, &mut rng);
         // The checksum of every third datagram is corrected, so that its content is decoded.
         if round % 3 == 0 {
@@ -129,7 +134,7 @@
                 receiver.handle_timeout(now);
             }
         }
-        check_outputs(&mut receiver);
+        assert_sends_are_valid(&mut receiver);
         if receiver.phase() != Phase::Member {
             receiver = new_membership(0);
         }
--- a/membership/tests/state_machine/name_conflicts.rs
+++ b/membership/tests/state_machine/name_conflicts.rs
@@ -22,7 +22,7 @@
         .expect("a valid datagram");
 }
 
-/// The earlier incarnation must report that it yields, and send nothing afterwards.
+/// The process with the earlier incarnation must report that it yields, and send nothing more.
 #[test]
 fn the_later_incarnation_retains_the_name_and_the_earlier_one_yields() {
     let mut earlier = new_membership(0);
@@ -69,6 +69,6 @@
     assert_eq!(
         restarted.phase(),
         Phase::Yielded,
-        "the number of claims is limited"
+        "the number of claimants that a process supersedes is limited"
     );
 }
--- a/membership/tests/state_machine/support.rs
+++ b/membership/tests/state_machine/support.rs
@@ -8,18 +8,18 @@
 pub const FLEET: &str = "tests";
 /// The number of peers in each configuration.
 pub const PEER_COUNT: u16 = 8;
-/// The maximum number of remembered members.
+/// The maximum number of remembered members in each configuration.
 pub const MAX_MEMBERS: usize = 16;
-/// The incarnation of the members under test.
+/// The incarnation in each configuration, as a Unix time in milliseconds.
 pub const BASE_INCARNATION: u64 = 1_700_000_000_000;
 
-/// Returns the name of a member.
+/// Returns the name of the member with a number.
 pub fn name(number: u16) -> Name {
-    Name::new(&format!("m{number}")).expect("a name")
+    Name::new(&format!("m{number}")).expect("a valid name")
 }
 
-/// Returns the identity of a member whose incarnation is `incarnation_offset_ms` after
-/// [`BASE_INCARNATION`].
+/// Returns the identity of the member with a number, at the peer with the same index. Its
+/// incarnation is `incarnation_offset_ms` after [`BASE_INCARNATION`].
 pub fn identity(number: u16, incarnation_offset_ms: u64) -> Identity {
     Identity {
         name: name(number),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Creates a state machine that starts at time zero.
+/// Creates the state machine of the member with a number, which starts at time zero.
 pub fn new_membership(number: u16) -> Membership {
     let config = Config {
         fleet: FLEET.into(),
@@ -45,7 +45,7 @@
     Membership::new(config, Duration::ZERO).expect("a valid configuration")
 }
 
-/// Encodes a gossip datagram.
+/// Encodes a gossip datagram with updates.
 pub fn encode_gossip(from: Identity, to: Identity, updates: &[Member<Identity>]) -> Vec<u8> {
     let mut payload = Vec::new();
     let header = Header {
@@ -56,12 +56,12 @@
     };
     PostcardCodec
         .encode_header(&header, &mut payload)
-        .expect("the header fits");
+        .expect("the header can be encoded");
     payload.extend((updates.len() as u16).to_be_bytes());
     for update in updates {
         PostcardCodec
             .encode_member(update, &mut payload)
-            .expect("the update fits");
+            .expect("the update can be encoded");
     }
     wire::encode_swim(FLEET, &payload)
 }
