--- a/balancer/src/members/mod.rs
+++ b/balancer/src/members/mod.rs
@@ -143,7 +143,7 @@
         peer_count: config.peers.len() as u16,
         incarnation,
         max_members: config.max_members,
-        forget_after: config.forget_after,
+        down_member_retention: config.forget_after,
         seed,
     }
 }
@@ -222,8 +222,8 @@
                     }
                 }
                 Some(Output::ViewChanged(change)) => log_change(&change),
-                Some(Output::Superseded(other)) => log_superseded(&other),
-                Some(Output::Yielded(other)) => log_yielded(&other),
+                Some(Output::SupersededClaimant(other)) => log_superseded(&other),
+                Some(Output::YieldedTo(other)) => log_yielded(&other),
             }
         }
     }
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -261,7 +261,7 @@
             peer_count,
             incarnation: EPOCH_MS + self.now.as_millis() as u64,
             max_members: 2 * usize::from(peer_count),
-            forget_after: self.experiment.membership.unwrap_or_default().retention(),
+            down_member_retention: self.experiment.membership.unwrap_or_default().retention(),
             seed,
         };
         member.machine = Some(Membership::new(config, self.now)?);
@@ -290,8 +290,8 @@
                     state: change.member.state,
                     version: change.version,
                 }),
-                Output::Superseded(_) => {}
-                Output::Yielded(_) => self.record(&EventKind::NameYielded { balancer: number }),
+                Output::SupersededClaimant(_) => {}
+                Output::YieldedTo(_) => self.record(&EventKind::NameYielded { balancer: number }),
             }
         }
         self.schedule_timer(number);
--- a/membership/fuzz/fuzz_targets/datagram.rs
+++ b/membership/fuzz/fuzz_targets/datagram.rs
@@ -31,12 +31,12 @@
 fn member() -> Membership {
     let config = Config {
         fleet: "fuzz".into(),
-        name: Name::new("m0").expect("a name"),
+        name: Name::new("m0").expect("a valid name"),
         peer: PeerIndex(0),
         peer_count: PEER_COUNT,
         incarnation: 1_700_000_000_000,
         max_members: MAX_MEMBERS,
-        forget_after: Duration::from_secs(600),
+        down_member_retention: Duration::from_secs(600),
         seed: 1,
     };
     Membership::new(config, Duration::ZERO).expect("a valid configuration")
