--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a session, and at which byte of a frame.
+//! The errors of a session, with the byte of the frame that is invalid.
 
 use frostkeel_policy::SettingsError;
 use frostkeel_settings::SettingsParseError;
@@ -6,108 +6,111 @@
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// Why a session with the simulator has ended early.
+/// The error that ended a session with the simulator.
 #[derive(Debug, Error)]
 pub enum SessionError {
-    /// Standard input can't be read.
-    #[error("{0}")]
+    /// The input can't be read.
+    #[error("cannot read the input: {0}")]
     Read(#[source] io::Error),
-    /// The reply can't be written.
-    #[error("{0}")]
+    /// A reply can't be written to the output.
+    #[error("cannot write the reply: {0}")]
     Write(#[source] io::Error),
-    /// The input ended within a frame.
-    #[error("frame cut short at byte {received}: {expected} expected")]
+    /// The input ended before the end of a frame.
+    #[error("frame truncated at byte {received}: expected {expected} bytes")]
     TruncatedFrame {
-        /// Bytes of the frame that were there.
+        /// The number of bytes received, the length field included.
         received: usize,
-        /// Bytes that the frame should have.
+        /// The number of bytes expected: those of the length field if it is truncated, otherwise those of the frame with
+        /// its length field.
         expected: usize,
     },
-    /// The length field is less than a batch needs, or more than is accepted.
-    #[error("byte 0: length {length} fits no batch")]
+    /// The length field is less than the size of an empty batch, or over
+    /// [`MAX_FRAME_BYTES`](crate::protocol::MAX_FRAME_BYTES).
+    #[error("byte 0: frame length must be 8 to 1073741824 bytes, got {length}")]
     InvalidFrameLength {
-        /// What the field says.
+        /// The value of the length field, in bytes.
         length: usize,
     },
-    /// A frame can't be decoded or applied.
+    /// A batch can't be decoded or applied.
     #[error(transparent)]
     Batch(#[from] BatchError),
 }
 
-/// What is wrong with a batch, and at which byte of its frame, the length field included.
+/// The error for a batch that can't be decoded or applied, with its position in the frame.
 #[derive(Debug, Error)]
 #[error("byte {offset}: {fault}")]
 pub struct BatchError {
-    /// The byte.
+    /// The byte at which the invalid field or record begins, counted from the start of the frame's length field.
     pub offset: usize,
-    /// What is wrong there.
+    /// The fault at that byte.
     pub fault: BatchFault,
 }
 
-/// What is wrong with a batch.
+/// The reason why a batch can't be decoded or applied.
 #[derive(Debug, Error)]
 pub enum BatchFault {
-    /// The length field doesn't agree with the frame.
-    #[error("length {stated} for {actual} bytes")]
+    /// The length field differs from the number of bytes that follow it.
+    #[error("frame length is {stated}, but {actual} bytes follow it")]
     LengthMismatch {
-        /// What the field says.
+        /// The value of the length field, in bytes.
         stated: usize,
-        /// The bytes that follow it.
+        /// The number of bytes that follow the length field.
         actual: usize,
     },
     /// The frame ends within a field.
     #[error("{field} needs {needed} bytes, {available} are left")]
     Truncated {
-        /// The field.
+        /// The name of the truncated field.
         field: &'static str,
-        /// The bytes it has.
+        /// The size of the field, in bytes.
         needed: usize,
-        /// The bytes left in the frame.
+        /// The number of bytes from the start of the field to the end of the frame.
         available: usize,
     },
-    /// A count announces more than the rest of the frame can hold.
+    /// A count of items or bytes is more than the rest of the frame can hold.
     #[error("{field} is {count}, but only {available} bytes are left")]
     CountTooLarge {
-        /// The field with the count.
+        /// The name of the field with the count.
         field: &'static str,
-        /// Its value.
+        /// The count of items or bytes.
         count: usize,
-        /// The bytes left in the frame.
+        /// The number of bytes that follow the count in the frame.
         available: usize,
     },
-    /// A code is unknown.
+    /// A code has no meaning in the protocol.
     #[error("unknown {field} {code}")]
     UnknownCode {
-        /// The field with the number.
+        /// The name of the field with the code.
         field: &'static str,
-        /// The number.
+        /// The unknown code.
         code: u16,
     },
-    /// An endpoint list is numbered beyond what the protocol allows.
-    #[error("list number {number} is over {max}", max = crate::protocol::MAX_ENDPOINT_LIST_NUMBER)]
+    /// The number of an endpoint list is over
+    /// [`MAX_ENDPOINT_LIST_NUMBER`](crate::protocol::MAX_ENDPOINT_LIST_NUMBER).
+    #[error("list number must be at most {max}, got {number}", max = crate::protocol::MAX_ENDPOINT_LIST_NUMBER)]
     ListNumberTooLarge {
-        /// The number.
+        /// The rejected number of the endpoint list.
         number: u32,
     },
-    /// The settings' text isn't UTF-8.
-    #[error("settings: {0}")]
+    /// The text of an instance's settings isn't UTF-8.
+    #[error("settings must be UTF-8: {0}")]
     SettingsEncoding(#[source] Utf8Error),
-    /// The settings can't be parsed.
+    /// The settings of an instance can't be parsed.
     #[error(transparent)]
     SettingsSyntax(#[from] SettingsParseError),
-    /// The settings permit no decisions.
+    /// The settings are parsed, but a balancer can't run with their values.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An update refers to an endpoint list that no record has defined.
-    #[error("no list has number {number}")]
+    /// An update refers to an endpoint list that no earlier record has defined.
+    #[error("endpoint list {number} is not defined by an earlier record")]
     UnknownList {
-        /// The number.
+        /// The number of the endpoint list that isn't defined.
         number: u32,
     },
     /// An event is for an instance that isn't running.
-    #[error("instance {instance} was never started")]
+    #[error("instance {instance} is not running: it was not started, or it was stopped")]
     UnknownInstance {
-        /// The instance.
+        /// The number of the instance.
         instance: u32,
     },
 }
