--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -1,6 +1,8 @@
-//! The numbers of the simulator's protocol, and the records of a batch.
+//! The codes and limits of the simulator's protocol, and the records of a batch.
 //!
-//! Integers and floats are big-endian, and there is no padding. Times are milliseconds in an `f64`.
+//! The names in capitals are those of the protocol.
+//!
+//! Integers and floats are big-endian, without padding. A time is an `f64` in milliseconds.
 
 use frostkeel_policy::{
     AttemptNo, Availability, ClassId, Endpoint, Outcome, RequestId, TenantId, TimerId, UpdateScope,
@@ -8,29 +10,29 @@
 };
 use std::time::Duration;
 
-/// Bytes of the length field that begins each frame; the length doesn't count them.
+/// The size of the length field that begins each frame. The length counts the bytes after the field.
 pub const LENGTH_BYTES: usize = 4;
-/// Bytes of the clock that follows the length of a batch.
+/// The size of the time field that follows the length field of a batch.
 pub const CLOCK_BYTES: usize = 8;
-/// Longer frames are rejected before any memory is reserved for them.
+/// The highest value of the length field. A longer frame is rejected before memory is reserved for it.
 pub const MAX_FRAME_BYTES: usize = 1 << 30;
-/// Bytes of one entry of an endpoint list.
+/// The size of one entry of an endpoint list.
 pub const ENDPOINT_BYTES: usize = 24;
-/// The highest number that an endpoint list can have.
+/// The highest number of an endpoint list; the lowest is 0.
 pub const MAX_ENDPOINT_LIST_NUMBER: u32 = 15;
-/// Bytes of an upstream's id: an address and a port.
+/// The size of an upstream's id: an IPv4 address and a port.
 pub const UPSTREAM_BYTES: usize = 6;
 
-/// Bit of a request's flags: its work hint is valid.
+/// The bit in a request's flags that says that its work hint is valid.
 pub const REQUEST_HAS_WORK_HINT: u8 = 1;
-/// Bit of a request's flags: the client marked the request as a retry.
+/// The bit in a request's flags that says that the client marked the request as a retry.
 pub const REQUEST_IS_RETRY: u8 = 2;
 
-/// The first byte of each record.
+/// The kind of a record, which is its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum EventCode {
-    /// `PEER_DATA`: a message of another instance.
+    /// `PEER_DATA`: an instance has received a message from another instance.
     PeerMessage = 1,
     /// `VANISHED`: a client has disconnected.
     ClientDisconnected = 2,
@@ -44,18 +46,18 @@
     Timer = 6,
     /// `HEALTH`: the result of a health check.
     HealthCheckEnded = 7,
-    /// `DETACH`: an instance is dead.
+    /// `DETACH`: stops an instance.
     Stop = 8,
     /// `FLEET`: an endpoint update for an instance.
     EndpointsUpdated = 9,
     /// `RETURNED`: the result of an attempt.
     AttemptEnded = 10,
-    /// `ASK`: a client's request.
+    /// `ASK`: a client has sent a request.
     Request = 11,
 }
 
 impl EventCode {
-    /// The code with this number on the wire.
+    /// Returns the code with this number on the wire, or `None` if the number is unknown.
     pub fn from_wire(code: u8) -> Option<Self> {
         Some(match code {
             1 => Self::PeerMessage,
@@ -74,13 +76,13 @@
     }
 }
 
-/// The first byte of each action in a reply.
+/// The kind of an action in a reply, which is its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ActionCode {
-    /// `OVERLOAD_REPLY`: rejects a request.
+    /// `OVERLOAD_REPLY`: rejects a request without any effect.
     Reject = 65,
-    /// `FAIL`: fails a request.
+    /// `FAIL`: ends a request as failed; it may have had an effect.
     Fail = 66,
     /// `NOTIFY_ME`: sets a timer.
     Timer = 68,
@@ -90,15 +92,16 @@
     Attempt = 72,
     /// `KEEP_INFORMED`: starts a watch on the endpoint list.
     WatchEndpoints = 73,
-    /// `HEALTH_CHECK`: checks an upstream.
+    /// `HEALTH_CHECK`: sends a health check to an upstream.
     HealthCheck = 74,
     /// `CANCEL`: cancels an attempt.
     Cancel = 75,
-    /// `CLOSE_IDLE`: closes idle connections to an upstream.
+    /// `CLOSE_IDLE`: closes the idle connections to an upstream.
     CloseIdleConnections = 76,
 }
 
-/// The outcome of an attempt or of a health check with this number on the wire.
+/// Returns the outcome of an attempt or of a health check with this number on the wire, or `None` if the number is
+/// unknown.
 pub fn outcome_from_wire(code: u16) -> Option<Outcome> {
     Some(match code {
         100 => Outcome::Ok,
@@ -113,7 +116,7 @@
     })
 }
 
-/// The scope of an endpoint update with this number on the wire.
+/// Returns the scope of an endpoint update with this number on the wire, or `None` if the number is unknown.
 pub fn update_scope_from_wire(code: u8) -> Option<UpdateScope> {
     Some(match code {
         0 => UpdateScope::Failed,
@@ -124,7 +127,7 @@
     })
 }
 
-/// The availability of an endpoint with this number on the wire.
+/// Returns the availability of an endpoint with this number on the wire, or `None` if the number is unknown.
 pub fn availability_from_wire(code: u8) -> Option<Availability> {
     Some(match code {
         0 => Availability::Removed,
@@ -134,21 +137,21 @@
     })
 }
 
-/// A batch of events, all at one time.
+/// A batch of records that all happen at one time.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    /// When they happen.
+    /// The time of all records of the batch, on the simulator's clock.
     pub clock: Duration,
-    /// The events in order.
+    /// The records in the order of the frame.
     pub records: Vec<LocatedRecord>,
 }
 
 /// A record with its position in the frame.
 #[derive(Debug, PartialEq)]
 pub struct LocatedRecord {
-    /// Byte of the frame at which the record begins, the length field included.
+    /// The byte at which the record begins, counted from the start of the frame's length field.
     pub offset: usize,
-    /// The record.
+    /// The decoded record.
     pub record: Record,
 }
 
@@ -157,35 +160,35 @@
 pub enum Record {
     /// Defines an endpoint list that later records refer to by its number. It belongs to no instance.
     EndpointList {
-        /// The number of the list; a list defined before under the same number is replaced.
+        /// The number of the list. It replaces an earlier list with this number.
         number: u32,
-        /// The entries.
+        /// The entries of the list; may be empty.
         endpoints: Vec<Endpoint>,
     },
-    /// An instance starts.
+    /// Starts a balancer, in place of the instance that has this number, if there is one.
     Start {
-        /// The instance's number.
+        /// The number of the instance to start.
         instance: u32,
-        /// Seed of its random numbers.
+        /// The seed of the instance's random numbers.
         seed: u64,
-        /// Its settings, in JSON.
+        /// The instance's settings as JSON, in the form of `frostkeel_settings`.
         settings: String,
     },
-    /// An instance is dead.
+    /// Stops an instance and discards its actions that have not been sent yet.
     Stop {
-        /// The instance's number.
+        /// The number of the instance to stop.
         instance: u32,
     },
-    /// A message of another instance; balancers don't use them.
+    /// A message from another instance. Balancers don't use such messages.
     PeerMessage {
         /// The number of the receiving instance.
         instance: u32,
     },
     /// An event for the balancer of an instance.
     Event {
-        /// The instance's number.
+        /// The number of the instance.
         instance: u32,
-        /// What happened.
+        /// The event to pass to the balancer.
         event: InstanceEvent,
     },
 }
@@ -195,72 +198,72 @@
 pub enum InstanceEvent {
     /// The endpoint list has changed, or an attempt to watch it has failed.
     EndpointsUpdated {
-        /// How complete the update is.
+        /// The kind of update: a complete list, only the changed entries, or a failure.
         scope: UpdateScope,
-        /// The number of the list with the entries; without meaning if the scope is `Failed`.
+        /// The number of the list with the entries; ignored if the scope is `Failed`.
         list_number: u32,
     },
     /// A client's request has arrived.
     Request {
-        /// Its id.
+        /// The id of the request.
         id: RequestId,
-        /// Its class.
+        /// The class of the request, by its position in the settings.
         class: ClassId,
-        /// Its tenant.
+        /// The tenant of the request, by its position in the settings.
         tenant: TenantId,
-        /// How long the client still waits.
+        /// The time until the client's deadline.
         time_left: Duration,
-        /// Expected work in milliseconds, where there was a valid hint.
+        /// The expected CPU time in milliseconds; `None` if the request has no valid hint.
         work_ms: Option<f64>,
-        /// The client marked the request as a retry.
+        /// Whether the client marked the request as a retry.
         is_retry: bool,
     },
     /// A streamed response has started.
     StreamStarted {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
-        /// The attempt that streams.
+        /// The number of the attempt whose response is streamed.
         attempt: AttemptNo,
-        /// Time since the attempt was sent.
+        /// The time since the attempt was sent.
         latency: Duration,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
-        /// The attempt.
+        /// The number of the attempt.
         attempt: AttemptNo,
-        /// The request has its final response.
+        /// Whether the request has its final response.
         finished: bool,
-        /// How the attempt ended.
+        /// The outcome of the attempt.
         result: UpstreamResult,
     },
     /// A health check has ended.
     HealthCheckEnded {
-        /// How the check ended.
+        /// The outcome of the health check.
         result: UpstreamResult,
     },
     /// A client has disconnected; no response is due.
     ClientDisconnected {
-        /// The request.
+        /// The id of the client's request.
         id: RequestId,
     },
-    /// A timer is due.
+    /// A timer that the instance set is due.
     Timer {
-        /// Which.
+        /// The id that the balancer gave the timer.
         timer: TimerId,
     },
 }
 
-/// How an attempt or a health check ended, and its load report.
+/// The result of an attempt or of a health check, with its load report.
 #[derive(Debug, PartialEq)]
 pub struct UpstreamResult {
-    /// The upstream it was sent to.
+    /// The upstream that the attempt or the health check was sent to.
     pub upstream: UpstreamId,
-    /// How it ended.
+    /// The kind of success or failure.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// The time since the attempt or the health check was sent.
     pub latency: Duration,
-    /// The values of the load report; empty if there was none.
+    /// The values of the load report, in the order of the settings; empty if there was no report.
     pub load_report: Vec<f32>,
 }
