--- a/simulator-adapter/src/decoder.rs
+++ b/simulator-adapter/src/decoder.rs
@@ -1,4 +1,4 @@
-//! Bytes of a frame to the records of a batch.
+//! Decodes the bytes of a frame into the records of a batch.
 
 mod fields;
 mod records;
@@ -7,7 +7,9 @@
 use crate::protocol::{Batch, LENGTH_BYTES};
 use fields::FieldReader;
 
-/// Decodes a complete batch, its length field included.
+/// Decodes a complete batch. `frame` begins with the length field.
+///
+/// The error names the byte of the frame at which the first invalid field begins.
 pub fn decode_batch(frame: &[u8]) -> Result<Batch, BatchError> {
     let mut reader = FieldReader::new(frame);
     let stated = reader.u32("length")? as usize;
--- a/simulator-adapter/src/decoder/fields.rs
+++ b/simulator-adapter/src/decoder/fields.rs
@@ -1,4 +1,4 @@
-//! Reads single fields of a frame; each error names the field and its byte.
+//! Reads single fields of a frame. Each error names the field and the byte at which it begins.
 
 use crate::error::{BatchError, BatchFault};
 use crate::protocol::UPSTREAM_BYTES;
@@ -6,7 +6,7 @@
 use frostkeel_settings::duration_from_ms;
 use std::time::Duration;
 
-/// A position in a frame.
+/// Reads the fields of a frame from its beginning to its end.
 pub(super) struct FieldReader<'a> {
     frame: &'a [u8],
     offset: usize,
@@ -17,7 +17,7 @@
         Self { frame, offset: 0 }
     }
 
-    /// The byte of the frame that is read next.
+    /// Returns the position of the next byte to read, counted from the beginning of the frame.
     pub(super) fn offset(&self) -> usize {
         self.offset
     }
@@ -26,6 +26,7 @@
         self.offset >= self.frame.len()
     }
 
+    /// Returns the number of bytes that have not been read yet.
     fn available(&self) -> usize {
         self.frame.len() - self.offset
     }
@@ -97,7 +98,8 @@
         (0..count).map(|_| self.f32("load report")).collect()
     }
 
-    /// A count of items of `item_bytes` each, checked before memory is reserved for more than the frame can hold.
+    /// Reads a count of items of `item_bytes` each. More items than the rest of the frame can hold are an error, raised
+    /// before memory is reserved for them.
     pub(super) fn count(
         &mut self,
         item_bytes: usize,
@@ -120,7 +122,7 @@
         Ok(count)
     }
 
-    /// A code of one byte; an unknown one is an error.
+    /// Reads a code of one byte. A code without a meaning is an error.
     pub(super) fn u8_code<T>(
         &mut self,
         field: &'static str,
@@ -131,7 +133,7 @@
         from_wire(code).ok_or_else(|| unknown_code(offset, field, code.into()))
     }
 
-    /// A code of two bytes; an unknown one is an error.
+    /// Reads a code of two bytes. A code without a meaning is an error.
     pub(super) fn u16_code<T>(
         &mut self,
         field: &'static str,
@@ -143,7 +145,7 @@
     }
 }
 
-/// The error for an unknown code at `offset`.
+/// Returns the error for an unknown code whose field begins at the byte `offset` of the frame.
 pub(super) fn unknown_code(offset: usize, field: &'static str, code: u16) -> BatchError {
     BatchError {
         offset,
--- a/simulator-adapter/src/decoder/records.rs
+++ b/simulator-adapter/src/decoder/records.rs
@@ -1,4 +1,4 @@
-//! Reads complete records, one function a kind.
+//! Reads complete records, with one function for each kind of record.
 
 use super::fields::{FieldReader, unknown_code};
 use crate::error::{BatchError, BatchFault};
@@ -12,7 +12,7 @@
 };
 use frostkeel_settings::duration_from_ms;
 
-/// Reads the next record.
+/// Reads the next record and notes the byte at which it begins.
 pub(super) fn located_record(reader: &mut FieldReader<'_>) -> Result<LocatedRecord, BatchError> {
     let offset = reader.offset();
     let number = reader.u8("record code")?;
