--- a/simulator-adapter/src/encoder.rs
+++ b/simulator-adapter/src/encoder.rs
@@ -1,28 +1,28 @@
-//! Actions to the bytes of a reply.
+//! Encodes actions into the bytes of a reply.
 
 use crate::protocol::{ActionCode, LENGTH_BYTES};
 use frostkeel_policy::{Action, UpstreamId};
 use std::time::Duration;
 
-/// The value that starts a watch; 0 would end it.
+/// The value of `KEEP_INFORMED` that starts a watch on the endpoint list; 0 would end the watch.
 const WATCH_ON: u8 = 1;
-/// The value for a time that is absent.
+/// The value that is written in place of a time that is absent.
 const NO_TIME_MS: f64 = 0.0;
 
-/// A reply: its length, then actions one after the other.
+/// A reply to one batch: its length field, then its actions one after the other.
 #[derive(Debug, Default)]
 pub struct ReplyEncoder {
     bytes: Vec<u8>,
 }
 
 impl ReplyEncoder {
-    /// Starts a reply, with space for its length. The buffer of the previous one is reused.
+    /// Starts a reply with space for its length field. Discards the previous reply and reuses its buffer.
     pub fn begin(&mut self) {
         self.bytes.clear();
         self.bytes.extend([0; LENGTH_BYTES]);
     }
 
-    /// Adds an action of an instance.
+    /// Appends an action that an instance requested.
     pub fn push(&mut self, instance: u32, action: &Action) {
         let mut fields = ActionEncoder {
             bytes: &mut self.bytes,
@@ -31,7 +31,7 @@
         fields.encode(action);
     }
 
-    /// Adds a log line of an instance.
+    /// Appends a log line of an instance. A line over 65,535 bytes is truncated.
     pub fn push_log_line(&mut self, instance: u32, line: &str) {
         let mut fields = ActionEncoder {
             bytes: &mut self.bytes,
@@ -40,7 +40,7 @@
         fields.log_line(line);
     }
 
-    /// Sets the length and returns the complete reply.
+    /// Sets the length field and returns the complete reply.
     pub fn finish(&mut self) -> &[u8] {
         let length = (self.bytes.len() - LENGTH_BYTES) as u32;
         self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
@@ -48,7 +48,7 @@
     }
 }
 
-/// Writes the fields of one action.
+/// Writes the fields of one action of an instance.
 struct ActionEncoder<'a> {
     bytes: &'a mut Vec<u8>,
     instance: u32,
@@ -133,12 +133,12 @@
         }
     }
 
-    /// The low six bytes of the id: an address and a port.
+    /// Writes the low six bytes of the id: an IPv4 address and a port.
     fn upstream(&mut self, upstream: UpstreamId) {
         self.bytes.extend(&upstream.0.to_be_bytes()[2..]);
     }
 
-    /// A text after its length; truncated at the maximum of the length field.
+    /// Writes the length of a text as a `u16`, then the text. A text over the maximum of a `u16` is truncated.
     fn text(&mut self, text: &str) {
         let length = u16::try_from(text.len()).unwrap_or(u16::MAX);
         self.bytes.extend(length.to_be_bytes());
