--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of a process, their endpoint lists, and the actions that wait for the reply.
+//! The balancer instances of a process, their endpoint lists, and the actions for the next reply.
 
 use crate::error::{BatchError, BatchFault};
 use crate::protocol::{InstanceEvent, LocatedRecord, Record};
@@ -9,32 +9,34 @@
 /// An action and the instance that requested it.
 #[derive(Debug)]
 pub struct InstanceAction {
-    /// The instance.
+    /// The number of the instance.
     pub instance: u32,
     /// The requested action.
     pub action: Action,
 }
 
-/// All instances of the process.
+/// All balancer instances of the process.
 #[derive(Default)]
 pub struct Host {
+    /// The running balancers by instance number.
     instances: HashMap<u32, Balancer>,
+    /// The endpoint lists by list number, shared by all instances.
     endpoint_lists: HashMap<u32, Vec<Endpoint>>,
-    /// The actions of one event; a buffer that is reused.
+    /// A buffer for the actions of one event, reused for each event.
     actions: Vec<Action>,
-    /// The actions of all instances in reply to this batch, in order.
+    /// The actions of all instances for the reply to the current batch, in order.
     pending: Vec<InstanceAction>,
 }
 
 impl Host {
-    /// Applies one record at the batch's time, and collects the resulting actions for the reply.
+    /// Applies one record at the time `now` of its batch, and collects the resulting actions for the reply.
     pub fn apply(&mut self, now: Duration, located: LocatedRecord) -> Result<(), BatchError> {
         let LocatedRecord { offset, record } = located;
         self.apply_record(now, record)
             .map_err(|fault| BatchError { offset, fault })
     }
 
-    /// The actions since the last call, in order.
+    /// Removes and returns the actions collected since the last call, in order.
     pub fn drain_actions(&mut self) -> impl Iterator<Item = InstanceAction> {
         self.pending.drain(..)
     }
@@ -88,13 +90,14 @@
         self.discard_pending(instance);
     }
 
-    /// Drops the actions of an incarnation that has ended: the next one may start in the same batch, and they must not
-    /// count as its own.
+    /// Discards the pending actions of an instance that was stopped or replaced. An instance with the same number may
+    /// start in the same batch, and the reply must not attribute those actions to it.
     fn discard_pending(&mut self, instance: u32) {
         self.pending.retain(|pending| pending.instance != instance);
     }
 }
 
+/// Returns the balancer of an instance, or an error if the instance is not running.
 fn running(
     instances: &mut HashMap<u32, Balancer>,
     instance: u32,
@@ -104,7 +107,7 @@
         .ok_or(BatchFault::UnknownInstance { instance })
 }
 
-/// The event in the policy's terms.
+/// Converts an event of the protocol into the policy crate's [`Event`].
 fn policy_event<'a>(
     event: &'a InstanceEvent,
     lists: &'a HashMap<u32, Vec<Endpoint>>,
@@ -162,7 +165,8 @@
     })
 }
 
-/// The event for an endpoint update; one that has failed has no entries, whatever list it names.
+/// Returns the event for an endpoint update. With the scope `Failed` the list number is ignored and the event has no
+/// endpoints.
 fn endpoint_update(
     lists: &HashMap<u32, Vec<Endpoint>>,
     scope: UpdateScope,
