--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -1,15 +1,14 @@
 //! Hosts many [`Balancer`](frostkeel_policy::Balancer)s behind the simulator's binary protocol.
 //!
-//! The adapter only translates: a batch of event records becomes [`Event`](frostkeel_policy::Event)s, and the
-//! [`Action`](frostkeel_policy::Action)s of all instances become the reply. Every decision is made by the
-//! policy crate.
+//! The adapter translates a batch of event records into [`Event`](frostkeel_policy::Event)s, and the
+//! [`Action`](frostkeel_policy::Action)s of all instances into the reply. The policy crate makes every decision.
 //!
-//! - [`protocol`]: the numbers on the wire and the records of a batch
-//! - [`decoder`]: bytes to records
-//! - [`encoder`]: actions to bytes
+//! - [`protocol`]: the codes and limits of the wire format, and the records of a batch
+//! - [`decoder`]: decodes bytes into records
+//! - [`encoder`]: encodes actions into bytes
 //! - [`host`]: the instances, their endpoint lists and their pending actions
-//! - [`session`]: frames in, replies out
-//! - [`error`]: what can be wrong, and at which byte
+//! - [`session`]: reads frames and writes replies
+//! - [`error`]: the errors of a session, with the byte of the frame that is invalid
 
 pub mod decoder;
 pub mod encoder;
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! `frostkeel-simulator-adapter`: speaks the simulator's protocol on standard input and output.
+//! `frostkeel-simulator-adapter`: reads batches of the simulator's protocol on standard input, and writes the replies to
+//! standard output.
 //!
-//! A malformed frame ends it with one line on standard error and exit code 1. No part of a reply to that frame is
-//! written.
+//! At a malformed frame the program writes one line to standard error and exits with code 1. It writes no part of a
+//! reply to that frame.
 
 use frostkeel_simulator_adapter::session;
 use std::io;
