--- a/simulator-adapter/tests/codec.rs
+++ b/simulator-adapter/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Single records and actions, compared with bytes that an earlier version read and wrote.
+//! Decodes single records and encodes single actions, and compares them with fixtures that an earlier version of the
+//! adapter read and wrote.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -20,8 +21,8 @@
 const INSTANCE: u32 = 3;
 const REQUEST: RequestId = RequestId(0x5d3a_91c4);
 const OTHER_REQUEST: RequestId = RequestId(0x0e6f_2b19);
-/// Where the first record of a frame begins.
-const FIRST_RECORD: usize = 12;
+/// The byte of a frame at which the first record begins.
+const FIRST_RECORD_OFFSET: usize = 12;
 
 /// The upstream at 10.18.74.`host`, port 11203.
 fn upstream(host: u8) -> UpstreamId {
@@ -32,7 +33,7 @@
     Duration::from_micros(value)
 }
 
-fn of_instance(event: InstanceEvent) -> Record {
+fn event_record(event: InstanceEvent) -> Record {
     Record::Event {
         instance: INSTANCE,
         event,
@@ -49,7 +50,7 @@
 }
 
 fn attempt_ended(outcome: Outcome, finished: bool, load_report: &[f32]) -> Record {
-    of_instance(InstanceEvent::AttemptEnded {
+    event_record(InstanceEvent::AttemptEnded {
         id: REQUEST,
         attempt: AttemptNo(1),
         finished,
@@ -58,7 +59,7 @@
 }
 
 fn endpoints_updated(scope: UpdateScope) -> Record {
-    of_instance(InstanceEvent::EndpointsUpdated {
+    event_record(InstanceEvent::EndpointsUpdated {
         scope,
         list_number: 15,
     })
@@ -96,12 +97,12 @@
     ]
 }
 
-/// The records of `records.hex` up to those of requests, in its order.
+/// Returns the records of `records.hex` that come before the requests, in its order.
 fn lifecycle_and_upstream_records() -> Vec<Record> {
     vec![
         Record::PeerMessage { instance: INSTANCE },
-        of_instance(InstanceEvent::ClientDisconnected { id: OTHER_REQUEST }),
-        of_instance(InstanceEvent::StreamStarted {
+        event_record(InstanceEvent::ClientDisconnected { id: OTHER_REQUEST }),
+        event_record(InstanceEvent::StreamStarted {
             id: REQUEST,
             attempt: AttemptNo(2),
             latency: micros(9_250),
@@ -119,10 +120,10 @@
             seed: 0x0102_0304_0506_0708,
             settings: r#"{"classes": [{"name": "a"}]}"#.to_owned(),
         },
-        of_instance(InstanceEvent::Timer {
+        event_record(InstanceEvent::Timer {
             timer: TimerId(0x4d),
         }),
-        of_instance(InstanceEvent::HealthCheckEnded {
+        event_record(InstanceEvent::HealthCheckEnded {
             result: result(Outcome::Ok, 1_400, &[0.62, 7.0]),
         }),
         Record::Event {
@@ -147,8 +148,8 @@
     ]
 }
 
-/// The records of `records.hex` with requests, in its order: with a work hint, without one, marked as a retry, and with
-/// hints that say nothing.
+/// Returns the requests of `records.hex`, in its order: with a work hint, without one, marked as a retry, with a hint
+/// that isn't finite and with a hint of zero.
 fn request_records() -> Vec<Record> {
     let time_left = micros(240_000);
     let request = |id, class, tenant| (RequestId(id), ClassId(class), TenantId(tenant));
@@ -161,7 +162,7 @@
         (request(2, 0, 0), Duration::ZERO, None, true),
     ]
     .map(|((id, class, tenant), time_left, work_ms, is_retry)| {
-        of_instance(InstanceEvent::Request {
+        event_record(InstanceEvent::Request {
             id,
             class,
             tenant,
@@ -191,7 +192,7 @@
         let located = batch.records.pop().expect("a record");
         assert_eq!(
             (located.offset, &located.record),
-            (FIRST_RECORD, record),
+            (FIRST_RECORD_OFFSET, record),
             "{name}"
         );
         assert!(batch.records.is_empty(), "{name}: one record");
@@ -206,7 +207,7 @@
     assert_eq!(records, expected);
 }
 
-/// The actions of `actions.hex` in its order, each with its instance.
+/// Returns the actions of `actions.hex` that come before the log line, in its order, each with its instance.
 fn actions() -> Vec<(u32, Action)> {
     let id = OTHER_REQUEST;
     let attempt = |id, host, timeout| Action::Attempt {
@@ -250,7 +251,7 @@
 /// The log line that is the last action of `actions.hex`, with its instance.
 const LOG_LINE: (u32, &str) = (5, "two servers known");
 
-/// A reply of what `push` adds, without its length field.
+/// Returns a reply with the actions that `push` appends, without its length field.
 fn encoded(push: impl FnOnce(&mut ReplyEncoder)) -> Vec<u8> {
     let mut reply = ReplyEncoder::default();
     reply.begin();
@@ -269,7 +270,7 @@
     let mut reply = ReplyEncoder::default();
     reply.begin();
     reply.push(INSTANCE, &Action::WatchEndpoints);
-    // A second start drops what the first reply held.
+    // A second call of `begin` discards the actions of the first reply.
     reply.begin();
     for (line, (instance, action)) in lines.iter().zip(&actions) {
         let bytes = encoded(|reply| reply.push(*instance, action));
@@ -294,7 +295,7 @@
 }
 
 #[test]
-fn event_codes_have_the_numbers_of_the_wire() {
+fn event_codes_match_their_numbers_on_the_wire() {
     let known = (0..=u8::MAX).filter_map(|number| Some((number, EventCode::from_wire(number)?)));
     let mut count = 0;
     for (number, code) in known {
@@ -306,9 +307,9 @@
 }
 
 #[test]
-fn decoding_errors_have_their_fault_and_byte() {
-    let error = decode_batch(&frame(0.0, &[8, 0, 0])).expect_err("a cut record");
-    assert_eq!(error.offset, FIRST_RECORD + 1);
+fn decoding_errors_name_fault_and_byte() {
+    let error = decode_batch(&frame(0.0, &[8, 0, 0])).expect_err("a truncated record");
+    assert_eq!(error.offset, FIRST_RECORD_OFFSET + 1);
     assert!(matches!(
         error.fault,
         BatchFault::Truncated {
@@ -320,5 +321,8 @@
     let mut longer = frame(0.0, &[]);
     longer.push(0);
     let error = decode_batch(&longer).expect_err("a wrong length");
-    assert_eq!(error.to_string(), "byte 0: frame length is 8, but 9 bytes follow it");
+    assert_eq!(
+        error.to_string(),
+        "byte 0: frame length is 8, but 9 bytes follow it"
+    );
 }
