--- a/simulator-adapter/tests/frame_fixtures.rs
+++ b/simulator-adapter/tests/frame_fixtures.rs
@@ -1,4 +1,5 @@
-//! Whole sessions and malformed frames through the program, compared with what an earlier version answered.
+//! Runs the program with a complete session and with malformed frames, and compares its output with fixtures that an
+//! earlier version wrote.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -27,9 +28,10 @@
     );
 }
 
-/// Guards the data of the test above: both directions are there, each kind that a session can have.
+/// Checks that the data of the test above contains all kinds of records, and all kinds of actions that its session can
+/// cause. Without this check, a kind missing from the data would go untested.
 #[test]
-fn session_data_covers_every_record_and_action() {
+fn session_data_covers_all_record_kinds_and_six_action_kinds() {
     let kinds = |text: &'static str| -> BTreeSet<&str> {
         text.lines()
             .filter_map(|line| line.split("  # ").nth(1))
@@ -39,7 +41,8 @@
     let records = kinds(include_str!("data/session.events.hex"));
     assert_eq!(records.len(), 11, "{records:?}");
     let actions = kinds(include_str!("data/session.replies.hex"));
-    // Closing idle connections needs a subset, health checks and log lines a balancer on sockets: see `actions.hex`.
+    // The session can't cause CLOSE_IDLE, which needs a subset of the upstreams, nor HEALTH_CHECK and SAY_LOG, which
+    // need a balancer on sockets. The tests in `codec.rs` cover these actions with `actions.hex`.
     let expected = [
         "CANCEL",
         "FAIL",
@@ -54,7 +57,7 @@
     );
 }
 
-/// The error for a frame that follows a valid one. Only the valid one is answered.
+/// Returns the error for a malformed frame that follows a valid one. Checks that only the valid one gets a reply.
 fn error_for(malformed: &[u8]) -> String {
     let output = run_adapter(
         &[
@@ -65,7 +68,11 @@
     );
     let message = error_message(&output);
     let replies = split_replies(&output.stdout);
-    assert_eq!(replies.len(), 1, "one whole reply and no more: {message}");
+    assert_eq!(
+        replies.len(),
+        1,
+        "only the valid frame gets a reply: {message}"
+    );
     message
 }
 
@@ -75,13 +82,13 @@
     assert!(text.lines().count() >= 30);
     for line in text.lines() {
         let [name, digits, message] = *line.split(" | ").collect::<Vec<_>>() else {
-            panic!("name, bytes and message: {line}");
+            panic!("expected `NAME | BYTES | MESSAGE`, got: {line}");
         };
         assert_eq!(error_for(&parse_hex(digits)), message, "{name}");
     }
 }
 
-/// The record that a name of `truncated_records.txt` stands for: the first of its kind.
+/// Returns the first record of this kind. The lines of `truncated_records.txt` name records by their kind.
 fn record_of_kind<'a>(records: &'a [NamedBytes], kind: &str) -> &'a [u8] {
     let record = records
         .iter()
@@ -95,28 +102,32 @@
 fn reports_records_truncated_at_every_byte() {
     let records = parse_named_hex(include_str!("data/records.hex"));
     let mut kinds = BTreeSet::new();
-    let mut cuts = 0;
+    let mut truncation_count = 0;
     for line in include_str!("data/truncated_records.txt").lines() {
-        let (cut, message) = line.split_once(": ").expect("a cut and its message");
-        let (kind, length) = cut.split_once(' ').expect("a kind and a length");
+        let (truncation, message) = line.split_once(": ").expect("a truncation and its message");
+        let (kind, length) = truncation.split_once(' ').expect("a kind and a length");
         let length: usize = length.parse().expect("a length");
         let truncated = &record_of_kind(&records, kind)[..length];
-        assert_eq!(error_for(&frame(1001.0, truncated)), message, "{cut}");
+        assert_eq!(
+            error_for(&frame(1001.0, truncated)),
+            message,
+            "{truncation}"
+        );
         kinds.insert(kind);
-        cuts += 1;
+        truncation_count += 1;
     }
     assert_eq!(kinds.len(), 11, "{kinds:?}");
-    let possible_cuts = kinds
+    let expected_counts = kinds
         .iter()
         .map(|kind| record_of_kind(&records, kind).len() - 1);
     assert_eq!(
-        cuts,
-        possible_cuts.sum::<usize>(),
-        "each record is cut after each of its bytes"
+        truncation_count,
+        expected_counts.sum::<usize>(),
+        "each record is truncated after each byte but the last"
     );
 }
 
-/// The byte is that of the record; what is wrong is said in the settings' own terms.
+/// The error names the first byte of the record that holds the settings, and contains the settings error.
 #[test]
 fn reports_invalid_settings_with_the_position_of_their_record() {
     for (settings, word) in [
@@ -129,12 +140,12 @@
         ("{\"balancers\": 1}", "class"),
         ("{\"classes\": [{\"worth\": -1.0}]}", "range"),
     ] {
-        let detach = [8, 0, 0, 0, 9];
+        let stop_record = [8, 0, 0, 0, 9];
         let length = (settings.len() as u32).to_be_bytes();
-        let head = [&[5, 0, 0, 0, 4][..], &7u64.to_be_bytes(), &length].concat();
+        let start_header = [&[5, 0, 0, 0, 4][..], &7u64.to_be_bytes(), &length].concat();
         let message = error_for(&frame(
             1001.0,
-            &[&detach, &head[..], settings.as_bytes()].concat(),
+            &[&stop_record, &start_header[..], settings.as_bytes()].concat(),
         ));
         assert!(
             message.starts_with("byte 17: ") && message.contains(word),
