--- a/simulator-adapter/tests/session.rs
+++ b/simulator-adapter/tests/session.rs
@@ -1,4 +1,4 @@
-//! Sessions with the program: whole batches in, replies out, and one line for a batch that is malformed.
+//! Runs sessions with the program: complete batches get replies, and a malformed batch gets one line on standard error.
 
 mod common;
 
@@ -8,8 +8,8 @@
 const INSTANCE: u32 = 3;
 const REQUEST: u32 = 77;
 const UNKNOWN_INSTANCE: u32 = 4;
-/// Where the first record of a frame begins.
-const FIRST_RECORD: usize = 12;
+/// The byte of a frame at which the first record begins.
+const FIRST_RECORD_OFFSET: usize = 12;
 
 const SETTINGS: &str = r#"{"balancers": 1, "classes": [{"aim_ms": 500.0, "hard_limit_ms": 1500.0,
     "effect": "idempotent", "worth": 1.0, "name": "a", "unknown": [1]}], "news": {"of": "tomorrow"}}"#;
@@ -30,7 +30,7 @@
     record
 }
 
-/// A list of ready endpoints at 10.0.0.`host`, port 11200.
+/// Returns a record that defines a list of ready endpoints at 10.0.0.`host`, port 11200.
 fn endpoint_list(number: u32, hosts: &[u8]) -> Vec<u8> {
     let mut record = header(EventCode::EndpointList, number);
     record.extend((hosts.len() as u32).to_be_bytes());
@@ -62,7 +62,7 @@
     record
 }
 
-/// A batch that starts the instance with two ready endpoints.
+/// Returns a batch that starts [`INSTANCE`] and gives it two ready endpoints.
 fn start_batch() -> Vec<u8> {
     let records = [
         start_record(INSTANCE, SETTINGS),
@@ -83,7 +83,7 @@
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{errors}");
     let replies = split_replies(&output.stdout);
-    assert_eq!(replies.len(), 3, "one reply a batch");
+    assert_eq!(replies.len(), 3, "one reply to each batch");
     assert_eq!(replies[0], [0u8; 0]);
     let attempt = &replies[2];
     assert_eq!(attempt[0], ActionCode::Attempt as u8);
@@ -91,11 +91,11 @@
     assert_eq!(attempt[5..9], REQUEST.to_be_bytes());
     assert_eq!(attempt[9..12], [10, 0, 0]);
     assert!([1, 2].contains(&attempt[12]) && attempt[13..15] == [0x2b, 0xc0]);
-    assert_eq!(attempt.len(), 23, "nothing else");
+    assert_eq!(attempt.len(), 23, "the reply contains one action");
 }
 
-/// Checks that a frame ends the adapter with code 1, with one line that names the byte, and with no more than the reply
-/// to the batch before.
+/// Checks that the adapter exits with code 1 at a malformed frame, that it writes one line which names `byte` and
+/// contains `word`, and that it replies only to the batch before.
 fn assert_malformed(malformed: &[u8], byte: usize, word: &str) {
     let output = run_adapter(&[start_batch(), malformed.to_vec()].concat());
     let message = error_message(&output);
@@ -103,7 +103,11 @@
     assert!(names_byte, "{word}: no byte {byte} in {message}");
     assert!(message.contains(word), "{word}: {message}");
     let replies = split_replies(&output.stdout);
-    assert_eq!(replies.len(), 1, "{word}: no part of a reply");
+    assert_eq!(
+        replies.len(),
+        1,
+        "{word}: the malformed frame gets no reply"
+    );
 }
 
 #[test]
@@ -115,7 +119,7 @@
 }
 
 #[test]
-fn reports_an_impossible_frame_length() {
+fn reports_a_frame_length_out_of_range() {
     assert_malformed(&[0xff, 0xff, 0xff, 0xff, 0, 0], 0, "length");
     assert_malformed(&[0, 0, 0, 3, 0, 0, 0], 0, "length");
 }
@@ -130,7 +134,7 @@
 #[test]
 fn reports_an_unknown_event_code() {
     let request = request(INSTANCE);
-    let second_record = FIRST_RECORD + request.len();
+    let second_record = FIRST_RECORD_OFFSET + request.len();
     let malformed = batch(105.0, &[request, vec![99, 0, 0, 0, 3]]);
     assert_malformed(&malformed, second_record, "99");
 }
@@ -138,17 +142,17 @@
 #[test]
 fn reports_an_endpoint_list_that_was_never_defined() {
     let malformed = batch(105.0, &[endpoints_updated(INSTANCE, 1, 9)]);
-    assert_malformed(&malformed, FIRST_RECORD, "list");
+    assert_malformed(&malformed, FIRST_RECORD_OFFSET, "list");
 }
 
 #[test]
 fn reports_an_instance_that_was_never_started() {
     let malformed = batch(105.0, &[request(UNKNOWN_INSTANCE)]);
-    assert_malformed(&malformed, FIRST_RECORD, "is not running");
+    assert_malformed(&malformed, FIRST_RECORD_OFFSET, "is not running");
 }
 
 #[test]
-fn reports_settings_that_are_no_json_or_permit_no_decisions() {
+fn reports_settings_that_are_not_json_or_not_usable() {
     let negative = SETTINGS.replace("\"worth\": 1.0", "\"worth\": -1.0");
     for (settings, word) in [
         ("{\"balancers\": ", "settings"),
@@ -156,7 +160,7 @@
         (&negative, "worth"),
     ] {
         let malformed = batch(105.0, &[start_record(UNKNOWN_INSTANCE, settings)]);
-        assert_malformed(&malformed, FIRST_RECORD, word);
+        assert_malformed(&malformed, FIRST_RECORD_OFFSET, word);
     }
 }
 
@@ -179,6 +183,6 @@
     let replies = split_replies(&output.stdout);
     assert_eq!(
         replies[1], [0u8; 0],
-        "no attempt for the request of the stopped one"
+        "no attempt for the request of the stopped instance"
     );
 }
