--- a/simulator-adapter/tests/common/mod.rs
+++ b/simulator-adapter/tests/common/mod.rs
@@ -54,9 +54,7 @@
     let line = text.strip_suffix('\n').filter(|line| !line.contains('\n'));
     let message = line.and_then(|line| line.strip_prefix("frostkeel-simulator-adapter: "));
     message
-        .unwrap_or_else(|| {
-            panic!("expected one line that begins with the program's name, got: {text}")
-        })
+        .unwrap_or_else(|| panic!("expected one line with the program's name, got: {text}"))
         .to_owned()
 }
 
