--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -1,4 +1,4 @@
-//! The settings object's values in the policy crate's types.
+//! Converts the values of the settings object into the policy crate's types.
 
 use crate::document::{
     AT_MOST_ONCE, ClassDocument, GoalDocument, GuaranteesDocument, LimitsDocument, PricesDocument,
@@ -11,12 +11,14 @@
 };
 use std::time::Duration;
 
-/// Attempts of a request are numbered in a byte; higher limits mean the same as this one.
+/// The highest limit on the attempts of a request; a higher `try_limit` is reduced to it. The attempts of a request are
+/// numbered in one byte.
 const MAX_ATTEMPT_LIMIT: u32 = 250;
 const MICROS_PER_MILLI: f64 = 1e3;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// A time in milliseconds. A negative value or one that is no number becomes zero, one that is too long the maximum.
+/// Converts a time in milliseconds into a [`Duration`]. A negative value or NaN becomes zero, and a value too large for a
+/// [`Duration`] becomes the maximum.
 pub fn duration_from_ms(ms: f64) -> Duration {
     if ms.is_nan() || ms <= 0.0 {
         return Duration::ZERO;
@@ -24,7 +26,8 @@
     Duration::try_from_secs_f64(ms / MILLIS_PER_SECOND).unwrap_or(Duration::MAX)
 }
 
-/// The value of a load report that has this name in settings or in reports.
+/// Returns the meaning of a load report value by its name in the settings or in a report. An unknown name is
+/// [`LoadField::Other`].
 pub fn parse_load_field(name: &str) -> LoadField {
     match name {
         "concurrent" | "inflight" => LoadField::InFlight,
@@ -37,7 +40,7 @@
     }
 }
 
-/// The policy's settings; a key that is missing in the document means the default.
+/// Converts the document into the policy crate's settings. A missing key has its default value.
 pub(crate) fn settings(document: &SiteDocument) -> Result<Settings, SettingsParseError> {
     let report_fields = &document.load_reports.fields;
     let mut settings = Settings {
@@ -138,7 +141,8 @@
     limit.min(MAX_ATTEMPT_LIMIT) as u8
 }
 
-/// The tolerated share of misses counts only where the goal gives its tail a weight.
+/// Returns the tolerated fraction of responses after the latency objective; `None` if it is missing, or if the weight of
+/// the tail (`slow_end`) is missing or not above 0.
 fn tail_miss(goal: &GoalDocument) -> Option<f64> {
     let has_weight = goal.tail_weight.is_some_and(|weight| weight > 0.0);
     goal.tail_miss.filter(|_| has_weight)
@@ -202,7 +206,7 @@
         other => Err(SettingsParseError::UnknownValue {
             key: format!("classes[{position}].effect"),
             value: other.to_owned(),
-            possible: "idempotent, deduplicated, at_most_once",
+            accepted_values: "idempotent, deduplicated, at_most_once",
         }),
     }
 }
@@ -216,11 +220,11 @@
         Some(other) => Err(SettingsParseError::UnknownValue {
             key: key(),
             value: other.to_owned(),
-            possible: "all, zone, cell",
+            accepted_values: "all, zone, cell",
         }),
         None => Err(SettingsParseError::MissingKey {
             key: key(),
-            required_by: "the effect \"deduplicated\"",
+            requirement: "the effect \"deduplicated\" requires one of all, zone, cell",
         }),
     }
 }
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,29 +1,30 @@
-//! Why a settings object can't be used.
+//! The error type of the settings parser.
 
 use thiserror::Error;
 
-/// Why a settings object can't be parsed.
+/// The error for a settings object that can't be parsed.
 #[derive(Debug, Error)]
 pub enum SettingsParseError {
-    /// The text isn't JSON, or a value has the wrong type; the source names the value, its line and column.
+    /// The text isn't JSON, or a value has the wrong type; the source names the line and the
+    /// column, and a value of the wrong type.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
-    /// A key has an unknown value.
-    #[error("settings: {key} is {value:?}: possible are {possible}")]
+    /// A key has a value that is not one of those accepted.
+    #[error("settings: {key} must be one of {accepted_values}, got {value:?}")]
     UnknownValue {
-        /// The key with its path, as `classes[1].effect`.
+        /// The key with its path, such as `classes[1].effect`.
         key: String,
-        /// Its value.
+        /// The value found.
         value: String,
-        /// The values that are known.
-        possible: &'static str,
+        /// The accepted values, separated by commas.
+        accepted_values: &'static str,
     },
-    /// A key is missing that another key's value requires.
-    #[error("settings: {key} is missing: {required_by} requires it")]
+    /// A key is missing although the value of another key requires it.
+    #[error("settings: {key} is missing: {requirement}")]
     MissingKey {
-        /// The key with its path.
+        /// The missing key with its path, such as `classes[1].dedup_scope`.
         key: String,
-        /// What requires it.
-        required_by: &'static str,
+        /// The value that requires the key, and the values that the key accepts.
+        requirement: &'static str,
     },
 }
