--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -1,9 +1,9 @@
-//! The serialized form of the settings object. The keys are the platform's; each is bound here to a field with the term
-//! that the code uses.
+//! The serialized form of the settings object. The platform defines the keys; a field whose name differs from its key has
+//! the term that the code uses. The fields of [`Settings`](frostkeel_policy::Settings) document the values.
 
 use serde::Deserialize;
 
-/// The complete object.
+/// The complete settings object.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct SiteDocument {
@@ -35,7 +35,7 @@
     pub(crate) weight_by: Option<String>,
 }
 
-/// An element of `classes`.
+/// An element of `classes`: a class of requests.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct ClassDocument {
@@ -75,10 +75,10 @@
     }
 }
 
-/// The value of `effect` for a class whose requests must never run twice.
+/// The value of `effect` for a class whose requests must never be processed twice.
 pub(crate) const AT_MOST_ONCE: &str = "at_most_once";
 
-/// An element of `parties`.
+/// An element of `parties`: a tenant.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct TenantDocument {
@@ -87,7 +87,7 @@
     pub(crate) quota_per_s: f64,
 }
 
-/// What the site permits.
+/// The `limits` object: what a balancer may do and use at the site.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct LimitsDocument {
@@ -107,7 +107,7 @@
     pub(crate) hedging: Option<bool>,
 }
 
-/// The numbers of the platform's rules.
+/// The `guarantees` object: the numbers in the platform's rules on polling, draining, slow start and overload.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct GuaranteesDocument {
@@ -124,7 +124,7 @@
     pub(crate) overload_window_ms: Option<f64>,
 }
 
-/// The costs of operations.
+/// The `prices` object: the costs of operations.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct PricesDocument {
@@ -138,7 +138,7 @@
     pub(crate) waste: f64,
 }
 
-/// The weights of the parts of the site's goal, as far as they are used.
+/// The `goal` object. Only the values for the tail, which are the responses after their latency objective, are read.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct GoalDocument {
@@ -147,7 +147,7 @@
     pub(crate) tail_miss: Option<f64>,
 }
 
-/// The behavior of clients.
+/// The `clients` object: what clients do.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct ClientsDocument {
@@ -155,7 +155,7 @@
     pub(crate) retries_marked: Option<bool>,
 }
 
-/// The source of load reports, and their values.
+/// The `telemetry` object: the source of load reports, and the names of the values in a report.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct LoadReportsDocument {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! A site's settings: the JSON object that the simulator and the platform's configuration share, turned into the policy
-//! crate's [`Settings`], with the names for its numbers.
+//! Parses the settings of a site, which is a group of balancers that share the same upstreams. The settings are one JSON
+//! object, which the simulator and the platform's configuration share. The result is the policy crate's [`Settings`], with the names of
+//! the classes, tenants, zones and kinds that the policy crate knows by number.
 //!
-//! Unknown keys are ignored. Missing keys take the values of [`Settings::default`], except that without `weight_kind`
-//! the endpoints' weights have no meaning ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
+//! Unknown keys are ignored. Missing keys have the values of [`Settings::default`], with one exception: without
+//! `weight_kind` the weights of endpoints are ignored ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
 
 mod convert;
 mod document;
@@ -16,26 +17,30 @@
 /// A parsed settings object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// The policy's settings.
+    /// The settings in the form that [`Balancer::new`](frostkeel_policy::Balancer::new) takes.
     pub settings: Settings,
-    /// The names for the numbers in them.
+    /// The names of the classes, tenants, zones and kinds, which the settings know by number.
     pub names: Names,
 }
 
-/// Names by position: those of classes and tenants as in [`Settings`], those of zones and kinds by their ids.
+/// The names of classes, tenants, zones and kinds.
+///
+/// The position of a class or tenant is that in [`Settings`]; the position of a zone or kind is its id.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// The classes of requests.
+    /// The names of the classes of requests; empty for a class without a name.
     pub classes: Vec<String>,
-    /// The tenants.
+    /// The names of the tenants; empty for a tenant without a name.
     pub tenants: Vec<String>,
-    /// The zones.
+    /// The names of the zones; may be fewer than the zone ids in use.
     pub zones: Vec<String>,
-    /// The kinds of upstreams.
+    /// The names of the hardware kinds of upstreams; may be fewer than the kind ids in use.
     pub kinds: Vec<String>,
 }
 
-/// Parses the text of a settings object.
+/// Parses the JSON text of a settings object.
+///
+/// The ranges of the values are not checked here, but by [`Settings::check`].
 pub fn parse(text: &str) -> Result<Site, SettingsParseError> {
     let document: document::SiteDocument = serde_json::from_str(text)?;
     let settings = convert::settings(&document)?;
