--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -1,4 +1,4 @@
-//! A site's settings with every key that is read, compared field by field with what they mean.
+//! Parses settings with every key that is read, and compares each field of the result with the expected value.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -24,8 +24,8 @@
     parse(&value.to_string()).expect("valid settings")
 }
 
-/// The class that settings with this one class object have.
-fn with_class(class: Value) -> Result<Class, String> {
+/// Parses settings with one class object, and returns the class or the message of the error.
+fn parse_class(class: Value) -> Result<Class, String> {
     let text = json!({ "classes": [class] }).to_string();
     parse(&text)
         .map(|site| site.settings.classes[0].clone())
@@ -121,49 +121,50 @@
     assert_eq!(site.names, names);
 }
 
-/// JSON pointers to all scalar values: those of keys and those in lists.
-fn leaves(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Appends the JSON pointers to all scalar values in objects and lists below the pointer `at`.
+fn scalar_pointers(value: &Value, at: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
             map.iter()
-                .for_each(|(key, value)| leaves(value, &format!("{at}/{key}"), found));
+                .for_each(|(key, value)| scalar_pointers(value, &format!("{at}/{key}"), found));
         }
         Value::Array(list) => {
             list.iter()
                 .enumerate()
-                .for_each(|(k, value)| leaves(value, &format!("{at}/{k}"), found));
+                .for_each(|(k, value)| scalar_pointers(value, &format!("{at}/{k}"), found));
         }
         _ => found.push(at.to_owned()),
     }
 }
 
-/// Guards the data of the test above: a key that is misspelt there, or that has its default value, would not be noticed.
+/// Checks the data of the tests in this file: a key that is misspelt, or that has its default value, would leave its field
+/// untested.
 #[test]
 fn removing_any_key_changes_the_result() {
     let document: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
     let site = parsed(&document);
     let mut keys = Vec::new();
-    leaves(&document, "", &mut keys);
+    scalar_pointers(&document, "", &mut keys);
     assert_eq!(keys.len(), 66);
     for key in keys {
-        let (parent, last) = key.rsplit_once('/').expect("a pointer");
+        let (parent, last) = key.rsplit_once('/').expect("a JSON pointer");
         let mut without = document.clone();
-        match without.pointer_mut(parent).expect("its parent") {
+        match without.pointer_mut(parent).expect("the parent of the key") {
             Value::Object(map) => drop(map.remove(last).expect("the key")),
             Value::Array(list) => drop(list.remove(last.parse().expect("a position"))),
             other => panic!("{parent} is {other}"),
         }
         assert!(
             parse(&without.to_string()).ok() != Some(site.clone()),
-            "{key} changes nothing"
+            "removing {key} changes nothing"
         );
     }
 }
 
 #[test]
-fn missing_keys_take_the_defaults() {
+fn missing_keys_have_default_values() {
     let site = parse("{}").expect("valid settings");
-    // An absent `weight_kind` is the one key whose meaning is not the default of `Settings`.
+    // Only for a missing `weight_kind` does the value differ from that of `Settings::default`.
     let settings = Settings {
         endpoint_weights: EndpointWeights::Off,
         ..Settings::default()
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn class_without_keys_takes_the_defaults() {
+fn class_without_keys_has_default_values() {
     let class = Class {
         latency_objective: micros(1_000_000),
         objective_work_multiple: 0.0,
@@ -188,7 +189,7 @@
         effect: Effect::AtMostOnce,
         streamed: false,
     };
-    assert_eq!(with_class(json!({})), Ok(class));
+    assert_eq!(parse_class(json!({})), Ok(class));
     let site = parsed(&json!({ "classes": [{}], "parties": [{}] }));
     assert_eq!(site.settings.tenants, [Tenant { quota_per_s: 0.0 }]);
     assert_eq!(
@@ -199,17 +200,17 @@
 
 #[test]
 fn unknown_keys_are_ignored() {
-    let mut more: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
-    more["tick_ms"] = json!(5.0);
-    more["limits"]["peers"] = json!(true);
-    more["classes"][0]["colour"] = json!(["red"]);
-    assert_eq!(Some(parsed(&more)), parse(EVERY_KEY).ok());
+    let mut document: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    document["tick_ms"] = json!(5.0);
+    document["limits"]["peers"] = json!(true);
+    document["classes"][0]["colour"] = json!(["red"]);
+    assert_eq!(Some(parsed(&document)), parse(EVERY_KEY).ok());
 }
 
 #[test]
 fn reads_effects_and_deduplication_scopes() {
     let deduplicated = |scope: &str| {
-        with_class(json!({ "effect": "deduplicated", "dedup_scope": scope, "key_ttl_ms": 1.5 }))
+        parse_class(json!({ "effect": "deduplicated", "dedup_scope": scope, "key_ttl_ms": 1.5 }))
     };
     for (scope, group) in [
         ("all", DedupGroup::All),
@@ -230,11 +231,11 @@
         ("idempotent", Effect::Idempotent),
         ("at_most_once", Effect::AtMostOnce),
     ] {
-        let class = with_class(json!({ "effect": effect, "dedup_scope": "nonsense" }));
+        let class = parse_class(json!({ "effect": effect, "dedup_scope": "nonsense" }));
         assert_eq!(
             class.map(|class| class.effect),
             Ok(expected),
-            "{effect}: no scope is read"
+            "{effect}: dedup_scope is ignored"
         );
     }
 }
@@ -251,8 +252,8 @@
     ] {
         assert_eq!(set("weight_kind", word).endpoint_weights, weights, "{word}");
     }
-    for (word, asks) in [("subscribe", true), ("automatic", false), ("new", false)] {
-        assert_eq!(set("discovery", word).polls_endpoints, asks, "{word}");
+    for (word, polls) in [("subscribe", true), ("automatic", false), ("new", false)] {
+        assert_eq!(set("discovery", word).polls_endpoints, polls, "{word}");
     }
     for (word, by_work) in [("work", true), ("request", false), ("new", false)] {
         assert_eq!(set("worth_by", word).weight_by_work, by_work, "{word}");
@@ -325,7 +326,8 @@
     );
 }
 
-/// Checks what the message must name, not its whole text.
+/// Checks that each message contains the key, the value or the position in the text. The rest of the message is not
+/// checked.
 #[test]
 fn rejects_invalid_settings_naming_key_and_value() {
     for (text, named) in [
