--- a/syscall-faults/src/config.rs
+++ b/syscall-faults/src/config.rs
@@ -1,4 +1,4 @@
-//! What the environment says about the calls that fail.
+//! Reads the configuration of the faults from environment variables.
 
 use crate::errors::error_number;
 use libc::c_int;
@@ -15,6 +15,7 @@
 }
 
 impl SyscallKind {
+    /// Returns the name of the environment variable with the rule for these calls.
     fn variable(self) -> &'static str {
         match self {
             Self::Accept => "FAULT_ACCEPT",
@@ -25,12 +26,12 @@
     }
 }
 
-/// How many of the calls of a kind fail, and with which errors.
+/// The fraction of the calls of one kind that fail, and their errors. The default is that none fail.
 #[derive(Debug, Default)]
 pub(crate) struct FaultRule {
-    /// The share of the calls that fail.
-    pub(crate) share: f64,
-    /// The errors that they fail with, equally often; empty if none fail.
+    /// The fraction of the calls that fail, from 0 to 1.
+    pub(crate) fraction: f64,
+    /// The error numbers, each chosen with equal probability; empty if no call fails.
     pub(crate) errors: Vec<c_int>,
 }
 
@@ -40,32 +41,36 @@
         value.map_or_else(|_| Self::default(), |text| Self::parse(&text))
     }
 
-    /// Parses `SHARE:ERROR,ERROR`. A mistake in a test's environment ends the process, or it would pass unnoticed.
+    /// Parses a rule in the form `FRACTION:ERROR,ERROR`. Panics at an invalid rule, because a test would otherwise run
+    /// without its faults and pass.
     fn parse(text: &str) -> Self {
-        let Some((share, names)) = text.split_once(':') else {
-            panic!("{text}: SHARE:ERROR,... is expected");
+        let Some((fraction, names)) = text.split_once(':') else {
+            panic!("fault rule must have the form FRACTION:ERROR,ERROR, got {text:?}");
+        };
+        let number = |name: &str| {
+            error_number(name).unwrap_or_else(|| {
+                panic!("fault rule must name errors such as EINTR, got {name:?}")
+            })
         };
-        let number =
-            |name: &str| error_number(name).unwrap_or_else(|| panic!("{name}: unknown error"));
         Self {
-            share: share
-                .parse()
-                .unwrap_or_else(|error| panic!("{share}: {error}")),
+            fraction: fraction.parse().unwrap_or_else(|error| {
+                panic!("fault rule must begin with a number, got {fraction:?}: {error}")
+            }),
             errors: names.split(',').map(number).collect(),
         }
     }
 }
 
-/// All that the environment says.
+/// The configuration of all faults of the process.
 #[derive(Debug)]
 pub(crate) struct FaultConfig {
     accept: FaultRule,
     connect: FaultRule,
     read: FaultRule,
     write: FaultRule,
-    /// The offset of the wall clock.
+    /// The offset of the wall clock in seconds, positive if the clock is ahead.
     pub(crate) wall_clock_offset_s: i64,
-    /// The seed of the random numbers.
+    /// The seed of the random numbers that choose the calls that fail and their errors.
     pub(crate) seed: u64,
 }
 
@@ -81,7 +86,7 @@
         }
     }
 
-    /// The rule for the calls of a kind.
+    /// Returns the rule for the calls of a kind.
     pub(crate) fn rule(&self, kind: SyscallKind) -> &FaultRule {
         match kind {
             SyscallKind::Accept => &self.accept,
@@ -92,7 +97,7 @@
     }
 }
 
-/// The value of a variable; 0 if it is missing or no integer.
+/// Returns the value of a variable, or 0 if the variable is missing or not an integer.
 fn integer_from_env(variable: &str) -> i64 {
     let text = std::env::var(variable).ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
--- a/syscall-faults/src/errors.rs
+++ b/syscall-faults/src/errors.rs
@@ -1,8 +1,8 @@
-//! The errors that the environment can name.
+//! The errors that a fault rule can name.
 
 use libc::c_int;
 
-/// The number of the error with this name.
+/// Returns the `errno` value of the error with this name, or `None` if a rule can't name the error.
 pub(crate) fn error_number(name: &str) -> Option<c_int> {
     Some(match name {
         "EINTR" => libc::EINTR,
--- a/syscall-faults/src/injection.rs
+++ b/syscall-faults/src/injection.rs
@@ -4,7 +4,8 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The step of splitmix64's state and the factors of its mixing.
+/// The constants of the random number generator splitmix64: the step of its state and the two factors of its mixing
+/// function.
 const SPLITMIX_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 const SPLITMIX_FACTOR_1: u64 = 0xbf58_476d_1ce4_e5b9;
 const SPLITMIX_FACTOR_2: u64 = 0x94d0_49bb_1331_11eb;
@@ -24,13 +25,13 @@
         }
     }
 
-    /// The injector of this process; the environment is read once.
+    /// Returns the injector of this process. The first call reads the environment.
     fn global() -> &'static Self {
         static INJECTOR: OnceLock<FaultInjector> = OnceLock::new();
         INJECTOR.get_or_init(Self::from_env)
     }
 
-    /// The next random number (splitmix64).
+    /// Returns the next random number of splitmix64.
     fn random(&self) -> u64 {
         let state = self
             .random_state
@@ -41,11 +42,11 @@
     }
 }
 
-/// Whether a call is to fail now; if so, `errno` has been set.
+/// Decides whether a call of this kind fails now. If it returns `true`, it has set `errno` to the error of the call.
 pub(crate) fn inject_error(kind: SyscallKind) -> bool {
     let injector = FaultInjector::global();
     let rule = injector.config.rule(kind);
-    if rule.errors.is_empty() || injector.random() as f64 / u64::MAX as f64 >= rule.share {
+    if rule.errors.is_empty() || injector.random() as f64 / u64::MAX as f64 >= rule.fraction {
         return false;
     }
     let error = rule.errors[injector.random() as usize % rule.errors.len()];
@@ -54,7 +55,7 @@
     true
 }
 
-/// By how many seconds the wall clock is offset.
+/// Returns the offset of the wall clock in seconds.
 pub(crate) fn wall_clock_offset_s() -> i64 {
     FaultInjector::global().config.wall_clock_offset_s
 }
