--- a/simulator-adapter/src/decoder/fields.rs
+++ b/simulator-adapter/src/decoder/fields.rs
@@ -122,7 +122,7 @@
         Ok(count)
     }
 
-    /// Reads a code of one byte. A code without a meaning is an error.
+    /// Reads a code of one byte. An unknown code is an error.
     pub(super) fn u8_code<T>(
         &mut self,
         field: &'static str,
@@ -133,7 +133,7 @@
         from_wire(code).ok_or_else(|| unknown_code(offset, field, code.into()))
     }
 
-    /// Reads a code of two bytes. A code without a meaning is an error.
+    /// Reads a code of two bytes. An unknown code is an error.
     pub(super) fn u16_code<T>(
         &mut self,
         field: &'static str,
--- a/simulator-adapter/src/decoder/records.rs
+++ b/simulator-adapter/src/decoder/records.rs
@@ -12,7 +12,7 @@
 };
 use frostkeel_settings::duration_from_ms;
 
-/// Reads the next record and notes the byte at which it begins.
+/// Reads the next record and its position in the frame.
 pub(super) fn located_record(reader: &mut FieldReader<'_>) -> Result<LocatedRecord, BatchError> {
     let offset = reader.offset();
     let number = reader.u8("record code")?;
--- a/simulator-adapter/src/encoder.rs
+++ b/simulator-adapter/src/encoder.rs
@@ -6,7 +6,7 @@
 
 /// The value of `KEEP_INFORMED` that starts a watch on the endpoint list; 0 would end the watch.
 const WATCH_ON: u8 = 1;
-/// The value that is written in place of a time that is absent.
+/// The time that is written for an action without a time, in milliseconds.
 const NO_TIME_MS: f64 = 0.0;
 
 /// A reply to one batch: its length field, then its actions one after the other.
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -9,10 +9,10 @@
 /// The error that ended a session with the simulator.
 #[derive(Debug, Error)]
 pub enum SessionError {
-    /// The input can't be read.
+    /// Reading the input failed with an I/O error.
     #[error("cannot read the input: {0}")]
     Read(#[source] io::Error),
-    /// A reply can't be written to the output.
+    /// Writing a reply to the output failed with an I/O error.
     #[error("cannot write the reply: {0}")]
     Write(#[source] io::Error),
     /// The input ended before the end of a frame.
@@ -20,8 +20,8 @@
     TruncatedFrame {
         /// The number of bytes received, the length field included.
         received: usize,
-        /// The number of bytes expected: those of the length field if it is truncated, otherwise those of the frame with
-        /// its length field.
+        /// The number of bytes expected: the size of the length field if the field is truncated, otherwise the size of
+        /// the frame with its length field.
         expected: usize,
     },
     /// The length field is less than the size of an empty batch, or over
@@ -42,7 +42,7 @@
 pub struct BatchError {
     /// The byte at which the invalid field or record begins, counted from the start of the frame's length field.
     pub offset: usize,
-    /// The fault at that byte.
+    /// The reason why the batch can't be decoded or applied.
     pub fault: BatchFault,
 }
 
@@ -82,7 +82,7 @@
     UnknownCode {
         /// The name of the field with the code.
         field: &'static str,
-        /// The unknown code.
+        /// The code found, which the protocol doesn't define.
         code: u16,
     },
     /// The number of an endpoint list is over
@@ -110,7 +110,7 @@
     /// An event is for an instance that isn't running.
     #[error("instance {instance} is not running: it was not started, or it was stopped")]
     UnknownInstance {
-        /// The number of the instance.
+        /// The number of the instance that isn't running.
         instance: u32,
     },
 }
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -9,9 +9,9 @@
 /// An action and the instance that requested it.
 #[derive(Debug)]
 pub struct InstanceAction {
-    /// The number of the instance.
+    /// The number by which the simulator identifies the instance.
     pub instance: u32,
-    /// The requested action.
+    /// The action that the simulator is to carry out.
     pub action: Action,
 }
 
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! `frostkeel-simulator-adapter`: reads batches of the simulator's protocol on standard input, and writes the replies to
+//! `frostkeel-simulator-adapter`: reads batches of the simulator's protocol on standard input and writes replies to
 //! standard output.
 //!
 //! At a malformed frame the program writes one line to standard error and exits with code 1. It writes no part of a
--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -151,7 +151,7 @@
 pub struct LocatedRecord {
     /// The byte at which the record begins, counted from the start of the frame's length field.
     pub offset: usize,
-    /// The decoded record.
+    /// The record that begins at `offset`.
     pub record: Record,
 }
 
@@ -160,12 +160,12 @@
 pub enum Record {
     /// Defines an endpoint list that later records refer to by its number. It belongs to no instance.
     EndpointList {
-        /// The number of the list. It replaces an earlier list with this number.
+        /// The number of the list. A list that an earlier record defined with this number is replaced.
         number: u32,
         /// The entries of the list; may be empty.
         endpoints: Vec<Endpoint>,
     },
-    /// Starts a balancer, in place of the instance that has this number, if there is one.
+    /// Starts an instance. If an instance with this number is running, the new one replaces it.
     Start {
         /// The number of the instance to start.
         instance: u32,
@@ -186,7 +186,7 @@
     },
     /// An event for the balancer of an instance.
     Event {
-        /// The number of the instance.
+        /// The number of the instance that receives the event.
         instance: u32,
         /// The event to pass to the balancer.
         event: InstanceEvent,
@@ -205,7 +205,7 @@
     },
     /// A client's request has arrived.
     Request {
-        /// The id of the request.
+        /// The id of the request, which is never reused.
         id: RequestId,
         /// The class of the request, by its position in the settings.
         class: ClassId,
@@ -220,7 +220,7 @@
     },
     /// A streamed response has started.
     StreamStarted {
-        /// The id of the request.
+        /// The id of the request whose response is streamed.
         id: RequestId,
         /// The number of the attempt whose response is streamed.
         attempt: AttemptNo,
@@ -229,18 +229,18 @@
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The id of the request.
+        /// The id of the request that the attempt belongs to.
         id: RequestId,
-        /// The number of the attempt.
+        /// The number of the attempt, counted from 0 for each request.
         attempt: AttemptNo,
         /// Whether the request has its final response.
         finished: bool,
-        /// The outcome of the attempt.
+        /// The result of the attempt, with its load report.
         result: UpstreamResult,
     },
     /// A health check has ended.
     HealthCheckEnded {
-        /// The outcome of the health check.
+        /// The result of the health check, with its load report.
         result: UpstreamResult,
     },
     /// A client has disconnected; no response is due.
--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -7,8 +7,8 @@
 use crate::protocol::{CLOCK_BYTES, LENGTH_BYTES, MAX_FRAME_BYTES};
 use std::io::{Read, Write};
 
-/// Replies to batches until the input ends between two frames. The first error ends the session. A batch
-/// that can't be decoded or applied gets no reply.
+/// Replies to batches until the input ends between two frames. The first error ends the session. A batch that
+/// can't be decoded or applied gets no reply.
 pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), SessionError> {
     let mut host = Host::default();
     let mut reply = ReplyEncoder::default();
