--- a/simulator-adapter/tests/common/mod.rs
+++ b/simulator-adapter/tests/common/mod.rs
@@ -75,7 +75,7 @@
 pub struct NamedBytes {
     /// The name of the record, action or frame that the bytes encode.
     pub name: &'static str,
-    /// The bytes that the digits stand for.
+    /// The bytes that `DIGITS` encodes.
     pub bytes: Vec<u8>,
 }
 
--- a/simulator-adapter/tests/frame_fixtures.rs
+++ b/simulator-adapter/tests/frame_fixtures.rs
@@ -1,5 +1,5 @@
-//! Runs the program with a complete session and with malformed frames, and compares its output with fixtures that an
-//! earlier version wrote.
+//! Runs the program with a complete session and with malformed frames, and compares its output with fixtures. The
+//! replies of the session were recorded with an earlier version.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
