--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -17,8 +17,8 @@
 const MICROS_PER_MILLI: f64 = 1e3;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// Converts a time in milliseconds into a [`Duration`]. A negative value or NaN becomes zero, and a value too large for a
-/// [`Duration`] becomes the maximum.
+/// Converts a time in milliseconds into a [`Duration`]. A negative value or NaN becomes zero, and a value too large for
+/// a [`Duration`] becomes the maximum.
 pub fn duration_from_ms(ms: f64) -> Duration {
     if ms.is_nan() || ms <= 0.0 {
         return Duration::ZERO;
@@ -141,8 +141,8 @@
     limit.min(MAX_ATTEMPT_LIMIT) as u8
 }
 
-/// Returns the tolerated fraction of responses after the latency objective; `None` if it is missing, or if the weight of
-/// the tail (`slow_end`) is missing or not above 0.
+/// Returns the tolerated fraction of responses after the latency objective; `None` if it is missing, or if the weight
+/// of the tail (`slow_end`) is missing or not above 0.
 fn tail_miss(goal: &GoalDocument) -> Option<f64> {
     let has_weight = goal.tail_weight.is_some_and(|weight| weight > 0.0);
     goal.tail_miss.filter(|_| has_weight)
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -1,5 +1,5 @@
-//! The serialized form of the settings object. The platform defines the keys; a field whose name differs from its key has
-//! the term that the code uses. The fields of [`Settings`](frostkeel_policy::Settings) document the values.
+//! The serialized form of the settings object. The platform defines the keys; a field whose name differs from its key
+//! has the term that the code uses. The fields of [`Settings`](frostkeel_policy::Settings) document the values.
 
 use serde::Deserialize;
 
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -5,8 +5,8 @@
 /// The error for a settings object that can't be parsed.
 #[derive(Debug, Error)]
 pub enum SettingsParseError {
-    /// The text isn't JSON, or a value has the wrong type; the source names the line and the
-    /// column, and a value of the wrong type.
+    /// The text isn't JSON, or a value has the wrong type. The source names the line, the column and a value of the
+    /// wrong type.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
     /// A key has a value that is not one of those accepted.
@@ -14,7 +14,7 @@
     UnknownValue {
         /// The key with its path, such as `classes[1].effect`.
         key: String,
-        /// The value found.
+        /// The value found for the key.
         value: String,
         /// The accepted values, separated by commas.
         accepted_values: &'static str,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Parses the settings of a site, which is a group of balancers that share the same upstreams. The settings are one JSON
-//! object, which the simulator and the platform's configuration share. The result is the policy crate's [`Settings`], with the names of
-//! the classes, tenants, zones and kinds that the policy crate knows by number.
+//! Parses the settings of a site, a group of balancers with the same upstreams, from the JSON object that the simulator
+//! and the platform's configuration share. The result is the policy crate's [`Settings`], which know classes,
+//! tenants, zones and kinds by number, and the names for these numbers.
 //!
-//! Unknown keys are ignored. Missing keys have the values of [`Settings::default`], with one exception: without
-//! `weight_kind` the weights of endpoints are ignored ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
+//! Unknown keys are ignored. Missing keys have the values of [`Settings::default`], except that without `weight_kind`
+//! the weights of endpoints are ignored ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
 
 mod convert;
 mod document;
@@ -28,9 +28,9 @@
 /// The position of a class or tenant is that in [`Settings`]; the position of a zone or kind is its id.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// The names of the classes of requests; empty for a class without a name.
+    /// The names of the classes of requests. A class without a name has the empty string.
     pub classes: Vec<String>,
-    /// The names of the tenants; empty for a tenant without a name.
+    /// The names of the tenants. A tenant without a name has the empty string.
     pub tenants: Vec<String>,
     /// The names of the zones; may be fewer than the zone ids in use.
     pub zones: Vec<String>,
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -137,8 +137,8 @@
     }
 }
 
-/// Checks the data of the tests in this file: a key that is misspelt, or that has its default value, would leave its field
-/// untested.
+/// Checks the data of the tests in this file: a key that is misspelt, or that has its default value, would leave its
+/// field untested.
 #[test]
 fn removing_any_key_changes_the_result() {
     let document: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
