--- a/syscall-faults/src/config.rs
+++ b/syscall-faults/src/config.rs
@@ -31,7 +31,7 @@
 pub(crate) struct FaultRule {
     /// The fraction of the calls that fail, from 0 to 1.
     pub(crate) fraction: f64,
-    /// The error numbers, each chosen with equal probability; empty if no call fails.
+    /// The error numbers of the failing calls, all equally probable; empty if no call fails.
     pub(crate) errors: Vec<c_int>,
 }
 
--- a/syscall-faults/src/lib.rs
+++ b/syscall-faults/src/lib.rs
@@ -1,6 +1,6 @@
-//! A library that tests preload into a process (`LD_PRELOAD`) to inject faults. A fraction of the process's system calls
-//! fail with given errors, and its wall clock has an offset. The library is not part of the product, and it is the only
-//! crate with `unsafe` code.
+//! A library that tests preload into a process (`LD_PRELOAD`) to inject faults: a fraction of the system calls fail
+//! with given errors, and the wall clock has an offset. The library is not part of the product, and no other crate has
+//! `unsafe` code.
 //!
 //! | environment variable | value |
 //! | --- | --- |
@@ -28,7 +28,7 @@
     let function = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
     assert!(
         !function.is_null(),
-        "{name:?} is not defined by any library after this one"
+        "no library loaded after this library defines {name:?}"
     );
     function
 }
