--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -1,4 +1,4 @@
-//! One run of an experiment, from the first process to the outcome.
+//! Runs an experiment: starts its processes, sends the load, and judges the recorded history.
 
 use super::outcome::{LabOverhead, MembershipOutcome, RunOutcome, missed_expectations};
 use super::test_bed::TestBed;
@@ -19,55 +19,56 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// How often progress is reported.
+/// Interval between two reports of the progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How a run is made.
+/// Options of a run that the experiment itself does not set.
 pub struct RunOptions {
-    /// The balancers' program.
+    /// Path of the program that is started as each balancer.
     pub balancer: PathBuf,
-    /// The program that guards the children, with `guard` as its first argument, and is the
-    /// registry.
+    /// Path of the program that serves as the [guard](crate::guard) of the child processes when its
+    /// first argument is `guard`, and as the registry. `None`: the children are not guarded, and an
+    /// experiment with a registry cannot run.
     pub guard: Option<PathBuf>,
-    /// The seed.
+    /// Seed of all random draws of the run.
     pub seed: u64,
-    /// Where logs and configurations go.
+    /// Directory for the logs and configurations of the processes; created if it does not exist.
     pub dir: PathBuf,
-    /// Set to `true`, it interrupts the run.
+    /// Interrupts the run when its value becomes `true`.
     pub stop: watch::Receiver<bool>,
 }
 
-/// The status of a balancer in a run.
+/// The status of one balancer during a run.
 #[derive(Clone, Copy, Debug)]
 pub struct BalancerStatus {
-    /// Its state, as a label.
+    /// Label of its state: `up`, `down`, `stopped` (paused) or `leaving` (shutting down).
     pub state: &'static str,
-    /// How many responses clients have had from it.
+    /// Number of responses that clients have received from it.
     pub response_count: u64,
 }
 
-/// The progress of a run.
+/// A snapshot of a run in progress, for display.
 #[derive(Clone, Debug)]
 pub struct RunProgress {
     /// Time since the load began.
     pub elapsed: Duration,
-    /// The status of each balancer.
+    /// Status of each balancer, in the order of their numbers.
     pub balancers: Vec<BalancerStatus>,
-    /// The status of each upstream that is not removed.
+    /// Status of each upstream that has not been removed, in the order of their numbers.
     pub upstreams: Vec<UpstreamStatus>,
 }
 
-/// What was measured while the load was sent.
+/// Measurements from the start of the load to its end or interruption.
 struct LoadMeasurements {
     is_interrupted: bool,
     elapsed: Duration,
-    /// Processor time of the lab, in seconds.
+    /// Processor time that the lab's own process used, in seconds.
     processor_s: f64,
-    /// Between the balancers, where they have membership.
+    /// Datagrams between the balancers; `None` if the experiment has no membership.
     peer_traffic: Option<Traffic>,
 }
 
-/// Runs an experiment; its progress is reported every second.
+/// Runs an experiment and returns its outcome; calls `on_progress` once a second during the load.
 pub async fn run(
     experiment: Experiment,
     options: RunOptions,
@@ -75,8 +76,8 @@
 ) -> Result<RunOutcome, LabError> {
     let mut test_bed = TestBed::start(experiment, &options).await?;
     let arrivals = draw_load(&test_bed.experiment, options.seed);
-    // Dropped only when all processes have exited: the clients of an interrupted run receive their
-    // last responses meanwhile.
+    // Dropping `load` aborts the clients. It lives until all processes have exited, so that the
+    // clients of an interrupted run still receive their last responses.
     let load = Arc::clone(&test_bed.clients).run(arrivals);
     tokio::pin!(load);
     let stop = options.stop.clone();
@@ -85,7 +86,7 @@
     Ok(judge(&test_bed, options, &measured))
 }
 
-/// Sends the load, until all of it is done or the run is interrupted.
+/// Sends the load until all requests have ended or the run is interrupted.
 async fn measure_load(
     test_bed: &mut TestBed,
     mut load: Pin<&mut impl Future<Output = ()>>,
@@ -129,7 +130,7 @@
     }
 }
 
-/// Checks the history of a run and computes its figures.
+/// Applies the checks to the history of a run, and computes its figures.
 fn judge(test_bed: &TestBed, options: RunOptions, measured: &LoadMeasurements) -> RunOutcome {
     let experiment = &test_bed.experiment;
     let Recording {
@@ -176,7 +177,8 @@
     }
 }
 
-/// Checks the views of the balancers up to the end of the load: the shutdown is no part of the run.
+/// Checks the balancers' views of the membership up to the end of the load. Later events are
+/// ignored, because they come from the shutdown of the run.
 fn check_membership(events: &[Event], elapsed_s: f64) -> MembershipReport {
     let mut checker = MembershipChecker::default();
     for event in events
@@ -188,7 +190,7 @@
     checker.finish()
 }
 
-/// Processor time that this process has used, in seconds.
+/// Returns the processor time that this process has used, in seconds.
 fn own_processor_seconds() -> f64 {
     processor_seconds(&std::fs::read_to_string("/proc/self/stat").unwrap_or_default())
 }
--- a/lab/src/runs/mod.rs
+++ b/lab/src/runs/mod.rs
@@ -1,5 +1,5 @@
-//! Runs: of an experiment with real processes, of its membership in simulated time, and of a real
-//! registry under watchers and writers.
+//! The three kinds of run: an experiment with real processes, the membership of its balancers in
+//! simulated time, and a real registry under the load of watchers and writers.
 
 mod experiment_run;
 mod outcome;
