--- a/lab/src/runs/outcome.rs
+++ b/lab/src/runs/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a run, and whether it meets the expectations.
+//! The outcome of a run, and the check of the experiment's expectations.
 
 use crate::balancers::CoreUsage;
 use crate::checks::Violation;
@@ -10,29 +10,31 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// A run whose requests were sent later than this, at the 99th percentile, measured the lab, in ms.
+/// Limit on the 99th percentile of the delay with which the lab sends requests, in ms. The latencies
+/// of a run with a higher value would be those of the lab rather than of the balancers.
 const MAX_LATENESS_MS: f64 = 20.0;
-/// Share of what was served before the faults that is served again once the service has recovered.
-const RECOVERED_SHARE: f64 = 0.9;
+/// Lowest ratio of the share of requests served in time after the faults to the share before them
+/// at which the service counts as recovered.
+const MIN_RECOVERED_RATIO: f64 = 0.9;
 
-/// The performance of the lab itself.
+/// How well the lab's own process kept up with the load, and what it used.
 #[derive(Clone, Debug, Serialize)]
 pub struct LabOverhead {
-    /// How late requests were sent, in ms: the median.
+    /// Median delay between when a request was due and when it was sent, in ms.
     pub late_p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile of that delay, in ms.
     pub late_p99_ms: f64,
-    /// The latest.
+    /// Maximum of that delay, in ms.
     pub late_max_ms: f64,
-    /// Share of one core that it used.
+    /// Mean number of cores that the lab used; 1 is one core without idle time.
     pub cores: f64,
-    /// Events that were dropped at the limit.
+    /// Number of events that were dropped because the history had reached its limit.
     #[serde(rename = "dropped")]
     pub dropped_event_count: u64,
 }
 
 impl LabOverhead {
-    /// Of a lab that was so late, by a histogram in microseconds.
+    /// Creates the figures; `lateness` is a histogram of the delays of requests in microseconds.
     pub(super) fn new(lateness: &LatencyHistogram, cores: f64, dropped_event_count: u64) -> Self {
         Self {
             late_p50_ms: quantile_ms(lateness, 0.5),
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Why a run of this lab does not count, where it does not.
+    /// Returns why the run is invalid because of the lab; `None` if it is valid.
     pub(super) fn void_reason(&self) -> Option<String> {
         if self.late_p99_ms > MAX_LATENESS_MS {
             return Some(format!(
@@ -52,66 +54,66 @@
             ));
         }
         let dropped = self.dropped_event_count;
-        (dropped > 0).then(|| format!("{dropped} events were not kept"))
+        (dropped > 0).then(|| format!("{dropped} events were dropped: the history was full"))
     }
 }
 
-/// The figures of membership among the balancers, and its cost.
+/// The figures of membership among the balancers, and its network traffic.
 #[derive(Clone, Debug, Serialize)]
 pub struct MembershipOutcome {
-    /// How soon departures were detected, and false detections.
+    /// Detection times of departures, and counts of false detections.
     #[serde(flatten)]
     pub figures: MembershipFigures,
-    /// Datagrams that each balancer sent in a second.
+    /// Mean number of datagrams that each balancer sent per second.
     #[serde(rename = "datagrams")]
     pub datagrams_per_s: f64,
-    /// Bytes that each balancer sent in a second.
+    /// Mean number of bytes that each balancer sent per second.
     #[serde(rename = "bytes")]
     pub bytes_per_s: f64,
 }
 
-/// The outcome of a run. The serialized names are those of `result.json`.
+/// The outcome of a run. It is written to `result.json` under the serialized names.
 #[derive(Serialize)]
 pub struct RunOutcome {
-    /// The experiment's name.
+    /// Name of the experiment.
     pub experiment: String,
-    /// The seed.
+    /// Seed of all random draws of the run.
     pub seed: u64,
-    /// The balancers' program.
+    /// Path of the program that was started as each balancer.
     pub balancer: PathBuf,
-    /// Seconds of load.
+    /// Duration of the load in seconds, at most the length that the experiment sets.
     pub seconds: f64,
-    /// It was interrupted.
+    /// Whether the run was interrupted before all requests had ended.
     #[serde(rename = "cut_short")]
     pub is_interrupted: bool,
-    /// Why it does not count, where it does not.
+    /// Why the run is invalid; `None` if it is valid.
     #[serde(rename = "void")]
     pub void_reason: Option<String>,
-    /// The violations of rules.
+    /// Violations of the rules that are checked over the history.
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
-    /// The expectations that were missed.
+    /// Descriptions of the experiment's expectations that were not met.
     #[serde(rename = "missed")]
     pub missed_expectations: Vec<String>,
-    /// The figures.
+    /// Request counts, latencies and utilization of the run.
     pub figures: Figures,
-    /// The most memory that any balancer used, in MB.
+    /// Highest sampled memory use of any balancer, in MB.
     #[serde(rename = "memory_mb")]
     pub max_memory_mb: f64,
-    /// The share of a core that balancers used.
+    /// Processor use of the balancers.
     pub balancer_cores: CoreUsage,
-    /// Membership among the balancers, where they had it.
+    /// Figures of membership; `None` if the experiment has no membership.
     #[serde(rename = "members")]
     pub membership: Option<MembershipOutcome>,
-    /// The lab.
+    /// Figures of the lab's own process.
     pub lab: LabOverhead,
-    /// The complete history.
+    /// All recorded events of the run.
     #[serde(skip)]
     pub events: Vec<Event>,
 }
 
 impl RunOutcome {
-    /// Whether it counts, and meets all rules and expectations.
+    /// Returns whether the run is valid, breaks no rule and meets all expectations.
     pub fn is_good(&self) -> bool {
         self.void_reason.is_none()
             && self.violations.is_empty()
@@ -119,7 +121,7 @@
     }
 }
 
-/// The expectations of an experiment that were missed, as text.
+/// Returns a description of each expectation of the experiment that the run does not meet.
 pub(super) fn missed_expectations(
     experiment: &Experiment,
     figures: &Figures,
@@ -140,19 +142,20 @@
     missed
 }
 
-/// `back_s`: so many seconds after the last fault, 0.9 of what was served before the first is
-/// served.
+/// Checks `back_s`: from that many seconds after the last fault on, the share of requests served in
+/// time must be at least `MIN_RECOVERED_RATIO` times the share before the first fault.
 fn missed_recovery(experiment: &Experiment, figures: &Figures) -> Option<String> {
     let within = experiment.expect.recovered_within_s?;
     match recovery(experiment, figures, within) {
-        Some(Recovery { before, after }) if after >= RECOVERED_SHARE * before => None,
+        Some(Recovery { before, after }) if after >= MIN_RECOVERED_RATIO * before => None,
         Some(Recovery { before, after }) => Some(format!(
-            "{within} s after the last fault {after:.3} is served, {:.3} expected of {before:.3} \
-             before the first",
-            RECOVERED_SHARE * before
+            "share served in time from {within} s after the last fault: {after:.3}, expected at \
+             least {:.3} ({before:.3} before the first fault)",
+            MIN_RECOVERED_RATIO * before
         )),
         None => Some(format!(
-            "nothing is asked for {within} s after the last fault, or before the first"
+            "recovery cannot be judged: it needs a fault, requests before the first fault, and \
+             requests from {within} s after the last one on"
         )),
     }
 }
