--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -1,5 +1,7 @@
-//! A run of a real registry under many watchers and writers, killed repeatedly: how soon changes
-//! reach the watchers, and whether the complete history is consistent.
+//! Runs a real registry under the load of many watchers and writers, and kills it repeatedly.
+//!
+//! The run measures how soon changes reach the watchers, and checks that no acknowledged change is
+//! lost and that all watchers end with the same list.
 
 use super::registry_writer::Writer;
 use crate::checks::watch_checks::{
@@ -25,64 +27,64 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long watchers have to catch up after the last change.
-const CATCH_UP: Duration = Duration::from_secs(10);
-/// Before a watcher or a writer that failed tries again.
+/// Time that watchers have to catch up after the last change.
+const CATCH_UP_TIME: Duration = Duration::from_secs(10);
+/// Pause between the end of a watch and the watcher's next one.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// A watch on which nothing is received for so long is considered dead.
+/// A watch on which no data arrives within this time is replaced by a new one.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(3500);
-/// How long the registry stays down when it is killed.
-const DOWN_TIME: Duration = Duration::from_millis(200);
-/// The lease of the upstreams, longer than a kill lasts.
+/// Time between a kill of the registry and its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
+/// Lease of the upstreams, longer than the registry is down after a kill.
 const LEASE: Duration = Duration::from_secs(60);
-/// Violations that are described.
-const MAX_DESCRIBED: usize = 20;
-/// Events of the registry's process that are recorded.
+/// Maximum number of violations that are described; further ones are not reported.
+const MAX_DESCRIBED_VIOLATIONS: usize = 20;
+/// Maximum number of events of the registry's process that are recorded.
 const MAX_EVENTS: usize = 100_000;
-/// Share of the watchers that have to know a change before it counts as delivered.
-const DELIVERED_TO_SHARE: f64 = 0.99;
-/// The first weight that is written; each upstream begins with 1.
+/// Fraction of the watchers that must have received a change before it counts as delivered.
+const DELIVERED_FRACTION: f64 = 0.99;
+/// The first weight that is written: all weights differ from the 1 with which upstreams register.
 const FIRST_WEIGHT: u64 = 2;
-/// The port of the first upstream; no socket listens there.
+/// Port of the first upstream's endpoint; the others follow. No socket listens on these ports.
 const FIRST_PORT: u16 = 1024;
 
-/// The load on a registry, and its faults.
+/// The load on the registry, and the number of its restarts.
 #[derive(Clone, Debug)]
 pub struct RegistryRunOptions {
-    /// Watchers.
+    /// Number of clients that watch the endpoint list.
     pub watchers: u32,
-    /// Upstreams on the list.
+    /// Number of upstreams on the endpoint list.
     pub upstreams: u32,
-    /// Changes a second, by all writers together.
+    /// Rate of changes, in changes per second over all writers.
     pub changes_per_s: f64,
-    /// Writers.
+    /// Number of clients that change weights of upstreams.
     pub writers: u32,
-    /// How long they write.
+    /// Time for which the writers send changes.
     pub duration: Duration,
-    /// How many times the registry is killed meanwhile.
+    /// Number of times that the registry is killed and restarted, at equal intervals.
     pub kills: u32,
-    /// The seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// Percentiles in milliseconds.
+/// Percentiles of a set of times, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Percentiles {
-    /// The median.
+    /// Median.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
 impl Percentiles {
-    /// Percentiles of times in microseconds; zero where there are none.
+    /// Returns the percentiles of times given in microseconds; all are zero if there is no time.
     fn of(mut times_us: Vec<u32>) -> Self {
         times_us.sort_unstable();
         let last = times_us.len().max(1) - 1;
-        let at = |share: f64| {
-            let index = (share * last as f64) as usize;
+        let at = |fraction: f64| {
+            let index = (fraction * last as f64) as usize;
             f64::from(times_us.get(index).copied().unwrap_or(0)) / 1e3
         };
         Self {
@@ -93,42 +95,44 @@
     }
 }
 
-/// The outcome of the run.
+/// The outcome of a registry run.
 #[derive(Clone, Debug)]
 pub struct RegistryRunOutcome {
-    /// Changes that were acknowledged.
+    /// Number of changes that the registry acknowledged.
     pub acknowledged_count: u64,
-    /// Writes that failed or had no response.
+    /// Number of writes that failed or got no response.
     pub failed_count: u64,
-    /// From the sending of a change until 99% of the watchers had it.
+    /// Time from the sending of a change until 99% of the watchers had received it. Changes that
+    /// fewer watchers received are excluded.
     pub delivery: Percentiles,
-    /// From the sending of a change to its acknowledgement.
+    /// Time from the sending of a change to its acknowledgement.
     pub acknowledgement: Percentiles,
-    /// Lines that watchers got.
+    /// Number of lines that all watchers together received and could parse.
     pub line_count: u64,
-    /// Descriptions of the violations.
+    /// Descriptions of the violations of the registry's guarantees, at most 20.
     pub violations: Vec<String>,
 }
 
-/// Changes that were acknowledged.
+/// The changes that the registry has acknowledged.
 #[derive(Default)]
 pub(super) struct Acknowledged {
-    /// The last by upstream.
+    /// Last acknowledged weight of each upstream, by its uid.
     pub weights: Weights,
-    /// How long each took, in microseconds.
+    /// Time from sending to acknowledgement of each change, in microseconds.
     pub times_us: Vec<u32>,
 }
 
-/// A change; its number is the weight that it sets.
+/// A change of one upstream's weight. Each change of the run sets a different weight, which is its
+/// index in [`RegistryRun::changes`].
 #[derive(Default)]
 pub(super) struct Change {
-    /// When it was sent, in microseconds.
+    /// Time when it was sent, in microseconds from the start of the run.
     pub sent_us: AtomicU64,
-    /// After how many microseconds watchers had it.
+    /// For each watcher that has received it, the time since it was sent, in microseconds.
     delivered_us: Mutex<Vec<u32>>,
 }
 
-/// What watchers and writers share.
+/// The state of a run that watchers and writers share.
 pub(super) struct RegistryRun {
     pub registry: Arc<RegistryProcess>,
     pub start: Instant,
@@ -140,7 +144,7 @@
     violations: Mutex<Vec<String>>,
 }
 
-/// Runs a registry that is started from `program`; its files go to `dir`.
+/// Runs the load on a registry that is started from `program` and stores its files in `dir`.
 pub async fn run_registry(
     program: PathBuf,
     dir: &Path,
@@ -161,7 +165,7 @@
     let kill_interval = options.duration / (options.kills + 1);
     for kill in 1..=options.kills {
         sleep_until(run.start + kill_interval * kill).await;
-        registry.kill(Some(DOWN_TIME)).await;
+        registry.kill(Some(RESTART_DELAY)).await;
     }
     while writers.join_next().await.is_some() {}
     run.check_at_end(watchers).await;
@@ -169,7 +173,8 @@
     Ok(run.outcome(options.watchers))
 }
 
-/// Starts a registry, and registers upstreams with it.
+/// Starts a registry, and registers `upstreams` upstreams with it; all are listed as ready when it
+/// returns.
 async fn start_registry(
     program: PathBuf,
     dir: &Path,
@@ -224,13 +229,13 @@
 
     pub(super) fn add_violation(&self, description: String) {
         let mut violations = lock(&self.violations);
-        if violations.len() < MAX_DESCRIBED {
+        if violations.len() < MAX_DESCRIBED_VIOLATIONS {
             violations.push(description);
         }
     }
 
-    /// Watches the list, with a new watch after each that ends, until the run is complete; returns
-    /// the list at that time.
+    /// Watches the endpoint list until the run is over, and starts a new watch whenever one ends;
+    /// returns the list as this watcher has received it.
     async fn watch(self: Arc<Self>, number: u32) -> WatchedList {
         let mut watcher = Watcher::new(number);
         while !self.is_over() {
@@ -251,7 +256,7 @@
         watcher.list().clone()
     }
 
-    /// Applies the lines of one watch until it ends.
+    /// Applies the lines of one watch until the watch ends or times out, or the run is over.
     async fn follow(&self, mut body: Incoming, watcher: &mut Watcher) {
         let mut pending = BytesMut::new();
         while !self.is_over()
@@ -299,13 +304,13 @@
         ))
     }
 
-    /// Lets the watchers catch up, then compares the list with what each has, and with what was
-    /// acknowledged.
+    /// Waits until the watchers have had time to catch up, then compares the registry's list with
+    /// the list of each watcher and with the acknowledged changes.
     async fn check_at_end(&self, mut watchers: JoinSet<WatchedList>) {
-        sleep(CATCH_UP).await;
+        sleep(CATCH_UP_TIME).await;
         self.is_over.store(true, Ordering::Relaxed);
         let Some(list) = self.read_list().await else {
-            return self.add_violation("the list cannot be read at the end".into());
+            return self.add_violation("the endpoint list could not be read at the end".into());
         };
         let mut watched = Vec::new();
         while let Some(watcher) = watchers.join_next().await {
@@ -320,8 +325,8 @@
     }
 
     fn outcome(&self, watchers: u32) -> RegistryRunOutcome {
-        let needed = (f64::from(watchers) * DELIVERED_TO_SHARE).ceil() as usize;
-        // Changes that a later one superseded before enough watchers had them are excluded.
+        let needed = (f64::from(watchers) * DELIVERED_FRACTION).ceil() as usize;
+        // Excludes changes that a later change replaced before enough watchers had received them.
         let delivered = self.changes.iter().filter_map(|change| {
             let mut times_us = lock(&change.delivered_us).clone();
             times_us.sort_unstable();
--- a/lab/src/runs/registry_writer.rs
+++ b/lab/src/runs/registry_writer.rs
@@ -1,4 +1,4 @@
-//! Writers of changes to a registry.
+//! The writers of a registry run, which change the weights of upstreams.
 
 use super::registry_run::{RegistryRun, RegistryRunOptions};
 use crate::checks::watch_checks::read_is_as_new_as_acknowledged;
@@ -13,15 +13,18 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Share of the acknowledged changes after which a writer reads the list.
-const READ_SHARE: f64 = 0.05;
+/// Probability with which a writer reads and checks the list after an acknowledged change.
+const READ_CHECK_PROBABILITY: f64 = 0.05;
 
-/// A writer of changes. Each upstream has one writer, so that its weights go up in the order of
-/// their acknowledgements.
+/// A writer of changes. Only one writer changes the weight of an upstream, so that the upstream's
+/// weights increase in the order of their acknowledgements.
 pub(super) struct Writer {
     run: Arc<RegistryRun>,
+    /// Numbers of the upstreams whose weights only this writer changes.
     upstreams: Vec<u32>,
+    /// Time between two changes of this writer.
     interval: Duration,
+    /// Weight of the next change; shared by all writers, so that each change sets a different weight.
     next_weight: Arc<AtomicU64>,
     rng: ChaCha8Rng,
 }
@@ -43,7 +46,8 @@
         }
     }
 
-    /// Sends changes when they are due; each waits for the one before.
+    /// Sends one change per interval until `duration` after the start of the run. Waits for the
+    /// response to each change before it sends the next.
     pub async fn run(mut self, duration: Duration) {
         let mut due = Instant::now() + self.interval.mul_f64(self.rng.random::<f64>());
         while self.run.start.elapsed() < duration && !self.upstreams.is_empty() {
@@ -61,7 +65,8 @@
         }
     }
 
-    /// Sends one change, and occasionally checks that a read returns it.
+    /// Sends one change. After some of the acknowledged changes, checks that a read returns a list
+    /// at least as new as the change.
     async fn write(&mut self, address: SocketAddr, uid: String, weight: u64) {
         let sent_us = self.run.now_us();
         self.run.changes[weight as usize]
@@ -78,7 +83,7 @@
                 .times_us
                 .push((self.run.now_us() - sent_us) as u32);
         }
-        if self.rng.random::<f64>() < READ_SHARE
+        if self.rng.random::<f64>() < READ_CHECK_PROBABILITY
             && let Some(list) = self.run.read_list().await
             && let Some(violation) = read_is_as_new_as_acknowledged(revision, list.revision)
         {
@@ -87,7 +92,8 @@
     }
 }
 
-/// Writes an upstream's weight; the revision that acknowledges it.
+/// Writes an upstream's weight; returns the revision of the acknowledgement, or `None` if the write
+/// failed or got no valid response.
 async fn write_weight(address: SocketAddr, uid: &str, weight: u64) -> Option<u64> {
     let body = format!("{{\"capacity_hint\":{weight}}}");
     let target = format!("/upstreams/{uid}/weight");
