--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -1,7 +1,9 @@
-//! Membership in simulated time: the state machines alone, with the faults that an experiment has
-//! for balancers.
+//! Simulates the membership of an experiment's balancers.
+//!
+//! Only the state machines of the membership run, in simulated time and without processes or
+//! sockets. The simulation injects the faults of the experiment that affect balancers.
 
-use super::simulation_faults::FaultPeers;
+use super::simulation_faults::AffectedBalancers;
 use crate::checks::membership_checks::MembershipChecker;
 use crate::checks::membership_figures::MembershipFigures;
 use crate::experiment::{Experiment, LinkConditions};
@@ -15,38 +17,39 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// The least delay of a datagram.
+/// Delay of a datagram on a link without impairments; the delay of a fault is added to it.
 const MIN_DELAY: Duration = Duration::from_micros(300);
-/// Processes start within so long of each other.
-const START_WITHIN: Duration = Duration::from_secs(1);
-/// Traffic is counted from here: before, the members discover each other.
-const COUNT_TRAFFIC_FROM: Duration = Duration::from_secs(20);
-/// Wall time of the start, in milliseconds.
-const EPOCH_MS: u64 = 1_700_000_000_000;
+/// Period from the start of the run over which the starts of the members are distributed randomly.
+const START_SPREAD: Duration = Duration::from_secs(1);
+/// Simulated time from which traffic is counted. Before it, the members discover each other.
+const TRAFFIC_COUNT_START: Duration = Duration::from_secs(20);
+/// Unix time of the start of a run, in milliseconds; the incarnations of members count from it.
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 
 /// The outcome of a simulated run.
 #[derive(Clone, Debug, Serialize)]
 pub struct SimulationOutcome {
-    /// Members.
+    /// Number of members.
     pub members: u32,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Simulated seconds.
+    /// Length of the run in simulated seconds.
     pub seconds: f64,
-    /// Datagrams sent by each member in a second.
+    /// Mean number of datagrams that each member sent per second, once traffic is counted.
     #[serde(rename = "datagrams")]
     pub datagrams_per_s: f64,
-    /// Bytes sent by each member in a second.
+    /// Mean number of bytes that each member sent per second, once traffic is counted.
     #[serde(rename = "bytes")]
     pub bytes_per_s: f64,
-    /// The figures.
+    /// Detection times of departures, and counts of false detections.
     pub figures: MembershipFigures,
-    /// Descriptions of the violations.
+    /// Descriptions of the violations of the membership rules.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
-/// Something that is due. The order of two at the same time is that of their numbers.
+/// Something that happens at a simulated time. Events at the same time happen in the order in which
+/// they were scheduled.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum SimulationEvent {
     DatagramArrives {
@@ -67,71 +70,79 @@
     MemberResumes {
         member: u32,
     },
-    LinksOpen {
+    LinkFaultEnds {
         fault: usize,
     },
-    CorruptedDatagram {
+    CorruptedDatagramDue {
         fault: usize,
     },
 }
 
-/// A datagram that was received while the process was paused.
+/// A datagram that arrived while its receiver was paused.
 pub(super) struct PendingDatagram {
     from: u32,
     datagram: Vec<u8>,
 }
 
-/// A simulated process.
+/// A simulated balancer process, of which only the membership runs.
 pub(super) struct SimulatedMember {
+    /// State machine of the membership; `None` while the process is not running.
     pub machine: Option<Membership>,
+    /// Number of starts; the timers of an earlier start are ignored.
     pub start_count: u32,
     pub is_paused: bool,
-    /// The datagrams that were received while it was paused.
+    /// Datagrams that arrived while it was paused; they are handled when it resumes.
     pub pending: Vec<PendingDatagram>,
-    /// When its timer expires.
+    /// Simulated time at which its timer expires; `Duration::MAX` if none is scheduled.
     pub timer: Duration,
     pub name: Name,
 }
 
-/// A simulated fleet, its links and its clock.
+/// The simulated members, their links and the simulated clock.
 pub(super) struct Simulation<'a> {
     pub experiment: &'a Experiment,
     seed: u64,
     pub now: Duration,
+    /// Scheduled events with their time and number.
     queue: BinaryHeap<Reverse<(Duration, u64, SimulationEvent)>>,
+    /// Number of events that were scheduled.
     event_count: u64,
     pub members: Vec<SimulatedMember>,
     pub links: LinkMatrix,
     pub rng: ChaCha8Rng,
+    /// The first datagrams that were sent, for faults that send them again.
     pub samples: DatagramSamples,
-    keeps_samples: bool,
+    /// Whether a fault needs the samples.
+    records_samples: bool,
     checker: MembershipChecker,
-    /// By fault, the balancers that it affected last.
-    pub fault_peers: Vec<FaultPeers>,
+    /// For each fault of the experiment, the balancers that its last occurrence affected.
+    pub affected_by_fault: Vec<AffectedBalancers>,
     sent_datagrams: u64,
     sent_bytes: u64,
-    count_traffic_from: Duration,
+    /// Simulated time from which sent datagrams and bytes are counted.
+    traffic_count_start: Duration,
 }
 
-/// Runs the faults of an experiment that affect balancers, over its length. With `is_known` all
-/// members know each other from their first start on; without, they have to discover each other.
+/// Simulates the membership of an experiment's balancers over the length of the experiment, with
+/// the faults that affect balancers. If `knows_members` is true, all members start at time zero and
+/// know each other; otherwise they start within a second and discover each other.
 pub fn simulate(
     experiment: &Experiment,
     seed: u64,
-    is_known: bool,
+    knows_members: bool,
 ) -> Result<SimulationOutcome, ConfigError> {
     let count = experiment.fleet.balancers;
     let mut simulation = Simulation::new(experiment, seed);
-    if is_known {
-        simulation.start_known()?;
+    if knows_members {
+        simulation.start_with_known_members()?;
     } else {
         simulation.schedule_starts();
     }
-    for (fault, what) in experiment.faults.iter().enumerate() {
-        simulation.schedule(what.start, SimulationEvent::FaultBegins { fault });
+    for (fault, definition) in experiment.faults.iter().enumerate() {
+        simulation.schedule(definition.start, SimulationEvent::FaultBegins { fault });
     }
     simulation.run()?;
-    let counted_s = (experiment.length - simulation.count_traffic_from).as_secs_f64();
+    let counted_s = (experiment.length - simulation.traffic_count_start).as_secs_f64();
     let member_seconds = counted_s * f64::from(count);
     let report = simulation.checker.finish();
     Ok(SimulationOutcome {
@@ -170,12 +181,12 @@
             links: LinkMatrix::new(count),
             rng: ChaCha8Rng::seed_from_u64(seed),
             samples: DatagramSamples::default(),
-            keeps_samples: experiment.resends_datagrams(),
+            records_samples: experiment.resends_datagrams(),
             checker: MembershipChecker::default(),
-            fault_peers: vec![FaultPeers::default(); experiment.faults.len()],
+            affected_by_fault: vec![AffectedBalancers::default(); experiment.faults.len()],
             sent_datagrams: 0,
             sent_bytes: 0,
-            count_traffic_from: COUNT_TRAFFIC_FROM.min(experiment.length / 2),
+            traffic_count_start: TRAFFIC_COUNT_START.min(experiment.length / 2),
         }
     }
 
@@ -186,7 +197,7 @@
 
     fn schedule_starts(&mut self) {
         for member in 0..self.experiment.fleet.balancers {
-            let at = START_WITHIN.mul_f64(self.rng.random::<f64>());
+            let at = START_SPREAD.mul_f64(self.rng.random::<f64>());
             self.schedule(at, SimulationEvent::MemberStarts { member });
         }
     }
@@ -210,12 +221,12 @@
                 SimulationEvent::MemberStarts { member } => self.start(member)?,
                 SimulationEvent::MemberResumes { member } => self.resume(member),
                 SimulationEvent::FaultBegins { fault } => self.begin_fault(fault),
-                SimulationEvent::LinksOpen { fault } => {
-                    let FaultPeers { targets, peers } = &self.fault_peers[fault];
+                SimulationEvent::LinkFaultEnds { fault } => {
+                    let AffectedBalancers { targets, peers } = &self.affected_by_fault[fault];
                     self.links
                         .set_conditions(targets, peers, LinkConditions::default());
                 }
-                SimulationEvent::CorruptedDatagram { fault } => self.inject_corrupted(fault),
+                SimulationEvent::CorruptedDatagramDue { fault } => self.inject_corrupted(fault),
             }
         }
         Ok(())
@@ -229,7 +240,8 @@
         self.record(&EventKind::BalancerState { balancer, state });
     }
 
-    fn start_known(&mut self) -> Result<(), ConfigError> {
+    /// Starts all members, and gives each the identities of the others.
+    fn start_with_known_members(&mut self) -> Result<(), ConfigError> {
         let numbers = 0..self.members.len() as u32;
         numbers.clone().try_for_each(|member| self.start(member))?;
         let identities: Vec<_> = self
@@ -259,7 +271,7 @@
             name: member.name,
             peer: PeerIndex(number as u16),
             peer_count,
-            incarnation: EPOCH_MS + self.now.as_millis() as u64,
+            incarnation: START_UNIX_MS + self.now.as_millis() as u64,
             max_members: 2 * usize::from(peer_count),
             forget_after: self.experiment.membership.unwrap_or_default().retention(),
             seed,
@@ -273,7 +285,7 @@
         Ok(())
     }
 
-    /// Executes the outputs of a state machine, and schedules its timer.
+    /// Executes the outputs of a member's state machine, and schedules its timer.
     pub(super) fn process_outputs(&mut self, number: u32) {
         loop {
             let member = &mut self.members[number as usize];
@@ -317,11 +329,11 @@
     }
 
     fn send(&mut self, from: u32, to: u32, datagram: &[u8]) {
-        if self.now >= self.count_traffic_from {
+        if self.now >= self.traffic_count_start {
             self.sent_datagrams += 1;
             self.sent_bytes += datagram.len() as u64;
         }
-        if self.keeps_samples {
+        if self.records_samples {
             self.samples.add(datagram);
         }
         let condition = self.links.condition(from, to);
@@ -341,7 +353,7 @@
             return;
         }
         if let Some(machine) = &mut member.machine {
-            // The state machine counts the datagrams that it drops.
+            // The error is ignored: the state machine itself counts the datagrams that it drops.
             let _ = machine.handle_datagram(self.now, PeerIndex(from as u16), &datagram);
             self.process_outputs(to);
         }
--- a/lab/src/runs/simulation_faults.rs
+++ b/lab/src/runs/simulation_faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a simulated run.
+//! Injects the faults of an experiment into a simulated run.
 
 use super::simulation::{Simulation, SimulationEvent};
 use crate::experiment::{Fault, FaultKind, Target};
@@ -9,23 +9,24 @@
 use std::time::Duration;
 
 /// Time from the graceful shutdown of a balancer until it is restarted.
-const RESTART_AFTER: Duration = Duration::from_secs(1);
+const RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// The balancers that an occurrence of a fault affects.
+/// The balancers that one occurrence of a fault affects, by number.
 #[derive(Clone, Default)]
-pub(super) struct FaultPeers {
+pub(super) struct AffectedBalancers {
     pub targets: Vec<u32>,
-    /// At the other ends of links.
+    /// Balancers at the other ends of the impaired links; empty if the fault names no peers.
     pub peers: Vec<u32>,
 }
 
 impl Simulation<'_> {
+    /// Injects one occurrence of a fault, and schedules its end and its next occurrence.
     pub(super) fn begin_fault(&mut self, index: usize) {
         let experiment = self.experiment;
         let fault = &experiment.faults[index];
-        let fault_peers = self.choose_peers(fault);
-        let targets = fault_peers.targets.clone();
-        self.fault_peers[index] = fault_peers;
+        let affected = self.choose_affected(fault);
+        let targets = affected.targets.clone();
+        self.affected_by_fault[index] = affected;
         for member in &targets {
             self.apply_to_member(*member, &fault.kind);
         }
@@ -34,10 +35,10 @@
                 conditions,
                 duration,
             } => {
-                let FaultPeers { targets, peers } = &self.fault_peers[index];
+                let AffectedBalancers { targets, peers } = &self.affected_by_fault[index];
                 self.links.set_conditions(targets, peers, *conditions);
                 let end = self.now + *duration;
-                self.schedule(end, SimulationEvent::LinksOpen { fault: index });
+                self.schedule(end, SimulationEvent::LinkFaultEnds { fault: index });
             }
             FaultKind::ReplayDatagrams => self.replay_datagrams(&targets),
             FaultKind::InjectDatagrams { .. } => self.inject_corrupted(index),
@@ -46,7 +47,7 @@
         self.schedule_repetition(index, fault);
     }
 
-    fn choose_peers(&mut self, fault: &Fault) -> FaultPeers {
+    fn choose_affected(&mut self, fault: &Fault) -> AffectedBalancers {
         let count = self.experiment.fleet.balancers;
         let targets = choose_balancers(&fault.target, count, &mut self.rng);
         let peers = match &fault.peer {
@@ -56,10 +57,10 @@
             Some(peer) => choose_balancers(peer, count, &mut self.rng),
             None => Vec::new(),
         };
-        FaultPeers { targets, peers }
+        AffectedBalancers { targets, peers }
     }
 
-    /// What a fault does to one member's process.
+    /// Applies a fault of processes to one member; ignores faults of links and datagrams.
     fn apply_to_member(&mut self, number: u32, kind: &FaultKind) {
         match kind {
             FaultKind::Kill {
@@ -94,7 +95,7 @@
             self.process_outputs(number);
         }
         self.members[number as usize].machine = None;
-        let at = self.now + RESTART_AFTER;
+        let at = self.now + RESTART_DELAY;
         self.schedule(at, SimulationEvent::MemberStarts { member: number });
     }
 
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Sends the first datagrams that passed once more, in the name of some to all.
+    /// Delivers the recorded datagrams again, from each of `senders` to each other member.
     fn replay_datagrams(&mut self, senders: &[u32]) {
         for datagram in self.samples.all().to_vec() {
             for to in 0..self.experiment.fleet.balancers {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Sends one corrupted datagram, and schedules the next.
+    /// Delivers one corrupted datagram, and schedules the next one until the fault ends.
     pub(super) fn inject_corrupted(&mut self, index: usize) {
         let fault = &self.experiment.faults[index];
         let FaultKind::InjectDatagrams {
@@ -128,7 +129,7 @@
         else {
             return;
         };
-        let senders = &self.fault_peers[index].targets;
+        let senders = &self.affected_by_fault[index].targets;
         if senders.is_empty() || self.now >= fault.start + duration {
             return;
         }
@@ -139,7 +140,7 @@
             self.on_datagram(to, from, datagram);
         }
         let at = self.now + Duration::from_secs_f64(1.0 / rate_per_s);
-        self.schedule(at, SimulationEvent::CorruptedDatagram { fault: index });
+        self.schedule(at, SimulationEvent::CorruptedDatagramDue { fault: index });
     }
 
     fn schedule_repetition(&mut self, index: usize, fault: &Fault) {
