--- a/lab/src/runs/test_bed.rs
+++ b/lab/src/runs/test_bed.rs
@@ -1,5 +1,4 @@
-//! The test bed of a run: the stand-ins, the links and the balancers, from the first process to the
-//! last.
+//! The test bed of a run: starts and stops the stand-ins, the links and the balancers.
 
 use super::experiment_run::RunOptions;
 use crate::balancers::{BalancerProcesses, RunContext};
@@ -22,25 +21,25 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// Balancers that are started at a time.
-const MAX_STARTING: usize = 16;
-/// Events of one run: each needs some 100 bytes of memory.
+/// Maximum number of balancers that are starting at the same time.
+const MAX_CONCURRENT_STARTS: usize = 16;
+/// Maximum number of recorded events of a run; each takes about 100 bytes of memory.
 const MAX_EVENTS: usize = 20_000_000;
-/// Descriptors that the lab needs in addition to those it counts.
+/// Allowance for the file descriptors of the lab that are not counted one by one.
 const OTHER_DESCRIPTORS: u64 = 200;
-/// Descriptors of each balancer: its pipes, log and configuration.
+/// File descriptors of the lab for each balancer process: its pipes, log and configuration.
 const DESCRIPTORS_PER_BALANCER: u64 = 4;
-/// Client connections for each request a second.
-const CONNECTIONS_PER_RATE: f64 = 2.0;
+/// Client connections for each request per second of the load.
+const CONNECTIONS_PER_REQUEST_RATE: f64 = 2.0;
 
-/// The environment of the balancers.
+/// The stand-ins, the links and the guard, all of which exist before the balancers start.
 struct StandIns {
     experiment: Arc<Experiment>,
     history: Arc<History>,
     guard: Option<Arc<Guard>>,
     upstreams: Arc<Upstreams>,
     discovery: Arc<DiscoveryService>,
-    /// By balancer, where it reaches the discovery service.
+    /// Address at which each balancer reaches the discovery service, by the balancer's number.
     discovery_addresses: Vec<SocketAddr>,
     links: Arc<Links>,
     peer_links: Option<Arc<PeerLinks>>,
@@ -48,7 +47,8 @@
 }
 
 impl StandIns {
-    /// Starts all but the clients; all upstreams are listed when it returns.
+    /// Starts the guard, the registry, the discovery service, the upstreams and the peer links. All
+    /// upstreams are on the endpoint list when it returns.
     async fn start(experiment: Experiment, options: &RunOptions) -> Result<Self, LabError> {
         let experiment = Arc::new(experiment);
         let history = Arc::new(History::new(MAX_EVENTS));
@@ -100,12 +100,12 @@
     discovery: Arc<DiscoveryService>,
     links: Arc<Links>,
     peer_links: Option<Arc<PeerLinks>>,
-    /// Everything that is aborted at the end.
+    /// Background tasks, which are aborted when the run stops.
     tasks: JoinSet<()>,
 }
 
 impl TestBed {
-    /// Starts the stand-ins and the balancers; all of them serve when it returns.
+    /// Starts the stand-ins and the balancers; all of them accept requests when it returns.
     pub async fn start(experiment: Experiment, options: &RunOptions) -> Result<Self, LabError> {
         check_descriptor_limit(&experiment)?;
         let created = tokio::fs::create_dir_all(&options.dir).await;
@@ -165,7 +165,7 @@
         })
     }
 
-    /// Starts the clock, the samples of load, and the faults.
+    /// Starts the clock of the run, the sampling of the upstreams' load, and the fault injector.
     pub fn begin(&mut self) {
         self.history.start_clock();
         self.tasks.spawn(Arc::clone(&self.upstreams).sample_load());
@@ -182,14 +182,15 @@
         self.tasks.spawn(injector.run());
     }
 
-    /// What balancers have sent to each other, where they have membership.
+    /// Returns the datagrams that the balancers have sent to each other; `None` if the experiment
+    /// has no membership.
     pub fn peer_traffic(&self) -> Option<Traffic> {
         self.peer_links
             .as_ref()
             .map(|peer_links| peer_links.traffic())
     }
 
-    /// Ends all processes.
+    /// Stops the background tasks, the balancers and the registry.
     pub async fn stop(&mut self) {
         self.tasks.abort_all();
         shut_down_all(&self.balancers, self.experiment.fleet.balancers).await;
@@ -210,7 +211,7 @@
     Ok(Some(Arc::new(guard)))
 }
 
-/// Starts the real registry, where the experiment has one.
+/// Starts the real registry; returns `None` if the experiment has none.
 async fn start_registry(
     experiment: &Experiment,
     options: &RunOptions,
@@ -226,7 +227,8 @@
     Ok(Some(Registrations::new(registry, settings.lease())))
 }
 
-/// Serves the list to each balancer, at the returned addresses.
+/// Serves the endpoint list to each balancer at an address of its own; returns the addresses by
+/// balancer number.
 async fn serve_discovery(
     experiment: &Experiment,
     discovery: &Arc<DiscoveryService>,
@@ -244,7 +246,8 @@
     Ok(addresses)
 }
 
-/// Binds and relays the links between balancers, where they have membership.
+/// Binds the links between the balancers and starts their relays; returns `None` if the experiment
+/// has no membership.
 async fn bind_peer_links(
     experiment: &Experiment,
     seed: u64,
@@ -263,7 +266,7 @@
 async fn start_all(balancers: &Arc<BalancerProcesses>, count: u32) -> Result<(), LabError> {
     let mut starting = JoinSet::new();
     for number in 0..count {
-        if starting.len() >= MAX_STARTING
+        if starting.len() >= MAX_CONCURRENT_STARTS
             && let Some(Ok(started)) = starting.join_next().await
         {
             started?;
@@ -288,7 +291,7 @@
     while stopping.join_next().await.is_some() {}
 }
 
-/// Checks that the run may open as many files as it needs.
+/// Checks that the limit on open file descriptors is high enough for the run.
 fn check_descriptor_limit(experiment: &Experiment) -> Result<(), LabError> {
     let needed = needed_descriptors(experiment);
     let limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
@@ -299,8 +302,9 @@
     }
 }
 
-/// A listener and a connection for each pair of a balancer and an upstream, those of clients and of
-/// peers, and those of each balancer.
+/// Estimates the file descriptors that the lab needs. Each pair of a balancer and an upstream needs
+/// a listener and a connection, and one more where upstreams are replaced. The connections of
+/// clients, the sockets between peers and the descriptors of each balancer process are added.
 fn needed_descriptors(experiment: &Experiment) -> u64 {
     let fleet = &experiment.fleet;
     let pairs = u64::from(fleet.balancers) * u64::from(fleet.upstreams);
@@ -309,7 +313,7 @@
     } else {
         2
     };
-    let clients = (experiment.load.rate_per_s * CONNECTIONS_PER_RATE) as u64;
+    let clients = (experiment.load.rate_per_s * CONNECTIONS_PER_REQUEST_RATE) as u64;
     let peers = experiment
         .membership
         .map_or(0, |_| PeerLinks::socket_count(fleet.balancers));
