--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -54,7 +54,8 @@
     pub elapsed: Duration,
     /// Status of each balancer, in the order of their numbers.
     pub balancers: Vec<BalancerStatus>,
-    /// Status of each upstream that has not been removed, in the order of their numbers.
+    /// Status of each upstream in the order of their numbers, except replaced ones that no longer
+    /// listen.
     pub upstreams: Vec<UpstreamStatus>,
 }
 
--- a/lab/src/runs/outcome.rs
+++ b/lab/src/runs/outcome.rs
@@ -10,8 +10,8 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// Limit on the 99th percentile of the delay with which the lab sends requests, in ms. The latencies
-/// of a run with a higher value would be those of the lab rather than of the balancers.
+/// Limit on the 99th percentile of the delay with which the lab sends requests, in ms. A run
+/// with a higher value is invalid: its figures describe the lab rather than the balancers.
 const MAX_LATENESS_MS: f64 = 20.0;
 /// Lowest ratio of the share of requests served in time after the faults to the share before them
 /// at which the service counts as recovered.
@@ -113,7 +113,7 @@
 }
 
 impl RunOutcome {
-    /// Returns whether the run is valid, breaks no rule and meets all expectations.
+    /// Returns whether the run is valid, breaks no rule and satisfies all expectations.
     pub fn is_good(&self) -> bool {
         self.void_reason.is_none()
             && self.violations.is_empty()
@@ -121,7 +121,7 @@
     }
 }
 
-/// Returns a description of each expectation of the experiment that the run does not meet.
+/// Returns a description of each expectation of the experiment that the run does not satisfy.
 pub(super) fn missed_expectations(
     experiment: &Experiment,
     figures: &Figures,
--- a/lab/src/runs/registry_writer.rs
+++ b/lab/src/runs/registry_writer.rs
@@ -24,7 +24,8 @@
     upstreams: Vec<u32>,
     /// Time between two changes of this writer.
     interval: Duration,
-    /// Weight of the next change; shared by all writers, so that each change sets a different weight.
+    /// Weight of the next change; shared by all writers, so that each change sets a different
+    /// weight.
     next_weight: Arc<AtomicU64>,
     rng: ChaCha8Rng,
 }
--- a/lab/src/runs/test_bed.rs
+++ b/lab/src/runs/test_bed.rs
@@ -105,7 +105,7 @@
 }
 
 impl TestBed {
-    /// Starts the stand-ins and the balancers; all of them accept requests when it returns.
+    /// Starts all processes and stand-ins of a run; all servers accept requests when it returns.
     pub async fn start(experiment: Experiment, options: &RunOptions) -> Result<Self, LabError> {
         check_descriptor_limit(&experiment)?;
         let created = tokio::fs::create_dir_all(&options.dir).await;
@@ -227,7 +227,7 @@
     Ok(Some(Registrations::new(registry, settings.lease())))
 }
 
-/// Serves the endpoint list to each balancer at an address of its own; returns the addresses by
+/// Serves the endpoint list to each balancer at a separate address; returns the addresses by
 /// balancer number.
 async fn serve_discovery(
     experiment: &Experiment,
