--- a/lab/src/standins/balancer_pool.rs
+++ b/lab/src/standins/balancer_pool.rs
@@ -1,4 +1,4 @@
-//! The balancers as clients reach them: their addresses, and idle connections to them.
+//! The clients' view of the balancers: their addresses, and a pool of idle connections to them.
 
 use crate::sync::lock;
 use bytes::Bytes;
@@ -13,15 +13,16 @@
 /// A balancer that clients can send to.
 #[derive(Clone, Copy, Debug)]
 pub struct Destination {
-    /// Its number.
+    /// Number of the balancer.
     pub balancer: u32,
-    /// Its address.
+    /// Address on which the balancer accepts client connections.
     pub address: SocketAddr,
 }
 
 #[derive(Default)]
 struct PoolEntry {
-    /// Its address, as far as clients know: a dead balancer is still sent to for a while.
+    /// Address that clients use; `None` if they send it no requests. A dead balancer keeps its
+    /// address until clients have noticed its failure.
     address: Option<SocketAddr>,
     idle: Vec<ClientConnection>,
     response_count: u64,
@@ -33,7 +34,7 @@
 }
 
 impl BalancerPool {
-    /// A pool of so many balancers, none of which has an address yet.
+    /// Creates a pool for `balancers` balancers, none of which has an address yet.
     pub fn new(balancers: u32) -> Self {
         Self {
             entries: (0..balancers).map(|_| Mutex::default()).collect(),
@@ -45,7 +46,8 @@
         Some(lock(entry))
     }
 
-    /// Sets a balancer's address; with `None` it is not sent to any more.
+    /// Sets a balancer's address; with `None`, clients stop sending to it. Closes its idle
+    /// connections if the address changes.
     pub fn set_address(&self, balancer: u32, address: Option<SocketAddr>) {
         if let Some(mut entry) = self.entry(balancer)
             && entry.address != address
@@ -55,24 +57,25 @@
         }
     }
 
-    /// Removes a balancer, unless it has another address by now.
+    /// Removes a balancer's address if it is still `address`; a restarted balancer has another one.
     pub fn remove_address(&self, balancer: u32, address: Option<SocketAddr>) {
         if self.address(balancer) == address {
             self.set_address(balancer, None);
         }
     }
 
-    /// A balancer's address.
+    /// Returns the address that clients use for a balancer; `None` if they do not send to it.
     pub fn address(&self, balancer: u32) -> Option<SocketAddr> {
         self.entry(balancer)?.address
     }
 
-    /// How many responses clients have had from a balancer.
+    /// Returns the number of responses that clients have received from a balancer.
     pub fn response_count(&self, balancer: u32) -> u64 {
         self.entry(balancer).map_or(0, |entry| entry.response_count)
     }
 
-    /// The balancer that a random number falls on, or the next one that has an address.
+    /// Chooses the balancer at index `random` modulo the number of balancers, or the next one that
+    /// has an address; returns `None` if none has.
     pub(super) fn choose(&self, random: u64) -> Option<Destination> {
         let count = self.entries.len() as u64;
         (0..count)
@@ -85,7 +88,7 @@
             })
     }
 
-    /// An idle connection to a balancer.
+    /// Takes an idle connection to a balancer out of the pool; returns `None` if there is none.
     pub(super) fn take_idle(&self, to: Destination) -> Option<ClientConnection> {
         let mut entry = self.entry(to.balancer)?;
         if entry.address != Some(to.address) {
@@ -99,7 +102,8 @@
         None
     }
 
-    /// Returns a connection to the pool after a response.
+    /// Counts a response, and returns its connection to the pool unless the balancer's address has
+    /// changed.
     pub(super) fn return_idle(&self, to: Destination, connection: ClientConnection) {
         if let Some(mut entry) = self.entry(to.balancer) {
             entry.response_count += 1;
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -1,5 +1,9 @@
-//! The stand-ins of clients: an open loop over the drawn arrivals, each with its retries. A request
-//! that is sent late is not compensated for: its latency counts from when it was due.
+//! Stand-in clients: send each request when it is due, whether or not earlier ones have ended (an
+//! open loop), and retry it.
+//!
+//! The lab may start a request late. The deadline still counts from when the request was due, so
+//! that the request has less time; its latency counts from the `RequestDue` event, which is
+//! recorded when it is started.
 
 use super::balancer_pool::{BalancerPool, ClientConnection, Destination};
 use super::load::Arrival;
@@ -25,13 +29,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// The least time left for another attempt.
+/// Minimum time that an attempt must have for its response; with less, the request gets no further
+/// attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
-/// Requests that are due and not yet started: more mean a lab that is late.
+/// Maximum number of requests that are due and not yet started. When it is reached, later requests
+/// wait and are sent late.
 const MAX_DUE_REQUESTS: usize = 1024;
-/// How long a connection to a balancer may take.
+/// Timeout for connecting to a balancer; also how long an attempt waits if none has an address.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The name of the service in the requests.
+/// Value of the `host` header of the requests.
 const SERVICE_HOST: &str = "app.svc";
 
 /// A request that is due.
@@ -49,14 +55,14 @@
     retry: u8,
     arrival: &'a Arrival,
     class: &'a Class,
-    /// How long the client waits.
+    /// Time for which the client waits for the response; also sent to the balancer.
     time_left: Duration,
     deadline: Instant,
-    /// Chooses the balancer.
+    /// Random number that chooses the balancer.
     random: u64,
 }
 
-/// What a response means for the client.
+/// The outcome of a response for the client, which decides whether it retries.
 enum ResponseOutcome {
     Served,
     Rejected { retry_after: Option<Duration> },
@@ -89,7 +95,7 @@
 /// How an exchange on one connection ended.
 enum Exchange {
     Completed(Parts),
-    /// The balancer closed an idle connection before it read the request.
+    /// The balancer closed a reused connection before it responded.
     StaleConnection,
     Failed(AttemptFailure),
 }
@@ -100,11 +106,12 @@
     history: Arc<History>,
     pool: Arc<BalancerPool>,
     links: Arc<Links>,
+    /// Delays between when requests were due and when they were started, in microseconds.
     lateness: Mutex<LatencyHistogram>,
 }
 
 impl Clients {
-    /// Clients of a pool of balancers.
+    /// Creates the clients, which send to the balancers of `pool`.
     pub fn new(
         experiment: Arc<Experiment>,
         history: Arc<History>,
@@ -120,27 +127,28 @@
         })
     }
 
-    /// How late requests were sent, in microseconds.
+    /// Returns the delays between when requests were due and when they were started, in
+    /// microseconds.
     pub fn lateness(&self) -> LatencyHistogram {
         lock(&self.lateness).clone()
     }
 
-    /// Sends each request when it is due; returns when the last client has finished. Dropped, all
-    /// end.
+    /// Sends each request when it is due, and returns when all requests have ended. Dropping the
+    /// future aborts all requests.
     pub async fn run(self: Arc<Self>, arrivals: Vec<Arrival>) {
         let (sender, mut due_requests) = mpsc::channel(MAX_DUE_REQUESTS);
         let start = self.history.instant_at(0.0).into_std();
-        // A thread of its own: the runtime's timers are accurate to a millisecond or two only.
+        // A separate thread, because the runtime's timers are accurate to only 1 or 2 ms.
         tokio::task::spawn_blocking(move || dispatch_when_due(arrivals, start, &sender));
-        let mut open = JoinSet::new();
+        let mut in_flight = JoinSet::new();
         while let Some(due_request) = due_requests.recv().await {
-            open.spawn(Arc::clone(&self).run_request(due_request));
-            while open.try_join_next().is_some() {}
+            in_flight.spawn(Arc::clone(&self).run_request(due_request));
+            while in_flight.try_join_next().is_some() {}
         }
-        while open.join_next().await.is_some() {}
+        while in_flight.join_next().await.is_some() {}
     }
 
-    /// One request with its retries.
+    /// Sends one request, and retries it until it is served or no further attempt is allowed.
     async fn run_request(self: Arc<Self>, request: DueRequest) {
         let DueRequest {
             number,
@@ -183,7 +191,8 @@
                 Some(ResponseOutcome::Rejected { retry_after }) => {
                     retry_after.filter(|_| arrival.honors_retry_after)
                 }
-                // A request that must not run twice may have run: the client does not retry it.
+                // Without a rejection the request may have been processed, so an at-most-once
+                // request is not retried.
                 _ if class.idempotence == Idempotence::AtMostOnce => return,
                 Some(ResponseOutcome::Failed) | None => None,
             };
@@ -199,7 +208,7 @@
         lateness.saturating_record(late_us.max(1));
     }
 
-    /// One attempt; `None`: no response.
+    /// Makes one attempt; returns `None` if it gets no response.
     async fn run_attempt(&self, attempt: &Attempt<'_>) -> Option<ResponseOutcome> {
         let Some(to) = self.pool.choose(attempt.random) else {
             sleep_until(attempt.deadline.min(Instant::now() + CONNECT_TIMEOUT)).await;
@@ -240,7 +249,8 @@
         }
     }
 
-    /// A new connection, before the attempt's deadline.
+    /// Opens a connection to a balancer; records a failed attempt if it is not open by the
+    /// attempt's deadline.
     async fn connect(
         &self,
         attempt: &Attempt<'_>,
@@ -303,7 +313,8 @@
     }
 }
 
-/// Sends each arrival to the receiver when it is due, until all are sent or it is closed.
+/// Sends each arrival over the channel when it is due, until all are sent or the receiver is
+/// dropped.
 fn dispatch_when_due(
     arrivals: Vec<Arrival>,
     start: std::time::Instant,
@@ -348,7 +359,7 @@
     };
     match timeout_at(deadline, response).await {
         Err(_) => Exchange::Failed(AttemptFailure::TimedOut),
-        // A balancer may close an idle connection: the request is sent once more on a new one.
+        // The balancer may have closed the idle connection: the request is sent again on a new one.
         Ok(Err(e)) if is_reused && is_closed_before_response(&e) => Exchange::StaleConnection,
         Ok(Err(_)) => Exchange::Failed(AttemptFailure::ConnectionClosed),
         Ok(Ok(response)) => Exchange::Completed(response),
--- a/lab/src/standins/mod.rs
+++ b/lab/src/standins/mod.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for the environment of the balancers: clients with their load, upstreams, the
-//! discovery service, and the registration of upstreams with a real registry.
+//! Stand-ins for the processes that surround the balancers: the clients and their load, the
+//! upstreams, and the discovery service. An experiment can use a real registry instead of the
+//! discovery service; the stand-in upstreams then register with it.
 
 pub mod balancer_pool;
 pub mod clients;
