--- a/lab/src/standins/load.rs
+++ b/lab/src/standins/load.rs
@@ -1,28 +1,30 @@
-//! The load: arrivals with their classes and tenants, drawn before the run.
+//! The load of a run: all requests with their times, classes and tenants, drawn before the run.
 
 use crate::experiment::Experiment;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::f64::consts::TAU;
 
-/// A client's request, as drawn.
+/// A client's request, as drawn before the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Seconds from the start of the load.
+    /// Time when it is due, in seconds from the start of the load.
     pub at_s: f64,
-    /// Index of its class.
+    /// Index of its class in the experiment.
     pub class: u16,
-    /// Index of its tenant.
+    /// Index of its tenant in the experiment.
     pub tenant: u16,
-    /// The key that it concerns.
+    /// Key that it concerns, from 0; sent as the user in the cookie.
     pub key: u32,
-    /// Whether the client complies with `Retry-After`.
+    /// Whether the client waits for the time in `Retry-After` before it retries.
     pub honors_retry_after: bool,
-    /// Seed of its own draws: which balancers it is sent to, and how long it waits before a retry.
+    /// Seed of the draws during the run: the balancer of each attempt, and the backoff before each
+    /// retry.
     pub seed: u64,
 }
 
-/// The load of an experiment: a Poisson process whose rate varies, by thinning (Lewis and Shedler).
+/// Draws the load of an experiment: a Poisson process whose rate varies as a sine, by the thinning
+/// method of Lewis and Shedler.
 pub fn draw_load(experiment: &Experiment, seed: u64) -> Vec<Arrival> {
     let load = &experiment.load;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -39,7 +41,7 @@
         let thinning = rng.random::<f64>();
         let class = rng.random::<f64>();
         let tenant = rng.random::<f64>();
-        // A few keys are far more popular than the rest.
+        // The exponential of a uniform draw makes a few low keys far more frequent than the rest.
         let key = (f64::from(load.key_count).powf(rng.random::<f64>()) - 1.0) as u32;
         let honors_retry_after = rng.random::<f64>() < load.retry_after_compliance;
         let seed = rng.random();
@@ -58,7 +60,8 @@
     }
 }
 
-/// The index that a number between 0 and 1 falls on.
+/// Returns the index of the share that contains `position` (from 0 to 1) when the shares are laid
+/// end to end from 0.
 fn pick(mut position: f64, shares: impl Iterator<Item = f64>) -> u16 {
     let mut last = 0;
     for (index, share) in shares.enumerate() {
