--- a/lab/src/standins/discovery.rs
+++ b/lab/src/standins/discovery.rs
@@ -1,5 +1,7 @@
-//! The stand-in of the discovery service: the endpoint list, and a watch on its changes, to each
-//! balancer at an address of its own. With a real registry behind it, it forwards to that one.
+//! The stand-in for the discovery service: serves the endpoint list and watches on its changes.
+//!
+//! Each balancer reaches it at a separate address. In an experiment with a real registry, it
+//! registers the upstreams there and forwards the balancers' calls to it.
 
 use super::forwarding::Forwarder;
 use super::registration::Registrations;
@@ -23,43 +25,47 @@
 use tokio::time::{sleep, timeout};
 use tokio_stream::wrappers::ReceiverStream;
 
-/// How often a watch without changes sends an empty line.
+/// Interval at which a watch without changes sends an empty line as a heartbeat. A watcher that
+/// does not accept a line within this time is disconnected.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Changes that a watch without heartbeats misses count as notified after this.
-const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
-/// Lines that a watcher may be behind.
+/// Time after which a change counts as notified to a balancer whose link to the discovery service
+/// is cut, so that its watch gets neither changes nor heartbeats.
+const NOTIFIED_AFTER_CUT: Duration = Duration::from_secs(6);
+/// Maximum number of lines of a watch that wait to be sent to a balancer.
 pub(super) const MAX_PENDING_LINES: usize = 16;
-/// The path of the list.
+/// Path at which the endpoint list is read and watched.
 const LIST_PATH: &str = "/registry/instances";
 
-/// The body of a response.
+/// The body of a response to a balancer, complete or streamed.
 pub(super) type ResponseBody = BoxBody<Bytes, io::Error>;
-/// A line of a watch on its way to a balancer.
+/// A line of a watch for a balancer; an error truncates the response.
 pub(super) type WatchLine = Result<Frame<Bytes>, io::Error>;
 
-/// An entry of the list.
+/// An upstream's entry in the endpoint list.
 pub(super) struct Entry {
     state: EndpointState,
     boot_ms: u64,
-    /// By balancer.
+    /// Address at which each balancer reaches the upstream, by the balancer's number.
     pub(super) endpoints: Arc<Vec<SocketAddr>>,
-    /// The revision of its last change.
+    /// Revision of the list at the entry's last change; 0 if a real registry has the list.
     revision: u64,
 }
 
-/// The endpoint list, and who watches it.
+/// The endpoint list, served to balancers.
 pub struct DiscoveryService {
     pub(super) history: Arc<History>,
     links: Arc<Links>,
     entries: Mutex<BTreeMap<u32, Entry>>,
     revision: watch::Sender<u64>,
     is_available: watch::Sender<bool>,
-    /// Where a real registry has the list.
+    /// Registrations of the upstreams with a real registry; `None` if the stand-in serves its own
+    /// list.
     registrations: Option<Arc<Registrations>>,
 }
 
 impl DiscoveryService {
-    /// An empty list.
+    /// Creates the service with an empty list. With `registrations`, the list is that of a real
+    /// registry.
     pub fn new(
         history: Arc<History>,
         links: Arc<Links>,
@@ -79,7 +85,7 @@
         lock(&self.entries)
     }
 
-    /// Sets the state of an upstream.
+    /// Sets the state of an upstream in the list, or announces it to the real registry.
     pub fn update_endpoint(
         &self,
         upstream: u32,
@@ -118,8 +124,8 @@
         registrations.announce(upstream, state, boot_ms);
     }
 
-    /// An upstream has crashed. With a real registry it stops announcing itself and its lease
-    /// expires; returns whether there is one.
+    /// Stops the announcements of a crashed upstream to the real registry, so that its lease
+    /// expires; returns whether there is a real registry.
     pub fn stop_announcing(&self, upstream: u32) -> bool {
         self.registrations
             .as_ref()
@@ -127,22 +133,26 @@
             .is_some()
     }
 
-    /// The upstreams' registrations with a real registry, where there is one.
+    /// Returns the upstreams' registrations with the real registry; `None` if there is no real
+    /// registry.
     pub fn registrations(&self) -> Option<&Arc<Registrations>> {
         self.registrations.as_ref()
     }
 
-    /// Makes the service available, or closes all its connections, new ones included.
+    /// Makes the service available or unavailable. While it is unavailable, it closes all open and
+    /// new connections.
     pub fn set_available(&self, is_available: bool) {
         self.is_available.send_replace(is_available);
     }
 
-    /// The complete list as one balancer gets it.
+    /// Returns the complete list as JSON, with the endpoints at which one balancer reaches the
+    /// upstreams.
     pub fn snapshot_text(&self, balancer: u32) -> String {
         self.list_text(balancer, None)
     }
 
-    /// The list as one balancer gets it, or what of it is newer than a revision.
+    /// Returns the list for one balancer as JSON: without `since` all listed upstreams, else the
+    /// entries that changed after that revision.
     fn list_text(&self, balancer: u32, since: Option<u64>) -> String {
         let entries = self.entries();
         let revision = *self.revision.borrow();
@@ -165,8 +175,8 @@
         serde_json::json!({"rev": revision, "all": since.is_none(), "targets": targets}).to_string()
     }
 
-    /// Records what a balancer is notified of: now, or where its watch is cut, once that counts as
-    /// notified all the same.
+    /// Records that a balancer is notified of the changes after `since`. While the link to the
+    /// balancer is cut, records it after [`NOTIFIED_AFTER_CUT`].
     fn record_notified(self: &Arc<Self>, balancer: u32, since: Option<u64>) {
         if !self
             .links
@@ -178,7 +188,7 @@
         }
         let discovery = Arc::clone(self);
         tokio::spawn(async move {
-            sleep(NOTIFIED_AFTER_SILENCE).await;
+            sleep(NOTIFIED_AFTER_CUT).await;
             discovery.record_notified_now(balancer, since);
         });
     }
@@ -196,7 +206,7 @@
         }
     }
 
-    /// Serves one balancer at its address for as long as the run lasts.
+    /// Accepts the connections of one balancer until the listener fails or the task is aborted.
     pub async fn serve(self: Arc<Self>, balancer: u32, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             self.history.record(EventKind::DiscoveryCalled { balancer });
@@ -269,7 +279,7 @@
         Response::new(BodyExt::boxed(StreamBody::new(ReceiverStream::new(body))))
     }
 
-    /// Sends the list, or what is newer than a revision, and then each change of it.
+    /// Sends the complete list, or the changes after `since`, and then each later change.
     async fn stream_changes(
         self: Arc<Self>,
         balancer: u32,
@@ -285,7 +295,7 @@
                 false => self.list_text(balancer, since),
             };
             let frame = Ok(Frame::data(format!("{line}\n").into()));
-            // A watcher that does not read is dropped.
+            // Disconnects a watcher that does not read.
             if lines
                 .send_timeout(frame, KEEP_ALIVE_INTERVAL)
                 .await
--- a/lab/src/standins/forwarding.rs
+++ b/lab/src/standins/forwarding.rs
@@ -1,5 +1,7 @@
-//! Calls of a balancer that are forwarded to a real registry: the responses name the endpoints at
-//! which this balancer reaches the upstreams, and what they notify it of is recorded.
+//! Forwards the discovery calls of a balancer to a real registry.
+//!
+//! In each response, the endpoints are replaced by those at which the balancer reaches the
+//! upstreams, and the states that the response notifies the balancer of are recorded.
 
 use super::discovery::{
     DiscoveryService, Entry, MAX_PENDING_LINES, ResponseBody, WatchLine, full_body,
@@ -17,7 +19,7 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 
-/// Forwards the calls of one balancer.
+/// Forwards the calls of one balancer to a registry.
 pub(super) struct Forwarder {
     discovery: Arc<DiscoveryService>,
     balancer: u32,
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Forwards a call and its response.
+    /// Forwards a call to the registry, and its response to the balancer.
     pub(super) async fn forward(
         self,
         request: &Request<Incoming>,
@@ -62,7 +64,7 @@
         Ok(response)
     }
 
-    /// Forwards the lines of a watch until it ends.
+    /// Forwards the lines of a watch until the registry or the balancer ends it.
     async fn forward_watch(self, mut body: Incoming, lines: mpsc::Sender<WatchLine>) {
         let mut pending = BytesMut::new();
         while let Some(Ok(frame)) = body.frame().await {
@@ -79,11 +81,12 @@
                 }
             }
         }
-        // The watch has ended there: it ends here as one that is truncated.
+        // The registry has ended the watch: the error truncates the response to the balancer.
         let _ = lines.send(Err(no_response())).await;
     }
 
-    /// Rewrites a text of the registry for the balancer, and records its notifications.
+    /// Replaces the endpoints in a list or a line of a watch, and records the states in it. Text
+    /// that is not JSON, such as the empty line of a heartbeat, is returned trimmed.
     fn rewrite(&self, text: &[u8]) -> Bytes {
         let Ok(mut list) = serde_json::from_slice::<serde_json::Value>(text) else {
             return Bytes::copy_from_slice(text.trim_ascii());
@@ -121,5 +124,5 @@
 }
 
 fn no_response() -> io::Error {
-    io::Error::other("the list service does not answer")
+    io::Error::other("no complete response from the registry")
 }
