--- a/lab/src/standins/registration.rs
+++ b/lab/src/standins/registration.rs
@@ -1,5 +1,5 @@
-//! The registration of stand-in upstreams with a real registry: each announces its state until the
-//! registry has acknowledged it, and renews its lease.
+//! The registration of stand-in upstreams with a real registry: each upstream sends its state until
+//! the registry has acknowledged it, and renews its lease while it is ready.
 
 use super::registry_process::RegistryProcess;
 use crate::history::EndpointState;
@@ -13,23 +13,23 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Before a call that failed is made again.
+/// Time before a failed call is repeated.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// A lease is renewed after this part of it.
+/// Number of renewals during one lease.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Number of leases for which a drained upstream makes no call.
+/// Time without a call after the registry has acknowledged a drain, in leases.
 const LEASES_AFTER_DRAIN: u32 = 100;
 
-/// What an upstream announces.
+/// The state that an upstream announces to the registry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Announcement {
-    /// Nothing yet, or nothing any more.
+    /// The upstream makes no calls: it is not ready yet, has crashed, or has been removed.
     Nothing,
     Ready {
         boot_ms: u64,
     },
     Draining,
-    Leaving,
+    Removed,
 }
 
 /// A call to the registry.
@@ -40,22 +40,23 @@
 }
 
 /// What an upstream does after a call.
-enum Next {
-    /// It makes the next call after so long, or when its announcement changes.
+enum NextStep {
+    /// Makes the next call after this time, or as soon as its announcement changes.
     Wait(Duration),
-    /// It has left.
-    Left,
+    /// Makes no more calls, because the registry has removed it from the list.
+    Stop,
 }
 
-/// The upstreams that register with a registry.
+/// The registrations of all upstreams of a run with a real registry.
 pub struct Registrations {
     registry: Arc<RegistryProcess>,
     lease: Duration,
+    /// Current announcement of each upstream, by its number.
     announcements: Mutex<Vec<watch::Sender<Announcement>>>,
 }
 
 impl Registrations {
-    /// None yet.
+    /// Creates registrations without upstreams. `lease` is the duration of each upstream's lease.
     pub fn new(registry: Arc<RegistryProcess>, lease: Duration) -> Arc<Self> {
         Arc::new(Self {
             registry,
@@ -64,12 +65,13 @@
         })
     }
 
-    /// The registry.
+    /// Returns the registry that the upstreams register with.
     pub fn registry(&self) -> &Arc<RegistryProcess> {
         &self.registry
     }
 
-    /// Adds an upstream that announces nothing yet.
+    /// Adds an upstream, which makes no calls until [`announce`](Self::announce). Upstreams are
+    /// added in the order of their numbers.
     pub fn add(self: &Arc<Self>, upstream: u32, endpoint: SocketAddr) {
         let (sender, receiver) = watch::channel(Announcement::Nothing);
         lock(&self.announcements).push(sender);
@@ -82,17 +84,18 @@
         tokio::spawn(registration.run(receiver));
     }
 
-    /// Sets the state that an upstream announces from now on.
+    /// Sets the state that an upstream announces from now on; `boot_ms` is the Unix time of its
+    /// start in milliseconds.
     pub fn announce(&self, upstream: u32, state: EndpointState, boot_ms: u64) {
         let announcement = match state {
             EndpointState::Ready => Announcement::Ready { boot_ms },
             EndpointState::Terminating => Announcement::Draining,
-            EndpointState::Removed => Announcement::Leaving,
+            EndpointState::Removed => Announcement::Removed,
         };
         self.set(upstream, announcement);
     }
 
-    /// Makes an upstream announce nothing any more.
+    /// Stops the calls of an upstream, so that its lease expires.
     pub fn stop(&self, upstream: u32) {
         self.set(upstream, Announcement::Nothing);
     }
@@ -105,12 +108,13 @@
     }
 }
 
-/// The registration of one upstream.
+/// The task that registers one upstream.
 struct Registration {
     registrations: Arc<Registrations>,
     upstream: u32,
     endpoint: SocketAddr,
-    /// The start that the registry knows.
+    /// `boot_ms` of the registration that the registry has acknowledged; `None` before the first
+    /// and after it was lost.
     registered_boot_ms: Option<u64>,
 }
 
@@ -135,15 +139,15 @@
             let response = call(address, method, &target, body).await;
             let status = response.ok().map(|response| response.status);
             match self.on_response(announcement, status) {
-                Next::Left => self.registrations.set(self.upstream, Announcement::Nothing),
-                Next::Wait(wait) => {
+                NextStep::Stop => self.registrations.set(self.upstream, Announcement::Nothing),
+                NextStep::Wait(wait) => {
                     let _ = timeout(wait, announcements.changed()).await;
                 }
             }
         }
     }
 
-    /// The call that an announcement needs, `None` if there is nothing to announce.
+    /// Returns the call that an announcement needs; `None` if it needs none.
     fn next_call(&self, announcement: Announcement) -> Option<Call> {
         let path = format!("/upstreams/u{}", self.upstream);
         let (method, target, body) = match announcement {
@@ -160,7 +164,7 @@
                 (Method::PUT, path, body.to_string())
             }
             Announcement::Draining => (Method::POST, format!("{path}/drain"), String::new()),
-            Announcement::Leaving => (Method::DELETE, path, String::new()),
+            Announcement::Removed => (Method::DELETE, path, String::new()),
         };
         Some(Call {
             method,
@@ -169,21 +173,21 @@
         })
     }
 
-    fn on_response(&mut self, announcement: Announcement, status: Option<u16>) -> Next {
+    fn on_response(&mut self, announcement: Announcement, status: Option<u16>) -> NextStep {
         let lease = self.registrations.lease;
         match (status, announcement) {
             (Some(200), Announcement::Ready { boot_ms }) => {
                 self.registered_boot_ms = Some(boot_ms);
-                Next::Wait(lease / RENEWALS_PER_LEASE)
+                NextStep::Wait(lease / RENEWALS_PER_LEASE)
             }
-            // The registry does not know it any more: it registers again.
+            // The registry no longer has this upstream, so the next call registers it again.
             (Some(404), Announcement::Ready { .. }) => {
                 self.registered_boot_ms = None;
-                Next::Wait(RETRY_INTERVAL)
+                NextStep::Wait(RETRY_INTERVAL)
             }
-            (Some(200 | 404), Announcement::Leaving) => Next::Left,
-            (Some(200 | 404), Announcement::Draining) => Next::Wait(lease * LEASES_AFTER_DRAIN),
-            _ => Next::Wait(RETRY_INTERVAL),
+            (Some(200 | 404), Announcement::Removed) => NextStep::Stop,
+            (Some(200 | 404), Announcement::Draining) => NextStep::Wait(lease * LEASES_AFTER_DRAIN),
+            _ => NextStep::Wait(RETRY_INTERVAL),
         }
     }
 }
--- a/lab/src/standins/registry_process.rs
+++ b/lab/src/standins/registry_process.rs
@@ -1,4 +1,4 @@
-//! A real registry, as a child process.
+//! A real registry that runs as a child process of the lab.
 
 use crate::error::LabError;
 use crate::history::{EventKind, History, ProcessState};
@@ -16,19 +16,19 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-/// How long it may take until it serves, and until it lists all upstreams.
+/// Timeout for the registry to start serving, and for it to list all upstreams as ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Before the status is read again.
+/// Interval between two reads of the registry's status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
-/// The address of the first start: any port.
-const ANY_PORT: &str = "127.0.0.1:0";
+/// Address for the first start, at which the system chooses a free port.
+const ANY_PORT_ADDRESS: &str = "127.0.0.1:0";
 
-/// Where a registry serves.
+/// The addresses on which a registry listens.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryAddresses {
-    /// Reads and watches.
+    /// Address for reads and watches.
     pub read: SocketAddr,
-    /// Writes.
+    /// Address for writes and the status.
     pub write: SocketAddr,
 }
 
@@ -37,11 +37,11 @@
     child: Child,
 }
 
-/// A real registry.
+/// A real registry, which can be killed, paused and restarted.
 pub struct RegistryProcess {
     program: PathBuf,
     dir: PathBuf,
-    /// Chosen at its first start, and used again by all later ones.
+    /// Addresses of the first start, which all later starts use again; `None` before it.
     addresses: Mutex<Option<RegistryAddresses>>,
     running: tokio::sync::Mutex<Option<Running>>,
     guard: Option<Arc<Guard>>,
@@ -49,7 +49,8 @@
 }
 
 impl RegistryProcess {
-    /// Not started yet.
+    /// Creates a registry that is not started yet. `program` serves as a registry when its
+    /// arguments ask for it; configuration, log and data go to `dir`.
     pub fn new(
         program: &Path,
         dir: &Path,
@@ -66,17 +67,17 @@
         })
     }
 
-    /// Where it serves, once it has been started.
+    /// Returns the addresses on which it listens; `None` before its first start.
     pub fn addresses(&self) -> Option<RegistryAddresses> {
         *lock(&self.addresses)
     }
 
-    /// Where it is read.
+    /// Returns the address for reads and watches; `None` before its first start.
     pub fn read_address(&self) -> Option<SocketAddr> {
         self.addresses().map(|addresses| addresses.read)
     }
 
-    /// Where it is written to.
+    /// Returns the address for writes; `None` before its first start.
     pub fn write_address(&self) -> Option<SocketAddr> {
         self.addresses().map(|addresses| addresses.write)
     }
@@ -95,7 +96,7 @@
 
     fn config_text(&self) -> String {
         let (read, write) = self.addresses().map_or_else(
-            || (ANY_PORT.to_owned(), ANY_PORT.to_owned()),
+            || (ANY_PORT_ADDRESS.to_owned(), ANY_PORT_ADDRESS.to_owned()),
             |addresses| (addresses.read.to_string(), addresses.write.to_string()),
         );
         let folder = self.dir.join("registry");
@@ -105,7 +106,7 @@
         )
     }
 
-    /// Starts it, and waits until it serves.
+    /// Starts the process, and waits until its log shows that it serves.
     pub async fn start(&self) -> Result<(), LabError> {
         let config = self.dir.join("registry.toml");
         write_file(&config, &self.config_text()).await?;
@@ -136,7 +137,8 @@
         Ok(())
     }
 
-    /// SIGKILL; started again after `restart_after`.
+    /// Kills the process with SIGKILL, and restarts it after `restart_after`; with `None` it stays
+    /// down.
     pub async fn kill(&self, restart_after: Option<Duration>) {
         if let Some(mut running) = self.running.lock().await.take() {
             self.record_state(ProcessState::Killed);
@@ -152,12 +154,12 @@
         };
         sleep(restart_after).await;
         if let Err(e) = self.start().await {
-            tracing::warn!("the list service is not back: {e}");
+            tracing::warn!("registry not restarted after a kill: {e}");
             self.record_state(ProcessState::Crashed);
         }
     }
 
-    /// SIGSTOP, and SIGCONT after so long.
+    /// Pauses the process with SIGSTOP, and resumes it with SIGCONT after `duration`.
     pub async fn pause(&self, duration: Duration) {
         let pid = self
             .running
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Waits until it lists so many ready upstreams.
+    /// Waits until it lists at least `upstreams` upstreams as ready.
     pub async fn wait_until_ready(&self, upstreams: usize) -> Result<(), LabError> {
         let all_ready = async {
             while let Some(address) = self.write_address() {
@@ -194,7 +196,8 @@
     }
 }
 
-/// Where a registry serves, by the line of its log that says so.
+/// Parses the addresses of a registry from the line of its log that states them; returns `None` for
+/// other lines.
 fn serving_addresses(line: &str) -> Option<RegistryAddresses> {
     let address = |name| log_field(line, name).and_then(|value| value.parse().ok());
     Some(RegistryAddresses {
@@ -203,7 +206,8 @@
     })
 }
 
-/// How many upstreams a registry lists as ready.
+/// Returns the number of upstreams that a registry lists as ready; `None` if its status cannot be
+/// read.
 async fn ready_count(address: SocketAddr) -> Option<u64> {
     let response = call(address, Method::GET, "/status", String::new())
         .await
