--- a/lab/src/standins/upstream.rs
+++ b/lab/src/standins/upstream.rs
@@ -1,4 +1,4 @@
-//! One stand-in of an upstream: its state, shared by its sockets.
+//! The state of one stand-in upstream, which all its sockets share.
 
 use super::upstream_model::UpstreamModel;
 use crate::sync::lock;
@@ -7,26 +7,29 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// Whether an upstream serves.
+/// Whether an upstream accepts connections and responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
+    /// It accepts connections and responds.
     Up,
-    /// It accepts connections and requests and does not respond.
+    /// It accepts connections and requests but does not respond.
     Unresponsive,
     /// It does not listen.
     Down,
 }
 
-/// An upstream.
+/// A stand-in upstream.
 pub(super) struct Upstream {
     number: u32,
-    /// By balancer.
+    /// Address at which each balancer reaches it, by the balancer's number.
     endpoints: Arc<Vec<SocketAddr>>,
     phase: watch::Sender<Phase>,
+    /// Whether its drain period is over; it then rejects all requests.
     is_drained: watch::Sender<bool>,
     model: Mutex<UpstreamModel>,
     connection_count: AtomicU32,
     restart_count: AtomicU64,
+    /// Unix time of its last start in milliseconds; 0 if it started without a slow start.
     boot_ms: Mutex<u64>,
 }
 
@@ -53,7 +56,7 @@
         self.number
     }
 
-    /// By balancer, where it is reached.
+    /// Returns the address at which each balancer reaches it, by the balancer's number.
     pub fn endpoints(&self) -> &Arc<Vec<SocketAddr>> {
         &self.endpoints
     }
@@ -74,7 +77,7 @@
         self.phase.send_replace(phase);
     }
 
-    /// Back to normal, unless it has crashed meanwhile.
+    /// Ends the unresponsive phase, unless the upstream has crashed during it.
     pub fn end_unresponsiveness(&self) {
         self.phase.send_if_modified(|phase| {
             let is_unresponsive = *phase == Phase::Unresponsive;
@@ -97,7 +100,7 @@
         *lock(&self.boot_ms)
     }
 
-    /// Counts a restart; returns how many there have been.
+    /// Counts a restart; returns the number of restarts with the new one.
     pub fn count_restart(&self) -> u64 {
         1 + self.restart_count.fetch_add(1, Ordering::Relaxed)
     }
@@ -108,7 +111,7 @@
         self.set_phase(Phase::Up);
     }
 
-    /// Counts a connection as open; returns how many there were before.
+    /// Counts a new connection; returns the number of connections that were open before.
     pub fn open_connection(&self) -> u32 {
         self.connection_count.fetch_add(1, Ordering::Relaxed)
     }
@@ -117,7 +120,7 @@
         self.connection_count.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Its status, unless it is removed.
+    /// Returns its status for display; `None` if it has been replaced and no longer listens.
     pub fn status(&self, now: f64) -> Option<UpstreamStatus> {
         let is_drained = self.is_drained();
         let state = match self.phase() {
@@ -141,15 +144,15 @@
     }
 }
 
-/// The status of an upstream in a run.
+/// The status of one upstream during a run.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamStatus {
-    /// Its number.
+    /// Number of the upstream.
     pub number: u32,
-    /// Its state, as a label.
+    /// Label of its state: `up`, `drained`, `silent` (unresponsive) or `down`.
     pub state: &'static str,
-    /// Requests in flight.
+    /// Number of requests in flight; 0 unless its state is `up`.
     pub in_flight: usize,
-    /// Share of its cores in use recently.
+    /// Share of its cores in use according to its last load report; 0 unless its state is `up`.
     pub utilization: f64,
 }
--- a/lab/src/standins/upstream_model.rs
+++ b/lab/src/standins/upstream_model.rs
@@ -1,9 +1,9 @@
-//! An upstream as a pure state machine: requests and the time in, completion times and load reports
-//! out.
+//! The model of an upstream: a state machine without I/O that computes completion times and load
+//! reports.
 //!
-//! Requests are served first come, first served by its cores, and then wait on other systems
-//! without a core. The completion of a request is decided when it arrives, so the model needs no
-//! clock and no timer. Times are seconds.
+//! Cores process requests in the order of arrival; then each waits on other systems without a core.
+//! The completion time is computed on arrival, so no clock or timer is needed. Times are seconds
+//! from the start of the load unless stated otherwise.
 
 use crate::experiment::UpstreamSettings;
 use rand::Rng;
@@ -11,86 +11,90 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// The least factor by which an upstream is slowed down.
+/// Minimum factor of a slowdown; smaller factors are raised to it.
 const MIN_SLOWDOWN: f64 = 1e-3;
 
-/// Why a request is rejected.
+/// Why a request is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Its queue is full.
+    /// The queue of the upstream has reached its limit.
     QueueFull,
-    /// It has crashed under overload, and is not restarted.
+    /// The upstream has crashed under overload and has not been restarted.
     Crashed,
 }
 
-/// A load report.
+/// A load report of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Share of its cores in use.
+    /// Mean share of its cores in use since the report before, with the report's random error.
     pub utilization: f64,
-    /// Requests in flight.
+    /// Number of requests in flight, with the same random error.
     pub in_flight: f64,
 }
 
-/// The state of congestion: an upstream with far too long a queue slows down until it has been
-/// mostly idle for a while.
+/// The state of congestion. An upstream whose queue has been too long for some time slows down,
+/// until its utilization has been low for some time. The settings set the limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Congestion {
-    /// The queue is short.
+    /// The queue is shorter than the limit, or the settings rule out congestion.
     None,
-    /// The queue has been too long since a time.
+    /// The queue has been too long since this time.
     Building { since: f64 },
-    /// It is slow since a time, and mostly idle since another one.
+    /// Processing has been slow since `since`. Utilization has been low since `idle_since`; `None`
+    /// if it is not low.
     Congested { since: f64, idle_since: Option<f64> },
 }
 
-/// Work that was sent during slow start.
+/// The work of a request that arrived during slow start, in seconds on a core of speed 1.
 #[derive(Clone, Copy)]
 struct SentWork {
     at: f64,
     work: f64,
 }
 
-/// The last two load reports, and what the newer one measured.
+/// The last two load reports, and the measurement behind the newer one.
 struct Reports {
     newest: LoadReport,
     previous: LoadReport,
-    /// Core time done when the newest was made.
+    /// Core time that had been spent when the newest report was made.
     measured_work: f64,
+    /// Time when the newest report was made.
     measured_at: f64,
 }
 
-/// An upstream, from a start on.
+/// The model of an upstream from one start to the next.
 pub struct UpstreamModel {
     settings: UpstreamSettings,
     rng: ChaCha8Rng,
-    /// When it started; `None`: long ago, so that it is past its slow start.
+    /// Time when its slow start began; `None` if it started without one.
     started_at: Option<f64>,
+    /// Factor by which a fault slows it down; 1 is normal.
     slowdown: f64,
-    /// When each core is free.
+    /// Time at which each core becomes free.
     core_free_at: Vec<f64>,
-    /// Core time accepted in all, done or to come.
+    /// Core time of all accepted requests, whether spent or still to be spent.
     accepted_work: f64,
-    /// When each request in flight begins on a core, in order.
+    /// Times at which the queued requests begin on a core, in ascending order.
     begins: VecDeque<f64>,
-    /// When each request in flight is finished, in microseconds.
+    /// Times at which the responses of the requests in flight are sent, in microseconds.
     finishes: BinaryHeap<Reverse<u64>>,
     congestion: Congestion,
-    /// Work sent during slow start within the overload window.
+    /// Requests that arrived during slow start within the overload window.
     sent: VecDeque<SentWork>,
+    /// Total work of the requests in `sent`.
     sent_work: f64,
     has_crashed: bool,
     reports: Reports,
 }
 
 impl UpstreamModel {
-    /// An upstream that starts at `now`, or did so long before.
-    pub fn new(settings: UpstreamSettings, rng: ChaCha8Rng, now: f64, is_cold: bool) -> Self {
+    /// Creates an upstream that begins its slow start at `now`, or one that needs none.
+    pub fn new(settings: UpstreamSettings, rng: ChaCha8Rng, now: f64, in_slow_start: bool) -> Self {
         Self {
             core_free_at: vec![now; settings.cores as usize],
             settings,
             rng,
-            started_at: is_cold.then_some(now),
+            started_at: in_slow_start.then_some(now),
             slowdown: 1.0,
             accepted_work: 0.0,
             begins: VecDeque::new(),
@@ -108,12 +112,12 @@
         }
     }
 
-    /// Makes requests take `factor` times as long from now on; 1 is normal.
+    /// Makes requests take `factor` times their normal time on a core from now on; 1 is normal.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor.max(MIN_SLOWDOWN);
     }
 
-    /// Share of its full capacity that slow start allows at `now`.
+    /// Returns the share of its full capacity that it has at `now`; 1 after slow start.
     pub fn slow_start_share(&self, now: f64) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -123,8 +127,8 @@
         initial + (1.0 - initial) * progress
     }
 
-    /// A request arrives with its work and its wait on other systems; returns when its response
-    /// leaves.
+    /// Accepts a request at `now` and returns when its response is sent. `work` is its time on a
+    /// core of speed 1, and `wait` its time on other systems.
     pub fn accept(&mut self, now: f64, work: f64, wait: f64) -> Result<f64, Rejection> {
         self.advance(now);
         if self.has_crashed {
@@ -149,14 +153,15 @@
         *core = begin + service_time;
         let finish = begin + service_time + wait;
         self.accepted_work += service_time;
-        // First come, first served: cores become free in the order in which they are taken.
+        // Requests begin in the order of arrival, so `begins` stays sorted.
         self.begins.push_back(begin);
         self.finishes.push(Reverse(microseconds(finish)));
         self.update_congestion(now);
         Ok(finish)
     }
 
-    /// The load report that responses carry at `now`.
+    /// Returns the load report that responses carry at `now`. A new report is first sent after the
+    /// report delay; until then, responses carry the previous one.
     pub fn report(&mut self, now: f64) -> LoadReport {
         self.advance(now);
         let age = now - self.reports.measured_at;
@@ -183,27 +188,28 @@
         }
     }
 
-    /// Requests in flight, as of the last event.
+    /// Returns the number of requests in flight at the time passed to the last call.
     pub fn in_flight(&self) -> usize {
         self.finishes.len()
     }
 
-    /// Whether it has crashed under overload during slow start.
+    /// Returns whether it has crashed under overload during slow start.
     pub fn has_crashed(&self) -> bool {
         self.has_crashed
     }
 
-    /// Whether it is slow because its queue was too long.
+    /// Returns whether it is congested, so that requests take longer.
     pub fn is_congested(&self) -> bool {
         matches!(self.congestion, Congestion::Congested { .. })
     }
 
-    /// When its last core becomes free.
+    /// Returns the time at which all its cores are free.
     pub fn idle_at(&self) -> f64 {
         self.core_free_at.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Removes what is finished by `now`.
+    /// Advances the model to `now`: removes the requests that have begun from the queue and those
+    /// that have ended from the ones in flight, and updates the congestion.
     pub fn advance(&mut self, now: f64) {
         while self.begins.front().is_some_and(|begin| *begin <= now) {
             self.begins.pop_front();
@@ -218,7 +224,7 @@
         self.update_congestion(now);
     }
 
-    /// Core time done by `now`.
+    /// Returns the core time that has been spent by `now`.
     fn work_done(&self, now: f64) -> f64 {
         let outstanding: f64 = self
             .core_free_at
@@ -254,7 +260,7 @@
         };
     }
 
-    /// Updates the state of congestion at `now`.
+    /// Returns the next state of a congested upstream at `now`.
     fn recover(&self, now: f64, since: f64, idle_since: Option<f64>) -> Congestion {
         let cores_in_use = self.core_free_at.iter().filter(|free| **free > now).count();
         let utilization = cores_in_use as f64 / f64::from(self.settings.cores);
@@ -274,8 +280,8 @@
         }
     }
 
-    /// More work than a multiple of the present capacity, sent for a while during slow start,
-    /// crashes it. Counted as a budget over the overload window.
+    /// Crashes an upstream in slow start if the work that arrived within the overload window
+    /// exceeds the overload multiple of the work that its present capacity allows in that window.
     fn update_overload(&mut self, now: f64, work: f64) {
         let share = self.slow_start_share(now);
         if share >= 1.0 {
--- a/lab/src/standins/upstreams.rs
+++ b/lab/src/standins/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams of a run: added, listed, and subjected to faults.
+//! The stand-in upstreams of a run: adds them, puts them on the endpoint list, and applies faults.
 
 use super::discovery::DiscoveryService;
 use super::upstream::{Phase, Upstream, UpstreamStatus};
@@ -16,18 +16,19 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How often the load of each is recorded.
-const LOAD_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a replaced upstream still listens after it was removed from the list.
+/// Interval at which the load of each upstream is recorded.
+const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Time for which a replaced upstream still listens after its removal from the list.
 const LISTEN_AFTER_REMOVAL: Duration = Duration::from_secs(1);
 
-/// All upstreams of a run, the removed ones included.
+/// All upstreams of a run, including those that have been replaced.
 pub struct Upstreams {
     experiment: Arc<Experiment>,
     seed: u64,
     history: Arc<History>,
     discovery: Arc<DiscoveryService>,
     links: Arc<Links>,
+    /// Upstreams by number.
     upstreams: Mutex<Vec<Arc<Upstream>>>,
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl Upstreams {
-    /// None yet.
+    /// Creates the collection without upstreams.
     pub fn new(
         experiment: Arc<Experiment>,
         seed: u64,
@@ -56,13 +57,14 @@
         })
     }
 
-    /// How many there have been.
+    /// Returns the number of upstreams that have been added, including those that were replaced.
     pub fn count(&self) -> u32 {
         self.all().len() as u32
     }
 
-    /// Adds one, in slow start or past it, and lists it.
-    pub async fn add(self: &Arc<Self>, is_cold: bool) -> io::Result<u32> {
+    /// Adds an upstream, puts it on the list as ready, and returns its number. It begins a slow
+    /// start if `in_slow_start` is true.
+    pub async fn add(self: &Arc<Self>, in_slow_start: bool) -> io::Result<u32> {
         let number = self.count();
         let mut listeners = Vec::new();
         for balancer in 0..self.experiment.fleet.balancers {
@@ -72,8 +74,8 @@
             .iter()
             .map(TcpListener::local_addr)
             .collect::<Result<Vec<_>, _>>()?;
-        let boot_ms = if is_cold { unix_ms() } else { 0 };
-        let model = self.new_model(number, 0, is_cold);
+        let boot_ms = if in_slow_start { unix_ms() } else { 0 };
+        let model = self.new_model(number, 0, in_slow_start);
         let upstream = Arc::new(Upstream::new(number, endpoints, model, boot_ms));
         lock(&self.upstreams).push(Arc::clone(&upstream));
         for (balancer, listener) in (0u32..).zip(listeners) {
@@ -90,11 +92,11 @@
         Ok(number)
     }
 
-    fn new_model(&self, number: u32, restarts: u64, is_cold: bool) -> UpstreamModel {
+    fn new_model(&self, number: u32, restarts: u64, in_slow_start: bool) -> UpstreamModel {
         let seed = self.seed ^ (u64::from(number) << 32) ^ (restarts << 56);
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let now = self.history.now().as_secs_f64();
-        UpstreamModel::new(self.experiment.upstream.clone(), rng, now, is_cold)
+        UpstreamModel::new(self.experiment.upstream.clone(), rng, now, in_slow_start)
     }
 
     fn all(&self) -> Vec<Arc<Upstream>> {
@@ -117,7 +119,9 @@
             .record(EventKind::UpstreamState { upstream, state });
     }
 
-    /// Crashes one; the list is updated late. It is restarted in slow start, under the same name.
+    /// Crashes an upstream, and restarts it after `restart_after` in slow start and under the same
+    /// name. The list shows the crash only after the detection time, unless it is restarted
+    /// earlier, and the restart only after the update delay.
     pub async fn crash(self: Arc<Self>, number: u32, restart_after: Option<Duration>) {
         let Some(upstream) = self.get(number) else {
             return;
@@ -142,7 +146,7 @@
         self.update_list(&upstream, EndpointState::Ready);
     }
 
-    /// Slows one down for a while.
+    /// Makes an upstream take `factor` times as long for its work during `duration`.
     pub async fn slow_down(self: Arc<Self>, number: u32, factor: f64, duration: Duration) {
         let Some(upstream) = self.get(number) else {
             return;
@@ -154,7 +158,7 @@
         self.record_state(number, ProcessState::Recovered);
     }
 
-    /// Makes one unresponsive for a while; then its connections are reset.
+    /// Makes an upstream unresponsive during `duration`; its connections are reset at the end.
     pub async fn make_unresponsive(self: Arc<Self>, number: u32, duration: Duration) {
         let Some(upstream) = self.get(number) else {
             return;
@@ -166,14 +170,15 @@
         self.record_state(number, ProcessState::Recovered);
     }
 
-    /// Drains and removes one; another one in slow start, under another name, replaces it at once.
+    /// Replaces an upstream: adds a new one in slow start, lists the old one as terminating for
+    /// `drain`, removes it from the list and shuts it down.
     pub async fn replace(self: Arc<Self>, number: u32, drain: Duration) {
         let Some(upstream) = self.get(number) else {
             return;
         };
         self.record_state(number, ProcessState::ShutdownRequested);
         if let Err(e) = self.add(true).await {
-            tracing::warn!("no successor for u{number}: {e}");
+            tracing::warn!("u{number}: cannot add an upstream to replace it: {e}");
         }
         sleep(Duration::from_secs_f64(
             self.experiment.discovery.update_delay_s,
@@ -188,10 +193,11 @@
         self.record_state(number, ProcessState::Exited);
     }
 
-    /// Records the load of all at regular intervals.
+    /// Records the load of each upstream that is not down at regular intervals, until the task is
+    /// aborted.
     pub async fn sample_load(self: Arc<Self>) {
         loop {
-            sleep(LOAD_INTERVAL).await;
+            sleep(LOAD_SAMPLE_INTERVAL).await;
             let now = self.history.now().as_secs_f64();
             for upstream in self.all().iter().filter(|one| one.phase() != Phase::Down) {
                 let mut model = upstream.model();
@@ -205,7 +211,8 @@
         }
     }
 
-    /// The status of all that are not removed.
+    /// Returns the status of each upstream in the order of their numbers, except replaced ones that
+    /// no longer listen.
     pub fn statuses(&self) -> Vec<UpstreamStatus> {
         let now = self.history.now().as_secs_f64();
         self.all()
