--- a/lab/src/standins/upstream_server.rs
+++ b/lab/src/standins/upstream_server.rs
@@ -1,5 +1,5 @@
-//! The sockets of an upstream: connections are accepted from each balancer at an address of its
-//! own, and each request is handed to the model.
+//! The sockets of a stand-in upstream: each balancer connects to a separate address, and each
+//! request is passed to the model.
 
 use super::upstream::{Phase, Upstream};
 use super::upstream_model::Rejection;
@@ -26,14 +26,15 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until};
 
-/// How long a restarted upstream waits before it tries again to bind a port that is taken.
+/// Time before a failed bind or accept is repeated. A port may be in use when an upstream is
+/// restarted.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How many times it tries.
+/// Maximum number of attempts to bind a port.
 const MAX_BIND_ATTEMPTS: u32 = 40;
-/// Spreads the numbers of requests over the seeds of their draws.
+/// Factor that spreads the numbers of requests over the range of seeds.
 const REQUEST_SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Serves one upstream to one balancer.
+/// Serves the connections of one balancer to one upstream.
 pub(super) struct UpstreamServer {
     pub experiment: Arc<Experiment>,
     pub seed: u64,
@@ -42,7 +43,7 @@
 }
 
 impl UpstreamServer {
-    /// Listens whenever the upstream is not down.
+    /// Listens while the upstream is not down, and binds the same address again after each restart.
     pub async fn listen(self: Arc<Self>, link: Arc<Link>, listener: TcpListener) {
         let Ok(address) = listener.local_addr() else {
             return;
@@ -58,7 +59,7 @@
                     }
                     let Some(listening) = bind_with_retries(address).await else {
                         let number = self.upstream.number();
-                        tracing::warn!("u{number}: {address} is taken, it stays away there");
+                        tracing::warn!("u{number}: cannot bind {address}, listener stopped");
                         return;
                     };
                     listening
@@ -79,14 +80,15 @@
                     tokio::spawn(Arc::clone(self).serve(link.attach(stream)));
                 }
                 Err(e) => {
-                    tracing::warn!("u{}: accept: {e}", self.upstream.number());
+                    tracing::warn!("u{}: accept failed: {e}", self.upstream.number());
                     sleep(BIND_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Serves a connection, if there are not too many.
+    /// Serves a connection until the upstream goes down or resets it; closes it immediately if too
+    /// many are open.
     async fn serve(self: Arc<Self>, stream: Box<dyn Connection>) {
         let settings = &self.experiment.upstream;
         let max_connections = settings.connections_per_core * settings.cores;
@@ -110,14 +112,14 @@
         self.upstream.close_connection();
     }
 
-    /// Responds to one request; an error ends its connection.
+    /// Responds to one request; an error closes its connection without a response.
     async fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> io::Result<Response<Full<Bytes>>> {
         let (parts, body) = request.into_parts();
         let (Some(id), Some(class)) = (attempt_id(&parts), self.class(&parts)) else {
-            return Ok(plain(StatusCode::NOT_FOUND));
+            return Ok(response_with_status(StatusCode::NOT_FOUND));
         };
         body.collect().await.map_err(io::Error::other)?;
         let upstream = self.upstream.number();
@@ -130,14 +132,14 @@
         let finish = match self.process(class, id) {
             Ok(finish) => finish,
             Err(Rejection::QueueFull) => return Ok(self.reject(id)),
-            Err(Rejection::Crashed) => return Err(crashed()),
+            Err(Rejection::Crashed) => return Err(closed_without_response()),
         };
         sleep_until(self.history.instant_at(finish)).await;
         fail_if_unresponsive(&self.upstream).await?;
         Ok(self.complete(id))
     }
 
-    /// The class that a path names.
+    /// Returns the class that the first part of the path names.
     fn class(&self, request: &Parts) -> Option<&Class> {
         let path = request.uri.path().trim_start_matches('/');
         let name = path.split('/').next().unwrap_or_default();
@@ -147,9 +149,10 @@
             .find(|class| class.name == name)
     }
 
-    /// Hands a request to the model; returns when its response leaves.
+    /// Passes a request to the model; returns when its response is sent, in seconds from the start
+    /// of the load.
     fn process(&self, class: &Class, id: ClientAttemptId) -> Result<f64, Rejection> {
-        // The same work wherever it runs: drawn from the request's own number.
+        // Seeded by the request's number, so that all attempts of a request take the same work.
         let seed = self.seed ^ request_of(id).wrapping_mul(REQUEST_SEED_FACTOR);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let work = -class.work_ms / 1e3 * (1.0 - rng.random::<f64>()).ln();
@@ -179,7 +182,7 @@
             upstream: self.upstream.number(),
             reply,
         });
-        let mut response = plain(StatusCode::OK);
+        let mut response = response_with_status(StatusCode::OK);
         let load = format!(
             "util={:.3},inflight={:.1}",
             report.utilization, report.in_flight
@@ -197,7 +200,7 @@
             upstream: self.upstream.number(),
             reply,
         });
-        let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
+        let mut response = response_with_status(StatusCode::SERVICE_UNAVAILABLE);
         response
             .headers_mut()
             .insert("x-unprocessed", HeaderValue::from_static("1"));
@@ -205,13 +208,14 @@
     }
 }
 
-/// The attempt that a request's correlation id names.
+/// Returns the attempt that the request's correlation id names.
 fn attempt_id(request: &Parts) -> Option<ClientAttemptId> {
     let id = request.headers.get("x-correlation-id")?.to_str().ok()?;
     ClientAttemptId::from_str_radix(id, 16).ok()
 }
 
-/// Waits while an upstream is unresponsive, and fails then; its connections are reset.
+/// Returns immediately if the upstream responds to requests. While it is unresponsive, waits until
+/// that phase ends and then fails, which closes the connection.
 async fn fail_if_unresponsive(upstream: &Upstream) -> io::Result<()> {
     if upstream.phase() != Phase::Unresponsive {
         return Ok(());
@@ -220,11 +224,11 @@
         .watch_phase()
         .wait_for(|phase| *phase != Phase::Unresponsive)
         .await;
-    Err(crashed())
+    Err(closed_without_response())
 }
 
-fn crashed() -> io::Error {
-    io::Error::other("it has died")
+fn closed_without_response() -> io::Error {
+    io::Error::other("the stand-in upstream closes the connection without a response")
 }
 
 async fn wait_until_down(phase: &mut watch::Receiver<Phase>) {
@@ -241,7 +245,7 @@
     None
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn response_with_status(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(b"done")));
     *response.status_mut() = status;
     response
