--- a/lab/src/runs/outcome.rs
+++ b/lab/src/runs/outcome.rs
@@ -17,7 +17,7 @@
 /// at which the service counts as recovered.
 const MIN_RECOVERED_RATIO: f64 = 0.9;
 
-/// How well the lab's own process kept up with the load, and what it used.
+/// The delays, the processor use and the dropped events of the lab's own process.
 #[derive(Clone, Debug, Serialize)]
 pub struct LabOverhead {
     /// Median delay between when a request was due and when it was sent, in ms.
--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -128,7 +128,7 @@
 pub(super) struct Change {
     /// Time when it was sent, in microseconds from the start of the run.
     pub sent_us: AtomicU64,
-    /// For each watcher that has received it, the time since it was sent, in microseconds.
+    /// Times from its sending until watchers received it, one for each watcher, in microseconds.
     delivered_us: Mutex<Vec<u32>>,
 }
 
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -92,7 +92,7 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// How an exchange on one connection ended.
+/// The outcome of an exchange on one connection.
 enum Exchange {
     Completed(Parts),
     /// The balancer closed a reused connection before it responded.
--- a/lab/src/standins/upstream.rs
+++ b/lab/src/standins/upstream.rs
@@ -100,7 +100,7 @@
         *lock(&self.boot_ms)
     }
 
-    /// Counts a restart; returns the number of restarts with the new one.
+    /// Counts a restart; returns the total number of restarts.
     pub fn count_restart(&self) -> u64 {
         1 + self.restart_count.fetch_add(1, Ordering::Relaxed)
     }
--- a/lab/src/standins/upstream_model.rs
+++ b/lab/src/standins/upstream_model.rs
@@ -88,7 +88,7 @@
 }
 
 impl UpstreamModel {
-    /// Creates an upstream that begins its slow start at `now`, or one that needs none.
+    /// Creates an upstream that begins its slow start at `now`, or one at full capacity.
     pub fn new(settings: UpstreamSettings, rng: ChaCha8Rng, now: f64, in_slow_start: bool) -> Self {
         Self {
             core_free_at: vec![now; settings.cores as usize],
