--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -48,7 +48,7 @@
         zone: ZoneId(document.zone),
         classes: classes(&document.classes)?,
         tenants: document.tenants.iter().map(tenant).collect(),
-        weight_by_work: document.weight_by.as_deref() == Some("work"),
+        scales_priority_weight_by_work: document.priority_weight_basis.as_deref() == Some("work"),
         polls_endpoints: document.discovery.as_deref() == Some("subscribe"),
         tail_miss: tail_miss(&document.goal),
         endpoint_weights: endpoint_weights(document.endpoint_weights.as_deref()),
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -32,7 +32,7 @@
     #[serde(rename = "weight_kind")]
     pub(crate) endpoint_weights: Option<String>,
     #[serde(rename = "worth_by")]
-    pub(crate) weight_by: Option<String>,
+    pub(crate) priority_weight_basis: Option<String>,
 }
 
 /// An element of `classes`: a class of requests.
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -66,7 +66,7 @@
         classes: expected_classes(),
         tenants: vec![Tenant { quota_per_s: 31.0 }, Tenant { quota_per_s: 17.5 }],
         over_quota_weight_share: 0.35,
-        weight_by_work: true,
+        scales_priority_weight_by_work: true,
         polls_endpoints: true,
         has_local_agent: false,
         poll_interval: micros(7_500_000),
@@ -256,7 +256,11 @@
         assert_eq!(set("discovery", word).polls_endpoints, polls, "{word}");
     }
     for (word, by_work) in [("work", true), ("request", false), ("new", false)] {
-        assert_eq!(set("worth_by", word).weight_by_work, by_work, "{word}");
+        assert_eq!(
+            set("worth_by", word).scales_priority_weight_by_work,
+            by_work,
+            "{word}"
+        );
     }
     for (word, reports) in [
         ("inline", LoadReports::Inline),
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -68,7 +68,7 @@
     /// Whether `priority_weight` is a weight per unit of a request's work: an expensive request
     /// then has a larger weight than a cheap one of its class. If false, it is a weight per
     /// request.
-    weight_by_work: bool,
+    scales_priority_weight_by_work: bool,
 }
 
 impl ClassStatistics {
@@ -86,7 +86,7 @@
         };
         Self {
             classes: settings.classes.iter().map(record).collect(),
-            weight_by_work: settings.weight_by_work,
+            scales_priority_weight_by_work: settings.scales_priority_weight_by_work,
         }
     }
 
@@ -136,7 +136,7 @@
     }
 
     fn value(&self, class: &ClassRecord) -> f64 {
-        if self.weight_by_work {
+        if self.scales_priority_weight_by_work {
             class.priority_weight
         } else {
             class.priority_weight / class.mean_latency_s.max(MIN_LATENCY_S)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -161,7 +161,7 @@
     /// more.
     pub over_quota_weight_share: f64,
     /// Whether the priority weight of a request is in proportion to its work.
-    pub weight_by_work: bool,
+    pub scales_priority_weight_by_work: bool,
     /// Whether the balancer polls discovery for the endpoint list, by
     /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints). Otherwise the list is pushed.
     pub polls_endpoints: bool,
@@ -227,7 +227,7 @@
             classes: Vec::new(),
             tenants: Vec::new(),
             over_quota_weight_share: 0.1,
-            weight_by_work: false,
+            scales_priority_weight_by_work: false,
             polls_endpoints: false,
             has_local_agent: false,
             poll_interval: Duration::from_secs(10),
--- a/tests/action_digest/sites.rs
+++ b/tests/action_digest/sites.rs
@@ -106,7 +106,7 @@
             },
             class(250, 1200, deduplicated(DedupGroup::All, 900)),
         ],
-        weight_by_work: true,
+        scales_priority_weight_by_work: true,
         polls_endpoints: true,
         has_local_agent: true,
         poll_interval: Duration::from_secs(6),
