--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -50,7 +50,7 @@
         tenants: document.tenants.iter().map(tenant).collect(),
         scales_priority_weight_by_work: document.priority_weight_basis.as_deref() == Some("work"),
         polls_endpoints: document.discovery.as_deref() == Some("subscribe"),
-        tail_miss: tail_miss(&document.goal),
+        tolerated_late_fraction: tolerated_late_fraction(&document.goal),
         endpoint_weights: endpoint_weights(document.endpoint_weights.as_deref()),
         load_reports: load_reports(document.load_reports.source.as_deref()),
         report_fields: report_fields
@@ -143,9 +143,9 @@
 
 /// Returns the tolerated fraction of responses after the latency objective; `None` if it is missing, or if the weight
 /// of the tail (`slow_end`) is missing or not above 0.
-fn tail_miss(goal: &GoalDocument) -> Option<f64> {
-    let has_weight = goal.tail_weight.is_some_and(|weight| weight > 0.0);
-    goal.tail_miss.filter(|_| has_weight)
+fn tolerated_late_fraction(goal: &GoalDocument) -> Option<f64> {
+    let has_weight = goal.late_fraction_weight.is_some_and(|weight| weight > 0.0);
+    goal.tolerated_late_fraction.filter(|_| has_weight)
 }
 
 fn endpoint_weights(value: Option<&str>) -> EndpointWeights {
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -143,8 +143,9 @@
 #[serde(default)]
 pub(crate) struct GoalDocument {
     #[serde(rename = "slow_end")]
-    pub(crate) tail_weight: Option<f64>,
-    pub(crate) tail_miss: Option<f64>,
+    pub(crate) late_fraction_weight: Option<f64>,
+    #[serde(rename = "tail_miss")]
+    pub(crate) tolerated_late_fraction: Option<f64>,
 }
 
 /// The `clients` object: what clients do.
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -84,7 +84,7 @@
         connect_timeout: micros(325_500),
         connection_idle_timeout: micros(5_000_000),
         max_streams: 9,
-        tail_miss: Some(0.015),
+        tolerated_late_fraction: Some(0.015),
         cpu_per_request: Duration::from_nanos(12_500),
         endpoint_weights: EndpointWeights::Live,
         load_reports: LoadReports::OnHealthCheck,
@@ -301,7 +301,11 @@
         (limit(0), limit(250), limit(251), limit(u32::MAX)),
         (0, 250, 250, 250)
     );
-    let goal = |goal: Value| parsed(&json!({ "goal": goal })).settings.tail_miss;
+    let goal = |goal: Value| {
+        parsed(&json!({ "goal": goal }))
+            .settings
+            .tolerated_late_fraction
+    };
     assert_eq!(
         goal(json!({ "slow_end": 0.1, "tail_miss": 0.02 })),
         Some(0.02)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -140,7 +140,7 @@
 /// The configuration of a balancer, which stays constant while the balancer runs.
 ///
 /// Decisions do not depend on `overload_window`, `health_checks`, `connection_idle_timeout`,
-/// `max_streams`, `tail_miss` and `cpu_per_request`.
+/// `max_streams`, `tolerated_late_fraction` and `cpu_per_request`.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -203,7 +203,7 @@
     pub max_streams: u32,
     /// Fraction of each class's responses that may arrive after the latency objective; 0 or more.
     /// `None`: the tail of the latencies does not count.
-    pub tail_miss: Option<f64>,
+    pub tolerated_late_fraction: Option<f64>,
     /// CPU time that a request and its outcomes may cost; zero: no limit.
     pub cpu_per_request: Duration,
     /// The meaning of the weights in the endpoint list.
@@ -245,7 +245,7 @@
             connect_timeout: Duration::from_millis(250),
             connection_idle_timeout: Duration::from_secs(60),
             max_streams: 100,
-            tail_miss: None,
+            tolerated_late_fraction: None,
             cpu_per_request: Duration::ZERO,
             endpoint_weights: EndpointWeights::Size,
             load_reports: LoadReports::Off,
@@ -308,7 +308,7 @@
         check_not_negative(self.prices.connection, "prices.connection")?;
         check_not_negative(self.prices.handshake, "prices.handshake")?;
         check_not_negative(self.prices.late_failure, "prices.late_fail")?;
-        check_not_negative(self.tail_miss.unwrap_or(0.0), "tail_miss")?;
+        check_not_negative(self.tolerated_late_fraction.unwrap_or(0.0), "tail_miss")?;
         check_not_negative(self.prices.health_check, "prices.probe")?;
         check_not_negative(self.prices.waste, "prices.waste")
     }
