--- a/balancer/src/discovery/endpoint_list.rs
+++ b/balancer/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list in discovery's JSON format. A list is a snapshot, with all endpoints, or a delta, with changes.
 
 use crate::upstream::EndpointState;
-use frostkeel_policy::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
+use frostkeel_policy::{Availability, CellId, HardwareKindId, UpdateScope, UpstreamId, ZoneId};
 use frostkeel_settings::Names;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -23,7 +23,7 @@
     /// The failure domain of the upstream; all zones that are not in the settings share one id.
     pub zone: ZoneId,
     /// The hardware kind of the upstream.
-    pub kind: KindId,
+    pub hardware_kind: HardwareKindId,
     /// The cell of the upstream: the upstreams of a cell share the idempotency keys that they have seen.
     pub cell: CellId,
     /// The weight of the upstream, as listed; 1 if no weight is listed.
@@ -242,7 +242,7 @@
         Ok(EndpointEntry {
             id: stable_id(uid),
             zone: self.zone(&raw.az),
-            kind: self.kind(&raw.model),
+            hardware_kind: self.hardware_kind(&raw.model),
             cell: CellId(raw.pod_group),
             weight: raw.capacity_hint,
             state: EndpointState {
@@ -258,16 +258,20 @@
         position.map_or(UNKNOWN_ZONE, |zone| ZoneId(zone as u8))
     }
 
-    fn kind(&self, name: &str) -> KindId {
-        let position = self.names.kinds.iter().position(|kind| kind == name);
-        position.map_or(UNKNOWN_KIND, |kind| KindId(kind as u16))
+    fn hardware_kind(&self, name: &str) -> HardwareKindId {
+        let position = self
+            .names
+            .hardware_kinds
+            .iter()
+            .position(|kind| kind == name);
+        position.map_or(UNKNOWN_HARDWARE_KIND, |kind| HardwareKindId(kind as u16))
     }
 }
 
 /// The zone of an upstream whose listed zone is not in the settings.
 const UNKNOWN_ZONE: ZoneId = ZoneId(u8::MAX);
 /// The kind of an upstream whose listed kind is not in the settings.
-const UNKNOWN_KIND: KindId = KindId(u16::MAX);
+const UNKNOWN_HARDWARE_KIND: HardwareKindId = HardwareKindId(u16::MAX);
 
 /// Returns the entry that replaces an unreadable one with this uid. Its upstream counts as draining, because the
 /// unreadable entry may have been a drain.
@@ -275,7 +279,7 @@
     EndpointEntry {
         id: stable_id(uid),
         zone: UNKNOWN_ZONE,
-        kind: UNKNOWN_KIND,
+        hardware_kind: UNKNOWN_HARDWARE_KIND,
         cell: CellId(0),
         weight: 1.0,
         state: EndpointState {
--- a/balancer/src/event_loop/endpoints.rs
+++ b/balancer/src/event_loop/endpoints.rs
@@ -106,7 +106,7 @@
         Endpoint {
             id: entry.id,
             zone: entry.zone,
-            kind: entry.kind,
+            hardware_kind: entry.hardware_kind,
             cell: entry.cell,
             availability: entry.state.availability,
             weight: entry.weight,
--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -12,8 +12,8 @@
 use frostkeel_balancer::request_counters::RequestCounters;
 use frostkeel_balancer::upstream::{EndpointState, Upstreams};
 use frostkeel_policy::{
-    Availability, Balancer, CellId, Class, Effect, KindId, Settings, UpdateScope, UpstreamId,
-    ZoneId,
+    Availability, Balancer, CellId, Class, Effect, HardwareKindId, Settings, UpdateScope,
+    UpstreamId, ZoneId,
 };
 use frostkeel_settings::{Names, Site};
 use socket2::{Domain, SockAddr, Socket, Type};
@@ -56,7 +56,7 @@
     let entry = EndpointEntry {
         id: UpstreamId(1),
         zone: ZoneId(0),
-        kind: KindId(0),
+        hardware_kind: HardwareKindId(0),
         cell: CellId(0),
         weight: 1.0,
         state,
--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -127,7 +127,7 @@
             .map(|tenant| tenant.name)
             .collect(),
         zones: document.zones,
-        kinds: document.kinds,
+        hardware_kinds: document.hardware_kinds,
     }
 }
 
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -26,7 +26,7 @@
     pub(crate) over_quota_weight_share: Option<f64>,
     pub(crate) prices: PricesDocument,
     #[serde(rename = "skus")]
-    pub(crate) kinds: Vec<String>,
+    pub(crate) hardware_kinds: Vec<String>,
     #[serde(rename = "telemetry")]
     pub(crate) load_reports: LoadReportsDocument,
     #[serde(rename = "weight_kind")]
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -35,7 +35,7 @@
     /// The names of the zones; may be fewer than the zone ids in use.
     pub zones: Vec<String>,
     /// The names of the hardware kinds of upstreams; may be fewer than the kind ids in use.
-    pub kinds: Vec<String>,
+    pub hardware_kinds: Vec<String>,
 }
 
 /// Parses the JSON text of a settings object.
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -116,7 +116,7 @@
         classes: owned(&["status", "start"]),
         tenants: owned(&["gyeonggi", "seoul"]),
         zones: owned(&["north", "south", "west"]),
-        kinds: owned(&["std-2c", "wide-3c"]),
+        hardware_kinds: owned(&["std-2c", "wide-3c"]),
     };
     assert_eq!(site.names, names);
 }
--- a/simulator-adapter/src/decoder/records.rs
+++ b/simulator-adapter/src/decoder/records.rs
@@ -8,7 +8,7 @@
     outcome_from_wire, update_scope_from_wire,
 };
 use frostkeel_policy::{
-    AttemptNo, CellId, ClassId, Endpoint, KindId, RequestId, TenantId, TimerId, ZoneId,
+    AttemptNo, CellId, ClassId, Endpoint, HardwareKindId, RequestId, TenantId, TimerId, ZoneId,
 };
 use frostkeel_settings::duration_from_ms;
 
@@ -61,7 +61,7 @@
 fn endpoint(reader: &mut FieldReader<'_>) -> Result<Endpoint, BatchError> {
     let id = reader.upstream()?;
     let zone = ZoneId(reader.u8("zone")?);
-    let kind = KindId(reader.u16("kind")?);
+    let hardware_kind = HardwareKindId(reader.u16("kind")?);
     let cell = CellId(reader.u16("cell")?);
     let availability = reader.u8_code("availability", availability_from_wire)?;
     let weight = f64::from(reader.f32("weight")?);
@@ -72,7 +72,7 @@
     Ok(Endpoint {
         id,
         zone,
-        kind,
+        hardware_kind,
         cell,
         availability,
         weight,
--- a/simulator-adapter/tests/codec.rs
+++ b/simulator-adapter/tests/codec.rs
@@ -7,8 +7,8 @@
 
 use common::{NamedBytes, frame, parse_named_hex};
 use frostkeel_policy::{
-    Action, AttemptNo, Availability, CellId, ClassId, Endpoint, FailureReason, KindId, Outcome,
-    RequestId, TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
+    Action, AttemptNo, Availability, CellId, ClassId, Endpoint, FailureReason, HardwareKindId,
+    Outcome, RequestId, TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
 };
 use frostkeel_simulator_adapter::decoder::decode_batch;
 use frostkeel_simulator_adapter::encoder::ReplyEncoder;
@@ -70,7 +70,7 @@
         Endpoint {
             id: upstream(7),
             zone: ZoneId(1),
-            kind: KindId(258),
+            hardware_kind: HardwareKindId(258),
             cell: CellId(772),
             availability: Availability::Removed,
             weight: 1.5,
@@ -79,7 +79,7 @@
         Endpoint {
             id: upstream(8),
             zone: ZoneId(2),
-            kind: KindId(3),
+            hardware_kind: HardwareKindId(3),
             cell: CellId(4),
             availability: Availability::Ready,
             weight: 0.25,
@@ -88,7 +88,7 @@
         Endpoint {
             id: upstream(9),
             zone: ZoneId(255),
-            kind: KindId(65535),
+            hardware_kind: HardwareKindId(65535),
             cell: CellId(65535),
             availability: Availability::Draining,
             weight: -2.0,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -25,7 +25,7 @@
 pub struct ZoneId(pub u8);
 /// Identifies a hardware kind: upstreams of one kind have similar hardware.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct KindId(pub u16);
+pub struct HardwareKindId(pub u16);
 /// Identifies a cell: a small set of upstreams that share a record of the idempotency keys they
 /// have received.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     /// The zone that the upstream runs in.
     pub zone: ZoneId,
     /// The hardware kind of the upstream; decisions do not depend on it.
-    pub kind: KindId,
+    pub hardware_kind: HardwareKindId,
     /// The cell that the upstream belongs to.
     pub cell: CellId,
     /// Whether the upstream accepts requests.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,7 +26,7 @@
 //! let endpoints = [Endpoint {
 //!     id: UpstreamId(7),
 //!     zone: ZoneId(0),
-//!     kind: KindId(0),
+//!     hardware_kind: HardwareKindId(0),
 //!     cell: CellId(0),
 //!     availability: Availability::Ready,
 //!     weight: 1.0,
--- a/tests/action_digest/adapter.rs
+++ b/tests/action_digest/adapter.rs
@@ -3,8 +3,8 @@
 use crate::sites;
 use frostkeel_policy::{
     Action, AttemptNo, Availability, Balancer, CellId, ClassId, Endpoint, Event, FailureReason,
-    KindId, LoadField, LoadReports, Outcome, RequestId, TenantId, TimerId, UpdateScope, UpstreamId,
-    WatchEvent, ZoneId,
+    HardwareKindId, LoadField, LoadReports, Outcome, RequestId, TenantId, TimerId, UpdateScope,
+    UpstreamId, WatchEvent, ZoneId,
 };
 use std::time::Duration;
 
@@ -282,7 +282,7 @@
     Endpoint {
         id: UpstreamId(entry.id),
         zone: ZoneId(entry.zone),
-        kind: KindId(0),
+        hardware_kind: HardwareKindId(0),
         cell: CellId(entry.cell),
         availability: [
             Availability::Ready,
--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -1,8 +1,8 @@
 //! Endpoints, classes and settings for tests.
 
 use frostkeel_policy::{
-    Availability, CellId, Class, DedupGroup, Effect, Endpoint, KindId, LoadField, LoadReports,
-    Settings, Tenant, UpstreamId, ZoneId,
+    Availability, CellId, Class, DedupGroup, Effect, Endpoint, HardwareKindId, LoadField,
+    LoadReports, Settings, Tenant, UpstreamId, ZoneId,
 };
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     Endpoint {
         id: UpstreamId(id),
         zone: ZoneId(0),
-        kind: KindId(0),
+        hardware_kind: HardwareKindId(0),
         cell: CellId(0),
         availability: Availability::Ready,
         weight: 1.0,
