--- a/simulator-adapter/src/decoder/records.rs
+++ b/simulator-adapter/src/decoder/records.rs
@@ -3,8 +3,8 @@
 use super::fields::{FieldReader, unknown_code};
 use crate::error::{BatchError, BatchFault};
 use crate::protocol::{
-    ENDPOINT_BYTES, EventCode, InstanceEvent, LocatedRecord, MAX_ENDPOINT_LIST_NUMBER,
-    REQUEST_HAS_WORK_HINT, REQUEST_IS_RETRY, Record, UpstreamResult, availability_from_wire,
+    ENDPOINT_BYTES, InstanceEvent, LocatedRecord, MAX_ENDPOINT_LIST_NUMBER, REQUEST_HAS_WORK_HINT,
+    REQUEST_IS_RETRY, Record, RecordCode, UpstreamResult, availability_from_wire,
     outcome_from_wire, update_scope_from_wire,
 };
 use frostkeel_policy::{
@@ -16,20 +16,20 @@
 pub(super) fn located_record(reader: &mut FieldReader<'_>) -> Result<LocatedRecord, BatchError> {
     let offset = reader.offset();
     let number = reader.u8("record code")?;
-    let code = EventCode::from_wire(number);
+    let code = RecordCode::from_wire(number);
     let code = code.ok_or_else(|| unknown_code(offset, "event code", number.into()))?;
     let record = match code {
-        EventCode::EndpointList => endpoint_list(reader)?,
-        EventCode::Start => start(reader)?,
-        EventCode::Stop => stop(reader)?,
-        EventCode::PeerMessage => peer_message(reader)?,
-        EventCode::ClientDisconnected => instance_event(reader, client_disconnected)?,
-        EventCode::StreamStarted => instance_event(reader, stream_started)?,
-        EventCode::Timer => instance_event(reader, timer)?,
-        EventCode::HealthCheckEnded => instance_event(reader, health_check_ended)?,
-        EventCode::EndpointsUpdated => instance_event(reader, endpoints_updated)?,
-        EventCode::AttemptEnded => instance_event(reader, attempt_ended)?,
-        EventCode::Request => instance_event(reader, request)?,
+        RecordCode::EndpointList => endpoint_list(reader)?,
+        RecordCode::Start => start(reader)?,
+        RecordCode::Stop => stop(reader)?,
+        RecordCode::PeerMessage => peer_message(reader)?,
+        RecordCode::ClientDisconnected => instance_event(reader, client_disconnected)?,
+        RecordCode::StreamStarted => instance_event(reader, stream_started)?,
+        RecordCode::Timer => instance_event(reader, timer)?,
+        RecordCode::HealthCheckEnded => instance_event(reader, health_check_ended)?,
+        RecordCode::EndpointsUpdated => instance_event(reader, endpoints_updated)?,
+        RecordCode::AttemptEnded => instance_event(reader, attempt_ended)?,
+        RecordCode::Request => instance_event(reader, request)?,
     };
     Ok(LocatedRecord { offset, record })
 }
--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -31,7 +31,7 @@
 /// The kind of a record, which is its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum EventCode {
+pub enum RecordCode {
     /// `PEER_DATA`: an instance has received a message from another instance.
     PeerMessage = 1,
     /// `VANISHED`: a client has disconnected.
@@ -56,7 +56,7 @@
     Request = 11,
 }
 
-impl EventCode {
+impl RecordCode {
     /// Returns the code with this number on the wire, or `None` if the number is unknown.
     pub fn from_wire(code: u8) -> Option<Self> {
         Some(match code {
--- a/simulator-adapter/tests/codec.rs
+++ b/simulator-adapter/tests/codec.rs
@@ -14,7 +14,7 @@
 use frostkeel_simulator_adapter::encoder::ReplyEncoder;
 use frostkeel_simulator_adapter::error::BatchFault;
 use frostkeel_simulator_adapter::protocol::{
-    ActionCode, EventCode, InstanceEvent, Record, UpstreamResult,
+    ActionCode, InstanceEvent, Record, RecordCode, UpstreamResult,
 };
 use std::time::Duration;
 
@@ -296,7 +296,7 @@
 
 #[test]
 fn event_codes_match_their_numbers_on_the_wire() {
-    let known = (0..=u8::MAX).filter_map(|number| Some((number, EventCode::from_wire(number)?)));
+    let known = (0..=u8::MAX).filter_map(|number| Some((number, RecordCode::from_wire(number)?)));
     let mut count = 0;
     for (number, code) in known {
         assert_eq!(code as u8, number, "{code:?}");
--- a/simulator-adapter/tests/session.rs
+++ b/simulator-adapter/tests/session.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{error_message, frame, run_adapter, split_replies};
-use frostkeel_simulator_adapter::protocol::{ActionCode, EventCode};
+use frostkeel_simulator_adapter::protocol::{ActionCode, RecordCode};
 
 const INSTANCE: u32 = 3;
 const REQUEST: u32 = 77;
@@ -18,12 +18,12 @@
     frame(clock_ms, &records.concat())
 }
 
-fn header(code: EventCode, number: u32) -> Vec<u8> {
+fn header(code: RecordCode, number: u32) -> Vec<u8> {
     [&[code as u8][..], &number.to_be_bytes()].concat()
 }
 
 fn start_record(instance: u32, settings: &str) -> Vec<u8> {
-    let mut record = header(EventCode::Start, instance);
+    let mut record = header(RecordCode::Start, instance);
     record.extend(7u64.to_be_bytes());
     record.extend((settings.len() as u32).to_be_bytes());
     record.extend(settings.as_bytes());
@@ -32,7 +32,7 @@
 
 /// Returns a record that defines a list of ready endpoints at 10.0.0.`host`, port 11200.
 fn endpoint_list(number: u32, hosts: &[u8]) -> Vec<u8> {
-    let mut record = header(EventCode::EndpointList, number);
+    let mut record = header(RecordCode::EndpointList, number);
     record.extend((hosts.len() as u32).to_be_bytes());
     for host in hosts {
         record.extend([10, 0, 0, *host, 0x2b, 0xc0, 0, 0, 0, 0, 0, 1]);
@@ -43,7 +43,7 @@
 }
 
 fn endpoints_updated(instance: u32, scope: u8, list_number: u32) -> Vec<u8> {
-    let mut record = header(EventCode::EndpointsUpdated, instance);
+    let mut record = header(RecordCode::EndpointsUpdated, instance);
     record.push(scope);
     record.extend(1u32.to_be_bytes());
     record.extend(list_number.to_be_bytes());
@@ -51,7 +51,7 @@
 }
 
 fn request(instance: u32) -> Vec<u8> {
-    let mut record = header(EventCode::Request, instance);
+    let mut record = header(RecordCode::Request, instance);
     record.extend(REQUEST.to_be_bytes());
     record.extend([0; 2]);
     record.extend([0; 4]);
@@ -175,7 +175,7 @@
 fn actions_of_a_stopped_instance_do_not_reach_its_successor() {
     let records = [
         request(INSTANCE),
-        header(EventCode::Stop, INSTANCE),
+        header(RecordCode::Stop, INSTANCE),
         start_record(INSTANCE, SETTINGS),
     ];
     let output = run_adapter(&[start_batch(), batch(105.0, &records)].concat());
