--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -26,8 +26,8 @@
     Duration::try_from_secs_f64(ms / MILLIS_PER_SECOND).unwrap_or(Duration::MAX)
 }
 
-/// Returns the meaning of a load report value by its name in the settings or in a report. An unknown name is
-/// [`LoadField::Other`].
+/// Returns the meaning of a value in load reports, given its name in the settings or in a report. The meaning for an
+/// unknown name is [`LoadField::Other`].
 pub fn parse_load_field(name: &str) -> LoadField {
     match name {
         "concurrent" | "inflight" => LoadField::InFlight,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Converts the document into the policy crate's settings. A missing key has its default value.
+/// Converts the parsed settings object into the policy crate's [`Settings`]. A missing key has its default value.
 pub(crate) fn settings(document: &SiteDocument) -> Result<Settings, SettingsParseError> {
     let report_fields = &document.load_reports.fields;
     let mut settings = Settings {
@@ -141,8 +141,8 @@
     limit.min(MAX_ATTEMPT_LIMIT) as u8
 }
 
-/// Returns the tolerated fraction of responses after the latency objective; `None` if it is missing, or if the weight
-/// of the tail (`slow_end`) is missing or not above 0.
+/// Returns the fraction of each class's responses that may take longer than the class's latency objective. Returns
+/// `None` if the settings lack that fraction, or if its weight (`slow_end`) is missing or not above 0.
 fn tolerated_late_fraction(goal: &GoalDocument) -> Option<f64> {
     let has_weight = goal.late_fraction_weight.is_some_and(|weight| weight > 0.0);
     goal.tolerated_late_fraction.filter(|_| has_weight)
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -1,5 +1,5 @@
-//! The serialized form of the settings object. The platform defines the keys; a field whose name differs from its key
-//! has the term that the code uses. The fields of [`Settings`](frostkeel_policy::Settings) document the values.
+//! The settings object as it is in JSON. The platform defines the keys; a field has another name than its key where
+//! the code uses another term. The fields of [`Settings`](frostkeel_policy::Settings) document the values.
 
 use serde::Deserialize;
 
@@ -31,6 +31,8 @@
     pub(crate) load_reports: LoadReportsDocument,
     #[serde(rename = "weight_kind")]
     pub(crate) endpoint_weights: Option<String>,
+    /// The text `work` if the priority weight of a request is in proportion to its work. With any other value, or
+    /// `None`, the priority weight does not depend on the work.
     #[serde(rename = "worth_by")]
     pub(crate) priority_weight_basis: Option<String>,
 }
@@ -138,17 +140,21 @@
     pub(crate) waste: f64,
 }
 
-/// The `goal` object. Only the values for the tail, which are the responses after their latency objective, are read.
+/// The `goal` object. Only its two keys for late responses, which take longer than their latency objective,
+/// are read.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct GoalDocument {
+    /// The weight of the fraction of late responses in the goal. If it is `None` or not above 0, that fraction does not
+    /// count.
     #[serde(rename = "slow_end")]
     pub(crate) late_fraction_weight: Option<f64>,
+    /// The fraction of each class's responses that may be late; 0 or more.
     #[serde(rename = "tail_miss")]
     pub(crate) tolerated_late_fraction: Option<f64>,
 }
 
-/// The `clients` object: what clients do.
+/// The `clients` object: the behaviour of the clients.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct ClientsDocument {
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -5,8 +5,8 @@
 /// The error for a settings object that can't be parsed.
 #[derive(Debug, Error)]
 pub enum SettingsParseError {
-    /// The text isn't JSON, or a value has the wrong type. The source names the line, the column and a value of the
-    /// wrong type.
+    /// The text isn't JSON, or a value has the wrong type. The source error names the line and the column, and, for a
+    /// wrong type, the value or its type.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
     /// A key has a value that is not one of those accepted.
