--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -137,8 +137,8 @@
     }
 }
 
-/// Checks the data of the tests in this file: a key that is misspelt, or that has its default value, would leave its
-/// field untested.
+/// Checks `every-key.json`: a key that is misspelt there, or that has its default value, would leave its field
+/// untested.
 #[test]
 fn removing_any_key_changes_the_result() {
     let document: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
@@ -164,7 +164,7 @@
 #[test]
 fn missing_keys_have_default_values() {
     let site = parse("{}").expect("valid settings");
-    // Only for a missing `weight_kind` does the value differ from that of `Settings::default`.
+    // The value for a missing `weight_kind` is the only one that differs from `Settings::default`.
     let settings = Settings {
         endpoint_weights: EndpointWeights::Off,
         ..Settings::default()
@@ -242,7 +242,7 @@
 
 #[test]
 fn reads_the_values_of_enumerated_keys() {
-    let set = |key: &str, value: &str| parsed(&json!({ key: value })).settings;
+    let settings_with = |key: &str, value: &str| parsed(&json!({ key: value })).settings;
     for (word, weights) in [
         ("live", EndpointWeights::Live),
         ("nominal", EndpointWeights::Size),
@@ -250,14 +250,22 @@
         ("off", EndpointWeights::Off),
         ("new", EndpointWeights::Off),
     ] {
-        assert_eq!(set("weight_kind", word).endpoint_weights, weights, "{word}");
+        assert_eq!(
+            settings_with("weight_kind", word).endpoint_weights,
+            weights,
+            "{word}"
+        );
     }
     for (word, polls) in [("subscribe", true), ("automatic", false), ("new", false)] {
-        assert_eq!(set("discovery", word).polls_endpoints, polls, "{word}");
+        assert_eq!(
+            settings_with("discovery", word).polls_endpoints,
+            polls,
+            "{word}"
+        );
     }
     for (word, by_work) in [("work", true), ("request", false), ("new", false)] {
         assert_eq!(
-            set("worth_by", word).scales_priority_weight_by_work,
+            settings_with("worth_by", word).scales_priority_weight_by_work,
             by_work,
             "{word}"
         );
@@ -291,7 +299,7 @@
 }
 
 #[test]
-fn clamps_attempts_and_reads_tail_miss_only_with_its_weight() {
+fn clamps_attempt_limit_and_reads_tolerated_late_fraction_only_with_its_weight() {
     let limit = |n: u32| {
         parsed(&json!({ "limits": { "try_limit": n } }))
             .settings
@@ -301,18 +309,21 @@
         (limit(0), limit(250), limit(251), limit(u32::MAX)),
         (0, 250, 250, 250)
     );
-    let goal = |goal: Value| {
+    let late_fraction = |goal: Value| {
         parsed(&json!({ "goal": goal }))
             .settings
             .tolerated_late_fraction
     };
     assert_eq!(
-        goal(json!({ "slow_end": 0.1, "tail_miss": 0.02 })),
+        late_fraction(json!({ "slow_end": 0.1, "tail_miss": 0.02 })),
         Some(0.02)
     );
-    assert_eq!(goal(json!({ "slow_end": 0.0, "tail_miss": 0.02 })), None);
-    assert_eq!(goal(json!({ "tail_miss": 0.02 })), None);
-    assert_eq!(goal(json!({ "slow_end": 0.1 })), None);
+    assert_eq!(
+        late_fraction(json!({ "slow_end": 0.0, "tail_miss": 0.02 })),
+        None
+    );
+    assert_eq!(late_fraction(json!({ "tail_miss": 0.02 })), None);
+    assert_eq!(late_fraction(json!({ "slow_end": 0.1 })), None);
 }
 
 #[test]
@@ -334,11 +345,11 @@
     );
 }
 
-/// Checks that each message contains the key, the value or the position in the text. The rest of the message is not
-/// checked.
+/// Checks that each error message contains the invalid key, its value or the position in the text. The rest of the
+/// message is not checked.
 #[test]
 fn rejects_invalid_settings_naming_key_and_value() {
-    for (text, named) in [
+    for (text, expected_words) in [
         (
             r#"{"classes": [{"effect": "sometimes"}]}"#,
             &["classes[0].effect", "\"sometimes\""][..],
@@ -367,7 +378,7 @@
         ("[1", &["settings", "line 1 column 2"]),
     ] {
         let message = parse(text).map(|_| ()).expect_err(text).to_string();
-        for word in named {
+        for word in expected_words {
             assert!(message.contains(word), "{text}: no {word} in {message}");
         }
     }
