--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -1,8 +1,11 @@
 //! The codes and limits of the simulator's protocol, and the records of a batch.
 //!
-//! The names in capitals are those of the protocol.
+//! A batch is a frame from the simulator, with records that all happen at one time. A reply is a frame from the
+//! adapter, with the actions that result from one batch. An instance is a balancer, which the simulator identifies by a
+//! number.
 //!
-//! Integers and floats are big-endian, without padding. A time is an `f64` in milliseconds.
+//! Names in capitals, such as `PEER_DATA`, are the protocol's own names. Integers and floats are big-endian, without
+//! padding. A time is an `f64` in milliseconds.
 
 use frostkeel_policy::{
     AttemptNo, Availability, ClassId, Endpoint, Outcome, RequestId, TenantId, TimerId, UpdateScope,
@@ -10,7 +13,7 @@
 };
 use std::time::Duration;
 
-/// The size of the length field that begins each frame. The length counts the bytes after the field.
+/// The size of the length field that begins each frame. The length is the number of bytes after this field.
 pub const LENGTH_BYTES: usize = 4;
 /// The size of the time field that follows the length field of a batch.
 pub const CLOCK_BYTES: usize = 8;
@@ -18,17 +21,18 @@
 pub const MAX_FRAME_BYTES: usize = 1 << 30;
 /// The size of one entry of an endpoint list.
 pub const ENDPOINT_BYTES: usize = 24;
-/// The highest number of an endpoint list; the lowest is 0.
+/// The highest number that identifies an endpoint list; the lowest is 0.
 pub const MAX_ENDPOINT_LIST_NUMBER: u32 = 15;
 /// The size of an upstream's id: an IPv4 address and a port.
 pub const UPSTREAM_BYTES: usize = 6;
 
-/// The bit in a request's flags that says that its work hint is valid.
+/// The bit in a request's flags that is set if the work hint in the request is valid. The work hint is the expected CPU
+/// time of the request, in milliseconds.
 pub const REQUEST_HAS_WORK_HINT: u8 = 1;
-/// The bit in a request's flags that says that the client marked the request as a retry.
+/// The bit in a request's flags that is set if the client marked the request as a retry.
 pub const REQUEST_IS_RETRY: u8 = 2;
 
-/// The kind of a record, which is its first byte.
+/// The code in the first byte of a record, which states the kind of the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum RecordCode {
@@ -76,7 +80,7 @@
     }
 }
 
-/// The kind of an action in a reply, which is its first byte.
+/// The code in the first byte of an action in a reply, which states the kind of the action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ActionCode {
@@ -158,7 +162,7 @@
 /// One record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// Defines an endpoint list that later records refer to by its number. It belongs to no instance.
+    /// Defines an endpoint list that later records refer to by its number. All instances share the list.
     EndpointList {
         /// The number of the list. A list that an earlier record defined with this number is replaced.
         number: u32,
@@ -179,7 +183,7 @@
         /// The number of the instance to stop.
         instance: u32,
     },
-    /// A message from another instance. Balancers don't use such messages.
+    /// A message from another instance. Its content is ignored, but the receiving instance must be running.
     PeerMessage {
         /// The number of the receiving instance.
         instance: u32,
@@ -196,7 +200,7 @@
 /// An event for the balancer of an instance.
 #[derive(Debug, PartialEq)]
 pub enum InstanceEvent {
-    /// The endpoint list has changed, or an attempt to watch it has failed.
+    /// The endpoint list was updated, or an update failed.
     EndpointsUpdated {
         /// The kind of update: a complete list, only the changed entries, or a failure.
         scope: UpdateScope,
@@ -213,7 +217,7 @@
         tenant: TenantId,
         /// The time until the client's deadline.
         time_left: Duration,
-        /// The expected CPU time in milliseconds; `None` if the request has no valid hint.
+        /// The expected CPU time of the request in milliseconds; `None` if the request has no valid work hint.
         work_ms: Option<f64>,
         /// Whether the client marked the request as a retry.
         is_retry: bool,
@@ -233,7 +237,8 @@
         id: RequestId,
         /// The number of the attempt, counted from 0 for each request.
         attempt: AttemptNo,
-        /// Whether the request has its final response.
+        /// Whether the request needs no further response: this outcome or an earlier event gave it its final response,
+        /// or its client has disconnected.
         request_finished: bool,
         /// The result of the attempt, with its load report.
         result: UpstreamResult,
@@ -243,12 +248,12 @@
         /// The result of the health check, with its load report.
         result: UpstreamResult,
     },
-    /// A client has disconnected; no response is due.
+    /// A client has disconnected; its request needs no response any more.
     ClientDisconnected {
         /// The id of the client's request.
         id: RequestId,
     },
-    /// A timer that the instance set is due.
+    /// A timer is due that the balancer set earlier.
     Timer {
         /// The id that the balancer gave the timer.
         timer: TimerId,
@@ -260,10 +265,11 @@
 pub struct UpstreamResult {
     /// The upstream that the attempt or the health check was sent to.
     pub upstream: UpstreamId,
-    /// The kind of success or failure.
+    /// How the attempt or the health check ended.
     pub outcome: Outcome,
     /// The time since the attempt or the health check was sent.
     pub latency: Duration,
-    /// The values of the load report, in the order of the settings; empty if there was no report.
+    /// The values of the load report, in the order of
+    /// [`Settings::report_fields`](frostkeel_policy::Settings::report_fields); empty if there was no report.
     pub load_report: Vec<f32>,
 }
