--- a/simulator-adapter/src/decoder/records.rs
+++ b/simulator-adapter/src/decoder/records.rs
@@ -12,7 +12,7 @@
 };
 use frostkeel_settings::duration_from_ms;
 
-/// Reads the next record and its position in the frame.
+/// Reads the next record, and returns it with its position in the frame.
 pub(super) fn located_record(reader: &mut FieldReader<'_>) -> Result<LocatedRecord, BatchError> {
     let offset = reader.offset();
     let number = reader.u8("record code")?;
@@ -34,7 +34,7 @@
     Ok(LocatedRecord { offset, record })
 }
 
-/// Reads the instance's number and, with the given function, the event for its balancer.
+/// Reads the number of an instance and, with `read_event`, the event for its balancer.
 fn instance_event(
     reader: &mut FieldReader<'_>,
     read_event: fn(&mut FieldReader<'_>) -> Result<InstanceEvent, BatchError>,
@@ -61,7 +61,7 @@
 fn endpoint(reader: &mut FieldReader<'_>) -> Result<Endpoint, BatchError> {
     let id = reader.upstream()?;
     let zone = ZoneId(reader.u8("zone")?);
-    let hardware_kind = HardwareKindId(reader.u16("kind")?);
+    let hardware_kind = HardwareKindId(reader.u16("hardware kind")?);
     let cell = CellId(reader.u16("cell")?);
     let availability = reader.u8_code("availability", availability_from_wire)?;
     let weight = f64::from(reader.f32("weight")?);
--- a/simulator-adapter/src/encoder.rs
+++ b/simulator-adapter/src/encoder.rs
@@ -4,7 +4,8 @@
 use frostkeel_policy::{Action, UpstreamId};
 use std::time::Duration;
 
-/// The value of `KEEP_INFORMED` that starts a watch on the endpoint list; 0 would end the watch.
+/// The value of the only field of `KEEP_INFORMED`: it starts a watch on the endpoint list. The value 0 would end the
+/// watch.
 const WATCH_ON: u8 = 1;
 /// The time that is written for an action without a time, in milliseconds.
 const NO_TIME_MS: f64 = 0.0;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Writes the low six bytes of the id: an IPv4 address and a port.
+    /// Writes the low six bytes of an upstream's id: an IPv4 address and a port.
     fn upstream(&mut self, upstream: UpstreamId) {
         self.bytes.extend(&upstream.0.to_be_bytes()[2..]);
     }
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of a session, with the byte of the frame that is invalid.
+//! The errors of a session. An error in a frame names the byte at which the invalid field or record begins.
 
 use frostkeel_policy::SettingsError;
 use frostkeel_settings::SettingsParseError;
@@ -24,8 +24,8 @@
         /// the frame with its length field.
         expected: usize,
     },
-    /// The length field is less than the size of an empty batch, or over
-    /// [`MAX_FRAME_BYTES`](crate::protocol::MAX_FRAME_BYTES).
+    /// The length field is less than [`CLOCK_BYTES`](crate::protocol::CLOCK_BYTES), the length of a batch without
+    /// records, or over [`MAX_FRAME_BYTES`](crate::protocol::MAX_FRAME_BYTES).
     #[error("byte 0: frame length must be 8 to 1073741824 bytes, got {length}")]
     InvalidFrameLength {
         /// The value of the length field, in bytes.
@@ -36,7 +36,7 @@
     Batch(#[from] BatchError),
 }
 
-/// The error for a batch that can't be decoded or applied, with its position in the frame.
+/// The error for a batch that can't be decoded or applied, with the position of the error in the frame.
 #[derive(Debug, Error)]
 #[error("byte {offset}: {fault}")]
 pub struct BatchError {
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -29,7 +29,7 @@
 }
 
 impl Host {
-    /// Applies one record at the time `now` of its batch, and collects the resulting actions for the reply.
+    /// Applies one record, and collects the resulting actions for the reply. `now` is the time of the record's batch.
     pub fn apply(&mut self, now: Duration, located: LocatedRecord) -> Result<(), BatchError> {
         let LocatedRecord { offset, record } = located;
         self.apply_record(now, record)
@@ -56,7 +56,9 @@
                 self.stop(instance);
                 Ok(())
             }
-            Record::PeerMessage { instance } => running(&mut self.instances, instance).map(|_| ()),
+            Record::PeerMessage { instance } => {
+                running_balancer(&mut self.instances, instance).map(|_| ())
+            }
             Record::Event { instance, event } => self.handle_event(now, instance, &event),
         }
     }
@@ -68,7 +70,7 @@
         event: &InstanceEvent,
     ) -> Result<(), BatchFault> {
         let event = policy_event(event, &self.endpoint_lists)?;
-        let balancer = running(&mut self.instances, instance)?;
+        let balancer = running_balancer(&mut self.instances, instance)?;
         self.actions.clear();
         balancer.handle(now, event, &mut self.actions);
         let actions = self.actions.drain(..);
@@ -98,7 +100,7 @@
 }
 
 /// Returns the balancer of an instance, or an error if the instance is not running.
-fn running(
+fn running_balancer(
     instances: &mut HashMap<u32, Balancer>,
     instance: u32,
 ) -> Result<&mut Balancer, BatchFault> {
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
 //! `frostkeel-simulator-adapter`: reads batches of the simulator's protocol on standard input and writes replies to
 //! standard output.
 //!
-//! At a malformed frame the program writes one line to standard error and exits with code 1. It writes no part of a
-//! reply to that frame.
+//! At the first error, such as a malformed frame, the program writes one line to standard error and exits with code 1.
+//! It writes no part of a reply to an invalid frame.
 
 use frostkeel_simulator_adapter::session;
 use std::io;
--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -7,8 +7,8 @@
 use crate::protocol::{CLOCK_BYTES, LENGTH_BYTES, MAX_FRAME_BYTES};
 use std::io::{Read, Write};
 
-/// Replies to batches until the input ends between two frames. The first error ends the session. A batch that
-/// can't be decoded or applied gets no reply.
+/// Replies to batches until the input ends at a frame boundary. The first error ends the session. A batch that can't
+/// be decoded or applied gets no reply.
 pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), SessionError> {
     let mut host = Host::default();
     let mut reply = ReplyEncoder::default();
@@ -30,7 +30,8 @@
     Ok(())
 }
 
-/// Reads one frame, with its length field, into `frame`. Returns `false` if the input ended before the frame.
+/// Reads one frame, with its length field, into `frame`. Returns `false` if the input ended before the first byte of
+/// the frame.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, SessionError> {
     frame.clear();
     let received = read_up_to(input, LENGTH_BYTES, frame)?;
@@ -55,8 +56,8 @@
     Ok(true)
 }
 
-/// Appends up to `limit` bytes of the input to `frame`. Returns their number, which is below `limit` only if the input
-/// ended.
+/// Appends up to `limit` bytes of the input to `frame`. Returns the number of appended bytes, which is below `limit`
+/// only if the input ended.
 fn read_up_to(
     input: &mut impl Read,
     limit: usize,
