--- a/simulator-adapter/tests/codec.rs
+++ b/simulator-adapter/tests/codec.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn result(outcome: Outcome, latency_us: u64, load_report: &[f32]) -> UpstreamResult {
+fn upstream_result(outcome: Outcome, latency_us: u64, load_report: &[f32]) -> UpstreamResult {
     UpstreamResult {
         upstream: upstream(7),
         outcome,
@@ -54,7 +54,7 @@
         id: REQUEST,
         attempt: AttemptNo(1),
         request_finished,
-        result: result(outcome, 4_500, load_report),
+        result: upstream_result(outcome, 4_500, load_report),
     })
 }
 
@@ -97,8 +97,8 @@
     ]
 }
 
-/// Returns the records of `records.hex` that come before the requests, in its order.
-fn lifecycle_and_upstream_records() -> Vec<Record> {
+/// Returns the records of `records.hex` that come before the requests, in the order of the file.
+fn records_before_requests() -> Vec<Record> {
     vec![
         Record::PeerMessage { instance: INSTANCE },
         event_record(InstanceEvent::ClientDisconnected { id: OTHER_REQUEST }),
@@ -124,12 +124,12 @@
             timer: TimerId(0x4d),
         }),
         event_record(InstanceEvent::HealthCheckEnded {
-            result: result(Outcome::Ok, 1_400, &[0.62, 7.0]),
+            result: upstream_result(Outcome::Ok, 1_400, &[0.62, 7.0]),
         }),
         Record::Event {
             instance: u32::MAX,
             event: InstanceEvent::HealthCheckEnded {
-                result: result(Outcome::Reset, 2_500, &[]),
+                result: upstream_result(Outcome::Reset, 2_500, &[]),
             },
         },
         Record::Stop { instance: INSTANCE },
@@ -148,8 +148,8 @@
     ]
 }
 
-/// Returns the requests of `records.hex`, in its order: with a work hint, without one, marked as a retry, with a hint
-/// that isn't finite and with a hint of zero.
+/// Returns the requests of `records.hex`, in the order of the file: with a work hint, without one, marked as a retry,
+/// with a hint that isn't finite and with a hint of zero.
 fn request_records() -> Vec<Record> {
     let time_left = micros(240_000);
     let request = |id, class, tenant| (RequestId(id), ClassId(class), TenantId(tenant));
@@ -181,7 +181,7 @@
 #[test]
 fn decodes_each_record_kind() {
     let lines = parse_named_hex(include_str!("data/records.hex"));
-    let mut expected = lifecycle_and_upstream_records();
+    let mut expected = records_before_requests();
     expected.extend(request_records());
     assert_eq!(lines.len(), expected.len());
     for (line, record) in lines.iter().zip(&expected) {
@@ -198,7 +198,7 @@
         assert!(batch.records.is_empty(), "{name}: one record");
     }
     let batch =
-        decode_batch(&frame(0.0, &concatenated(&lines))).expect("one batch with all of them");
+        decode_batch(&frame(0.0, &concatenated(&lines))).expect("one batch with all records");
     let records: Vec<Record> = batch
         .records
         .into_iter()
@@ -207,7 +207,8 @@
     assert_eq!(records, expected);
 }
 
-/// Returns the actions of `actions.hex` that come before the log line, in its order, each with its instance.
+/// Returns the actions of `actions.hex` that come before the log line, in the order of the file, each with its
+/// instance.
 fn actions() -> Vec<(u32, Action)> {
     let id = OTHER_REQUEST;
     let attempt = |id, host, timeout| Action::Attempt {
@@ -251,15 +252,15 @@
 /// The log line that is the last action of `actions.hex`, with its instance.
 const LOG_LINE: (u32, &str) = (5, "two servers known");
 
-/// Returns a reply with the actions that `push` appends, without its length field.
+/// Returns the bytes of a reply with the actions that `push` appends, without the length field.
 fn encoded(push: impl FnOnce(&mut ReplyEncoder)) -> Vec<u8> {
     let mut reply = ReplyEncoder::default();
     reply.begin();
     push(&mut reply);
     let bytes = reply.finish();
-    let (length, action) = bytes.split_first_chunk().expect("a length field");
-    assert_eq!(u32::from_be_bytes(*length) as usize, action.len());
-    action.to_vec()
+    let (length, actions) = bytes.split_first_chunk().expect("a length field");
+    assert_eq!(u32::from_be_bytes(*length) as usize, actions.len());
+    actions.to_vec()
 }
 
 #[test]
@@ -295,7 +296,7 @@
 }
 
 #[test]
-fn event_codes_match_their_numbers_on_the_wire() {
+fn record_codes_match_their_numbers_on_the_wire() {
     let known = (0..=u8::MAX).filter_map(|number| Some((number, RecordCode::from_wire(number)?)));
     let mut count = 0;
     for (number, code) in known {
--- a/simulator-adapter/tests/common/mod.rs
+++ b/simulator-adapter/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(
     dead_code,
     clippy::expect_used,
-    reason = "no test file uses all of it; a test fails by panicking"
+    reason = "no test file uses all of this module; a test fails by panicking"
 )]
 
 use std::io::Write;
--- a/simulator-adapter/tests/frame_fixtures.rs
+++ b/simulator-adapter/tests/frame_fixtures.rs
@@ -57,7 +57,8 @@
     );
 }
 
-/// Returns the error for a malformed frame that follows a valid one. Checks that only the valid one gets a reply.
+/// Returns the error message for a malformed frame that follows a valid one. Checks that only the valid frame gets a
+/// reply.
 fn error_for(malformed: &[u8]) -> String {
     let output = run_adapter(
         &[
@@ -127,7 +128,8 @@
     );
 }
 
-/// The error names the first byte of the record that holds the settings, and contains the settings error.
+/// Checks that the message names the first byte of the record with the settings, and contains the error of the
+/// settings.
 #[test]
 fn reports_invalid_settings_with_the_position_of_their_record() {
     for (settings, word) in [
--- a/simulator-adapter/tests/session.rs
+++ b/simulator-adapter/tests/session.rs
@@ -18,6 +18,7 @@
     frame(clock_ms, &records.concat())
 }
 
+/// Returns the fields that begin a record: its code, and the number of an instance or of an endpoint list.
 fn header(code: RecordCode, number: u32) -> Vec<u8> {
     [&[code as u8][..], &number.to_be_bytes()].concat()
 }
@@ -95,7 +96,7 @@
 }
 
 /// Checks that the adapter exits with code 1 at a malformed frame, that it writes one line which names `byte` and
-/// contains `word`, and that it replies only to the batch before.
+/// contains `word`, and that only the batch before the malformed frame gets a reply.
 fn assert_malformed(malformed: &[u8], byte: usize, word: &str) {
     let output = run_adapter(&[start_batch(), malformed.to_vec()].concat());
     let message = error_message(&output);
