--- a/syscall-faults/src/config.rs
+++ b/syscall-faults/src/config.rs
@@ -15,7 +15,7 @@
 }
 
 impl SyscallKind {
-    /// Returns the name of the environment variable with the rule for these calls.
+    /// Returns the name of the environment variable with the fault rule for this kind of call.
     fn variable(self) -> &'static str {
         match self {
             Self::Accept => "FAULT_ACCEPT",
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns the rule for the calls of a kind.
+    /// Returns the fault rule for this kind of call.
     pub(crate) fn rule(&self, kind: SyscallKind) -> &FaultRule {
         match kind {
             SyscallKind::Accept => &self.accept,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns the value of a variable, or 0 if the variable is missing or not an integer.
+/// Returns the value of an environment variable, or 0 if the variable is missing or not an integer.
 fn integer_from_env(variable: &str) -> i64 {
     let text = std::env::var(variable).ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
--- a/syscall-faults/src/lib.rs
+++ b/syscall-faults/src/lib.rs
@@ -33,8 +33,8 @@
     function
 }
 
-/// Defines a replacement for a function of the C library. The replacement fails as the fault rule of its kind says, and
-/// otherwise calls the replaced function.
+/// Defines a replacement for a function of the C library. A call of the replacement fails with the probability in the
+/// fault rule for this kind of system call; otherwise it calls the replaced function.
 macro_rules! replacement_function {
     ($kind:expr, $name:ident($($argument:ident: $type:ty),*) -> $result:ty) => {
         /// Calls the function of the C library with this name, or fails with an injected error.
