--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -1,9 +1,9 @@
-//! The serialized form of the settings object. The keys are the platform's; each is bound here to a field with the term
-//! that the code uses.
+//! The settings object as it is in JSON. The platform defines the keys; a field has another name than its key where
+//! the code uses another term. The fields of [`Settings`](frostkeel_policy::Settings) document the values.
 
 use serde::Deserialize;
 
-/// The complete object.
+/// The complete settings object.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct SiteDocument {
@@ -26,16 +26,18 @@
     pub(crate) over_quota_weight_share: Option<f64>,
     pub(crate) prices: PricesDocument,
     #[serde(rename = "skus")]
-    pub(crate) kinds: Vec<String>,
+    pub(crate) hardware_kinds: Vec<String>,
     #[serde(rename = "telemetry")]
     pub(crate) load_reports: LoadReportsDocument,
     #[serde(rename = "weight_kind")]
     pub(crate) endpoint_weights: Option<String>,
+    /// The text `work` if the priority weight of a request is in proportion to its work. With any other value, or
+    /// `None`, the priority weight does not depend on the work.
     #[serde(rename = "worth_by")]
-    pub(crate) weight_by: Option<String>,
+    pub(crate) priority_weight_basis: Option<String>,
 }
 
-/// An element of `classes`.
+/// An element of `classes`: a class of requests.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct ClassDocument {
@@ -75,10 +77,10 @@
     }
 }
 
-/// The value of `effect` for a class whose requests must never run twice.
+/// The value of `effect` for a class whose requests must never be processed twice.
 pub(crate) const AT_MOST_ONCE: &str = "at_most_once";
 
-/// An element of `parties`.
+/// An element of `parties`: a tenant.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct TenantDocument {
@@ -87,7 +89,7 @@
     pub(crate) quota_per_s: f64,
 }
 
-/// What the site permits.
+/// The `limits` object: what a balancer may do and use at the site.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct LimitsDocument {
@@ -107,7 +109,7 @@
     pub(crate) hedging: Option<bool>,
 }
 
-/// The numbers of the platform's rules.
+/// The `guarantees` object: the numbers in the platform's rules on polling, draining, slow start and overload.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct GuaranteesDocument {
@@ -124,7 +126,7 @@
     pub(crate) overload_window_ms: Option<f64>,
 }
 
-/// The costs of operations.
+/// The `prices` object: the costs of operations.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct PricesDocument {
@@ -138,16 +140,21 @@
     pub(crate) waste: f64,
 }
 
-/// The weights of the parts of the site's goal, as far as they are used.
+/// The `goal` object. Only its two keys for late responses, which take longer than their latency objective,
+/// are read.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct GoalDocument {
+    /// The weight of the fraction of late responses in the goal. If it is `None` or not above 0, that fraction does not
+    /// count.
     #[serde(rename = "slow_end")]
-    pub(crate) tail_weight: Option<f64>,
-    pub(crate) tail_miss: Option<f64>,
+    pub(crate) late_fraction_weight: Option<f64>,
+    /// The fraction of each class's responses that may be late; 0 or more.
+    #[serde(rename = "tail_miss")]
+    pub(crate) tolerated_late_fraction: Option<f64>,
 }
 
-/// The behavior of clients.
+/// The `clients` object: the behaviour of the clients.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct ClientsDocument {
@@ -155,7 +162,7 @@
     pub(crate) retries_marked: Option<bool>,
 }
 
-/// The source of load reports, and their values.
+/// The `telemetry` object: the source of load reports, and the names of the values in a report.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct LoadReportsDocument {
