--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,26 +1,27 @@
-//! The lab: a fleet of real balancers, with faults between them.
+//! Runs experiments with real balancers and injected faults.
 //!
-//! One lab process simulates the environment of the balancers: clients, upstreams and the discovery
-//! service, as stand-ins that speak the published protocol on loopback addresses. The balancers are
-//! the real program, started as child processes. A run executes an
-//! [`Experiment`](experiment::Experiment), records its complete [`history`], applies the [`checks`]
-//! and writes a [report](reports).
+//! One lab process simulates clients, upstreams and the discovery service. These stand-ins use the
+//! balancer's real protocols on loopback addresses. The balancers are the real program, run as
+//! child processes.
 //!
-//! The load and all random draws follow from one seed. Modules use only those above them in this
-//! order:
+//! A run executes an [`Experiment`](experiment::Experiment), records its [`history`], applies the
+//! [`checks`] and writes a [report](reports).
+//!
+//! One seed determines the load and all random draws. A module in this table uses only modules
+//! above it:
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`experiment`] | the form of an experiment, and how it is parsed |
+//! | [`experiment`] | the settings of an experiment, and the parser of its file |
 //! | [`history`] | the events of a run |
-//! | [`measurements`] | latencies, the use of processor and memory, the figures of a run |
-//! | [`links`] | links between processes, and their effects on traffic |
-//! | [`processes`] | child processes, and the guard that ends them |
+//! | [`measurements`] | latencies, processor and memory usage, summary statistics of a run |
+//! | [`links`] | links between processes, and the faults of links |
+//! | [`processes`] | child processes, and the guard that kills them if the lab dies |
 //! | [`standins`] | clients and their load, upstreams, discovery, registration |
-//! | [`balancers`] | the balancers as children, and their configuration |
+//! | [`balancers`] | balancers as child processes, and their configuration |
 //! | [`faults`] | the targets of faults, and their injection |
-//! | [`checks`] | the rules, judged over a history |
-//! | [`runs`] | runs with real processes, in simulated time, and of a registry |
+//! | [`checks`] | rules that the history of a run is checked against |
+//! | [`runs`] | runs with real processes, in simulated time, and of the registry alone |
 //! | [`reports`] | the report of a run |
 
 pub mod balancers;
