--- a/lab/src/experiment/class_defaults.rs
+++ b/lab/src/experiment/class_defaults.rs
@@ -1,8 +1,8 @@
-//! The default classes and tenants, for a file that names none.
+//! The request classes and tenants of an experiment whose file lists none.
 
 use super::{Class, Idempotence, Tenant};
 
-pub(super) fn site_classes() -> Vec<Class> {
+pub(super) fn default_classes() -> Vec<Class> {
     vec![
         Class {
             name: "station-status".into(),
@@ -47,7 +47,7 @@
     ]
 }
 
-pub(super) fn site_tenants() -> Vec<Tenant> {
+pub(super) fn default_tenants() -> Vec<Tenant> {
     let tenant = |name: &str, share| Tenant {
         name: name.into(),
         share,
--- a/lab/src/experiment/fault_error.rs
+++ b/lab/src/experiment/fault_error.rs
@@ -1,70 +1,79 @@
-//! Why a `[[fault]]` table is not valid.
+//! Errors in a `[[fault]]` table.
 
 use super::value_range::ValueOutOfRange;
 use thiserror::Error;
 
-/// Why a table is no valid fault.
+/// The reason why a `[[fault]]` table is invalid.
 #[derive(Debug, PartialEq, Error)]
 pub enum InvalidFault {
-    /// No such target.
+    /// The text names no kind of target.
     #[error(
-        "target {0:?}: b0, b0..b9, other balancers, u0, discovery, clients, all upstreams or 30% \
-         of upstreams can be meant"
+        "unknown target {0:?}: expected a form such as b0, b0..b9, other balancers, u0, discovery, \
+         clients, all upstreams or 30% of upstreams"
     )]
     UnknownTarget(String),
-    /// A number that is not in the fleet.
-    #[error("target {text:?}: there are only {count}")]
+    /// The fleet has no process with the number in the target.
+    #[error("target {text:?} does not exist: its number must be below {count}")]
     NotInFleet {
-        /// The target.
+        /// The target as written in the file.
         text: String,
-        /// How many there are.
+        /// The number of balancers or upstreams in the fleet.
         count: u32,
     },
-    /// It would begin after the end.
-    #[error("at_s is {at_s}: the play takes 0 to {length_s} s")]
+    /// The start of the fault is not within the run.
+    #[error("at_s must be between 0 and {length_s} s, the length of the run, got {at_s}")]
     StartOutOfRange {
-        /// Its start.
+        /// The start of the fault, in seconds from the start of the load.
         at_s: f64,
-        /// The length of the run.
+        /// The length of the run, in seconds.
         length_s: f64,
     },
-    /// A key that its kind needs.
-    #[error("{0} is missing: this kind of fault needs it")]
+    /// A key is missing that this kind of fault requires.
+    #[error("{0} is missing: this kind of fault requires it")]
     Missing(&'static str),
-    /// A value out of range.
+    /// A value is outside its range.
     #[error(transparent)]
     OutOfRange(#[from] ValueOutOfRange),
-    /// A delay without any.
-    #[error("delay_ms, jitter_ms or bytes_per_s is missing: what slows the link?")]
+    /// A fault of kind `delay` states no delay, jitter or bandwidth, or a bandwidth of 0.
+    #[error(
+        "a delay needs delay_ms above 0, jitter_ms above 0 or bytes_per_s, and bytes_per_s must \
+         not be 0"
+    )]
     MissingDelay,
-    /// A rate that is missing or out of range.
-    #[error("rate: 1 to 100000 a second can be played")]
+    /// The rate of datagrams is missing or outside its range.
+    #[error("rate is missing or invalid: it must be between 1 and 100000 datagrams per s")]
     InvalidRate,
-    /// No factor of slowness.
-    #[error("factor is missing: how many times slower?")]
+    /// The factor of a slowdown is missing.
+    #[error("factor is missing: state how many times as long requests take, between 1 and 1000")]
     MissingFactor,
-    /// No size of a batch.
-    #[error("batch is missing: how many at a time, 1 or more?")]
+    /// The batch size of a replacement is missing or 0.
+    #[error("batch is missing or 0: state how many upstreams are replaced at a time, at least 1")]
     MissingBatch,
-    /// A target that this kind of fault does not apply to.
-    #[error("this kind of fault cannot meet {0:?}")]
+    /// This kind of fault does not apply to the target.
+    #[error("this kind of fault does not apply to target {0:?}: change kind or target")]
     WrongTarget(String),
-    /// A key that this kind of fault does not have.
-    #[error("{0} says nothing to this kind of fault")]
+    /// A key has no effect with the kind, the target and the other keys of the fault.
+    #[error("{0} has no effect with the kind, target and other keys of this fault: remove it")]
     Inapplicable(&'static str),
-    /// A link with no balancer at its ends.
-    #[error("with {0:?}: one end of a link is a balancer's")]
+    /// Neither end of the link is a balancer; the field is the value of `with`.
+    #[error("one end of a link must be a balancer: change target or with, got with = {0:?}")]
     NoBalancerAtLink(String),
-    /// Links between balancers without membership.
-    #[error("balancers have links with each other only where there is a [membership]")]
+    /// The fault concerns links between balancers, but the experiment has no membership.
+    #[error("links between balancers exist only with membership: add a [membership] table")]
     NoMembership,
-    /// A loss on connections.
-    #[error("only datagrams between balancers are lost or come twice: with = \"other balancers\"?")]
+    /// A fault of kind `lossy` affects links that carry connections.
+    #[error(
+        "only datagrams between balancers can be lost or duplicated: target and with must both be \
+         balancers, such as with = \"other balancers\""
+    )]
     LossOnConnections,
-    /// A reset of datagrams.
-    #[error("datagrams have no connection to be reset")]
+    /// A fault of kind `reset` affects links between balancers, which carry datagrams.
+    #[error(
+        "links between balancers carry datagrams and have no connections to reset: target and \
+         with must not both be balancers"
+    )]
     ResetOfDatagrams,
-    /// An interval that is too short.
-    #[error("again_s: 0.1 or more can be played")]
+    /// The interval of a repeated fault is too short.
+    #[error("again_s must be at least 0.1 s")]
     RepeatsTooSoon,
 }
--- a/lab/src/experiment/fault_parsing.rs
+++ b/lab/src/experiment/fault_parsing.rs
@@ -1,4 +1,4 @@
-//! How a `[[fault]]` table is read.
+//! Parses a `[[fault]]` table.
 
 use super::Fleet;
 use super::fault_error::InvalidFault;
@@ -8,13 +8,14 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The longest time span of a fault, in seconds.
-const MAX_SPAN_S: f64 = 3600.0;
-/// The longest delay of a link, in milliseconds.
+/// The largest value of `for_s`, `every_s`, `drain_s` and `again_s`, in seconds.
+const MAX_FAULT_SPAN_S: f64 = 3600.0;
+/// The largest value of `delay_ms` and of `jitter_ms`, in milliseconds.
 const MAX_DELAY_MS: f64 = 60_000.0;
-/// The shortest interval between two occurrences.
+/// The shortest interval between two occurrences of a repeated fault.
 const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(100);
 
+/// The values of `kind`.
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Kind {
@@ -32,6 +33,8 @@
     Storm,
 }
 
+/// The values of `way`, the directions of a link that a fault affects: `to` is outbound, `back` is
+/// inbound (see [`LinkConditions`]).
 #[derive(Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Direction {
@@ -66,7 +69,7 @@
     until_s: Option<f64>,
 }
 
-/// What a fault is part of.
+/// The settings of the experiment that the validity of a fault depends on.
 pub(super) struct FaultContext<'a> {
     pub fleet: &'a Fleet,
     /// The length of the run.
@@ -75,7 +78,7 @@
     pub has_registry: bool,
 }
 
-/// Reads one fault.
+/// Validates the table of one fault and converts it.
 pub(super) fn parse_fault(
     table: FaultTable,
     context: &FaultContext<'_>,
@@ -214,7 +217,7 @@
         })
     }
 
-    /// Rejects keys that this kind of fault does not have.
+    /// Rejects keys that have no effect with the kind, the target and the other keys of the fault.
     fn check_applicable(&self, kind: &FaultKind, target: &Target) -> Result<(), InvalidFault> {
         let is_replacement = matches!(kind, FaultKind::RollingReplacement { .. });
         let is_lossy = self.kind == Kind::Lossy;
@@ -241,7 +244,7 @@
             ("rate", self.rate.is_some(), self.kind == Kind::Storm),
             ("until_s", self.until_s.is_some(), self.again_s.is_some()),
             ("name", self.name.is_some(), can_be_renamed),
-            ("with", self.with.is_some(), is_of_links(kind)),
+            ("with", self.with.is_some(), affects_links(kind)),
             (
                 "way",
                 self.way.is_some(),
@@ -270,7 +273,8 @@
         Ok(())
     }
 
-    /// Rejects links that do not exist, and what cannot happen on those that do.
+    /// Rejects links that do not exist, and faults that do not apply to the traffic of a link:
+    /// links between balancers carry datagrams, all others carry connections.
     fn check_links(
         &self,
         kind: &FaultKind,
@@ -284,12 +288,12 @@
                 self.with.clone().unwrap_or_default(),
             ));
         }
-        let is_of_datagrams = is_between_balancers
+        let affects_datagrams = is_between_balancers
             || matches!(
                 kind,
                 FaultKind::ReplayDatagrams | FaultKind::InjectDatagrams { .. }
             );
-        if is_of_datagrams && !context.has_membership {
+        if affects_datagrams && !context.has_membership {
             return Err(InvalidFault::NoMembership);
         }
         if self.kind == Kind::Lossy && !is_between_balancers {
@@ -302,14 +306,14 @@
     }
 }
 
-fn is_of_links(kind: &FaultKind) -> bool {
+fn affects_links(kind: &FaultKind) -> bool {
     matches!(
         kind,
         FaultKind::ImpairLinks { .. } | FaultKind::ResetConnections
     )
 }
 
-/// Whether a kind of fault applies to a target.
+/// Returns whether a kind of fault applies to a target.
 fn applies_to(kind: &FaultKind, target: &Target, context: &FaultContext<'_>) -> bool {
     match kind {
         FaultKind::ImpairLinks { .. } | FaultKind::ResetConnections => true,
@@ -328,7 +332,10 @@
 fn seconds(key: &'static str, value: Option<f64>) -> Result<Duration, InvalidFault> {
     let value = value.ok_or(InvalidFault::Missing(key))?;
     Ok(Duration::from_secs_f64(check_range(
-        key, value, 0.0, MAX_SPAN_S,
+        key,
+        value,
+        0.0,
+        MAX_FAULT_SPAN_S,
     )?))
 }
 
--- a/lab/src/experiment/faults.rs
+++ b/lab/src/experiment/faults.rs
@@ -5,31 +5,35 @@
 /// The condition of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkCondition {
-    /// It is delayed by this ...
+    /// The minimum delay of each chunk of a connection, or of each datagram.
     pub delay: Duration,
-    /// ... and by up to this much more, drawn for each chunk or datagram; the order is retained.
+    /// The largest random addition to `delay`, drawn for each chunk or datagram. Chunks of a
+    /// connection stay in order.
     pub jitter: Duration,
-    /// The bandwidth; `None`: unlimited.
+    /// The bandwidth of each connection, in bytes per second; `None` is unlimited. It does not
+    /// apply to datagrams.
     pub bytes_per_s: Option<u32>,
-    /// Nothing passes: a connection waits until the cut ends, a datagram is lost.
+    /// Whether the direction is blocked: data of a connection waits until the cut ends, datagrams
+    /// are lost.
     pub is_cut: bool,
-    /// Share of the datagrams that are lost.
+    /// Share of the datagrams that are lost, from 0 to 1.
     pub loss_share: f64,
-    /// Share of the datagrams that are duplicated.
+    /// Share of the datagrams that are duplicated, from 0 to 1.
     pub duplicate_share: f64,
 }
 
-/// The conditions of a link, in each direction.
+/// The conditions of both directions of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
-    /// From the balancer, or from the fault's target.
+    /// The condition from the balancer to the other party; on a link between balancers, from the
+    /// fault's target to its peer.
     pub outbound: LinkCondition,
-    /// To the balancer, or to the fault's target.
+    /// The condition in the opposite direction.
     pub inbound: LinkCondition,
 }
 
 impl LinkConditions {
-    /// Whether nothing passes in one of the directions.
+    /// Returns whether at least one direction is blocked.
     pub fn has_cut(&self) -> bool {
         self.outbound.is_cut || self.inbound.is_cut
     }
@@ -40,29 +44,29 @@
 pub enum Target {
     /// One balancer, by number.
     Balancer(u32),
-    /// Balancers by number, both ends included.
+    /// A range of balancer numbers, both ends included.
     BalancerRange {
         /// The lowest number.
         first: u32,
         /// The highest number.
         last: u32,
     },
-    /// A share of the balancers, drawn from the seed.
+    /// A random share of the balancers, from 0 to 1, drawn from the seed.
     BalancerShare(f64),
-    /// All balancers but those that the fault's target is.
+    /// All balancers that are not the fault's target; used as a peer.
     OtherBalancers,
     /// One upstream, by number.
     Upstream(u32),
-    /// A share of the upstreams, drawn from the seed.
+    /// A random share of the upstreams, from 0 to 1, drawn from the seed.
     UpstreamShare(f64),
     /// The discovery service.
     Discovery,
-    /// The clients: only their links with balancers.
+    /// The clients; only faults of their links with the balancers are possible.
     Clients,
 }
 
 impl Target {
-    /// Whether it means balancers.
+    /// Returns whether the target consists of balancers.
     pub fn is_balancers(&self) -> bool {
         matches!(
             self,
@@ -73,32 +77,34 @@
         )
     }
 
-    /// Whether it means upstreams.
+    /// Returns whether the target consists of upstreams.
     pub fn is_upstreams(&self) -> bool {
         matches!(self, Self::Upstream(_) | Self::UpstreamShare(_))
     }
 }
 
-/// A fault.
+/// A fault, which occurs once or is repeated.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    /// When it begins, from the start of the load.
+    /// The time of the first occurrence, from the start of the load.
     pub start: Duration,
     /// The processes that it affects.
     pub target: Target,
-    /// What happens.
+    /// The effect of the fault.
     pub kind: FaultKind,
-    /// For faults of links, the processes at the other ends; `None`: all that `target` has links
-    /// with.
+    /// The processes at the other ends of the affected links. `None` for a fault that does not
+    /// concern links, and for the default ends of links: all balancers if the target is not a
+    /// balancer, otherwise all upstreams and discovery, but not the clients.
     pub peer: Option<Target>,
-    /// It is repeated at this interval ...
+    /// The interval between the starts of occurrences; `None` if the fault occurs once.
     pub repeat_interval: Option<Duration>,
-    /// ... before this time.
+    /// The time before which the last occurrence starts; `None` stands for the end of the run.
     pub repeat_until: Option<Duration>,
 }
 
 impl Fault {
-    /// When its last occurrence has ended, in a run of some length.
+    /// Returns an upper limit for the time at which the last occurrence ends, in a run of this
+    /// length. Without a known duration, an occurrence counts as ended at its start.
     pub fn end(&self, length: Duration) -> Duration {
         let last_start = match self.repeat_interval {
             Some(_) => self.repeat_until.unwrap_or(length).max(self.start),
@@ -107,72 +113,74 @@
         last_start + self.kind.duration().unwrap_or_default()
     }
 
-    /// Whether the other ends of its links are balancers.
+    /// Returns whether `peer` consists of balancers.
     pub fn has_balancer_peers(&self) -> bool {
         self.peer.as_ref().is_some_and(Target::is_balancers)
     }
 }
 
-/// What a fault does.
+/// The effect of a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// SIGKILL to a balancer; a crash of a stand-in.
+    /// Sends SIGKILL to a balancer or the registry, or crashes a stand-in.
     Kill {
-        /// It is restarted after so long, an upstream in slow start; `None`: it is not.
+        /// The time until the restart; `None` for no restart. An upstream restarts in slow start.
         restart_after: Option<Duration>,
-        /// The name of a balancer from then on; `None`: its own.
+        /// The name of the balancer from its restart on; `None` leaves it unchanged.
         new_name: Option<String>,
     },
-    /// SIGTERM to a balancer, which is started again once it has exited.
+    /// Sends SIGTERM to a balancer and restarts it once it has exited.
     Terminate,
-    /// SIGSTOP, and SIGCONT after so long.
+    /// Sends SIGSTOP to a process, and SIGCONT at the end of the pause.
     Pause {
-        /// For so long.
+        /// The length of the pause.
         duration: Duration,
     },
-    /// An upstream needs more time for each request.
+    /// Makes each request take longer at an upstream.
     SlowDown {
-        /// So many times as long.
+        /// The factor by which the service time of requests grows, 1 to 1000.
         factor: f64,
-        /// For so long.
+        /// The length of the slowdown.
         duration: Duration,
     },
-    /// An upstream accepts requests and does not respond.
+    /// Makes an upstream accept requests without responding.
     Unresponsive {
-        /// For so long.
+        /// The length of the period without responses.
         duration: Duration,
     },
-    /// Upstreams drain and are replaced by new ones in slow start, batch by batch.
+    /// Replaces upstreams in batches: the old ones drain, the new ones are in slow start.
     RollingReplacement {
-        /// How many at a time.
+        /// The number of upstreams in a batch, at least 1.
         batch_size: u32,
-        /// Time from one batch to the next.
+        /// The time from the start of one batch to the start of the next.
         interval: Duration,
-        /// Time to drain.
+        /// The time for which an old upstream drains.
         drain: Duration,
     },
-    /// Links lose, delay or block their traffic.
+    /// Makes links lose, duplicate, delay or block their traffic.
     ImpairLinks {
-        /// In this way.
+        /// The conditions of the affected links.
         conditions: LinkConditions,
-        /// For so long.
+        /// The time after which the links are normal again.
         duration: Duration,
     },
-    /// All connections on links are reset.
+    /// Resets all connections on the affected links.
     ResetConnections,
-    /// The first datagrams that passed between balancers are sent again, from the target to all.
+    /// Sends the first recorded datagrams between balancers again, with the target as sender, to
+    /// all balancers.
     ReplayDatagrams,
-    /// Corrupted datagrams are sent in the name of the target to all.
+    /// Sends corrupted datagrams with the target as sender, each to a random balancer.
     InjectDatagrams {
-        /// So many a second.
+        /// Datagrams per second, 1 to 100000.
         rate_per_s: f64,
-        /// For so long.
+        /// The time for which datagrams are sent.
         duration: Duration,
     },
 }
 
 impl FaultKind {
-    /// How long one occurrence lasts, as far as that is known before.
+    /// Returns the length of one occurrence; `None` if it is instantaneous, or its end is not known
+    /// in advance.
     pub fn duration(&self) -> Option<Duration> {
         match self {
             Self::Kill { restart_after, .. } => *restart_after,
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! Experiment files: the form of what is run, read from TOML and rejected with line and reason
-//! where it is not valid. The serde names are the keys of the files.
+//! The settings of an experiment, parsed from a TOML file. An invalid file is rejected with the
+//! line and the reason. The serde names are the keys of the file.
 
 mod class_defaults;
 mod fault_error;
@@ -17,46 +17,48 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The largest number of balancers: addresses are reserved for so many.
+/// The largest number of balancers in a run, for which loopback addresses are reserved.
 pub const MAX_BALANCERS: u32 = 300;
-/// The largest number of upstreams: addresses are reserved for so many.
+/// The largest number of upstreams in a run, for which loopback addresses are reserved.
 pub const MAX_UPSTREAMS: u32 = 200;
-/// The longest run, in seconds: its history is in memory.
-pub const MAX_SECONDS: f64 = 3600.0;
+/// The length of the longest run, in seconds. The limit exists because the history of a run is
+/// kept in memory.
+pub const MAX_RUN_S: f64 = 3600.0;
 
-/// What is run.
+/// The settings of a run.
 #[derive(Clone, Debug)]
 pub struct Experiment {
-    /// Its name, for the report.
+    /// The name of the experiment, for the report.
     pub name: String,
-    /// How long clients send.
+    /// The time for which clients send requests, 1 s to 1 hour.
     pub length: Duration,
-    /// The seed of load, faults and draws, where the command line names no other.
+    /// The seed of the load, the faults and all random draws, unless the command line sets another.
     pub seed: u64,
-    /// The processes.
+    /// The numbers of processes.
     pub fleet: Fleet,
     /// The behaviour of the clients.
     pub load: Load,
     /// The behaviour of the upstreams.
     pub upstream: UpstreamSettings,
-    /// The stand-in of the discovery service.
+    /// The behaviour of the stand-in for the discovery service.
     pub discovery: DiscoverySettings,
-    /// Membership among the balancers; off where it is absent.
+    /// The membership of the balancers; `None` switches membership off.
     pub membership: Option<MembershipSettings>,
-    /// The real registry in place of the stand-in, where it is present.
+    /// The settings of a real registry, which replaces the stand-in for discovery; `None` keeps the
+    /// stand-in.
     pub registry: Option<RegistrySettings>,
     /// The classes of requests.
     pub classes: Vec<Class>,
-    /// The tenants, as shares of the load.
+    /// The tenants, with their shares of the load.
     pub tenants: Vec<Tenant>,
-    /// The faults, by time.
+    /// The faults, in the order of their first starts.
     pub faults: Vec<Fault>,
-    /// The expectations besides the rules.
+    /// The expectations that are checked in addition to the rules.
     pub expect: Expectations,
 }
 
 impl Experiment {
-    /// Whether a fault affects links that carry connections or datagrams.
+    /// Returns whether a fault impairs links or resets connections.
     pub fn impairs_links(&self) -> bool {
         self.faults.iter().any(|fault| {
             matches!(
@@ -66,7 +68,7 @@
         })
     }
 
-    /// Whether a fault sends earlier datagrams again, unchanged or corrupted.
+    /// Returns whether a fault sends earlier datagrams again, unchanged or corrupted.
     pub fn resends_datagrams(&self) -> bool {
         self.faults.iter().any(|fault| {
             matches!(
@@ -76,7 +78,7 @@
         })
     }
 
-    /// Whether a fault replaces upstreams by new ones.
+    /// Returns whether a fault replaces upstreams by new ones.
     pub fn replaces_upstreams(&self) -> bool {
         self.faults
             .iter()
@@ -84,15 +86,15 @@
     }
 }
 
-/// The processes of a run.
+/// The numbers of processes of a run, and their memory limit.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Real balancers, 1 to 300.
+    /// The number of real balancers, 1 to 300.
     pub balancers: u32,
-    /// Stand-in upstreams, 1 to 200.
+    /// The number of stand-in upstreams, 1 to 200.
     pub upstreams: u32,
-    /// The memory limit of a balancer, in MB.
+    /// The memory limit of each balancer, in MB.
     #[serde(default = "Fleet::default_memory_mb")]
     pub memory_mb: u64,
 }
@@ -107,31 +109,32 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second, over all balancers, without their retries.
+    /// The mean number of requests per second, over all balancers and without retries.
     #[serde(rename = "rate")]
     pub rate_per_s: f64,
-    /// Amplitude of the sine by which the rate varies, as a share of it.
+    /// The amplitude of the sine wave by which the rate varies, as a share of the mean rate.
     #[serde(rename = "swing")]
     pub rate_amplitude: f64,
-    /// Period of that sine, in seconds.
+    /// The period of the sine wave, in seconds.
     pub period_s: f64,
-    /// Retries of one request.
+    /// The largest number of retries that a client sends for one request, 0 to 6.
     pub retries: u8,
-    /// Share of the clients that comply with `Retry-After`.
+    /// The share of the requests, 0 to 1, whose client waits for the time in `Retry-After`.
     #[serde(rename = "honour")]
     pub retry_after_compliance: f64,
-    /// Timeout of an attempt, as a share of the class's deadline.
+    /// The timeout of an attempt, as a share of the deadline of its class.
     #[serde(rename = "try_share")]
     pub attempt_timeout_share: f64,
-    /// Milliseconds before the first retry without `Retry-After`; doubled for each further one.
+    /// The mean backoff before the first retry, in milliseconds, unless the client waits for
+    /// `Retry-After`; it doubles with each further retry.
     pub backoff_ms: f64,
-    /// Whether a client marks its retries.
+    /// Whether clients mark their retries as such.
     #[serde(rename = "marks")]
     pub marks_retries: bool,
-    /// Distinct keys that requests concern.
+    /// The number of distinct keys, which requests carry as the user in their `cookie` header.
     #[serde(rename = "keys")]
     pub key_count: u32,
-    /// Seconds for which clients still send to a dead balancer.
+    /// The time for which clients continue to send to a dead balancer, in seconds.
     #[serde(rename = "notice_s")]
     pub failover_delay_s: f64,
 }
@@ -157,53 +160,55 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct UpstreamSettings {
-    /// Cores of each.
+    /// The number of cores of each upstream.
     pub cores: u32,
-    /// Speed of a core; work is stated for speed 1.
+    /// The speed of a core; the work of a class is stated for speed 1.
     pub speed: f64,
-    /// Requests that may be queued, for each core; more are rejected.
+    /// The largest number of queued requests per core; further requests are rejected.
     pub queue_per_core: u32,
-    /// Share of the full capacity at the beginning of slow start.
+    /// The share of the full capacity at the beginning of slow start.
     #[serde(rename = "cold_from")]
     pub slow_start_initial_share: f64,
-    /// Seconds of slow start.
+    /// The length of slow start, in seconds; the capacity rises linearly.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// Work above this multiple of the present capacity overloads one in slow start ...
+    /// The multiple of its current capacity above which an upstream in slow start crashes, compared
+    /// with the work that it received within `overload_window_s`.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... if it lasts so long, in seconds.
+    /// The window over which the received work is summed, in seconds.
     #[serde(rename = "fall_s")]
     pub overload_window_s: f64,
-    /// Queued requests for each core that congest it; 0: it is never congested.
+    /// The queue length per core from which an upstream becomes congested; 0 switches congestion
+    /// off.
     #[serde(rename = "choke_at")]
     pub congestion_queue_per_core: f64,
-    /// Seconds of such a queue before it is congested.
+    /// The time for which the queue must be at least that long to cause congestion, in seconds.
     #[serde(rename = "choke_over_s")]
     pub congestion_onset_s: f64,
-    /// How many times slower it is while congested.
+    /// The factor by which service times grow during congestion.
     #[serde(rename = "choke_slower")]
     pub congestion_slowdown: f64,
-    /// Utilization below which it recovers ...
+    /// The highest utilization, 0 to 1, at which a congested upstream recovers.
     #[serde(rename = "choke_below")]
     pub recovery_utilization: f64,
-    /// ... after so many seconds.
+    /// The time at or below `recovery_utilization` that ends congestion, in seconds.
     #[serde(rename = "choke_rest_s")]
     pub recovery_s: f64,
-    /// Milliseconds between two load reports.
+    /// The shortest time between two load reports, in milliseconds.
     #[serde(rename = "report_ms")]
     pub report_interval_ms: f64,
-    /// Age of a load report when it is first sent, in milliseconds.
+    /// The age of a load report when responses first carry it, in milliseconds.
     pub report_delay_ms: f64,
-    /// Largest relative error of a load report, either way.
+    /// The largest relative error of a load report, in both directions.
     pub report_noise: f64,
-    /// Whether a request may be hedged.
+    /// Whether balancers may send hedged attempts.
     #[serde(rename = "second_copies")]
     pub allows_hedging: bool,
-    /// Seconds after which an idle connection is closed.
+    /// The time after which an upstream closes an idle connection, in seconds.
     #[serde(rename = "idle_s")]
     pub idle_timeout_s: f64,
-    /// Connections that are accepted for each core.
+    /// The largest number of open connections per core of an upstream.
     pub connections_per_core: u32,
 }
 
@@ -232,14 +237,14 @@
     }
 }
 
-/// The stand-in of the discovery service.
+/// The behaviour of the stand-in for the discovery service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiscoverySettings {
-    /// Seconds until a change is on the list.
+    /// The time until the endpoint list shows a restart or a replacement, in seconds.
     #[serde(rename = "notice_s")]
     pub update_delay_s: f64,
-    /// Seconds until a crash is.
+    /// The time until a crashed upstream is removed from the endpoint list, in seconds.
     #[serde(rename = "crash_notice_s")]
     pub crash_detection_s: f64,
 }
@@ -253,11 +258,11 @@
     }
 }
 
-/// The real registry.
+/// The settings of the real registry.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RegistrySettings {
-    /// Seconds of an upstream's lease; it renews after a third.
+    /// The lease of an upstream, in seconds; the upstream renews it after a third of this time.
     pub lease_s: f64,
 }
 
@@ -268,17 +273,17 @@
 }
 
 impl RegistrySettings {
-    /// The lease, 1 s to 1 hour.
+    /// Returns the lease, limited to 1 s to 1 hour.
     pub fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s.clamp(1.0, 3600.0))
     }
 }
 
-/// Membership among the balancers.
+/// The settings of the membership of the balancers.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipSettings {
-    /// Seconds for which a member that has left or failed is remembered.
+    /// The time for which balancers remember a member that has left or died, in seconds.
     #[serde(rename = "forget_s")]
     pub retention_s: f64,
 }
@@ -290,22 +295,23 @@
 }
 
 impl MembershipSettings {
-    /// The retention, 1 minute to 1 day.
+    /// Returns the retention, limited to 1 minute to 1 day.
     pub fn retention(&self) -> Duration {
         Duration::from_secs_f64(self.retention_s.clamp(60.0, 86_400.0))
     }
 }
 
-/// Whether a request may be repeated.
+/// Whether a request of a class may be sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Idempotence {
-    /// It is idempotent.
+    /// The request is idempotent and may be sent any number of times.
     #[serde(rename = "safe")]
     Idempotent,
-    /// It carries an idempotency key; duplicates are dropped for a while.
+    /// The request carries an idempotency key, by which upstreams recognize duplicates for a
+    /// limited time.
     #[serde(rename = "keyed")]
     WithIdempotencyKey,
-    /// It must not run twice.
+    /// The request must not be executed twice.
     #[serde(rename = "unsafe")]
     AtMostOnce,
 }
@@ -314,58 +320,62 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name, the first part of the path.
+    /// The name of the class, which is the first part of the request path.
     pub name: String,
-    /// Its share of the requests.
+    /// The share of the requests that belong to the class, 0 to 1.
     pub share: f64,
-    /// Mean work on a core of speed 1.
+    /// The mean processor time of a request on a core of speed 1, in milliseconds.
     pub work_ms: f64,
-    /// Mean wait on other systems.
+    /// The mean time that a request waits for other systems, in milliseconds.
     pub io_ms: f64,
-    /// The latency objective.
+    /// The latency objective, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// The client's deadline.
+    /// The client's deadline for a request, in milliseconds; not below the latency objective.
     pub deadline_ms: f64,
-    /// The weight of a response within the latency objective.
+    /// The weight of a response within the latency objective, relative to other classes.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Whether a request may be repeated.
+    /// Whether a request may be sent more than once.
     #[serde(rename = "effect")]
     pub idempotence: Idempotence,
 }
 
-/// A tenant.
+/// A tenant, whose clients send a share of the load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its share of the load, and of the guaranteed capacity.
+    /// The share of the load and of the guaranteed capacity, 0 to 1.
     pub share: f64,
 }
 
-/// The expectations in addition to the rules, over the complete run.
+/// Expectations that are checked over the complete run, in addition to the rules.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expectations {
-    /// The least weight served within the latency objective, as a share of what was requested.
+    /// The smallest expected share of the requests, by priority weight, that are served within their
+    /// latency objective.
     #[serde(rename = "served")]
     pub min_served: f64,
-    /// So many seconds after the end of the last fault, and from then on, requests are served
-    /// within their objective to 0.9 of what they were before the first fault.
+    /// The time after the end of the last fault, in seconds, from which the share of requests served
+    /// within their objective must be at least 0.9 of that before the first fault; `None` for no
+    /// check.
     #[serde(rename = "back_s")]
     pub recovered_within_s: Option<f64>,
-    /// Seconds within which 99% of the other balancers know that one was killed.
+    /// The time within which 99% of the other balancers must detect that one was killed, in seconds;
+    /// `None` for no check.
     #[serde(rename = "known_s")]
     pub detected_within_s: Option<f64>,
-    /// Seconds after the last fault within which the views of all balancers are equal.
+    /// The time after the last fault within which the views of all balancers must become equal, in
+    /// seconds; `None` for no check.
     #[serde(rename = "equal_s")]
     pub converged_within_s: Option<f64>,
-    /// No live balancer is considered failed.
+    /// Whether it is a failure of the run if a live balancer is declared dead.
     #[serde(rename = "none_taken_for_gone")]
     pub no_false_failures: bool,
-    /// Nor is one that is paused.
+    /// Whether it is a failure of the run if a paused balancer is declared dead.
     #[serde(rename = "none_stopped_taken_for_gone")]
     pub no_paused_failures: bool,
 }
--- a/lab/src/experiment/parsing.rs
+++ b/lab/src/experiment/parsing.rs
@@ -1,12 +1,12 @@
-//! How an experiment is read from its file.
+//! Parses and validates an experiment file.
 
-use super::class_defaults::{site_classes, site_tenants};
+use super::class_defaults::{default_classes, default_tenants};
 use super::fault_error::InvalidFault;
 use super::fault_parsing::{FaultContext, FaultTable, parse_fault};
 use super::value_range::{ValueOutOfRange, check_range};
 use super::{
     Class, DiscoverySettings, Expectations, Experiment, Fault, Fleet, Load, MAX_BALANCERS,
-    MAX_SECONDS, MAX_UPSTREAMS, MembershipSettings, RegistrySettings, Tenant, UpstreamSettings,
+    MAX_RUN_S, MAX_UPSTREAMS, MembershipSettings, RegistrySettings, Tenant, UpstreamSettings,
 };
 use serde::Deserialize;
 use std::ops::Range;
@@ -14,44 +14,45 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// The least sum of the shares of classes, and of tenants.
+/// The smallest valid sum of the shares of all classes, and of all tenants.
 const MIN_SHARE_SUM: f64 = 0.98;
-/// The largest.
+/// The largest valid sum of the shares of all classes, and of all tenants.
 const MAX_SHARE_SUM: f64 = 1.02;
 
-/// Why a text is no experiment, and where.
+/// An error in an experiment file, with its line.
 #[derive(Debug, PartialEq, Error)]
 #[error("line {line}: {reason}")]
 pub struct ParseError {
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// What is wrong, and what would be right.
+    /// The error, with what is expected.
     pub reason: InvalidExperiment,
 }
 
-/// Why a text is no experiment.
+/// The reason why an experiment file is invalid.
 #[derive(Debug, PartialEq, Error)]
 pub enum InvalidExperiment {
-    /// It is no TOML, or has unknown or missing keys.
+    /// The text is not TOML, has unknown or missing keys, or has a value of the wrong type; the
+    /// field is the parser's message.
     #[error("{0}")]
     Form(String),
-    /// A value is out of range.
+    /// A value is outside its range.
     #[error(transparent)]
     OutOfRange(#[from] ValueOutOfRange),
-    /// Shares do not add up.
-    #[error("the shares of the {of} add up to {sum:.3}, not to 1")]
+    /// The shares of the classes or tenants do not add up to 1.
+    #[error("the shares of the {of} must add up to 1, within 0.02, got {sum:.3}")]
     Shares {
-        /// Of classes or tenants.
+        /// The kind of entry: `classes` or `tenants`.
         of: &'static str,
-        /// Their sum.
+        /// The sum of the shares.
         sum: f64,
     },
-    /// A fault is not valid.
+    /// A `[[fault]]` table is invalid.
     #[error(transparent)]
     Fault(#[from] InvalidFault),
 }
 
-/// The tables of a file.
+/// The keys and tables of an experiment file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ExperimentFile {
@@ -87,7 +88,7 @@
 }
 
 impl Experiment {
-    /// Parses the text of an experiment file.
+    /// Parses and validates the text of an experiment file.
     pub fn parse(text: &str) -> Result<Self, ParseError> {
         let located = |Invalid { offset, reason }| ParseError {
             line: line_at(text, offset),
@@ -104,7 +105,7 @@
     }
 }
 
-/// The line of a position in a text, from 1.
+/// Returns the line number, from 1, of a byte offset in a text.
 fn line_at(text: &str, offset: usize) -> usize {
     1 + text
         .as_bytes()
@@ -114,7 +115,7 @@
         .count()
 }
 
-/// What is not valid, and at which byte.
+/// An error with its byte offset in the file.
 struct Invalid {
     offset: usize,
     reason: InvalidExperiment,
@@ -129,11 +130,11 @@
         self.class.iter().try_for_each(check_class)?;
         let mut classes: Vec<Class> = self.class.into_iter().map(Spanned::into_inner).collect();
         if classes.is_empty() {
-            classes = site_classes();
+            classes = default_classes();
         }
         let mut tenants: Vec<Tenant> = self.tenant.into_iter().map(Spanned::into_inner).collect();
         if tenants.is_empty() {
-            tenants = site_tenants();
+            tenants = default_tenants();
         }
         check_shares("classes", classes.iter().map(|class| class.share).sum())?;
         check_shares("tenants", tenants.iter().map(|tenant| tenant.share).sum())?;
@@ -181,7 +182,7 @@
     Ok(faults)
 }
 
-/// Checks values of one table.
+/// Range checks for the values of one table; errors are reported at the table's byte offset.
 struct RangeCheck {
     offset: usize,
 }
@@ -201,7 +202,7 @@
 }
 
 fn check_length(seconds: &Spanned<f64>) -> Result<(), Invalid> {
-    RangeCheck::at(&seconds.span()).within("seconds", *seconds.get_ref(), 1.0, MAX_SECONDS)
+    RangeCheck::at(&seconds.span()).within("seconds", *seconds.get_ref(), 1.0, MAX_RUN_S)
 }
 
 fn check_fleet(fleet: &Spanned<Fleet>) -> Result<(), Invalid> {
@@ -224,7 +225,7 @@
     let (check, load) = (RangeCheck::at(&load.span()), load.get_ref());
     check.within("rate", load.rate_per_s, 0.1, 20_000.0)?;
     check.within("swing", load.rate_amplitude, 0.0, 0.95)?;
-    check.within("period_s", load.period_s, 0.1, MAX_SECONDS)?;
+    check.within("period_s", load.period_s, 0.1, MAX_RUN_S)?;
     check.within("retries", f64::from(load.retries), 0.0, 6.0)?;
     check.within("honour", load.retry_after_compliance, 0.0, 1.0)?;
     check.within("try_share", load.attempt_timeout_share, 0.05, 1.0)?;
--- a/lab/src/experiment/target_parsing.rs
+++ b/lab/src/experiment/target_parsing.rs
@@ -1,11 +1,11 @@
-//! How the target of a fault is read.
+//! Parses the target of a fault.
 
 use super::Fleet;
 use super::fault_error::InvalidFault;
 use super::faults::Target;
 
-/// `b3`, `b0..b9`, `other balancers`, `u0`, `discovery`, `clients`, `all balancers`, `30% of
-/// upstreams`.
+/// Parses a target, such as `b3`, `b0..b9`, `other balancers`, `u0`, `discovery`, `clients`,
+/// `all balancers` or `30% of upstreams`.
 pub(super) fn parse_target(text: &str, fleet: &Fleet) -> Result<Target, InvalidFault> {
     if let Some(number) = parse_member('b', text, fleet.balancers) {
         return number.map(Target::Balancer);
@@ -28,7 +28,8 @@
     }
 }
 
-/// A member of the fleet by its number, `None` where the text names none.
+/// Parses the name of one process, such as `b3`: `None` if the text has another form, an error if
+/// the number is not below `count`.
 fn parse_member(prefix: char, text: &str, count: u32) -> Option<Result<u32, InvalidFault>> {
     let number: u32 = text.strip_prefix(prefix)?.parse().ok()?;
     let not_in_fleet = || InvalidFault::NotInFleet {
@@ -38,7 +39,7 @@
     Some((number < count).then_some(number).ok_or_else(not_in_fleet))
 }
 
-/// `all balancers`, `30% of upstreams`.
+/// Parses a share of the balancers or upstreams, such as `all balancers` or `30% of upstreams`.
 fn parse_share(text: &str) -> Option<Target> {
     let (share, kind) = match text.split_once("% of ") {
         Some((percent, kind)) => (percent.trim().parse::<f64>().ok()? / 100.0, kind),
--- a/lab/src/experiment/value_range.rs
+++ b/lab/src/experiment/value_range.rs
@@ -1,22 +1,22 @@
-//! Ranges of the values of an experiment file.
+//! Range checks for the numbers in an experiment file.
 
 use thiserror::Error;
 
-/// A value is out of its range.
+/// The error for a number that is outside its range.
 #[derive(Debug, PartialEq, Error)]
-#[error("{key} is {value}: {min} to {max} can be played")]
+#[error("{key} must be between {min} and {max}, got {value}")]
 pub struct ValueOutOfRange {
-    /// The key.
+    /// The key in the experiment file.
     pub key: &'static str,
-    /// Its value.
+    /// The value in the file, in the unit that the key names.
     pub value: f64,
-    /// The least.
+    /// The smallest valid value.
     pub min: f64,
-    /// The most.
+    /// The largest valid value.
     pub max: f64,
 }
 
-/// Checks that a value is within its range, and returns it.
+/// Returns the value if it is between `min` and `max`, both included.
 pub(super) fn check_range(
     key: &'static str,
     value: f64,
--- a/lab/tests/experiment_parsing.rs
+++ b/lab/tests/experiment_parsing.rs
@@ -1,4 +1,4 @@
-//! Experiment files: what is read from them, and what is rejected with which line and reason.
+//! Parsing of experiment files: the result for a valid file, and the line and reason of errors.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -34,7 +34,7 @@
     );
 }
 
-/// A change of the valid text, and the expected error.
+/// A replacement in the valid text that makes it invalid, and the expected error.
 struct Case {
     from: &'static str,
     to: &'static str,
@@ -51,52 +51,97 @@
     }
 }
 
+/// A fault on the links between two balancers.
+const PEER_CUT: &str = "kind = \"cut\"\ntarget = \"b1\"\nwith = \"b0\"";
+
+const INVALID: [Case; 16] = [
+    case(
+        "seconds = 5.0",
+        "seconds = 0.0",
+        2,
+        "seconds must be between 1 and 3600, got 0",
+    ),
+    case(
+        "balancers = 2",
+        "balancers = 2\nbalancer = 1",
+        5,
+        "balancer",
+    ),
+    case(
+        "balancers = 2",
+        "balancers = 0",
+        3,
+        "balancers must be between 1 and 300, got 0",
+    ),
+    case("kind = \"kill\"", "kind = \"burn\"", 8, "burn"),
+    case(
+        "\"u1\"",
+        "\"u9\"",
+        6,
+        "\"u9\" does not exist: its number must be below 4",
+    ),
+    case(
+        "\"u1\"",
+        "\"some of us\"",
+        6,
+        "unknown target \"some of us\"",
+    ),
+    case(
+        "at_s = 1",
+        "at_s = 9",
+        6,
+        "between 0 and 5 s, the length of the run, got 9",
+    ),
+    case(
+        "kind = \"kill\"",
+        "kind = \"stop\"",
+        6,
+        "does not apply to target \"u1\"",
+    ),
+    case("kind = \"kill\"", "kind = \"slow\"", 6, "factor is missing"),
+    case(
+        "for_s = 2",
+        "for_s = 2\nbatch = 1",
+        6,
+        "batch has no effect",
+    ),
+    case(
+        "kind = \"kill\"",
+        "kind = \"cut\"\nwith = \"u2\"",
+        6,
+        "one end of a link must be a balancer",
+    ),
+    case(
+        "kind = \"kill\"\ntarget = \"u1\"",
+        PEER_CUT,
+        6,
+        "add a [membership] table",
+    ),
+    case("kind = \"kill\"", "kind = \"delay\"", 6, "a delay needs"),
+    case(
+        "\"u1\"",
+        "\"clients\"",
+        6,
+        "does not apply to target \"clients\"",
+    ),
+    case(
+        "for_s = 2",
+        "for_s = 2\nname = \"x\"",
+        6,
+        "name has no effect",
+    ),
+    case("name = \"x\"", "", 1, "name"),
+];
+
 #[test]
 fn rejects_an_invalid_experiment_with_line_and_reason() {
-    let peer_cut = "kind = \"cut\"\ntarget = \"b1\"\nwith = \"b0\"";
     for Case {
         from,
         to,
         line,
         reason,
-    } in [
-        case("seconds = 5.0", "seconds = 0.0", 2, "seconds is 0"),
-        case(
-            "balancers = 2",
-            "balancers = 2\nbalancer = 1",
-            5,
-            "balancer",
-        ),
-        case("balancers = 2", "balancers = 0", 3, "balancers is 0"),
-        case("kind = \"kill\"", "kind = \"burn\"", 8, "burn"),
-        case("\"u1\"", "\"u9\"", 6, "only 4"),
-        case("\"u1\"", "\"some of us\"", 6, "can be meant"),
-        case("at_s = 1", "at_s = 9", 6, "the play takes"),
-        case("kind = \"kill\"", "kind = \"stop\"", 6, "cannot meet"),
-        case("kind = \"kill\"", "kind = \"slow\"", 6, "factor is missing"),
-        case("for_s = 2", "for_s = 2\nbatch = 1", 6, "says nothing"),
-        case(
-            "kind = \"kill\"",
-            "kind = \"cut\"\nwith = \"u2\"",
-            6,
-            "one end",
-        ),
-        case(
-            "kind = \"kill\"\ntarget = \"u1\"",
-            peer_cut,
-            6,
-            "[membership]",
-        ),
-        case("kind = \"kill\"", "kind = \"delay\"", 6, "what slows"),
-        case("\"u1\"", "\"clients\"", 6, "cannot meet"),
-        case(
-            "for_s = 2",
-            "for_s = 2\nname = \"x\"",
-            6,
-            "name says nothing",
-        ),
-        case("name = \"x\"", "", 1, "name"),
-    ] {
+    } in INVALID
+    {
         let error = Experiment::parse(&VALID.replace(from, to)).expect_err(to);
         assert_eq!(error.line, line, "{to}: {error}");
         assert!(error.reason.to_string().contains(reason), "{to}: {error}");
