--- a/lab/src/faults/description.rs
+++ b/lab/src/faults/description.rs
@@ -1,8 +1,8 @@
-//! Descriptions of faults, as the history and the report show them.
+//! Descriptions of faults for the history and the report.
 
 use crate::experiment::{Fault, FaultKind, LinkCondition, Target};
 
-/// Describes a fault: its target and its effect.
+/// Returns a text with the target and the effect of a fault.
 pub(super) fn describe(fault: &Fault) -> String {
     format!(
         "{}: {}",
@@ -34,42 +34,42 @@
             restart_after: Some(after),
             new_name: None,
         } => {
-            format!("killed, back after {after:?}")
+            format!("killed, restarted after {after:?}")
         }
         FaultKind::Kill {
             restart_after: Some(after),
             new_name: Some(name),
         } => {
-            format!("killed, back after {after:?} by the name of {name}")
+            format!("killed, restarted after {after:?} under the name {name}")
         }
-        FaultKind::Terminate => "asked to leave, started again".into(),
-        FaultKind::Pause { duration } => format!("stopped for {duration:?}"),
+        FaultKind::Terminate => "shut down with SIGTERM, then restarted".into(),
+        FaultKind::Pause { duration } => format!("paused for {duration:?}"),
         FaultKind::SlowDown { factor, duration } => {
             format!("{factor} times slower for {duration:?}")
         }
-        FaultKind::Unresponsive { duration } => format!("silent for {duration:?}"),
+        FaultKind::Unresponsive { duration } => format!("unresponsive for {duration:?}"),
         FaultKind::RollingReplacement {
             batch_size,
             interval,
             ..
         } => {
-            format!("replaced, {batch_size} every {interval:?}")
+            format!("replaced in batches of {batch_size}, one every {interval:?}")
         }
         FaultKind::ImpairLinks {
             conditions,
             duration,
         } => format!(
-            "links from balancers {}, back {}, for {duration:?}",
+            "outbound links {}, inbound links {}, for {duration:?}",
             describe_condition(&conditions.outbound),
             describe_condition(&conditions.inbound)
         ),
         FaultKind::ResetConnections => "all connections reset".into(),
-        FaultKind::ReplayDatagrams => "old datagrams come once more".into(),
+        FaultKind::ReplayDatagrams => "earlier datagrams replayed".into(),
         FaultKind::InjectDatagrams {
             rate_per_s,
             duration,
         } => {
-            format!("{rate_per_s} bad datagrams a second for {duration:?}")
+            format!("{rate_per_s} corrupted datagrams per second for {duration:?}")
         }
     }
 }
@@ -79,18 +79,18 @@
         return "cut".into();
     }
     if *condition == LinkCondition::default() {
-        return "open".into();
+        return "normal".into();
     }
     if condition.loss_share + condition.duplicate_share > 0.0 {
         return format!(
-            "{:.0}% lost, {:.0}% twice, up to {:?} late",
+            "{:.0}% lost, {:.0}% duplicated, delayed by up to {:?}",
             condition.loss_share * 100.0,
             condition.duplicate_share * 100.0,
             condition.delay + condition.jitter
         );
     }
     format!(
-        "{:?} later, up to {:?} more",
+        "delayed by {:?} and up to {:?} of jitter",
         condition.delay, condition.jitter
     )
 }
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a run when they are due.
+//! Injects the faults of a run at their scheduled times.
 
 use super::{FaultOccurrence, ResolvedTargets, fault_schedule};
 use crate::balancers::BalancerProcesses;
@@ -12,27 +12,27 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
-/// Everything that faults can affect.
+/// Injects the faults of a run, with access to everything that faults can affect.
 pub struct FaultInjector {
-    /// What is run.
+    /// The settings of the run.
     pub experiment: Arc<Experiment>,
-    /// The seed of the targets.
+    /// The seed from which random targets and injected datagrams are drawn.
     pub seed: u64,
-    /// The record of the run.
+    /// The history in which the start of each fault is recorded.
     pub history: Arc<History>,
-    /// The balancers.
+    /// The balancers of the run.
     pub balancers: Arc<BalancerProcesses>,
-    /// The upstreams.
+    /// The stand-in upstreams of the run.
     pub upstreams: Arc<Upstreams>,
-    /// The discovery service.
+    /// The discovery service: a stand-in, or a real registry.
     pub discovery: Arc<DiscoveryService>,
-    /// The links of connections.
+    /// The links that carry connections between balancers and other parties.
     pub links: Arc<Links>,
-    /// The links of datagrams, where balancers have membership.
+    /// The links that carry datagrams between balancers; `None` without membership.
     pub peer_links: Option<Arc<PeerLinks>>,
 }
 
-/// A link and its ends.
+/// A link that a fault affects, and its two ends.
 struct AffectedLink {
     balancer: u32,
     peer: LinkPeer,
@@ -40,7 +40,7 @@
 }
 
 impl FaultInjector {
-    /// Injects the faults of the experiment when they are due.
+    /// Injects each fault of the experiment at its scheduled time, and waits until all have ended.
     pub async fn run(self) {
         let mut running = JoinSet::new();
         for occurrence in fault_schedule(&self.experiment, self.seed) {
@@ -181,7 +181,7 @@
             for affected in &links {
                 affected.link.set_conditions(LinkConditions::default());
             }
-            // Connections that were opened while the link was cut are reset now.
+            // The end of a cut resets the connections that were opened during it.
             if conditions.has_cut() {
                 record_client_resets(&history, &links);
             }
@@ -196,7 +196,7 @@
         running: &mut JoinSet<()>,
     ) {
         if targets.has_discovery {
-            running.spawn(simulate_outage(Arc::clone(&self.discovery), restart_after));
+            running.spawn(stop_discovery(Arc::clone(&self.discovery), restart_after));
         }
         for number in &targets.balancers {
             let balancers = Arc::clone(&self.balancers);
@@ -218,8 +218,9 @@
         }
     }
 
-    /// The links between the targets of a fault and its peers, or all others; the clients' only
-    /// where they are named.
+    /// Returns the links between the targets of a fault and its peers. Without peers, these are the
+    /// links of a balancer with all upstreams and discovery, or of another target with all
+    /// balancers. Links of clients are included only if the fault names clients.
     fn affected_links(&self, occurrence: &FaultOccurrence) -> Vec<AffectedLink> {
         let mut ends = occurrence.targets.clone();
         match &occurrence.peers {
@@ -260,8 +261,8 @@
     }
 }
 
-/// Stops the discovery service, and restarts it after a while.
-async fn simulate_outage(discovery: Arc<DiscoveryService>, restart_after: Option<Duration>) {
+/// Stops the discovery service, and restarts it after `restart_after` unless that is `None`.
+async fn stop_discovery(discovery: Arc<DiscoveryService>, restart_after: Option<Duration>) {
     if let Some(registrations) = discovery.registrations() {
         registrations.registry().kill(restart_after).await;
         return;
@@ -273,6 +274,7 @@
     }
 }
 
+/// Records a reset for each affected link with clients.
 fn record_client_resets(history: &History, links: &[AffectedLink]) {
     for affected in links
         .iter()
--- a/lab/src/faults/fault_schedule.rs
+++ b/lab/src/faults/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! The occurrences of an experiment's faults, each with its targets, as drawn from the seed.
+//! The schedule of an experiment's faults: each occurrence with targets drawn from the seed.
 
 use super::ResolvedTargets;
 use super::description::describe;
@@ -10,18 +10,18 @@
 /// One occurrence of a fault.
 #[derive(Clone, Debug)]
 pub struct FaultOccurrence {
-    /// Its number in the order of time.
+    /// The position of the occurrence in the schedule, from 0.
     pub number: u64,
-    /// The fault, with the start of this occurrence.
+    /// The fault; its `start` is the start of this occurrence.
     pub fault: Fault,
-    /// The processes that it affects.
+    /// The processes that the occurrence affects.
     pub targets: ResolvedTargets,
-    /// The processes at the other ends of links, where the fault names them.
+    /// The processes at the other ends of the affected links; `None` if the fault names no peer.
     pub peers: Option<ResolvedTargets>,
 }
 
 impl FaultOccurrence {
-    /// Draws the targets of one occurrence.
+    /// Creates an occurrence and draws its targets from the seed and its number.
     fn draw(number: u64, fault: Fault, experiment: &Experiment, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ ((number + 1) << 40));
         let fleet = &experiment.fleet;
@@ -38,12 +38,13 @@
         }
     }
 
-    /// A description of the fault.
+    /// Returns a text with the target and the effect of the fault.
     pub fn description(&self) -> String {
         describe(&self.fault)
     }
 
-    /// Seconds until it ends, as far as that is known before.
+    /// Returns the length of the occurrence in seconds; `None` if it is instantaneous or not known
+    /// in advance.
     pub fn duration_s(&self) -> Option<f64> {
         self.fault
             .kind
@@ -52,7 +53,8 @@
             .map(Duration::as_secs_f64)
     }
 
-    /// The balancers at the other ends of links between balancers.
+    /// Returns the balancers at the other ends of links between balancers, in a run with `count`
+    /// balancers.
     pub(super) fn peer_balancers(&self, count: u32) -> Vec<u32> {
         match self.fault.peer {
             Some(Target::OtherBalancers) => (0..count)
@@ -66,11 +68,11 @@
     }
 }
 
-/// All occurrences of an experiment's faults, in the order of time.
+/// Returns all occurrences of an experiment's faults, ordered by start.
 pub fn fault_schedule(experiment: &Experiment, seed: u64) -> Vec<FaultOccurrence> {
     let mut faults = Vec::new();
     for fault in &experiment.faults {
-        faults.extend(repetitions(fault, experiment.length));
+        faults.extend(occurrences(fault, experiment.length));
     }
     faults.sort_by_key(|fault| fault.start);
     (0u64..)
@@ -79,20 +81,20 @@
         .collect()
 }
 
-/// A fault as often as it occurs.
-fn repetitions(fault: &Fault, length: Duration) -> Vec<Fault> {
+/// Returns one copy of a fault for each occurrence, in a run of this length.
+fn occurrences(fault: &Fault, length: Duration) -> Vec<Fault> {
     let until = fault.repeat_until.unwrap_or(length);
-    let mut repetitions = vec![fault.clone()];
+    let mut occurrences = vec![fault.clone()];
     let mut start = fault.start;
     while let Some(interval) = fault
         .repeat_interval
         .filter(|interval| start + *interval < until)
     {
         start += interval;
-        repetitions.push(Fault {
+        occurrences.push(Fault {
             start,
             ..fault.clone()
         });
     }
-    repetitions
+    occurrences
 }
--- a/lab/src/faults/targets.rs
+++ b/lab/src/faults/targets.rs
@@ -1,25 +1,25 @@
-//! The processes that a target means.
+//! Resolves the target of a fault to numbered processes.
 
 use crate::experiment::{Fleet, Target};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// The processes that a target means, by number.
+/// The processes that a target consists of, by number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResolvedTargets {
-    /// Balancers.
+    /// The numbers of the balancers.
     pub balancers: Vec<u32>,
-    /// Upstreams.
+    /// The numbers of the upstreams.
     pub upstreams: Vec<u32>,
-    /// The discovery service.
+    /// Whether the target is the discovery service.
     pub has_discovery: bool,
-    /// The clients.
+    /// Whether the target is the clients.
     pub has_clients: bool,
 }
 
 impl ResolvedTargets {
-    /// Resolves a target of a fleet. `OtherBalancers` means none here: which ones it means depends
-    /// on another target.
+    /// Resolves a target in a fleet. `OtherBalancers` resolves to no processes, because it depends
+    /// on the target that it is the peer of.
     pub(super) fn resolve(target: &Target, fleet: &Fleet, rng: &mut ChaCha8Rng) -> Self {
         let mut resolved = Self::default();
         match target {
@@ -40,7 +40,8 @@
     }
 }
 
-/// The balancers that a target means, where it names some.
+/// Returns the balancers of a target, out of `count`: none for `OtherBalancers` and for targets that
+/// are not balancers.
 pub fn choose_balancers(target: &Target, count: u32, rng: &mut ChaCha8Rng) -> Vec<u32> {
     match target {
         Target::Balancer(number) => vec![*number],
@@ -50,6 +51,7 @@
     }
 }
 
+/// Draws a share of the numbers below `count`, rounded to the nearest whole number.
 fn choose_share(share: f64, count: u32, rng: &mut ChaCha8Rng) -> Vec<u32> {
     let mut numbers: Vec<u32> = (0..count).collect();
     numbers.shuffle(rng);
