--- a/lab/src/links/addresses.rs
+++ b/lab/src/links/addresses.rs
@@ -1,20 +1,22 @@
-//! Loopback addresses: each party is reached at an address of its own by each balancer.
+//! Loopback addresses: a party has a separate address for each balancer that connects to it.
 
 use std::net::{IpAddr, Ipv4Addr};
 
-/// Balancers whose addresses share the second octet, and host numbers of each balancer.
-const BLOCK: u32 = 250;
+/// The number of balancers whose addresses share the second octet, and the number of host numbers
+/// of each balancer.
+const BLOCK_SIZE: u32 = 250;
 /// The host number of the discovery service.
 pub const DISCOVERY_HOST_NUMBER: u32 = 249;
 
-/// The address at which a balancer reaches the party of a host number: 16 blocks of 250 balancers
-/// by 250 host numbers.
+/// Returns the address at which a balancer reaches the party with this host number. The second
+/// octet, from 16, is the balancer's block of 250; the third is the balancer within its block; the
+/// fourth is the host number modulo 250.
 pub fn pair_address(balancer: u32, host_number: u32) -> IpAddr {
     let octet = |n: u32| n as u8;
     IpAddr::V4(Ipv4Addr::new(
         127,
-        octet(16 + balancer / BLOCK),
-        octet(1 + balancer % BLOCK),
-        octet(2 + host_number % BLOCK),
+        octet(16 + balancer / BLOCK_SIZE),
+        octet(1 + balancer % BLOCK_SIZE),
+        octet(2 + host_number % BLOCK_SIZE),
     ))
 }
--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -1,7 +1,7 @@
-//! Connections through links, and the effect of the link conditions on their traffic.
+//! Links that carry connections, and the effect of the link conditions on their traffic.
 //!
-//! A connection through a link is relayed in chunks: each waits until it is due, and while the link
-//! is cut. No data is lost or reordered, as with TCP; only its timing changes.
+//! A connection through a link is relayed in chunks. Each chunk waits until it is due and until the
+//! link is not cut. As with TCP, no data is lost or reordered: conditions change only the timing.
 
 use crate::experiment::{LinkCondition, LinkConditions};
 use crate::sync::lock;
@@ -16,28 +16,28 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// The largest chunk, in bytes.
+/// The size of the largest chunk, in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Chunks of one direction that may be in transit.
+/// The largest number of chunks in transit in one direction of a connection.
 const MAX_CHUNKS_IN_TRANSIT: usize = 64;
 
-/// The other party of a link for connections with a balancer.
+/// The party at the other end of a link from a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LinkPeer {
-    /// An upstream.
+    /// An upstream, by number.
     Upstream(u32),
     /// The discovery service.
     Discovery,
-    /// The clients, all together.
+    /// All clients, which share one link with each balancer.
     Clients,
 }
 
-/// A connection of any kind.
+/// A byte stream in both directions: a TCP stream or an end of a relayed connection.
 pub trait Connection: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Connection for T {}
 
-/// The conditions of both directions, as a connection sees them change.
+/// The current conditions of both directions of a link, as received by one connection.
 struct ConditionReceivers {
     outbound: watch::Receiver<LinkCondition>,
     inbound: watch::Receiver<LinkCondition>,
@@ -51,15 +51,16 @@
 
 /// The link between a balancer and another party.
 pub struct Link {
-    /// From the balancer.
+    /// The condition from the balancer to the other party.
     outbound: watch::Sender<LinkCondition>,
-    /// To the balancer.
+    /// The condition from the other party to the balancer.
     inbound: watch::Sender<LinkCondition>,
-    /// Counts the resets of all connections.
+    /// The number of times that all connections have been reset.
     resets: watch::Sender<u64>,
     seed: u64,
     opened_count: AtomicU64,
-    /// No fault ever affects it: connections are not relayed, which saves two copies of each byte.
+    /// Whether no fault of the run affects a link. Connections are then not relayed, which saves two
+    /// copies of each byte.
     is_transparent: bool,
 }
 
@@ -75,30 +76,32 @@
         }
     }
 
-    /// Sets what happens from now on to what travels in each direction.
+    /// Sets the conditions of both directions, for open and for new connections.
     pub fn set_conditions(&self, conditions: LinkConditions) {
         self.outbound.send_replace(conditions.outbound);
         self.inbound.send_replace(conditions.inbound);
     }
 
-    /// Whether nothing passes towards the balancer now.
+    /// Returns whether the direction towards the balancer is blocked.
     pub fn is_inbound_cut(&self) -> bool {
         self.inbound.borrow().is_cut
     }
 
-    /// Resets all connections.
+    /// Resets all connections that are open now, except those that were opened during a cut and wait
+    /// for its end.
     pub fn reset_connections(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 
-    /// The other party's end of a connection with the balancer, beyond the link.
+    /// Sends a connection with the balancer through the link, and returns the other party's end.
     pub fn attach(&self, stream: TcpStream) -> Box<dyn Connection> {
         if self.is_transparent {
             return Box::new(stream);
         }
         let (near, far) = duplex(CHUNK_BYTES);
         let seed = self.seed ^ (self.opened_count.fetch_add(1, Ordering::Relaxed) << 20);
-        // Subscribed now, not when the task first runs: a cut or a reset in between must affect it.
+        // Subscribes before the task first runs, so that a cut or a reset until then affects the
+        // connection.
         let conditions = ConditionReceivers {
             outbound: self.outbound.subscribe(),
             inbound: self.inbound.subscribe(),
@@ -113,8 +116,8 @@
     }
 }
 
-/// Retains a connection that was opened while the link was cut: no data passes, and it is reset
-/// once the link is open again.
+/// Keeps a connection open that was accepted during a cut, without passing data, and resets it when
+/// the cut ends.
 async fn reset_once_open(stream: TcpStream, far: DuplexStream, conditions: ConditionReceivers) {
     for mut condition in [conditions.outbound, conditions.inbound] {
         let _ = condition.wait_for(|condition| !condition.is_cut).await;
@@ -122,7 +125,7 @@
     drop((stream, far));
 }
 
-/// Relays a connection until both its directions have ended, or it is reset.
+/// Relays a connection until both its directions have ended, or until it is reset.
 async fn relay(
     stream: TcpStream,
     far: DuplexStream,
@@ -139,13 +142,13 @@
     }
 }
 
-/// A chunk in transit.
+/// A piece of the data of a connection in transit, with the time at which it is delivered.
 struct Chunk {
     due: Instant,
     bytes: Vec<u8>,
 }
 
-/// Relays one direction until it ends.
+/// Relays one direction of a connection until it ends.
 async fn relay_direction(
     from: impl AsyncRead + Unpin,
     to: impl AsyncWrite + Unpin,
@@ -159,6 +162,7 @@
     );
 }
 
+/// Reads chunks and computes when each is due under the condition at that time.
 async fn read_chunks(
     mut from: impl AsyncRead + Unpin,
     chunks: mpsc::Sender<Chunk>,
@@ -174,7 +178,7 @@
         let transmission = condition.bytes_per_s.map_or(Duration::ZERO, |rate| {
             Duration::from_secs_f64(length as f64 / f64::from(rate.max(1)))
         });
-        // In order, and no sooner than what was sent before it has passed.
+        // Chunks stay in order: the transmission of a chunk begins after that of the previous one.
         last_due = (Instant::now() + condition.delay + jitter).max(last_due) + transmission;
         let chunk = Chunk {
             due: last_due,
@@ -186,6 +190,7 @@
     }
 }
 
+/// Writes each chunk when it is due, and no data during a cut.
 async fn write_chunks(
     mut chunks: mpsc::Receiver<Chunk>,
     mut to: impl AsyncWrite + Unpin,
@@ -205,7 +210,7 @@
     let _ = to.shutdown().await;
 }
 
-/// All links of a run.
+/// All links of a run that carry connections.
 pub struct Links {
     seed: u64,
     is_transparent: bool,
@@ -213,7 +218,8 @@
 }
 
 impl Links {
-    /// The links of a run with this seed; transparent where no fault of it affects a link.
+    /// Creates the links of a run with this seed. `is_transparent` states that no fault of the run
+    /// affects a link.
     pub fn new(seed: u64, is_transparent: bool) -> Arc<Self> {
         Arc::new(Self {
             seed,
@@ -222,7 +228,7 @@
         })
     }
 
-    /// The link between a balancer and another party.
+    /// Returns the link between a balancer and another party, and creates it at the first call.
     pub fn between(&self, balancer: u32, peer: LinkPeer) -> Arc<Link> {
         let number = match peer {
             LinkPeer::Upstream(number) => u64::from(number) + 1,
--- a/lab/src/links/datagrams.rs
+++ b/lab/src/links/datagrams.rs
@@ -1,27 +1,27 @@
-//! The delivery of datagrams between processes, the same for real sockets and in simulated time.
+//! The delivery of datagrams under link conditions, for real sockets and for simulated time.
 
 use crate::experiment::{LinkCondition, LinkConditions};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// How many datagrams are retained to be replayed: the first that passed.
+/// The number of datagrams that are recorded as samples: the first of the run.
 const MAX_SAMPLES: usize = 8;
-/// Share of the corrupted datagrams that are random bytes.
+/// The share of the corrupted datagrams that consist of random bytes.
 const RANDOM_SHARE: f64 = 0.3;
-/// Share of the other corrupted datagrams that are truncated.
+/// The share of the other corrupted datagrams that are truncated.
 const TRUNCATED_SHARE: f64 = 0.2;
-/// Random datagrams are shorter than this, in bytes.
-const RANDOM_LENGTH: usize = 300;
+/// The length that random datagrams stay below, in bytes.
+const RANDOM_LENGTH_BYTES: usize = 300;
 
-/// The conditions between all ordered pairs of a number of processes.
+/// The link conditions between all ordered pairs of processes.
 pub struct LinkMatrix {
     count: usize,
     conditions: Vec<LinkCondition>,
 }
 
 impl LinkMatrix {
-    /// All open.
+    /// Creates normal conditions between `count` processes.
     pub fn new(count: u32) -> Self {
         let count = count as usize;
         Self {
@@ -30,13 +30,14 @@
         }
     }
 
-    /// The condition from one process to another.
+    /// Returns the condition of the direction from one process to another.
     pub fn condition(&self, from: u32, to: u32) -> LinkCondition {
         let index = from as usize * self.count + to as usize;
         self.conditions.get(index).copied().unwrap_or_default()
     }
 
-    /// Sets the conditions between some processes and their peers.
+    /// Sets the conditions between each target and each peer; a pair of a process with itself is
+    /// skipped.
     pub fn set_conditions(&mut self, targets: &[u32], peers: &[u32], conditions: LinkConditions) {
         for target in targets.iter().map(|target| *target as usize) {
             for peer in peers.iter().map(|peer| *peer as usize) {
@@ -49,7 +50,8 @@
     }
 }
 
-/// The delays after which copies of a datagram are delivered: none, one, or two.
+/// Draws the delays after which a datagram is delivered: none if it is lost, one, or two if it is
+/// duplicated.
 pub fn delivery_delays(
     condition: &LinkCondition,
     rng: &mut ChaCha8Rng,
@@ -67,29 +69,30 @@
     first.into_iter().chain(second)
 }
 
-/// Datagrams that have passed, to be sent again as they were or corrupted.
+/// Recorded datagrams, which faults send again unchanged or corrupted.
 #[derive(Default)]
 pub struct DatagramSamples {
     samples: Vec<Vec<u8>>,
 }
 
 impl DatagramSamples {
-    /// Adds one, if it is among the first.
+    /// Records a datagram if it is among the first 8 of the run.
     pub fn add(&mut self, datagram: &[u8]) {
         if self.samples.len() < MAX_SAMPLES {
             self.samples.push(datagram.to_vec());
         }
     }
 
-    /// All samples.
+    /// Returns all recorded datagrams.
     pub fn all(&self) -> &[Vec<u8>] {
         &self.samples
     }
 
-    /// A corrupted datagram: random bytes, or a sample with a few bits flipped or its end cut off.
+    /// Returns a corrupted datagram: random bytes, or a sample with up to three flipped bits, which
+    /// may also be truncated.
     pub fn corrupted(&self, rng: &mut ChaCha8Rng) -> Vec<u8> {
         if self.samples.is_empty() || rng.random::<f64>() < RANDOM_SHARE {
-            let length = rng.random_range(0..RANDOM_LENGTH);
+            let length = rng.random_range(0..RANDOM_LENGTH_BYTES);
             return (0..length).map(|_| rng.random()).collect();
         }
         let mut datagram = self.samples[rng.random_range(0..self.samples.len())].clone();
--- a/lab/src/links/mod.rs
+++ b/lab/src/links/mod.rs
@@ -1,5 +1,5 @@
-//! Links between processes, and the faults that they inject: on connections between a balancer and
-//! another party, and on datagrams between balancers.
+//! Links between processes, on which faults act: links that carry connections between a balancer
+//! and another party, and links that carry datagrams between balancers.
 
 mod addresses;
 mod connections;
--- a/lab/src/links/peer_links.rs
+++ b/lab/src/links/peer_links.rs
@@ -1,6 +1,7 @@
-//! Links for datagrams: a socket for each ordered pair of balancers, so that each reaches each
-//! other one at an address of its own, and what passes between them is subject to the conditions of
-//! the link.
+//! Links that carry datagrams between balancers.
+//!
+//! Each ordered pair of balancers has a socket, at whose address the first balancer reaches the
+//! second. The lab relays the datagrams between these sockets under the conditions of the link.
 
 use super::{DatagramSamples, LinkMatrix, delivery_delays, pair_address};
 use crate::experiment::LinkConditions;
@@ -17,26 +18,26 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Delayed datagrams in transit: more are lost, as on a real link.
-const MAX_IN_TRANSIT: usize = 20_000;
-/// Longer than any datagram of the protocol, in bytes.
+/// The largest number of delayed datagrams in transit; further ones are lost, as on a real link.
+const MAX_DELAYED_DATAGRAMS: usize = 20_000;
+/// The size of the receive buffer, in bytes, larger than any datagram of the protocol.
 const BUFFER_BYTES: usize = 512;
-/// The interval at which corrupted datagrams are injected.
+/// The interval between batches of injected corrupted datagrams.
 const INJECTION_INTERVAL: Duration = Duration::from_millis(10);
-/// The address of a balancer for itself: no socket listens there.
-const UNREACHABLE: &str = "127.0.0.1:1";
+/// The address in a balancer's own entry of its peer list, where no socket listens.
+const UNREACHABLE_ADDRESS: &str = "127.0.0.1:1";
 
-/// What balancers have sent to each other.
+/// The number and size of the datagrams that balancers have sent to each other.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Datagrams.
+    /// The number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// The sum of their lengths, in bytes, without headers of UDP and IP.
     pub bytes: u64,
 }
 
 impl Traffic {
-    /// What was sent since an earlier count.
+    /// Returns the difference to an earlier count.
     pub fn since(self, earlier: Self) -> Self {
         Self {
             datagrams: self.datagrams - earlier.datagrams,
@@ -45,15 +46,16 @@
     }
 }
 
-/// All links for datagrams of a run.
+/// All links of a run that carry datagrams.
 pub struct PeerLinks {
-    /// By the balancer that sends to it, then by the balancer that it represents.
+    /// The sockets by the number of the balancer that sends to them, then by the number of the
+    /// balancer that they represent; `None` for a balancer and itself.
     sockets: Vec<Vec<Option<Arc<UdpSocket>>>>,
-    /// By balancer, its own address.
+    /// The address of each balancer's own socket, by number; `None` until it has started.
     addresses: Vec<Mutex<Option<SocketAddr>>>,
     conditions: Mutex<LinkMatrix>,
     samples: Mutex<DatagramSamples>,
-    /// A fault sends datagrams again.
+    /// Whether datagrams are recorded, because a fault of the run sends them again.
     keeps_samples: bool,
     sent_datagrams: AtomicU64,
     sent_bytes: AtomicU64,
@@ -62,7 +64,7 @@
 }
 
 impl PeerLinks {
-    /// Binds the sockets for so many balancers.
+    /// Binds the sockets for `count` balancers.
     pub async fn bind(count: u32, seed: u64, keeps_samples: bool) -> io::Result<Arc<Self>> {
         let mut sockets = Vec::new();
         for sender in 0..count {
@@ -85,42 +87,42 @@
             keeps_samples,
             sent_datagrams: AtomicU64::new(0),
             sent_bytes: AtomicU64::new(0),
-            in_transit: Arc::new(Semaphore::new(MAX_IN_TRANSIT)),
+            in_transit: Arc::new(Semaphore::new(MAX_DELAYED_DATAGRAMS)),
             seed,
         }))
     }
 
-    /// How many sockets so many balancers take.
+    /// Returns the number of sockets that this number of balancers needs.
     pub fn socket_count(balancers: u32) -> u64 {
         u64::from(balancers) * u64::from(balancers.saturating_sub(1))
     }
 
-    /// By number, where one balancer reaches all of them.
+    /// Returns the addresses at which one balancer reaches each balancer, by number.
     pub fn addresses_for(&self, balancer: u32) -> Vec<String> {
         let row = self.sockets.get(balancer as usize).into_iter().flatten();
         row.map(
             |socket| match socket.as_ref().map(|socket| socket.local_addr()) {
                 Some(Ok(address)) => address.to_string(),
-                _ => UNREACHABLE.into(),
+                _ => UNREACHABLE_ADDRESS.into(),
             },
         )
         .collect()
     }
 
-    /// Sets a balancer's own address.
+    /// Sets the address of a balancer's own socket, to which its datagrams are delivered.
     pub fn set_address(&self, balancer: u32, address: SocketAddr) {
         if let Some(current) = self.addresses.get(balancer as usize) {
             *lock(current) = Some(address);
         }
     }
 
-    /// Sets the conditions between some balancers and their peers.
+    /// Sets the conditions between each target and each peer.
     pub fn set_conditions(&self, targets: &[u32], peers: &[u32], conditions: LinkConditions) {
         let mut matrix = lock(&self.conditions);
         matrix.set_conditions(targets, peers, conditions);
     }
 
-    /// What balancers have sent so far.
+    /// Returns what the balancers have sent so far, without injected datagrams.
     pub fn traffic(&self) -> Traffic {
         Traffic {
             datagrams: self.sent_datagrams.load(Ordering::Relaxed),
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Relays datagrams for as long as the tasks live.
+    /// Spawns the tasks that relay datagrams; relaying ends when they are aborted.
     pub fn spawn_relays(self: &Arc<Self>, tasks: &mut JoinSet<()>) {
         for (from, row) in (0u32..).zip(&self.sockets) {
             for (to, socket) in (0u32..).zip(row) {
@@ -145,8 +147,7 @@
         let mut buffer = [0; BUFFER_BYTES];
         loop {
             let Ok((length, source)) = socket.recv_from(&mut buffer).await else {
-                // The error concerns an earlier datagram, which the other end of the socket
-                // rejected.
+                // The error reports that the receiver of an earlier datagram was not listening.
                 continue;
             };
             if self.address(from) == Some(source) {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Delivers a datagram under the conditions of its link.
+    /// Counts and records a datagram, and delivers it under the conditions of its link.
     fn forward(self: &Arc<Self>, from: u32, to: u32, datagram: &[u8], rng: &mut ChaCha8Rng) {
         self.sent_datagrams.fetch_add(1, Ordering::Relaxed);
         self.sent_bytes
@@ -183,19 +184,19 @@
         *lock(address)
     }
 
-    /// Delivers a datagram from the address at which its receiver knows the sender.
+    /// Sends a datagram to `to` from the socket whose address `to` knows as that of `from`.
     fn deliver(&self, from: u32, to: u32, datagram: &[u8]) {
         let socket = self
             .sockets
             .get(to as usize)
             .and_then(|row| row.get(from as usize)?.as_ref());
         if let (Some(socket), Some(address)) = (socket, self.address(to)) {
-            // A full socket loses it, as a real link does.
+            // If the send buffer is full, the datagram is lost, as on a real link.
             let _ = socket.try_send_to(datagram, address);
         }
     }
 
-    /// Sends the first datagrams that passed once more, in the name of some to all.
+    /// Sends the recorded datagrams from each of the senders to all other balancers.
     pub fn replay(&self, senders: &[u32]) {
         let samples = lock(&self.samples);
         for datagram in samples.all() {
@@ -207,7 +208,8 @@
         }
     }
 
-    /// Sends corrupted datagrams in the name of some, so many a second, for so long.
+    /// Sends corrupted datagrams, each from a random one of the senders to a random balancer; a pair
+    /// of a balancer with itself is skipped.
     pub async fn inject_corrupted(
         self: Arc<Self>,
         senders: Vec<u32>,
@@ -216,11 +218,11 @@
         seed: u64,
     ) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut remaining, mut owed) = (duration, 0.0);
+        let (mut remaining, mut due_datagrams) = (duration, 0.0);
         while !remaining.is_zero() && !senders.is_empty() {
-            owed += rate_per_s * INJECTION_INTERVAL.as_secs_f64();
-            while owed >= 1.0 {
-                owed -= 1.0;
+            due_datagrams += rate_per_s * INJECTION_INTERVAL.as_secs_f64();
+            while due_datagrams >= 1.0 {
+                due_datagrams -= 1.0;
                 let from = senders[rng.random_range(0..senders.len())];
                 let to = rng.random_range(0..self.addresses.len()) as u32;
                 let samples = lock(&self.samples);
--- a/lab/tests/links.rs
+++ b/lab/tests/links.rs
@@ -1,4 +1,4 @@
-//! Connections through links, over real sockets.
+//! Links that carry connections over real sockets: relaying, delays, cuts and resets.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -28,7 +28,7 @@
     })
 }
 
-/// A balancer's end, and the other party's end behind the link.
+/// Opens a connection through the link; returns the balancer's end and the other party's end.
 async fn connect(link: &Link) -> (TcpStream, Box<dyn Connection>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -39,7 +39,7 @@
     )
 }
 
-async fn pass(client: &mut TcpStream, server: &mut Box<dyn Connection>, text: &[u8]) {
+async fn assert_delivered(client: &mut TcpStream, server: &mut Box<dyn Connection>, text: &[u8]) {
     client.write_all(text).await.expect("written");
     let mut received = vec![0; text.len()];
     server.read_exact(&mut received).await.expect("read");
@@ -47,10 +47,10 @@
 }
 
 #[tokio::test]
-async fn open_link_carries_both_directions_and_the_end() {
+async fn open_link_relays_both_directions_and_the_end_of_the_stream() {
     let link = link(LinkPeer::Discovery);
     let (mut client, mut server) = connect(&link).await;
-    pass(&mut client, &mut server, b"there").await;
+    assert_delivered(&mut client, &mut server, b"there").await;
     server.write_all(b"back").await.expect("written");
     drop(server);
     let mut rest = Vec::new();
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn delayed_link_delivers_no_sooner() {
+async fn delayed_link_delivers_only_after_the_delay() {
     let link = link(LinkPeer::Upstream(3));
     let delay = Duration::from_millis(80);
     link.set_conditions(outbound(LinkCondition {
@@ -68,33 +68,36 @@
     }));
     let (mut client, mut server) = connect(&link).await;
     let start = Instant::now();
-    pass(&mut client, &mut server, b"late").await;
+    assert_delivered(&mut client, &mut server, b"late").await;
     assert!(start.elapsed() >= delay);
 }
 
 #[tokio::test]
-async fn cut_holds_one_direction_until_the_link_is_open_again() {
+async fn cut_blocks_one_direction_until_it_ends() {
     let link = link(LinkPeer::Upstream(3));
     let (mut client, mut server) = connect(&link).await;
-    pass(&mut client, &mut server, b"before").await;
+    assert_delivered(&mut client, &mut server, b"before").await;
     link.set_conditions(outbound_cut());
-    client.write_all(b"held").await.expect("written");
+    client.write_all(b"late").await.expect("written");
     server.write_all(b"back").await.expect("written");
     let mut received = [0; 4];
     client
         .read_exact(&mut received)
         .await
-        .expect("the other direction is open");
-    let mut held = [0; 4];
-    let waited = timeout(Duration::from_millis(60), server.read_exact(&mut held)).await;
-    assert!(waited.is_err(), "nothing passes a cut");
+        .expect("data of the direction that is not cut");
+    let mut delayed = [0; 4];
+    let waited = timeout(Duration::from_millis(60), server.read_exact(&mut delayed)).await;
+    assert!(waited.is_err(), "data passed the link during the cut");
     link.set_conditions(LinkConditions::default());
-    server.read_exact(&mut held).await.expect("it goes on");
-    assert_eq!(&held, b"held");
+    server
+        .read_exact(&mut delayed)
+        .await
+        .expect("data that was sent during the cut");
+    assert_eq!(&delayed, b"late");
 }
 
 #[tokio::test]
-async fn reset_ends_open_connections_and_a_cut_those_opened_meanwhile() {
+async fn reset_closes_open_connections_and_end_of_cut_those_opened_during_it() {
     let link = link(LinkPeer::Upstream(3));
     let (mut client, _server) = connect(&link).await;
     link.reset_connections();
