--- a/lab/src/processes/guard.rs
+++ b/lab/src/processes/guard.rs
@@ -17,7 +17,7 @@
 }
 
 impl Guard {
-    /// Starts `program guard`, which must call [`watch`] on its standard input.
+    /// Starts `program guard`, which must call [`kill_children_when_input_ends`] on its standard input.
     pub fn start(program: &Path) -> io::Result<Self> {
         let mut child = Command::new(program)
             .arg("guard")
@@ -58,7 +58,7 @@
 
 /// Reads which children live until the input ends, then kills those left; returns how many it
 /// killed.
-pub fn watch(input: impl BufRead) -> usize {
+pub fn kill_children_when_input_ends(input: impl BufRead) -> usize {
     let mut live = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
         let Some((sign, pid)) = line.split_at_checked(1) else {
--- a/lab/tests/guard.rs
+++ b/lab/tests/guard.rs
@@ -2,13 +2,13 @@
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
-use frostkeel_lab::guard::watch;
+use frostkeel_lab::guard::kill_children_when_input_ends;
 use std::process::Command;
 
 #[test]
 fn kills_children_that_are_left_when_the_pipe_ends() {
     let mut child = Command::new("sleep").arg("60").spawn().expect("a child");
     let input = format!("+{}\n+999999999\n-999999999\nnonsense\n", child.id());
-    assert_eq!(watch(input.as_bytes()), 1);
+    assert_eq!(kill_children_when_input_ends(input.as_bytes()), 1);
     assert!(!child.wait().expect("it has exited").success());
 }
