--- a/lab/src/processes/child.rs
+++ b/lab/src/processes/child.rs
@@ -1,4 +1,4 @@
-//! Child processes of the lab: started without input; their logs are stored and read line by line.
+//! Starts child processes of the lab without standard input, and stores and reads their logs.
 
 use crate::error::LabError;
 use rustix::process::Pid;
@@ -7,18 +7,18 @@
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncWriteExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// The value of a field in a line of a log.
+/// Returns the value of the field `name=value` in a line of a log; `None` if the field is missing.
 pub fn log_field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split(' ')
         .find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// A child's process id, while it runs.
+/// Returns the process id of a child; `None` once its exit has been collected.
 pub fn process_id(child: &Child) -> Option<Pid> {
     child.id().and_then(|pid| Pid::from_raw(pid as i32))
 }
 
-/// Writes a file of the run.
+/// Writes a file of the run, and replaces an existing one.
 pub async fn write_file(path: &Path, text: &str) -> Result<(), LabError> {
     let written = tokio::fs::write(path, text).await;
     written.map_err(|source| LabError::File {
@@ -27,7 +27,8 @@
     })
 }
 
-/// Starts a command whose log is appended to a file; each line of it goes to `on_line` first.
+/// Starts a command whose standard error is its log. Each line is passed to `on_line` and then
+/// appended to the file `log`. Dropping the returned child kills the process.
 pub async fn spawn_logged(
     command: &mut Command,
     log: &Path,
@@ -64,7 +65,7 @@
     mut on_line: impl FnMut(&str),
 ) {
     let mut lines = BufReader::new(stderr).lines();
-    // A log that cannot be written must still be read, or the child would block.
+    // The log is read even if it cannot be written, because a child whose pipe is full blocks.
     while let Ok(Some(line)) = lines.next_line().await {
         on_line(&line);
         let _ = file.write_all(format!("{line}\n").as_bytes()).await;
--- a/lab/src/processes/guard.rs
+++ b/lab/src/processes/guard.rs
@@ -1,6 +1,7 @@
-//! Children must not outlive the lab, even if it is killed: a guard, a small process of the same
-//! program, reads from a pipe which children live. When the pipe ends, it kills those that are
-//! left.
+//! The guard ensures that child processes do not outlive the lab, even if the lab is killed.
+//!
+//! It is a separate process of the same program. The lab reports through a pipe which children
+//! start and exit. When the lab ends, the pipe closes, and the guard kills the remaining children.
 
 use crate::sync::lock;
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,7 +11,7 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::sync::Mutex;
 
-/// The lab's end of the pipe.
+/// The guard process, and the lab's end of the pipe to it.
 pub struct Guard {
     child: Child,
     pipe: Mutex<Option<ChildStdin>>,
@@ -28,12 +29,13 @@
         Ok(Self { child, pipe })
     }
 
-    /// A child has started.
+    /// Reports to the guard that a child has started.
     pub fn register(&self, pid: Pid) {
         self.send(&format!("+{}\n", pid.as_raw_nonzero()));
     }
 
-    /// A child has exited and been waited for: its number may become another process's.
+    /// Reports to the guard that a child has exited and its exit was collected. From then on, another
+    /// process may get its process id.
     pub fn unregister(&self, pid: Pid) {
         self.send(&format!("-{}\n", pid.as_raw_nonzero()));
     }
@@ -43,7 +45,9 @@
         if let Some(writer) = pipe.as_mut()
             && writer.write_all(line.as_bytes()).is_err()
         {
-            tracing::warn!("the guard has ended: children would outlive a lab that is killed");
+            tracing::warn!(
+                "the guard process has exited: if the lab is killed, its child processes continue to run"
+            );
             *pipe = None;
         }
     }
@@ -56,8 +60,8 @@
     }
 }
 
-/// Reads which children live until the input ends, then kills those left; returns how many it
-/// killed.
+/// Reads the starts (`+PID`) and exits (`-PID`) of children, one a line, until the input ends. Then
+/// kills the remaining children and returns the number of processes that were killed.
 pub fn kill_children_when_input_ends(input: impl BufRead) -> usize {
     let mut live = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
--- a/lab/src/processes/mod.rs
+++ b/lab/src/processes/mod.rs
@@ -1,4 +1,4 @@
-//! Child processes: their logs are stored and read line by line, and none outlives the lab.
+//! Child processes: their start and their logs, and the guard that kills them if the lab dies.
 
 mod child;
 pub mod guard;
