--- a/lab/src/balancers/balancer_config.rs
+++ b/lab/src/balancers/balancer_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a balancer, in the platform's form.
+//! The configuration file of a balancer.
 
 use crate::experiment::{Class, Experiment, Idempotence};
 use rand::{Rng, SeedableRng};
@@ -6,34 +6,35 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// How long an upstream remembers an idempotency key, in milliseconds.
+/// The time for which an upstream remembers an idempotency key, in milliseconds.
 const KEY_RETENTION_MS: f64 = 12_000.0;
-/// Share of the upstreams' capacity that is guaranteed to the tenants.
-const GUARANTEED_CAPACITY: f64 = 0.85;
-/// Sockets that a balancer may open.
+/// The share of the upstreams' capacity that is guaranteed to the tenants.
+const GUARANTEED_CAPACITY_SHARE: f64 = 0.85;
+/// The largest number of sockets that a balancer may open.
 const MAX_SOCKETS: u32 = 1024;
 
-/// What the configuration of a balancer depends on.
+/// The values that the configuration of a balancer depends on.
 pub struct ConfigInputs<'a> {
-    /// The experiment.
+    /// The settings of the run.
     pub experiment: &'a Experiment,
     /// The seed of the run.
     pub seed: u64,
-    /// The balancer's number.
+    /// The number of the balancer, from 0.
     pub number: u32,
-    /// Its name.
+    /// The name of the balancer.
     pub name: String,
-    /// How often it has been started, this start included.
+    /// The number of starts of the balancer so far, this one included.
     pub start_count: u64,
-    /// The endpoint list as it last had it, as JSON.
+    /// The endpoint list that the balancer knows at its start, as JSON.
     pub known_endpoints: String,
-    /// Where it reaches the discovery service.
+    /// The address at which the balancer reaches the discovery service.
     pub discovery: SocketAddr,
-    /// Where it reaches the other balancers, if it does.
+    /// The addresses at which the balancer reaches each balancer, by number; `None` without
+    /// membership.
     pub peers: Option<Vec<String>>,
 }
 
-/// The configuration of a balancer.
+/// Returns the configuration of a balancer as JSON.
 pub fn balancer_config(inputs: ConfigInputs<'_>) -> Value {
     let experiment = inputs.experiment;
     let known: Value = serde_json::from_str(&inputs.known_endpoints).unwrap_or_default();
@@ -57,12 +58,13 @@
     config
 }
 
-/// A seed for each start of each balancer.
+/// Derives a separate seed for each start of each balancer.
 fn balancer_seed(inputs: &ConfigInputs<'_>) -> u64 {
     let start = inputs.seed ^ (u64::from(inputs.number) << 24) ^ (inputs.start_count << 48);
     ChaCha8Rng::seed_from_u64(start).random()
 }
 
+/// Returns the `settings` of the configuration.
 fn settings(experiment: &Experiment, number: u32) -> Value {
     let upstream = &experiment.upstream;
     let classes: Vec<Value> = experiment.classes.iter().map(class).collect();
@@ -100,7 +102,7 @@
     })
 }
 
-/// The tenants, each with its share of the guaranteed capacity.
+/// Returns the tenants, each with its share of the guaranteed capacity in requests per second.
 fn parties(experiment: &Experiment) -> Vec<Value> {
     let upstream = &experiment.upstream;
     let work: f64 = experiment
@@ -114,7 +116,7 @@
         .tenants
         .iter()
         .map(|tenant| {
-            let allowance = GUARANTEED_CAPACITY * capacity * tenant.share;
+            let allowance = GUARANTEED_CAPACITY_SHARE * capacity * tenant.share;
             json!({"name": tenant.name, "allowance_per_s": allowance})
         })
         .collect()
--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -1,4 +1,4 @@
-//! The balancers as children: started, signalled, and observed until they exit.
+//! Starts the balancers as child processes, sends them signals, and observes them until they exit.
 
 use super::balancer_config::{ConfigInputs, balancer_config};
 use super::member_log::{MemberLogLine, parse_member_log};
@@ -23,50 +23,50 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long one may take until it serves.
+/// The time within which a balancer must log its listen address after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// New connections may still arrive for this long after SIGTERM.
-const CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
-/// SIGKILL follows SIGTERM after this: the longest deadline, counted as 3 s, and 0.7 s, with some
+/// The time after SIGTERM for which clients may still open connections to a balancer.
+const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
+/// The time from SIGTERM to SIGKILL: the longest deadline, counted as 3 s, plus 0.7 s, with some
 /// slack.
 const KILL_AFTER_TERM: Duration = Duration::from_secs(5);
-/// How long one may take to exit after SIGKILL.
+/// The time within which a balancer must exit after SIGKILL.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often the use of memory and processor is sampled.
+/// The interval at which memory and processor usage are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The share of a core that balancers used while they ran last.
+/// The share of a core that the balancers used, each measured over its last start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct CoreUsage {
-    /// The mean over the balancers.
+    /// The mean over the balancers; 1 is a full core.
     pub mean: f64,
-    /// Of the one that used most.
+    /// The largest value of a balancer.
     pub max: f64,
 }
 
-/// The form in `result.json`.
+/// Converts the usage to the pair that `result.json` contains.
 impl From<CoreUsage> for (f64, f64) {
     fn from(usage: CoreUsage) -> Self {
         (usage.mean, usage.max)
     }
 }
 
-/// What a run consists of besides the balancers.
+/// The parts of a run that the balancers depend on.
 pub struct RunContext {
-    /// What is run.
+    /// The settings of the run.
     pub experiment: Arc<Experiment>,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The record of the run.
+    /// The history of the run.
     pub history: Arc<History>,
-    /// Where clients find the balancers.
+    /// The addresses of the balancers, as known to the clients.
     pub pool: Arc<BalancerPool>,
-    /// The balancers' links with each other, where they have membership.
+    /// The links between balancers; `None` without membership.
     pub peer_links: Option<Arc<PeerLinks>>,
-    /// The guard of the children.
+    /// The guard that kills the children if the lab dies; `None` if the run has no guard.
     pub guard: Option<Arc<Guard>>,
-    /// Where logs and configurations go.
+    /// The folder for logs and configuration files.
     pub dir: PathBuf,
 }
 
@@ -74,20 +74,20 @@
 pub struct BalancerProcesses {
     context: RunContext,
     program: PathBuf,
-    /// By number, where each reaches the discovery service.
+    /// The address at which each balancer reaches the discovery service, by number.
     discovery: Vec<SocketAddr>,
-    /// The endpoint list as each knows it before its start.
+    /// Returns the endpoint list that a balancer knows at its start, as JSON.
     known_endpoints: Box<dyn Fn(u32) -> String + Send + Sync>,
     slots: Vec<Slot>,
     max_memory_kb: Mutex<u64>,
-    /// By number, the share of a core that each used while it ran last.
+    /// The share of a core that each balancer used since its last start, by number.
     core_shares: Mutex<BTreeMap<u32, f64>>,
-    /// By number, where each shows its view of the others.
+    /// The address of each balancer's members page, by number.
     pages: Mutex<BTreeMap<u32, String>>,
 }
 
 impl BalancerProcesses {
-    /// None is started yet.
+    /// Prepares the balancers of a run without starting them.
     pub fn new(
         context: RunContext,
         program: &Path,
@@ -119,12 +119,12 @@
             .record(EventKind::BalancerState { balancer, state });
     }
 
-    /// The most memory that any has used, in KB, as far as was sampled.
+    /// Returns the largest sampled memory usage of a balancer, in KB.
     pub fn max_memory_kb(&self) -> u64 {
         *lock(&self.max_memory_kb)
     }
 
-    /// The share of a core that balancers used while they ran last.
+    /// Returns the share of a core that the balancers used, each measured over its last start.
     pub fn core_usage(&self) -> CoreUsage {
         let shares = lock(&self.core_shares);
         CoreUsage {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Where the balancers show their views, one a line.
+    /// Returns the addresses of the balancers' members pages, one a line.
     pub fn pages(&self) -> String {
         lock(&self.pages)
             .values()
@@ -141,12 +141,12 @@
             .collect()
     }
 
-    /// The status of each, as a label.
+    /// Returns the status of each balancer as a label, by number.
     pub fn statuses(&self) -> Vec<&'static str> {
         self.slots.iter().map(Slot::status).collect()
     }
 
-    /// Starts one and waits until it serves.
+    /// Starts a balancer and waits until it logs its listen address.
     pub async fn start(self: &Arc<Self>, number: u32) -> Result<(), LabError> {
         let slot = self.slot(number);
         let start_count = slot.count_start();
@@ -216,15 +216,15 @@
         }
     }
 
-    /// Samples the use of memory and processor until the process exits, and records its exit.
+    /// Samples memory and processor usage until the process exits, and records the exit.
     async fn observe(self: Arc<Self>, number: u32, mut child: Child, pid: Pid) {
         let started_at = Instant::now();
-        let mut is_over_memory = false;
+        let mut is_over_memory_limit = false;
         loop {
             tokio::select! {
                 _ = child.wait() => break,
                 () = sleep(SAMPLE_INTERVAL) => {
-                    self.sample_usage(number, pid, started_at, &mut is_over_memory).await;
+                    self.sample_usage(number, pid, started_at, &mut is_over_memory_limit).await;
                 }
             }
         }
@@ -241,7 +241,7 @@
         self.record_state(number, state);
         slot.set_stopped();
         if !is_expected {
-            self.remove_from_pool_late(number);
+            self.remove_from_pool_after_delay(number);
         }
     }
 
@@ -250,7 +250,7 @@
         number: u32,
         pid: Pid,
         started_at: Instant,
-        is_over_memory: &mut bool,
+        is_over_memory_limit: &mut bool,
     ) {
         let status = read_proc(pid, "status").await;
         let memory_kb = status
@@ -265,24 +265,26 @@
             *max_memory_kb = memory_kb.max(*max_memory_kb);
         }
         let limit_kb = self.context.experiment.fleet.memory_mb * 1024;
-        if memory_kb > limit_kb && !std::mem::replace(is_over_memory, true) {
+        if memory_kb > limit_kb && !std::mem::replace(is_over_memory_limit, true) {
             self.record_state(number, ProcessState::MemoryLimitExceeded);
         }
     }
 
-    /// Clients continue to send to a dead balancer for a while.
-    fn remove_from_pool_late(&self, number: u32) {
+    /// Removes the address of a dead balancer from the pool after the failover delay, until which
+    /// clients continue to send to it.
+    fn remove_from_pool_after_delay(&self, number: u32) {
         let pool = Arc::clone(&self.context.pool);
         let address = pool.address(number);
         let delay = Duration::from_secs_f64(self.context.experiment.load.failover_delay_s);
         tokio::spawn(async move {
             sleep(delay).await;
-            // If it has been restarted meanwhile, it has another address.
+            // A balancer that has been restarted by now has another address, which stays.
             pool.remove_address(number, address);
         });
     }
 
-    /// SIGKILL; started again after `restart_after`, under another name where one is given.
+    /// Sends SIGKILL. Restarts the balancer after `restart_after` unless that is `None`. The restarted
+    /// balancer has the new name, if one is given.
     pub async fn kill(
         self: Arc<Self>,
         number: u32,
@@ -298,21 +300,23 @@
         if !slot.signal(Signal::KILL) {
             return;
         }
-        self.remove_from_pool_late(number);
+        self.remove_from_pool_after_delay(number);
         if let Some(restart_after) = restart_after {
             sleep(restart_after).await;
             self.start_when_stopped(number).await;
         }
     }
 
-    /// Sends SIGTERM, and SIGKILL after a time-out; restarts it once it has exited.
+    /// Shuts a balancer down as [`shut_down`](Self::shut_down) does, and restarts it once it has
+    /// exited.
     pub async fn restart(self: Arc<Self>, number: u32) {
         if self.shut_down(number).await {
             self.start_when_stopped(number).await;
         }
     }
 
-    /// Sends SIGTERM, and SIGKILL after a time-out; returns whether it has exited.
+    /// Sends SIGTERM, and SIGKILL if the balancer does not exit in time; returns whether it has
+    /// exited.
     pub async fn shut_down(&self, number: u32) -> bool {
         let slot = self.slot(number);
         slot.set_ending();
@@ -326,7 +330,7 @@
             self.context.pool.address(number),
         );
         tokio::spawn(async move {
-            sleep(CONNECTIONS_AFTER_TERM).await;
+            sleep(NEW_CONNECTIONS_AFTER_TERM).await;
             pool.remove_address(number, address);
         });
         if slot.wait_until_stopped(KILL_AFTER_TERM).await {
@@ -341,7 +345,7 @@
         has_exited
     }
 
-    /// SIGSTOP, and SIGCONT after so long.
+    /// Sends SIGSTOP, and SIGCONT after `duration`.
     pub async fn pause(self: Arc<Self>, number: u32, duration: Duration) {
         let slot = self.slot(number);
         if slot.signal(Signal::STOP) {
@@ -358,18 +362,18 @@
         if self.slot(number).wait_until_stopped(EXIT_TIMEOUT).await
             && let Err(e) = self.start(number).await
         {
-            tracing::warn!("b{number} is not back: {e}");
+            tracing::warn!("balancer b{number} cannot be restarted: {e}");
             self.record_state(number, ProcessState::Crashed);
         }
     }
 }
 
-/// Where a balancer listens, by the line of its log that says so.
+/// Parses the address in the line that a balancer logs when it listens for clients.
 fn listen_address(line: &str) -> Option<SocketAddr> {
     log_field(line, "listen")?.parse().ok()
 }
 
-/// A file about a process under `/proc`; `None` once it has exited.
+/// Reads a file of a process under `/proc`; returns `None` if the process has exited.
 async fn read_proc(pid: Pid, file: &str) -> Option<String> {
     tokio::fs::read_to_string(format!("/proc/{}/{file}", pid.as_raw_nonzero()))
         .await
--- a/lab/src/balancers/member_log.rs
+++ b/lab/src/balancers/member_log.rs
@@ -1,30 +1,30 @@
-//! Parses the lines of a balancer's log that concern membership.
+//! Parses the lines of a balancer's log that its membership driver writes.
 
 use crate::history::EventKind;
 use crate::processes::log_field;
 use frostkeel_membership::{MemberState, Name};
 use std::net::SocketAddr;
 
-/// The end of the log target of the membership driver, whatever the program is called.
-const TARGET_END: &str = "::members: ";
+/// The end of the log target of the membership driver, which follows the name of the program.
+const LOG_TARGET_SUFFIX: &str = "::members: ";
 
 /// A line of the log of a balancer's membership driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberLogLine {
-    /// A change that belongs in the history.
+    /// An event for the history: a changed view, or a name yielded to another process.
     Event(EventKind),
-    /// Where the balancer is reached by its peers, and where it shows its view.
+    /// The addresses of a balancer whose membership has started.
     Serving {
-        /// The address for datagrams.
+        /// The address at which it receives datagrams from its peers.
         peers: SocketAddr,
-        /// The address of its members page.
+        /// The address of its members page; `None` if the line names none.
         page: Option<String>,
     },
 }
 
-/// Parses a line of the log of a balancer; `None` for what is not about membership.
+/// Parses a line of the log of a balancer; returns `None` if the line does not concern membership.
 pub fn parse_member_log(balancer: u32, line: &str) -> Option<MemberLogLine> {
-    let (_, message) = line.split_once(TARGET_END)?;
+    let (_, message) = line.split_once(LOG_TARGET_SUFFIX)?;
     if message.starts_with("yielded") {
         return Some(MemberLogLine::Event(EventKind::NameYielded { balancer }));
     }
@@ -36,7 +36,7 @@
     Some(MemberLogLine::Serving { peers, page })
 }
 
-/// A change of a balancer's view.
+/// Parses a change of the observer's view of one member.
 fn parse_view_change(observer: u32, message: &str) -> Option<EventKind> {
     let number = |field| log_field(message, field).and_then(|n| n.parse::<u64>().ok());
     let state = match log_field(message, "standing")? {
@@ -47,8 +47,8 @@
         _ => return None,
     };
     let name = Name::new(log_field(message, "name")?).ok()?;
-    // A member that refutes its failure retains its start time and increments its turn: both
-    // together are its incarnation.
+    // `incarnation` is the start time of the member, and `turn` is incremented each time that it
+    // refutes its failure. The incarnation in the protocol is their sum.
     let incarnation = number("incarnation")? + number("turn")?;
     let version = number("version")?;
     Some(EventKind::ViewChanged {
--- a/lab/src/balancers/mod.rs
+++ b/lab/src/balancers/mod.rs
@@ -1,4 +1,4 @@
-//! The balancers of a run: the real program, started, observed and ended as children.
+//! The balancers of a run: the real program, started, observed and shut down as child processes.
 
 mod balancer_config;
 mod balancer_process;
--- a/lab/src/balancers/slot.rs
+++ b/lab/src/balancers/slot.rs
@@ -1,4 +1,4 @@
-//! The slot of one balancer in a run, over all its starts.
+//! The state that the lab keeps of one balancer across its restarts.
 
 use crate::sync::lock;
 use rustix::process::{Pid, Signal, kill_process};
@@ -7,27 +7,28 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Whether a balancer runs, and what the lab has done to it.
+/// Whether the process of a balancer runs, with its process id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunState {
     Stopped,
     Running(Pid),
 }
 
-/// What the lab has done to a running balancer.
+/// The effect of the signals that the lab has sent to a running balancer.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Intent {
-    /// The lab has sent it SIGKILL or SIGTERM.
+pub(super) struct SignalState {
+    /// Whether the lab has sent SIGTERM or SIGKILL, so that an exit is expected.
     pub is_ending: bool,
+    /// Whether a pause (SIGSTOP) is in progress.
     pub is_paused: bool,
 }
 
-/// The slot of one balancer.
+/// The state of one balancer, identified by its number, across its restarts.
 pub(super) struct Slot {
     state: watch::Sender<RunState>,
-    intent: Mutex<Intent>,
+    signal_state: Mutex<SignalState>,
     start_count: Mutex<u64>,
-    /// Its name at its next start.
+    /// The name of the balancer from its next start on.
     name: Mutex<String>,
 }
 
@@ -35,7 +36,7 @@
     pub fn new(name: String) -> Self {
         Self {
             state: watch::Sender::new(RunState::Stopped),
-            intent: Mutex::default(),
+            signal_state: Mutex::default(),
             start_count: Mutex::default(),
             name: Mutex::new(name),
         }
@@ -49,7 +50,7 @@
         *lock(&self.name) = name;
     }
 
-    /// Counts a start; returns how many there have been, this one included.
+    /// Counts a start; returns the number of starts so far, this one included.
     pub fn count_start(&self) -> u64 {
         let mut start_count = lock(&self.start_count);
         *start_count += 1;
@@ -57,48 +58,48 @@
     }
 
     pub fn set_running(&self, pid: Pid) {
-        lock(&self.intent).is_ending = false;
+        lock(&self.signal_state).is_ending = false;
         self.state.send_replace(RunState::Running(pid));
     }
 
-    /// The process has exited.
+    /// Records that the process has exited.
     pub fn set_stopped(&self) {
         self.state.send_replace(RunState::Stopped);
     }
 
     pub fn set_ending(&self) {
-        lock(&self.intent).is_ending = true;
+        lock(&self.signal_state).is_ending = true;
     }
 
     pub fn is_ending(&self) -> bool {
-        lock(&self.intent).is_ending
+        lock(&self.signal_state).is_ending
     }
 
     pub fn set_paused(&self, is_paused: bool) {
-        lock(&self.intent).is_paused = is_paused;
+        lock(&self.signal_state).is_paused = is_paused;
     }
 
-    /// Sends a signal; returns whether there is a process that got it.
+    /// Sends a signal to the process; returns whether one runs and the signal was sent.
     pub fn signal(&self, signal: Signal) -> bool {
         let state = *self.state.borrow();
         matches!(state, RunState::Running(pid) if kill_process(pid, signal).is_ok())
     }
 
-    /// Waits until the process has exited; returns whether it has within a time.
-    pub async fn wait_until_stopped(&self, within: Duration) -> bool {
+    /// Waits until the process has exited, for `limit` at most; returns whether it has.
+    pub async fn wait_until_stopped(&self, limit: Duration) -> bool {
         let mut state = self.state.subscribe();
-        timeout(within, state.wait_for(|state| *state == RunState::Stopped))
+        timeout(limit, state.wait_for(|state| *state == RunState::Stopped))
             .await
             .is_ok()
     }
 
-    /// Its status, as a label.
+    /// Returns the status of the balancer as a label.
     pub fn status(&self) -> &'static str {
-        let intent = *lock(&self.intent);
+        let signal_state = *lock(&self.signal_state);
         match *self.state.borrow() {
             RunState::Stopped => "down",
-            RunState::Running(_) if intent.is_paused => "stopped",
-            RunState::Running(_) if intent.is_ending => "leaving",
+            RunState::Running(_) if signal_state.is_paused => "stopped",
+            RunState::Running(_) if signal_state.is_ending => "leaving",
             RunState::Running(_) => "up",
         }
     }
--- a/lab/tests/member_log.rs
+++ b/lab/tests/member_log.rs
@@ -1,4 +1,4 @@
-//! What is read from a balancer's log about membership.
+//! Parsing of the lines that a balancer's membership driver logs.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -7,7 +7,7 @@
 use frostkeel_membership::{MemberState, Name};
 
 #[test]
-fn reads_lines_of_the_membership_driver_of_any_program() {
+fn parses_membership_lines_regardless_of_the_program_name() {
     for program in ["maplehook", "frostkeel_balancer"] {
         let line = format!(
             "2026-01-01T00:00:00Z INFO {program}::members: member name=b3 standing=gone \
