--- a/lab/src/faults/description.rs
+++ b/lab/src/faults/description.rs
@@ -34,42 +34,42 @@
             restart_after: Some(after),
             new_name: None,
         } => {
-            format!("killed, restarted after {after:?}")
+            format!("killed, back after {after:?}")
         }
         FaultKind::Kill {
             restart_after: Some(after),
             new_name: Some(name),
         } => {
-            format!("killed, restarted after {after:?} under the name {name}")
+            format!("killed, back after {after:?} by the name of {name}")
         }
-        FaultKind::Terminate => "shut down with SIGTERM, then restarted".into(),
-        FaultKind::Pause { duration } => format!("paused for {duration:?}"),
+        FaultKind::Terminate => "asked to leave, started again".into(),
+        FaultKind::Pause { duration } => format!("stopped for {duration:?}"),
         FaultKind::SlowDown { factor, duration } => {
             format!("{factor} times slower for {duration:?}")
         }
-        FaultKind::Unresponsive { duration } => format!("unresponsive for {duration:?}"),
+        FaultKind::Unresponsive { duration } => format!("silent for {duration:?}"),
         FaultKind::RollingReplacement {
             batch_size,
             interval,
             ..
         } => {
-            format!("replaced in batches of {batch_size}, one every {interval:?}")
+            format!("replaced, {batch_size} every {interval:?}")
         }
         FaultKind::ImpairLinks {
             conditions,
             duration,
         } => format!(
-            "outbound links {}, inbound links {}, for {duration:?}",
+            "links from balancers {}, back {}, for {duration:?}",
             describe_condition(&conditions.outbound),
             describe_condition(&conditions.inbound)
         ),
         FaultKind::ResetConnections => "all connections reset".into(),
-        FaultKind::ReplayDatagrams => "earlier datagrams replayed".into(),
+        FaultKind::ReplayDatagrams => "old datagrams come once more".into(),
         FaultKind::InjectDatagrams {
             rate_per_s,
             duration,
         } => {
-            format!("{rate_per_s} corrupted datagrams per second for {duration:?}")
+            format!("{rate_per_s} bad datagrams a second for {duration:?}")
         }
     }
 }
@@ -79,18 +79,18 @@
         return "cut".into();
     }
     if *condition == LinkCondition::default() {
-        return "normal".into();
+        return "open".into();
     }
     if condition.loss_share + condition.duplicate_share > 0.0 {
         return format!(
-            "{:.0}% lost, {:.0}% duplicated, delayed by up to {:?}",
+            "{:.0}% lost, {:.0}% twice, up to {:?} late",
             condition.loss_share * 100.0,
             condition.duplicate_share * 100.0,
             condition.delay + condition.jitter
         );
     }
     format!(
-        "delayed by {:?} and up to {:?} of jitter",
+        "{:?} later, up to {:?} more",
         condition.delay, condition.jitter
     )
 }
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -14,13 +14,13 @@
 
 /// Injects the faults of a run, with access to everything that faults can affect.
 pub struct FaultInjector {
-    /// The settings of the run.
+    /// The experiment whose faults are injected.
     pub experiment: Arc<Experiment>,
     /// The seed from which random targets and injected datagrams are drawn.
     pub seed: u64,
     /// The history in which the start of each fault is recorded.
     pub history: Arc<History>,
-    /// The balancers of the run.
+    /// The balancers of the run, as child processes.
     pub balancers: Arc<BalancerProcesses>,
     /// The stand-in upstreams of the run.
     pub upstreams: Arc<Upstreams>,
--- a/lab/src/faults/targets.rs
+++ b/lab/src/faults/targets.rs
@@ -7,9 +7,9 @@
 /// The processes that a target consists of, by number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResolvedTargets {
-    /// The numbers of the balancers.
+    /// The numbers of the balancers among them.
     pub balancers: Vec<u32>,
-    /// The numbers of the upstreams.
+    /// The numbers of the upstreams among them.
     pub upstreams: Vec<u32>,
     /// Whether the target is the discovery service.
     pub has_discovery: bool,
