--- a/lab/src/balancers/balancer_config.rs
+++ b/lab/src/balancers/balancer_config.rs
@@ -15,15 +15,15 @@
 
 /// The values that the configuration of a balancer depends on.
 pub struct ConfigInputs<'a> {
-    /// The settings of the run.
+    /// The experiment, which sets fleet, load, classes, tenants and upstreams.
     pub experiment: &'a Experiment,
-    /// The seed of the run.
+    /// The seed of the run, from which each start of a balancer gets its own seed.
     pub seed: u64,
     /// The number of the balancer, from 0.
     pub number: u32,
-    /// The name of the balancer.
+    /// The name under which the balancer is started.
     pub name: String,
-    /// The number of starts of the balancer so far, this one included.
+    /// The number of times that the balancer has been started, this start included.
     pub start_count: u64,
     /// The endpoint list that the balancer knows at its start, as JSON.
     pub known_endpoints: String,
--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -35,7 +35,7 @@
 /// The interval at which memory and processor usage are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The share of a core that the balancers used, each measured over its last start.
+/// The share of a core that the balancers used, each since its last start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct CoreUsage {
@@ -54,11 +54,11 @@
 
 /// The parts of a run that the balancers depend on.
 pub struct RunContext {
-    /// The settings of the run.
+    /// The experiment that is run.
     pub experiment: Arc<Experiment>,
-    /// The seed of the run.
+    /// The seed of the run, from which each start of a balancer gets its own seed.
     pub seed: u64,
-    /// The history of the run.
+    /// The history in which states and view changes of the balancers are recorded.
     pub history: Arc<History>,
     /// The addresses of the balancers, as known to the clients.
     pub pool: Arc<BalancerPool>,
@@ -124,7 +124,7 @@
         *lock(&self.max_memory_kb)
     }
 
-    /// Returns the share of a core that the balancers used, each measured over its last start.
+    /// Returns the share of a core that the balancers used, each since its last start.
     pub fn core_usage(&self) -> CoreUsage {
         let shares = lock(&self.core_shares);
         CoreUsage {
--- a/lab/src/balancers/slot.rs
+++ b/lab/src/balancers/slot.rs
@@ -50,7 +50,7 @@
         *lock(&self.name) = name;
     }
 
-    /// Counts a start; returns the number of starts so far, this one included.
+    /// Counts a start; returns the number of starts, this one included.
     pub fn count_start(&self) -> u64 {
         let mut start_count = lock(&self.start_count);
         *start_count += 1;
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -62,7 +62,7 @@
          in the run options"
     )]
     NoRegistryProgram,
-    /// A socket of a stand-in or of a link could not be bound to a loopback address.
-    #[error("cannot bind a socket of a stand-in or a link to a loopback address: {0}")]
+    /// A loopback address could not be bound for a stand-in or a link.
+    #[error("cannot bind a loopback address for a stand-in or a link: {0}")]
     Address(std::io::Error),
 }
--- a/lab/src/experiment/fault_parsing.rs
+++ b/lab/src/experiment/fault_parsing.rs
@@ -15,7 +15,7 @@
 /// The shortest interval between two occurrences of a repeated fault.
 const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The values of `kind`.
+/// The values of the key `kind`, which select the effect of a fault.
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Kind {
@@ -72,7 +72,7 @@
 /// The settings of the experiment that the validity of a fault depends on.
 pub(super) struct FaultContext<'a> {
     pub fleet: &'a Fleet,
-    /// The length of the run.
+    /// The length of the run, within which a fault must start.
     pub length: Duration,
     pub has_membership: bool,
     pub has_registry: bool,
--- a/lab/src/experiment/faults.rs
+++ b/lab/src/experiment/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of an experiment.
+//! The faults of an experiment: their targets, times and effects.
 
 use std::time::Duration;
 
@@ -46,9 +46,9 @@
     Balancer(u32),
     /// A range of balancer numbers, both ends included.
     BalancerRange {
-        /// The lowest number.
+        /// The lowest balancer number of the range.
         first: u32,
-        /// The highest number.
+        /// The highest balancer number of the range.
         last: u32,
     },
     /// A random share of the balancers, from 0 to 1, drawn from the seed.
@@ -59,7 +59,7 @@
     Upstream(u32),
     /// A random share of the upstreams, from 0 to 1, drawn from the seed.
     UpstreamShare(f64),
-    /// The discovery service.
+    /// The discovery service: a stand-in, or the registry if the experiment has one.
     Discovery,
     /// The clients; only faults of their links with the balancers are possible.
     Clients,
@@ -88,9 +88,9 @@
 pub struct Fault {
     /// The time of the first occurrence, from the start of the load.
     pub start: Duration,
-    /// The processes that it affects.
+    /// The processes that the fault affects.
     pub target: Target,
-    /// The effect of the fault.
+    /// The effect of each occurrence on its targets.
     pub kind: FaultKind,
     /// The processes at the other ends of the affected links. `None` for a fault that does not
     /// concern links, and for the default ends of links: all balancers if the target is not a
@@ -119,7 +119,7 @@
     }
 }
 
-/// The effect of a fault.
+/// The effect of a fault, with the parameters of that effect.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
     /// Sends SIGKILL to a balancer or the registry, or crashes a stand-in.
@@ -133,14 +133,14 @@
     Terminate,
     /// Sends SIGSTOP to a process, and SIGCONT at the end of the pause.
     Pause {
-        /// The length of the pause.
+        /// The time between SIGSTOP and SIGCONT.
         duration: Duration,
     },
     /// Makes each request take longer at an upstream.
     SlowDown {
         /// The factor by which the service time of requests grows, 1 to 1000.
         factor: f64,
-        /// The length of the slowdown.
+        /// The time after which requests take their normal time again.
         duration: Duration,
     },
     /// Makes an upstream accept requests without responding.
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -25,7 +25,7 @@
 /// kept in memory.
 pub const MAX_RUN_S: f64 = 3600.0;
 
-/// The settings of a run.
+/// The settings of a run, as parsed from an experiment file.
 #[derive(Clone, Debug)]
 pub struct Experiment {
     /// The name of the experiment, for the report.
@@ -34,11 +34,11 @@
     pub length: Duration,
     /// The seed of the load, the faults and all random draws, unless the command line sets another.
     pub seed: u64,
-    /// The numbers of processes.
+    /// The numbers of balancers and upstreams, and their limits.
     pub fleet: Fleet,
-    /// The behaviour of the clients.
+    /// The load that the clients generate, and how they retry.
     pub load: Load,
-    /// The behaviour of the upstreams.
+    /// The capacity of the upstreams, and their behaviour under load.
     pub upstream: UpstreamSettings,
     /// The behaviour of the stand-in for the discovery service.
     pub discovery: DiscoverySettings,
@@ -47,7 +47,7 @@
     /// The settings of a real registry, which replaces the stand-in for discovery; `None` keeps the
     /// stand-in.
     pub registry: Option<RegistrySettings>,
-    /// The classes of requests.
+    /// The classes of requests, with their shares of the load.
     pub classes: Vec<Class>,
     /// The tenants, with their shares of the load.
     pub tenants: Vec<Tenant>,
@@ -105,7 +105,7 @@
     }
 }
 
-/// The behaviour of the clients.
+/// The load that the clients generate, and how they retry.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
@@ -156,7 +156,7 @@
     }
 }
 
-/// The behaviour of the upstreams.
+/// The capacity of the stand-in upstreams, and their behaviour under load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct UpstreamSettings {
@@ -328,7 +328,7 @@
     pub work_ms: f64,
     /// The mean time that a request waits for other systems, in milliseconds.
     pub io_ms: f64,
-    /// The latency objective, in milliseconds.
+    /// The latency objective of a request, in milliseconds, 1 to 600000.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
     /// The client's deadline for a request, in milliseconds; not below the latency objective.
@@ -345,7 +345,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// The name of the tenant.
+    /// The name of the tenant, which its requests carry.
     pub name: String,
     /// The share of the load and of the guaranteed capacity, 0 to 1.
     pub share: f64,
--- a/lab/src/experiment/parsing.rs
+++ b/lab/src/experiment/parsing.rs
@@ -44,7 +44,7 @@
     Shares {
         /// The kind of entry: `classes` or `tenants`.
         of: &'static str,
-        /// The sum of the shares.
+        /// The sum of the shares in the file, where 1 is expected.
         sum: f64,
     },
     /// A `[[fault]]` table is invalid.
--- a/lab/src/experiment/value_range.rs
+++ b/lab/src/experiment/value_range.rs
@@ -10,9 +10,9 @@
     pub key: &'static str,
     /// The value in the file, in the unit that the key names.
     pub value: f64,
-    /// The smallest valid value.
+    /// The smallest valid value, in the unit of the key.
     pub min: f64,
-    /// The largest valid value.
+    /// The largest valid value, in the unit of the key.
     pub max: f64,
 }
 
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,8 +1,7 @@
 //! Runs experiments with real balancers and injected faults.
 //!
-//! One lab process simulates clients, upstreams and the discovery service. These stand-ins use the
-//! balancer's real protocols on loopback addresses. The balancers are the real program, run as
-//! child processes.
+//! One lab process simulates clients, upstreams and the discovery service on loopback addresses,
+//! with the real protocols. The balancers are the real program, run as child processes.
 //!
 //! A run executes an [`Experiment`](experiment::Experiment), records its [`history`], applies the
 //! [`checks`] and writes a [report](reports).
--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -26,7 +26,7 @@
 pub enum LinkPeer {
     /// An upstream, by number.
     Upstream(u32),
-    /// The discovery service.
+    /// The discovery service, a stand-in or a real registry.
     Discovery,
     /// All clients, which share one link with each balancer.
     Clients,
--- a/lab/src/links/peer_links.rs
+++ b/lab/src/links/peer_links.rs
@@ -30,7 +30,7 @@
 /// The number and size of the datagrams that balancers have sent to each other.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// The number of datagrams.
+    /// The number of datagrams that balancers have sent.
     pub datagrams: u64,
     /// The sum of their lengths, in bytes, without headers of UDP and IP.
     pub bytes: u64,
@@ -122,7 +122,7 @@
         matrix.set_conditions(targets, peers, conditions);
     }
 
-    /// Returns what the balancers have sent so far, without injected datagrams.
+    /// Returns the traffic that the balancers have sent, without injected datagrams.
     pub fn traffic(&self) -> Traffic {
         Traffic {
             datagrams: self.sent_datagrams.load(Ordering::Relaxed),
