--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct CoreUsage {
-    /// The mean over the balancers; 1 is a full core.
+    /// The mean over the balancers; 1 is one core in full use.
     pub mean: f64,
-    /// The largest value of a balancer.
+    /// The largest share among the balancers.
     pub max: f64,
 }
 
--- a/lab/src/experiment/faults.rs
+++ b/lab/src/experiment/faults.rs
@@ -92,9 +92,9 @@
     pub target: Target,
     /// The effect of each occurrence on its targets.
     pub kind: FaultKind,
-    /// The processes at the other ends of the affected links. `None` for a fault that does not
-    /// concern links, and for the default ends of links: all balancers if the target is not a
-    /// balancer, otherwise all upstreams and discovery, but not the clients.
+    /// The processes at the other ends of the affected links. With `None`, a fault of links affects
+    /// those between target balancers and all upstreams and discovery, or between any other target
+    /// and all balancers.
     pub peer: Option<Target>,
     /// The interval between the starts of occurrences; `None` if the fault occurs once.
     pub repeat_interval: Option<Duration>,
@@ -179,8 +179,7 @@
 }
 
 impl FaultKind {
-    /// Returns the length of one occurrence; `None` if it is instantaneous, or its end is not known
-    /// in advance.
+    /// Returns the length of one occurrence; `None` if it has no end that is known in advance.
     pub fn duration(&self) -> Option<Duration> {
         match self {
             Self::Kill { restart_after, .. } => *restart_after,
--- a/lab/src/faults/fault_schedule.rs
+++ b/lab/src/faults/fault_schedule.rs
@@ -43,8 +43,8 @@
         describe(&self.fault)
     }
 
-    /// Returns the length of the occurrence in seconds; `None` if it is instantaneous or not known
-    /// in advance.
+    /// Returns the length of the occurrence in seconds; `None` if it has no end that is known in
+    /// advance.
     pub fn duration_s(&self) -> Option<f64> {
         self.fault
             .kind
--- a/lab/src/links/addresses.rs
+++ b/lab/src/links/addresses.rs
@@ -8,9 +8,10 @@
 /// The host number of the discovery service.
 pub const DISCOVERY_HOST_NUMBER: u32 = 249;
 
-/// Returns the address at which a balancer reaches the party with this host number. The second
-/// octet, from 16, is the balancer's block of 250; the third is the balancer within its block; the
-/// fourth is the host number modulo 250.
+/// Returns the address at which a balancer reaches the party with this host number.
+///
+/// After 127, the octets are 16 plus the balancer's block of 250, 1 plus the balancer's position in
+/// its block, and 2 plus the host number modulo 250.
 pub fn pair_address(balancer: u32, host_number: u32) -> IpAddr {
     let octet = |n: u32| n as u8;
     IpAddr::V4(Ipv4Addr::new(
--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -59,8 +59,8 @@
     resets: watch::Sender<u64>,
     seed: u64,
     opened_count: AtomicU64,
-    /// Whether no fault of the run affects a link. Connections are then not relayed, which saves two
-    /// copies of each byte.
+    /// Whether connections bypass the relay because no fault of the run affects a link. This saves
+    /// two copies of each byte.
     is_transparent: bool,
 }
 
--- a/lab/src/processes/guard.rs
+++ b/lab/src/processes/guard.rs
@@ -1,7 +1,8 @@
 //! The guard ensures that child processes do not outlive the lab, even if the lab is killed.
 //!
-//! It is a separate process of the same program. The lab reports through a pipe which children
-//! start and exit. When the lab ends, the pipe closes, and the guard kills the remaining children.
+//! It is a separate process of the same program. The lab reports the start and the exit of each
+//! child through a pipe. When the lab ends, the pipe closes, and the guard kills the remaining
+//! children.
 
 use crate::sync::lock;
 use rustix::process::{Pid, Signal, kill_process};
@@ -18,7 +19,8 @@
 }
 
 impl Guard {
-    /// Starts `program guard`, which must call [`kill_children_when_input_ends`] on its standard input.
+    /// Starts `program guard`, which must call [`kill_children_when_input_ends`] with its standard
+    /// input.
     pub fn start(program: &Path) -> io::Result<Self> {
         let mut child = Command::new(program)
             .arg("guard")
@@ -45,9 +47,7 @@
         if let Some(writer) = pipe.as_mut()
             && writer.write_all(line.as_bytes()).is_err()
         {
-            tracing::warn!(
-                "the guard process has exited: if the lab is killed, its child processes continue to run"
-            );
+            tracing::warn!("the guard process has exited: children survive if the lab is killed");
             *pipe = None;
         }
     }
