--- a/lab/src/runs/outcome.rs
+++ b/lab/src/runs/outcome.rs
@@ -13,11 +13,12 @@
 /// Limit on the 99th percentile of the delay with which the lab sends requests, in ms. A run
 /// with a higher value is invalid: its figures describe the lab rather than the balancers.
 const MAX_LATENESS_MS: f64 = 20.0;
-/// Lowest ratio of the share of requests served in time after the faults to the share before them
-/// at which the service counts as recovered.
+/// Minimum recovery after the faults: the share of requests served in time must reach this fraction
+/// of what it was before the faults.
 const MIN_RECOVERED_RATIO: f64 = 0.9;
 
-/// The delays, the processor use and the dropped events of the lab's own process.
+/// The delays with which the lab sent requests, its processor use, and the number of events that it
+/// dropped.
 #[derive(Clone, Debug, Serialize)]
 pub struct LabOverhead {
     /// Median delay between when a request was due and when it was sent, in ms.
@@ -142,20 +143,22 @@
     missed
 }
 
-/// Checks `back_s`: from that many seconds after the last fault on, the share of requests served in
-/// time must be at least `MIN_RECOVERED_RATIO` times the share before the first fault.
+/// Checks that the service recovers within `recovered_within_s` seconds after the end of the last
+/// fault: the share of requests served in time from then on must be at least `MIN_RECOVERED_RATIO`
+/// times the share before the first fault. Returns `None` if it recovers or if the experiment does
+/// not set that expectation.
 fn missed_recovery(experiment: &Experiment, figures: &Figures) -> Option<String> {
     let within = experiment.expect.recovered_within_s?;
     match recovery(experiment, figures, within) {
         Some(Recovery { before, after }) if after >= MIN_RECOVERED_RATIO * before => None,
         Some(Recovery { before, after }) => Some(format!(
-            "share served in time from {within} s after the last fault: {after:.3}, expected at \
-             least {:.3} ({before:.3} before the first fault)",
+            "share of requests served in time from {within} s after the end of the last fault: \
+             {after:.3}, expected at least {:.3} ({before:.3} before the first fault)",
             MIN_RECOVERED_RATIO * before
         )),
         None => Some(format!(
-            "recovery cannot be judged: it needs a fault, requests before the first fault, and \
-             requests from {within} s after the last one on"
+            "recovery cannot be checked: it requires a fault, requests before the first fault, and \
+             requests later than {within} s after the end of the last fault"
         )),
     }
 }
