--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -1,4 +1,4 @@
-//! Runs an experiment: starts its processes, sends the load, and judges the recorded history.
+//! Runs an experiment: starts its processes, sends the load, and checks the recorded history.
 
 use super::outcome::{LabOverhead, MembershipOutcome, RunOutcome, missed_expectations};
 use super::test_bed::TestBed;
@@ -27,8 +27,8 @@
     /// Path of the program that is started as each balancer.
     pub balancer: PathBuf,
     /// Path of the program that serves as the [guard](crate::guard) of the child processes when its
-    /// first argument is `guard`, and as the registry. `None`: the children are not guarded, and an
-    /// experiment with a registry cannot run.
+    /// first argument is `guard`, and as the registry when it is run with the command `registry`.
+    /// `None`: the children are not guarded, and an experiment with a registry cannot run.
     pub guard: Option<PathBuf>,
     /// Seed of all random draws of the run.
     pub seed: u64,
@@ -77,17 +77,18 @@
 ) -> Result<RunOutcome, LabError> {
     let mut test_bed = TestBed::start(experiment, &options).await?;
     let arrivals = draw_load(&test_bed.experiment, options.seed);
-    // Dropping `load` aborts the clients. It lives until all processes have exited, so that the
-    // clients of an interrupted run still receive their last responses.
+    // Dropping `load` aborts the clients. It is dropped only after all processes have exited, so
+    // that the clients of an interrupted run still receive their last responses.
     let load = Arc::clone(&test_bed.clients).run(arrivals);
     tokio::pin!(load);
     let stop = options.stop.clone();
     let measured = measure_load(&mut test_bed, load.as_mut(), stop, &mut on_progress).await;
     test_bed.stop().await;
-    Ok(judge(&test_bed, options, &measured))
+    Ok(evaluate(&test_bed, options, &measured))
 }
 
-/// Sends the load until all requests have ended or the run is interrupted.
+/// Measures the run from the start of the load until all requests have ended or the run is
+/// interrupted; calls `on_progress` at regular intervals.
 async fn measure_load(
     test_bed: &mut TestBed,
     mut load: Pin<&mut impl Future<Output = ()>>,
@@ -131,8 +132,8 @@
     }
 }
 
-/// Applies the checks to the history of a run, and computes its figures.
-fn judge(test_bed: &TestBed, options: RunOptions, measured: &LoadMeasurements) -> RunOutcome {
+/// Returns the outcome of a run: applies the checks to its history, and computes its figures.
+fn evaluate(test_bed: &TestBed, options: RunOptions, measured: &LoadMeasurements) -> RunOutcome {
     let experiment = &test_bed.experiment;
     let Recording {
         events,
--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -31,11 +31,12 @@
 const CATCH_UP_TIME: Duration = Duration::from_secs(10);
 /// Pause between the end of a watch and the watcher's next one.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// A watch on which no data arrives within this time is replaced by a new one.
+/// Time without data on a watch after which the watcher replaces it by a new one.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Time between a kill of the registry and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(200);
-/// Lease of the upstreams, longer than the registry is down after a kill.
+/// Lease of the upstreams. It is longer than the downtime of the registry after a kill, so that no
+/// lease expires during a restart.
 const LEASE: Duration = Duration::from_secs(60);
 /// Maximum number of violations that are described; further ones are not reported.
 const MAX_DESCRIBED_VIOLATIONS: usize = 20;
@@ -43,7 +44,8 @@
 const MAX_EVENTS: usize = 100_000;
 /// Fraction of the watchers that must have received a change before it counts as delivered.
 const DELIVERED_FRACTION: f64 = 0.99;
-/// The first weight that is written: all weights differ from the 1 with which upstreams register.
+/// Weight that the first change sets. All changes set weights that differ from 1, the weight of an
+/// upstream after its registration.
 const FIRST_WEIGHT: u64 = 2;
 /// Port of the first upstream's endpoint; the others follow. No socket listens on these ports.
 const FIRST_PORT: u16 = 1024;
@@ -79,7 +81,7 @@
 }
 
 impl Percentiles {
-    /// Returns the percentiles of times given in microseconds; all are zero if there is no time.
+    /// Returns the percentiles of times given in microseconds; all are 0 if `times_us` is empty.
     fn of(mut times_us: Vec<u32>) -> Self {
         times_us.sort_unstable();
         let last = times_us.len().max(1) - 1;
@@ -128,7 +130,8 @@
 pub(super) struct Change {
     /// Time when it was sent, in microseconds from the start of the run.
     pub sent_us: AtomicU64,
-    /// Times from its sending until watchers received it, one for each watcher, in microseconds.
+    /// Times from its sending until watchers received it, one for each watcher that has received
+    /// it, in microseconds.
     delivered_us: Mutex<Vec<u32>>,
 }
 
@@ -136,6 +139,7 @@
 pub(super) struct RegistryRun {
     pub registry: Arc<RegistryProcess>,
     pub start: Instant,
+    /// Changes, indexed by the weight that they set. The writers stop at the last element.
     pub changes: Vec<Change>,
     pub acknowledged: Mutex<Acknowledged>,
     pub failed_count: AtomicU64,
--- a/lab/src/runs/registry_writer.rs
+++ b/lab/src/runs/registry_writer.rs
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Sends one change per interval until `duration` after the start of the run. Waits for the
-    /// response to each change before it sends the next.
+    /// Sends one change per interval until `duration` after the start of the run, or until
+    /// [`RegistryRun::changes`] has no element for the next one. Waits for the response to each
+    /// change before it sends the next.
     pub async fn run(mut self, duration: Duration) {
         let mut due = Instant::now() + self.interval.mul_f64(self.rng.random::<f64>());
         while self.run.start.elapsed() < duration && !self.upstreams.is_empty() {
@@ -59,6 +60,7 @@
             let Some(address) = self.run.registry.write_address() else {
                 return;
             };
+            // The weight is also the index of the change.
             if self.run.changes.get(weight as usize).is_none() {
                 return;
             }
@@ -66,8 +68,9 @@
         }
     }
 
-    /// Sends one change. After some of the acknowledged changes, checks that a read returns a list
-    /// at least as new as the change.
+    /// Sends the change that sets `weight`, which is also its index in [`RegistryRun::changes`].
+    /// After some of the acknowledged changes, checks that a read returns a list at least as new
+    /// as the change.
     async fn write(&mut self, address: SocketAddr, uid: String, weight: u64) {
         let sent_us = self.run.now_us();
         self.run.changes[weight as usize]
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -21,9 +21,11 @@
 const MIN_DELAY: Duration = Duration::from_micros(300);
 /// Period from the start of the run over which the starts of the members are distributed randomly.
 const START_SPREAD: Duration = Duration::from_secs(1);
-/// Simulated time from which traffic is counted. Before it, the members discover each other.
+/// Simulated time from which traffic is counted, or half of the run's length if that is earlier.
+/// Before it, the members discover each other.
 const TRAFFIC_COUNT_START: Duration = Duration::from_secs(20);
-/// Unix time of the start of a run, in milliseconds; the incarnations of members count from it.
+/// Unix time of the start of a run, in milliseconds. The incarnation of a member is the Unix time
+/// of its start: this value plus the simulated time in milliseconds.
 const START_UNIX_MS: u64 = 1_700_000_000_000;
 
 /// The outcome of a simulated run.
@@ -35,10 +37,10 @@
     pub seed: u64,
     /// Length of the run in simulated seconds.
     pub seconds: f64,
-    /// Mean number of datagrams that each member sent per second, once traffic is counted.
+    /// Mean number of datagrams that each member sent per second while traffic was counted.
     #[serde(rename = "datagrams")]
     pub datagrams_per_s: f64,
-    /// Mean number of bytes that each member sent per second, once traffic is counted.
+    /// Mean number of bytes that each member sent per second while traffic was counted.
     #[serde(rename = "bytes")]
     pub bytes_per_s: f64,
     /// Detection times of departures, and counts of false detections.
@@ -48,8 +50,9 @@
     pub violations: Vec<String>,
 }
 
-/// Something that happens at a simulated time. Events at the same time happen in the order in which
-/// they were scheduled.
+/// An event at a simulated time. Events at the same time are handled in the order in which they
+/// were scheduled. `member`, `from` and `to` are numbers of members; `fault` is the index of a
+/// fault in the experiment.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum SimulationEvent {
     DatagramArrives {
@@ -88,7 +91,7 @@
 pub(super) struct SimulatedMember {
     /// State machine of the membership; `None` while the process is not running.
     pub machine: Option<Membership>,
-    /// Number of starts; the timers of an earlier start are ignored.
+    /// Number of times that it has been started; timers from before the last start are ignored.
     pub start_count: u32,
     pub is_paused: bool,
     /// Datagrams that arrived while it was paused; they are handled when it resumes.
@@ -103,9 +106,10 @@
     pub experiment: &'a Experiment,
     seed: u64,
     pub now: Duration,
-    /// Scheduled events with their time and number.
+    /// Scheduled events, each with its time and a sequence number, which orders events at the same
+    /// time.
     queue: BinaryHeap<Reverse<(Duration, u64, SimulationEvent)>>,
-    /// Number of events that were scheduled.
+    /// Number of events that have been scheduled; the sequence number of the last one.
     event_count: u64,
     pub members: Vec<SimulatedMember>,
     pub links: LinkMatrix,
@@ -124,16 +128,16 @@
 }
 
 /// Simulates the membership of an experiment's balancers over the length of the experiment, with
-/// the faults that affect balancers. If `knows_members` is true, all members start at time zero and
-/// know each other; otherwise they start within a second and discover each other.
+/// the faults that affect balancers. If `with_known_members` is true, all members start at time
+/// zero and know each other; otherwise they start within a second and discover each other.
 pub fn simulate(
     experiment: &Experiment,
     seed: u64,
-    knows_members: bool,
+    with_known_members: bool,
 ) -> Result<SimulationOutcome, ConfigError> {
     let count = experiment.fleet.balancers;
     let mut simulation = Simulation::new(experiment, seed);
-    if knows_members {
+    if with_known_members {
         simulation.start_with_known_members()?;
     } else {
         simulation.schedule_starts();
@@ -240,7 +244,7 @@
         self.record(&EventKind::BalancerState { balancer, state });
     }
 
-    /// Starts all members, and gives each the identities of the others.
+    /// Starts all members, and gives each the identities of all members.
     fn start_with_known_members(&mut self) -> Result<(), ConfigError> {
         let numbers = 0..self.members.len() as u32;
         numbers.clone().try_for_each(|member| self.start(member))?;
--- a/lab/src/runs/simulation_faults.rs
+++ b/lab/src/runs/simulation_faults.rs
@@ -60,7 +60,8 @@
         AffectedBalancers { targets, peers }
     }
 
-    /// Applies a fault of processes to one member; ignores faults of links and datagrams.
+    /// Applies a fault to the process of one member; does nothing if the fault affects links or
+    /// datagrams.
     fn apply_to_member(&mut self, number: u32, kind: &FaultKind) {
         match kind {
             FaultKind::Kill {
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Delivers one corrupted datagram, and schedules the next one until the fault ends.
+    /// Delivers one corrupted datagram from a random target of the fault to a random member, or
+    /// none if both are the same, and schedules the next one until the fault ends.
     pub(super) fn inject_corrupted(&mut self, index: usize) {
         let fault = &self.experiment.faults[index];
         let FaultKind::InjectDatagrams {
--- a/lab/src/runs/test_bed.rs
+++ b/lab/src/runs/test_bed.rs
@@ -25,11 +25,11 @@
 const MAX_CONCURRENT_STARTS: usize = 16;
 /// Maximum number of recorded events of a run; each takes about 100 bytes of memory.
 const MAX_EVENTS: usize = 20_000_000;
-/// Allowance for the file descriptors of the lab that are not counted one by one.
+/// Allowance for the file descriptors of the lab that the estimate does not count individually.
 const OTHER_DESCRIPTORS: u64 = 200;
 /// File descriptors of the lab for each balancer process: its pipes, log and configuration.
 const DESCRIPTORS_PER_BALANCER: u64 = 4;
-/// Client connections for each request per second of the load.
+/// Number of client connections that are assumed for a load of one request per second.
 const CONNECTIONS_PER_REQUEST_RATE: f64 = 2.0;
 
 /// The stand-ins, the links and the guard, all of which exist before the balancers start.
@@ -182,8 +182,8 @@
         self.tasks.spawn(injector.run());
     }
 
-    /// Returns the datagrams that the balancers have sent to each other; `None` if the experiment
-    /// has no membership.
+    /// Returns the number of datagrams and bytes that the balancers have sent to each other; `None`
+    /// if the experiment has no membership.
     pub fn peer_traffic(&self) -> Option<Traffic> {
         self.peer_links
             .as_ref()
