--- a/lab/src/standins/upstream_model.rs
+++ b/lab/src/standins/upstream_model.rs
@@ -1,9 +1,9 @@
 //! The model of an upstream: a state machine without I/O that computes completion times and load
 //! reports.
 //!
-//! Cores process requests in the order of arrival; then each waits on other systems without a core.
-//! The completion time is computed on arrival, so no clock or timer is needed. Times are seconds
-//! from the start of the load unless stated otherwise.
+//! Cores process requests in the order of arrival; a request then waits for other systems without
+//! occupying a core. The completion time is computed on arrival, so no clock or timer is needed.
+//! Times are seconds from the start of the load unless stated otherwise.
 
 use crate::experiment::UpstreamSettings;
 use rand::Rng;
@@ -26,29 +26,30 @@
 /// A load report of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Mean share of its cores in use since the report before, with the report's random error.
+    /// Mean share of its cores in use since the previous report, with a random error.
     pub utilization: f64,
     /// Number of requests in flight, with the same random error.
     pub in_flight: f64,
 }
 
-/// The state of congestion. An upstream whose queue has been too long for some time slows down,
-/// until its utilization has been low for some time. The settings set the limits.
+/// The state of congestion. An upstream slows down once its queue has been too long for
+/// `congestion_onset_s`, and recovers once its utilization has been low for `recovery_s`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Congestion {
     /// The queue is shorter than the limit, or the settings rule out congestion.
     None,
     /// The queue has been too long since this time.
     Building { since: f64 },
-    /// Processing has been slow since `since`. Utilization has been low since `idle_since`; `None`
+    /// Processing has been slow since `since`. Utilization has been low since `low_since`; `None`
     /// if it is not low.
-    Congested { since: f64, idle_since: Option<f64> },
+    Congested { since: f64, low_since: Option<f64> },
 }
 
-/// The work of a request that arrived during slow start, in seconds on a core of speed 1.
+/// A request that was accepted during slow start.
 #[derive(Clone, Copy)]
-struct SentWork {
+struct AcceptedRequest {
     at: f64,
+    /// Time that the request takes on a core of speed 1, in seconds.
     work: f64,
 }
 
@@ -74,15 +75,16 @@
     core_free_at: Vec<f64>,
     /// Core time of all accepted requests, whether spent or still to be spent.
     accepted_work: f64,
-    /// Times at which the queued requests begin on a core, in ascending order.
-    begins: VecDeque<f64>,
+    /// Times at which cores begin to process the queued requests, in ascending order.
+    begin_times: VecDeque<f64>,
     /// Times at which the responses of the requests in flight are sent, in microseconds.
-    finishes: BinaryHeap<Reverse<u64>>,
+    finish_times: BinaryHeap<Reverse<u64>>,
     congestion: Congestion,
-    /// Requests that arrived during slow start within the overload window.
-    sent: VecDeque<SentWork>,
-    /// Total work of the requests in `sent`.
-    sent_work: f64,
+    /// Requests that were accepted during slow start, within the last `overload_window_s` seconds
+    /// before the newest of them.
+    overload_window: VecDeque<AcceptedRequest>,
+    /// Total work of the requests in `overload_window`; no longer updated after slow start.
+    overload_window_work: f64,
     has_crashed: bool,
     reports: Reports,
 }
@@ -97,11 +99,11 @@
             started_at: in_slow_start.then_some(now),
             slowdown: 1.0,
             accepted_work: 0.0,
-            begins: VecDeque::new(),
-            finishes: BinaryHeap::new(),
+            begin_times: VecDeque::new(),
+            finish_times: BinaryHeap::new(),
             congestion: Congestion::None,
-            sent: VecDeque::new(),
-            sent_work: 0.0,
+            overload_window: VecDeque::new(),
+            overload_window_work: 0.0,
             has_crashed: false,
             reports: Reports {
                 newest: LoadReport::default(),
@@ -127,15 +129,16 @@
         initial + (1.0 - initial) * progress
     }
 
-    /// Accepts a request at `now` and returns when its response is sent. `work` is its time on a
-    /// core of speed 1, and `wait` its time on other systems.
+    /// Accepts a request at `now` and returns when its response is sent. `work` is the time that
+    /// the request takes on a core of speed 1, and `wait` the time for which it then waits for
+    /// other systems, both in seconds.
     pub fn accept(&mut self, now: f64, work: f64, wait: f64) -> Result<f64, Rejection> {
         self.advance(now);
         if self.has_crashed {
             return Err(Rejection::Crashed);
         }
         let cores = f64::from(self.settings.cores);
-        if self.begins.len() as f64 >= f64::from(self.settings.queue_per_core) * cores {
+        if self.begin_times.len() as f64 >= f64::from(self.settings.queue_per_core) * cores {
             return Err(Rejection::QueueFull);
         }
         self.update_overload(now, work);
@@ -153,9 +156,9 @@
         *core = begin + service_time;
         let finish = begin + service_time + wait;
         self.accepted_work += service_time;
-        // Requests begin in the order of arrival, so `begins` stays sorted.
-        self.begins.push_back(begin);
-        self.finishes.push(Reverse(microseconds(finish)));
+        // Requests begin in the order of arrival, so `begin_times` stays sorted.
+        self.begin_times.push_back(begin);
+        self.finish_times.push(Reverse(microseconds(finish)));
         self.update_congestion(now);
         Ok(finish)
     }
@@ -188,9 +191,10 @@
         }
     }
 
-    /// Returns the number of requests in flight at the time passed to the last call.
+    /// Returns the number of requests in flight as of the last call of [`accept`](Self::accept),
+    /// [`report`](Self::report) or [`advance`](Self::advance).
     pub fn in_flight(&self) -> usize {
-        self.finishes.len()
+        self.finish_times.len()
     }
 
     /// Returns whether it has crashed under overload during slow start.
@@ -211,15 +215,15 @@
     /// Advances the model to `now`: removes the requests that have begun from the queue and those
     /// that have ended from the ones in flight, and updates the congestion.
     pub fn advance(&mut self, now: f64) {
-        while self.begins.front().is_some_and(|begin| *begin <= now) {
-            self.begins.pop_front();
+        while self.begin_times.front().is_some_and(|begin| *begin <= now) {
+            self.begin_times.pop_front();
         }
         while self
-            .finishes
+            .finish_times
             .peek()
             .is_some_and(|finish| finish.0 <= microseconds(now))
         {
-            self.finishes.pop();
+            self.finish_times.pop();
         }
         self.update_congestion(now);
     }
@@ -240,9 +244,10 @@
         if settings.congestion_queue_per_core <= 0.0 {
             return;
         }
-        let is_queue_long = self.begins.len() as f64 >= settings.congestion_queue_per_core * cores;
+        let is_queue_long =
+            self.begin_times.len() as f64 >= settings.congestion_queue_per_core * cores;
         self.congestion = match self.congestion {
-            Congestion::Congested { since, idle_since } => self.recover(now, since, idle_since),
+            Congestion::Congested { since, low_since } => self.recover(now, since, low_since),
             _ if !is_queue_long => Congestion::None,
             building => {
                 let since = match building {
@@ -252,7 +257,7 @@
                 match now - since >= settings.congestion_onset_s {
                     true => Congestion::Congested {
                         since: now,
-                        idle_since: None,
+                        low_since: None,
                     },
                     false => Congestion::Building { since },
                 }
@@ -261,50 +266,51 @@
     }
 
     /// Returns the next state of a congested upstream at `now`.
-    fn recover(&self, now: f64, since: f64, idle_since: Option<f64>) -> Congestion {
+    fn recover(&self, now: f64, since: f64, low_since: Option<f64>) -> Congestion {
         let cores_in_use = self.core_free_at.iter().filter(|free| **free > now).count();
         let utilization = cores_in_use as f64 / f64::from(self.settings.cores);
         if utilization > self.settings.recovery_utilization {
             return Congestion::Congested {
                 since,
-                idle_since: None,
+                low_since: None,
             };
         }
-        let idle_since = idle_since.unwrap_or(now.max(since));
-        match now - idle_since >= self.settings.recovery_s {
+        let low_since = low_since.unwrap_or(now.max(since));
+        match now - low_since >= self.settings.recovery_s {
             true => Congestion::None,
             false => Congestion::Congested {
                 since,
-                idle_since: Some(idle_since),
+                low_since: Some(low_since),
             },
         }
     }
 
-    /// Crashes an upstream in slow start if the work that arrived within the overload window
-    /// exceeds the overload multiple of the work that its present capacity allows in that window.
+    /// Crashes an upstream in slow start if the work of the requests in the overload window exceeds
+    /// `overload_multiple` times the work that the current capacity could do in that window.
     fn update_overload(&mut self, now: f64, work: f64) {
         let share = self.slow_start_share(now);
         if share >= 1.0 {
-            self.sent.clear();
+            self.overload_window.clear();
             return;
         }
-        self.sent.push_back(SentWork { at: now, work });
-        self.sent_work += work;
+        self.overload_window
+            .push_back(AcceptedRequest { at: now, work });
+        self.overload_window_work += work;
         let window_start = now - self.settings.overload_window_s;
         while let Some(oldest) = self
-            .sent
+            .overload_window
             .front()
             .copied()
-            .filter(|sent| sent.at < window_start)
+            .filter(|accepted| accepted.at < window_start)
         {
-            self.sent_work -= oldest.work;
-            self.sent.pop_front();
+            self.overload_window_work -= oldest.work;
+            self.overload_window.pop_front();
         }
         let capacity = share
             * self.settings.speed
             * f64::from(self.settings.cores)
             * self.settings.overload_window_s;
-        self.has_crashed |= self.sent_work > self.settings.overload_multiple * capacity;
+        self.has_crashed |= self.overload_window_work > self.settings.overload_multiple * capacity;
     }
 }
 
