--- a/lab/src/standins/balancer_pool.rs
+++ b/lab/src/standins/balancer_pool.rs
@@ -10,7 +10,7 @@
 /// A client's connection to a balancer.
 pub type ClientConnection = SendRequest<Full<Bytes>>;
 
-/// A balancer that clients can send to.
+/// A balancer to which clients can send requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Destination {
     /// Number of the balancer.
@@ -21,14 +21,15 @@
 
 #[derive(Default)]
 struct PoolEntry {
-    /// Address that clients use; `None` if they send it no requests. A dead balancer keeps its
-    /// address until clients have noticed its failure.
+    /// Address that clients use; `None` if they send the balancer no requests. A dead balancer
+    /// keeps its address until clients have noticed its failure.
     address: Option<SocketAddr>,
     idle: Vec<ClientConnection>,
     response_count: u64,
 }
 
-/// Distributes clients' requests among the balancers, and pools the connections to them.
+/// A pool of the clients' connections to the balancers; it also chooses the balancer for each
+/// attempt.
 pub struct BalancerPool {
     entries: Vec<Mutex<PoolEntry>>,
 }
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Removes a balancer's address if it is still `address`; a restarted balancer has another one.
+    /// Removes a balancer's address if it is still `address`; a restarted balancer has
+    /// another address.
     pub fn remove_address(&self, balancer: u32, address: Option<SocketAddr>) {
         if self.address(balancer) == address {
             self.set_address(balancer, None);
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -3,7 +3,7 @@
 //!
 //! The lab may start a request late. The deadline still counts from when the request was due, so
 //! that the request has less time; its latency counts from the `RequestDue` event, which is
-//! recorded when it is started.
+//! recorded when the request is started.
 
 use super::balancer_pool::{BalancerPool, ClientConnection, Destination};
 use super::load::Arrival;
@@ -29,13 +29,14 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// Minimum time that an attempt must have for its response; with less, the request gets no further
-/// attempt.
+/// Minimum time that must be left for the response of an attempt; if less is left, the client makes
+/// no further attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 /// Maximum number of requests that are due and not yet started. When it is reached, later requests
 /// wait and are sent late.
 const MAX_DUE_REQUESTS: usize = 1024;
-/// Timeout for connecting to a balancer; also how long an attempt waits if none has an address.
+/// Timeout for connecting to a balancer; also how long an attempt waits if no balancer has
+/// an address.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Value of the `host` header of the requests.
 const SERVICE_HOST: &str = "app.svc";
@@ -58,11 +59,11 @@
     /// Time for which the client waits for the response; also sent to the balancer.
     time_left: Duration,
     deadline: Instant,
-    /// Random number that chooses the balancer.
+    /// Random number from which the balancer is chosen.
     random: u64,
 }
 
-/// The outcome of a response for the client, which decides whether it retries.
+/// What a response means for the client; determines whether the client retries the request.
 enum ResponseOutcome {
     Served,
     Rejected { retry_after: Option<Duration> },
--- a/lab/src/standins/discovery.rs
+++ b/lab/src/standins/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the discovery service: serves the endpoint list and watches on its changes.
+//! The stand-in for the discovery service: serves reads and watches of the endpoint list.
 //!
 //! Each balancer reaches it at a separate address. In an experiment with a real registry, it
 //! registers the upstreams there and forwards the balancers' calls to it.
@@ -28,9 +28,9 @@
 /// Interval at which a watch without changes sends an empty line as a heartbeat. A watcher that
 /// does not accept a line within this time is disconnected.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time after which a change counts as notified to a balancer whose link to the discovery service
-/// is cut, so that its watch gets neither changes nor heartbeats.
-const NOTIFIED_AFTER_CUT: Duration = Duration::from_secs(6);
+/// Time after which a balancer counts as notified of a change while its link from the discovery
+/// service is cut. During the cut, the balancer's watch receives neither changes nor heartbeats.
+const NOTIFICATION_DELAY_DURING_CUT: Duration = Duration::from_secs(6);
 /// Maximum number of lines of a watch that wait to be sent to a balancer.
 pub(super) const MAX_PENDING_LINES: usize = 16;
 /// Path at which the endpoint list is read and watched.
@@ -47,11 +47,11 @@
     boot_ms: u64,
     /// Address at which each balancer reaches the upstream, by the balancer's number.
     pub(super) endpoints: Arc<Vec<SocketAddr>>,
-    /// Revision of the list at the entry's last change; 0 if a real registry has the list.
+    /// Revision of the list at the entry's last change; 0 if a real registry serves the list.
     revision: u64,
 }
 
-/// The endpoint list, served to balancers.
+/// The discovery service: the endpoint list, and its connections with balancers.
 pub struct DiscoveryService {
     pub(super) history: Arc<History>,
     links: Arc<Links>,
@@ -151,8 +151,8 @@
         self.list_text(balancer, None)
     }
 
-    /// Returns the list for one balancer as JSON: without `since` all listed upstreams, else the
-    /// entries that changed after that revision.
+    /// Returns the list for one balancer as JSON: all listed upstreams if `since` is `None`, else
+    /// the entries that changed after the revision `since`.
     fn list_text(&self, balancer: u32, since: Option<u64>) -> String {
         let entries = self.entries();
         let revision = *self.revision.borrow();
@@ -175,8 +175,9 @@
         serde_json::json!({"rev": revision, "all": since.is_none(), "targets": targets}).to_string()
     }
 
-    /// Records that a balancer is notified of the changes after `since`. While the link to the
-    /// balancer is cut, records it after [`NOTIFIED_AFTER_CUT`].
+    /// Records that a balancer is notified of the changes after the revision `since`, or of all
+    /// entries if `since` is `None`. While the link to the balancer is cut, records it after
+    /// [`NOTIFICATION_DELAY_DURING_CUT`].
     fn record_notified(self: &Arc<Self>, balancer: u32, since: Option<u64>) {
         if !self
             .links
@@ -188,7 +189,7 @@
         }
         let discovery = Arc::clone(self);
         tokio::spawn(async move {
-            sleep(NOTIFIED_AFTER_CUT).await;
+            sleep(NOTIFICATION_DELAY_DURING_CUT).await;
             discovery.record_notified_now(balancer, since);
         });
     }
@@ -279,7 +280,8 @@
         Response::new(BodyExt::boxed(StreamBody::new(ReceiverStream::new(body))))
     }
 
-    /// Sends the complete list, or the changes after `since`, and then each later change.
+    /// Sends the complete list, or the changes after the revision `since`, and then each later
+    /// change.
     async fn stream_changes(
         self: Arc<Self>,
         balancer: u32,
--- a/lab/src/standins/forwarding.rs
+++ b/lab/src/standins/forwarding.rs
@@ -1,7 +1,7 @@
 //! Forwards the discovery calls of a balancer to a real registry.
 //!
 //! In each response, the endpoints are replaced by those at which the balancer reaches the
-//! upstreams, and the states that the response notifies the balancer of are recorded.
+//! upstreams. Each upstream state in a response is recorded as notified to the balancer.
 
 use super::discovery::{
     DiscoveryService, Entry, MAX_PENDING_LINES, ResponseBody, WatchLine, full_body,
@@ -85,8 +85,9 @@
         let _ = lines.send(Err(no_response())).await;
     }
 
-    /// Replaces the endpoints in a list or a line of a watch, and records the states in it. Text
-    /// that is not JSON, such as the empty line of a heartbeat, is returned trimmed.
+    /// Replaces the endpoints in a list or a line of a watch, and records the upstream
+    /// states in it. Text that is not JSON, such as the empty line of a heartbeat, is returned
+    /// trimmed.
     fn rewrite(&self, text: &[u8]) -> Bytes {
         let Ok(mut list) = serde_json::from_slice::<serde_json::Value>(text) else {
             return Bytes::copy_from_slice(text.trim_ascii());
--- a/lab/src/standins/load.rs
+++ b/lab/src/standins/load.rs
@@ -14,7 +14,7 @@
     pub class: u16,
     /// Index of its tenant in the experiment.
     pub tenant: u16,
-    /// Key that it concerns, from 0; sent as the user in the cookie.
+    /// Number of the key that the request concerns, from 0; sent as `user` in the `cookie` header.
     pub key: u32,
     /// Whether the client waits for the time in `Retry-After` before it retries.
     pub honors_retry_after: bool,
--- a/lab/src/standins/registration.rs
+++ b/lab/src/standins/registration.rs
@@ -17,8 +17,9 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of renewals during one lease.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Time without a call after the registry has acknowledged a drain, in leases.
-const LEASES_AFTER_DRAIN: u32 = 100;
+/// Time before an acknowledged drain call is repeated, in leases. Until then the upstream makes no
+/// call, not even to renew its lease, unless its announcement changes.
+const DRAIN_REPEAT_INTERVAL_LEASES: u32 = 100;
 
 /// The state that an upstream announces to the registry.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,7 +42,7 @@
 
 /// What an upstream does after a call.
 enum NextStep {
-    /// Makes the next call after this time, or as soon as its announcement changes.
+    /// Makes the next call after this time, or as soon as the announcement changes.
     Wait(Duration),
     /// Makes no more calls, because the registry has removed it from the list.
     Stop,
@@ -113,8 +114,8 @@
     registrations: Arc<Registrations>,
     upstream: u32,
     endpoint: SocketAddr,
-    /// `boot_ms` of the registration that the registry has acknowledged; `None` before the first
-    /// and after it was lost.
+    /// `boot_ms` of the last registration that the registry acknowledged; `None` if there is none,
+    /// or if the registry no longer has it.
     registered_boot_ms: Option<u64>,
 }
 
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Returns the call that an announcement needs; `None` if it needs none.
+    /// Returns the call that sends an announcement to the registry, or renews the lease if the
+    /// registry has acknowledged it; `None` for [`Announcement::Nothing`].
     fn next_call(&self, announcement: Announcement) -> Option<Call> {
         let path = format!("/upstreams/u{}", self.upstream);
         let (method, target, body) = match announcement {
@@ -186,7 +188,9 @@
                 NextStep::Wait(RETRY_INTERVAL)
             }
             (Some(200 | 404), Announcement::Removed) => NextStep::Stop,
-            (Some(200 | 404), Announcement::Draining) => NextStep::Wait(lease * LEASES_AFTER_DRAIN),
+            (Some(200 | 404), Announcement::Draining) => {
+                NextStep::Wait(lease * DRAIN_REPEAT_INTERVAL_LEASES)
+            }
             _ => NextStep::Wait(RETRY_INTERVAL),
         }
     }
--- a/lab/src/standins/registry_process.rs
+++ b/lab/src/standins/registry_process.rs
@@ -20,7 +20,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval between two reads of the registry's status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
-/// Address for the first start, at which the system chooses a free port.
+/// Listen address for the first start; the operating system chooses a free port.
 const ANY_PORT_ADDRESS: &str = "127.0.0.1:0";
 
 /// The addresses on which a registry listens.
@@ -41,7 +41,7 @@
 pub struct RegistryProcess {
     program: PathBuf,
     dir: PathBuf,
-    /// Addresses of the first start, which all later starts use again; `None` before it.
+    /// Addresses since the first start; later starts use the same. `None` before the first start.
     addresses: Mutex<Option<RegistryAddresses>>,
     running: tokio::sync::Mutex<Option<Running>>,
     guard: Option<Arc<Guard>>,
@@ -49,8 +49,8 @@
 }
 
 impl RegistryProcess {
-    /// Creates a registry that is not started yet. `program` serves as a registry when its
-    /// arguments ask for it; configuration, log and data go to `dir`.
+    /// Creates a registry that is not started yet. `program` runs as a registry when it is run with
+    /// the command `registry`; its configuration, log and data are written to `dir`.
     pub fn new(
         program: &Path,
         dir: &Path,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Returns the addresses on which it listens; `None` before its first start.
+    /// Returns the addresses on which the registry listens; `None` before its first start.
     pub fn addresses(&self) -> Option<RegistryAddresses> {
         *lock(&self.addresses)
     }
@@ -106,7 +106,7 @@
         )
     }
 
-    /// Starts the process, and waits until its log shows that it serves.
+    /// Starts the process, and waits until its log states the addresses on which it serves.
     pub async fn start(&self) -> Result<(), LabError> {
         let config = self.dir.join("registry.toml");
         write_file(&config, &self.config_text()).await?;
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Waits until it lists at least `upstreams` upstreams as ready.
+    /// Waits until the registry lists at least `upstreams` upstreams as ready.
     pub async fn wait_until_ready(&self, upstreams: usize) -> Result<(), LabError> {
         let all_ready = async {
             while let Some(address) = self.write_address() {
--- a/lab/src/standins/upstream.rs
+++ b/lab/src/standins/upstream.rs
@@ -24,7 +24,7 @@
     /// Address at which each balancer reaches it, by the balancer's number.
     endpoints: Arc<Vec<SocketAddr>>,
     phase: watch::Sender<Phase>,
-    /// Whether its drain period is over; it then rejects all requests.
+    /// Whether its drain period is over; if so, it rejects all requests.
     is_drained: watch::Sender<bool>,
     model: Mutex<UpstreamModel>,
     connection_count: AtomicU32,
--- a/lab/src/standins/upstream_server.rs
+++ b/lab/src/standins/upstream_server.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Serves a connection until the upstream goes down or resets it; closes it immediately if too
-    /// many are open.
+    /// Serves a connection until it closes, the upstream goes down, or an unresponsive phase ends
+    /// during which it was opened; closes it immediately if too many are open.
     async fn serve(self: Arc<Self>, stream: Box<dyn Connection>) {
         let settings = &self.experiment.upstream;
         let max_connections = settings.connections_per_core * settings.cores;
@@ -139,7 +139,7 @@
         Ok(self.complete(id))
     }
 
-    /// Returns the class that the first part of the path names.
+    /// Returns the class that the first segment of the path names.
     fn class(&self, request: &Parts) -> Option<&Class> {
         let path = request.uri.path().trim_start_matches('/');
         let name = path.split('/').next().unwrap_or_default();
@@ -152,7 +152,8 @@
     /// Passes a request to the model; returns when its response is sent, in seconds from the start
     /// of the load.
     fn process(&self, class: &Class, id: ClientAttemptId) -> Result<f64, Rejection> {
-        // Seeded by the request's number, so that all attempts of a request take the same work.
+        // Seeded by the request's number, so that all attempts of a request have the same work
+        // and wait.
         let seed = self.seed ^ request_of(id).wrapping_mul(REQUEST_SEED_FACTOR);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let work = -class.work_ms / 1e3 * (1.0 - rng.random::<f64>()).ln();
@@ -208,7 +209,7 @@
     }
 }
 
-/// Returns the attempt that the request's correlation id names.
+/// Returns the id of the attempt, which the request carries as its correlation id.
 fn attempt_id(request: &Parts) -> Option<ClientAttemptId> {
     let id = request.headers.get("x-correlation-id")?.to_str().ok()?;
     ClientAttemptId::from_str_radix(id, 16).ok()
--- a/lab/src/standins/upstreams.rs
+++ b/lab/src/standins/upstreams.rs
@@ -120,8 +120,9 @@
     }
 
     /// Crashes an upstream, and restarts it after `restart_after` in slow start and under the same
-    /// name. The list shows the crash only after the detection time, unless it is restarted
-    /// earlier, and the restart only after the update delay.
+    /// name; with `None` it stays down. The list removes the upstream after the crash detection
+    /// time unless it is restarted earlier, or when its lease expires if there is a real registry.
+    /// The list shows the restart after the update delay.
     pub async fn crash(self: Arc<Self>, number: u32, restart_after: Option<Duration>) {
         let Some(upstream) = self.get(number) else {
             return;
@@ -146,7 +147,8 @@
         self.update_list(&upstream, EndpointState::Ready);
     }
 
-    /// Makes an upstream take `factor` times as long for its work during `duration`.
+    /// Makes requests take `factor` times their normal time on a core of an upstream during
+    /// `duration`.
     pub async fn slow_down(self: Arc<Self>, number: u32, factor: f64, duration: Duration) {
         let Some(upstream) = self.get(number) else {
             return;
@@ -158,7 +160,8 @@
         self.record_state(number, ProcessState::Recovered);
     }
 
-    /// Makes an upstream unresponsive during `duration`; its connections are reset at the end.
+    /// Makes an upstream unresponsive during `duration`. At the end, the connections that were
+    /// opened or have sent requests during it are closed.
     pub async fn make_unresponsive(self: Arc<Self>, number: u32, duration: Duration) {
         let Some(upstream) = self.get(number) else {
             return;
@@ -170,8 +173,8 @@
         self.record_state(number, ProcessState::Recovered);
     }
 
-    /// Replaces an upstream: adds a new one in slow start, lists the old one as terminating for
-    /// `drain`, removes it from the list and shuts it down.
+    /// Replaces an upstream: adds a new one in slow start, and after the update delay lists the old
+    /// one as terminating for `drain`, removes it from the list and shuts it down.
     pub async fn replace(self: Arc<Self>, number: u32, drain: Duration) {
         let Some(upstream) = self.get(number) else {
             return;
