--- a/lab/src/experiment/fault_error.rs
+++ b/lab/src/experiment/fault_error.rs
@@ -20,10 +20,10 @@
         /// The number of balancers or upstreams in the fleet.
         count: u32,
     },
-    /// The start of the fault is not within the run.
+    /// The first occurrence of the fault does not start within the run.
     #[error("at_s must be between 0 and {length_s} s, the length of the run, got {at_s}")]
     StartOutOfRange {
-        /// The start of the fault, in seconds from the start of the load.
+        /// The start of the first occurrence, in seconds from the start of the load.
         at_s: f64,
         /// The length of the run, in seconds.
         length_s: f64,
@@ -40,7 +40,7 @@
          not be 0"
     )]
     MissingDelay,
-    /// The rate of datagrams is missing or outside its range.
+    /// The rate at which a fault of kind `storm` sends datagrams is missing or outside its range.
     #[error("rate is missing or invalid: it must be between 1 and 100000 datagrams per s")]
     InvalidRate,
     /// The factor of a slowdown is missing.
@@ -73,7 +73,7 @@
          with must not both be balancers"
     )]
     ResetOfDatagrams,
-    /// The interval of a repeated fault is too short.
-    #[error("again_s must be at least 0.1 s")]
+    /// The interval between the occurrences of a repeated fault is too short.
+    #[error("again_s, the interval between occurrences of the fault, must be at least 0.1 s")]
     RepeatsTooSoon,
 }
--- a/lab/src/experiment/fault_parsing.rs
+++ b/lab/src/experiment/fault_parsing.rs
@@ -19,62 +19,104 @@
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Kind {
+    /// SIGKILL to a balancer or the registry, or a crash of a stand-in.
     Kill,
+    /// SIGTERM to a balancer, which is restarted once it has exited.
     Term,
+    /// SIGSTOP to a process, and SIGCONT after `for_s`.
     Stop,
+    /// Requests take `factor` times as long at an upstream.
     Slow,
+    /// An upstream accepts requests without responding.
     Silent,
+    /// Upstreams are replaced in batches.
     Replace,
+    /// Links are blocked, in one direction or both.
     Cut,
+    /// Links delay their traffic or have a limited bandwidth.
     Delay,
+    /// All connections on the affected links are reset.
     Reset,
+    /// Links between balancers lose, duplicate or delay datagrams.
     Lossy,
+    /// The first datagrams that balancers sent to each other are sent again.
     Replay,
-    Storm,
+    /// Corrupted datagrams are sent to balancers at a constant rate.
+    #[serde(rename = "storm")]
+    InjectDatagrams,
 }
 
-/// The values of `way`, the directions of a link that a fault affects: `to` is outbound, `back` is
-/// inbound (see [`LinkConditions`]).
+/// The values of `way`, the directions of a link that a fault affects (see [`LinkConditions`]).
 #[derive(Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Direction {
     #[default]
     Both,
-    To,
-    Back,
+    /// From the balancer to the other party; between balancers, from the target to the peer.
+    #[serde(rename = "to")]
+    Outbound,
+    /// From the other party to the balancer; between balancers, from the peer to the target.
+    #[serde(rename = "back")]
+    Inbound,
 }
 
-/// The keys of a `[[fault]]` table.
+/// The keys of a `[[fault]]` table, by their names in the file unless renamed.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FaultTable {
+    /// The start of the first occurrence, in seconds from the start of the load.
     at_s: f64,
     kind: Kind,
+    /// The affected processes, such as `b0` or `30% of upstreams`.
     target: String,
+    /// The duration of each occurrence, in seconds, 0 to 3600. For `kill`, the time until the
+    /// restart; `None` for no restart.
     for_s: Option<f64>,
+    /// For `kill`, the name of the balancer from its restart on; `None` leaves it unchanged.
     name: Option<String>,
+    /// For `slow`, the factor by which the service time of requests grows, 1 to 1000.
     factor: Option<f64>,
+    /// For `replace`, the number of upstreams in a batch, at least 1.
     batch: Option<u32>,
-    every_s: Option<f64>,
+    /// For `replace`, the time between the starts of two batches, in seconds, 0 to 3600.
+    #[serde(rename = "every_s")]
+    batch_interval_s: Option<f64>,
+    /// For `replace`, the time for which a replaced upstream drains, in seconds, 0 to 3600.
     drain_s: Option<f64>,
+    /// The processes at the other ends of the affected links, in the form of `target`; `None`
+    /// selects the links as stated at [`Fault::peer`].
     with: Option<String>,
+    /// The affected directions of the links; `None` for both.
     way: Option<Direction>,
+    /// For `delay` and `lossy`, the minimum delay in ms, 0 to 60000; `None` for 0.
     delay_ms: Option<f64>,
+    /// For `delay` and `lossy`, the largest random extra delay in ms, 0 to 60000; `None` for 0.
     jitter_ms: Option<f64>,
+    /// For `delay`, the bandwidth of each connection, in bytes per second; `None` is unlimited.
     bytes_per_s: Option<u32>,
+    /// For `lossy`, the share of the datagrams that are lost, 0 to 1; `None` for 0.
     loss: Option<f64>,
+    /// For `lossy`, the share of the datagrams that are duplicated, 0 to 1; `None` for 0.
     duplicate: Option<f64>,
-    rate: Option<f64>,
-    again_s: Option<f64>,
+    /// For `storm`, the number of corrupted datagrams per second, 1 to 100000.
+    #[serde(rename = "rate")]
+    datagrams_per_s: Option<f64>,
+    /// The interval between the starts of two occurrences, in seconds, 0.1 to 3600; `None` if the
+    /// fault occurs once.
+    #[serde(rename = "again_s")]
+    repeat_interval_s: Option<f64>,
+    /// The time before which each repetition must start, in seconds from the start of the load;
+    /// `None` stands for the end of the run.
     until_s: Option<f64>,
 }
 
 /// The settings of the experiment that the validity of a fault depends on.
 pub(super) struct FaultContext<'a> {
     pub fleet: &'a Fleet,
-    /// The length of the run, within which a fault must start.
+    /// The time for which clients send requests, within which a fault must start.
     pub length: Duration,
     pub has_membership: bool,
+    /// Whether a real registry serves discovery; only then can discovery be paused.
     pub has_registry: bool,
 }
 
@@ -103,8 +145,8 @@
         .transpose()?;
     table.check_links(&kind, &target, peer.as_ref(), context)?;
     let repeat_interval = table
-        .again_s
-        .map(|_| seconds("again_s", table.again_s))
+        .repeat_interval_s
+        .map(|_| seconds("again_s", table.repeat_interval_s))
         .transpose()?;
     if repeat_interval.is_some_and(|interval| interval < MIN_REPEAT_INTERVAL) {
         return Err(InvalidFault::RepeatsTooSoon);
@@ -130,11 +172,13 @@
                 is_cut: true,
                 ..Default::default()
             })?,
-            Kind::Delay => self.impairment(self.delay()?)?,
-            Kind::Lossy => self.impairment(self.loss()?)?,
+            Kind::Delay => self.impairment(self.delay_condition()?)?,
+            Kind::Lossy => self.impairment(self.lossy_condition()?)?,
             Kind::Replay => FaultKind::ReplayDatagrams,
-            Kind::Storm => {
-                let rate = self.rate.filter(|rate| (1.0..=100_000.0).contains(rate));
+            Kind::InjectDatagrams => {
+                let rate = self
+                    .datagrams_per_s
+                    .filter(|rate| (1.0..=100_000.0).contains(rate));
                 let rate_per_s = rate.ok_or(InvalidFault::InvalidRate)?;
                 FaultKind::InjectDatagrams {
                     rate_per_s,
@@ -166,12 +210,14 @@
                     .batch
                     .filter(|n| *n > 0)
                     .ok_or(InvalidFault::MissingBatch)?,
-                interval: seconds("every_s", self.every_s)?,
+                interval: seconds("every_s", self.batch_interval_s)?,
                 drain: seconds("drain_s", self.drain_s)?,
             },
         })
     }
 
+    /// Returns the effect that gives the affected links this condition in the directions that `way`
+    /// selects. The opposite direction stays normal.
     fn impairment(&self, condition: LinkCondition) -> Result<FaultKind, InvalidFault> {
         let normal = LinkCondition::default();
         let conditions = match self.way.unwrap_or_default() {
@@ -179,11 +225,11 @@
                 outbound: condition,
                 inbound: condition,
             },
-            Direction::To => LinkConditions {
+            Direction::Outbound => LinkConditions {
                 outbound: condition,
                 inbound: normal,
             },
-            Direction::Back => LinkConditions {
+            Direction::Inbound => LinkConditions {
                 outbound: normal,
                 inbound: condition,
             },
@@ -194,7 +240,7 @@
         })
     }
 
-    fn delay(&self) -> Result<LinkCondition, InvalidFault> {
+    fn delay_condition(&self) -> Result<LinkCondition, InvalidFault> {
         let condition = LinkCondition {
             delay: milliseconds("delay_ms", self.delay_ms)?,
             jitter: milliseconds("jitter_ms", self.jitter_ms)?,
@@ -207,7 +253,7 @@
         Ok(condition)
     }
 
-    fn loss(&self) -> Result<LinkCondition, InvalidFault> {
+    fn lossy_condition(&self) -> Result<LinkCondition, InvalidFault> {
         Ok(LinkCondition {
             delay: milliseconds("delay_ms", self.delay_ms)?,
             jitter: milliseconds("jitter_ms", self.jitter_ms)?,
@@ -236,13 +282,21 @@
                 matches!(kind, FaultKind::SlowDown { .. }),
             ),
             ("batch", self.batch.is_some(), is_replacement),
-            ("every_s", self.every_s.is_some(), is_replacement),
+            ("every_s", self.batch_interval_s.is_some(), is_replacement),
             ("drain_s", self.drain_s.is_some(), is_replacement),
             ("for_s", self.for_s.is_some(), has_duration),
             ("loss", self.loss.is_some(), is_lossy),
             ("duplicate", self.duplicate.is_some(), is_lossy),
-            ("rate", self.rate.is_some(), self.kind == Kind::Storm),
-            ("until_s", self.until_s.is_some(), self.again_s.is_some()),
+            (
+                "rate",
+                self.datagrams_per_s.is_some(),
+                self.kind == Kind::InjectDatagrams,
+            ),
+            (
+                "until_s",
+                self.until_s.is_some(),
+                self.repeat_interval_s.is_some(),
+            ),
             ("name", self.name.is_some(), can_be_renamed),
             ("with", self.with.is_some(), affects_links(kind)),
             (
--- a/lab/src/experiment/faults.rs
+++ b/lab/src/experiment/faults.rs
@@ -16,9 +16,9 @@
     /// Whether the direction is blocked: data of a connection waits until the cut ends, datagrams
     /// are lost.
     pub is_cut: bool,
-    /// Share of the datagrams that are lost, from 0 to 1.
+    /// The share of the datagrams that are lost, from 0 to 1.
     pub loss_share: f64,
-    /// Share of the datagrams that are duplicated, from 0 to 1.
+    /// The share of the datagrams that are duplicated, from 0 to 1.
     pub duplicate_share: f64,
 }
 
@@ -28,7 +28,8 @@
     /// The condition from the balancer to the other party; on a link between balancers, from the
     /// fault's target to its peer.
     pub outbound: LinkCondition,
-    /// The condition in the opposite direction.
+    /// The condition from the other party to the balancer; on a link between balancers, from the
+    /// fault's peer to its target.
     pub inbound: LinkCondition,
 }
 
@@ -92,19 +93,20 @@
     pub target: Target,
     /// The effect of each occurrence on its targets.
     pub kind: FaultKind,
-    /// The processes at the other ends of the affected links. With `None`, a fault of links affects
-    /// those between target balancers and all upstreams and discovery, or between any other target
-    /// and all balancers.
+    /// The processes at the other ends of the affected links. `None` stands for all upstreams and
+    /// discovery if the target consists of balancers, and for all balancers otherwise.
     pub peer: Option<Target>,
     /// The interval between the starts of occurrences; `None` if the fault occurs once.
     pub repeat_interval: Option<Duration>,
-    /// The time before which the last occurrence starts; `None` stands for the end of the run.
+    /// The time before which each repetition must start, from the start of the load; `None` stands
+    /// for the end of the run.
     pub repeat_until: Option<Duration>,
 }
 
 impl Fault {
-    /// Returns an upper limit for the time at which the last occurrence ends, in a run of this
-    /// length. Without a known duration, an occurrence counts as ended at its start.
+    /// Returns an upper limit for the time at which the last occurrence ends, from the start of the
+    /// load, in a run of this length. An occurrence without a known duration counts as ended at its
+    /// start.
     pub fn end(&self, length: Duration) -> Duration {
         let last_start = match self.repeat_interval {
             Some(_) => self.repeat_until.unwrap_or(length).max(self.start),
@@ -124,7 +126,8 @@
 pub enum FaultKind {
     /// Sends SIGKILL to a balancer or the registry, or crashes a stand-in.
     Kill {
-        /// The time until the restart; `None` for no restart. An upstream restarts in slow start.
+        /// The time from the kill to the restart; `None` for no restart. An upstream restarts in
+        /// slow start.
         restart_after: Option<Duration>,
         /// The name of the balancer from its restart on; `None` leaves it unchanged.
         new_name: Option<String>,
@@ -166,12 +169,12 @@
     },
     /// Resets all connections on the affected links.
     ResetConnections,
-    /// Sends the first recorded datagrams between balancers again, with the target as sender, to
-    /// all balancers.
+    /// Sends the first datagrams that balancers sent to each other, which the lab has recorded,
+    /// again: to all balancers, with the target as sender.
     ReplayDatagrams,
     /// Sends corrupted datagrams with the target as sender, each to a random balancer.
     InjectDatagrams {
-        /// Datagrams per second, 1 to 100000.
+        /// The number of datagrams sent per second, 1 to 100000.
         rate_per_s: f64,
         /// The time for which datagrams are sent.
         duration: Duration,
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -112,26 +112,27 @@
     /// The mean number of requests per second, over all balancers and without retries.
     #[serde(rename = "rate")]
     pub rate_per_s: f64,
-    /// The amplitude of the sine wave by which the rate varies, as a share of the mean rate.
+    /// The amplitude of the sine wave by which the rate varies, as a share of the mean rate, 0 to
+    /// 0.95.
     #[serde(rename = "swing")]
     pub rate_amplitude: f64,
-    /// The period of the sine wave, in seconds.
+    /// The period of the sine wave of the rate, in seconds.
     pub period_s: f64,
     /// The largest number of retries that a client sends for one request, 0 to 6.
     pub retries: u8,
     /// The share of the requests, 0 to 1, whose client waits for the time in `Retry-After`.
     #[serde(rename = "honour")]
     pub retry_after_compliance: f64,
-    /// The timeout of an attempt, as a share of the deadline of its class.
+    /// The timeout of an attempt, as a share of the deadline of its class, 0.05 to 1.
     #[serde(rename = "try_share")]
     pub attempt_timeout_share: f64,
     /// The mean backoff before the first retry, in milliseconds, unless the client waits for
     /// `Retry-After`; it doubles with each further retry.
     pub backoff_ms: f64,
-    /// Whether clients mark their retries as such.
+    /// Whether clients mark retries with the header `x-repeat`.
     #[serde(rename = "marks")]
     pub marks_retries: bool,
-    /// The number of distinct keys, which requests carry as the user in their `cookie` header.
+    /// The number of distinct users, one of which each request names in its `cookie` header.
     #[serde(rename = "keys")]
     pub key_count: u32,
     /// The time for which clients continue to send to a dead balancer, in seconds.
@@ -162,37 +163,41 @@
 pub struct UpstreamSettings {
     /// The number of cores of each upstream.
     pub cores: u32,
-    /// The speed of a core; the work of a class is stated for speed 1.
+    /// The speed of each core relative to the one for which `work_ms` of a class is stated.
     pub speed: f64,
     /// The largest number of queued requests per core; further requests are rejected.
     pub queue_per_core: u32,
-    /// The share of the full capacity at the beginning of slow start.
+    /// The share of its full capacity that an upstream has at the beginning of slow start, 0.01 to
+    /// 1.
     #[serde(rename = "cold_from")]
     pub slow_start_initial_share: f64,
-    /// The length of slow start, in seconds; the capacity rises linearly.
+    /// The length of slow start, in seconds, over which the capacity rises linearly.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// The multiple of its current capacity above which an upstream in slow start crashes, compared
-    /// with the work that it received within `overload_window_s`.
+    /// The overload that crashes an upstream in slow start: the work that it receives within
+    /// `overload_window_s`, as a multiple of the work that it can do in that time at its current
+    /// capacity.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// The window over which the received work is summed, in seconds.
+    /// The window over which received work is summed to detect overload, in seconds.
     #[serde(rename = "fall_s")]
     pub overload_window_s: f64,
-    /// The queue length per core from which an upstream becomes congested; 0 switches congestion
-    /// off.
+    /// The queue length per core from which an upstream becomes congested, which makes its requests
+    /// take longer; 0 switches congestion off.
     #[serde(rename = "choke_at")]
     pub congestion_queue_per_core: f64,
-    /// The time for which the queue must be at least that long to cause congestion, in seconds.
+    /// The time for which the queue must stay at `congestion_queue_per_core` or above to cause
+    /// congestion, in seconds.
     #[serde(rename = "choke_over_s")]
     pub congestion_onset_s: f64,
     /// The factor by which service times grow during congestion.
     #[serde(rename = "choke_slower")]
     pub congestion_slowdown: f64,
-    /// The highest utilization, 0 to 1, at which a congested upstream recovers.
+    /// The highest share of busy cores, 0 to 1, at which a congested upstream recovers.
     #[serde(rename = "choke_below")]
     pub recovery_utilization: f64,
-    /// The time at or below `recovery_utilization` that ends congestion, in seconds.
+    /// The time, in seconds, for which the utilization must stay at `recovery_utilization` or below
+    /// to end congestion.
     #[serde(rename = "choke_rest_s")]
     pub recovery_s: f64,
     /// The shortest time between two load reports, in milliseconds.
@@ -200,7 +205,7 @@
     pub report_interval_ms: f64,
     /// The age of a load report when responses first carry it, in milliseconds.
     pub report_delay_ms: f64,
-    /// The largest relative error of a load report, in both directions.
+    /// The largest relative error of the values in a load report, upwards or downwards.
     pub report_noise: f64,
     /// Whether balancers may send hedged attempts.
     #[serde(rename = "second_copies")]
@@ -333,7 +338,7 @@
     pub latency_objective_ms: f64,
     /// The client's deadline for a request, in milliseconds; not below the latency objective.
     pub deadline_ms: f64,
-    /// The weight of a response within the latency objective, relative to other classes.
+    /// The weight of a response within the latency objective, relative to those of other classes.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
     /// Whether a request may be sent more than once.
@@ -355,13 +360,13 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expectations {
-    /// The smallest expected share of the requests, by priority weight, that are served within their
-    /// latency objective.
+    /// The smallest expected share, 0 to 1, of the requests that are served within their latency
+    /// objective, where each request counts with the priority weight of its class.
     #[serde(rename = "served")]
     pub min_served: f64,
-    /// The time after the end of the last fault, in seconds, from which the share of requests served
-    /// within their objective must be at least 0.9 of that before the first fault; `None` for no
-    /// check.
+    /// The time for recovery after the end of the last fault, in seconds. Afterwards, the share of
+    /// requests served within their objective must be at least 0.9 times the share before the first
+    /// fault. `None` for no check.
     #[serde(rename = "back_s")]
     pub recovered_within_s: Option<f64>,
     /// The time within which 99% of the other balancers must detect that one was killed, in seconds;
--- a/lab/src/experiment/parsing.rs
+++ b/lab/src/experiment/parsing.rs
@@ -25,7 +25,7 @@
 pub struct ParseError {
     /// The line number, from 1.
     pub line: usize,
-    /// The error, with what is expected.
+    /// The reason, which states the value or form that is expected.
     pub reason: InvalidExperiment,
 }
 
@@ -35,14 +35,14 @@
     /// The text is not TOML, has unknown or missing keys, or has a value of the wrong type; the
     /// field is the parser's message.
     #[error("{0}")]
-    Form(String),
+    Syntax(String),
     /// A value is outside its range.
     #[error(transparent)]
     OutOfRange(#[from] ValueOutOfRange),
     /// The shares of the classes or tenants do not add up to 1.
     #[error("the shares of the {of} must add up to 1, within 0.02, got {sum:.3}")]
     Shares {
-        /// The kind of entry: `classes` or `tenants`.
+        /// The entries whose shares are summed: `classes` or `tenants`.
         of: &'static str,
         /// The sum of the shares in the file, where 1 is expected.
         sum: f64,
@@ -52,12 +52,14 @@
     Fault(#[from] InvalidFault),
 }
 
-/// The keys and tables of an experiment file.
+/// The keys and tables of an experiment file, which [`Experiment`] describes.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ExperimentFile {
     name: String,
-    seconds: Spanned<f64>,
+    /// The length of the run, in seconds, 1 to 3600.
+    #[serde(rename = "seconds")]
+    length_s: Spanned<f64>,
     #[serde(default = "default_seed")]
     seed: u64,
     fleet: Spanned<Fleet>,
@@ -69,12 +71,15 @@
     discovery: DiscoverySettings,
     membership: Option<MembershipSettings>,
     registry: Option<RegistrySettings>,
-    #[serde(default)]
-    class: Vec<Spanned<Class>>,
-    #[serde(default)]
-    tenant: Vec<Spanned<Tenant>>,
-    #[serde(default)]
-    fault: Vec<Spanned<FaultTable>>,
+    /// The `[[class]]` tables; the default classes apply if there are none.
+    #[serde(default, rename = "class")]
+    classes: Vec<Spanned<Class>>,
+    /// The `[[tenant]]` tables; the default tenants apply if there are none.
+    #[serde(default, rename = "tenant")]
+    tenants: Vec<Spanned<Tenant>>,
+    /// The `[[fault]]` tables.
+    #[serde(default, rename = "fault")]
+    faults: Vec<Spanned<FaultTable>>,
     #[serde(default)]
     expect: Expectations,
 }
@@ -98,7 +103,7 @@
             let offset = e.span().map_or(0, |span| span.start);
             located(Invalid {
                 offset,
-                reason: InvalidExperiment::Form(e.message().trim_end().into()),
+                reason: InvalidExperiment::Syntax(e.message().trim_end().into()),
             })
         })?;
         file.into_experiment().map_err(located)
@@ -115,7 +120,7 @@
         .count()
 }
 
-/// An error with its byte offset in the file.
+/// The reason of an error, with the byte offset of its value or table in the file.
 struct Invalid {
     offset: usize,
     reason: InvalidExperiment,
@@ -123,22 +128,22 @@
 
 impl ExperimentFile {
     fn into_experiment(self) -> Result<Experiment, Invalid> {
-        check_length(&self.seconds)?;
+        check_length(&self.length_s)?;
         check_fleet(&self.fleet)?;
         check_load(&self.load)?;
         check_upstream(&self.upstream)?;
-        self.class.iter().try_for_each(check_class)?;
-        let mut classes: Vec<Class> = self.class.into_iter().map(Spanned::into_inner).collect();
+        self.classes.iter().try_for_each(check_class)?;
+        let mut classes: Vec<Class> = self.classes.into_iter().map(Spanned::into_inner).collect();
         if classes.is_empty() {
             classes = default_classes();
         }
-        let mut tenants: Vec<Tenant> = self.tenant.into_iter().map(Spanned::into_inner).collect();
+        let mut tenants: Vec<Tenant> = self.tenants.into_iter().map(Spanned::into_inner).collect();
         if tenants.is_empty() {
             tenants = default_tenants();
         }
         check_shares("classes", classes.iter().map(|class| class.share).sum())?;
         check_shares("tenants", tenants.iter().map(|tenant| tenant.share).sum())?;
-        let length = Duration::from_secs_f64(*self.seconds.get_ref());
+        let length = Duration::from_secs_f64(*self.length_s.get_ref());
         let fleet = self.fleet.into_inner();
         let context = FaultContext {
             fleet: &fleet,
@@ -146,7 +151,7 @@
             has_membership: self.membership.is_some(),
             has_registry: self.registry.is_some(),
         };
-        let faults = parse_faults(self.fault, &context)?;
+        let faults = parse_faults(self.faults, &context)?;
         Ok(Experiment {
             name: self.name,
             length,
@@ -201,8 +206,8 @@
     }
 }
 
-fn check_length(seconds: &Spanned<f64>) -> Result<(), Invalid> {
-    RangeCheck::at(&seconds.span()).within("seconds", *seconds.get_ref(), 1.0, MAX_RUN_S)
+fn check_length(length_s: &Spanned<f64>) -> Result<(), Invalid> {
+    RangeCheck::at(&length_s.span()).within("seconds", *length_s.get_ref(), 1.0, MAX_RUN_S)
 }
 
 fn check_fleet(fleet: &Spanned<Fleet>) -> Result<(), Invalid> {
--- a/lab/src/experiment/target_parsing.rs
+++ b/lab/src/experiment/target_parsing.rs
@@ -7,17 +7,17 @@
 /// Parses a target, such as `b3`, `b0..b9`, `other balancers`, `u0`, `discovery`, `clients`,
 /// `all balancers` or `30% of upstreams`.
 pub(super) fn parse_target(text: &str, fleet: &Fleet) -> Result<Target, InvalidFault> {
-    if let Some(number) = parse_member('b', text, fleet.balancers) {
+    if let Some(number) = parse_process('b', text, fleet.balancers) {
         return number.map(Target::Balancer);
     }
     if let Some((first, last)) = text.split_once("..")
-        && let Some(Ok(first)) = parse_member('b', first, fleet.balancers)
-        && let Some(Ok(last)) = parse_member('b', last, fleet.balancers)
+        && let Some(Ok(first)) = parse_process('b', first, fleet.balancers)
+        && let Some(Ok(last)) = parse_process('b', last, fleet.balancers)
         && first <= last
     {
         return Ok(Target::BalancerRange { first, last });
     }
-    if let Some(number) = parse_member('u', text, fleet.upstreams) {
+    if let Some(number) = parse_process('u', text, fleet.upstreams) {
         return number.map(Target::Upstream);
     }
     match text {
@@ -28,9 +28,9 @@
     }
 }
 
-/// Parses the name of one process, such as `b3`: `None` if the text has another form, an error if
-/// the number is not below `count`.
-fn parse_member(prefix: char, text: &str, count: u32) -> Option<Result<u32, InvalidFault>> {
+/// Parses the number of one process from its name, such as `b3` with the prefix `b`: `None` if the
+/// text has another form, an error if the number is not below `count`.
+fn parse_process(prefix: char, text: &str, count: u32) -> Option<Result<u32, InvalidFault>> {
     let number: u32 = text.strip_prefix(prefix)?.parse().ok()?;
     let not_in_fleet = || InvalidFault::NotInFleet {
         text: text.into(),
--- a/lab/src/experiment/value_range.rs
+++ b/lab/src/experiment/value_range.rs
@@ -8,7 +8,7 @@
 pub struct ValueOutOfRange {
     /// The key in the experiment file.
     pub key: &'static str,
-    /// The value in the file, in the unit that the key names.
+    /// The value in the file, in the unit of the key.
     pub value: f64,
     /// The smallest valid value, in the unit of the key.
     pub min: f64,
--- a/lab/tests/experiment_parsing.rs
+++ b/lab/tests/experiment_parsing.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// A fault on the links between two balancers.
+/// Keys of a fault on the link between two balancers, which exists only with membership.
 const PEER_CUT: &str = "kind = \"cut\"\ntarget = \"b1\"\nwith = \"b0\"";
 
 const INVALID: [Case; 16] = [
