--- a/lab/src/links/addresses.rs
+++ b/lab/src/links/addresses.rs
@@ -1,23 +1,26 @@
-//! Loopback addresses: a party has a separate address for each balancer that connects to it.
+//! The loopback addresses at which balancers reach other parties.
+//!
+//! Each balancer has a /24 network of its own, in which a host number selects the party: the number
+//! of an upstream or of another balancer, or [`DISCOVERY_HOST_NUMBER`].
 
 use std::net::{IpAddr, Ipv4Addr};
 
-/// The number of balancers whose addresses share the second octet, and the number of host numbers
-/// of each balancer.
-const BLOCK_SIZE: u32 = 250;
-/// The host number of the discovery service.
+/// The number of values that the third octet takes, 1 to 250, and that the last octet takes, 2 to
+/// 251.
+const VALUES_PER_OCTET: u32 = 250;
+/// The host number of the discovery service, above the number of any upstream.
 pub const DISCOVERY_HOST_NUMBER: u32 = 249;
 
-/// Returns the address at which a balancer reaches the party with this host number.
+/// Returns the address at which a balancer reaches the party with this host number: 127.X.Y.Z with
+/// X = 16 + `balancer` / 250, Y = 1 + `balancer` % 250 and Z = 2 + `host_number` % 250.
 ///
-/// After 127, the octets are 16 plus the balancer's block of 250, 1 plus the balancer's position in
-/// its block, and 2 plus the host number modulo 250.
+/// Parties whose host numbers have the same remainder share an address and differ in the port.
 pub fn pair_address(balancer: u32, host_number: u32) -> IpAddr {
     let octet = |n: u32| n as u8;
     IpAddr::V4(Ipv4Addr::new(
         127,
-        octet(16 + balancer / BLOCK_SIZE),
-        octet(1 + balancer % BLOCK_SIZE),
-        octet(2 + host_number % BLOCK_SIZE),
+        octet(16 + balancer / VALUES_PER_OCTET),
+        octet(1 + balancer % VALUES_PER_OCTET),
+        octet(2 + host_number % VALUES_PER_OCTET),
     ))
 }
--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -37,7 +37,7 @@
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Connection for T {}
 
-/// The current conditions of both directions of a link, as received by one connection.
+/// The receivers through which one connection learns the current conditions of its link.
 struct ConditionReceivers {
     outbound: watch::Receiver<LinkCondition>,
     inbound: watch::Receiver<LinkCondition>,
@@ -58,6 +58,7 @@
     /// The number of times that all connections have been reset.
     resets: watch::Sender<u64>,
     seed: u64,
+    /// The number of connections that have been attached, which gives each its own seed.
     opened_count: AtomicU64,
     /// Whether connections bypass the relay because no fault of the run affects a link. This saves
     /// two copies of each byte.
@@ -87,18 +88,18 @@
         self.inbound.borrow().is_cut
     }
 
-    /// Resets all connections that are open now, except those that were opened during a cut and wait
-    /// for its end.
+    /// Resets all open connections, except those that were opened during a cut: they are reset when
+    /// the cut ends.
     pub fn reset_connections(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 
-    /// Sends a connection with the balancer through the link, and returns the other party's end.
+    /// Relays a connection with the balancer through the link, and returns the other party's end.
     pub fn attach(&self, stream: TcpStream) -> Box<dyn Connection> {
         if self.is_transparent {
             return Box::new(stream);
         }
-        let (near, far) = duplex(CHUNK_BYTES);
+        let (peer_end, relay_end) = duplex(CHUNK_BYTES);
         let seed = self.seed ^ (self.opened_count.fetch_add(1, Ordering::Relaxed) << 20);
         // Subscribes before the task first runs, so that a cut or a reset until then affects the
         // connection.
@@ -108,34 +109,39 @@
         };
         let resets = self.resets.subscribe();
         if conditions.has_cut() {
-            tokio::spawn(reset_once_open(stream, far, conditions));
+            tokio::spawn(reset_once_open(stream, relay_end, conditions));
         } else {
-            tokio::spawn(relay(stream, far, conditions, resets, seed));
+            tokio::spawn(relay(stream, relay_end, conditions, resets, seed));
         }
-        Box::new(near)
+        Box::new(peer_end)
     }
 }
 
 /// Keeps a connection open that was accepted during a cut, without passing data, and resets it when
 /// the cut ends.
-async fn reset_once_open(stream: TcpStream, far: DuplexStream, conditions: ConditionReceivers) {
+async fn reset_once_open(
+    stream: TcpStream,
+    relay_end: DuplexStream,
+    conditions: ConditionReceivers,
+) {
     for mut condition in [conditions.outbound, conditions.inbound] {
         let _ = condition.wait_for(|condition| !condition.is_cut).await;
     }
-    drop((stream, far));
+    drop((stream, relay_end));
 }
 
 /// Relays a connection until both its directions have ended, or until it is reset.
 async fn relay(
     stream: TcpStream,
-    far: DuplexStream,
+    relay_end: DuplexStream,
     conditions: ConditionReceivers,
     mut resets: watch::Receiver<u64>,
     seed: u64,
 ) {
-    let ((balancer_in, balancer_out), (peer_in, peer_out)) = (stream.into_split(), split(far));
-    let outbound = relay_direction(balancer_in, peer_out, conditions.outbound, seed);
-    let inbound = relay_direction(peer_in, balancer_out, conditions.inbound, !seed);
+    let ((balancer_reader, balancer_writer), (peer_reader, peer_writer)) =
+        (stream.into_split(), split(relay_end));
+    let outbound = relay_direction(balancer_reader, peer_writer, conditions.outbound, seed);
+    let inbound = relay_direction(peer_reader, balancer_writer, conditions.inbound, !seed);
     tokio::select! {
         _ = async { tokio::join!(outbound, inbound) } => (),
         _ = resets.changed() => (),
--- a/lab/src/links/datagrams.rs
+++ b/lab/src/links/datagrams.rs
@@ -5,18 +5,20 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// The number of datagrams that are recorded as samples: the first of the run.
+/// The number of datagrams at the start of the run that are recorded as samples.
 const MAX_SAMPLES: usize = 8;
 /// The share of the corrupted datagrams that consist of random bytes.
 const RANDOM_SHARE: f64 = 0.3;
 /// The share of the other corrupted datagrams that are truncated.
 const TRUNCATED_SHARE: f64 = 0.2;
-/// The length that random datagrams stay below, in bytes.
-const RANDOM_LENGTH_BYTES: usize = 300;
+/// The exclusive upper limit of the length of random datagrams, in bytes.
+const RANDOM_LENGTH_LIMIT_BYTES: usize = 300;
 
 /// The link conditions between all ordered pairs of processes.
 pub struct LinkMatrix {
+    /// The number of processes.
     count: usize,
+    /// The condition of each direction: row by row by sender, within a row by receiver.
     conditions: Vec<LinkCondition>,
 }
 
@@ -36,8 +38,8 @@
         self.conditions.get(index).copied().unwrap_or_default()
     }
 
-    /// Sets the conditions between each target and each peer; a pair of a process with itself is
-    /// skipped.
+    /// Sets the conditions between each target and each peer: `outbound` from the target to the
+    /// peer, `inbound` from the peer to the target. A pair of a process with itself is skipped.
     pub fn set_conditions(&mut self, targets: &[u32], peers: &[u32], conditions: LinkConditions) {
         for target in targets.iter().map(|target| *target as usize) {
             for peer in peers.iter().map(|peer| *peer as usize) {
@@ -92,7 +94,7 @@
     /// may also be truncated.
     pub fn corrupted(&self, rng: &mut ChaCha8Rng) -> Vec<u8> {
         if self.samples.is_empty() || rng.random::<f64>() < RANDOM_SHARE {
-            let length = rng.random_range(0..RANDOM_LENGTH_BYTES);
+            let length = rng.random_range(0..RANDOM_LENGTH_LIMIT_BYTES);
             return (0..length).map(|_| rng.random()).collect();
         }
         let mut datagram = self.samples[rng.random_range(0..self.samples.len())].clone();
--- a/lab/src/links/peer_links.rs
+++ b/lab/src/links/peer_links.rs
@@ -37,7 +37,7 @@
 }
 
 impl Traffic {
-    /// Returns the difference to an earlier count.
+    /// Returns the traffic since an earlier count.
     pub fn since(self, earlier: Self) -> Self {
         Self {
             datagrams: self.datagrams - earlier.datagrams,
@@ -59,6 +59,7 @@
     keeps_samples: bool,
     sent_datagrams: AtomicU64,
     sent_bytes: AtomicU64,
+    /// One permit for each delayed datagram that may be in transit.
     in_transit: Arc<Semaphore>,
     seed: u64,
 }
@@ -97,7 +98,8 @@
         u64::from(balancers) * u64::from(balancers.saturating_sub(1))
     }
 
-    /// Returns the addresses at which one balancer reaches each balancer, by number.
+    /// Returns the addresses at which one balancer reaches the others, by number. Its own entry is
+    /// an address where no socket listens.
     pub fn addresses_for(&self, balancer: u32) -> Vec<String> {
         let row = self.sockets.get(balancer as usize).into_iter().flatten();
         row.map(
@@ -184,7 +186,7 @@
         *lock(address)
     }
 
-    /// Sends a datagram to `to` from the socket whose address `to` knows as that of `from`.
+    /// Sends a datagram to the balancer `to`, from the socket at which `to` reaches `from`.
     fn deliver(&self, from: u32, to: u32, datagram: &[u8]) {
         let socket = self
             .sockets
@@ -208,8 +210,8 @@
         }
     }
 
-    /// Sends corrupted datagrams, each from a random one of the senders to a random balancer; a pair
-    /// of a balancer with itself is skipped.
+    /// Sends corrupted datagrams, each from a random one of the senders to a random balancer.
+    /// Nothing is sent if the draw gives the sender itself as receiver.
     pub async fn inject_corrupted(
         self: Arc<Self>,
         senders: Vec<u32>,
