--- a/lab/src/balancers/balancer_config.rs
+++ b/lab/src/balancers/balancer_config.rs
@@ -13,7 +13,7 @@
 /// The largest number of sockets that a balancer may open.
 const MAX_SOCKETS: u32 = 1024;
 
-/// The values that the configuration of a balancer depends on.
+/// The values from which the configuration of a balancer is made.
 pub struct ConfigInputs<'a> {
     /// The experiment, which sets fleet, load, classes, tenants and upstreams.
     pub experiment: &'a Experiment,
@@ -29,8 +29,8 @@
     pub known_endpoints: String,
     /// The address at which the balancer reaches the discovery service.
     pub discovery: SocketAddr,
-    /// The addresses at which the balancer reaches each balancer, by number; `None` without
-    /// membership.
+    /// The addresses at which the balancer reaches the others, by number; its own entry is an
+    /// address where no socket listens. `None` without membership.
     pub peers: Option<Vec<String>>,
 }
 
@@ -60,17 +60,17 @@
 
 /// Derives a separate seed for each start of each balancer.
 fn balancer_seed(inputs: &ConfigInputs<'_>) -> u64 {
-    let start = inputs.seed ^ (u64::from(inputs.number) << 24) ^ (inputs.start_count << 48);
-    ChaCha8Rng::seed_from_u64(start).random()
+    let start_seed = inputs.seed ^ (u64::from(inputs.number) << 24) ^ (inputs.start_count << 48);
+    ChaCha8Rng::seed_from_u64(start_seed).random()
 }
 
 /// Returns the `settings` of the configuration.
 fn settings(experiment: &Experiment, number: u32) -> Value {
     let upstream = &experiment.upstream;
-    let classes: Vec<Value> = experiment.classes.iter().map(class).collect();
+    let classes: Vec<Value> = experiment.classes.iter().map(class_settings).collect();
     json!({
         "balancers": experiment.fleet.balancers, "me": number, "classes": classes,
-        "parties": parties(experiment),
+        "parties": tenant_settings(experiment),
         "clients": {"marks_retry": experiment.load.marks_retries},
         "over_share_worth": 0.2, "discovery": "subscribe", "locality": 0,
         "failure_domains": ["a"], "skus": ["m"], "weight_kind": "nominal",
@@ -89,7 +89,7 @@
     })
 }
 
-fn class(class: &Class) -> Value {
+fn class_settings(class: &Class) -> Value {
     let effect = match class.idempotence {
         Idempotence::Idempotent => "idempotent",
         Idempotence::WithIdempotencyKey => "deduplicated",
@@ -103,21 +103,21 @@
 }
 
 /// Returns the tenants, each with its share of the guaranteed capacity in requests per second.
-fn parties(experiment: &Experiment) -> Vec<Value> {
+fn tenant_settings(experiment: &Experiment) -> Vec<Value> {
     let upstream = &experiment.upstream;
-    let work: f64 = experiment
+    let mean_work_s: f64 = experiment
         .classes
         .iter()
         .map(|class| class.share * class.work_ms / 1e3)
         .sum();
     let cores = experiment.fleet.upstreams * upstream.cores;
-    let capacity = f64::from(cores) * upstream.speed / work.max(1e-6);
+    let capacity_per_s = f64::from(cores) * upstream.speed / mean_work_s.max(1e-6);
     experiment
         .tenants
         .iter()
         .map(|tenant| {
-            let allowance = GUARANTEED_CAPACITY_SHARE * capacity * tenant.share;
-            json!({"name": tenant.name, "allowance_per_s": allowance})
+            let quota_per_s = GUARANTEED_CAPACITY_SHARE * capacity_per_s * tenant.share;
+            json!({"name": tenant.name, "allowance_per_s": quota_per_s})
         })
         .collect()
 }
--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -27,15 +27,15 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// The time after SIGTERM for which clients may still open connections to a balancer.
 const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
-/// The time from SIGTERM to SIGKILL: the longest deadline, counted as 3 s, plus 0.7 s, with some
-/// slack.
+/// The time from SIGTERM to SIGKILL. A balancer exits within the longest deadline, capped at 3 s,
+/// plus 0.7 s; the rest is slack.
 const KILL_AFTER_TERM: Duration = Duration::from_secs(5);
 /// The time within which a balancer must exit after SIGKILL.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 /// The interval at which memory and processor usage are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The share of a core that the balancers used, each since its last start.
+/// The shares of a core that the balancers used, each since its last start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct CoreUsage {
@@ -119,12 +119,13 @@
             .record(EventKind::BalancerState { balancer, state });
     }
 
-    /// Returns the largest sampled memory usage of a balancer, in KB.
+    /// Returns the largest memory usage sampled of any balancer, in KB.
     pub fn max_memory_kb(&self) -> u64 {
         *lock(&self.max_memory_kb)
     }
 
-    /// Returns the share of a core that the balancers used, each since its last start.
+    /// Returns the mean and the largest share of a core that the balancers used, each since its
+    /// last start.
     pub fn core_usage(&self) -> CoreUsage {
         let shares = lock(&self.core_shares);
         CoreUsage {
@@ -150,29 +151,29 @@
     pub async fn start(self: &Arc<Self>, number: u32) -> Result<(), LabError> {
         let slot = self.slot(number);
         let start_count = slot.count_start();
-        let config = self.context.dir.join(format!("b{number}.json"));
-        write_file(&config, &self.config_text(number, start_count)).await?;
-        let log = self.context.dir.join(format!("b{number}.log"));
+        let config_path = self.context.dir.join(format!("b{number}.json"));
+        write_file(&config_path, &self.config_text(number, start_count)).await?;
+        let log_path = self.context.dir.join(format!("b{number}.log"));
         let not_ready = || LabError::NotReady {
             number,
-            log: log.clone(),
+            log: log_path.clone(),
         };
-        let (sender, serving) = oneshot::channel();
-        let (balancers, mut sender) = (Arc::clone(self), Some(sender));
+        let (address_sender, address_receiver) = oneshot::channel();
+        let (balancers, mut address_sender) = (Arc::clone(self), Some(address_sender));
         let mut command = Command::new(&self.program);
         command
-            .env("NODE_CONFIG", &config)
+            .env("NODE_CONFIG", &config_path)
             .env("NODE_NAME", slot.name());
-        let child = spawn_logged(&mut command, &log, move |line| {
+        let child = spawn_logged(&mut command, &log_path, move |line| {
             balancers.on_log_line(number, line);
             if let Some(address) = listen_address(line)
-                && let Some(sender) = sender.take()
+                && let Some(sender) = address_sender.take()
             {
                 let _ = sender.send(address);
             }
         })
         .await?;
-        let Ok(Ok(address)) = timeout(READY_TIMEOUT, serving).await else {
+        let Ok(Ok(address)) = timeout(READY_TIMEOUT, address_receiver).await else {
             return Err(not_ready());
         };
         let pid = process_id(&child).ok_or_else(not_ready)?;
@@ -205,9 +206,9 @@
         match parse_member_log(number, line) {
             None => {}
             Some(MemberLogLine::Event(kind)) => self.context.history.record(kind),
-            Some(MemberLogLine::Serving { peers, page }) => {
+            Some(MemberLogLine::Serving { peer_address, page }) => {
                 if let Some(peer_links) = &self.context.peer_links {
-                    peer_links.set_address(number, peers);
+                    peer_links.set_address(number, peer_address);
                 }
                 if let Some(page) = page {
                     lock(&self.pages).insert(number, page);
@@ -278,13 +279,13 @@
         let delay = Duration::from_secs_f64(self.context.experiment.load.failover_delay_s);
         tokio::spawn(async move {
             sleep(delay).await;
-            // A balancer that has been restarted by now has another address, which stays.
+            // If the balancer has been restarted by now, the pool has its new address, which stays.
             pool.remove_address(number, address);
         });
     }
 
-    /// Sends SIGKILL. Restarts the balancer after `restart_after` unless that is `None`. The restarted
-    /// balancer has the new name, if one is given.
+    /// Sends SIGKILL, and restarts the balancer after `restart_after`, under the new name if one is
+    /// given. With `None` as `restart_after`, the balancer is not restarted.
     pub async fn kill(
         self: Arc<Self>,
         number: u32,
--- a/lab/src/balancers/member_log.rs
+++ b/lab/src/balancers/member_log.rs
@@ -5,7 +5,7 @@
 use frostkeel_membership::{MemberState, Name};
 use std::net::SocketAddr;
 
-/// The end of the log target of the membership driver, which follows the name of the program.
+/// The end of the log target of the membership driver; the name of the program precedes it.
 const LOG_TARGET_SUFFIX: &str = "::members: ";
 
 /// A line of the log of a balancer's membership driver.
@@ -15,9 +15,9 @@
     Event(EventKind),
     /// The addresses of a balancer whose membership has started.
     Serving {
-        /// The address at which it receives datagrams from its peers.
-        peers: SocketAddr,
-        /// The address of its members page; `None` if the line names none.
+        /// The address at which the balancer receives datagrams from its peers.
+        peer_address: SocketAddr,
+        /// The address of the balancer's members page; `None` if the line names none.
         page: Option<String>,
     },
 }
@@ -31,9 +31,9 @@
     if let Some(change) = parse_view_change(balancer, message) {
         return Some(MemberLogLine::Event(change));
     }
-    let peers = log_field(message, "peers")?.parse().ok()?;
+    let peer_address = log_field(message, "peers")?.parse().ok()?;
     let page = log_field(message, "page").map(str::to_owned);
-    Some(MemberLogLine::Serving { peers, page })
+    Some(MemberLogLine::Serving { peer_address, page })
 }
 
 /// Parses a change of the observer's view of one member.
@@ -47,8 +47,8 @@
         _ => return None,
     };
     let name = Name::new(log_field(message, "name")?).ok()?;
-    // `incarnation` is the start time of the member, and `turn` is incremented each time that it
-    // refutes its failure. The incarnation in the protocol is their sum.
+    // In the log, `incarnation` is the start time of the member, and `turn` counts how often the
+    // member has refuted that it failed. The incarnation in the protocol is their sum.
     let incarnation = number("incarnation")? + number("turn")?;
     let version = number("version")?;
     Some(EventKind::ViewChanged {
--- a/lab/src/balancers/slot.rs
+++ b/lab/src/balancers/slot.rs
@@ -14,7 +14,7 @@
     Running(Pid),
 }
 
-/// The effect of the signals that the lab has sent to a running balancer.
+/// The state of a running balancer that results from signals of the lab.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SignalState {
     /// Whether the lab has sent SIGTERM or SIGKILL, so that an exit is expected.
@@ -27,6 +27,7 @@
 pub(super) struct Slot {
     state: watch::Sender<RunState>,
     signal_state: Mutex<SignalState>,
+    /// The number of times that the balancer has been started.
     start_count: Mutex<u64>,
     /// The name of the balancer from its next start on.
     name: Mutex<String>,
@@ -50,7 +51,7 @@
         *lock(&self.name) = name;
     }
 
-    /// Counts a start; returns the number of starts, this one included.
+    /// Counts a start, and returns the number of starts including it.
     pub fn count_start(&self) -> u64 {
         let mut start_count = lock(&self.start_count);
         *start_count += 1;
@@ -67,6 +68,7 @@
         self.state.send_replace(RunState::Stopped);
     }
 
+    /// Records that the lab ends the process, so that its exit is expected.
     pub fn set_ending(&self) {
         lock(&self.signal_state).is_ending = true;
     }
