--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -56,10 +56,11 @@
         /// The path of the registry's log.
         log: PathBuf,
     },
-    /// The experiment has a `[registry]` table, but the run options name no program for it.
+    /// The experiment has a `[registry]` table, but the run options name no program that serves the
+    /// registry.
     #[error(
-        "the experiment has a [registry] table, but no program that serves it is given: set `guard` \
-         in the run options"
+        "the experiment has a [registry] table, but no program that serves the registry is given: \
+         set `guard` in the run options to that program"
     )]
     NoRegistryProgram,
     /// A loopback address could not be bound for a stand-in or a link.
--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -32,7 +32,7 @@
     pub peer_links: Option<Arc<PeerLinks>>,
 }
 
-/// A link that a fault affects, and its two ends.
+/// A link that a fault affects, with the number of its balancer and its other end.
 struct AffectedLink {
     balancer: u32,
     peer: LinkPeer,
@@ -120,7 +120,7 @@
     }
 
     fn inject_upstream_fault(&self, occurrence: &FaultOccurrence, running: &mut JoinSet<()>) {
-        for (rank, number) in (0u32..).zip(occurrence.targets.upstreams.iter().copied()) {
+        for (position, number) in (0u32..).zip(occurrence.targets.upstreams.iter().copied()) {
             let upstreams = Arc::clone(&self.upstreams);
             match occurrence.fault.kind {
                 FaultKind::SlowDown { factor, duration } => {
@@ -135,7 +135,7 @@
                     drain,
                 } => {
                     running.spawn(async move {
-                        sleep(interval * (rank / batch_size)).await;
+                        sleep(interval * (position / batch_size)).await;
                         upstreams.replace(number, drain).await;
                     });
                 }
@@ -218,9 +218,9 @@
         }
     }
 
-    /// Returns the links between the targets of a fault and its peers. Without peers, these are the
-    /// links of a balancer with all upstreams and discovery, or of another target with all
-    /// balancers. Links of clients are included only if the fault names clients.
+    /// Returns the links between the targets and the peers of a fault. If it names no peers, all
+    /// upstreams and discovery are the peers of balancers, and all balancers are the peers of other
+    /// targets. Links with clients are included only if the fault names clients.
     fn affected_links(&self, occurrence: &FaultOccurrence) -> Vec<AffectedLink> {
         let mut ends = occurrence.targets.clone();
         match &occurrence.peers {
--- a/lab/src/faults/fault_schedule.rs
+++ b/lab/src/faults/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of an experiment's faults: each occurrence with targets drawn from the seed.
+//! The schedule of an experiment's faults: all occurrences, with targets drawn from the seed.
 
 use super::ResolvedTargets;
 use super::description::describe;
--- a/lab/src/faults/targets.rs
+++ b/lab/src/faults/targets.rs
@@ -4,12 +4,12 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// The processes that a target consists of, by number.
+/// The processes that the target of a fault consists of.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResolvedTargets {
-    /// The numbers of the balancers among them.
+    /// The numbers of the balancers in the target.
     pub balancers: Vec<u32>,
-    /// The numbers of the upstreams among them.
+    /// The numbers of the upstreams in the target.
     pub upstreams: Vec<u32>,
     /// Whether the target is the discovery service.
     pub has_discovery: bool,
@@ -40,8 +40,8 @@
     }
 }
 
-/// Returns the balancers of a target, out of `count`: none for `OtherBalancers` and for targets that
-/// are not balancers.
+/// Returns the numbers of a target's balancers in a fleet of `count`. The result is empty for
+/// `OtherBalancers` and for targets that are not balancers.
 pub fn choose_balancers(target: &Target, count: u32, rng: &mut ChaCha8Rng) -> Vec<u32> {
     match target {
         Target::Balancer(number) => vec![*number],
@@ -51,7 +51,8 @@
     }
 }
 
-/// Draws a share of the numbers below `count`, rounded to the nearest whole number.
+/// Draws a share of the numbers below `count`. How many are drawn is rounded to the nearest whole
+/// number.
 fn choose_share(share: f64, count: u32, rng: &mut ChaCha8Rng) -> Vec<u32> {
     let mut numbers: Vec<u32> = (0..count).collect();
     numbers.shuffle(rng);
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -14,13 +14,13 @@
 //! | [`experiment`] | the settings of an experiment, and the parser of its file |
 //! | [`history`] | the events of a run |
 //! | [`measurements`] | latencies, processor and memory usage, summary statistics of a run |
-//! | [`links`] | links between processes, and the faults of links |
+//! | [`links`] | links between processes, which relay traffic with injected faults |
 //! | [`processes`] | child processes, and the guard that kills them if the lab dies |
 //! | [`standins`] | clients and their load, upstreams, discovery, registration |
 //! | [`balancers`] | balancers as child processes, and their configuration |
 //! | [`faults`] | the targets of faults, and their injection |
 //! | [`checks`] | rules that the history of a run is checked against |
-//! | [`runs`] | runs with real processes, in simulated time, and of the registry alone |
+//! | [`runs`] | runs with real processes, runs in simulated time, and runs of the registry alone |
 //! | [`reports`] | the report of a run |
 
 pub mod balancers;
--- a/lab/src/processes/child.rs
+++ b/lab/src/processes/child.rs
@@ -1,4 +1,4 @@
-//! Starts child processes of the lab without standard input, and stores and reads their logs.
+//! Starts child processes of the lab, and stores and reads their logs.
 
 use crate::error::LabError;
 use rustix::process::Pid;
@@ -18,7 +18,7 @@
     child.id().and_then(|pid| Pid::from_raw(pid as i32))
 }
 
-/// Writes a file of the run, and replaces an existing one.
+/// Writes a file of the run, and overwrites an existing one.
 pub async fn write_file(path: &Path, text: &str) -> Result<(), LabError> {
     let written = tokio::fs::write(path, text).await;
     written.map_err(|source| LabError::File {
@@ -27,20 +27,21 @@
     })
 }
 
-/// Starts a command whose standard error is its log. Each line is passed to `on_line` and then
-/// appended to the file `log`. Dropping the returned child kills the process.
+/// Starts a command without standard input, whose standard error is its log. Each line is passed to
+/// `on_line` and then appended to the file at `log_path`. Dropping the returned child kills the
+/// process.
 pub async fn spawn_logged(
     command: &mut Command,
-    log: &Path,
+    log_path: &Path,
     on_line: impl FnMut(&str) + Send + 'static,
 ) -> Result<Child, LabError> {
     let file = tokio::fs::OpenOptions::new()
         .create(true)
         .append(true)
-        .open(log)
+        .open(log_path)
         .await;
     let file = file.map_err(|source| LabError::File {
-        path: log.to_owned(),
+        path: log_path.to_owned(),
         source,
     })?;
     let spawned = command
--- a/lab/src/processes/guard.rs
+++ b/lab/src/processes/guard.rs
@@ -36,8 +36,8 @@
         self.send(&format!("+{}\n", pid.as_raw_nonzero()));
     }
 
-    /// Reports to the guard that a child has exited and its exit was collected. From then on, another
-    /// process may get its process id.
+    /// Reports to the guard that a child has exited and has been waited for. From then on, another
+    /// process may get its process id, which the guard must not kill.
     pub fn unregister(&self, pid: Pid) {
         self.send(&format!("-{}\n", pid.as_raw_nonzero()));
     }
@@ -63,7 +63,7 @@
 /// Reads the starts (`+PID`) and exits (`-PID`) of children, one a line, until the input ends. Then
 /// kills the remaining children and returns the number of processes that were killed.
 pub fn kill_children_when_input_ends(input: impl BufRead) -> usize {
-    let mut live = BTreeSet::new();
+    let mut live_pids = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
         let Some((sign, pid)) = line.split_at_checked(1) else {
             continue;
@@ -72,11 +72,12 @@
             continue;
         };
         match sign {
-            "+" => live.insert(pid),
-            _ => live.remove(&pid),
+            "+" => live_pids.insert(pid),
+            _ => live_pids.remove(&pid),
         };
     }
-    live.into_iter()
+    live_pids
+        .into_iter()
         .filter_map(Pid::from_raw)
         .filter(|pid| kill_process(*pid, Signal::KILL).is_ok())
         .count()
