--- a/lab/src/history/event.rs
+++ b/lab/src/history/event.rs
@@ -1,4 +1,4 @@
-//! Events and their serialized form.
+//! Events of a run, and the form in which they are written to `events.jsonl`.
 
 use crate::history::ClientAttemptId;
 use frostkeel_membership::{MemberState, Name};
@@ -8,12 +8,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptFailure {
-    /// No connection was established: the balancer never received the request.
+    /// No connection was established, so the balancer never received the request.
     NoConnection,
-    /// The connection closed after the complete request was written.
+    /// The connection to the balancer failed or closed before the complete response arrived.
     #[serde(rename = "broken")]
     ConnectionClosed,
-    /// The client's timeout expired.
+    /// The deadline of the client's request passed before the response arrived.
     #[serde(rename = "gave-up")]
     TimedOut,
 }
@@ -22,17 +22,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The upstream accepts requests.
     Ready,
-    /// It finishes the requests in flight.
+    /// The upstream completes the requests in flight and accepts no new ones.
     Terminating,
-    /// It is not listed any more.
+    /// The upstream is no longer in the endpoint list.
     #[serde(rename = "gone")]
     Removed,
 }
 
 impl EndpointState {
-    /// The name in the text of a violation.
+    /// Returns the name of the state as printed in the description of a violation.
     pub fn label(self) -> &'static str {
         match self {
             Self::Ready => "Ready",
@@ -46,54 +46,54 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UpstreamReply {
-    /// It was processed.
+    /// The upstream processed the request.
     Served,
-    /// It was rejected unprocessed.
+    /// The upstream rejected the request without processing it.
     #[serde(rename = "turned-away")]
     Rejected,
 }
 
-/// A state that a process, or a stand-in for one, has entered.
+/// A state that a process of the run, or a stand-in for one, has entered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProcessState {
-    /// It takes requests.
+    /// The process accepts requests.
     Ready,
-    /// The lab is about to kill it.
+    /// The lab is about to kill the process.
     Killed,
-    /// The lab has sent it SIGTERM.
+    /// The lab has sent SIGTERM to the process.
     #[serde(rename = "asked")]
     ShutdownRequested,
-    /// The lab has paused it.
+    /// The lab has paused the process.
     #[serde(rename = "held")]
     Paused,
-    /// The lab has resumed it.
+    /// The lab has resumed the paused process.
     #[serde(rename = "released")]
     Resumed,
-    /// It has exited after the lab sent it SIGKILL or SIGTERM.
+    /// The process has exited after the lab sent it SIGKILL or SIGTERM.
     #[serde(rename = "ended")]
     Exited,
-    /// It has exited by itself.
+    /// The process has exited without a signal from the lab.
     Crashed,
-    /// It used more memory than its limit.
+    /// The process used more memory than its limit.
     #[serde(rename = "over-memory")]
     MemoryLimitExceeded,
-    /// It had not exited when the wait after SIGKILL was over.
+    /// The process had not exited by the end of the wait that follows SIGKILL.
     #[serde(rename = "outlived")]
     SurvivedKill,
     /// An upstream crashed under overload while it was warming up.
     #[serde(rename = "fell")]
     Overloaded,
-    /// An upstream is slow or unresponsive.
+    /// An upstream is slow or unresponsive because of a fault.
     #[serde(rename = "ill")]
     Degraded,
-    /// A degraded upstream is back to normal.
+    /// A degraded upstream works normally again.
     #[serde(rename = "well")]
     Recovered,
 }
 
 impl ProcessState {
-    /// The name in the text of a violation, where a violation can name it.
+    /// Returns the name of the state as printed in the description of a violation.
     pub fn label(self) -> &'static str {
         match self {
             Self::Ready => "Ready",
@@ -112,172 +112,173 @@
     }
 }
 
-/// What happened.
+/// What an event records.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum EventKind {
-    /// A client's request is due, whether or not a balancer can be reached.
+    /// A client's request is due, whether or not any balancer can be reached.
     #[serde(rename = "wanted")]
     RequestDue {
-        /// The request.
+        /// Number of the client's request.
         request: u32,
-        /// Index of its class.
+        /// Index of the request's class in the experiment.
         class: u16,
     },
-    /// A client has written an attempt to a balancer, its last byte included.
+    /// A client is connected to a balancer and starts to write an attempt to it.
     #[serde(rename = "asked")]
     AttemptSent {
-        /// The attempt.
+        /// Id of the client attempt.
         id: ClientAttemptId,
-        /// The client's request that it belongs to.
+        /// Number of the client's request that the attempt belongs to.
         request: u32,
-        /// 0 for the first attempt.
+        /// Number of the retry; 0 for the first attempt of the request.
         #[serde(rename = "again")]
         retry: u8,
-        /// Index of its class.
+        /// Index of the request's class in the experiment.
         class: u16,
-        /// Index of its tenant.
+        /// Index of the request's tenant in the experiment.
         tenant: u16,
-        /// The balancer.
+        /// Number of the balancer.
         balancer: u32,
     },
-    /// The complete response to an attempt has arrived.
+    /// A client has received the complete response to an attempt.
     #[serde(rename = "answered")]
     ResponseReceived {
-        /// The attempt.
+        /// Id of the client attempt.
         id: ClientAttemptId,
-        /// Its status.
+        /// HTTP status of the response.
         status: u16,
     },
     /// An attempt has ended without a response.
     #[serde(rename = "unanswered")]
     AttemptFailed {
-        /// The attempt.
+        /// Id of the client attempt.
         id: ClientAttemptId,
-        /// Why.
+        /// Reason why there is no response.
         #[serde(rename = "how")]
         failure: AttemptFailure,
     },
-    /// An attempt has reached an upstream, its last byte included.
+    /// An attempt has reached an upstream completely, with the last byte of its body.
     #[serde(rename = "arrived")]
     UpstreamReceived {
-        /// The attempt.
+        /// Id of the client attempt.
         id: ClientAttemptId,
-        /// The upstream.
+        /// Number of the upstream.
         upstream: u32,
     },
-    /// An upstream has a response to it.
+    /// An upstream is about to send its response to an attempt.
     #[serde(rename = "replied")]
     UpstreamReplied {
-        /// The attempt.
+        /// Id of the client attempt.
         id: ClientAttemptId,
-        /// The upstream.
+        /// Number of the upstream.
         upstream: u32,
-        /// Which.
+        /// Whether the upstream processed or rejected the request.
         reply: UpstreamReply,
     },
     /// A balancer has connected to the discovery service.
     #[serde(rename = "called")]
     DiscoveryCalled {
-        /// The balancer.
+        /// Number of the balancer.
         balancer: u32,
     },
-    /// The discovery service has notified a balancer of an upstream's state.
+    /// The discovery service has notified a balancer of an upstream's state, or the balancer counts
+    /// as notified although a fault has cut its watch.
     #[serde(rename = "told")]
     EndpointNotified {
-        /// The balancer.
+        /// Number of the balancer.
         balancer: u32,
-        /// The upstream.
+        /// Number of the upstream.
         upstream: u32,
-        /// The state.
+        /// State of the upstream in the endpoint list.
         #[serde(rename = "listed")]
         state: EndpointState,
     },
-    /// A sample of an upstream's load.
+    /// A periodic sample of an upstream's load.
     #[serde(rename = "load")]
     UpstreamLoad {
-        /// The upstream.
+        /// Number of the upstream.
         upstream: u32,
-        /// Requests in flight.
+        /// Number of requests in flight at the upstream.
         #[serde(rename = "holds")]
         in_flight: u32,
-        /// Share of its cores in use recently.
+        /// Utilization in the upstream's load report: the fraction of its cores in use.
         #[serde(rename = "util")]
         utilization: f32,
     },
     /// A balancer has entered a state.
     #[serde(rename = "balancer")]
     BalancerState {
-        /// Its number.
+        /// Number of the balancer.
         balancer: u32,
-        /// The state.
+        /// State that the balancer has entered.
         #[serde(rename = "became")]
         state: ProcessState,
     },
     /// An upstream has entered a state.
     #[serde(rename = "upstream")]
     UpstreamState {
-        /// Its number.
+        /// Number of the upstream.
         upstream: u32,
-        /// The state.
+        /// State that the upstream has entered.
         #[serde(rename = "became")]
         state: ProcessState,
     },
-    /// Connections between clients and a balancer were reset by a fault of their link.
+    /// A fault of the link between the clients and a balancer has reset their connections.
     #[serde(rename = "unlinked")]
     ClientConnectionsReset {
-        /// The balancer.
+        /// Number of the balancer.
         balancer: u32,
     },
     /// A balancer's view of a member, or of itself, has changed.
     #[serde(rename = "saw")]
     ViewChanged {
-        /// The balancer whose view it is.
+        /// Number of the balancer that owns the view.
         #[serde(rename = "by")]
         observer: u32,
-        /// The member.
+        /// Name of the member that the change is about.
         name: Name,
-        /// The member's incarnation; a later one has a higher number.
+        /// Incarnation of the member; a later incarnation has a higher number.
         incarnation: u64,
-        /// The member's state.
+        /// State of the member in the view after the change.
         #[serde(rename = "standing")]
         state: MemberState,
-        /// The view's version.
+        /// Version of the view after the change; the first change of a process has version 1.
         version: u64,
     },
-    /// A balancer has yielded its name to another one.
+    /// A balancer has yielded its name to another balancer and is no longer a member.
     #[serde(rename = "yielded")]
     NameYielded {
-        /// Which.
+        /// Number of the balancer that yielded its name.
         #[serde(rename = "by")]
         balancer: u32,
     },
     /// The registry has entered a state.
     #[serde(rename = "registry")]
     RegistryState {
-        /// The state.
+        /// State that the registry has entered.
         #[serde(rename = "became")]
         state: ProcessState,
     },
     /// A fault of the experiment begins.
     #[serde(rename = "fault")]
     FaultStarted {
-        /// A description.
+        /// Description of the fault, as printed in the report.
         #[serde(rename = "text")]
         description: String,
-        /// Seconds until it ends, where it lasts.
+        /// Duration of the fault in seconds; `None` if the fault has no fixed duration.
         #[serde(rename = "lasts")]
         duration_s: Option<f64>,
     },
 }
 
-/// Something that happened, and when.
+/// An event of a run, with its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
-    /// Microseconds from the start of the load; 0 for an earlier event.
+    /// Microseconds since the start of the load; 0 for an event before the start.
     #[serde(rename = "at")]
     pub at_us: u64,
-    /// What happened.
+    /// What the event records.
     #[serde(flatten)]
     pub kind: EventKind,
 }
--- a/lab/src/history/mod.rs
+++ b/lab/src/history/mod.rs
@@ -1,7 +1,7 @@
-//! The record of a run: what happened, in the order in which the lab observed it.
+//! The history of a run: its events, in the order in which the lab observed them.
 //!
-//! Every check and every figure is computed from this record alone. The serialized forms are those
-//! of `events.jsonl`; each field that is named otherwise there is bound to its key here.
+//! The checks and the figures are computed from the history alone. Events are serialized as lines
+//! of `events.jsonl`; a field whose key there differs from its name here has a serde `rename`.
 
 mod attempt_id;
 mod event;
--- a/lab/src/history/response_class.rs
+++ b/lab/src/history/response_class.rs
@@ -1,18 +1,18 @@
-//! The meaning of a status for a client.
+//! The meaning of an HTTP status for a client.
 
-/// What a response is to the client, by its status.
+/// The meaning of a response for the client, by its HTTP status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// The request was served.
+    /// The request was processed successfully (status 200).
     Served,
-    /// The request was rejected and has not run.
+    /// The request was rejected and has not run (status 429 or 503).
     Rejected,
-    /// The request has failed.
+    /// The request has failed (any other status).
     Failed,
 }
 
 impl ResponseClass {
-    /// The class of a status.
+    /// Returns the class of an HTTP status.
     pub fn of(status: u16) -> Self {
         match status {
             200 => Self::Served,
