--- a/lab/src/checks/attempts.rs
+++ b/lab/src/checks/attempts.rs
@@ -1,43 +1,45 @@
-//! The events of each client attempt in a history.
+//! The events of each client attempt, collected from a history.
 
 use crate::history::{AttemptFailure, ClientAttemptId, Event, EventKind, UpstreamReply};
 use std::collections::BTreeMap;
 
-/// When a client sent an attempt, and to which balancer.
+/// The time when a client sent an attempt, the balancer that it was sent to and its class.
 #[derive(Clone, Copy)]
 pub(super) struct Sent {
     pub at_us: u64,
     pub balancer: u32,
-    /// Index of the request's class.
+    /// Index of the request's class in the experiment.
     pub class: u16,
 }
 
-/// A response that a client received.
+/// A complete response that a client received, with its HTTP status.
 pub(super) struct Response {
     pub at_us: u64,
     pub status: u16,
 }
 
-/// The end of an attempt without a response.
+/// The end of an attempt without a response, with its cause.
 pub(super) struct Failure {
     pub at_us: u64,
     pub cause: AttemptFailure,
 }
 
-/// An upstream that an attempt reached.
+/// The arrival of an attempt at an upstream. A balancer's retries of one client attempt are
+/// recorded separately.
 #[derive(Clone, Copy)]
 pub(super) struct Reached {
     pub at_us: u64,
     pub upstream: u32,
 }
 
-/// What an upstream replied.
+/// The reply of an upstream to an attempt: processed or rejected.
 pub(super) struct Reply {
     pub upstream: u32,
     pub reply: UpstreamReply,
 }
 
-/// Everything that is recorded about one client attempt.
+/// All events that are recorded about one client attempt. A field is `None` or empty if the history
+/// has no event of its kind.
 #[derive(Default)]
 pub(super) struct AttemptRecord {
     pub sent: Option<Sent>,
@@ -47,10 +49,10 @@
     pub replies: Vec<Reply>,
 }
 
-/// The records of all attempts.
+/// The records of all client attempts of a history, by the attempt's id.
 pub(super) type AttemptRecords = BTreeMap<ClientAttemptId, AttemptRecord>;
 
-/// Collects the records of all attempts in a history.
+/// Collects the records of all client attempts in a history.
 pub(super) fn collect(events: &[Event]) -> AttemptRecords {
     let mut records = AttemptRecords::new();
     for Event { at_us, kind } in events {
--- a/lab/src/checks/mod.rs
+++ b/lab/src/checks/mod.rs
@@ -1,5 +1,7 @@
-//! Checks of a recorded run: pure functions from events to violations, so that a test can pass them
-//! a history with a violation.
+//! Checks of the history of a run.
+//!
+//! Checks compute violations from events alone, so that a test can pass them a history that
+//! contains a violation.
 
 mod attempts;
 pub mod balancer_rules;
