--- a/lab/src/checks/balancer_rules.rs
+++ b/lab/src/checks/balancer_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of a balancer, checked over a complete history: one function a rule.
+//! The rules for a balancer, checked over a complete history. Each rule has one or two functions.
 
 use super::attempts::{AttemptRecord, AttemptRecords, Reached, collect};
 use super::{Rule, Violation};
@@ -9,17 +9,19 @@
 };
 use std::collections::HashMap;
 
-/// The most attempts that a balancer makes for a client attempt.
+/// The maximum number of attempts to upstreams that a balancer makes for a client attempt.
 const MAX_ATTEMPTS: usize = 3;
-/// How long after a notification a new request may still reach an upstream, in microseconds: 1 s
-/// and 50 ms by the protocol, and 100 ms of latency through real sockets.
+/// The time after a notification during which a new request may still reach an upstream, in
+/// microseconds: 1 s and 50 ms by the protocol, and 100 ms for the latency of real sockets.
 const DRAIN_GRACE_US: u64 = 1_150_000;
-/// Tolerance between the recorded times of simultaneous events, in microseconds.
-const RECORDING_SLACK_US: u64 = 100_000;
-/// The longest graceful shutdown of a balancer, until it is killed, in microseconds.
+/// The tolerance for differences between the recorded times of simultaneous events, in
+/// microseconds.
+const RECORDING_TOLERANCE_US: u64 = 100_000;
+/// The maximum time from the request for a balancer's graceful shutdown until it is killed, in
+/// microseconds.
 const MAX_SHUTDOWN_US: u64 = 5_500_000;
 
-/// Every violation in a history, in the order of time.
+/// Returns all violations in a history, in the order of time.
 pub fn violations(experiment: &Experiment, events: &[Event]) -> Vec<Violation> {
     let attempts = collect(events);
     let mut found = Vec::new();
@@ -37,7 +39,7 @@
     found
 }
 
-/// A client receives at most one final response to an attempt that a balancer accepted.
+/// Checks that a client receives at most one final response to an attempt that a balancer accepted.
 ///
 /// Source: the platform's brief, "No run may break these rules".
 fn at_most_one_response(id: ClientAttemptId, attempt: &AttemptRecord) -> Option<Violation> {
@@ -52,7 +54,7 @@
         rule: Rule::ExactlyOneResponse,
         at_us: second.at_us,
         description: format!(
-            "try {id:x}, asked of b{} at {}, was answered {}",
+            "attempt {id:x}, sent to b{} at {}, received more than one response: {}",
             sent.balancer,
             seconds(sent.at_us),
             responses.join(", ")
@@ -60,10 +62,13 @@
     })
 }
 
-/// A client receives at least one final response to an attempt that a running balancer accepted.
+/// Checks that a client receives at least one final response to an attempt that a running balancer
+/// accepted.
 ///
-/// Requests in flight in a balancer when it is killed, or at the end of its shutdown, are lost with
-/// it. Source: the platform's brief, "No run may break these rules".
+/// Requests that are in flight in a balancer when it is killed, or at the end of its shutdown, are
+/// lost and are no violation. The same applies when a fault resets the client's connection.
+///
+/// Source: the platform's brief, "No run may break these rules".
 fn at_least_one_response(
     id: ClientAttemptId,
     attempt: &AttemptRecord,
@@ -81,7 +86,7 @@
         rule: Rule::ExactlyOneResponse,
         at_us: failure.at_us,
         description: format!(
-            "try {id:x}, asked of b{} at {}: connection ended at {} with no answer",
+            "attempt {id:x}, sent to b{} at {}: the connection closed at {} without a response",
             sent.balancer,
             seconds(sent.at_us),
             seconds(failure.at_us)
@@ -89,7 +94,7 @@
     })
 }
 
-/// A successful response is from an upstream that served the request.
+/// Checks that a successful response comes from an upstream that processed the request.
 ///
 /// Source: the platform's protocol: a balancer forwards responses, and generates no successful one
 /// by itself.
@@ -110,14 +115,14 @@
         rule: Rule::ServedByUpstream,
         at_us: success.at_us,
         description: format!(
-            "try {id:x}: b{} answered 200 at {}, no upstream served it",
+            "attempt {id:x}: b{} responded 200 at {}, but no upstream processed the request",
             sent.balancer,
             seconds(success.at_us)
         ),
     })
 }
 
-/// At most three attempts for each request that a balancer accepted.
+/// Checks that a balancer makes at most three attempts for each request that it accepted.
 ///
 /// Source: the platform's wire format, `limits.try_limit`, which the lab sets to 3.
 fn attempt_limit(id: ClientAttemptId, attempt: &AttemptRecord) -> Option<Violation> {
@@ -130,9 +135,8 @@
     })
 }
 
-/// A request that may have been processed is retried only where its class permits: one that must
-/// not be retried runs at one upstream at most. An upstream that rejected it unprocessed did not
-/// run it.
+/// Checks that a request of an at-most-once class runs at one upstream at most. An upstream that
+/// rejected the request without processing it did not run it.
 ///
 /// Source: the platform's brief, "No run may break these rules", and the wire format, "Each effect
 /// happens once".
@@ -167,14 +171,14 @@
     })
 }
 
-/// A state that a balancer was notified of.
+/// A notification to a balancer about the state of an upstream.
 struct Notification {
     at_us: u64,
     state: EndpointState,
 }
 
-/// No new request reaches an upstream later than 1 s after its drain or removal was notified to the
-/// balancer.
+/// Checks that no new request reaches an upstream later than 1 s after the balancer was notified of
+/// the upstream's drain or removal.
 ///
 /// Source: the platform's brief, "Figures of the rules", and the wire format,
 /// `guarantees.drain_grace_ms`.
@@ -191,7 +195,7 @@
                 rule: Rule::DrainRespected,
                 at_us: reached.at_us,
                 description: format!(
-                    "try {id:x} of b{} reached u{} at {}, told {} at {}",
+                    "attempt {id:x} through b{} reached u{} at {}, after the notification {} at {}",
                     sent.balancer,
                     reached.upstream,
                     seconds(reached.at_us),
@@ -204,7 +208,7 @@
     found
 }
 
-/// What each balancer was notified of each upstream, in the order of time.
+/// Returns the notifications in the order of time, by the numbers of the balancer and the upstream.
 fn notifications(events: &[Event]) -> HashMap<(u32, u32), Vec<Notification>> {
     let mut notified: HashMap<(u32, u32), Vec<Notification>> = HashMap::new();
     for Event { at_us, kind } in events {
@@ -227,18 +231,24 @@
     notified
 }
 
-/// The last notification whose grace had ended at a time, if the upstream was not ready by it and
-/// no later one has made it ready again.
+/// Returns the last notification whose grace had ended at `at_us`, if it reports the upstream as
+/// not ready. Returns `None` if a later notification, until `at_us`, reports the upstream as ready
+/// again.
 fn drained_before(known: &[Notification], at_us: u64) -> Option<&Notification> {
-    let in_force = |notified: &Notification| notified.at_us + DRAIN_GRACE_US < at_us;
-    let last = known.iter().rev().find(|notified| in_force(notified))?;
+    let grace_has_ended = |notified: &Notification| notified.at_us + DRAIN_GRACE_US < at_us;
+    let last = known
+        .iter()
+        .rev()
+        .find(|notified| grace_has_ended(notified))?;
     let is_ready_again = known.iter().any(|notified| {
-        notified.state == EndpointState::Ready && !in_force(notified) && notified.at_us <= at_us
+        notified.state == EndpointState::Ready
+            && !grace_has_ended(notified)
+            && notified.at_us <= at_us
     });
     (last.state != EndpointState::Ready && !is_ready_again).then_some(last)
 }
 
-/// An upstream in slow start does not crash because all balancers together overload it.
+/// Checks that the balancers together do not overload an upstream in slow start until it crashes.
 ///
 /// Source: the platform's brief, "No run may break these rules", and the wire format, "Fail back
 /// with care".
@@ -254,13 +264,13 @@
         rule: Rule::SlowStartRespected,
         at_us: event.at_us,
         description: format!(
-            "u{upstream} was pushed over while cold at {}",
+            "u{upstream} crashed under overload during slow start at {}",
             seconds(event.at_us)
         ),
     })
 }
 
-/// No balancer crashes, exceeds its memory, or survives SIGKILL.
+/// Checks that no balancer crashes, exceeds its memory limit, or survives SIGKILL.
 ///
 /// Source: the experiment's `fleet.memory_mb` (the platform's `limits.memory_mb`), and the lab
 /// itself.
@@ -279,16 +289,17 @@
     })
 }
 
-/// Whether requests that a balancer had in flight between two times may be lost: it was killed
-/// meanwhile, its clients' connections were reset, or its shutdown had begun shortly before.
+/// Returns whether requests that a balancer had in flight between two times may be lost: the
+/// balancer ended or its clients' connections were reset in that period, or its shutdown was
+/// requested in that period or at most [`MAX_SHUTDOWN_US`] before it.
 fn may_be_lost(events: &[Event], balancer: u32, from_us: u64, to_us: u64) -> bool {
     events.iter().any(|event| {
         let (affected, effect_us) = match event.kind {
-            EventKind::ClientConnectionsReset { balancer } => (balancer, RECORDING_SLACK_US),
+            EventKind::ClientConnectionsReset { balancer } => (balancer, RECORDING_TOLERANCE_US),
             EventKind::BalancerState {
                 balancer,
                 state: ProcessState::Killed | ProcessState::Exited | ProcessState::Crashed,
-            } => (balancer, RECORDING_SLACK_US),
+            } => (balancer, RECORDING_TOLERANCE_US),
             EventKind::BalancerState {
                 balancer,
                 state: ProcessState::ShutdownRequested,
@@ -297,7 +308,7 @@
         };
         affected == balancer
             && event.at_us + effect_us >= from_us
-            && event.at_us <= to_us + RECORDING_SLACK_US
+            && event.at_us <= to_us + RECORDING_TOLERANCE_US
     })
 }
 
@@ -306,7 +317,10 @@
         .iter()
         .map(|reached| format!("u{} at {}", reached.upstream, seconds(reached.at_us)))
         .collect();
-    format!("try {id:x} of b{balancer} reached {}", upstreams.join(", "))
+    format!(
+        "attempt {id:x} through b{balancer} reached {}",
+        upstreams.join(", ")
+    )
 }
 
 fn seconds(at_us: u64) -> String {
