--- a/lab/src/checks/watch_checks.rs
+++ b/lab/src/checks/watch_checks.rs
@@ -1,24 +1,24 @@
-//! The rules of a registry's watches: one function a rule, and the watcher that they are applied
-//! to.
+//! The rules for the watches of a registry, and the watcher that they are checked with. Each rule
+//! has one function.
 
 use frostkeel_registry::endpoint::{EndpointRecord, EndpointState, EndpointUpdate};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Weights by upstream.
+/// The weights of upstreams, by upstream uid.
 pub type Weights = BTreeMap<String, u64>;
 
-/// A list as one reader has it.
+/// An endpoint list as one reader has received it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchedList {
-    /// The revision.
+    /// Revision of the list; 0 before the first line of a watch.
     pub revision: u64,
-    /// The weights of the listed upstreams.
+    /// Weights of the listed upstreams, by uid.
     pub weights: Weights,
 }
 
 impl WatchedList {
-    /// A complete list.
+    /// Returns the list of a snapshot, in which every record is an upstream of the list.
     pub fn from_snapshot(snapshot: EndpointUpdate) -> Self {
         let weight = |target: EndpointRecord| (target.uid, target.weight as u64);
         let revision = snapshot.revision;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Applies a line of a watch; the weights that it changed.
+    /// Applies a line of a watch, and returns the weights that it changed; none for a snapshot.
     fn apply(&mut self, line: EndpointUpdate) -> Vec<u64> {
         self.revision = line.revision;
         if line.is_snapshot {
@@ -50,24 +50,24 @@
     }
 }
 
-/// A line of a watch that is no text of a list.
+/// A line of a watch that is not a valid endpoint update.
 #[derive(Debug, PartialEq, Eq, Error)]
-#[error("watcher {watcher}: a line that cannot be read")]
+#[error("watcher {watcher}: the watch line is not a valid endpoint update")]
 pub struct UnreadableLine {
-    /// The watcher.
+    /// Number of the watcher that received the line.
     pub watcher: u32,
 }
 
-/// What a line of a watch did.
+/// The effect of a line of a watch.
 #[derive(Debug, PartialEq, Eq)]
 pub struct AppliedLine {
-    /// The weights that it changed, unless it was a complete list.
+    /// Weights that the line changed; empty for a snapshot.
     pub changed: Vec<u64>,
-    /// The rule that it breaks, if any.
+    /// Description of the violation; `None` if the line complies with the rules.
     pub violation: Option<String>,
 }
 
-/// A watcher, and the list as it follows it.
+/// A reader of a watch, with the endpoint list that results from the lines received.
 #[derive(Debug)]
 pub struct Watcher {
     number: u32,
@@ -75,7 +75,7 @@
 }
 
 impl Watcher {
-    /// A watcher without a list.
+    /// Creates a watcher with this number and an empty list.
     pub fn new(number: u32) -> Self {
         Self {
             number,
@@ -83,12 +83,12 @@
         }
     }
 
-    /// The list as it has it.
+    /// Returns the list that results from the lines applied.
     pub fn list(&self) -> &WatchedList {
         &self.list
     }
 
-    /// Checks and applies a line.
+    /// Checks and applies a line of the watch.
     pub fn apply_line(&mut self, line: &[u8]) -> Result<AppliedLine, UnreadableLine> {
         let line: EndpointUpdate = serde_json::from_slice(line).map_err(|_| UnreadableLine {
             watcher: self.number,
@@ -101,32 +101,38 @@
     }
 }
 
-/// The revision never decreases for a watcher, and increases with each line that is no complete
-/// list.
+/// Checks that the revision never decreases for a watcher, and that it increases with each line
+/// that is not a snapshot.
 ///
 /// Source: `docs/registry.md`, "One version for the whole list, up by one with each change, never
 /// down over a restart".
 pub fn revision_goes_up(watcher: u32, list: &WatchedList, line: &EndpointUpdate) -> Option<String> {
     let known = list.revision;
-    let is_back = line.revision < known || (line.revision == known && !line.is_snapshot);
-    is_back.then(|| format!("watcher {watcher}: version {} after {known}", line.revision))
+    let is_violation = line.revision < known || (line.revision == known && !line.is_snapshot);
+    is_violation.then(|| {
+        format!(
+            "watcher {watcher}: revision {} after revision {known}, expected a later one",
+            line.revision
+        )
+    })
 }
 
-/// Each watcher that follows the changes ends with the list.
+/// Checks that every watcher has the registry's list at the end of the run.
 ///
 /// Source: `docs/registry.md`, "A watch misses nothing and goes on from any version".
 pub fn watchers_have_the_list(watchers: &[WatchedList], list: &WatchedList) -> Option<String> {
     let differing = watchers.iter().filter(|watched| *watched != list).count();
     (differing > 0).then(|| {
         format!(
-            "{differing} watchers have another list than version {}",
+            "{differing} watchers do not have the registry's list, which is at revision {}",
             list.revision
         )
     })
 }
 
-/// A change that was acknowledged is there at the end. A later one that had no response may have
-/// been applied: the weights of an upstream only go up.
+/// Checks that each acknowledged change is in the list at the end. The list may have a higher
+/// weight than the acknowledged one: a later change that had no response may have been applied, and
+/// the weights of an upstream only increase.
 ///
 /// Source: `docs/registry.md`, "What it promises".
 pub fn acknowledged_changes_are_listed(acknowledged: &Weights, list: &WatchedList) -> Vec<String> {
@@ -135,14 +141,17 @@
         .iter()
         .map(|(uid, weight)| (uid, *weight, list.weights.get(uid).copied()))
         .filter(|(_, weight, listed)| is_lost(*listed, *weight))
-        .map(|(uid, weight, listed)| format!("{uid} has {listed:?}, {weight} was acknowledged"))
+        .map(|(uid, weight, listed)| {
+            format!("{uid} has weight {listed:?}, expected at least the acknowledged {weight}")
+        })
         .collect()
 }
 
-/// A read after an acknowledgement is at least as new.
+/// Checks that a read after an acknowledged write returns at least the acknowledged revision.
 ///
 /// Source: `docs/registry.md`, "What it promises".
 pub fn read_is_as_new_as_acknowledged(acknowledged: u64, read: u64) -> Option<String> {
-    (read < acknowledged)
-        .then(|| format!("a read after version {acknowledged} was acknowledged has version {read}"))
+    (read < acknowledged).then(|| {
+        format!("a read returned revision {read} after revision {acknowledged} was acknowledged")
+    })
 }
