--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -1,6 +1,7 @@
-//! Checks and figures of membership, over every change of every view.
+//! Checks and figures of membership, computed from every change of every view.
 //!
-//! They are computed while the history is recorded, so that days of simulated time need no memory.
+//! The events are processed as they are recorded and are not stored, so that a simulation of
+//! several days does not need memory for its history.
 
 use super::membership_figures::MembershipFigures;
 use crate::history::{EventKind, ProcessState};
@@ -8,49 +9,50 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Violations that are described.
-const MAX_DESCRIBED: usize = 20;
+/// The number of violations from which on no further false detection is described. All are counted
+/// in the figures.
+const MAX_DESCRIBED_VIOLATIONS: usize = 20;
 
-/// A violation of a membership rule.
+/// A violation of a rule for membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipViolation {
-    /// Microseconds from the start of the load.
+    /// Time of the violation, in microseconds since the start of the load.
     pub at_us: u64,
-    /// The processes and what they saw.
+    /// Text that names the processes concerned and what they observed.
     pub description: String,
 }
 
-/// A process's view, as far as it has been recorded.
+/// The view of a process, as recorded up to the current event.
 #[derive(Default)]
 pub(super) struct View {
     pub version: u64,
-    /// Incarnations by name of the members that are not known to have left or failed.
+    /// Incarnations of the members that the view has as alive or suspected, by name.
     pub members: HashMap<Name, u64>,
-    /// A hash of `members` that does not depend on their order.
+    /// Hash of `members` that does not depend on their order.
     pub digest: u64,
 }
 
-/// A process that was killed or shut down.
+/// A process that was killed, has crashed or was shut down.
 pub(super) struct Departure {
     pub balancer: u32,
     pub name: Name,
     pub at_us: u64,
     pub is_graceful: bool,
-    /// The live members at that time.
+    /// Numbers of the other members that were active at the time of the departure.
     pub witnesses: Vec<u32>,
-    /// By observer, when it knew.
+    /// Time in microseconds at which an observer detected the departure, by the observer's number.
     pub known_at_us: HashMap<u32, u64>,
 }
 
-/// A balancer's process.
+/// The state of a balancer's process.
 #[derive(Default)]
 pub(super) struct Member {
     name: Option<Name>,
-    /// The incarnation that it began with.
+    /// The incarnation with which the process started.
     incarnation: u64,
     is_alive: bool,
     is_paused: bool,
-    /// It has yielded its name and is no longer a member.
+    /// Whether the process has yielded its name and is no longer a member.
     has_yielded: bool,
 }
 
@@ -60,7 +62,7 @@
     }
 }
 
-/// A change of a view.
+/// A change of an observer's view of a member.
 struct ViewChange {
     at_us: u64,
     observer: u32,
@@ -70,13 +72,13 @@
     version: u64,
 }
 
-/// Follows a history and checks the views in it.
+/// Processes the events of a run, and checks the views that they report.
 #[derive(Default)]
 pub struct MembershipChecker {
     members: BTreeMap<u32, Member>,
     pub(super) views: BTreeMap<u32, View>,
     pub(super) departures: Vec<Departure>,
-    /// How many active members have a view with this digest.
+    /// Number of active members that have a view with a digest, by the digest.
     pub(super) digests: HashMap<u64, usize>,
     pub(super) converged_since_us: Option<u64>,
     pub(super) figures: MembershipFigures,
@@ -84,7 +86,8 @@
 }
 
 impl MembershipChecker {
-    /// Processes an event at a time, in microseconds.
+    /// Processes an event that was recorded at `at_us`, in microseconds since the start of the
+    /// load.
     pub fn observe(&mut self, at_us: u64, kind: &EventKind) {
         match *kind {
             EventKind::BalancerState { balancer, state } => {
@@ -184,7 +187,7 @@
                 .get(&observer)
                 .is_some_and(|member| member.is_alive)
         {
-            // The log of a process that has been killed.
+            // Ignores a late line from the log of a process that was killed or shut down.
             return;
         }
         self.remove_digest(observer);
@@ -199,13 +202,13 @@
             };
             self.members.insert(observer, member);
         }
-        self.version_goes_up_by_one(change);
+        self.check_version(change);
         let previous = self.update_view(change);
         self.add_digest(observer);
         match change.state {
             MemberState::Suspect => self.figures.suspicion_count += 1,
             MemberState::Alive => {
-                // A later incarnation implies the end of the one before.
+                // A change to a later incarnation shows that the previous one has ended.
                 if previous.is_some_and(|previous| previous < change.incarnation) {
                     self.record_detection(change);
                 }
@@ -214,7 +217,8 @@
         }
     }
 
-    /// Applies a change to its observer's view; the incarnation that the member had in it.
+    /// Applies a change to its observer's view, and returns the incarnation that the member had
+    /// there.
     fn update_view(&mut self, change: &ViewChange) -> Option<u64> {
         let view = self.views.entry(change.observer).or_default();
         let previous = view.members.remove(&change.name);
@@ -226,14 +230,14 @@
         previous
     }
 
-    /// A view's version goes up by one with each change, never down.
+    /// Checks that a view's version increases by one with each change.
     ///
     /// Source: `docs/membership.md`, the `version` of each logged change.
-    fn version_goes_up_by_one(&mut self, change: &ViewChange) {
+    fn check_version(&mut self, change: &ViewChange) {
         let view = self.views.entry(change.observer).or_default();
         if change.version != view.version + 1 {
             let description = format!(
-                "b{}: version {} of its view came after {}",
+                "b{}: version {} of its view follows version {}, expected an increase by 1",
                 change.observer, change.version, view.version
             );
             self.violations.push(MembershipViolation {
@@ -245,7 +249,7 @@
     }
 
     fn on_departure_observed(&mut self, change: &ViewChange) {
-        if self.takes_live_for_failed(change) {
+        if self.record_false_detection(change) {
             return;
         }
         let is_graceful = self
@@ -255,19 +259,19 @@
         self.figures.leave_as_failure_count += usize::from(is_graceful && is_failure);
     }
 
-    /// No live process is considered left or failed; returns whether this one is. An earlier
-    /// incarnation that is considered failed is correct. A process that is paused at the time is
-    /// counted, and is no violation.
+    /// Counts a change that reports a live process as left or dead; returns whether the change
+    /// does. A report about an earlier incarnation of the process is correct. If the process is not
+    /// paused at the time, the change is also a violation.
     ///
     /// Source: the experiment's `none_taken_for_gone` and `none_stopped_taken_for_gone`.
-    fn takes_live_for_failed(&mut self, change: &ViewChange) -> bool {
-        let is_meant = |member: &&Member| {
+    fn record_false_detection(&mut self, change: &ViewChange) -> bool {
+        let is_reported = |member: &&Member| {
             member.name == Some(change.name) && member.incarnation <= change.incarnation
         };
         let live = self
             .members
             .values()
-            .filter(is_meant)
+            .filter(is_reported)
             .find(|member| member.is_active());
         let Some(member) = live else { return false };
         if member.is_paused {
@@ -275,9 +279,9 @@
             return true;
         }
         self.figures.false_failure_count += 1;
-        if self.violations.len() < MAX_DESCRIBED {
+        if self.violations.len() < MAX_DESCRIBED_VIOLATIONS {
             let description = format!(
-                "b{} took {} for {} at {:.3} s: it lived",
+                "b{} declared the live process {} {} at {:.3} s",
                 change.observer,
                 change.name,
                 state_label(change.state),
@@ -291,7 +295,8 @@
         true
     }
 
-    /// Records that an observer knows of the last departure of a member.
+    /// Records that an observer has detected the last departure of a member, and returns the
+    /// departure.
     fn record_detection(&mut self, change: &ViewChange) -> Option<&Departure> {
         let departure =
             self.departures.iter_mut().rev().find(|departure| {
@@ -305,7 +310,7 @@
     }
 }
 
-/// The name of a member's state in the text of a violation.
+/// Returns the name of a member's state as printed in the description of a violation.
 fn state_label(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "Present",
--- a/lab/src/checks/membership_figures.rs
+++ b/lab/src/checks/membership_figures.rs
@@ -1,56 +1,56 @@
-//! Figures of membership, and what an experiment expects of them.
+//! The figures of membership, and the expectations that an experiment has of them.
 
 use crate::experiment::Experiment;
 use serde::Serialize;
 
-/// How soon departures were detected, and false detections. The serialized names are those of
-/// `result.json`.
+/// The times until departures were detected, and the counts of false detections. Times are in
+/// seconds, and 0 if no departure was detected. The serialized names are those of `result.json`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct MembershipFigures {
-    /// Processes that were killed.
+    /// Number of processes that were killed or have crashed.
     #[serde(rename = "kills")]
     pub kill_count: usize,
-    /// Processes that were shut down gracefully.
+    /// Number of processes that were shut down gracefully.
     #[serde(rename = "leaves")]
     pub leave_count: usize,
-    /// Seconds until 99% of the survivors knew of a kill: the median over all kills.
+    /// Median time from a kill until 99% of the surviving members had detected it.
     #[serde(rename = "known_p50_s")]
     pub detection_p50_s: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the time from a kill until 99% of the surviving members had detected it.
     #[serde(rename = "known_p99_s")]
     pub detection_p99_s: f64,
-    /// The longest.
+    /// Longest time from a kill until 99% of the surviving members had detected it.
     #[serde(rename = "known_worst_s")]
     pub detection_max_s: f64,
-    /// The longest after a graceful shutdown.
+    /// Longest time from a graceful shutdown until 99% of the surviving members had detected it.
     #[serde(rename = "left_worst_s")]
     pub leave_detection_max_s: f64,
-    /// Departures that fewer than 99% ever knew of.
+    /// Number of departures that fewer than 99% of the surviving members ever detected.
     #[serde(rename = "unknown")]
     pub undetected_count: usize,
-    /// How often a process considered a live one failed.
+    /// Number of times that a process declared a live one left or dead.
     #[serde(rename = "false_gone")]
     pub false_failure_count: usize,
-    /// How often a process considered a paused one failed.
+    /// Number of times that a process declared a paused one left or dead.
     #[serde(rename = "false_gone_held")]
     pub paused_failure_count: usize,
-    /// How often one that had been shut down gracefully was considered failed.
+    /// Number of times that a process declared one dead that had been shut down gracefully.
     #[serde(rename = "left_as_gone")]
     pub leave_as_failure_count: usize,
-    /// How often a process suspected another one.
+    /// Number of times that a process suspected another one.
     #[serde(rename = "suspected")]
     pub suspicion_count: usize,
-    /// When all views became equal for the last time, in seconds; `None`: they are not.
+    /// Time in seconds since which all views have been equal; `None` if they differ at the end.
     #[serde(rename = "equal_since_s")]
     pub converged_since_s: Option<f64>,
-    /// Views that are not equal to the most common one, at the end.
+    /// Number of views that differ from the most common one at the end.
     #[serde(rename = "unequal")]
     pub divergent_view_count: usize,
-    /// Descriptions of some of the differences.
+    /// Descriptions of differences between views at the end, limited in number.
     pub differences: Vec<String>,
 }
 
-/// The expectations of an experiment that were missed, as text.
+/// Returns a text for each expectation of the experiment that was missed.
 pub fn missed_expectations(experiment: &Experiment, figures: &MembershipFigures) -> Vec<String> {
     [
         missed_detection(experiment, figures),
@@ -63,19 +63,20 @@
     .collect()
 }
 
-/// `known_s`: seconds within which 99% of the other balancers know that one was killed.
+/// Checks `known_s`: the seconds within which 99% of the other balancers detect a kill.
 fn missed_detection(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
     let within = experiment.expect.detected_within_s?;
     let is_missed = figures.detection_max_s > within || figures.undetected_count > 0;
     is_missed.then(|| {
         format!(
-            "kills were known to 99% within {:.1} s of {within} expected, {} never",
+            "99% of the members detected the kills within {:.1} s, expected {within} s; {} departures \
+             were not detected",
             figures.detection_max_s, figures.undetected_count
         )
     })
 }
 
-/// `equal_s`: seconds after the last fault within which all views are equal.
+/// Checks `equal_s`: the seconds after the last fault within which all views are equal.
 fn missed_convergence(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
     let within = experiment.expect.converged_within_s?;
     let ends = experiment
@@ -86,26 +87,26 @@
     match figures.converged_since_s {
         Some(since) if since <= last + within => None,
         Some(since) => Some(format!(
-            "views were equal {:.1} s after the last fault",
+            "views were equal {:.1} s after the last fault, expected {within} s",
             since - last
         )),
         None => Some(format!(
-            "{} views are not like the others",
+            "{} views differ from the most common view at the end",
             figures.divergent_view_count
         )),
     }
 }
 
-/// `none_taken_for_gone`: no live process is considered failed.
+/// Checks `none_taken_for_gone`: no live process is declared left or dead.
 fn missed_false_failures(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
     let count = figures.false_failure_count;
     (experiment.expect.no_false_failures && count > 0)
-        .then(|| format!("living ones were taken for gone {count} times"))
+        .then(|| format!("live processes were declared left or dead {count} times, expected 0"))
 }
 
-/// `none_stopped_taken_for_gone`: no paused process is considered failed.
+/// Checks `none_stopped_taken_for_gone`: no paused process is declared left or dead.
 fn missed_paused_failures(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
     let count = figures.paused_failure_count;
     (experiment.expect.no_paused_failures && count > 0)
-        .then(|| format!("stopped ones were taken for gone {count} times"))
+        .then(|| format!("paused processes were declared left or dead {count} times, expected 0"))
 }
--- a/lab/src/checks/membership_report.rs
+++ b/lab/src/checks/membership_report.rs
@@ -1,36 +1,37 @@
-//! What a membership checker knows at the end of a history.
+//! The report of a membership checker at the end of a history.
 
 use super::membership_checks::{Departure, MembershipChecker, MembershipViolation, seconds};
 use super::membership_figures::MembershipFigures;
 use frostkeel_membership::Name;
 use std::collections::BTreeSet;
 
-/// Share of the other members that have to know before a departure counts as detected.
-const DETECTED_BY_SHARE: f64 = 0.99;
-/// Differences that are described.
-const MAX_DESCRIBED: usize = 20;
+/// The fraction of the surviving members that must know of a departure before it counts as
+/// detected.
+const DETECTED_BY_FRACTION: f64 = 0.99;
+/// The maximum number of differences between views that are described.
+const MAX_DESCRIBED_DIFFERENCES: usize = 20;
 
-/// What is known at the end of a history.
+/// The figures and violations of membership in a complete history.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipReport {
-    /// The figures.
+    /// Times until departures were detected, and counts of false detections.
     pub figures: MembershipFigures,
-    /// The violations, in the order of time.
+    /// Violations in the order of time; false detections are described only up to a limit.
     pub violations: Vec<MembershipViolation>,
 }
 
 /// Whether and when a departure was detected.
 enum Detection {
-    /// 99% of the survivors knew after so many seconds.
+    /// 99% of the surviving members had detected the departure `after_s` seconds after it.
     Known { after_s: f64 },
-    /// There is no survivor that could know.
+    /// No member survived that could detect the departure.
     NoWitness,
-    /// Fewer than 99% of the survivors ever knew.
+    /// Fewer than 99% of the surviving members ever detected the departure.
     Unknown,
 }
 
 impl MembershipChecker {
-    /// The figures and the violations.
+    /// Computes the figures, and returns them with the violations.
     pub fn finish(mut self) -> MembershipReport {
         let mut figures = std::mem::take(&mut self.figures);
         let mut kill_times_s = Vec::new();
@@ -76,8 +77,8 @@
         }
     }
 
-    /// When 99% of the survivors knew of a departure; processes that depart themselves need not
-    /// know.
+    /// Returns when 99% of the surviving members had detected a departure. Members that depart
+    /// later or at the same time need not detect it.
     fn detection(&self, departure: &Departure) -> Detection {
         let departs_later = |number: u32| {
             self.departures
@@ -95,7 +96,7 @@
             .filter_map(|number| departure.known_at_us.get(number).copied())
             .collect();
         known.sort_unstable();
-        let needed = (DETECTED_BY_SHARE * survivors.len() as f64).ceil() as usize;
+        let needed = (DETECTED_BY_FRACTION * survivors.len() as f64).ceil() as usize;
         match known.get(needed.saturating_sub(1)) {
             Some(at_us) => Detection::Known {
                 after_s: seconds(at_us - departure.at_us),
@@ -105,14 +106,14 @@
         }
     }
 
-    /// Descriptions of how views differ from the one with the most common digest.
+    /// Describes how views differ from a view with the most common digest.
     fn differences(&self, most_common: u64) -> Vec<String> {
         let live = || {
             self.views
                 .iter()
                 .filter(|(number, _)| self.is_active(**number))
         };
-        let Some((_, usual)) = live().find(|(_, view)| view.digest == most_common) else {
+        let Some((_, reference)) = live().find(|(_, view)| view.digest == most_common) else {
             return Vec::new();
         };
         let mut found = Vec::new();
@@ -120,19 +121,19 @@
             let names: BTreeSet<Name> = view
                 .members
                 .keys()
-                .chain(usual.members.keys())
+                .chain(reference.members.keys())
                 .copied()
                 .collect();
             for name in names {
-                let (has, most_have) = (view.members.get(&name), usual.members.get(&name));
+                let (has, most_have) = (view.members.get(&name), reference.members.get(&name));
                 if has != most_have {
                     found.push(format!(
-                        "b{number} has {name} as {has:?}, most have {most_have:?}"
+                        "b{number} has {name} at incarnation {has:?}, most have {most_have:?}"
                     ));
                 }
             }
         }
-        found.truncate(MAX_DESCRIBED);
+        found.truncate(MAX_DESCRIBED_DIFFERENCES);
         found
     }
 }
