--- a/lab/src/measurements/figures.rs
+++ b/lab/src/measurements/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a run, computed over its complete history.
+//! The figures of a run, computed from its complete history.
 
 use super::{LatencyHistogram, latency_histogram, quantile_ms};
 use crate::experiment::{Class, Experiment};
@@ -8,85 +8,90 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// Microseconds of a second.
+/// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
-/// Seconds excluded at the start: balancers have no estimates of their upstreams yet.
-const WARM_UP_S: usize = 3;
+/// Seconds at the start of a run that are excluded, because the balancers have no estimates of
+/// their upstreams yet.
+const EXCLUDED_START_S: usize = 3;
 
-/// The outcomes of the requests of one class, or of one second, or of all; a request counts once
-/// with all its attempts. The serialized names are those of `result.json`.
+/// Counts of requests by outcome. A request counts once, together with all its attempts. The
+/// serialized names are those of `result.json`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RequestCounts {
-    /// Requests.
+    /// Number of requests that were due.
     #[serde(rename = "asked")]
     pub requested: u32,
-    /// Served within the latency objective, counted from the first attempt.
+    /// Requests served within the latency objective of their class, from the time when they were
+    /// due.
     pub in_time: u32,
-    /// Served later.
+    /// Requests served later than the latency objective.
     pub late: u32,
-    /// Ended rejected.
+    /// Requests whose last outcome was a rejection.
     #[serde(rename = "refused")]
     pub rejected: u32,
-    /// Ended failed, or without a response.
+    /// Requests that failed, or that ended without a response.
     pub failed: u32,
 }
 
-/// The outcomes of the requests of a class.
+/// Counts of the requests of a class by outcome.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassCounts {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// Its counts.
+    /// Counts over the complete run.
     #[serde(flatten)]
     pub counts: RequestCounts,
 }
 
-/// The figures of one second.
+/// The figures of one second of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SecondFigures {
-    /// By the second of the first attempt.
+    /// Counts of the requests that were due in this second, by outcome.
     #[serde(flatten)]
     pub counts: RequestCounts,
-    /// Median latency of what was served, by the second of the response, in ms.
+    /// Median latency in ms of the served requests whose response arrived in this second.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the latency in ms of the same requests.
     pub p99_ms: f64,
-    /// Mean utilization of the upstreams.
+    /// Mean utilization of the upstreams, over all load samples of this second.
     #[serde(rename = "util")]
     pub utilization: f64,
 }
 
-/// The figures of a run.
+/// The figures of a complete run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Figures {
-    /// Weight served within the latency objective, as a share of the weight requested.
+    /// Fraction of the requests that were served within their latency objective, with each request
+    /// weighted by the priority weight of its class.
     #[serde(rename = "served")]
     pub served_share: f64,
-    /// The same of the worst-served class.
+    /// Fraction of the requests served within the latency objective, in the class in which it is
+    /// lowest.
     #[serde(rename = "worst_class")]
     pub worst_class_share: f64,
-    /// Client attempts for each request.
+    /// Mean number of client attempts for each request.
     #[serde(rename = "tries")]
     pub client_attempts: f64,
-    /// Attempts that reached an upstream, for each request.
+    /// Mean number of attempts that reached an upstream, for each request.
     #[serde(rename = "attempts")]
     pub upstream_attempts: f64,
-    /// Median latency of what was served, from the first attempt to the response, in ms.
+    /// Median latency in ms of served requests, from the time when they were due to the response.
     pub p50_ms: f64,
-    /// The 90th percentile.
+    /// 90th percentile of the latency in ms of served requests.
     pub p90_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the latency in ms of served requests.
     pub p99_ms: f64,
-    /// The most calls to the discovery service that one balancer made within a second.
+    /// Maximum number of connections that one balancer opened to the discovery service within a
+    /// second.
     #[serde(rename = "calls_most")]
     pub max_discovery_calls: usize,
-    /// By class.
+    /// Counts of requests, by class in the order of the experiment.
     pub classes: Vec<ClassCounts>,
-    /// By second.
+    /// Figures of each second of the run, in order.
     pub seconds: Vec<SecondFigures>,
 }
 
-/// Computes the figures of a history.
+/// Computes the figures of a run from its history.
 pub fn figures(experiment: &Experiment, events: &[Event]) -> Figures {
     let requests = Requests::collect(events);
     let length_s = experiment.length.as_secs_f64().ceil() as usize;
@@ -117,17 +122,18 @@
     }
 }
 
-/// The outcome of one request.
+/// A client's request, and its outcome over all its attempts.
 struct Request {
     due_us: u64,
     class: usize,
-    /// When it was served, if it was.
+    /// Time of the first successful response; `None` if there is none.
     served_us: Option<u64>,
-    /// Whether its last response rejected it.
+    /// Whether the last response was a rejection. A later attempt without a connection leaves this
+    /// unchanged; one that ended without a response for another reason clears it.
     is_rejected: bool,
 }
 
-/// The requests of a history, with the attempts for all of them.
+/// The requests of a history, and the number of attempts for all of them.
 #[derive(Default)]
 struct Requests {
     by_number: HashMap<u64, Request>,
@@ -182,12 +188,12 @@
     }
 }
 
-/// Outcomes of requests as they are added up.
+/// Counts and latencies, to which requests are added one by one.
 struct Outcomes {
     classes: Vec<ClassCounts>,
     seconds: Vec<SecondFigures>,
     latencies: LatencyHistogram,
-    /// By the second of the response.
+    /// Latencies by the second of the response.
     latencies_by_second: Vec<LatencyHistogram>,
 }
 
@@ -231,7 +237,8 @@
     }
 }
 
-/// Weight served within the latency objective, as a share of the weight requested.
+/// Returns the fraction of the requests served within their latency objective, with each request
+/// weighted by the priority weight of its class.
 fn weighted_share(classes: &[Class], counts: &[ClassCounts]) -> f64 {
     let sum = |count: fn(&RequestCounts) -> u32| -> f64 {
         let weighted = |(class, counted): (&Class, &ClassCounts)| {
@@ -242,7 +249,8 @@
     sum(|counts| counts.in_time) / sum(|counts| counts.requested).max(1e-9)
 }
 
-/// The least share of the requests of a class that were served within the latency objective.
+/// Returns the lowest fraction, over the classes that have requests, of requests served within the
+/// latency objective.
 fn worst_class_share(classes: &[ClassCounts]) -> f64 {
     let share =
         |counts: &RequestCounts| f64::from(counts.in_time) / f64::from(counts.requested.max(1));
@@ -253,7 +261,8 @@
         .fold(1.0, f64::min)
 }
 
-/// The most calls to the discovery service that one balancer made within a second.
+/// Returns the maximum number of connections that one balancer opened to the discovery service
+/// within any period of one second.
 fn max_discovery_calls(events: &[Event]) -> usize {
     let mut calls: HashMap<u32, Vec<u64>> = HashMap::new();
     for event in events {
@@ -261,23 +270,23 @@
             calls.entry(balancer).or_default().push(event.at_us);
         }
     }
-    let within_a_second = |times: &[u64]| match times.first() {
+    let calls_in_first_second = |times: &[u64]| match times.first() {
         Some(first) => times
             .iter()
             .take_while(|at_us| **at_us < first + SECOND_US)
             .count(),
         None => 0,
     };
-    let most = |times: &Vec<u64>| {
+    let max_within_a_second = |times: &Vec<u64>| {
         (0..times.len())
-            .map(|start| within_a_second(&times[start..]))
+            .map(|start| calls_in_first_second(&times[start..]))
             .max()
             .unwrap_or(0)
     };
-    calls.values().map(most).max().unwrap_or(0)
+    calls.values().map(max_within_a_second).max().unwrap_or(0)
 }
 
-/// The mean of the samples of utilization within each second.
+/// Sets the utilization of each second to the mean of the load samples in it.
 fn add_utilization(events: &[Event], seconds: &mut [SecondFigures]) {
     let mut sample_counts = vec![0u32; seconds.len()];
     for event in events {
@@ -294,17 +303,18 @@
     }
 }
 
-/// Shares of the requests that were served within the latency objective.
+/// Fractions of the requests that were served within their latency objective, around the faults.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Recovery {
-    /// Before the first fault.
+    /// Fraction before the first fault.
     pub before: f64,
-    /// From some time after the end of the last fault on.
+    /// Fraction from a given time after the end of the last fault on.
     pub after: f64,
 }
 
-/// What was served before the first fault, and from so many seconds after the end of the last one
-/// on; `None` where either time has no request.
+/// Returns the fractions of the requests that were served within their latency objective before the
+/// first fault, and from `after_s` seconds after the end of the last fault on. Returns `None` if
+/// the experiment has no fault, or if either period has no request.
 pub fn recovery(experiment: &Experiment, figures: &Figures, after_s: f64) -> Option<Recovery> {
     let faults = &experiment.faults;
     let first_start = faults.iter().map(|fault| fault.start).min()?.as_secs_f64() as usize;
@@ -315,7 +325,7 @@
         .as_secs_f64();
     let before = figures
         .seconds
-        .get(WARM_UP_S.min(first_start)..first_start)?;
+        .get(EXCLUDED_START_S.min(first_start)..first_start)?;
     let after = figures
         .seconds
         .get((last_end + after_s).ceil() as usize..)?;
--- a/lab/src/measurements/mod.rs
+++ b/lab/src/measurements/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements: latencies, the use of processor and memory, and the figures of a complete run.
+//! Measurements: latencies, the processor time and memory of processes, and the figures of a run.
 
 pub mod figures;
 mod latencies;
--- a/lab/src/measurements/process_usage.rs
+++ b/lab/src/measurements/process_usage.rs
@@ -1,11 +1,12 @@
-//! The resource usage of processes, as the kernel reports it under `/proc`.
+//! The processor time and memory of processes, as the kernel reports them under `/proc`.
 
-/// Clock ticks of the kernel in a second.
+/// Clock ticks per second, the unit of processor times in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
-/// Fields between the name of a process and its user time.
+/// The number of fields between the name of a process and its user time in `stat`.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 
-/// Processor time by the text of a process's `stat`, in seconds: its user and its system time.
+/// Returns the processor time of a process, user and system, in seconds, from the text of its
+/// `/proc/<pid>/stat`.
 pub fn processor_seconds(stat: &str) -> f64 {
     // The name is in parentheses and may contain any character.
     let fields = stat
@@ -21,7 +22,8 @@
     ticks as f64 / TICKS_PER_S
 }
 
-/// Resident memory by the text of a process's `status`, in KB.
+/// Returns the resident memory of a process in KB, from the text of its `/proc/<pid>/status`.
+/// Returns `None` if the text has no valid `VmRSS` line.
 pub fn resident_memory_kb(status: &str) -> Option<u64> {
     let value = status
         .lines()
