--- a/lab/src/reports/html.rs
+++ b/lab/src/reports/html.rs
@@ -1,4 +1,4 @@
-//! The HTML page of a report.
+//! The HTML page of a run's report.
 
 use super::plot::{BLUE, FaultBand, GREY, ORANGE, Plot, RED, Series};
 use crate::history::{Event, EventKind};
@@ -7,8 +7,8 @@
 use plotters::style::RGBColor;
 use std::fmt::Write as _;
 
-/// Violations that the page describes.
-const MAX_VIOLATIONS: usize = 50;
+/// The maximum number of violations that the page describes.
+const MAX_DESCRIBED_VIOLATIONS: usize = 50;
 /// The head of the page, with its styles.
 const HEAD: &str = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\">\
     <title>frostkeel lab</title>\
@@ -16,13 +16,13 @@
     table{border-collapse:collapse}td,th{padding:2px 12px 2px 0;text-align:right}\
     td:first-child,th:first-child{text-align:left}.bad{color:#b00020}.good{color:#1b6e3c}</style>";
 
-/// The page.
+/// Returns the HTML page of a run.
 pub(super) fn page(outcome: &RunOutcome) -> String {
     let faults: Vec<FaultBand<'_>> = outcome.events.iter().filter_map(fault_band).collect();
     let mut page = String::from(HEAD);
     page.push_str(&summary(outcome));
     page.push_str(&violations(outcome));
-    page.push_str(&served(outcome));
+    page.push_str(&service_summary(outcome));
     page.push_str(&class_table(outcome));
     page.push_str(&plots(outcome, &faults));
     page.push_str(&fault_list(&faults));
@@ -38,7 +38,7 @@
 
 fn summary(outcome: &RunOutcome) -> String {
     let interrupted = if outcome.is_interrupted {
-        ", ended before its time"
+        ", interrupted before its end"
     } else {
         ""
     };
@@ -53,21 +53,18 @@
 fn violations(outcome: &RunOutcome) -> String {
     let mut text = match &outcome.void_reason {
         Some(reason) => {
-            format!(
-                "<p class=bad>This play counts for nothing: {}.</p>",
-                escape(reason)
-            )
+            format!("<p class=bad>This run is void: {}.</p>", escape(reason))
         }
-        None if outcome.violations.is_empty() => "<p class=good>All rules kept.</p>".into(),
+        None if outcome.violations.is_empty() => "<p class=good>No rule was violated.</p>".into(),
         None => format!(
-            "<p class=bad>{} breaches of the rules.</p>",
+            "<p class=bad>{} violations of rules.</p>",
             outcome.violations.len()
         ),
     };
     text.push_str("<ul>");
-    for violation in outcome.violations.iter().take(MAX_VIOLATIONS) {
+    for violation in outcome.violations.iter().take(MAX_DESCRIBED_VIOLATIONS) {
         let description = escape(&violation.description);
-        // Writing to a string cannot fail, here and below.
+        // Writing to a string cannot fail, here and in the rest of this file.
         let _ = write!(text, "<li class=bad>{}: {description}</li>", violation.rule);
     }
     for missed in &outcome.missed_expectations {
@@ -77,12 +74,12 @@
     text
 }
 
-fn served(outcome: &RunOutcome) -> String {
+fn service_summary(outcome: &RunOutcome) -> String {
     let figures = &outcome.figures;
     format!(
-        "<p>Served {:.1}% of the worth in time; answers take {:.0} ms (median), {:.0} ms (99th \
-         percentile); {:.2} tries and {:.2} attempts a request. A balancer took {:.1} MB at \
-         most.</p>",
+        "<p>{:.1}% of the requests, by priority weight, were served within their latency objective; \
+         latency {:.0} ms (median), {:.0} ms (99th percentile); {:.2} client attempts and {:.2} \
+         upstream attempts per request. A balancer used at most {:.1} MB of memory.</p>",
         figures.served_share * 100.0,
         figures.p50_ms,
         figures.p99_ms,
@@ -93,8 +90,9 @@
 }
 
 fn class_table(outcome: &RunOutcome) -> String {
-    let mut table =
-        String::from("<table><tr><th>class<th>asked<th>in time<th>late<th>refused<th>failed</tr>");
+    let mut table = String::from(
+        "<table><tr><th>class<th>requested<th>in time<th>late<th>rejected<th>failed</tr>",
+    );
     for class in &outcome.figures.classes {
         let counts = &class.counts;
         let _ = write!(
@@ -112,8 +110,8 @@
     table
 }
 
-/// A line over the seconds of a run.
-fn over_time<'a>(
+/// Returns a line with one point for each second of a run.
+fn series_by_second<'a>(
     name: &'a str,
     color: RGBColor,
     seconds: &[SecondFigures],
@@ -132,11 +130,13 @@
 
 fn plots(outcome: &RunOutcome, faults: &[FaultBand<'_>]) -> String {
     let seconds = &outcome.figures.seconds;
-    let line = |name, color, value| over_time(name, color, seconds, value);
+    let line = |name, color, value| series_by_second(name, color, seconds, value);
     let requests = [
-        line("asked", GREY, |second| f64::from(second.counts.requested)),
+        line("requested", GREY, |second| {
+            f64::from(second.counts.requested)
+        }),
         line("in time", BLUE, |second| f64::from(second.counts.in_time)),
-        line("refused", ORANGE, |second| {
+        line("rejected", ORANGE, |second| {
             f64::from(second.counts.rejected)
         }),
         line("late or failed", RED, |second| {
@@ -147,17 +147,22 @@
         line("median", BLUE, |second| second.p50_ms),
         line("99th percentile", RED, |second| second.p99_ms),
     ];
-    let utilization = [line("in use", BLUE, |second| second.utilization * 100.0)];
+    let utilization = [line("utilization", BLUE, |second| {
+        second.utilization * 100.0
+    })];
     let mut text = String::new();
     for (title, series) in [
-        ("Requests by the second of their first try", &requests[..]),
-        ("Time to the answer, ms", &latencies[..]),
-        ("Upstreams' cores in use, % (mean)", &utilization[..]),
+        (
+            "Requests by the second in which they were due",
+            &requests[..],
+        ),
+        ("Latency by the second of the response, ms", &latencies[..]),
+        ("Mean utilization of the upstreams, %", &utilization[..]),
     ] {
         let plot = Plot {
             series,
             faults,
-            right: outcome.seconds,
+            x_max: outcome.seconds,
             x_label: "s",
         };
         let _ = write!(
@@ -189,10 +194,10 @@
     else {
         return None;
     };
-    let start = event.at_us as f64 / 1e6;
+    let start_s = event.at_us as f64 / 1e6;
     Some(FaultBand {
-        start,
-        end: duration_s.map(|duration| start + duration),
+        start_s,
+        end_s: duration_s.map(|duration| start_s + duration),
         description,
     })
 }
@@ -203,7 +208,7 @@
         let _ = write!(
             list,
             "<li>{:.1} s: {}</li>",
-            fault.start,
+            fault.start_s,
             escape(fault.description)
         );
     }
@@ -214,8 +219,8 @@
 fn lab_overhead(outcome: &RunOutcome) -> String {
     let lab = &outcome.lab;
     format!(
-        "<p>The lab itself sent {:.1} ms late (median), {:.1} ms (99th percentile), {:.1} ms at \
-         most, and took {:.2} cores.</p></html>",
+        "<p>The lab sent requests {:.1} ms (median), {:.1} ms (99th percentile) and at most {:.1} ms \
+         late, and used {:.2} cores.</p></html>",
         lab.late_p50_ms, lab.late_p99_ms, lab.late_max_ms, lab.cores
     )
 }
--- a/lab/src/reports/mod.rs
+++ b/lab/src/reports/mod.rs
@@ -11,7 +11,8 @@
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
-/// Writes all three into a folder; returns the page's path.
+/// Writes `events.jsonl`, `result.json` and `report.html` into a folder, and returns the path of
+/// the HTML page.
 pub fn write_report(outcome: &RunOutcome, dir: &Path) -> io::Result<PathBuf> {
     let mut lines = BufWriter::new(File::create(dir.join("events.jsonl"))?);
     for event in &outcome.events {
--- a/lab/src/reports/size_plot.rs
+++ b/lab/src/reports/size_plot.rs
@@ -1,11 +1,11 @@
-//! A plot over the sizes of simulated fleets.
+//! A plot of the figures of simulated fleets by fleet size.
 
 use super::plot::{BLUE, GREY, ORANGE, Plot, RED, Series};
 use crate::runs::simulation::SimulationOutcome;
 use plotters::style::RGBColor;
 
-/// How soon departures are detected, and what each member sends, over the sizes of simulated
-/// fleets.
+/// Plots the time until departures are detected, and the traffic that each member sends, by the
+/// size of the simulated fleet. Returns the plot as SVG.
 pub fn size_plot(outcomes: &[SimulationOutcome]) -> String {
     let size = |outcome: &SimulationOutcome| f64::from(outcome.members).log10();
     let series = |name, color, value: fn(&SimulationOutcome) -> f64| Series {
@@ -17,25 +17,27 @@
             .collect(),
     };
     let series = [
-        series("known to 99%, s, median", BLUE, |outcome| {
+        series("detection by 99% of members, s (median)", BLUE, |outcome| {
             outcome.figures.detection_p50_s
         }),
-        series("known to 99%, s, 99th percentile", RED, |outcome| {
-            outcome.figures.detection_p99_s
-        }),
-        series("datagrams a second", GREY, |outcome| {
+        series(
+            "detection by 99% of members, s (99th percentile)",
+            RED,
+            |outcome| outcome.figures.detection_p99_s,
+        ),
+        series("datagrams per second and member", GREY, |outcome| {
             outcome.datagrams_per_s
         }),
-        series("KB a second", ORANGE, |outcome| {
+        series("KB per second and member", ORANGE, |outcome| {
             outcome.bytes_per_s / 1000.0
         }),
     ];
-    let right = outcomes.iter().map(size).fold(1.0, f64::max);
+    let x_max = outcomes.iter().map(size).fold(1.0, f64::max);
     let plot = Plot {
         series: &series,
         faults: &[],
-        right,
-        x_label: "members, as a power of 10",
+        x_max,
+        x_label: "log10 of the number of members",
     };
     plot.svg().replace("</svg>", &(legend(&series) + "</svg>"))
 }
