--- a/lab/src/checks/membership_figures.rs
+++ b/lab/src/checks/membership_figures.rs
@@ -63,14 +63,15 @@
     .collect()
 }
 
-/// Checks `known_s`: the seconds within which 99% of the other balancers detect a kill.
+/// Checks `known_s`: the seconds within which 99% of the other balancers detect a kill. A departure
+/// that was not detected misses the expectation as well.
 fn missed_detection(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
     let within = experiment.expect.detected_within_s?;
     let is_missed = figures.detection_max_s > within || figures.undetected_count > 0;
     is_missed.then(|| {
         format!(
-            "99% of the members detected the kills within {:.1} s, expected {within} s; {} departures \
-             were not detected",
+            "99% of the members detected the kills within {:.1} s, expected {within} s; {} \
+             departures were not detected",
             figures.detection_max_s, figures.undetected_count
         )
     })
