--- a/lab/tests/balancer_rules.rs
+++ b/lab/tests/balancer_rules.rs
@@ -1,4 +1,5 @@
-//! The rules of a balancer, on histories that comply with them and histories that violate them.
+//! The rules for a balancer, applied to histories that comply with them and to histories that
+//! violate them.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -8,7 +9,7 @@
     AttemptFailure, ClientAttemptId, EndpointState, Event, EventKind, ProcessState, UpstreamReply,
 };
 
-/// Index of the class that must not run twice.
+/// Index of the class whose requests must not run twice.
 const AT_MOST_ONCE: u16 = 3;
 
 fn sent(id: ClientAttemptId, class: u16) -> EventKind {
@@ -57,8 +58,8 @@
     EventKind::BalancerState { balancer, state }
 }
 
-/// The rules that a history breaks; its times are milliseconds.
-fn broken_rules(events: Vec<(u64, EventKind)>) -> Vec<Rule> {
+/// Returns the rules that a history violates; the times of its events are in milliseconds.
+fn violated_rules(events: Vec<(u64, EventKind)>) -> Vec<Rule> {
     let text = "name = \"x\"\nseconds = 9.0\n[fleet]\nbalancers = 2\nupstreams = 4\n";
     let experiment = Experiment::parse(text).expect("a valid experiment");
     let events = events.into_iter().map(|(at_ms, kind)| Event {
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_history_that_keeps_the_rules_has_no_violation() {
+fn a_compliant_history_has_no_violation() {
     let events = vec![
         (0, sent(1, AT_MOST_ONCE)),
         (10, reached(1, 0)),
@@ -92,7 +93,7 @@
         (3000, sent(4, 0)),
         (3001, response(4, 503)),
     ];
-    assert_eq!(broken_rules(events), []);
+    assert_eq!(violated_rules(events), []);
 }
 
 #[test]
@@ -103,17 +104,17 @@
         (500, killed.clone()),
         (510, connection_closed(1)),
     ];
-    assert_eq!(broken_rules(in_flight), []);
+    assert_eq!(violated_rules(in_flight), []);
     let later = vec![
         (0, killed),
         (3000, sent(1, 0)),
         (3100, connection_closed(1)),
     ];
-    assert_eq!(broken_rules(later), [Rule::ExactlyOneResponse]);
+    assert_eq!(violated_rules(later), [Rule::ExactlyOneResponse]);
 }
 
 #[test]
-fn each_broken_rule_is_found() {
+fn each_violated_rule_is_reported() {
     let two_responses = vec![
         (0, sent(1, 0)),
         (5, response(1, 503)),
@@ -154,6 +155,6 @@
             vec![(7, balancer_state(0, ProcessState::Crashed))],
         ),
     ] {
-        assert_eq!(broken_rules(events), [rule], "{rule:?}");
+        assert_eq!(violated_rules(events), [rule], "{rule:?}");
     }
 }
