--- a/lab/tests/membership_checks.rs
+++ b/lab/tests/membership_checks.rs
@@ -1,4 +1,4 @@
-//! Membership checks, on hand-made histories of views.
+//! The checks of membership, applied to sequences of view changes that the tests construct.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -7,7 +7,7 @@
 use frostkeel_lab::history::{EventKind, ProcessState};
 use frostkeel_membership::{MemberState, Name};
 
-/// The incarnation of all members.
+/// The incarnation of every member.
 const INCARNATION: u64 = 5;
 
 fn view_change(observer: u32, member: u32, state: MemberState, version: u64) -> EventKind {
@@ -25,9 +25,9 @@
     EventKind::BalancerState { balancer, state }
 }
 
-/// Figures and the number of violations of three members that know each other from 1 s on, and of
-/// what a case adds, with its times in seconds.
-fn judge(then: Vec<(u64, EventKind)>) -> (MembershipFigures, usize) {
+/// Returns the figures and the number of violations for three members that know each other from 1 s
+/// on, followed by the events of a test case. The times of the events are in seconds.
+fn check_views(case_events: Vec<(u64, EventKind)>) -> (MembershipFigures, usize) {
     let mut checker = MembershipChecker::default();
     for observer in 0..3 {
         let members = [observer, (observer + 1) % 3, (observer + 2) % 3];
@@ -36,7 +36,8 @@
             checker.observe(1_000_000, &change);
         }
     }
-    then.into_iter()
+    case_events
+        .into_iter()
         .for_each(|(at_s, kind)| checker.observe(at_s * 1_000_000, &kind));
     let report = checker.finish();
     (report.figures, report.violations.len())
@@ -44,7 +45,7 @@
 
 #[test]
 fn a_kill_is_detected_once_all_survivors_know() {
-    let (figures, violations) = judge(vec![
+    let (figures, violations) = check_views(vec![
         (10, process_state(2, ProcessState::Killed)),
         (13, view_change(0, 2, MemberState::Dead, 4)),
         (15, view_change(1, 2, MemberState::Dead, 4)),
@@ -58,8 +59,8 @@
 }
 
 #[test]
-fn a_live_process_taken_for_failed_is_a_violation() {
-    let (figures, violations) = judge(vec![(10, view_change(0, 2, MemberState::Dead, 4))]);
+fn a_live_process_declared_dead_is_a_violation() {
+    let (figures, violations) = check_views(vec![(10, view_change(0, 2, MemberState::Dead, 4))]);
     assert_eq!((figures.false_failure_count, violations), (1, 1));
     assert_eq!(
         (figures.divergent_view_count, figures.converged_since_s),
@@ -68,8 +69,8 @@
 }
 
 #[test]
-fn a_paused_process_taken_for_failed_is_counted_apart() {
-    let (figures, _) = judge(vec![
+fn a_paused_process_declared_dead_is_counted_separately() {
+    let (figures, _) = check_views(vec![
         (9, process_state(2, ProcessState::Paused)),
         (10, view_change(0, 2, MemberState::Dead, 4)),
     ]);
@@ -81,13 +82,13 @@
 
 #[test]
 fn a_skipped_version_is_a_violation() {
-    let (figures, violations) = judge(vec![(10, view_change(0, 2, MemberState::Suspect, 6))]);
+    let (figures, violations) = check_views(vec![(10, view_change(0, 2, MemberState::Suspect, 6))]);
     assert_eq!((figures.suspicion_count, violations), (1, 1));
 }
 
 #[test]
 fn a_kill_that_a_survivor_never_knows_is_undetected() {
-    let (figures, _) = judge(vec![
+    let (figures, _) = check_views(vec![
         (10, process_state(2, ProcessState::Killed)),
         (13, view_change(0, 2, MemberState::Dead, 4)),
     ]);
@@ -95,8 +96,8 @@
 }
 
 #[test]
-fn a_graceful_leave_taken_for_a_failure_is_counted() {
-    let (figures, _) = judge(vec![
+fn a_process_declared_dead_after_a_graceful_leave_is_counted() {
+    let (figures, _) = check_views(vec![
         (10, process_state(2, ProcessState::ShutdownRequested)),
         (13, view_change(0, 2, MemberState::Dead, 4)),
     ]);
