--- a/lab/tests/watch_checks.rs
+++ b/lab/tests/watch_checks.rs
@@ -1,4 +1,4 @@
-//! The checks of a registry's watches must see what is wrong.
+//! The checks of a registry's watches, which must report each violation.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -7,7 +7,7 @@
     watchers_have_the_list,
 };
 
-/// A line of a watch with one upstream, whose weight is 7.
+/// Returns a line of a watch with one upstream, whose weight is 7.
 fn line(revision: u64, is_snapshot: bool, state: &str) -> String {
     let record =
         "\"uid\":\"u1\",\"endpoint\":\"\",\"az\":\"\",\"model\":\"\",\"pod_group\":0,\"boot_ms\":1";
@@ -17,22 +17,22 @@
     )
 }
 
-/// Lines that are unreadable or break a rule.
+/// Returns the number of lines that are unreadable or violate a rule.
 fn violation_count(lines: &[String]) -> usize {
     let mut watcher = Watcher::new(1);
-    let is_wrong = |line: &String| match watcher.apply_line(line.as_bytes()) {
+    let is_violation = |line: &String| match watcher.apply_line(line.as_bytes()) {
         Ok(applied) => applied.violation.is_some(),
         Err(_) => true,
     };
     lines
         .iter()
-        .map(is_wrong)
-        .filter(|is_wrong| *is_wrong)
+        .map(is_violation)
+        .filter(|is_violation| *is_violation)
         .count()
 }
 
 #[test]
-fn revision_that_goes_back_or_stands_still_is_a_violation() {
+fn revision_that_decreases_or_stays_equal_is_a_violation() {
     for (lines, expected) in [
         (
             vec![
@@ -52,16 +52,16 @@
 }
 
 #[test]
-fn watcher_has_the_list_that_it_was_notified_of() {
+fn watcher_applies_snapshots_and_removals() {
     let mut watcher = Watcher::new(1);
     watcher
         .apply_line(line(4, true, "Ready").as_bytes())
-        .expect("a line");
+        .expect("a readable line");
     let list = watcher.list();
     assert_eq!((list.revision, list.weights.get("u1")), (4, Some(&7)));
     watcher
         .apply_line(line(5, false, "Gone").as_bytes())
-        .expect("a line");
+        .expect("a readable line");
     let list = watcher.list();
     assert_eq!((list.revision, list.weights.len()), (5, 0));
 }
