--- a/lab/tests/figures.rs
+++ b/lab/tests/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of a run, computed from hand-made histories.
+//! The figures of a run, computed from histories that the tests construct.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn counts_a_request_once_from_its_first_attempt() {
+fn counts_a_request_once_with_all_its_attempts() {
     let text = "name = \"x\"\nseconds = 9.0\n[fleet]\nbalancers = 2\nupstreams = 4\n";
     let experiment = Experiment::parse(text).expect("a valid experiment");
     let events = [
@@ -64,7 +64,7 @@
     assert_eq!(counted, (2, 1, 1), "the latency objective is 1.2 s");
     let settle = &figures.classes[3].counts;
     let counted = (settle.requested, settle.rejected, settle.failed);
-    assert_eq!(counted, (3, 1, 2), "one found no balancer");
+    assert_eq!(counted, (3, 1, 2), "request 4 found no balancer");
     assert!(
         (figures.served_share - 1.0 / 32.0).abs() < 1e-9,
         "{}",
@@ -74,7 +74,7 @@
     assert_eq!(
         recovery(&experiment, &figures, 0.0),
         None,
-        "there is no fault"
+        "the experiment has no fault"
     );
     assert!((figures.client_attempts - 6.0 / 5.0).abs() < 1e-9);
 }
@@ -103,6 +103,6 @@
     assert_eq!(
         recovery(&experiment, &figures, 6.0),
         None,
-        "the run is over"
+        "the run ends before that time"
     );
 }
