--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Comparison with committed files.
+//! Comparison of computed texts with committed files.
 
 use std::path::Path;
 
-/// Compares a computed text with a committed one. Where they differ, the computed one is left in
-/// the temporary folder of the build.
+/// Asserts that a computed text is equal to a committed one. If they differ, the computed text is
+/// written to the temporary folder of the build before the panic.
 pub fn assert_matches_fixture(name: &str, actual: &str, committed: &str) {
     if actual != committed {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
--- a/lab/tests/load.rs
+++ b/lab/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load that is drawn for an experiment.
+//! The load of clients that is drawn for an experiment.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -24,7 +24,10 @@
     let experiment = experiment();
     let arrivals = draw_load(&experiment, 4);
     let count = arrivals.len() as f64;
-    assert!((count / 60.0 - 200.0).abs() < 10.0, "{count} in 60 s");
+    assert!(
+        (count / 60.0 - 200.0).abs() < 10.0,
+        "{count} requests in 60 s"
+    );
     assert!(arrivals.is_sorted_by(|a, b| a.at_s <= b.at_s));
     for (index, class) in experiment.classes.iter().enumerate() {
         let of_class = arrivals
--- a/lab/tests/load_digest.rs
+++ b/lab/tests/load_digest.rs
@@ -1,6 +1,6 @@
-//! The load of every committed experiment: arrivals, faults with their targets and the balancers'
-//! configurations, as digests that must not change. Times are compared to the microsecond, as `ln`
-//! may differ in the last bit between processors.
+//! The load of every committed experiment must not change. Digests cover its arrivals, its faults
+//! with their targets, and the balancers' configurations. Times are rounded to the microsecond,
+//! because the last bit of `ln` may differ between processors.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -17,14 +17,14 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Besides each experiment's own.
+/// The seed that is tested in addition to each experiment's own one.
 const OTHER_SEED: u64 = 97;
-/// The longest simulation.
-const MAX_SIMULATED: Duration = Duration::from_secs(60);
-/// The largest fleet that is simulated.
+/// The longest simulated time of an experiment; longer experiments are shortened.
+const MAX_SIMULATED_TIME: Duration = Duration::from_secs(60);
+/// The largest fleet, in balancers, that is simulated.
 const MAX_SIMULATED_BALANCERS: u32 = 40;
 
-/// FNV-1a, 64 bits.
+/// Returns the 64-bit FNV-1a hash of a text.
 fn digest(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -58,7 +58,7 @@
     files.into_iter().map(read).collect()
 }
 
-/// How many there are, and their digest.
+/// The number of arrivals or faults of an experiment, and a digest over all of them.
 struct Digest {
     count: usize,
     digest: u64,
@@ -89,10 +89,10 @@
             .unwrap_or_else(ResolvedTargets::default);
         let balancers = [targets.balancers, peers.balancers];
         let upstreams = [targets.upstreams, peers.upstreams];
-        let (description, lasts) = (occurrence.description(), occurrence.duration_s());
+        let (description, duration_s) = (occurrence.description(), occurrence.duration_s());
         writeln!(
             text,
-            "{at_us} {description} {lasts:?} {balancers:?} {upstreams:?}"
+            "{at_us} {description} {duration_s:?} {balancers:?} {upstreams:?}"
         )
         .expect("written");
     }
@@ -160,10 +160,10 @@
         {
             continue;
         }
-        experiment.length = experiment.length.min(MAX_SIMULATED);
+        experiment.length = experiment.length.min(MAX_SIMULATED_TIME);
         let outcome = simulate(&experiment, 3, false).expect("a simulation");
         let mut value = serde_json::to_value(&outcome).expect("a value");
-        // Which of two equally common views counts as the usual one is not defined.
+        // If two views are equally common, it is undefined which one the others are compared with.
         value["figures"]["differences"] = serde_json::Value::Null;
         writeln!(actual, "{name} {value}").expect("written");
     }
