--- a/lab/tests/simulation.rs
+++ b/lab/tests/simulation.rs
@@ -16,7 +16,8 @@
     (outcome, missed)
 }
 
-/// Simulated time: the bounds are those of the experiments, on any machine.
+/// Checks the expectations of the experiments. Time is simulated, so that the result does not
+/// depend on the machine.
 #[test]
 fn experiments_meet_their_expectations_in_simulated_time() {
     for (name, members) in [
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_seed_gives_one_history() {
+fn the_same_seed_gives_the_same_figures() {
     let (one, other) = (
         run("membership-kill", 8, 4).0,
         run("membership-kill", 8, 4).0,
--- a/lab/tests/upstream_model.rs
+++ b/lab/tests/upstream_model.rs
@@ -1,4 +1,4 @@
-//! The model of an upstream.
+//! The model of an upstream that the lab's upstream stand-ins use.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -7,13 +7,13 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-fn model(is_cold: bool) -> UpstreamModel {
+fn model(is_warming_up: bool) -> UpstreamModel {
     let settings = UpstreamSettings {
         speed: 1.0,
         congestion_queue_per_core: 2.0,
         ..UpstreamSettings::default()
     };
-    UpstreamModel::new(settings, ChaCha8Rng::seed_from_u64(1), 0.0, is_cold)
+    UpstreamModel::new(settings, ChaCha8Rng::seed_from_u64(1), 0.0, is_warming_up)
 }
 
 #[test]
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn reports_utilization_late() {
+fn utilization_is_reported_with_a_delay() {
     let mut model = model(false);
     for k in 0..20 {
         model
@@ -41,7 +41,7 @@
     assert_eq!(
         model.report(0.5).utilization,
         0.0,
-        "nothing is measured yet"
+        "load is measured for the first time at 0.7 s"
     );
     model.report(2.0);
     let utilization = model.report(2.3).utilization;
@@ -70,12 +70,12 @@
 
 #[test]
 fn overload_crashes_an_upstream_in_slow_start_only() {
-    for is_cold in [true, false] {
-        let mut model = model(is_cold);
+    for is_warming_up in [true, false] {
+        let mut model = model(is_warming_up);
         for k in 0..60 {
             let _ = model.accept(f64::from(k) * 0.02, 0.1, 0.0);
         }
-        assert_eq!(model.has_crashed(), is_cold);
-        assert_eq!(model.accept(1.3, 0.1, 0.0).is_err(), is_cold);
+        assert_eq!(model.has_crashed(), is_warming_up);
+        assert_eq!(model.accept(1.3, 0.1, 0.0).is_err(), is_warming_up);
     }
 }
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -1,4 +1,5 @@
-//! What a run writes: `events.jsonl`, `result.json` and the page, byte for byte as committed.
+//! The files that a run writes: `events.jsonl`, `result.json` and the HTML page must be identical
+//! to the committed ones.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -52,7 +53,7 @@
     AttemptFailure::TimedOut,
 ];
 
-/// One event of each kind that has no enumeration.
+/// Returns one event of each kind that has no enumeration; two faults, with and without a duration.
 fn plain_events() -> Vec<EventKind> {
     vec![
         EventKind::RequestDue {
@@ -94,7 +95,7 @@
     ]
 }
 
-/// Every kind of event, with every value of each of its enumerations.
+/// Returns events of every kind, with every value of each of its enumerations.
 fn events() -> Vec<Event> {
     let mut all = plain_events();
     all.extend(FAILURES.map(|failure| EventKind::AttemptFailed { id: 25, failure }));
