--- a/lab/src/checks/balancer_rules.rs
+++ b/lab/src/checks/balancer_rules.rs
@@ -65,8 +65,8 @@
 /// Checks that a client receives at least one final response to an attempt that a running balancer
 /// accepted.
 ///
-/// Requests that are in flight in a balancer when it is killed, or at the end of its shutdown, are
-/// lost and are no violation. The same applies when a fault resets the client's connection.
+/// Requests in flight in a balancer when it is killed, or at the end of its shutdown, may be lost, as
+/// may requests whose client connection a fault resets.
 ///
 /// Source: the platform's brief, "No run may break these rules".
 fn at_least_one_response(
