--- a/frostkeel/src/commands/agent.rs
+++ b/frostkeel/src/commands/agent.rs
@@ -16,49 +16,51 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// The wait before a failed request is sent again, at first and at most.
+/// The starting value of the backoff, which doubles with each failed request.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
+/// The maximum of the backoff before jitter is applied.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
-/// How long the command may take to end after SIGTERM; then it is killed.
+/// The time that the command has to end after SIGTERM. After it, the command is killed.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long the registry may take for the requests of a shutdown.
+/// The time that the registry has to respond to each of the requests that the agent sends before it ends.
 const SHUTDOWN_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Renewals in the time of a lease.
+/// The number of renewals within the duration of a lease.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Possible values of `--ttl-s` and of `--drain-s`.
+/// The range of `--ttl-s`, in seconds.
 const LEASE_RANGE_S: RangeInclusive<f64> = 1.0..=3600.0;
+/// The range of `--drain-s`, in seconds.
 const DRAIN_RANGE_S: RangeInclusive<f64> = 0.0..=3600.0;
 
-/// Runs a command and keeps it on the list: registered once it runs, renewed, drained at SIGTERM, gone when it ends.
+/// Arguments of `frostkeel agent`.
 #[derive(Args)]
 pub struct AgentArgs {
-    /// The list service's writing address.
-    #[arg(long)]
-    write: SocketAddr,
-    /// Who the upstream is; it lasts over restarts.
+    /// Address of the registry's interface for writes, e.g. 127.0.0.1:7100.
+    #[arg(long = "write", value_name = "ADDRESS")]
+    write_address: SocketAddr,
+    /// Identifier of the upstream, which must stay the same over restarts of the command, e.g. u2.
     #[arg(long)]
     uid: String,
-    /// Where it is reached.
-    #[arg(long)]
+    /// Address at which balancers reach the upstream, e.g. 10.0.0.1:80.
+    #[arg(long, value_name = "ADDRESS")]
     endpoint: SocketAddr,
-    /// Its zone.
-    #[arg(long, default_value = "")]
-    az: String,
-    /// Its kind.
+    /// Availability zone of the upstream, e.g. zone-a.
+    #[arg(long = "az", value_name = "ZONE", default_value = "")]
+    zone: String,
+    /// Model of the upstream's machine, e.g. m5.
     #[arg(long, default_value = "")]
     model: String,
-    /// Seconds of its lease; it is renewed after a third.
-    #[arg(long, default_value_t = 10.0)]
+    /// Duration of the upstream's lease in seconds, 1 to 3600; the agent renews it after a third of that time.
+    #[arg(long, value_name = "SECONDS", default_value_t = 10.0)]
     ttl_s: f64,
-    /// Seconds for which it finishes what it has before it is asked to end.
-    #[arg(long, default_value_t = 5.0)]
+    /// Seconds, 0 to 3600, that the draining upstream has to finish its requests before the command gets SIGTERM.
+    #[arg(long, value_name = "SECONDS", default_value_t = 5.0)]
     drain_s: f64,
-    /// The command, and its arguments.
+    /// Command to run, with its arguments.
     #[arg(last = true, required = true)]
     command: Vec<String>,
 }
 
-/// Runs the command until it ends or the agent receives a signal to end.
+/// Runs the command and keeps it registered, until the command ends or the agent receives a signal and ends it.
 pub fn run(args: AgentArgs) -> CommandResult {
     if !LEASE_RANGE_S.contains(&args.ttl_s) || !DRAIN_RANGE_S.contains(&args.drain_s) {
         return Err(CommandError::AgentTimes);
@@ -96,7 +98,7 @@
     })
 }
 
-/// The signals that ask the agent to end.
+/// Receives SIGTERM and SIGINT, the signals that ask the agent to end.
 struct ShutdownSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -120,23 +122,24 @@
     }
 }
 
-/// One incarnation of the upstream.
+/// An agent with one incarnation of its upstream.
 struct Agent {
     args: AgentArgs,
-    /// When it has started.
+    /// The start of the upstream's incarnation, in milliseconds of Unix time.
     boot_ms: u64,
 }
 
 /// The result of a registration or a renewal.
 enum RegistrationResult {
     Accepted,
-    /// The registry doesn't list the upstream.
+    /// The registry responded 404: the upstream is not on the endpoint list.
     NotListed,
-    /// Another incarnation has replaced it, or the registry will never list it.
+    /// The registry responded 400 or 409: the request is not valid, the address is in use, or this incarnation is
+    /// superseded.
     Rejected {
         message: String,
     },
-    /// The registry can't be reached, or can't respond now.
+    /// The request failed, or the registry responded with a status other than 200, 400, 404 and 409.
     Failed {
         reason: String,
     },
@@ -168,7 +171,7 @@
         format!("/upstreams/{}{action}", self.args.uid)
     }
 
-    /// Registers and renews the lease; returns only if the registry will never list this incarnation (again).
+    /// Registers the upstream and renews its lease. Returns only if the registry rejects the incarnation.
     async fn maintain_registration(&self) -> CommandError {
         let uid = &self.args.uid;
         let lease = Duration::from_secs_f64(self.args.ttl_s);
@@ -217,13 +220,13 @@
     async fn register(&self) -> Result<CompleteResponse, ClientError> {
         let body = json!({
             "endpoint": self.args.endpoint.to_string(),
-            "az": self.args.az,
+            "az": self.args.zone,
             "model": self.args.model,
             "boot_ms": self.boot_ms,
             "ttl_s": self.args.ttl_s,
         });
         call(
-            self.args.write,
+            self.args.write_address,
             Method::PUT,
             &self.target(""),
             body.to_string(),
@@ -234,7 +237,7 @@
     async fn renew(&self) -> Result<CompleteResponse, ClientError> {
         let target = self.target("/renew");
         call(
-            self.args.write,
+            self.args.write_address,
             Method::POST,
             &target,
             self.incarnation_body(),
@@ -242,16 +245,16 @@
         .await
     }
 
-    /// The body of requests that are for this incarnation only.
+    /// Returns the body of a request that the registry applies only to this incarnation.
     fn incarnation_body(&self) -> String {
         json!({ "boot_ms": self.boot_ms }).to_string()
     }
 
-    /// Takes the upstream off the list. If the registry can't be reached the lease ends by itself.
+    /// Removes the upstream from the endpoint list. If that fails, its lease still expires.
     async fn deregister(&self) {
         let target = self.target("");
         let request = call(
-            self.args.write,
+            self.args.write_address,
             Method::DELETE,
             &target,
             self.incarnation_body(),
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Drains the upstream, waits for its requests, and ends the command.
+    /// Drains the upstream, waits `--drain-s` for its requests, and ends the command if it is still running.
     async fn drain_and_terminate(&self, child: &mut Child) -> io::Result<ExitStatus> {
         self.drain().await;
         let drained_at = Instant::now() + Duration::from_secs_f64(self.args.drain_s);
@@ -278,7 +281,12 @@
 
     async fn drain(&self) {
         let target = self.target("/drain");
-        let request = call(self.args.write, Method::POST, &target, String::new());
+        let request = call(
+            self.args.write_address,
+            Method::POST,
+            &target,
+            String::new(),
+        );
         match timeout(SHUTDOWN_REQUEST_TIMEOUT, request).await {
             Ok(Ok(_)) => {}
             Ok(Err(error)) => tracing::warn!("{}: not drained: {error}", self.args.uid),
@@ -291,13 +299,14 @@
     (backoff * 2).min(MAX_BACKOFF)
 }
 
-/// The backoff times 0.5 to 1.5, drawn from the clock: the agents of one registry must not all retry together.
+/// Returns the backoff multiplied by a factor from 0.5 to 1.5, so that agents of the same registry retry at different
+/// times. The factor is derived from the clock.
 fn with_jitter(backoff: Duration, sent_at: Instant) -> Duration {
     let fraction = f64::from(sent_at.elapsed().subsec_nanos() % 1000) / 1000.0;
     backoff.mul_f64(0.5 + fraction)
 }
 
-/// Sends SIGTERM, and SIGKILL if that isn't heeded in time.
+/// Sends SIGTERM, and SIGKILL if the command has not ended after [`TERMINATION_TIMEOUT`].
 async fn terminate(child: &mut Child) -> io::Result<ExitStatus> {
     let pid = child
         .id()
