--- a/lab/src/measurements/figures.rs
+++ b/lab/src/measurements/figures.rs
@@ -71,7 +71,7 @@
     pub worst_class_share: f64,
     /// Mean number of client attempts for each request.
     #[serde(rename = "tries")]
-    pub client_attempts: f64,
+    pub client_attempts_per_request: f64,
     /// Mean number of attempts that reached an upstream, for each request.
     #[serde(rename = "attempts")]
     pub upstream_attempts: f64,
@@ -111,7 +111,7 @@
     Figures {
         served_share: weighted_share(&experiment.classes, &classes),
         worst_class_share: worst_class_share(&classes),
-        client_attempts: f64::from(requests.client_attempts) / requested,
+        client_attempts_per_request: f64::from(requests.client_attempts) / requested,
         upstream_attempts: f64::from(requests.upstream_attempts) / requested,
         p50_ms: quantile_ms(&outcomes.latencies, 0.5),
         p90_ms: quantile_ms(&outcomes.latencies, 0.9),
--- a/lab/src/reports/html.rs
+++ b/lab/src/reports/html.rs
@@ -83,7 +83,7 @@
         figures.served_share * 100.0,
         figures.p50_ms,
         figures.p99_ms,
-        figures.client_attempts,
+        figures.client_attempts_per_request,
         figures.upstream_attempts,
         outcome.max_memory_mb
     )
--- a/lab/tests/figures.rs
+++ b/lab/tests/figures.rs
@@ -76,7 +76,7 @@
         None,
         "the experiment has no fault"
     );
-    assert!((figures.client_attempts - 6.0 / 5.0).abs() < 1e-9);
+    assert!((figures.client_attempts_per_request - 6.0 / 5.0).abs() < 1e-9);
 }
 
 #[test]
