--- a/frostkeel/src/output/results.rs
+++ b/frostkeel/src/output/results.rs
@@ -42,7 +42,7 @@
         figures.served_share * 100.0,
         figures.p50_ms,
         figures.p99_ms,
-        figures.upstream_attempts,
+        figures.upstream_attempts_per_request,
         figures.max_discovery_calls
     );
     println!(
--- a/lab/src/measurements/figures.rs
+++ b/lab/src/measurements/figures.rs
@@ -74,7 +74,7 @@
     pub client_attempts_per_request: f64,
     /// Mean number of attempts that reached an upstream, for each request.
     #[serde(rename = "attempts")]
-    pub upstream_attempts: f64,
+    pub upstream_attempts_per_request: f64,
     /// Median latency in ms of served requests, from the time when they were due to the response.
     pub p50_ms: f64,
     /// 90th percentile of the latency in ms of served requests.
@@ -112,7 +112,7 @@
         served_share: weighted_share(&experiment.classes, &classes),
         worst_class_share: worst_class_share(&classes),
         client_attempts_per_request: f64::from(requests.client_attempts) / requested,
-        upstream_attempts: f64::from(requests.upstream_attempts) / requested,
+        upstream_attempts_per_request: f64::from(requests.upstream_attempts) / requested,
         p50_ms: quantile_ms(&outcomes.latencies, 0.5),
         p90_ms: quantile_ms(&outcomes.latencies, 0.9),
         p99_ms: quantile_ms(&outcomes.latencies, 0.99),
--- a/lab/src/reports/html.rs
+++ b/lab/src/reports/html.rs
@@ -84,7 +84,7 @@
         figures.p50_ms,
         figures.p99_ms,
         figures.client_attempts_per_request,
-        figures.upstream_attempts,
+        figures.upstream_attempts_per_request,
         outcome.max_memory_mb
     )
 }
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -191,7 +191,7 @@
         served_share: 0.75,
         worst_class_share: 0.5,
         client_attempts_per_request: 1.25,
-        upstream_attempts: 1.5,
+        upstream_attempts_per_request: 1.5,
         p50_ms: 100.5,
         p90_ms: 400.25,
         p99_ms: 900.125,
