--- a/lab/src/checks/balancer_rules.rs
+++ b/lab/src/checks/balancer_rules.rs
@@ -65,8 +65,8 @@
 /// Checks that a client receives at least one final response to an attempt that a running balancer
 /// accepted.
 ///
-/// Requests in flight in a balancer when it is killed, or at the end of its shutdown, may be lost, as
-/// may requests whose client connection a fault resets.
+/// Requests in flight in a balancer when it is killed, or at the end of its shutdown, may be lost.
+/// Requests whose client connection a fault resets may be lost as well.
 ///
 /// Source: the platform's brief, "No run may break these rules".
 fn at_least_one_response(
@@ -291,7 +291,8 @@
 
 /// Returns whether requests that a balancer had in flight between two times may be lost: the
 /// balancer ended or its clients' connections were reset in that period, or its shutdown was
-/// requested in that period or at most [`MAX_SHUTDOWN_US`] before it.
+/// requested in that period or at most [`MAX_SHUTDOWN_US`] before it. The ends of the period have a
+/// tolerance of [`RECORDING_TOLERANCE_US`].
 fn may_be_lost(events: &[Event], balancer: u32, from_us: u64, to_us: u64) -> bool {
     events.iter().any(|event| {
         let (affected, effect_us) = match event.kind {
--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -259,9 +259,9 @@
         self.figures.leave_as_failure_count += usize::from(is_graceful && is_failure);
     }
 
-    /// Counts a change that reports a live process as left or dead; returns whether the change
-    /// does. A report about an earlier incarnation of the process is correct. If the process is not
-    /// paused at the time, the change is also a violation.
+    /// Returns whether a change reports a live process as left or dead, and counts it if it does. A
+    /// report about an earlier incarnation of the process is correct. If the process is not paused
+    /// at the time, the change is also a violation.
     ///
     /// Source: the experiment's `none_taken_for_gone` and `none_stopped_taken_for_gone`.
     fn record_false_detection(&mut self, change: &ViewChange) -> bool {
--- a/lab/src/checks/membership_figures.rs
+++ b/lab/src/checks/membership_figures.rs
@@ -28,16 +28,16 @@
     /// Number of departures that fewer than 99% of the surviving members ever detected.
     #[serde(rename = "unknown")]
     pub undetected_count: usize,
-    /// Number of times that a process declared a live one left or dead.
+    /// Number of times that a process declared a live, running member left or dead.
     #[serde(rename = "false_gone")]
     pub false_failure_count: usize,
-    /// Number of times that a process declared a paused one left or dead.
+    /// Number of times that a process declared a paused member left or dead.
     #[serde(rename = "false_gone_held")]
     pub paused_failure_count: usize,
-    /// Number of times that a process declared one dead that had been shut down gracefully.
+    /// Number of times that a process declared a member dead that had been shut down gracefully.
     #[serde(rename = "left_as_gone")]
     pub leave_as_failure_count: usize,
-    /// Number of times that a process suspected another one.
+    /// Number of times that a process suspected a member.
     #[serde(rename = "suspected")]
     pub suspicion_count: usize,
     /// Time in seconds since which all views have been equal; `None` if they differ at the end.
--- a/lab/src/measurements/figures.rs
+++ b/lab/src/measurements/figures.rs
@@ -10,8 +10,8 @@
 
 /// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
-/// Seconds at the start of a run that are excluded, because the balancers have no estimates of
-/// their upstreams yet.
+/// Seconds at the start of a run that the service before the first fault is computed without,
+/// because the balancers have no estimates of their upstreams yet.
 const EXCLUDED_START_S: usize = 3;
 
 /// Counts of requests by outcome. A request counts once, together with all its attempts. The
@@ -51,7 +51,8 @@
     pub counts: RequestCounts,
     /// Median latency in ms of the served requests whose response arrived in this second.
     pub p50_ms: f64,
-    /// 99th percentile of the latency in ms of the same requests.
+    /// 99th percentile of the latency in ms of the served requests whose response arrived in this
+    /// second.
     pub p99_ms: f64,
     /// Mean utilization of the upstreams, over all load samples of this second.
     #[serde(rename = "util")]
@@ -87,7 +88,8 @@
     pub max_discovery_calls: usize,
     /// Counts of requests, by class in the order of the experiment.
     pub classes: Vec<ClassCounts>,
-    /// Figures of each second of the run, in order.
+    /// Figures of each second of the run, in order. The last second includes the requests that were
+    /// due later and the responses that arrived later.
     pub seconds: Vec<SecondFigures>,
 }
 
--- a/lab/src/reports/html.rs
+++ b/lab/src/reports/html.rs
@@ -77,9 +77,9 @@
 fn service_summary(outcome: &RunOutcome) -> String {
     let figures = &outcome.figures;
     format!(
-        "<p>{:.1}% of the requests, by priority weight, were served within their latency objective; \
-         latency {:.0} ms (median), {:.0} ms (99th percentile); {:.2} client attempts and {:.2} \
-         upstream attempts per request. A balancer used at most {:.1} MB of memory.</p>",
+        "<p>{:.1}% of the requests, by priority weight, were served within their latency \
+         objective; latency {:.0} ms (median), {:.0} ms (99th percentile); {:.2} client attempts \
+         and {:.2} upstream attempts per request. A balancer used at most {:.1} MB of memory.</p>",
         figures.served_share * 100.0,
         figures.p50_ms,
         figures.p99_ms,
@@ -219,8 +219,8 @@
 fn lab_overhead(outcome: &RunOutcome) -> String {
     let lab = &outcome.lab;
     format!(
-        "<p>The lab sent requests {:.1} ms (median), {:.1} ms (99th percentile) and at most {:.1} ms \
-         late, and used {:.2} cores.</p></html>",
+        "<p>The lab sent requests {:.1} ms (median), {:.1} ms (99th percentile) and at most {:.1} \
+         ms late, and used {:.2} cores.</p></html>",
         lab.late_p50_ms, lab.late_p99_ms, lab.late_max_ms, lab.cores
     )
 }
