--- a/frostkeel/src/commands/agent.rs
+++ b/frostkeel/src/commands/agent.rs
@@ -43,10 +43,16 @@
     /// Address at which balancers reach the upstream, e.g. 10.0.0.1:80.
     #[arg(long, value_name = "ADDRESS")]
     endpoint: SocketAddr,
-    /// Availability zone of the upstream, e.g. zone-a.
+    /// Availability zone of the upstream, e.g. zone-a, which is published on the endpoint list.
+    ///
+    /// Balancers can prefer upstreams of their own zone.
+    ///
+    /// A zone that is not in their settings, usually also the empty one, counts as another zone.
     #[arg(long = "az", value_name = "ZONE", default_value = "")]
     zone: String,
-    /// Model of the upstream's machine, e.g. m5.
+    /// Model of the upstream's machine, e.g. m5, which is published on the endpoint list; empty if not known.
+    ///
+    /// It is for information: the decisions of balancers do not depend on it.
     #[arg(long, default_value = "")]
     model: String,
     /// Duration of the upstream's lease in seconds, 1 to 3600; the agent renews it after a third of that time.
--- a/frostkeel/src/commands/lab/compare.rs
+++ b/frostkeel/src/commands/lab/compare.rs
@@ -13,7 +13,7 @@
 /// Arguments of `frostkeel lab compare`.
 #[derive(Args)]
 pub struct CompareArgs {
-    /// Path of the experiment file of the side `before`, in TOML.
+    /// Path of the experiment file of the side `before`, in TOML, with the keys that `lab run` needs.
     file: PathBuf,
     /// Path of the experiment file of the side `after` [default: the same file].
     #[arg(value_name = "OTHER_FILE")]
--- a/frostkeel/src/commands/lab/mod.rs
+++ b/frostkeel/src/commands/lab/mod.rs
@@ -21,13 +21,19 @@
 /// The balancer program, the output folder and the seed of a run.
 #[derive(Args)]
 pub struct RunArgs {
-    /// Path of the balancer program [default: frostkeel-balancer in the folder of this program].
+    /// Path of the balancer program, not used by `lab registry` [default: frostkeel-balancer in this program's folder].
     #[arg(long, value_name = "PROGRAM")]
     balancer: Option<PathBuf>,
     /// Folder for the results and the logs of the processes [default: frostkeel-NAME-PID in the temporary folder].
+    ///
+    /// NAME is the `name` of the experiment, or `registry` for `lab registry`, and PID this program's process ID.
+    ///
+    /// For `lab compare`, NAME is that of the side `before`, and each run has a folder of its own in this folder.
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
-    /// Seed of the random numbers, an integer [default: the seed of the experiment].
+    /// Seed of the random numbers, an integer [default: the seed of the experiment, or 1 for `lab registry`].
+    ///
+    /// For `lab compare`, it is the seed of the first run of each side, by default that of the side `before`.
     #[arg(long)]
     seed: Option<u64>,
 }
@@ -51,31 +57,53 @@
 /// A subcommand of `frostkeel lab`, with its arguments.
 #[derive(Subcommand)]
 pub enum LabCommand {
-    /// Run an experiment with balancer processes, check all its events against the rules, and write a report.
+    /// Run an experiment with balancer processes, check its events against built-in rules, and write a report.
+    ///
+    /// Rules: a balancer gives each request one final response, unless a fault ends the balancer or the connection.
+    ///
+    /// A balancer makes at most 3 attempts for a request. An at-most-once request is processed by one upstream at most.
+    ///
+    /// A successful response is from an upstream that served the request.
+    ///
+    /// No new request reaches an upstream over 1.15 s after the balancer was notified of its drain or removal.
+    ///
+    /// No upstream crashes under overload while warming up. No balancer crashes, exceeds its memory or survives SIGKILL.
+    ///
+    /// If the file has the table `[membership]`, and `none_taken_for_gone = true` in `[expect]`, there are two more rules:
+    ///
+    /// No balancer declares a running one dead or left. The version of a view increases by 1 with each change.
+    ///
+    /// Expectations are set in the table `[expect]`, e.g. `served = 0.9`: 90% of the priority weight is served in time.
     ///
     /// The command exits with 1 if a rule was violated, an expectation was missed, or the run is void.
     ///
     /// A run is void, so that its figures do not count, if the lab sent requests too late or dropped events.
     Run {
-        /// Path of the experiment file, in TOML.
+        /// Path of the experiment file, in TOML. It needs `name`, `seconds`, `fleet.balancers` and `fleet.upstreams`.
         file: PathBuf,
         #[command(flatten)]
         args: RunArgs,
     },
     /// Check that an experiment file is valid, without running the experiment.
     Check {
-        /// Path of the experiment file, in TOML.
+        /// Path of the experiment file, in TOML. It needs `name`, `seconds`, `fleet.balancers` and `fleet.upstreams`.
         file: PathBuf,
     },
     /// Simulate only the membership protocol of the balancers, with an experiment's faults, in simulated time.
     ///
     /// Columns: `dgrams` and `bytes` are the datagrams and bytes that each member sent per second.
     ///
-    /// `p50 s`, `p99 s`, `worst`: seconds until 99% of survivors detected a kill (median, 99th percentile, maximum).
+    /// A kill is detected when 99% of the surviving members know of it. The detection time is in seconds.
     ///
-    /// `false` and `held` count how often a member declared a running or a paused member dead.
+    /// `p50 s`, `p99 s` and `worst` are the median, 99th percentile and maximum of this time over all detected kills.
+    ///
+    /// `false` counts how often a member declared a running member dead or left, `held` how often a paused member.
     ///
     /// `equal s` is the second since which all views are equal, `unequal` the number of views that differ at the end.
+    ///
+    /// The command exits with 1 if a simulation missed one of these keys of the experiment's table `[expect]`:
+    ///
+    /// `known_s`, `equal_s`, `none_taken_for_gone` or `none_stopped_taken_for_gone`. Other keys are not checked.
     Simulate(simulate::SimulateArgs),
     /// Run watchers and writers on a registry process, optionally kill it, and check what the watchers receive.
     Registry(registry::RegistryRunArgs),
--- a/frostkeel/src/commands/lab/simulate.rs
+++ b/frostkeel/src/commands/lab/simulate.rs
@@ -17,10 +17,10 @@
 /// Arguments of `frostkeel lab simulate`.
 #[derive(Args)]
 pub struct SimulateArgs {
-    /// Path of the experiment file, in TOML.
+    /// Path of the experiment file, in TOML. It needs `name`, `seconds`, `fleet.balancers` and `fleet.upstreams`.
     file: PathBuf,
     /// Numbers of balancers to simulate, separated by commas, e.g. 10,100 [default: the experiment's number].
-    #[arg(long = "members", value_name = "COUNT", value_delimiter = ',')]
+    #[arg(long = "members", value_name = "COUNT,...", value_delimiter = ',')]
     member_counts: Vec<u32>,
     /// Seed of the first simulation of each size, an integer [default: the seed of the experiment].
     #[arg(long)]
--- a/frostkeel/src/commands/registry.rs
+++ b/frostkeel/src/commands/registry.rs
@@ -16,6 +16,8 @@
 #[command(args_conflicts_with_subcommands = true)]
 pub struct RegistryArgs {
     /// Path of the registry's configuration, in TOML; runs a registry with it until a signal ends it.
+    ///
+    /// Required keys: `fleet` and `name` (not empty), `read` and `write` (addresses to listen on), `folder` (for the data).
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
--- a/frostkeel/src/main.rs
+++ b/frostkeel/src/main.rs
@@ -45,18 +45,28 @@
 enum Command {
     /// Run the built-in 20-second experiment: 3 balancers and 10 upstreams, one killed and four replaced.
     ///
-    /// It shows its progress, writes a report, and checks the same rules as `frostkeel lab run`.
+    /// It shows its progress, writes a report, and checks the rules that `frostkeel lab run --help` lists.
+    ///
+    /// The command exits with 1 if a rule was violated or the run is void. The experiment sets no expectations.
     Demo(lab::RunArgs),
     /// Run experiments: start a fleet of balancers or a registry, inject faults, and check the results.
     #[command(subcommand)]
     Lab(lab::LabCommand),
     /// Show the members of a fleet of balancers, as one balancer sees them or with all views compared.
     ///
-    /// `standing` is the state of a member, and `for s` the time in seconds since it changed.
+    /// `standing` is the state of a member, and `for s` the time in seconds since it changed. The states are:
+    ///
+    /// `present`, `suspect` (did not respond), `left` (announced its leave), `gone` (ended unannounced or unreachable).
     ///
     /// `life` is a member's incarnation: the start of its process and, after the dot, its number of rejoins.
     ///
-    /// `from` is the balancer that reported the state. `there` is the number of members seen as present.
+    /// `from` is the balancer that reported the state, or `itself` if the balancer that has the view detected it.
+    ///
+    /// `there` is the number of members seen as present or suspect. `digest` is equal where those members are the same.
+    ///
+    /// `version` is the number of changes of the view since the balancer started.
+    ///
+    /// `phase` is `member`, `left`, or `yielded`: a later process has claimed the balancer's name.
     ///
     /// Without --watch, the command exits with 1 if a page can't be read, or if the views of joined balancers differ.
     Members(members::MembersArgs),
