--- a/frostkeel/src/commands/members/page.rs
+++ b/frostkeel/src/commands/members/page.rs
@@ -14,7 +14,8 @@
     pub name: String,
     /// The name of the fleet that the balancer belongs to.
     pub fleet: String,
-    /// The phase of the balancer's own membership, e.g. `joining`; it has joined when this is `member`.
+    /// The phase of the balancer's own membership: `member`, `left`, or `yielded` if a later incarnation has
+    /// claimed its name.
     pub phase: String,
     /// The number of changes of the view since the balancer started.
     pub version: u64,
--- a/frostkeel/src/commands/members/tables.rs
+++ b/frostkeel/src/commands/members/tables.rs
@@ -6,7 +6,8 @@
 /// The maximum number of balancers that are named for one observation of a member.
 const MAX_NAMED_BALANCERS: usize = 8;
 
-/// The names of balancers, by the text that says how they see one member.
+/// For one member: the names of the balancers, grouped by what they see. The key is the observation as text, e.g.
+/// `not present`.
 type BalancersByObservation<'a> = BTreeMap<String, Vec<&'a str>>;
 
 /// Returns the table of one view, or the error as a line.
--- a/frostkeel/src/output/progress.rs
+++ b/frostkeel/src/output/progress.rs
@@ -59,25 +59,25 @@
     fn summary(&self, progress: &RunProgress) -> String {
         let elapsed_s = progress.elapsed.as_secs_f64();
         let is_running = |balancer: &&BalancerStatus| balancer.state != "down";
-        let running = progress.balancers.iter().filter(is_running).count();
-        let up = progress
+        let running_balancer_count = progress.balancers.iter().filter(is_running).count();
+        let up_upstream_count = progress
             .upstreams
             .iter()
             .filter(|upstream| upstream.state == "up")
             .count();
-        let in_flight: usize = progress
+        let in_flight_count: usize = progress
             .upstreams
             .iter()
             .map(|upstream| upstream.in_flight)
             .sum();
-        let started = self
+        let started_fault_count = self
             .fault_starts_s
             .iter()
             .filter(|start| **start <= elapsed_s)
             .count();
         format!(
-            "{elapsed_s:5.0} of {:.0} s  {running} balancers  {up} upstreams  {in_flight} requests in flight  \
-             {started} of {} faults started",
+            "{elapsed_s:5.0} of {:.0} s  {running_balancer_count} balancers  {up_upstream_count} upstreams  \
+             {in_flight_count} requests in flight  {started_fault_count} of {} faults started",
             self.length_s,
             self.fault_starts_s.len()
         )
--- a/frostkeel/src/runtime.rs
+++ b/frostkeel/src/runtime.rs
@@ -3,8 +3,9 @@
 use std::io;
 use tokio::runtime::{Builder, Runtime};
 
-/// The number of threads of a lab. The lab's stand-ins, e.g. for clients and upstreams, must not wait for a core while
-/// a hundred balancers run on the same machine.
+/// The number of worker threads of an experiment, which does not depend on the number of cores. The clients and
+/// upstreams that the lab provides run on these threads, and share the cores with e.g. a hundred balancer processes.
+/// With several threads they wait for a core less often than with one.
 const LAB_THREAD_COUNT: usize = 4;
 
 /// Returns a runtime for a command that makes only a few requests.
