--- a/frostkeel/examples/bad_balancer.rs
+++ b/frostkeel/examples/bad_balancer.rs
@@ -17,7 +17,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// The period of a misbehavior that does not affect all requests: it affects one request in 5.
 const MISBEHAVIOR_PERIOD: u64 = 5;
-/// The highest number of a request that is served before the crash. Numbers start at 0.
+/// The highest number of a request that does not cause the crash. Requests are numbered from 0, in the
+/// order in which they are received.
 const LAST_REQUEST_BEFORE_CRASH: u64 = 20;
 /// The memory that the balancer allocates to exceed its limit, in bytes.
 const EXCESS_MEMORY_BYTES: usize = 100 << 20;
--- a/frostkeel/tests/command_line.rs
+++ b/frostkeel/tests/command_line.rs
@@ -217,8 +217,8 @@
     compare("printed.txt", include_str!("data/command_line/printed.txt"));
 }
 
-/// Checks that the figures of simulated membership are the same in each run, and in the order of the seeds although
-/// each seed has its own thread.
+/// Checks that the simulated membership has equal figures in every run, and that they are printed in the order of the
+/// seeds, even though each seed is simulated on a thread of its own.
 #[test]
 fn prints_simulated_membership_figures() {
     compare(
--- a/frostkeel/tests/registry.rs
+++ b/frostkeel/tests/registry.rs
@@ -50,14 +50,16 @@
         .expect("frostkeel starts");
     let mut lines =
         BufReader::new(child.stderr.take().expect("the standard error is piped")).lines();
-    let serving = lines
+    let serving_line = lines
         .find_map(|line| line.ok().filter(|line| line.contains("serving")))
         .expect("a log line `serving`");
     std::thread::spawn(move || lines.for_each(drop));
     let field = |name: &str| {
-        let value = serving.split(' ').find_map(|word| word.strip_prefix(name));
+        let value = serving_line
+            .split(' ')
+            .find_map(|word| word.strip_prefix(name));
         value
-            .unwrap_or_else(|| panic!("{name} in {serving}"))
+            .unwrap_or_else(|| panic!("{name} in {serving_line}"))
             .to_owned()
     };
     Registry {
