--- a/balancer/tests/common/config.rs
+++ b/balancer/tests/common/config.rs
@@ -15,7 +15,7 @@
     /// The number of balancers in the fleet.
     pub balancers: usize,
     /// The deadline and the latency objective of every class, in milliseconds.
-    pub deadline_ms: u64,
+    pub deadline_and_objective_ms: u64,
     /// Whether the balancer polls discovery for its endpoints. If not, the discovery mode is
     /// `automatic`: endpoints are pushed to a local agent, which the balancer watches.
     pub polls_endpoints: bool,
@@ -40,7 +40,7 @@
             cached_list: endpoint_list_json(1, true, &entries.collect::<Vec<_>>()),
             max_sockets: 256,
             balancers: 1,
-            deadline_ms: 8000,
+            deadline_and_objective_ms: 8000,
             polls_endpoints: false,
             cancellation: true,
             slow_start_ms: 10_000,
@@ -82,9 +82,9 @@
     }
 
     fn class_json(&self, name: &str, effect: &str) -> String {
-        let deadline_ms = self.deadline_ms;
+        let deadline_and_objective_ms = self.deadline_and_objective_ms;
         format!(
-            r#"{{"name":"{name}","aim_ms":{deadline_ms},"hard_limit_ms":{deadline_ms},"late_worth":0.5,"effect":"{effect}","dedup_scope":"all","key_ttl_ms":5000}}"#
+            r#"{{"name":"{name}","aim_ms":{deadline_and_objective_ms},"hard_limit_ms":{deadline_and_objective_ms},"late_worth":0.5,"effect":"{effect}","dedup_scope":"all","key_ttl_ms":5000}}"#
         )
     }
 }
--- a/balancer/tests/process_lifecycle.rs
+++ b/balancer/tests/process_lifecycle.rs
@@ -14,7 +14,7 @@
 fn shutdown_answers_all_accepted_requests() {
     let upstream = Upstream::start(Behavior::NeverRespond);
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
-    config.deadline_ms = 60_000;
+    config.deadline_and_objective_ms = 60_000;
     let mut process = config.start();
     let (mut waiting, mut idle) = (process.connect(), process.connect());
     assert_eq!(idle.exchange(READINESS_REQUEST).status(), 200);
--- a/balancer/tests/races_shutdown.rs
+++ b/balancer/tests/races_shutdown.rs
@@ -22,7 +22,7 @@
     let upstream = Upstream::start(Behavior::NeverRespond);
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.max_sockets = MAX_SOCKETS;
-    config.deadline_ms = 3000;
+    config.deadline_and_objective_ms = 3000;
     let mut process = config.start();
     let mut accepted: Vec<Client> = (0..MAX_CLIENTS).map(|_| process.connect()).collect();
     for client in &mut accepted {
@@ -125,7 +125,7 @@
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.discovery = discovery.address;
     config.polls_endpoints = true;
-    config.deadline_ms = 3000;
+    config.deadline_and_objective_ms = 3000;
     let mut process = config.start();
     let watch = discovery.next_watch();
     watch.send("");
@@ -151,7 +151,7 @@
     let upstream = Upstream::start(Behavior::NeverRespond);
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.polls_endpoints = true;
-    config.deadline_ms = 1000;
+    config.deadline_and_objective_ms = 1000;
     let mut process = config.start();
     let mut client = process.connect();
     client.write(&at_most_once_request(1000, "x"));
--- a/balancer/tests/races_simultaneous_events.rs
+++ b/balancer/tests/races_simultaneous_events.rs
@@ -20,10 +20,10 @@
 }
 
 impl TwoUpstreams {
-    fn start(deadline_ms: u64) -> Self {
+    fn start(deadline_and_objective_ms: u64) -> Self {
         let upstream = RawPeer::start();
         let mut config = TestConfig::with_upstreams(&[upstream.address, upstream.address]);
-        config.deadline_ms = deadline_ms;
+        config.deadline_and_objective_ms = deadline_and_objective_ms;
         Self {
             process: config.start(),
             upstream,
--- a/balancer/tests/wire_fixtures/connections.rs
+++ b/balancer/tests/wire_fixtures/connections.rs
@@ -19,7 +19,7 @@
     let mut transcript = Transcript::new("shutdown.txt");
     let unresponsive = Recorder::start("");
     let mut config = TestConfig::with_upstreams(&[unresponsive.address]);
-    config.deadline_ms = DEADLINE_MS;
+    config.deadline_and_objective_ms = DEADLINE_MS;
     let mut balancer = config.start();
     let mut idle = RawClient::connect(balancer.address);
     for (case, request) in [("live", LIVENESS_REQUEST), ("ready", READINESS_REQUEST)] {
