--- a/balancer/tests/common/discovery.rs
+++ b/balancer/tests/common/discovery.rs
@@ -68,12 +68,12 @@
 /// Returns the list entry of an upstream that started at Unix time 0, so that its slow start is
 /// over.
 pub fn endpoint_json(name: &str, address: SocketAddr, state: &str) -> String {
-    started_endpoint_json(name, address, state, 0)
+    endpoint_json_with_start_time(name, address, state, 0)
 }
 
 /// Returns the list entry of an upstream that started at `started_at_ms`, a Unix time in
 /// milliseconds.
-pub fn started_endpoint_json(
+pub fn endpoint_json_with_start_time(
     name: &str,
     address: SocketAddr,
     state: &str,
--- a/balancer/tests/wall_clock_skew.rs
+++ b/balancer/tests/wall_clock_skew.rs
@@ -7,7 +7,7 @@
 
 use common::{
     TestConfig, Upstream, WatchingBalancer, at_most_once_request, endpoint_json,
-    endpoint_list_json, started_endpoint_json,
+    endpoint_json_with_start_time, endpoint_list_json,
 };
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -46,7 +46,7 @@
     fn send_list(&self, revision: u64, started_at_ms: u64) {
         let [first, second] = self.upstreams.each_ref().map(|upstream| upstream.address);
         let first = endpoint_json("s-0", first, "Ready");
-        let second = started_endpoint_json("s-1", second, "Ready", started_at_ms);
+        let second = endpoint_json_with_start_time("s-1", second, "Ready", started_at_ms);
         let list = endpoint_list_json(revision, true, &[first, second]);
         self.balancer.watch.send(&list);
     }
