--- a/balancer/tests/endpoint_lease.rs
+++ b/balancer/tests/endpoint_lease.rs
@@ -1,7 +1,11 @@
-//! How long a balancer sends requests with an endpoint list that discovery no longer confirms.
-//! Missed changes count as notified some seconds after the watch failed, regardless of later polls,
-//! or as soon as part of them is written to a response. A grace period later, nothing may be sent
-//! to an upstream that could be draining.
+//! The lease on the endpoint list: how long a balancer may use its list to send requests after
+//! discovery has stopped confirming it.
+//!
+//! When the watch fails, the balancer polls: it sends discovery a request for another watch. It
+//! counts as notified of the changes that it missed some seconds after the watch failed, even if
+//! all polls fail, or as soon as discovery has written part of a response that contains the
+//! changes. One drain grace later, the lease ends: any listed upstream could be draining, so the
+//! balancer must not send requests.
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
@@ -15,28 +19,30 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// The time after which changes that a silent watch missed count as notified.
-const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
-/// The time after which changes that a closed watch missed count as notified: the time that a poll
-/// for another watch takes.
-const NOTIFIED_AFTER_CLOSE: Duration = Duration::from_secs(2);
-/// The time after a notification for which requests may still be sent to a draining upstream.
-const GRACE: Duration = Duration::from_secs(1);
-/// The time for which a poll waits in discovery's queue before it is rejected.
+/// The time from the last line of a silent watch until the balancer counts as notified of the
+/// changes that it missed.
+const NOTIFICATION_DELAY_AFTER_SILENCE: Duration = Duration::from_secs(6);
+/// The time from the close of a watch until the balancer counts as notified of the changes that it
+/// missed: the time that the poll for another watch takes.
+const NOTIFICATION_DELAY_AFTER_CLOSE: Duration = Duration::from_secs(2);
+/// The time for which requests may still be sent to a draining upstream after the balancer was
+/// notified, or counts as notified, that it is draining.
+const DRAIN_GRACE: Duration = Duration::from_secs(1);
+/// The time for which a poll waits in the queue of an overloaded discovery before it is rejected.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(3);
-/// The time for which the balancer is observed after the grace period.
+/// The time for which requests are still sent to the balancer after its lease must have ended.
 const OBSERVATION_TIME: Duration = Duration::from_millis(1500);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 const REJECTION: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// The failure of the watch after its first list.
+/// The way in which the watch fails after its first list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WatchFailure {
     Silent,
     Closed,
 }
 
-/// The failure of the polls that follow.
+/// The way in which all polls fail after the watch has failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum PollFailure {
     Unanswered,
@@ -51,23 +57,25 @@
     HalfListAndClose,
 }
 
-/// Returns a request that succeeds only while the balancer sends requests with its list.
+/// Returns a request that is served only while the lease on the endpoint list lasts.
 fn request() -> String {
     at_most_once_request(5000, "x")
 }
 
-/// Returns a line of a watch that contains the complete list.
+/// Returns the line of a watch that contains the complete list, with one ready upstream.
 fn snapshot(upstream: &Upstream) -> String {
     let entry = endpoint_json("s-0", upstream.address, "Ready");
     endpoint_list_json(1, true, &[entry]) + "\n"
 }
 
-/// Returns the beginning of a watch's response: its head and this line.
+/// Returns the beginning of the response to a poll: the response head, and `snapshot` as the first
+/// line of the watch.
 fn snapshot_response(snapshot: &str) -> String {
     format!("{CHUNKED_HEAD}{:x}\r\n{snapshot}\r\n", snapshot.len())
 }
 
-/// Returns the part of a response that a poll gets; empty if it is rejected or unanswered.
+/// Returns the truncated response with which discovery answers a poll; empty if the poll is
+/// rejected or not answered.
 fn partial_response(failure: PollFailure, snapshot: &str) -> String {
     match failure {
         PollFailure::HeadOnly => CHUNKED_HEAD.to_owned(),
@@ -89,7 +97,7 @@
 }
 
 /// Makes all polls fail until `end`. Returns when part of a response was first written; `None` if
-/// none was.
+/// no part of a response was written.
 fn fail_polls(
     polls: &Receiver<TcpStream>,
     failure: PollFailure,
@@ -97,7 +105,7 @@
     end: Instant,
 ) -> Option<Instant> {
     let response = partial_response(failure, snapshot);
-    let mut open = Vec::new();
+    let mut open_polls = Vec::new();
     let mut first_written_at = None;
     while let Ok(mut poll) = polls.recv_timeout(end.saturating_duration_since(Instant::now())) {
         match failure {
@@ -110,7 +118,7 @@
                 if failure == PollFailure::HalfListAndClose {
                     let _ = poll.shutdown(Shutdown::Both);
                 }
-                open.push(poll);
+                open_polls.push(poll);
             }
         }
     }
@@ -134,16 +142,16 @@
 /// Answers each poll with `response`, in a separate thread.
 fn answer_polls(polls: Receiver<TcpStream>, response: String) {
     std::thread::spawn(move || {
-        let mut open = Vec::new();
+        let mut open_polls = Vec::new();
         for mut poll in polls {
             let _ = poll.write_all(response.as_bytes());
-            open.push(poll);
+            open_polls.push(poll);
         }
     });
 }
 
-/// Checks that the balancer stops sending in time when its watch fails after the first list and no
-/// later poll returns a list, and that a complete list lets it send again.
+/// Checks that the balancer stops sending requests in time if its watch fails after the first list
+/// and no later poll returns a list, and that it sends again after it has received a complete list.
 fn check_lease(watch_failure: WatchFailure, poll_failure: PollFailure) {
     let upstream = Upstream::healthy();
     let mut balancer = PollingBalancer::start(&upstream);
@@ -151,31 +159,32 @@
     let response = snapshot_response(&snapshot);
     balancer.poll.write_all(response.as_bytes()).unwrap();
     let failed_at = Instant::now();
-    let notified_after = match watch_failure {
-        WatchFailure::Silent => NOTIFIED_AFTER_SILENCE,
+    let notification_delay = match watch_failure {
+        WatchFailure::Silent => NOTIFICATION_DELAY_AFTER_SILENCE,
         WatchFailure::Closed => {
             balancer.poll.shutdown(Shutdown::Both).unwrap();
-            NOTIFIED_AFTER_CLOSE
+            NOTIFICATION_DELAY_AFTER_CLOSE
         }
     };
-    let latest = failed_at + notified_after + GRACE;
-    let end = latest + OBSERVATION_TIME;
+    let latest_expiry = failed_at + notification_delay + DRAIN_GRACE;
+    let end = latest_expiry + OBSERVATION_TIME;
     let polls = balancer.discovery.connections;
-    let failing = std::thread::spawn(move || {
+    let failing_polls = std::thread::spawn(move || {
         let first_written_at = fail_polls(&polls, poll_failure, &snapshot, end);
         (first_written_at, polls)
     });
     let served_at = served_until(&balancer.process, end);
-    let (first_written_at, polls) = failing.join().unwrap();
+    let (first_written_at, polls) = failing_polls.join().unwrap();
     let case = format!("{watch_failure:?}, {poll_failure:?}");
     let initial_period_end = failed_at + Duration::from_secs(2);
     assert!(
         served_at.iter().any(|time| *time < initial_period_end),
         "{case}: no request was served in the first 2 s"
     );
-    // The lease ends at `latest`, regardless of the polls. A partial response ends it earlier, one
-    // grace period after its first part.
-    let expires_at = first_written_at.map_or(latest, |time| latest.min(time + GRACE));
+    // The lease ends at `latest_expiry` at the latest. If part of a response is written, it ends
+    // one drain grace after that.
+    let expires_at =
+        first_written_at.map_or(latest_expiry, |time| latest_expiry.min(time + DRAIN_GRACE));
     let late = served_at.iter().filter(|time| **time >= expires_at);
     let late: Vec<Duration> = late.map(|time| *time - failed_at).collect();
     assert!(
@@ -203,10 +212,10 @@
     });
 }
 
-/// The watch becomes silent. Then discovery does not answer, rejects polls late, or sends truncated
-/// responses.
+/// The watch becomes silent. Then discovery does not answer polls, rejects them late, or sends
+/// truncated responses.
 #[test]
-fn stops_sending_after_a_silent_watch_that_no_poll_confirms() {
+fn stops_sending_after_a_silent_watch_if_no_poll_returns_a_list() {
     let poll_failures = [
         PollFailure::Unanswered,
         PollFailure::RejectedLate,
@@ -220,13 +229,13 @@
 /// Discovery closes the watch without an update. Then polls for another watch are rejected
 /// immediately or get no response.
 #[test]
-fn stops_sending_after_a_closed_watch_that_no_poll_confirms() {
+fn stops_sending_after_a_closed_watch_if_no_poll_returns_a_list() {
     let poll_failures = [PollFailure::Unanswered, PollFailure::Rejected];
     check_all(WatchFailure::Closed, &poll_failures);
 }
 
-/// While discovery is down, no balancer can be notified of a change, so the list must remain in
-/// use.
+/// While discovery is down, it cannot notify any balancer of a change. The lease must therefore not
+/// end.
 #[test]
 fn keeps_sending_while_discovery_is_unreachable() {
     let upstream = Upstream::healthy();
@@ -234,7 +243,7 @@
     config.polls_endpoints = true;
     let process = config.start();
     let start = Instant::now();
-    while start.elapsed() < NOTIFIED_AFTER_SILENCE + GRACE + OBSERVATION_TIME {
+    while start.elapsed() < NOTIFICATION_DELAY_AFTER_SILENCE + DRAIN_GRACE + OBSERVATION_TIME {
         let status = process.status_of(&request());
         assert_eq!(status, 200, "after {:?}", start.elapsed());
         std::thread::sleep(Duration::from_millis(100));
