--- a/balancer/tests/endpoint_updates.rs
+++ b/balancer/tests/endpoint_updates.rs
@@ -9,8 +9,8 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// After the notification, no request may be sent to an upstream that is draining or removed, not
-/// even on a connection that was open before.
+/// After an update states that an upstream is draining or removed, no request may be sent to it,
+/// not even on a connection that was open before the update.
 #[test]
 fn sends_nothing_to_a_draining_or_removed_upstream() {
     for state in ["Terminating", "Gone"] {
@@ -34,26 +34,27 @@
     }
 }
 
-/// An upstream is identified by its name. If its address changes, requests must go to the new
+/// An upstream is identified by its uid. If its address changes, requests must go to the new
 /// address only.
 #[test]
 fn follows_an_upstream_to_its_new_address() {
-    let (before, after) = (Upstream::healthy(), Upstream::healthy());
-    let balancer = WatchingBalancer::start(&[before.address]);
+    let (old, new) = (Upstream::healthy(), Upstream::healthy());
+    let balancer = WatchingBalancer::start(&[old.address]);
     let mut client = balancer.process.connect();
     let request = at_most_once_request(5000, "x");
     assert_eq!(client.exchange(&request).status(), 200);
-    let entry = endpoint_json("s-0", after.address, "Ready");
+    let entry = endpoint_json("s-0", new.address, "Ready");
     balancer.watch.send(&endpoint_list_json(2, false, &[entry]));
     wait_until("the connection to the old address is closed", || {
-        before.closed_connection_count() == 1
+        old.closed_connection_count() == 1
     });
     assert_eq!(client.exchange(&request).status(), 200);
-    assert_eq!((before.request_count(), after.request_count()), (1, 1));
+    assert_eq!((old.request_count(), new.request_count()), (1, 1));
 }
 
-/// An unreadable line could be a drain, so the complete list must be requested. Unreadable entries
-/// in that list must not prevent the readable ones from being applied.
+/// An unreadable line could state that an upstream is draining, so the complete list must be
+/// requested. Unreadable entries in that list must not prevent the readable ones from being
+/// applied.
 #[test]
 fn refetches_the_list_after_an_unreadable_line() {
     let upstream = Upstream::healthy();
@@ -77,17 +78,18 @@
     assert!(balancer.process.is_running());
 }
 
-/// The connection of a failed watch may remain open. A watch must be replaced if it receives no
-/// line for too long.
+/// The connection of a failed watch may remain open. A watch that receives no line for too long
+/// counts as failed, and the balancer must open another one.
 #[test]
 fn replaces_a_silent_watch() {
     let balancer = WatchingBalancer::start(&[unreachable_address()]);
-    // Each watch receives a line first. Otherwise the poll would be retried because it had no
-    // response, and the test would not show that silent watches are replaced.
+    // Each watch receives a line before it becomes silent. If a watch receives no line, the
+    // balancer retries its request for the watch after a timeout. This retry would open another
+    // watch even if the balancer did not detect that a watch has become silent.
     balancer.watch.send(&endpoint_list_json(2, true, &[]));
     let second = balancer.discovery.next_watch();
     second.send(&endpoint_list_json(3, true, &[]));
-    // Bytes without a line end do not count as a line.
+    // Bytes without a line end do not count as a line, so this watch counts as silent too.
     let mut stream = second.stream;
     std::thread::spawn(move || {
         while stream.write_all(b"1\r\n \r\n").is_ok() {
