--- a/balancer/tests/endpoint_watch.rs
+++ b/balancer/tests/endpoint_watch.rs
@@ -1,5 +1,5 @@
-//! The watch on the endpoint list: silent watches, heartbeats, and lists that are split, long, slow
-//! or partly unreadable.
+//! The watch on the endpoint list: silent watches, heartbeats, and lists that are long, arrive in
+//! pieces or slowly, or are partly unreadable.
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
@@ -18,11 +18,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The time after which changes that a silent watch missed count as notified.
-const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+/// The time from the last line of a silent watch until the balancer counts as notified of the
+/// changes that it missed, even if it has not received them.
+const NOTIFICATION_DELAY_AFTER_SILENCE: Duration = Duration::from_secs(6);
 
-/// Returns a request whose status shows whether upstream `s-0` may be sent requests: 200, or 503 if
-/// it is draining.
+/// Returns a request whose response status shows the state of upstream `s-0`: 200 if it is ready,
+/// 503 if it is draining.
 fn request() -> String {
     at_most_once_request(5000, "x")
 }
@@ -35,8 +36,8 @@
     endpoint_json("s-0", upstream.address, "Ready")
 }
 
-/// In automatic mode endpoints are pushed to a local agent, which receives the changes. The
-/// balancer must watch it from the start.
+/// In automatic mode, endpoints and their changes are pushed to a local agent. The balancer must
+/// watch this agent from the start.
 #[test]
 fn watches_the_local_agent_from_the_start_in_automatic_mode() {
     let upstream = Upstream::healthy();
@@ -59,13 +60,16 @@
     let text = text.replace('{', "{\n  ").replace(',', ",\n  ");
     balancer.watch.send(&text.replace('}', "\n}"));
     balancer.process.wait_for_status(&request(), 503);
-    let next_call = balancer.discovery.watches.try_recv();
-    assert!(next_call.is_err(), "the watch was reopened: {next_call:?}");
+    let next_watch = balancer.discovery.watches.try_recv();
+    assert!(
+        next_watch.is_err(),
+        "the watch was reopened: {next_watch:?}"
+    );
 }
 
-/// An unreadable entry could be a drain of its upstream.
+/// An unreadable entry could state that its upstream is draining.
 #[test]
-fn treats_an_unreadable_entry_as_a_drain() {
+fn treats_an_unreadable_entry_as_draining() {
     let upstream = Upstream::healthy();
     for unreadable in [
         r#"{"uid":"s-0","state":"Paused"}"#,
@@ -76,7 +80,7 @@
         let WatchingBalancer { process, watch, .. } = &balancer;
         assert_eq!(process.status_of(&request()), 200, "{unreadable}");
         watch.send(&endpoint_list_json(2, false, &[unreadable.to_owned()]));
-        wait_until(&format!("{unreadable} is treated as a drain"), || {
+        wait_until(&format!("{unreadable} is treated as draining"), || {
             process.status_of(&request()) == 503
         });
         watch.send(&endpoint_list_json(3, false, &[ready_entry(&upstream)]));
@@ -84,15 +88,15 @@
     }
 }
 
-/// A change that cannot be applied could be a drain of any upstream.
+/// A change that cannot be applied could state that any of the upstreams is draining.
 #[test]
 fn refetches_the_list_after_a_change_that_cannot_be_applied() {
     let upstream = Upstream::healthy();
-    let nameless = r#"{"state":"Terminating"}"#.to_owned();
+    let without_uid = r#"{"state":"Terminating"}"#.to_owned();
     for (name, line) in [
         (
-            "a change without a name",
-            endpoint_list_json(6, false, &[nameless]),
+            "a change without a uid",
+            endpoint_list_json(6, false, &[without_uid]),
         ),
         (
             "a change older than the list",
@@ -102,8 +106,8 @@
             "half a list and a heartbeat",
             "{\"rev\":6,\"all\":false,\"targets\":[\n\n".to_owned(),
         ),
-        ("half a word", "{\"rev\":6,\"all\":fal".to_owned()),
-        ("half a string", "\"rev".to_owned()),
+        ("half a JSON keyword", "{\"rev\":6,\"all\":fal".to_owned()),
+        ("half a JSON string", "\"rev".to_owned()),
     ] {
         let balancer = WatchingBalancer::start(&[upstream.address]);
         let snapshot = endpoint_list_json(5, true, &[ready_entry(&upstream)]);
@@ -115,8 +119,8 @@
     }
 }
 
-/// A watch can become silent at any point of its response. It must be reopened before the changes
-/// that it missed count as notified.
+/// A watch can become silent at any point of its response. It must be reopened before the balancer
+/// counts as notified of the changes that it missed.
 #[test]
 fn reopens_a_silent_watch_in_time() {
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
@@ -156,7 +160,7 @@
     let reopened = discovery.connections.recv_timeout(TIMEOUT);
     reopened.unwrap_or_else(|e| panic!("{name}: {e}"));
     let delay = silent_since.elapsed();
-    let max_delay = NOTIFIED_WITHIN - Duration::from_millis(500);
+    let max_delay = NOTIFICATION_DELAY_AFTER_SILENCE - Duration::from_millis(500);
     assert!(delay < max_delay, "{name}: after {delay:?}");
 }
 
@@ -186,18 +190,21 @@
             let balancer = WatchingBalancer::start(&[upstream.address]);
             send_long_list_slowly(&balancer.watch.stream, &upstream);
             balancer.process.wait_for_status(&request(), 503);
-            let next_call = balancer.discovery.watches.try_recv();
-            assert!(next_call.is_err(), "the watch was reopened: {next_call:?}");
+            let next_watch = balancer.discovery.watches.try_recv();
+            assert!(
+                next_watch.is_err(),
+                "the watch was reopened: {next_watch:?}"
+            );
         });
         scope.spawn(|| {
             let mut balancer = PollingBalancer::start(&upstream);
             balancer.poll.write_all(CHUNKED_HEAD.as_bytes()).unwrap();
             send_long_list_slowly(&balancer.poll, &upstream);
             balancer.process.wait_for_status(&request(), 503);
-            let next_call = balancer.discovery.connections.try_recv();
+            let next_poll = balancer.discovery.connections.try_recv();
             assert!(
-                next_call.is_err(),
-                "the first poll was repeated: {next_call:?}"
+                next_poll.is_err(),
+                "the first poll was retried: {next_poll:?}"
             );
         });
     });
@@ -212,10 +219,10 @@
     let snapshot = endpoint_list_json(2, true, &[ready_entry(&upstream)]);
     send_chunked_line(&balancer.poll, &snapshot);
     balancer.process.wait_for_status(&request(), 200);
-    let next_call = balancer.discovery.connections.try_recv();
+    let next_poll = balancer.discovery.connections.try_recv();
     assert!(
-        next_call.is_err(),
-        "the first poll was repeated: {next_call:?}"
+        next_poll.is_err(),
+        "the first poll was retried: {next_poll:?}"
     );
 }
 
@@ -231,7 +238,10 @@
             std::thread::sleep(Duration::from_millis(100));
         }
     });
-    let watch = balancer.discovery.watches.recv_timeout(NOTIFIED_WITHIN);
+    let watch = balancer
+        .discovery
+        .watches
+        .recv_timeout(NOTIFICATION_DELAY_AFTER_SILENCE);
     let watch = watch.expect("another watch");
     assert!(watch.target.contains("index=0"), "{watch:?}");
 }
@@ -239,7 +249,7 @@
 /// More idle clients connect than the descriptor limit allows. Requests must still be served, and
 /// discovery, which is first unreachable, must be watched at its new address.
 #[test]
-fn idle_clients_do_not_exhaust_descriptors_of_discovery_and_upstreams() {
+fn idle_clients_leave_descriptors_for_discovery_and_upstreams() {
     let upstream = Upstream::healthy();
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.max_sockets = 64;
@@ -260,26 +270,27 @@
 }
 
 /// A watch is replaced at SIGHUP or by a poll, while its task may still be reading. The lines that
-/// it reads after that must not be reported.
+/// the task reads after the replacement must not be reported.
 #[tokio::test(flavor = "local")]
 async fn replaced_watch_reports_no_events() {
     let discovery = Discovery::start();
     let client = Rc::new(DiscoveryClient::new(discovery.address, Names::default()));
-    let scopes = Rc::new(RefCell::new(Vec::new()));
+    // Whether each reported update is a snapshot or a delta.
+    let reported_scopes = Rc::new(RefCell::new(Vec::new()));
     let watch_id = client.begin_watch();
-    let (watching, reported) = (Rc::clone(&client), Rc::clone(&scopes));
+    let (task_client, task_scopes) = (Rc::clone(&client), Rc::clone(&reported_scopes));
     let task = tokio::task::spawn_local(async move {
         let report = |event| match event {
-            DiscoveryEvent::Update(update) => reported.borrow_mut().push(update.scope),
+            DiscoveryEvent::Update(update) => task_scopes.borrow_mut().push(update.scope),
             DiscoveryEvent::Partial(_) => (),
             other => panic!("{other:?}"),
         };
-        watching.watch(watch_id, report).await;
+        task_client.watch(watch_id, report).await;
     });
     let watch = tokio::task::spawn_blocking(move || discovery.next_watch());
     let watch = watch.await.unwrap();
     watch.send(&endpoint_list_json(5, true, &[]));
-    while scopes.borrow().len() < 2 {
+    while reported_scopes.borrow().len() < 2 {
         tokio::task::yield_now().await;
     }
     client.begin_watch();
@@ -288,20 +299,21 @@
     let ended = tokio::time::timeout(TIMEOUT, task).await;
     ended.expect("the task of the replaced watch ends").unwrap();
     assert_eq!(
-        *scopes.borrow(),
+        *reported_scopes.borrow(),
         [UpdateScope::Delta, UpdateScope::Snapshot]
     );
 }
 
-/// On a watch without changes, a heartbeat completes the poll. The poll must not be repeated.
+/// If the endpoint list does not change, the watch contains only heartbeats after its first line.
+/// The poll that opened the watch must not be retried.
 #[test]
-fn heartbeat_completes_the_poll() {
+fn poll_is_not_retried_if_only_heartbeats_follow() {
     let discovery = Discovery::start();
     let mut config = TestConfig::with_upstreams(&[unreachable_address()]);
     config.discovery = discovery.address;
     let _process = config.start();
     let watch = discovery.next_watch();
     watch.send("");
-    let next_call = discovery.watches.recv_timeout(Duration::from_millis(2500));
-    assert!(next_call.is_err(), "the poll was repeated: {next_call:?}");
+    let next_watch = discovery.watches.recv_timeout(Duration::from_millis(2500));
+    assert!(next_watch.is_err(), "the poll was retried: {next_watch:?}");
 }
