--- a/balancer/tests/common/client.rs
+++ b/balancer/tests/common/client.rs
@@ -6,7 +6,8 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The receive buffer requested for a client that must not receive a complete response at once.
+/// The size requested for the receive buffer of a client that must not receive a complete response
+/// at once.
 const SMALL_BUFFER_BYTES: usize = 2048;
 
 /// A client with one connection to the balancer.
@@ -49,7 +50,8 @@
     }
 
     /// Closes the connection immediately. Dropping the client could close it later: if another test
-    /// starts a process at this moment, that process holds a copy of the descriptor until `exec`.
+    /// starts a process at this moment, that process holds a copy of the descriptor until it calls
+    /// `exec`.
     pub fn disconnect(self) {
         self.reader.get_ref().shutdown(Shutdown::Both).unwrap();
     }
--- a/balancer/tests/common/config.rs
+++ b/balancer/tests/common/config.rs
@@ -16,8 +16,9 @@
     pub balancers: usize,
     /// The deadline and the latency objective of every class, in milliseconds.
     pub deadline_and_objective_ms: u64,
-    /// Whether the balancer polls discovery for its endpoints. If not, the discovery mode is
-    /// `automatic`: endpoints are pushed to a local agent, which the balancer watches.
+    /// Whether the balancer polls discovery for its endpoint list, with a request that opens a
+    /// watch. If not, the discovery mode is `automatic`: endpoints are pushed to a local agent,
+    /// which the balancer watches.
     pub polls_endpoints: bool,
     /// Whether the balancer may cancel attempts that are in flight.
     pub cancellation: bool,
--- a/balancer/tests/common/discovery.rs
+++ b/balancer/tests/common/discovery.rs
@@ -1,4 +1,5 @@
-//! A stand-in for discovery, and the endpoint lists that it sends.
+//! A stand-in for discovery, the service from which balancers receive the endpoint list, and the
+//! lists that the stand-in sends.
 
 use super::{CHUNKED_HEAD, Message, TIMEOUT};
 use std::io::{BufReader, Write};
@@ -65,8 +66,8 @@
     write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1).unwrap();
 }
 
-/// Returns the list entry of an upstream that started at Unix time 0, so that its slow start is
-/// over.
+/// Returns the list entry of an upstream that started at Unix time 0 and has therefore completed
+/// its slow start.
 pub fn endpoint_json(name: &str, address: SocketAddr, state: &str) -> String {
     endpoint_json_with_start_time(name, address, state, 0)
 }
--- a/balancer/tests/common/process.rs
+++ b/balancer/tests/common/process.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The number of last log lines that are shown if the test fails.
+/// The number of log lines, counted from the end of the log, that are shown if the test fails.
 const RETAINED_LOG_LINES: usize = 60;
 /// The number of clock ticks per second. A clock tick is the unit of the CPU times in
 /// `/proc/PID/stat`.
@@ -137,8 +137,8 @@
         self.wait_for_status(READINESS_REQUEST, 503);
     }
 
-    /// Suspends the process with SIGSTOP. When it resumes, all events of the meantime are pending
-    /// at the same time.
+    /// Suspends the process with SIGSTOP. When it resumes, all events that occurred while it was
+    /// suspended are pending at the same time.
     pub fn suspend(&self) {
         self.signal("STOP");
         let stat = self.proc_path("stat");
--- a/balancer/tests/common/upstream.rs
+++ b/balancer/tests/common/upstream.rs
@@ -20,7 +20,8 @@
     NeverRespond,
 }
 
-/// The requests that an upstream has received, and its numbers of connections.
+/// The requests that an upstream has received, and the numbers of its opened and closed
+/// connections.
 #[derive(Default)]
 struct Record {
     requests: Mutex<Vec<Message>>,
--- a/balancer/tests/common/upstream_pool.rs
+++ b/balancer/tests/common/upstream_pool.rs
@@ -18,8 +18,8 @@
 
 /// The id of the upstream of a [`TestPool`].
 pub const UPSTREAM: UpstreamId = UpstreamId(7);
-/// The time for which tests wait after a response, until its connection can be used again. It is
-/// longer than the connection's cooldown of 30 ms.
+/// The time for which tests wait after a response until its connection can be used again. It is
+/// longer than a connection's cooldown: the 30 ms after a response in which it carries no request.
 pub const COOLDOWN_WAIT: Duration = Duration::from_millis(40);
 
 /// Returns settings whose connection timeouts are as long as the test's own timeout.
@@ -56,7 +56,8 @@
     TcpListener::from_std(listener.into()).unwrap()
 }
 
-/// The balancer's connections to one ready upstream, whose side the test reads and writes.
+/// The balancer's connections to one ready upstream. The test accepts these connections and acts as
+/// the upstream.
 pub struct TestPool {
     pub upstreams: Rc<Upstreams>,
     /// The upstream's listener.
