--- a/balancer/tests/races_clients.rs
+++ b/balancer/tests/races_clients.rs
@@ -34,8 +34,9 @@
     }
 }
 
-/// When a client disconnects, its attempt must be cancelled and no other one may start, regardless
-/// of the way in which it disconnects and of the number of bytes that it sent after its request.
+/// When a client disconnects, the attempt for its request must be cancelled and no further attempt
+/// may start, regardless of how the client disconnects and how many bytes it sent after its
+/// request.
 #[test]
 fn cancels_the_attempt_when_the_client_disconnects() {
     for disconnect in [
@@ -51,7 +52,7 @@
             let mut attempt = upstream.next_connection_with_request();
             client.write_nonblocking(&vec![b'x'; extra_bytes]);
             process.round_trip();
-            let _reading = disconnect.perform(client);
+            let _half_open_client = disconnect.perform(client);
             attempt.set_read_timeout(Some(TIMEOUT)).unwrap();
             assert!(
                 read_request(&attempt).is_none(),
@@ -95,7 +96,8 @@
     let connections: Vec<TcpStream> = (0..MAX_UPSTREAM_CONNECTIONS)
         .map(|_| upstream.next_connection())
         .collect();
-    // Each connection carries a different request, so none is available for another request.
+    // Each connection carries a different request, so no connection is available for another
+    // request.
     let ids: BTreeSet<String> = connections
         .iter()
         .map(|connection| {
@@ -112,9 +114,9 @@
     let mut waiting = process.connect();
     send_with_correlation_id(&mut waiting, "waits");
     process.round_trip();
-    let closing = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+    let closing_response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     for mut connection in connections {
-        connection.write_all(closing.as_bytes()).unwrap();
+        connection.write_all(closing_response.as_bytes()).unwrap();
     }
     let request = read_request(&upstream.next_connection()).expect("a request");
     assert_eq!(
@@ -124,8 +126,9 @@
     );
 }
 
-/// If a connection is closed with bytes unread, it is reset, which discards the response. The
-/// balancer must read extra bytes before it closes the connection.
+/// If the balancer closed a connection with unread bytes, the system would reset it, and the client
+/// would lose the rest of the response. The balancer must therefore read the bytes that follow the
+/// request before it closes the connection.
 #[test]
 fn response_is_complete_when_extra_bytes_follow_the_request() {
     const BODY_BYTES: usize = 60_000;
@@ -134,8 +137,9 @@
     let mut client = Client::connect_with_small_buffer(process.address);
     client.write(&idempotent_request(8000).replace("Host", "Connection: close\r\nHost"));
     let mut attempt = upstream.next_connection_with_request();
-    // The balancer may read the first of these along with the request. The second one remains
-    // unread unless the balancer reads extra bytes.
+    // The client sends the beginning of another request twice. The balancer may read the first one
+    // along with the complete request. The second one remains unread unless the balancer reads the
+    // bytes that follow a request.
     for _ in 0..2 {
         client.write("GET /look HTTP/1.1\r\nHost");
         process.round_trip();
--- a/balancer/tests/races_shutdown.rs
+++ b/balancer/tests/races_shutdown.rs
@@ -28,8 +28,8 @@
     for client in &mut accepted {
         client.write(&at_most_once_request(1500, "x"));
     }
-    // Some clients send a second request. If its bytes were unread at the exit, the connection
-    // would be reset.
+    // Some clients send a second request. If its bytes were unread when the balancer exits, the
+    // system would reset the connection.
     for client in accepted.iter_mut().step_by(3) {
         client.write(&idempotent_request(1500));
     }
@@ -63,7 +63,7 @@
     process.terminate();
     process.wait_until_draining();
     // The clients send one after another, 60 ms apart: some before the balancer closes idle
-    // connections, one or two at about that time, and the rest later.
+    // connections, one or two at about the same time, and the rest later.
     let (mut served, mut closed) = (0, 0);
     for client in &mut clients {
         client.write_nonblocking(idempotent_request(3000).as_bytes());
@@ -145,7 +145,8 @@
     assert!(process.wait_for_exit().success());
 }
 
-/// The balancer gets SIGTERM immediately after its start, while discovery is down.
+/// The balancer receives SIGTERM immediately after its start, while discovery is down. A request
+/// that it has accepted must still get a response.
 #[test]
 fn shutdown_right_after_start_answers_accepted_requests() {
     let upstream = Upstream::start(Behavior::NeverRespond);
--- a/balancer/tests/races_simultaneous_events.rs
+++ b/balancer/tests/races_simultaneous_events.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Many clients disconnect at the same time, half of them as their responses arrive. The remaining
-/// attempts must be cancelled, and the balancer must continue to serve requests.
+/// Many clients disconnect at the same time, half of them as their responses arrive. The attempts
+/// that have no response must be cancelled, and the balancer must continue to serve requests.
 #[test]
 fn cancels_attempts_when_clients_disconnect_as_responses_arrive() {
     const CLIENT_COUNT: usize = 40;
@@ -100,6 +100,8 @@
     status
 }
 
+/// The responses to an attempt and to its hedge arrive at the same time. The client must get exactly
+/// one final response.
 #[test]
 fn simultaneous_hedge_responses_result_in_one_final_response() {
     let TwoUpstreams { process, upstream } = TwoUpstreams::start(1500);
@@ -149,10 +151,10 @@
     assert_eq!(response.status(), 200);
 }
 
-/// A drain update and a request arrive at the same time. Later requests must not be sent to the
-/// draining upstream.
+/// A request arrives at the same time as an update that states that the upstream is draining. Later
+/// requests must not be sent to that upstream.
 #[test]
-fn drain_update_applies_to_requests_that_arrive_with_it() {
+fn drain_update_applies_to_all_requests_after_a_simultaneous_one() {
     let upstream = Upstream::healthy();
     let balancer = WatchingBalancer::start(&[upstream.address]);
     let process = &balancer.process;
@@ -164,7 +166,8 @@
     client.write(&idempotent_request(8000));
     process.resume();
     assert!(client.read_response().is_some());
-    // That request may have been processed before the update; later ones must not be.
+    // The balancer may have processed that request before the update; it must process later
+    // requests after the update.
     let before = upstream.request_count();
     for _ in 0..3 {
         assert_eq!(client.exchange(&idempotent_request(8000)).status(), 503);
--- a/balancer/tests/races_upstream_connections.rs
+++ b/balancer/tests/races_upstream_connections.rs
@@ -17,8 +17,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The upstream is listed with a later start time while a request to its previous process is in
-/// flight. After the response, the connection to that process must be closed.
+/// An update of the endpoint list contains a later start time of the upstream, which means that it
+/// has restarted, while a request to its previous process is in flight. After the response, the
+/// connection to that process must be closed.
 #[tokio::test(flavor = "local")]
 async fn closes_connections_to_the_previous_incarnation() {
     let mut pool = TestPool::start(8).await;
@@ -91,9 +92,9 @@
     ] {
         let pool = TestPool::start(8).await;
         let respond = send_partial_response(&pool, part, then);
-        let (ended, _open) = tokio::join!(pool.attempt(1, time_limit), respond);
-        assert_eq!(ended.outcome, outcome, "{part:?}, then {then:?}");
-        assert_eq!(ended.response.is_some(), outcome == Outcome::Ok);
+        let (result, _open) = tokio::join!(pool.attempt(1, time_limit), respond);
+        assert_eq!(result.outcome, outcome, "{part:?}, then {then:?}");
+        assert_eq!(result.response.is_some(), outcome == Outcome::Ok);
     }
 }
 
@@ -106,21 +107,22 @@
         "\r\n",
     ] {
         let pool = TestPool::start(8).await;
-        let (ended, mut stream) = tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next());
-        assert_eq!(ended.outcome, Outcome::Ok);
+        let (result, mut stream) = tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next());
+        assert_eq!(result.outcome, Outcome::Ok);
         // A connection could be used again only after its cooldown.
         tokio::time::sleep(COOLDOWN_WAIT).await;
         stream.write_all(unsolicited.as_bytes()).await.unwrap();
-        let both = async { tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next()) };
-        let both = tokio::time::timeout(TIMEOUT, both).await;
-        let (ended, _) = both.expect("a new connection");
-        assert_eq!(ended.outcome, Outcome::Ok, "{unsolicited:?}");
+        let exchange = async { tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next()) };
+        let exchange = tokio::time::timeout(TIMEOUT, exchange).await;
+        let (result, _) = exchange.expect("a new connection");
+        assert_eq!(result.outcome, Outcome::Ok, "{unsolicited:?}");
     }
 }
 
-/// A response that is received before its request has been written completely cannot belong to that
-/// request. It must not be forwarded. The attempt counts as a failed connect, or as rejected if the
-/// response is a rejection.
+/// An upstream processes a request only when it is complete. A response that the balancer receives
+/// before it has written the complete request may therefore be to an earlier request, and must not
+/// be forwarded. The attempt counts as a failed connect, or as rejected if the response states that
+/// the request was not processed.
 #[tokio::test(flavor = "local")]
 async fn response_before_the_end_of_the_request_is_not_forwarded() {
     const SMALL_BUFFER_BYTES: usize = 2048;
@@ -139,8 +141,8 @@
             stream.write_all(response.as_bytes()).await.unwrap();
             stream
         };
-        let (ended, _stream) = tokio::join!(pool.attempt(LARGE_BODY_BYTES, TIMEOUT), respond);
-        assert_eq!(ended.outcome, outcome);
+        let (result, _stream) = tokio::join!(pool.attempt(LARGE_BODY_BYTES, TIMEOUT), respond);
+        assert_eq!(result.outcome, outcome);
         // The connection is closed in a later iteration of the event loop, because part of the
         // request is still unwritten.
         let closed = async {
@@ -153,8 +155,8 @@
     }
 }
 
-/// A connection that is not established in time must not be used for the request of its attempt,
-/// which has ended.
+/// If an attempt ends before its connection is established, its request must not be sent, even if
+/// the connection is established later.
 #[tokio::test(flavor = "local")]
 async fn connection_established_after_the_timeout_is_not_used() {
     // While the backlog is full, the system keeps other connections pending.
@@ -167,28 +169,28 @@
     };
     let upstreams = Upstreams::new(&settings, 8);
     upstreams.apply_endpoint(UPSTREAM, &ready_endpoint(address));
-    let ended = attempt(&upstreams, UPSTREAM, 1, Duration::from_millis(50)).await;
+    let result = attempt(&upstreams, UPSTREAM, 1, Duration::from_millis(50)).await;
     assert_eq!(
-        ended.outcome,
+        result.outcome,
         Outcome::NotSent,
         "the attempt ended before the connect timeout"
     );
-    let ended = attempt(&upstreams, UPSTREAM, 1, TIMEOUT).await;
-    assert_eq!(ended.outcome, Outcome::ConnectFailed);
+    let result = attempt(&upstreams, UPSTREAM, 1, TIMEOUT).await;
+    assert_eq!(result.outcome, Outcome::ConnectFailed);
     assert_eq!(upstreams.open_connections(), 0);
 }
 
-/// The delay within which an upstream may send a second response.
-const SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(25);
+/// The longest delay after which the upstream of this test sends a second response to a request.
+const MAX_SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(25);
 
 /// Serves requests on a connection like an upstream that sends each response twice. A request that
-/// arrives within [`SECOND_RESPONSE_DELAY`] after a response gets the second response to the
+/// arrives within [`MAX_SECOND_RESPONSE_DELAY`] after a response gets the second response to the
 /// previous request, with the body `late` instead of `mine`.
 fn serve_with_second_responses(mut stream: BlockingStream) {
     let mut responded_at: Option<Instant> = None;
     while read_request(&stream).is_some() {
         let gets_second_response =
-            responded_at.is_some_and(|at| at.elapsed() < SECOND_RESPONSE_DELAY);
+            responded_at.is_some_and(|at| at.elapsed() < MAX_SECOND_RESPONSE_DELAY);
         let body = if gets_second_response { "late" } else { "mine" };
         responded_at = Some(Instant::now());
         let head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
@@ -198,9 +200,9 @@
     }
 }
 
-/// An upstream may send a second response some milliseconds after the first. If the connection were
-/// already in use again, the response could not be distinguished from the one to the next request.
-/// It must not reach another client.
+/// An upstream may send a second response some milliseconds after the first. If the connection
+/// already carried the next request, the second response could not be distinguished from the
+/// response to that request. It must not be forwarded as the response to another request.
 #[test]
 fn late_second_response_reaches_no_other_request() {
     let upstream = RawPeer::start();
@@ -218,8 +220,8 @@
     }
 }
 
-/// The time left that a retry states must not exceed the time that the client has left when the
-/// retry is sent.
+/// The value of `X-Time-Left-Ms` in a retry must not exceed the time that is left for the request
+/// when the retry is sent.
 #[test]
 fn retry_carries_the_remaining_time() {
     const TIME_LEFT_MS: u64 = 3000;
