--- a/balancer/tests/upstream_attempts.rs
+++ b/balancer/tests/upstream_attempts.rs
@@ -8,7 +8,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout_at};
 
-/// An attempt started before a drain update and still waits for a connection. It must not be sent.
+/// The upstream begins to drain while an attempt waits for a connection to it. The request must not
+/// be sent.
 #[tokio::test(flavor = "local")]
 async fn attempt_waiting_for_a_connection_is_not_sent_after_a_drain() {
     let mut pool = TestPool::start(1).await;
@@ -28,9 +29,10 @@
 }
 
 /// If a connection ends without a response, the upstream's process may have died, and the outcome
-/// is a reset. An unreadable response is no sign of that, although the request may have run.
+/// is a reset. An unreadable response shows that the process has responded, so the outcome is an
+/// error. In both cases, the request may have run.
 #[tokio::test(flavor = "local")]
-async fn outcome_is_error_for_an_unreadable_response_and_reset_for_none() {
+async fn outcome_is_error_for_an_unreadable_response_and_reset_without_a_response() {
     let pool = TestPool::start(8).await;
     let long_head = format!(
         "HTTP/1.1 200 OK\r\nX-Long: {}\r\n\r\n",
@@ -69,10 +71,10 @@
             // The write can fail, because the balancer may close the connection before the end.
             let _ = stream.write_all(response.as_bytes()).await;
         };
-        let (ended, ()) = tokio::join!(pool.attempt(1, TIMEOUT), respond);
+        let (result, ()) = tokio::join!(pool.attempt(1, TIMEOUT), respond);
         let shown = &response[..response.len().min(60)];
-        assert_eq!(ended.outcome, outcome, "{shown:?}");
-        assert!(ended.response.is_none(), "{shown:?}");
+        assert_eq!(result.outcome, outcome, "{shown:?}");
+        assert!(result.response.is_none(), "{shown:?}");
     }
 }
 
@@ -83,10 +85,10 @@
     let pool = TestPool::start(8).await;
     for _ in 0..20 {
         // If the request were written to the old connection, no new connection would be opened.
-        let both = async { tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next()) };
-        let both = timeout_at(Instant::now() + TIMEOUT, both).await;
-        let (ended, stream) = both.expect("a new connection");
-        assert_eq!(ended.outcome, Outcome::Ok);
+        let exchange = async { tokio::join!(pool.attempt(1, TIMEOUT), pool.serve_next()) };
+        let exchange = timeout_at(Instant::now() + TIMEOUT, exchange).await;
+        let (result, stream) = exchange.expect("a new connection");
+        assert_eq!(result.outcome, Outcome::Ok);
         // A connection is used again only after its cooldown. No task runs between the close and
         // the next attempt.
         tokio::time::sleep(COOLDOWN_WAIT).await;
@@ -104,14 +106,14 @@
     pool.upstreams.apply_endpoint(other, &pool.endpoint);
     for id in [UPSTREAM, other] {
         let attempt = attempt(&pool.upstreams, id, 1, TIMEOUT);
-        let (ended, _stream) = tokio::join!(attempt, pool.serve_next());
-        assert_eq!(ended.outcome, Outcome::Ok);
+        let (result, _stream) = tokio::join!(attempt, pool.serve_next());
+        assert_eq!(result.outcome, Outcome::Ok);
         assert_eq!(pool.upstreams.open_connections(), 1);
     }
     // The only connection is in use, by an upstream that never responds.
     let unanswered = pool.spawn_attempt();
     let _stream = pool.accept_request().await;
-    let ended = pool.attempt(1, Duration::from_millis(50)).await;
-    assert_eq!(ended.outcome, Outcome::NotSent);
+    let result = pool.attempt(1, Duration::from_millis(50)).await;
+    assert_eq!(result.outcome, Outcome::NotSent);
     unanswered.abort();
 }
