--- a/balancer/tests/operations_page/architecture.rs
+++ b/balancer/tests/operations_page/architecture.rs
@@ -1,5 +1,5 @@
-//! Checks that the repository paths on `docs/ARCHITECTURE.md` exist, and that its text gives the path of each source
-//! file in its diagrams.
+//! Checks that the repository paths in `docs/ARCHITECTURE.md` exist, and that the text outside the diagrams gives the
+//! path of each source file that a diagram names.
 
 use super::page::{is_repository_path, page, root, texts_in_backticks};
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn diagrams_name_source_files_that_the_text_names_by_path() {
+fn text_gives_the_path_of_each_source_file_in_a_diagram() {
     let text = page("ARCHITECTURE.md");
     let names = source_names_in_diagrams(&text);
     let mut diagrams = text
--- a/balancer/tests/operations_page/main.rs
+++ b/balancer/tests/operations_page/main.rs
@@ -39,8 +39,8 @@
         );
         let name = texts_in_backticks(row[0]).remove(0);
         let fields = texts_in_backticks(row[2]).into_iter().collect();
-        let before = events.insert((name, level_named(row[1])), fields);
-        assert!(before.is_none(), "an event is on the page twice: {row:?}");
+        let previous = events.insert((name, level_named(row[1])), fields);
+        assert!(previous.is_none(), "an event is on the page twice: {row:?}");
     }
     events
 }
@@ -116,14 +116,14 @@
 }
 
 #[test]
-fn page_describes_each_cause_of_a_pause() {
+fn page_describes_each_cause_of_a_send_pause() {
     let text = page("OPERATIONS.md");
     let described = names_in_tables(section(&text, "## Causes of a pause"));
     let causes = StalenessCause::ALL.map(|cause| cause.as_str().to_owned());
     assert_eq!(described, BTreeSet::from(causes));
 }
 
-/// Returns the names of a struct's fields from its `Debug` text, without nested structs.
+/// Returns the names of a struct's fields from its `Debug` text. The struct must not contain other structs.
 fn field_names(debug: &str) -> BTreeSet<String> {
     let fields = debug.split_once('{').expect("a struct with fields").1;
     let named = fields.trim_end_matches([' ', '}']).split(", ");
@@ -172,7 +172,7 @@
     assert_eq!(described, calls.collect());
 }
 
-/// Returns a name on the page as it is written in the code, where a command-line option is a field.
+/// Converts a name on the page to its form in the code, where the command-line option `--a-b` is the field `a_b`.
 fn as_in_code(name: &str) -> String {
     match name.strip_prefix("--") {
         Some(option) => option.replace('-', "_"),
--- a/balancer/tests/operations_page/page.rs
+++ b/balancer/tests/operations_page/page.rs
@@ -48,7 +48,8 @@
     next.map_or(body, |(at, _)| &body[..at])
 }
 
-/// Returns the cells of a section's table rows that begin with a name in backticks.
+/// Returns the rows of a section's tables, each as a list of its cells. Rows that do not begin with a name in backticks
+/// are left out.
 pub fn rows(section: &str) -> Vec<Vec<&str>> {
     let lines = section.lines().filter(|line| line.starts_with("| `"));
     lines
