--- a/balancer/tests/wire_fixtures/bad_requests.rs
+++ b/balancer/tests/wire_fixtures/bad_requests.rs
@@ -1,7 +1,7 @@
 //! The responses to invalid requests, none of which is forwarded.
 
 use crate::common::{BalancerProcess, TestConfig};
-use crate::peers::{RawClient, Recorder, WITH_LENGTH};
+use crate::peers::{RESPONSE_WITH_LENGTH, RawClient, Recorder};
 use crate::post;
 use crate::transcript::Transcript;
 
@@ -112,7 +112,7 @@
 
 #[test]
 fn responses_to_bad_requests_are_as_committed() {
-    let upstream = Recorder::start(WITH_LENGTH);
+    let upstream = Recorder::start(RESPONSE_WITH_LENGTH);
     let balancer = TestConfig::with_upstreams(&[upstream.address]).start();
     let mut transcript = Transcript::new("bad_requests.txt");
     let valid = post("/book/day", "", "x");
--- a/balancer/tests/wire_fixtures/connections.rs
+++ b/balancer/tests/wire_fixtures/connections.rs
@@ -5,11 +5,11 @@
     LIVENESS_REQUEST, READINESS_REQUEST, RawPeer, TestConfig, at_most_once_request,
     idempotent_request, wait_until,
 };
-use crate::peers::{RawClient, Recorder, WITH_LENGTH};
+use crate::peers::{RESPONSE_WITH_LENGTH, RawClient, Recorder};
 use crate::transcript::Transcript;
 use std::io::Write;
 
-/// A deadline later than the forced close of the shutdown.
+/// A deadline that is later than the time at which the shutdown closes connections with a request in flight.
 const DEADLINE_MS: u64 = 60_000;
 /// The number of bytes sent after a request, more than the balancer buffers.
 const FLOOD_BYTES: usize = 100_000;
@@ -40,7 +40,10 @@
         let is_not_ready = draining.starts_with(b"HTTP/1.1 503");
         if is_not_ready {
             transcript.add_received("draining, ready: the client receives", &draining);
-            transcript.add("draining, ready: then", client.after_response());
+            transcript.add(
+                "draining, ready: then",
+                client.connection_state_after_response(),
+            );
         }
         is_not_ready
     });
@@ -48,7 +51,10 @@
     client.send(LIVENESS_REQUEST.as_bytes());
     transcript.add_received("draining, live: the client receives", &client.response());
     transcript.add_received("forced close: the client receives", &in_flight.response());
-    transcript.add("forced close: then", in_flight.after_response());
+    transcript.add(
+        "forced close: then",
+        in_flight.connection_state_after_response(),
+    );
     transcript.add_received("idle connection: the client receives", &idle.response());
     assert!(balancer.wait_for_exit().success());
     transcript.check();
@@ -64,7 +70,9 @@
     let upstream = peer.next_connection_with_request();
     client.send(&[b'x'; FLOOD_BYTES]);
     balancer.round_trip();
-    (&upstream).write_all(WITH_LENGTH.as_bytes()).unwrap();
+    (&upstream)
+        .write_all(RESPONSE_WITH_LENGTH.as_bytes())
+        .unwrap();
     transcript.add_received(
         "100,000 bytes behind a request: the client receives",
         &client.response(),
--- a/balancer/tests/wire_fixtures/forwarding.rs
+++ b/balancer/tests/wire_fixtures/forwarding.rs
@@ -1,16 +1,16 @@
 //! Requests and responses that the balancer forwards, and the balancer's own responses if it cannot forward one.
 
 use crate::common::{TestConfig, at_most_once_request, idempotent_request};
-use crate::peers::{RawClient, Recorder, UNTIL_CLOSE, WITH_LENGTH};
+use crate::peers::{RESPONSE_UNTIL_CLOSE, RESPONSE_WITH_LENGTH, RawClient, Recorder};
 use crate::transcript::Transcript;
 use crate::{TIME_LEFT_MS, post};
 
-const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Late\r\nX-Own: kept\r\n\r\n\
+const CHUNKED_RESPONSE: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Late\r\nX-Own: kept\r\n\r\n\
     4\r\ndone\r\n5\r\n twic\r\n0\r\nX-Late: 1\r\n\r\n";
-const EMPTY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nDate: Thu, 01 Jan 1970 00:00:00 GMT\r\n\
+const EMPTY_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nDate: Thu, 01 Jan 1970 00:00:00 GMT\r\n\
     Set-Cookie: a=1\r\nSet-Cookie: b=2\r\n\r\n";
-const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 4\r\nX-Own: kept\r\n\r\nlost";
-const REJECTED: &str = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+const ERROR_RESPONSE: &str = "HTTP/1.1 500 No\r\nContent-Length: 4\r\nX-Own: kept\r\n\r\nlost";
+const REJECTION: &str = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
 /// Records one exchange: the request as sent, the request as received by the upstream, the response as received by the
 /// client, and whether the client's connection is kept.
@@ -24,7 +24,10 @@
         transcript.add_received(&format!("{case}: the upstream receives"), &received);
     }
     transcript.add_received(&format!("{case}: the client receives"), &response);
-    transcript.add(&format!("{case}: then"), client.after_response());
+    transcript.add(
+        &format!("{case}: then"),
+        client.connection_state_after_response(),
+    );
 }
 
 #[test]
@@ -66,7 +69,7 @@
             &mut transcript,
             case,
             request,
-            &Recorder::start(WITH_LENGTH),
+            &Recorder::start(RESPONSE_WITH_LENGTH),
         );
     }
     transcript.check();
@@ -76,10 +79,10 @@
 fn forwarded_responses_are_as_committed() {
     let mut transcript = Transcript::new("forwarded_responses.txt");
     for (case, response) in [
-        ("with a length", WITH_LENGTH),
-        ("in chunks", CHUNKED),
-        ("up to the close", UNTIL_CLOSE),
-        ("empty", EMPTY),
+        ("with a length", RESPONSE_WITH_LENGTH),
+        ("in chunks", CHUNKED_RESPONSE),
+        ("up to the close", RESPONSE_UNTIL_CLOSE),
+        ("empty", EMPTY_RESPONSE),
     ] {
         transcript.add(
             &format!("{case}: the upstream answers"),
@@ -98,7 +101,10 @@
 #[test]
 fn rejections_and_failures_are_as_committed() {
     let mut transcript = Transcript::new("rejections_and_failures.txt");
-    for (case, response) in [("an error", ERROR), ("rejected unprocessed", REJECTED)] {
+    for (case, response) in [
+        ("an error", ERROR_RESPONSE),
+        ("rejected unprocessed", REJECTION),
+    ] {
         transcript.add(
             &format!("{case}: the upstream answers"),
             response.as_bytes(),
--- a/balancer/tests/wire_fixtures/outgoing_calls.rs
+++ b/balancer/tests/wire_fixtures/outgoing_calls.rs
@@ -1,7 +1,7 @@
 //! The requests that the balancer itself sends: watch requests to discovery, and health checks.
 
 use crate::common::{RawPeer, TestConfig, endpoint_json, endpoint_list_json, send_chunked_line};
-use crate::peers::{Recorder, WITH_LENGTH, read_raw};
+use crate::peers::{RESPONSE_WITH_LENGTH, Recorder, read_raw};
 use crate::transcript::Transcript;
 use frostkeel_balancer::upstream::{EndpointState, Upstreams};
 use frostkeel_policy::{Availability, LoadReports, Settings, UpstreamId};
@@ -10,33 +10,36 @@
 const MAX_CONNECTIONS: usize = 8;
 
 #[test]
-fn the_call_to_discovery_is_as_committed() {
+fn the_watch_request_to_discovery_is_as_committed() {
     let mut transcript = Transcript::new("discovery_call.txt");
-    let upstream = Recorder::start(WITH_LENGTH);
+    let upstream = Recorder::start(RESPONSE_WITH_LENGTH);
     let discovery = RawPeer::start();
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.discovery = discovery.address;
     config.polls_endpoints = true;
     let _balancer = config.start();
-    let call = discovery.next_connection();
-    transcript.add_received("discovery receives", &read_raw(&mut BufReader::new(&call)));
+    let connection = discovery.next_connection();
+    transcript.add_received(
+        "discovery receives",
+        &read_raw(&mut BufReader::new(&connection)),
+    );
     let line = endpoint_list_json(7, true, &[endpoint_json("s-0", upstream.address, "Ready")]);
-    (&call)
+    (&connection)
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .unwrap();
-    send_chunked_line(&call, &line);
-    (&call).write_all(b"0\r\n\r\n").unwrap();
-    let next_call = discovery.next_connection();
+    send_chunked_line(&connection, &line);
+    (&connection).write_all(b"0\r\n\r\n").unwrap();
+    let next_connection = discovery.next_connection();
     transcript.add_received(
         "discovery receives next",
-        &read_raw(&mut BufReader::new(&next_call)),
+        &read_raw(&mut BufReader::new(&next_connection)),
     );
     transcript.check();
 }
 
 /// Sends a health check with this setting and returns the bytes that the upstream receives.
 async fn received_health_check(load_reports: LoadReports) -> Vec<u8> {
-    let upstream = Recorder::start(WITH_LENGTH);
+    let upstream = Recorder::start(RESPONSE_WITH_LENGTH);
     let settings = Settings {
         load_reports,
         ..Settings::default()
--- a/balancer/tests/wire_fixtures/peers.rs
+++ b/balancer/tests/wire_fixtures/peers.rs
@@ -6,10 +6,10 @@
 use std::sync::{Arc, Mutex};
 
 /// A response with a content length.
-pub const WITH_LENGTH: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Own: kept\r\nServer: s\r\n\
+pub const RESPONSE_WITH_LENGTH: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Own: kept\r\nServer: s\r\n\
     Content-Type: text/plain\r\nX-Backend-Load: cpu=0.5\r\nX-Unprocessed: 0\r\nKeep-Alive: timeout=5\r\n\r\ndone";
 /// A response without a length, whose body ends when the connection is closed.
-pub const UNTIL_CLOSE: &str =
+pub const RESPONSE_UNTIL_CLOSE: &str =
     "HTTP/1.1 200 Fine\r\nX-Own: kept\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n\r\nup to the end";
 
 /// Reads the bytes of one message, head and body; fewer if the connection ends before the end of the message.
@@ -40,8 +40,8 @@
 }
 
 impl Recorder {
-    /// Starts an upstream that sends `response`; no response if it is empty. After [`UNTIL_CLOSE`], which has no
-    /// length, the connection is closed.
+    /// Starts an upstream that sends `response`; no response if it is empty. After [`RESPONSE_UNTIL_CLOSE`], which has
+    /// no length, the connection is closed.
     pub fn start(response: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -79,7 +79,7 @@
         }
         received.lock().unwrap().push(request);
         let _ = (&mut &*stream).write_all(response.as_bytes());
-        if response == UNTIL_CLOSE {
+        if response == RESPONSE_UNTIL_CLOSE {
             let _ = stream.shutdown(Shutdown::Both);
             return;
         }
@@ -105,9 +105,9 @@
         read_raw(&mut self.0)
     }
 
-    /// Sends another request after a response, and returns the transcript's text for the result: the connection is kept
-    /// if the request gets a response, and closed if no bytes are received.
-    pub fn after_response(mut self) -> &'static [u8] {
+    /// Sends another request after a response, and returns the transcript's text for the state of the connection: it is
+    /// kept if the request gets a response, and closed if no bytes are received.
+    pub fn connection_state_after_response(mut self) -> &'static [u8] {
         let sent = self
             .0
             .get_mut()
