--- a/balancer/tests/client_connections.rs
+++ b/balancer/tests/client_connections.rs
@@ -46,8 +46,8 @@
     assert_eq!(process.status_of(&idempotent_request(8000)), 200);
 }
 
-/// A client that sends no request, or only part of one, must get an error or a close soon,
-/// regardless of the time left that its request states.
+/// A client that sends no request, or only part of one, must soon get an error or be disconnected,
+/// regardless of the `X-Time-Left-Ms` of its request.
 #[test]
 fn closes_clients_that_never_complete_a_request() {
     let upstream = Upstream::healthy();
@@ -67,7 +67,7 @@
     };
     let mut clients: Vec<Client> = texts.into_iter().map(connect).collect();
     for (k, client) in clients.iter_mut().enumerate() {
-        // Reading times out after `TIMEOUT`, a third of the time left that the last client states.
+        // Reading times out after `TIMEOUT`, a third of the last client's `X-Time-Left-Ms`.
         let response = client.read_response();
         let is_error = response
             .as_ref()
--- a/balancer/tests/fleet_size.rs
+++ b/balancer/tests/fleet_size.rs
@@ -17,8 +17,9 @@
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The maximum growth factor of the CPU time. The operators' bound, 1.4, applies to the optimized
-/// build (`cargo test --release -p frostkeel-balancer --test fleet_size`). Without optimization,
+/// The maximum factor by which the CPU time in the large fleet may exceed that in the small fleet.
+/// The operators' bound, 1.4, applies to the optimized build
+/// (`cargo test --release -p frostkeel-balancer --test fleet_size`). Without optimization,
 /// iterating over the list takes longer.
 const MAX_CPU_GROWTH_FACTOR: f64 = if cfg!(debug_assertions) { 4.0 } else { 1.4 };
 
--- a/balancer/tests/members_page.rs
+++ b/balancer/tests/members_page.rs
@@ -1,5 +1,6 @@
-//! Compares the membership page's JSON and the membership's log lines, both of which the lab reads, with committed
-//! data. Incarnations, times, ports and the digest of the view are masked. The digits of the counters are removed.
+//! Compares the JSON of the membership page and the log lines of the membership with a committed file. The crate
+//! `frostkeel-lab` reads both. Incarnations, times, ports and the digest of the view are masked. The digits of the
+//! counters are removed.
 
 mod common;
 
--- a/balancer/tests/slow_clients.rs
+++ b/balancer/tests/slow_clients.rs
@@ -67,7 +67,8 @@
     }
 }
 
-/// A server in the test's process, and one upstream whose side the test reads and writes.
+/// The balancer's server, run in the test's process, and the listener of one upstream, whose
+/// connections the test reads and writes.
 struct TestServer {
     address: SocketAddr,
     phase: watch::Sender<Phase>,
--- a/balancer/tests/syscall_failures.rs
+++ b/balancer/tests/syscall_failures.rs
@@ -9,8 +9,8 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// A time after SIGTERM at which the balancer no longer accepts new connections: 600 ms, and a
-/// margin.
+/// A time after SIGTERM at which the balancer no longer accepts new connections. It accepts them
+/// for 600 ms; the rest is a margin.
 const LISTENER_CLOSED_AFTER: Duration = Duration::from_millis(1000);
 const DESCRIPTOR_LIMIT: u64 = 1024;
 const CONNECTION_COUNT: usize = 20;
@@ -45,8 +45,8 @@
 /// upstream's fault.
 #[test]
 fn descriptor_exhaustion_ejects_no_upstream() {
-    let closing = || Upstream::start(Behavior::RespondAndClose(OK_RESPONSE));
-    let upstreams = [closing(), closing()];
+    let start_upstream = || Upstream::start(Behavior::RespondAndClose(OK_RESPONSE));
+    let upstreams = [start_upstream(), start_upstream()];
     let addresses = upstreams.each_ref().map(|upstream| upstream.address);
     let process = TestConfig::with_upstreams(&addresses).start();
     let mut client = process.connect();
--- a/balancer/tests/wall_clock_skew.rs
+++ b/balancer/tests/wall_clock_skew.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// A start time ahead of this balancer's clock must not begin slow start again with each list.
-/// Otherwise the upstream would remain in slow start permanently.
+/// A start time ahead of this balancer's clock must not begin slow start again with each list that
+/// contains it. Otherwise the upstream would remain in slow start permanently.
 #[test]
 fn start_time_in_the_future_begins_slow_start_once() {
     let test = RestartTest::start(1000);
