--- a/lab/src/experiment/fault_error.rs
+++ b/lab/src/experiment/fault_error.rs
@@ -6,7 +6,7 @@
 /// The reason why a `[[fault]]` table is invalid.
 #[derive(Debug, PartialEq, Error)]
 pub enum InvalidFault {
-    /// The text names no kind of target.
+    /// The text does not have the form of any target.
     #[error(
         "unknown target {0:?}: expected a form such as b0, b0..b9, other balancers, u0, discovery, \
          clients, all upstreams or 30% of upstreams"
@@ -17,7 +17,7 @@
     NotInFleet {
         /// The target as written in the file.
         text: String,
-        /// The number of balancers or upstreams in the fleet.
+        /// The number of processes of that kind (balancers or upstreams) in the fleet.
         count: u32,
     },
     /// The first occurrence of the fault does not start within the run.
@@ -34,13 +34,14 @@
     /// A value is outside its range.
     #[error(transparent)]
     OutOfRange(#[from] ValueOutOfRange),
-    /// A fault of kind `delay` states no delay, jitter or bandwidth, or a bandwidth of 0.
+    /// A fault of kind `delay` has neither a delay nor a jitter nor a bandwidth, or its bandwidth
+    /// is 0.
     #[error(
         "a delay needs delay_ms above 0, jitter_ms above 0 or bytes_per_s, and bytes_per_s must \
          not be 0"
     )]
     MissingDelay,
-    /// The rate at which a fault of kind `storm` sends datagrams is missing or outside its range.
+    /// A fault of kind `storm` has no `rate`, or a `rate` outside 1 to 100000 datagrams per second.
     #[error("rate is missing or invalid: it must be between 1 and 100000 datagrams per s")]
     InvalidRate,
     /// The factor of a slowdown is missing.
@@ -73,7 +74,7 @@
          with must not both be balancers"
     )]
     ResetOfDatagrams,
-    /// The interval between the occurrences of a repeated fault is too short.
+    /// The interval between the starts of two occurrences of a repeated fault is below 0.1 s.
     #[error("again_s, the interval between occurrences of the fault, must be at least 0.1 s")]
     RepeatsTooSoon,
 }
--- a/lab/src/experiment/fault_parsing.rs
+++ b/lab/src/experiment/fault_parsing.rs
@@ -46,7 +46,7 @@
     InjectDatagrams,
 }
 
-/// The values of `way`, the directions of a link that a fault affects (see [`LinkConditions`]).
+/// The values of `way`: the directions of the links that are affected (see [`LinkConditions`]).
 #[derive(Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Direction {
@@ -60,7 +60,7 @@
     Inbound,
 }
 
-/// The keys of a `[[fault]]` table, by their names in the file unless renamed.
+/// The keys of a `[[fault]]` table. If a field has a `rename`, that name is the key in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FaultTable {
@@ -83,8 +83,8 @@
     batch_interval_s: Option<f64>,
     /// For `replace`, the time for which a replaced upstream drains, in seconds, 0 to 3600.
     drain_s: Option<f64>,
-    /// The processes at the other ends of the affected links, in the form of `target`; `None`
-    /// selects the links as stated at [`Fault::peer`].
+    /// The processes at the other ends of the affected links, in the same form as `target`; the
+    /// meaning of `None` is stated at [`Fault::peer`].
     with: Option<String>,
     /// The affected directions of the links; `None` for both.
     way: Option<Direction>,
@@ -113,10 +113,10 @@
 /// The settings of the experiment that the validity of a fault depends on.
 pub(super) struct FaultContext<'a> {
     pub fleet: &'a Fleet,
-    /// The time for which clients send requests, within which a fault must start.
+    /// The length of the run, within which the first occurrence of a fault must start.
     pub length: Duration,
     pub has_membership: bool,
-    /// Whether a real registry serves discovery; only then can discovery be paused.
+    /// Whether a real registry serves as discovery. Only a real registry can be paused.
     pub has_registry: bool,
 }
 
@@ -146,7 +146,7 @@
     table.check_links(&kind, &target, peer.as_ref(), context)?;
     let repeat_interval = table
         .repeat_interval_s
-        .map(|_| seconds("again_s", table.repeat_interval_s))
+        .map(|_| required_seconds("again_s", table.repeat_interval_s))
         .transpose()?;
     if repeat_interval.is_some_and(|interval| interval < MIN_REPEAT_INTERVAL) {
         return Err(InvalidFault::RepeatsTooSoon);
@@ -163,7 +163,7 @@
 
 impl FaultTable {
     fn duration(&self) -> Result<Duration, InvalidFault> {
-        seconds("for_s", self.for_s)
+        required_seconds("for_s", self.for_s)
     }
 
     fn fault_kind(&self) -> Result<FaultKind, InvalidFault> {
@@ -176,10 +176,10 @@
             Kind::Lossy => self.impairment(self.lossy_condition()?)?,
             Kind::Replay => FaultKind::ReplayDatagrams,
             Kind::InjectDatagrams => {
-                let rate = self
+                let valid_rate = self
                     .datagrams_per_s
                     .filter(|rate| (1.0..=100_000.0).contains(rate));
-                let rate_per_s = rate.ok_or(InvalidFault::InvalidRate)?;
+                let rate_per_s = valid_rate.ok_or(InvalidFault::InvalidRate)?;
                 FaultKind::InjectDatagrams {
                     rate_per_s,
                     duration: self.duration()?,
@@ -210,14 +210,14 @@
                     .batch
                     .filter(|n| *n > 0)
                     .ok_or(InvalidFault::MissingBatch)?,
-                interval: seconds("every_s", self.batch_interval_s)?,
-                drain: seconds("drain_s", self.drain_s)?,
+                interval: required_seconds("every_s", self.batch_interval_s)?,
+                drain: required_seconds("drain_s", self.drain_s)?,
             },
         })
     }
 
-    /// Returns the effect that gives the affected links this condition in the directions that `way`
-    /// selects. The opposite direction stays normal.
+    /// Returns a fault kind that sets `condition` on the affected links, in the directions selected
+    /// by `way`. A direction that is not selected stays normal.
     fn impairment(&self, condition: LinkCondition) -> Result<FaultKind, InvalidFault> {
         let normal = LinkCondition::default();
         let conditions = match self.way.unwrap_or_default() {
@@ -327,8 +327,8 @@
         Ok(())
     }
 
-    /// Rejects links that do not exist, and faults that do not apply to the traffic of a link:
-    /// links between balancers carry datagrams, all others carry connections.
+    /// Rejects links that do not exist, and faults that do not apply to the traffic of the links:
+    /// links between balancers carry datagrams, and all other links carry connections.
     fn check_links(
         &self,
         kind: &FaultKind,
@@ -383,7 +383,7 @@
     }
 }
 
-fn seconds(key: &'static str, value: Option<f64>) -> Result<Duration, InvalidFault> {
+fn required_seconds(key: &'static str, value: Option<f64>) -> Result<Duration, InvalidFault> {
     let value = value.ok_or(InvalidFault::Missing(key))?;
     Ok(Duration::from_secs_f64(check_range(
         key,
@@ -393,6 +393,7 @@
     )?))
 }
 
+/// Converts a value of 0 to 60000 ms; a missing value counts as 0.
 fn milliseconds(key: &'static str, value: Option<f64>) -> Result<Duration, InvalidFault> {
     let value = value.map_or(Ok(0.0), |value| check_range(key, value, 0.0, MAX_DELAY_MS))?;
     Ok(Duration::from_secs_f64(value / 1e3))
--- a/lab/src/experiment/faults.rs
+++ b/lab/src/experiment/faults.rs
@@ -7,8 +7,8 @@
 pub struct LinkCondition {
     /// The minimum delay of each chunk of a connection, or of each datagram.
     pub delay: Duration,
-    /// The largest random addition to `delay`, drawn for each chunk or datagram. Chunks of a
-    /// connection stay in order.
+    /// The upper limit of the random time that is added to `delay`. A new random time is drawn for
+    /// each chunk or datagram. The chunks of a connection stay in order.
     pub jitter: Duration,
     /// The bandwidth of each connection, in bytes per second; `None` is unlimited. It does not
     /// apply to datagrams.
@@ -54,7 +54,7 @@
     },
     /// A random share of the balancers, from 0 to 1, drawn from the seed.
     BalancerShare(f64),
-    /// All balancers that are not the fault's target; used as a peer.
+    /// All balancers that are not targets of the fault; meaningful only as [`Fault::peer`].
     OtherBalancers,
     /// One upstream, by number.
     Upstream(u32),
@@ -62,7 +62,7 @@
     UpstreamShare(f64),
     /// The discovery service: a stand-in, or the registry if the experiment has one.
     Discovery,
-    /// The clients; only faults of their links with the balancers are possible.
+    /// The clients; only faults on the links between clients and balancers apply to them.
     Clients,
 }
 
@@ -96,7 +96,8 @@
     /// The processes at the other ends of the affected links. `None` stands for all upstreams and
     /// discovery if the target consists of balancers, and for all balancers otherwise.
     pub peer: Option<Target>,
-    /// The interval between the starts of occurrences; `None` if the fault occurs once.
+    /// The interval between the starts of two successive occurrences; `None` if the fault occurs
+    /// once.
     pub repeat_interval: Option<Duration>,
     /// The time before which each repetition must start, from the start of the load; `None` stands
     /// for the end of the run.
@@ -105,8 +106,8 @@
 
 impl Fault {
     /// Returns an upper limit for the time at which the last occurrence ends, from the start of the
-    /// load, in a run of this length. An occurrence without a known duration counts as ended at its
-    /// start.
+    /// load. `length` is the length of the run. An occurrence without a known duration counts as
+    /// ended at its start.
     pub fn end(&self, length: Duration) -> Duration {
         let last_start = match self.repeat_interval {
             Some(_) => self.repeat_until.unwrap_or(length).max(self.start),
@@ -126,8 +127,8 @@
 pub enum FaultKind {
     /// Sends SIGKILL to a balancer or the registry, or crashes a stand-in.
     Kill {
-        /// The time from the kill to the restart; `None` for no restart. An upstream restarts in
-        /// slow start.
+        /// The time from the kill to the restart; `None` for no restart. After its restart, an
+        /// upstream is in slow start.
         restart_after: Option<Duration>,
         /// The name of the balancer from its restart on; `None` leaves it unchanged.
         new_name: Option<String>,
@@ -169,10 +170,10 @@
     },
     /// Resets all connections on the affected links.
     ResetConnections,
-    /// Sends the first datagrams that balancers sent to each other, which the lab has recorded,
-    /// again: to all balancers, with the target as sender.
+    /// Sends recorded datagrams again, from each target to all other balancers. The lab records the
+    /// first datagrams that balancers send to each other in a run.
     ReplayDatagrams,
-    /// Sends corrupted datagrams with the target as sender, each to a random balancer.
+    /// Sends corrupted datagrams, each from a random one of the targets to a random balancer.
     InjectDatagrams {
         /// The number of datagrams sent per second, 1 to 100000.
         rate_per_s: f64,
@@ -182,7 +183,7 @@
 }
 
 impl FaultKind {
-    /// Returns the length of one occurrence; `None` if it has no end that is known in advance.
+    /// Returns the duration of one occurrence; `None` if its end is not known in advance.
     pub fn duration(&self) -> Option<Duration> {
         match self {
             Self::Kill { restart_after, .. } => *restart_after,
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -1,5 +1,5 @@
 //! The settings of an experiment, parsed from a TOML file. An invalid file is rejected with the
-//! line and the reason. The serde names are the keys of the file.
+//! line and the reason. A field with a serde `rename` has that name as its key in the file.
 
 mod class_defaults;
 mod fault_error;
@@ -17,9 +17,9 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The largest number of balancers in a run, for which loopback addresses are reserved.
+/// The largest number of balancers in a run. Loopback addresses are reserved for this number.
 pub const MAX_BALANCERS: u32 = 300;
-/// The largest number of upstreams in a run, for which loopback addresses are reserved.
+/// The largest number of upstreams in a run. Loopback addresses are reserved for this number.
 pub const MAX_UPSTREAMS: u32 = 200;
 /// The length of the longest run, in seconds. The limit exists because the history of a run is
 /// kept in memory.
@@ -34,7 +34,7 @@
     pub length: Duration,
     /// The seed of the load, the faults and all random draws, unless the command line sets another.
     pub seed: u64,
-    /// The numbers of balancers and upstreams, and their limits.
+    /// The number of balancers, the number of upstreams, and the memory limit of each balancer.
     pub fleet: Fleet,
     /// The load that the clients generate, and how they retry.
     pub load: Load,
@@ -44,14 +44,13 @@
     pub discovery: DiscoverySettings,
     /// The membership of the balancers; `None` switches membership off.
     pub membership: Option<MembershipSettings>,
-    /// The settings of a real registry, which replaces the stand-in for discovery; `None` keeps the
-    /// stand-in.
+    /// The settings of the real registry that serves as discovery; `None` if the stand-in does.
     pub registry: Option<RegistrySettings>,
     /// The classes of requests, with their shares of the load.
     pub classes: Vec<Class>,
     /// The tenants, with their shares of the load.
     pub tenants: Vec<Tenant>,
-    /// The faults, in the order of their first starts.
+    /// The faults, ordered by the start of their first occurrence.
     pub faults: Vec<Fault>,
     /// The expectations that are checked in addition to the rules.
     pub expect: Expectations,
@@ -86,7 +85,8 @@
     }
 }
 
-/// The numbers of processes of a run, and their memory limit.
+/// The number of balancers and the number of upstreams of a run, and the memory limit of each
+/// balancer.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -120,19 +120,20 @@
     pub period_s: f64,
     /// The largest number of retries that a client sends for one request, 0 to 6.
     pub retries: u8,
-    /// The share of the requests, 0 to 1, whose client waits for the time in `Retry-After`.
+    /// The share of the requests, 0 to 1, whose client waits for the time in `Retry-After` before a
+    /// retry.
     #[serde(rename = "honour")]
     pub retry_after_compliance: f64,
-    /// The timeout of an attempt, as a share of the deadline of its class, 0.05 to 1.
+    /// The timeout of an attempt, as a share of the deadline of the request's class, 0.05 to 1.
     #[serde(rename = "try_share")]
     pub attempt_timeout_share: f64,
-    /// The mean backoff before the first retry, in milliseconds, unless the client waits for
-    /// `Retry-After`; it doubles with each further retry.
+    /// The mean backoff before the first retry, in milliseconds; the mean doubles with each further
+    /// retry. A client that waits for `Retry-After` uses that time instead of the backoff.
     pub backoff_ms: f64,
     /// Whether clients mark retries with the header `x-repeat`.
     #[serde(rename = "marks")]
     pub marks_retries: bool,
-    /// The number of distinct users, one of which each request names in its `cookie` header.
+    /// The number of distinct users. Each request names one of them in its `cookie` header.
     #[serde(rename = "keys")]
     pub key_count: u32,
     /// The time for which clients continue to send to a dead balancer, in seconds.
@@ -163,7 +164,8 @@
 pub struct UpstreamSettings {
     /// The number of cores of each upstream.
     pub cores: u32,
-    /// The speed of each core relative to the one for which `work_ms` of a class is stated.
+    /// The speed of each core. At speed 1, the mean processor time of a request is the `work_ms` of
+    /// its class.
     pub speed: f64,
     /// The largest number of queued requests per core; further requests are rejected.
     pub queue_per_core: u32,
@@ -174,16 +176,17 @@
     /// The length of slow start, in seconds, over which the capacity rises linearly.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// The overload that crashes an upstream in slow start: the work that it receives within
-    /// `overload_window_s`, as a multiple of the work that it can do in that time at its current
-    /// capacity.
+    /// The overload above which an upstream in slow start crashes: the work of the requests
+    /// accepted within `overload_window_s`, as a multiple of the work that the upstream can do in
+    /// that time at its current capacity.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// The window over which received work is summed to detect overload, in seconds.
+    /// The window over which the work of accepted requests is summed to detect overload, in
+    /// seconds.
     #[serde(rename = "fall_s")]
     pub overload_window_s: f64,
-    /// The queue length per core from which an upstream becomes congested, which makes its requests
-    /// take longer; 0 switches congestion off.
+    /// The number of queued requests per core at or above which an upstream becomes congested.
+    /// Requests to a congested upstream take longer. The value 0 switches congestion off.
     #[serde(rename = "choke_at")]
     pub congestion_queue_per_core: f64,
     /// The time for which the queue must stay at `congestion_queue_per_core` or above to cause
@@ -205,7 +208,7 @@
     pub report_interval_ms: f64,
     /// The age of a load report when responses first carry it, in milliseconds.
     pub report_delay_ms: f64,
-    /// The largest relative error of the values in a load report, upwards or downwards.
+    /// The largest relative error of the values in a load report, upwards or downwards; 0.03 is 3%.
     pub report_noise: f64,
     /// Whether balancers may send hedged attempts.
     #[serde(rename = "second_copies")]
@@ -246,10 +249,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiscoverySettings {
-    /// The time until the endpoint list shows a restart or a replacement, in seconds.
+    /// The time after which the endpoint list shows the restart or the replacement of an upstream,
+    /// in seconds.
     #[serde(rename = "notice_s")]
     pub update_delay_s: f64,
-    /// The time until a crashed upstream is removed from the endpoint list, in seconds.
+    /// The time after which a crashed upstream is removed from the endpoint list, in seconds.
     #[serde(rename = "crash_notice_s")]
     pub crash_detection_s: f64,
 }
@@ -278,7 +282,7 @@
 }
 
 impl RegistrySettings {
-    /// Returns the lease, limited to 1 s to 1 hour.
+    /// Returns the lease, limited to the range from 1 s to 1 hour.
     pub fn lease(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s.clamp(1.0, 3600.0))
     }
@@ -300,7 +304,7 @@
 }
 
 impl MembershipSettings {
-    /// Returns the retention, limited to 1 minute to 1 day.
+    /// Returns the retention time, limited to the range from 1 minute to 1 day.
     pub fn retention(&self) -> Duration {
         Duration::from_secs_f64(self.retention_s.clamp(60.0, 86_400.0))
     }
@@ -338,7 +342,8 @@
     pub latency_objective_ms: f64,
     /// The client's deadline for a request, in milliseconds; not below the latency objective.
     pub deadline_ms: f64,
-    /// The weight of a response within the latency objective, relative to those of other classes.
+    /// The weight of a response within the latency objective, relative to the weights of the other
+    /// classes.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
     /// Whether a request may be sent more than once.
@@ -369,18 +374,18 @@
     /// fault. `None` for no check.
     #[serde(rename = "back_s")]
     pub recovered_within_s: Option<f64>,
-    /// The time within which 99% of the other balancers must detect that one was killed, in seconds;
-    /// `None` for no check.
+    /// The time within which 99% of the other balancers must detect that a balancer was killed, in
+    /// seconds; `None` for no check.
     #[serde(rename = "known_s")]
     pub detected_within_s: Option<f64>,
     /// The time after the last fault within which the views of all balancers must become equal, in
     /// seconds; `None` for no check.
     #[serde(rename = "equal_s")]
     pub converged_within_s: Option<f64>,
-    /// Whether it is a failure of the run if a live balancer is declared dead.
+    /// Whether the run fails if a live, running balancer is declared left or dead.
     #[serde(rename = "none_taken_for_gone")]
     pub no_false_failures: bool,
-    /// Whether it is a failure of the run if a paused balancer is declared dead.
+    /// Whether the run fails if a paused balancer is declared left or dead.
     #[serde(rename = "none_stopped_taken_for_gone")]
     pub no_paused_failures: bool,
 }
--- a/lab/src/experiment/parsing.rs
+++ b/lab/src/experiment/parsing.rs
@@ -52,7 +52,7 @@
     Fault(#[from] InvalidFault),
 }
 
-/// The keys and tables of an experiment file, which [`Experiment`] describes.
+/// The keys and tables of an experiment file. [`Experiment`] documents their meaning.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ExperimentFile {
@@ -187,7 +187,7 @@
     Ok(faults)
 }
 
-/// Range checks for the values of one table; errors are reported at the table's byte offset.
+/// Range checks for the values of one table; an error carries the byte offset of the table.
 struct RangeCheck {
     offset: usize,
 }
--- a/lab/src/experiment/target_parsing.rs
+++ b/lab/src/experiment/target_parsing.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// Parses the number of one process from its name, such as `b3` with the prefix `b`: `None` if the
-/// text has another form, an error if the number is not below `count`.
+/// Parses the number of one process from its name, such as `b3` with the prefix `b`. Returns `None`
+/// if the text has another form, and an error if the number is not below `count`.
 fn parse_process(prefix: char, text: &str, count: u32) -> Option<Result<u32, InvalidFault>> {
     let number: u32 = text.strip_prefix(prefix)?.parse().ok()?;
     let not_in_fleet = || InvalidFault::NotInFleet {
@@ -40,6 +40,7 @@
 }
 
 /// Parses a share of the balancers or upstreams, such as `all balancers` or `30% of upstreams`.
+/// Returns `None` if the text has another form or the share is not between 0 and 100%.
 fn parse_share(text: &str) -> Option<Target> {
     let (share, kind) = match text.split_once("% of ") {
         Some((percent, kind)) => (percent.trim().parse::<f64>().ok()? / 100.0, kind),
--- a/lab/src/experiment/value_range.rs
+++ b/lab/src/experiment/value_range.rs
@@ -16,7 +16,8 @@
     pub max: f64,
 }
 
-/// Returns the value if it is between `min` and `max`, both included.
+/// Returns the value if it is between `min` and `max`, both included; otherwise an error that names
+/// `key`.
 pub(super) fn check_range(
     key: &'static str,
     value: f64,
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -6,8 +6,9 @@
 //! A run executes an [`Experiment`](experiment::Experiment), records its [`history`], applies the
 //! [`checks`] and writes a [report](reports).
 //!
-//! One seed determines the load and all random draws. A module in this table uses only modules
-//! above it:
+//! One seed determines the load and all random draws.
+//!
+//! Each module in the following table uses only modules that are listed above it:
 //!
 //! | module | contents |
 //! | --- | --- |
