--- a/lab/src/faults/fault_injector.rs
+++ b/lab/src/faults/fault_injector.rs
@@ -18,7 +18,8 @@
     pub experiment: Arc<Experiment>,
     /// The seed from which random targets and injected datagrams are drawn.
     pub seed: u64,
-    /// The history in which the start of each fault is recorded.
+    /// The history in which the start of each fault and each reset of client connections are
+    /// recorded.
     pub history: Arc<History>,
     /// The balancers of the run, as child processes.
     pub balancers: Arc<BalancerProcesses>,
@@ -32,7 +33,8 @@
     pub peer_links: Option<Arc<PeerLinks>>,
 }
 
-/// A link that a fault affects, with the number of its balancer and its other end.
+/// A link that a fault affects, with the number of the balancer at one end and the party at the
+/// other end.
 struct AffectedLink {
     balancer: u32,
     peer: LinkPeer,
@@ -40,7 +42,8 @@
 }
 
 impl FaultInjector {
-    /// Injects each fault of the experiment at its scheduled time, and waits until all have ended.
+    /// Injects each fault of the experiment at its scheduled times, and waits until all faults have
+    /// ended.
     pub async fn run(self) {
         let mut running = JoinSet::new();
         for occurrence in fault_schedule(&self.experiment, self.seed) {
@@ -181,7 +184,7 @@
             for affected in &links {
                 affected.link.set_conditions(LinkConditions::default());
             }
-            // The end of a cut resets the connections that were opened during it.
+            // The end of a cut resets the connections that were opened during the cut.
             if conditions.has_cut() {
                 record_client_resets(&history, &links);
             }
@@ -218,9 +221,10 @@
         }
     }
 
-    /// Returns the links between the targets and the peers of a fault. If it names no peers, all
-    /// upstreams and discovery are the peers of balancers, and all balancers are the peers of other
-    /// targets. Links with clients are included only if the fault names clients.
+    /// Returns the links that carry connections between the targets and the peers of a fault. If
+    /// the fault names no peers, the peers of balancers are all upstreams and discovery, and the
+    /// peers of any other target are all balancers. Links with clients are included only if the
+    /// fault names clients as target or peer.
     fn affected_links(&self, occurrence: &FaultOccurrence) -> Vec<AffectedLink> {
         let mut ends = occurrence.targets.clone();
         match &occurrence.peers {
@@ -274,7 +278,7 @@
     }
 }
 
-/// Records a reset for each affected link with clients.
+/// Records a reset of the client connections for each affected link with clients.
 fn record_client_resets(history: &History, links: &[AffectedLink]) {
     for affected in links
         .iter()
--- a/lab/src/faults/fault_schedule.rs
+++ b/lab/src/faults/fault_schedule.rs
@@ -16,12 +16,13 @@
     pub fault: Fault,
     /// The processes that the occurrence affects.
     pub targets: ResolvedTargets,
-    /// The processes at the other ends of the affected links; `None` if the fault names no peer.
+    /// The processes at the other ends of the affected links; `None` if the fault names no peer,
+    /// and empty if the peer is `OtherBalancers`.
     pub peers: Option<ResolvedTargets>,
 }
 
 impl FaultOccurrence {
-    /// Creates an occurrence and draws its targets from the seed and its number.
+    /// Creates an occurrence. Random targets and peers are drawn from `seed` and `number`.
     fn draw(number: u64, fault: Fault, experiment: &Experiment, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ ((number + 1) << 40));
         let fleet = &experiment.fleet;
@@ -43,7 +44,7 @@
         describe(&self.fault)
     }
 
-    /// Returns the length of the occurrence in seconds; `None` if it has no end that is known in
+    /// Returns the duration of the occurrence in seconds; `None` if its end is not known in
     /// advance.
     pub fn duration_s(&self) -> Option<f64> {
         self.fault
@@ -53,11 +54,13 @@
             .map(Duration::as_secs_f64)
     }
 
-    /// Returns the balancers at the other ends of links between balancers, in a run with `count`
-    /// balancers.
-    pub(super) fn peer_balancers(&self, count: u32) -> Vec<u32> {
+    /// Returns the numbers of the balancers at the other ends of the affected links. The result is
+    /// empty if the fault names no balancers as peers. If the peer is `OtherBalancers`, the result
+    /// is all of the run's balancers that are not targets. `balancer_count` is the number of
+    /// balancers in the run.
+    pub(super) fn peer_balancers(&self, balancer_count: u32) -> Vec<u32> {
         match self.fault.peer {
-            Some(Target::OtherBalancers) => (0..count)
+            Some(Target::OtherBalancers) => (0..balancer_count)
                 .filter(|number| !self.targets.balancers.contains(number))
                 .collect(),
             _ => self
@@ -81,7 +84,8 @@
         .collect()
 }
 
-/// Returns one copy of a fault for each occurrence, in a run of this length.
+/// Returns one copy of a fault for each of its occurrences, with the start of that occurrence.
+/// `length` is the length of the run.
 fn occurrences(fault: &Fault, length: Duration) -> Vec<Fault> {
     let until = fault.repeat_until.unwrap_or(length);
     let mut occurrences = vec![fault.clone()];
--- a/lab/src/faults/targets.rs
+++ b/lab/src/faults/targets.rs
@@ -18,8 +18,8 @@
 }
 
 impl ResolvedTargets {
-    /// Resolves a target in a fleet. `OtherBalancers` resolves to no processes, because it depends
-    /// on the target that it is the peer of.
+    /// Resolves a target in a fleet. `OtherBalancers` resolves to no processes: it stands for the
+    /// balancers that are not targets of the fault, and the targets are not known here.
     pub(super) fn resolve(target: &Target, fleet: &Fleet, rng: &mut ChaCha8Rng) -> Self {
         let mut resolved = Self::default();
         match target {
@@ -40,8 +40,8 @@
     }
 }
 
-/// Returns the numbers of a target's balancers in a fleet of `count`. The result is empty for
-/// `OtherBalancers` and for targets that are not balancers.
+/// Returns the numbers of a target's balancers in a fleet of `count` balancers. The result is empty
+/// for `OtherBalancers` and for targets that are not balancers.
 pub fn choose_balancers(target: &Target, count: u32, rng: &mut ChaCha8Rng) -> Vec<u32> {
     match target {
         Target::Balancer(number) => vec![*number],
@@ -51,8 +51,8 @@
     }
 }
 
-/// Draws a share of the numbers below `count`. How many are drawn is rounded to the nearest whole
-/// number.
+/// Draws a random selection of the numbers below `count`. The size of the selection is `share`
+/// times `count`, rounded to the nearest whole number.
 fn choose_share(share: f64, count: u32, rng: &mut ChaCha8Rng) -> Vec<u32> {
     let mut numbers: Vec<u32> = (0..count).collect();
     numbers.shuffle(rng);
