--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -1,7 +1,8 @@
 //! Links that carry connections, and the effect of the link conditions on their traffic.
 //!
-//! A connection through a link is relayed in chunks. Each chunk waits until it is due and until the
-//! link is not cut. As with TCP, no data is lost or reordered: conditions change only the timing.
+//! A connection through a link is relayed in chunks. Each chunk waits until it is due and until its
+//! direction of the link is not cut. As with TCP, no data is lost or reordered: conditions change
+//! only the timing.
 
 use crate::experiment::{LinkCondition, LinkConditions};
 use crate::sync::lock;
@@ -21,7 +22,7 @@
 /// The largest number of chunks in transit in one direction of a connection.
 const MAX_CHUNKS_IN_TRANSIT: usize = 64;
 
-/// The party at the other end of a link from a balancer.
+/// The party that a link connects with a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LinkPeer {
     /// An upstream, by number.
@@ -51,17 +52,17 @@
 
 /// The link between a balancer and another party.
 pub struct Link {
-    /// The condition from the balancer to the other party.
+    /// The condition of the direction from the balancer to the other party.
     outbound: watch::Sender<LinkCondition>,
-    /// The condition from the other party to the balancer.
+    /// The condition of the direction from the other party to the balancer.
     inbound: watch::Sender<LinkCondition>,
     /// The number of times that all connections have been reset.
     resets: watch::Sender<u64>,
     seed: u64,
-    /// The number of connections that have been attached, which gives each its own seed.
-    opened_count: AtomicU64,
-    /// Whether connections bypass the relay because no fault of the run affects a link. This saves
-    /// two copies of each byte.
+    /// The number of connections attached so far, from which each connection gets its own seed.
+    attached_count: AtomicU64,
+    /// Whether connections bypass the relay, which saves two copies of each byte. Set if no fault
+    /// of the run affects a link.
     is_transparent: bool,
 }
 
@@ -72,7 +73,7 @@
             inbound: watch::Sender::default(),
             resets: watch::Sender::new(0),
             seed,
-            opened_count: AtomicU64::new(0),
+            attached_count: AtomicU64::new(0),
             is_transparent,
         }
     }
@@ -88,21 +89,22 @@
         self.inbound.borrow().is_cut
     }
 
-    /// Resets all open connections, except those that were opened during a cut: they are reset when
-    /// the cut ends.
+    /// Resets all open connections, except connections that were opened during a cut. The end of
+    /// the cut resets these connections.
     pub fn reset_connections(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 
     /// Relays a connection with the balancer through the link, and returns the other party's end.
+    /// `stream` is the end that would belong to the other party without the link.
     pub fn attach(&self, stream: TcpStream) -> Box<dyn Connection> {
         if self.is_transparent {
             return Box::new(stream);
         }
         let (peer_end, relay_end) = duplex(CHUNK_BYTES);
-        let seed = self.seed ^ (self.opened_count.fetch_add(1, Ordering::Relaxed) << 20);
-        // Subscribes before the task first runs, so that a cut or a reset until then affects the
-        // connection.
+        let seed = self.seed ^ (self.attached_count.fetch_add(1, Ordering::Relaxed) << 20);
+        // Subscribes before the task is spawned, so that a cut or a reset that happens before the
+        // task first runs affects the connection.
         let conditions = ConditionReceivers {
             outbound: self.outbound.subscribe(),
             inbound: self.inbound.subscribe(),
@@ -117,8 +119,8 @@
     }
 }
 
-/// Keeps a connection open that was accepted during a cut, without passing data, and resets it when
-/// the cut ends.
+/// Holds a connection that was accepted during a cut: relays no data, and resets the connection
+/// when the cut ends.
 async fn reset_once_open(
     stream: TcpStream,
     relay_end: DuplexStream,
@@ -130,7 +132,7 @@
     drop((stream, relay_end));
 }
 
-/// Relays a connection until both its directions have ended, or until it is reset.
+/// Relays a connection until both directions have ended or the connection is reset.
 async fn relay(
     stream: TcpStream,
     relay_end: DuplexStream,
@@ -148,7 +150,7 @@
     }
 }
 
-/// A piece of the data of a connection in transit, with the time at which it is delivered.
+/// A piece of the data of a connection in transit, with the earliest time of its delivery.
 struct Chunk {
     due: Instant,
     bytes: Vec<u8>,
@@ -168,7 +170,8 @@
     );
 }
 
-/// Reads chunks and computes when each is due under the condition at that time.
+/// Reads chunks until the stream ends, and computes the time at which each chunk is due. The
+/// condition of the link at the time of the read determines the delay.
 async fn read_chunks(
     mut from: impl AsyncRead + Unpin,
     chunks: mpsc::Sender<Chunk>,
@@ -181,11 +184,11 @@
     while let Ok(length @ 1..) = from.read(&mut buffer).await {
         let condition = *condition.borrow();
         let jitter = condition.jitter.mul_f64(rng.random::<f64>());
-        let transmission = condition.bytes_per_s.map_or(Duration::ZERO, |rate| {
-            Duration::from_secs_f64(length as f64 / f64::from(rate.max(1)))
+        let transmission_time = condition.bytes_per_s.map_or(Duration::ZERO, |bytes_per_s| {
+            Duration::from_secs_f64(length as f64 / f64::from(bytes_per_s.max(1)))
         });
         // Chunks stay in order: the transmission of a chunk begins after that of the previous one.
-        last_due = (Instant::now() + condition.delay + jitter).max(last_due) + transmission;
+        last_due = (Instant::now() + condition.delay + jitter).max(last_due) + transmission_time;
         let chunk = Chunk {
             due: last_due,
             bytes: buffer[..length].to_vec(),
@@ -196,7 +199,7 @@
     }
 }
 
-/// Writes each chunk when it is due, and no data during a cut.
+/// Writes each chunk when it is due. A chunk that is due during a cut is written when the cut ends.
 async fn write_chunks(
     mut chunks: mpsc::Receiver<Chunk>,
     mut to: impl AsyncWrite + Unpin,
@@ -234,14 +237,15 @@
         })
     }
 
-    /// Returns the link between a balancer and another party, and creates it at the first call.
+    /// Returns the link between a balancer and another party. The first call for a pair creates the
+    /// link.
     pub fn between(&self, balancer: u32, peer: LinkPeer) -> Arc<Link> {
-        let number = match peer {
+        let peer_key = match peer {
             LinkPeer::Upstream(number) => u64::from(number) + 1,
             LinkPeer::Discovery => 0,
             LinkPeer::Clients => u64::from(u16::MAX),
         };
-        let seed = self.seed ^ (u64::from(balancer) << 32) ^ (number << 48);
+        let seed = self.seed ^ (u64::from(balancer) << 32) ^ (peer_key << 48);
         let mut links = lock(&self.links);
         let link = links
             .entry((balancer, peer))
--- a/lab/src/links/datagrams.rs
+++ b/lab/src/links/datagrams.rs
@@ -9,7 +9,7 @@
 const MAX_SAMPLES: usize = 8;
 /// The share of the corrupted datagrams that consist of random bytes.
 const RANDOM_SHARE: f64 = 0.3;
-/// The share of the other corrupted datagrams that are truncated.
+/// The share of the corrupted datagrams with flipped bits that are also truncated.
 const TRUNCATED_SHARE: f64 = 0.2;
 /// The exclusive upper limit of the length of random datagrams, in bytes.
 const RANDOM_LENGTH_LIMIT_BYTES: usize = 300;
@@ -18,7 +18,7 @@
 pub struct LinkMatrix {
     /// The number of processes.
     count: usize,
-    /// The condition of each direction: row by row by sender, within a row by receiver.
+    /// The condition of each ordered pair, at the index `sender * count + receiver`.
     conditions: Vec<LinkCondition>,
 }
 
@@ -52,8 +52,8 @@
     }
 }
 
-/// Draws the delays after which a datagram is delivered: none if it is lost, one, or two if it is
-/// duplicated.
+/// Draws one delay for each copy of a datagram that is delivered. The result is empty if the
+/// datagram is lost, and has two delays if the datagram is duplicated.
 pub fn delivery_delays(
     condition: &LinkCondition,
     rng: &mut ChaCha8Rng,
--- a/lab/tests/links.rs
+++ b/lab/tests/links.rs
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn cut_blocks_one_direction_until_it_ends() {
+async fn cut_blocks_one_direction_until_the_cut_ends() {
     let link = link(LinkPeer::Upstream(3));
     let (mut client, mut server) = connect(&link).await;
     assert_delivered(&mut client, &mut server, b"before").await;
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn reset_closes_open_connections_and_end_of_cut_those_opened_during_it() {
+async fn reset_closes_open_connections_and_end_of_cut_closes_connections_opened_during_the_cut() {
     let link = link(LinkPeer::Upstream(3));
     let (mut client, _server) = connect(&link).await;
     link.reset_connections();
