--- a/lab/src/processes/child.rs
+++ b/lab/src/processes/child.rs
@@ -18,7 +18,7 @@
     child.id().and_then(|pid| Pid::from_raw(pid as i32))
 }
 
-/// Writes a file of the run, and overwrites an existing one.
+/// Writes a file of the run, and replaces the content if the file exists.
 pub async fn write_file(path: &Path, text: &str) -> Result<(), LabError> {
     let written = tokio::fs::write(path, text).await;
     written.map_err(|source| LabError::File {
@@ -27,9 +27,9 @@
     })
 }
 
-/// Starts a command without standard input, whose standard error is its log. Each line is passed to
-/// `on_line` and then appended to the file at `log_path`. Dropping the returned child kills the
-/// process.
+/// Starts a command without standard input and output. The standard error of the process is its
+/// log: each line is passed to `on_line` and then appended to the file at `log_path`. Dropping the
+/// returned child kills the process.
 pub async fn spawn_logged(
     command: &mut Command,
     log_path: &Path,
@@ -66,7 +66,7 @@
     mut on_line: impl FnMut(&str),
 ) {
     let mut lines = BufReader::new(stderr).lines();
-    // The log is read even if it cannot be written, because a child whose pipe is full blocks.
+    // The pipe is read even if the log file cannot be written: a full pipe would block the child.
     while let Ok(Some(line)) = lines.next_line().await {
         on_line(&line);
         let _ = file.write_all(format!("{line}\n").as_bytes()).await;
--- a/lab/src/processes/guard.rs
+++ b/lab/src/processes/guard.rs
@@ -1,7 +1,7 @@
 //! The guard ensures that child processes do not outlive the lab, even if the lab is killed.
 //!
-//! It is a separate process of the same program. The lab reports the start and the exit of each
-//! child through a pipe. When the lab ends, the pipe closes, and the guard kills the remaining
+//! The guard is a separate process of the same program. The lab reports the start and the exit of
+//! each child through a pipe. When the lab ends, the pipe closes, and the guard kills the remaining
 //! children.
 
 use crate::sync::lock;
@@ -15,6 +15,7 @@
 /// The guard process, and the lab's end of the pipe to it.
 pub struct Guard {
     child: Child,
+    /// The lab's end of the pipe; `None` once a write has failed because the guard has exited.
     pipe: Mutex<Option<ChildStdin>>,
 }
 
@@ -36,8 +37,8 @@
         self.send(&format!("+{}\n", pid.as_raw_nonzero()));
     }
 
-    /// Reports to the guard that a child has exited and has been waited for. From then on, another
-    /// process may get its process id, which the guard must not kill.
+    /// Reports to the guard that a child has exited and has been waited for. From then on, the
+    /// operating system may give the child's process id to a process that the guard must not kill.
     pub fn unregister(&self, pid: Pid) {
         self.send(&format!("-{}\n", pid.as_raw_nonzero()));
     }
