--- a/lab/src/balancers/balancer_config.rs
+++ b/lab/src/balancers/balancer_config.rs
@@ -29,8 +29,8 @@
     pub known_endpoints: String,
     /// The address at which the balancer reaches the discovery service.
     pub discovery: SocketAddr,
-    /// The addresses at which the balancer reaches the others, by number; its own entry is an
-    /// address where no socket listens. `None` without membership.
+    /// The addresses at which this balancer reaches each balancer of the run, by number. The entry
+    /// for this balancer itself is an address where no socket listens. `None` without membership.
     pub peers: Option<Vec<String>>,
 }
 
@@ -64,7 +64,7 @@
     ChaCha8Rng::seed_from_u64(start_seed).random()
 }
 
-/// Returns the `settings` of the configuration.
+/// Returns the value of the key `settings` in the configuration of the balancer `number`.
 fn settings(experiment: &Experiment, number: u32) -> Value {
     let upstream = &experiment.upstream;
     let classes: Vec<Value> = experiment.classes.iter().map(class_settings).collect();
--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -26,20 +26,21 @@
 /// The time within which a balancer must log its listen address after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// The time after SIGTERM for which clients may still open connections to a balancer.
-const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
-/// The time from SIGTERM to SIGKILL. A balancer exits within the longest deadline, capped at 3 s,
-/// plus 0.7 s; the rest is slack.
+const NEW_CONNECTION_PERIOD_AFTER_TERM: Duration = Duration::from_millis(300);
+/// The time from SIGTERM to SIGKILL, for a balancer that has not exited. A balancer exits within
+/// the longest deadline (3 s at most) plus 0.7 s; the remaining time is slack.
 const KILL_AFTER_TERM: Duration = Duration::from_secs(5);
 /// The time within which a balancer must exit after SIGKILL.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 /// The interval at which memory and processor usage are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The shares of a core that the balancers used, each since its last start.
+/// The usage of processor cores by the balancers. The share of a core that a balancer used is
+/// measured since the last start of that balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct CoreUsage {
-    /// The mean over the balancers; 1 is one core in full use.
+    /// The mean share over the balancers; 1 is one core in full use.
     pub mean: f64,
     /// The largest share among the balancers.
     pub max: f64,
@@ -74,16 +75,18 @@
 pub struct BalancerProcesses {
     context: RunContext,
     program: PathBuf,
-    /// The address at which each balancer reaches the discovery service, by number.
-    discovery: Vec<SocketAddr>,
-    /// Returns the endpoint list that a balancer knows at its start, as JSON.
+    /// The address at which each balancer reaches the discovery service, by balancer number.
+    discovery_addresses: Vec<SocketAddr>,
+    /// A function that takes the number of a balancer and returns the endpoint list that the
+    /// balancer knows at its start, as JSON.
     known_endpoints: Box<dyn Fn(u32) -> String + Send + Sync>,
     slots: Vec<Slot>,
     max_memory_kb: Mutex<u64>,
-    /// The share of a core that each balancer used since its last start, by number.
+    /// The share of a core that each balancer used since its last start, by balancer number.
     core_shares: Mutex<BTreeMap<u32, f64>>,
-    /// The address of each balancer's members page, by number.
-    pages: Mutex<BTreeMap<u32, String>>,
+    /// The address of each balancer's members page, by balancer number. The members page is the
+    /// HTTP page on which a balancer shows its view of the members.
+    page_addresses: Mutex<BTreeMap<u32, String>>,
 }
 
 impl BalancerProcesses {
@@ -91,7 +94,7 @@
     pub fn new(
         context: RunContext,
         program: &Path,
-        discovery: Vec<SocketAddr>,
+        discovery_addresses: Vec<SocketAddr>,
         known_endpoints: impl Fn(u32) -> String + Send + Sync + 'static,
     ) -> Arc<Self> {
         let balancers = 0..context.experiment.fleet.balancers;
@@ -101,11 +104,11 @@
                 .collect(),
             context,
             program: program.to_owned(),
-            discovery,
+            discovery_addresses,
             known_endpoints: Box::new(known_endpoints),
             max_memory_kb: Mutex::new(0),
             core_shares: Mutex::default(),
-            pages: Mutex::default(),
+            page_addresses: Mutex::default(),
         })
     }
 
@@ -124,8 +127,7 @@
         *lock(&self.max_memory_kb)
     }
 
-    /// Returns the mean and the largest share of a core that the balancers used, each since its
-    /// last start.
+    /// Returns the usage of processor cores by the balancers.
     pub fn core_usage(&self) -> CoreUsage {
         let shares = lock(&self.core_shares);
         CoreUsage {
@@ -134,15 +136,16 @@
         }
     }
 
-    /// Returns the addresses of the balancers' members pages, one a line.
+    /// Returns a text that lists the addresses of the balancers' members pages, one address per
+    /// line. A balancer that has not logged the address of its page is left out.
     pub fn pages(&self) -> String {
-        lock(&self.pages)
+        lock(&self.page_addresses)
             .values()
             .map(|page| format!("{page}\n"))
             .collect()
     }
 
-    /// Returns the status of each balancer as a label, by number.
+    /// Returns the status of each balancer, by number: `up`, `down`, `stopped` or `leaving`.
     pub fn statuses(&self) -> Vec<&'static str> {
         self.slots.iter().map(Slot::status).collect()
     }
@@ -196,7 +199,7 @@
             name: self.slot(number).name(),
             start_count,
             known_endpoints: (self.known_endpoints)(number),
-            discovery: self.discovery[number as usize],
+            discovery: self.discovery_addresses[number as usize],
             peers: peer_links.map(|links| links.addresses_for(number)),
         };
         balancer_config(inputs).to_string()
@@ -211,7 +214,7 @@
                     peer_links.set_address(number, peer_address);
                 }
                 if let Some(page) = page {
-                    lock(&self.pages).insert(number, page);
+                    lock(&self.page_addresses).insert(number, page);
                 }
             }
         }
@@ -271,21 +274,22 @@
         }
     }
 
-    /// Removes the address of a dead balancer from the pool after the failover delay, until which
-    /// clients continue to send to it.
+    /// Removes the address of a dead balancer from the pool after the failover delay. During the
+    /// delay, clients continue to send to the dead balancer.
     fn remove_from_pool_after_delay(&self, number: u32) {
         let pool = Arc::clone(&self.context.pool);
         let address = pool.address(number);
         let delay = Duration::from_secs_f64(self.context.experiment.load.failover_delay_s);
         tokio::spawn(async move {
             sleep(delay).await;
-            // If the balancer has been restarted by now, the pool has its new address, which stays.
+            // If the balancer has been restarted by now, the pool has its new address, which is not
+            // removed.
             pool.remove_address(number, address);
         });
     }
 
-    /// Sends SIGKILL, and restarts the balancer after `restart_after`, under the new name if one is
-    /// given. With `None` as `restart_after`, the balancer is not restarted.
+    /// Sends SIGKILL to a balancer, and restarts it after `restart_after`, under `new_name` if one
+    /// is given. With `None` as `restart_after`, the balancer is not restarted.
     pub async fn kill(
         self: Arc<Self>,
         number: u32,
@@ -316,8 +320,8 @@
         }
     }
 
-    /// Sends SIGTERM, and SIGKILL if the balancer does not exit in time; returns whether it has
-    /// exited.
+    /// Sends SIGTERM to a balancer, and SIGKILL if the balancer does not exit in time. Returns
+    /// whether the balancer has exited.
     pub async fn shut_down(&self, number: u32) -> bool {
         let slot = self.slot(number);
         slot.set_ending();
@@ -331,7 +335,7 @@
             self.context.pool.address(number),
         );
         tokio::spawn(async move {
-            sleep(NEW_CONNECTIONS_AFTER_TERM).await;
+            sleep(NEW_CONNECTION_PERIOD_AFTER_TERM).await;
             pool.remove_address(number, address);
         });
         if slot.wait_until_stopped(KILL_AFTER_TERM).await {
@@ -346,7 +350,7 @@
         has_exited
     }
 
-    /// Sends SIGSTOP, and SIGCONT after `duration`.
+    /// Sends SIGSTOP to a balancer, and SIGCONT after `duration`.
     pub async fn pause(self: Arc<Self>, number: u32, duration: Duration) {
         let slot = self.slot(number);
         if slot.signal(Signal::STOP) {
--- a/lab/src/balancers/member_log.rs
+++ b/lab/src/balancers/member_log.rs
@@ -22,7 +22,8 @@
     },
 }
 
-/// Parses a line of the log of a balancer; returns `None` if the line does not concern membership.
+/// Parses a line of the log of a balancer. Returns `None` if the line does not concern membership
+/// or cannot be parsed.
 pub fn parse_member_log(balancer: u32, line: &str) -> Option<MemberLogLine> {
     let (_, message) = line.split_once(LOG_TARGET_SUFFIX)?;
     if message.starts_with("yielded") {
@@ -36,7 +37,8 @@
     Some(MemberLogLine::Serving { peer_address, page })
 }
 
-/// Parses a change of the observer's view of one member.
+/// Parses a change of the observer's view of one member; returns `None` if the message has another
+/// form.
 fn parse_view_change(observer: u32, message: &str) -> Option<EventKind> {
     let number = |field| log_field(message, field).and_then(|n| n.parse::<u64>().ok());
     let state = match log_field(message, "standing")? {
@@ -48,7 +50,7 @@
     };
     let name = Name::new(log_field(message, "name")?).ok()?;
     // In the log, `incarnation` is the start time of the member, and `turn` counts how often the
-    // member has refuted that it failed. The incarnation in the protocol is their sum.
+    // member has refuted that it failed. The incarnation in the protocol is the sum of both.
     let incarnation = number("incarnation")? + number("turn")?;
     let version = number("version")?;
     Some(EventKind::ViewChanged {
--- a/lab/src/balancers/slot.rs
+++ b/lab/src/balancers/slot.rs
@@ -51,7 +51,7 @@
         *lock(&self.name) = name;
     }
 
-    /// Counts a start, and returns the number of starts including it.
+    /// Counts a start, and returns the number of starts, this start included.
     pub fn count_start(&self) -> u64 {
         let mut start_count = lock(&self.start_count);
         *start_count += 1;
@@ -81,13 +81,15 @@
         lock(&self.signal_state).is_paused = is_paused;
     }
 
-    /// Sends a signal to the process; returns whether one runs and the signal was sent.
+    /// Sends a signal to the balancer's process. Returns whether a process runs and the signal was
+    /// sent.
     pub fn signal(&self, signal: Signal) -> bool {
         let state = *self.state.borrow();
         matches!(state, RunState::Running(pid) if kill_process(pid, signal).is_ok())
     }
 
-    /// Waits until the process has exited, for `limit` at most; returns whether it has.
+    /// Waits until the process has exited, for `limit` at most. Returns whether the process has
+    /// exited.
     pub async fn wait_until_stopped(&self, limit: Duration) -> bool {
         let mut state = self.state.subscribe();
         timeout(limit, state.wait_for(|state| *state == RunState::Stopped))
@@ -95,7 +97,7 @@
             .is_ok()
     }
 
-    /// Returns the status of the balancer as a label.
+    /// Returns the status of the balancer: `up`, `down`, `stopped` or `leaving`.
     pub fn status(&self) -> &'static str {
         let signal_state = *lock(&self.signal_state);
         match *self.state.borrow() {
