--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -186,7 +186,7 @@
 fn class(position: usize, document: &ClassDocument) -> Result<Class, SettingsParseError> {
     Ok(Class {
         latency_objective: duration_from_ms(document.latency_objective_ms),
-        objective_work_multiple: document.objective_work_multiple,
+        objective_extension_per_cpu_time: document.objective_extension_per_cpu_time,
         deadline: duration_from_ms(document.deadline_ms),
         priority_weight: document.priority_weight,
         late_weight_share: document.late_weight_share,
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -45,7 +45,7 @@
     #[serde(rename = "aim_ms")]
     pub(crate) latency_objective_ms: f64,
     #[serde(rename = "aim_stretch")]
-    pub(crate) objective_work_multiple: f64,
+    pub(crate) objective_extension_per_cpu_time: f64,
     #[serde(rename = "hard_limit_ms")]
     pub(crate) deadline_ms: f64,
     #[serde(rename = "worth")]
@@ -65,7 +65,7 @@
         Self {
             name: String::new(),
             latency_objective_ms: 1000.0,
-            objective_work_multiple: 0.0,
+            objective_extension_per_cpu_time: 0.0,
             deadline_ms: 3000.0,
             priority_weight: 1.0,
             late_weight_share: 0.0,
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -36,7 +36,7 @@
     vec![
         Class {
             latency_objective: micros(1_200_500),
-            objective_work_multiple: 0.25,
+            objective_extension_per_cpu_time: 0.25,
             deadline: micros(2_750_000),
             priority_weight: 2.5,
             late_weight_share: 0.125,
@@ -45,7 +45,7 @@
         },
         Class {
             latency_objective: micros(800_000),
-            objective_work_multiple: 1.5,
+            objective_extension_per_cpu_time: 1.5,
             deadline: micros(6_000_000),
             priority_weight: 10.0,
             late_weight_share: 0.5,
@@ -182,7 +182,7 @@
 fn class_without_keys_has_default_values() {
     let class = Class {
         latency_objective: micros(1_000_000),
-        objective_work_multiple: 0.0,
+        objective_extension_per_cpu_time: 0.0,
         deadline: micros(3_000_000),
         priority_weight: 1.0,
         late_weight_share: 0.0,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -40,7 +40,7 @@
     /// Multiple of the request's own CPU time by which the latency objective is extended, where
     /// that time is known; 0 or more. Decisions depend only on whether it is above 0: a response
     /// after `latency_objective` is then still useful.
-    pub objective_work_multiple: f64,
+    pub objective_extension_per_cpu_time: f64,
     /// Longest time that a client waits for a response.
     pub deadline: Duration,
     /// Value of a response within the objective, compared with other classes; 0 or more.
@@ -66,7 +66,7 @@
     fn default() -> Self {
         Self {
             latency_objective: Duration::from_secs(1),
-            objective_work_multiple: 0.0,
+            objective_extension_per_cpu_time: 0.0,
             deadline: Duration::from_secs(3),
             priority_weight: 1.0,
             late_weight_share: 0.0,
@@ -321,7 +321,7 @@
         }
         check_not_negative(self.priority_weight, "class worth")?;
         check_not_negative(self.late_weight_share, "class late_worth")?;
-        check_not_negative(self.objective_work_multiple, "class aim_stretch")
+        check_not_negative(self.objective_extension_per_cpu_time, "class aim_stretch")
     }
 }
 
--- a/tests/action_digest/sites.rs
+++ b/tests/action_digest/sites.rs
@@ -101,7 +101,7 @@
             class(200, 800, Effect::Idempotent),
             Class {
                 priority_weight: 2.0,
-                objective_work_multiple: 2.0,
+                objective_extension_per_cpu_time: 2.0,
                 ..class(400, 1500, Effect::AtMostOnce)
             },
             class(250, 1200, deduplicated(DedupGroup::All, 900)),
