--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -169,7 +169,7 @@
         cross_zone: document.cross_zone,
         connection: document.connection,
         handshake: document.handshake,
-        late_failure: document.late_failure,
+        failure_after_objective: document.failure_after_objective,
         health_check: document.health_check,
         waste: document.waste,
     }
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -134,7 +134,7 @@
     pub(crate) cross_zone: f64,
     pub(crate) handshake: f64,
     #[serde(rename = "late_fail")]
-    pub(crate) late_failure: f64,
+    pub(crate) failure_after_objective: f64,
     #[serde(rename = "probe")]
     pub(crate) health_check: f64,
     pub(crate) waste: f64,
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -101,7 +101,7 @@
             cross_zone: 0.02,
             connection: 0.01,
             handshake: 0.03,
-            late_failure: 0.04,
+            failure_after_objective: 0.04,
             health_check: 0.05,
             waste: 0.06,
         },
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -130,7 +130,7 @@
     /// The establishment of a new connection.
     pub handshake: f64,
     /// A request that fails only after its latency objective.
-    pub late_failure: f64,
+    pub failure_after_objective: f64,
     /// A health check.
     pub health_check: f64,
     /// Wasted upstream work, as much as one request needs on average.
@@ -307,7 +307,7 @@
         check_not_negative(self.prices.cross_zone, "prices.cross_zone")?;
         check_not_negative(self.prices.connection, "prices.connection")?;
         check_not_negative(self.prices.handshake, "prices.handshake")?;
-        check_not_negative(self.prices.late_failure, "prices.late_fail")?;
+        check_not_negative(self.prices.failure_after_objective, "prices.late_fail")?;
         check_not_negative(self.tolerated_late_fraction.unwrap_or(0.0), "tail_miss")?;
         check_not_negative(self.prices.health_check, "prices.probe")?;
         check_not_negative(self.prices.waste, "prices.waste")
