--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -171,7 +171,7 @@
         handshake: document.handshake,
         failure_after_objective: document.failure_after_objective,
         health_check: document.health_check,
-        waste: document.waste,
+        wasted_work: document.wasted_work,
     }
 }
 
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -137,7 +137,8 @@
     pub(crate) failure_after_objective: f64,
     #[serde(rename = "probe")]
     pub(crate) health_check: f64,
-    pub(crate) waste: f64,
+    #[serde(rename = "waste")]
+    pub(crate) wasted_work: f64,
 }
 
 /// The `goal` object. Only its two keys for late responses, which take longer than their latency objective,
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -103,7 +103,7 @@
             handshake: 0.03,
             failure_after_objective: 0.04,
             health_check: 0.05,
-            waste: 0.06,
+            wasted_work: 0.06,
         },
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -134,7 +134,7 @@
     /// A health check.
     pub health_check: f64,
     /// Wasted upstream work, as much as one request needs on average.
-    pub waste: f64,
+    pub wasted_work: f64,
 }
 
 /// The configuration of a balancer, which stays constant while the balancer runs.
@@ -310,7 +310,7 @@
         check_not_negative(self.prices.failure_after_objective, "prices.late_fail")?;
         check_not_negative(self.tolerated_late_fraction.unwrap_or(0.0), "tail_miss")?;
         check_not_negative(self.prices.health_check, "prices.probe")?;
-        check_not_negative(self.prices.waste, "prices.waste")
+        check_not_negative(self.prices.wasted_work, "prices.waste")
     }
 }
 
