--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -167,7 +167,7 @@
 fn prices(document: &PricesDocument) -> Prices {
     Prices {
         cross_zone: document.cross_zone,
-        connection: document.connection,
+        hundred_connections: document.hundred_connections,
         handshake: document.handshake,
         failure_after_objective: document.failure_after_objective,
         health_check: document.health_check,
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -130,7 +130,8 @@
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct PricesDocument {
-    pub(crate) connection: f64,
+    #[serde(rename = "connection")]
+    pub(crate) hundred_connections: f64,
     pub(crate) cross_zone: f64,
     pub(crate) handshake: f64,
     #[serde(rename = "late_fail")]
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -99,7 +99,7 @@
         ],
         prices: Prices {
             cross_zone: 0.02,
-            connection: 0.01,
+            hundred_connections: 0.01,
             handshake: 0.03,
             failure_after_objective: 0.04,
             health_check: 0.05,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -126,7 +126,7 @@
     /// An attempt at an upstream in another zone.
     pub cross_zone: f64,
     /// A hundred connections to an upstream that stay open all the time.
-    pub connection: f64,
+    pub hundred_connections: f64,
     /// The establishment of a new connection.
     pub handshake: f64,
     /// A request that fails only after its latency objective.
@@ -305,7 +305,7 @@
         check_not_negative(self.slow_start_initial_share, "cold_from")?;
         check_not_negative(self.overload_multiple, "fall_multiple")?;
         check_not_negative(self.prices.cross_zone, "prices.cross_zone")?;
-        check_not_negative(self.prices.connection, "prices.connection")?;
+        check_not_negative(self.prices.hundred_connections, "prices.connection")?;
         check_not_negative(self.prices.handshake, "prices.handshake")?;
         check_not_negative(self.prices.failure_after_objective, "prices.late_fail")?;
         check_not_negative(self.tolerated_late_fraction.unwrap_or(0.0), "tail_miss")?;
