--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -11,8 +11,8 @@
 };
 use std::time::Duration;
 
-/// The highest limit on the attempts of a request; a higher `try_limit` is reduced to it. The attempts of a request are
-/// numbered in one byte.
+/// The maximum number of attempts per request that the settings can allow. A higher `try_limit` is reduced to this
+/// number, because the policy crate numbers the attempts of a request in one byte.
 const MAX_ATTEMPT_LIMIT: u32 = 250;
 const MICROS_PER_MILLI: f64 = 1e3;
 const MILLIS_PER_SECOND: f64 = 1e3;
@@ -26,8 +26,8 @@
     Duration::try_from_secs_f64(ms / MILLIS_PER_SECOND).unwrap_or(Duration::MAX)
 }
 
-/// Returns the meaning of a value in load reports, given its name in the settings or in a report. The meaning for an
-/// unknown name is [`LoadField::Other`].
+/// Returns the meaning of a load report's value, given the name of the value in the settings or in a report. An unknown
+/// name has the meaning [`LoadField::Other`].
 pub fn parse_load_field(name: &str) -> LoadField {
     match name {
         "concurrent" | "inflight" => LoadField::InFlight,
@@ -60,9 +60,12 @@
         prices: prices(&document.prices),
         ..Settings::default()
     };
-    let over_quota = document.over_quota_weight_share;
+    let over_quota_weight_share = document.over_quota_weight_share;
     set_value(&mut settings.balancers, document.balancers);
-    set_value(&mut settings.over_quota_weight_share, over_quota);
+    set_value(
+        &mut settings.over_quota_weight_share,
+        over_quota_weight_share,
+    );
     set_value(
         &mut settings.retries_marked,
         document.clients.retries_marked,
@@ -142,7 +145,8 @@
 }
 
 /// Returns the fraction of each class's responses that may take longer than the class's latency objective. Returns
-/// `None` if the settings lack that fraction, or if its weight (`slow_end`) is missing or not above 0.
+/// `None` if the key of that fraction (`tail_miss`) is missing, or if the weight of late responses (`slow_end`) is
+/// missing or not above 0.
 fn tolerated_late_fraction(goal: &GoalDocument) -> Option<f64> {
     let has_weight = goal.late_fraction_weight.is_some_and(|weight| weight > 0.0);
     goal.tolerated_late_fraction.filter(|_| has_weight)
