--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -9,7 +9,7 @@
     /// wrong type, the value or its type.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
-    /// A key has a value that is not one of those accepted.
+    /// A key has a value that is not among the accepted values.
     #[error("settings: {key} must be one of {accepted_values}, got {value:?}")]
     UnknownValue {
         /// The key with its path, such as `classes[1].effect`.
@@ -24,7 +24,7 @@
     MissingKey {
         /// The missing key with its path, such as `classes[1].dedup_scope`.
         key: String,
-        /// The value that requires the key, and the values that the key accepts.
+        /// The value of the other key that requires the missing key, and the accepted values of the missing key.
         requirement: &'static str,
     },
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,9 +1,12 @@
-//! Parses the settings of a site, a group of balancers with the same upstreams, from the JSON object that the simulator
-//! and the platform's configuration share. The result has two parts: the policy crate's [`Settings`], and the names of
-//! the classes, tenants, zones and hardware kinds, which the policy crate identifies by number.
+//! Parses the settings of a site from a JSON object. A site is a group of balancers with the same upstreams. The
+//! simulator and the platform's configuration use the same form of the object.
 //!
-//! Unknown keys are ignored. Missing keys have the values of [`Settings::default`], except that without `weight_kind`
-//! the weights of endpoints are ignored ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
+//! The result has two parts. One is the policy crate's [`Settings`], which identify classes, tenants, zones and
+//! hardware kinds by number. The other is the names of these classes, tenants, zones and hardware kinds.
+//!
+//! Unknown keys are ignored. Missing keys have the values of [`Settings::default`] and, in a class, of
+//! [`Class::default`](frostkeel_policy::Class::default). The only exception is `weight_kind`: without it, the weights
+//! of endpoints are ignored ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
 
 mod convert;
 mod document;
@@ -25,8 +28,8 @@
 
 /// The names of classes, tenants, zones and hardware kinds.
 ///
-/// The names of the classes and tenants are in the order of [`Settings::classes`] and [`Settings::tenants`]. The
-/// position of the name of a zone or hardware kind is its id.
+/// The names of the classes and tenants are in the order of [`Settings::classes`] and [`Settings::tenants`]. The id of
+/// a zone or hardware kind is the position of its name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// The names of the classes of requests. A class without a name has the empty string.
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -24,7 +24,7 @@
     parse(&value.to_string()).expect("valid settings")
 }
 
-/// Parses settings with one class object, and returns the class or the message of the error.
+/// Parses settings with one class object. Returns the class, or the message of the error.
 fn parse_class(class: Value) -> Result<Class, String> {
     let text = json!({ "classes": [class] }).to_string();
     parse(&text)
@@ -121,7 +121,7 @@
     assert_eq!(site.names, names);
 }
 
-/// Appends the JSON pointers to all scalar values in objects and lists below the pointer `at`.
+/// Appends to `found` the JSON pointer of each scalar value in `value`. `at` is the JSON pointer of `value` itself.
 fn scalar_pointers(value: &Value, at: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
@@ -152,7 +152,7 @@
         match without.pointer_mut(parent).expect("the parent of the key") {
             Value::Object(map) => drop(map.remove(last).expect("the key")),
             Value::Array(list) => drop(list.remove(last.parse().expect("a position"))),
-            other => panic!("{parent} is {other}"),
+            other => panic!("expected an object or a list at {parent}, got {other}"),
         }
         assert!(
             parse(&without.to_string()).ok() != Some(site.clone()),
