--- a/syscall-faults/src/config.rs
+++ b/syscall-faults/src/config.rs
@@ -15,7 +15,7 @@
 }
 
 impl SyscallKind {
-    /// Returns the name of the environment variable with the fault rule for this kind of call.
+    /// Returns the name of the environment variable that contains the fault rule for this kind of call.
     fn variable(self) -> &'static str {
         match self {
             Self::Accept => "FAULT_ACCEPT",
@@ -26,7 +26,7 @@
     }
 }
 
-/// The fraction of the calls of one kind that fail, and their errors. The default is that none fail.
+/// The fraction of the calls of one kind that fail, and the errors of the failing calls. By default, no call fails.
 #[derive(Debug, Default)]
 pub(crate) struct FaultRule {
     /// The fraction of the calls that fail, from 0 to 1.
@@ -41,8 +41,8 @@
         value.map_or_else(|_| Self::default(), |text| Self::parse(&text))
     }
 
-    /// Parses a rule in the form `FRACTION:ERROR,ERROR`. Panics at an invalid rule, because a test would otherwise run
-    /// without its faults and pass.
+    /// Parses a rule in the form `FRACTION:ERROR,ERROR`. Panics at an invalid rule: if the rule were ignored, a test
+    /// would run without its faults and pass.
     fn parse(text: &str) -> Self {
         let Some((fraction, names)) = text.split_once(':') else {
             panic!("fault rule must have the form FRACTION:ERROR,ERROR, got {text:?}");
@@ -68,9 +68,10 @@
     connect: FaultRule,
     read: FaultRule,
     write: FaultRule,
-    /// The offset of the wall clock in seconds, positive if the clock is ahead.
+    /// The number of seconds added to the wall clock; negative if the clock is to be behind. The variable
+    /// `FAULT_WALL_MS` states the offset in milliseconds, which are rounded towards zero to whole seconds.
     pub(crate) wall_clock_offset_s: i64,
-    /// The seed of the random numbers that choose the calls that fail and their errors.
+    /// The seed of the random numbers, which decide whether a call fails and with which error.
     pub(crate) seed: u64,
 }
 
--- a/syscall-faults/src/errors.rs
+++ b/syscall-faults/src/errors.rs
@@ -2,7 +2,7 @@
 
 use libc::c_int;
 
-/// Returns the `errno` value of the error with this name, or `None` if a rule can't name the error.
+/// Returns the `errno` value of the error with this name, or `None` if a fault rule can't name this error.
 pub(crate) fn error_number(name: &str) -> Option<c_int> {
     Some(match name {
         "EINTR" => libc::EINTR,
--- a/syscall-faults/src/injection.rs
+++ b/syscall-faults/src/injection.rs
@@ -1,13 +1,14 @@
-//! Chooses the calls that fail, and sets their errors.
+//! Decides which calls fail, and sets `errno` for the failing calls.
 
 use crate::config::{FaultConfig, SyscallKind};
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The constants of the random number generator splitmix64: the step of its state and the two factors of its mixing
-/// function.
+/// The number that the random number generator splitmix64 adds to its state at each step.
 const SPLITMIX_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The first factor of the mixing function of splitmix64.
 const SPLITMIX_FACTOR_1: u64 = 0xbf58_476d_1ce4_e5b9;
+/// The second factor of the mixing function of splitmix64.
 const SPLITMIX_FACTOR_2: u64 = 0x94d0_49bb_1331_11eb;
 
 struct FaultInjector {
@@ -42,7 +43,7 @@
     }
 }
 
-/// Decides whether a call of this kind fails now. If it returns `true`, it has set `errno` to the error of the call.
+/// Returns whether the present call, which is of this kind, is to fail. If so, sets `errno` to an error of the rule.
 pub(crate) fn inject_error(kind: SyscallKind) -> bool {
     let injector = FaultInjector::global();
     let rule = injector.config.rule(kind);
@@ -55,7 +56,7 @@
     true
 }
 
-/// Returns the offset of the wall clock in seconds.
+/// Returns the number of seconds to add to the wall clock; may be negative.
 pub(crate) fn wall_clock_offset_s() -> i64 {
     FaultInjector::global().config.wall_clock_offset_s
 }
--- a/syscall-faults/src/lib.rs
+++ b/syscall-faults/src/lib.rs
@@ -1,14 +1,15 @@
-//! A library that tests preload into a process (`LD_PRELOAD`) to inject faults: a fraction of the system calls fail
-//! with given errors, and the wall clock has an offset. The library is not part of the product, and no other crate has
-//! `unsafe` code.
+//! Injects faults into a process: a fraction of the system calls fail with given errors, and the wall clock has an
+//! offset. Tests preload this library into the process with `LD_PRELOAD`. The library is not part of the product. No
+//! other crate has `unsafe` code.
 //!
 //! | environment variable | value |
 //! | --- | --- |
-//! | `FAULT_ACCEPT`, `FAULT_CONNECT`, `FAULT_READ`, `FAULT_WRITE` | the fraction of these calls that fail, and their errors: `0.3:EMFILE,ECONNABORTED` |
-//! | `FAULT_SEED` | the seed of the random choice of the calls that fail and of their errors |
-//! | `FAULT_WALL_MS` | the offset of the wall clock in milliseconds, rounded towards zero to whole seconds |
+//! | `FAULT_ACCEPT`, `FAULT_CONNECT`, `FAULT_READ`, `FAULT_WRITE` | the fraction of these calls that fail, and the errors that they fail with: `0.3:EMFILE,ECONNABORTED` |
+//! | `FAULT_SEED` | the seed of the random numbers, which decide whether a call fails and with which error |
+//! | `FAULT_WALL_MS` | the time added to the wall clock, in milliseconds; rounded towards zero to whole seconds |
 //!
-//! A missing variable injects no fault. An invalid rule ends the process. An invalid seed or offset counts as 0.
+//! `FAULT_READ` applies to `recv`, and `FAULT_WRITE` to `send` and `writev`. Without the variable of a fault, the fault
+//! is not injected. An invalid rule ends the process. A missing or invalid seed or offset counts as 0.
 
 mod config;
 mod errors;
@@ -22,7 +23,7 @@
 /// The value that the C library returns from a call that has failed.
 const FAILED: i8 = -1;
 
-/// Returns the function that the process would call by this name without this library.
+/// Returns the function with this name that the process would call if this library were not loaded.
 fn next_symbol(name: &CStr) -> *mut c_void {
     // SAFETY: `dlsym` only reads the name, which is terminated by a zero byte.
     let function = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
@@ -33,14 +34,14 @@
     function
 }
 
-/// Defines a replacement for a function of the C library. A call of the replacement fails with the probability in the
-/// fault rule for this kind of system call; otherwise it calls the replaced function.
+/// Defines a replacement for a function of the C library. The fault rule for this kind of system call states the
+/// probability with which the replacement fails. Otherwise the replacement calls the replaced function.
 macro_rules! replacement_function {
     ($kind:expr, $name:ident($($argument:ident: $type:ty),*) -> $result:ty) => {
-        /// Calls the function of the C library with this name, or fails with an injected error.
+        /// Calls the C library's function of the same name, or fails with an injected error.
         ///
         /// # Safety
-        /// The requirements are those of the function of the C library with this name.
+        /// The requirements are those of the C library's function of the same name.
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $name($($argument: $type),*) -> $result {
             if inject_error($kind) {
@@ -78,10 +79,11 @@
     writev(fd: c_int, buffers: *const iovec, count: c_int) -> ssize_t
 );
 
-/// Reads a clock of the system. Adds the offset of `FAULT_WALL_MS` to the wall clock, and to no other clock.
+/// Reads a clock of the system. If the clock is the wall clock (`CLOCK_REALTIME`), adds the offset that the environment
+/// variable `FAULT_WALL_MS` states, in whole seconds. Other clocks are not changed.
 ///
 /// # Safety
-/// The requirements are those of the function of the C library with this name.
+/// The requirements are those of the C library's function of the same name.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     type Function = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
