--- a/simulator-adapter/src/decoder.rs
+++ b/simulator-adapter/src/decoder.rs
@@ -9,7 +9,7 @@
 
 /// Decodes a complete batch. `frame` begins with the length field.
 ///
-/// The error names the byte of the frame at which the first invalid field begins.
+/// An error contains the position in the frame of the first invalid field.
 pub fn decode_batch(frame: &[u8]) -> Result<Batch, BatchError> {
     let mut reader = FieldReader::new(frame);
     let stated = reader.u32("length")? as usize;
@@ -18,10 +18,13 @@
         let fault = BatchFault::LengthMismatch { stated, actual };
         return Err(BatchError { offset: 0, fault });
     }
-    let clock = reader.time("clock")?;
+    let simulator_time = reader.time("clock")?;
     let mut records = Vec::new();
     while !reader.is_at_end() {
         records.push(records::located_record(&mut reader)?);
     }
-    Ok(Batch { clock, records })
+    Ok(Batch {
+        simulator_time,
+        records,
+    })
 }
--- a/simulator-adapter/src/protocol.rs
+++ b/simulator-adapter/src/protocol.rs
@@ -1,11 +1,11 @@
 //! The codes and limits of the simulator's protocol, and the records of a batch.
 //!
-//! A batch is a frame from the simulator, with records that all happen at one time. A reply is a frame from the
-//! adapter, with the actions that result from one batch. An instance is a balancer, which the simulator identifies by a
-//! number.
+//! A batch is a frame from the simulator. It contains a time and the records of what happens at that time. A reply is a
+//! frame from the adapter, with the actions that result from one batch. An instance is a balancer, which the simulator
+//! identifies by a number.
 //!
 //! Names in capitals, such as `PEER_DATA`, are the protocol's own names. Integers and floats are big-endian, without
-//! padding. A time is an `f64` in milliseconds.
+//! padding. A point in time or a duration is an `f64` in milliseconds.
 
 use frostkeel_policy::{
     AttemptNo, Availability, ClassId, Endpoint, Outcome, RequestId, TenantId, TimerId, UpdateScope,
@@ -13,17 +13,18 @@
 };
 use std::time::Duration;
 
-/// The size of the length field that begins each frame. The length is the number of bytes after this field.
+/// The size in bytes of the length field, which begins each frame. Its value is the number of bytes that
+/// follow the field.
 pub const LENGTH_BYTES: usize = 4;
-/// The size of the time field that follows the length field of a batch.
+/// The size in bytes of the time of a batch, which follows the length field.
 pub const CLOCK_BYTES: usize = 8;
-/// The highest value of the length field. A longer frame is rejected before memory is reserved for it.
+/// The highest value of the length field, in bytes. A longer frame is rejected before memory is reserved for it.
 pub const MAX_FRAME_BYTES: usize = 1 << 30;
-/// The size of one entry of an endpoint list.
+/// The size in bytes of one entry of an endpoint list.
 pub const ENDPOINT_BYTES: usize = 24;
 /// The highest number that identifies an endpoint list; the lowest is 0.
 pub const MAX_ENDPOINT_LIST_NUMBER: u32 = 15;
-/// The size of an upstream's id: an IPv4 address and a port.
+/// The size in bytes of an upstream's id: an IPv4 address and a port.
 pub const UPSTREAM_BYTES: usize = 6;
 
 /// The bit in a request's flags that is set if the work hint in the request is valid. The work hint is the expected CPU
@@ -61,7 +62,7 @@
 }
 
 impl RecordCode {
-    /// Returns the code with this number on the wire, or `None` if the number is unknown.
+    /// Converts the first byte of a record into the record's code. Returns `None` for an unknown code.
     pub fn from_wire(code: u8) -> Option<Self> {
         Some(match code {
             1 => Self::PeerMessage,
@@ -84,9 +85,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ActionCode {
-    /// `OVERLOAD_REPLY`: rejects a request without any effect.
+    /// `OVERLOAD_REPLY`: rejects a request, which the client may retry.
     Reject = 65,
-    /// `FAIL`: ends a request as failed; it may have had an effect.
+    /// `FAIL`: ends a request as failed. The request may have had an effect.
     Fail = 66,
     /// `NOTIFY_ME`: sets a timer.
     Timer = 68,
@@ -104,8 +105,7 @@
     CloseIdleConnections = 76,
 }
 
-/// Returns the outcome of an attempt or of a health check with this number on the wire, or `None` if the number is
-/// unknown.
+/// Converts the wire code of the outcome of an attempt or of a health check. Returns `None` for an unknown code.
 pub fn outcome_from_wire(code: u16) -> Option<Outcome> {
     Some(match code {
         100 => Outcome::Ok,
@@ -120,7 +120,7 @@
     })
 }
 
-/// Returns the scope of an endpoint update with this number on the wire, or `None` if the number is unknown.
+/// Converts the wire code of the scope of an endpoint update. Returns `None` for an unknown code.
 pub fn update_scope_from_wire(code: u8) -> Option<UpdateScope> {
     Some(match code {
         0 => UpdateScope::Failed,
@@ -131,7 +131,7 @@
     })
 }
 
-/// Returns the availability of an endpoint with this number on the wire, or `None` if the number is unknown.
+/// Converts the wire code of the availability of an endpoint. Returns `None` for an unknown code.
 pub fn availability_from_wire(code: u8) -> Option<Availability> {
     Some(match code {
         0 => Availability::Removed,
@@ -141,11 +141,11 @@
     })
 }
 
-/// A batch of records that all happen at one time.
+/// A decoded batch: a time, and the records of what happens at that time.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    /// The time of all records of the batch, on the simulator's clock.
-    pub clock: Duration,
+    /// The point in time of all records of the batch, counted from the zero of the simulator's clock.
+    pub simulator_time: Duration,
     /// The records in the order of the frame.
     pub records: Vec<LocatedRecord>,
 }
@@ -202,20 +202,20 @@
 pub enum InstanceEvent {
     /// The endpoint list was updated, or an update failed.
     EndpointsUpdated {
-        /// The kind of update: a complete list, only the changed entries, or a failure.
+        /// The kind of update: a complete list (current or cached), the changed entries alone, or a failure.
         scope: UpdateScope,
-        /// The number of the list with the entries; ignored if the scope is `Failed`.
+        /// The number of the list that contains the entries of the update; ignored if the scope is `Failed`.
         list_number: u32,
     },
     /// A client's request has arrived.
     Request {
-        /// The id of the request, which is never reused.
+        /// The id of the request. An id is never reused.
         id: RequestId,
-        /// The class of the request, by its position in the settings.
+        /// The class of the request: a position in the settings' list of classes.
         class: ClassId,
-        /// The tenant of the request, by its position in the settings.
+        /// The tenant of the request: a position in the settings' list of tenants.
         tenant: TenantId,
-        /// The time until the client's deadline.
+        /// The time from this event to the client's deadline.
         time_left: Duration,
         /// The expected CPU time of the request in milliseconds; `None` if the request has no valid work hint.
         work_ms: Option<f64>,
@@ -226,9 +226,9 @@
     StreamStarted {
         /// The id of the request whose response is streamed.
         id: RequestId,
-        /// The number of the attempt whose response is streamed.
+        /// The number of the attempt whose response is streamed, counted from 0 for each request.
         attempt: AttemptNo,
-        /// The time since the attempt was sent.
+        /// The time from the sending of the attempt to this event.
         latency: Duration,
     },
     /// An attempt has ended.
@@ -237,8 +237,8 @@
         id: RequestId,
         /// The number of the attempt, counted from 0 for each request.
         attempt: AttemptNo,
-        /// Whether the request needs no further response: this outcome or an earlier event gave it its final response,
-        /// or its client has disconnected.
+        /// Whether the request is finished. A request is finished if this attempt or an earlier event brought the final
+        /// response, or if the client has disconnected.
         request_finished: bool,
         /// The result of the attempt, with its load report.
         result: UpstreamResult,
@@ -248,12 +248,12 @@
         /// The result of the health check, with its load report.
         result: UpstreamResult,
     },
-    /// A client has disconnected; its request needs no response any more.
+    /// A client has disconnected. The request of this client needs no response any more.
     ClientDisconnected {
         /// The id of the client's request.
         id: RequestId,
     },
-    /// A timer is due that the balancer set earlier.
+    /// A timer that the balancer set earlier is due.
     Timer {
         /// The id that the balancer gave the timer.
         timer: TimerId,
@@ -267,7 +267,7 @@
     pub upstream: UpstreamId,
     /// How the attempt or the health check ended.
     pub outcome: Outcome,
-    /// The time since the attempt or the health check was sent.
+    /// The time from the sending of the attempt or the health check to the event that contains this result.
     pub latency: Duration,
     /// The values of the load report, in the order of
     /// [`Settings::report_fields`](frostkeel_policy::Settings::report_fields); empty if there was no report.
--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -16,7 +16,7 @@
     while read_frame(&mut input, &mut frame)? {
         let batch = decode_batch(&frame)?;
         for record in batch.records {
-            host.apply(batch.clock, record)?;
+            host.apply(batch.simulator_time, record)?;
         }
         reply.begin();
         for pending in host.drain_actions() {
--- a/simulator-adapter/tests/codec.rs
+++ b/simulator-adapter/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Decodes single records and encodes single actions, and compares them with fixtures that an earlier version of the
-//! adapter read and wrote.
+//! Decodes single records and encodes single actions, and compares them with fixtures. An earlier version of the
+//! adapter read the records of the fixtures and wrote the actions.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -24,7 +24,7 @@
 /// The byte of a frame at which the first record begins.
 const FIRST_RECORD_OFFSET: usize = 12;
 
-/// The upstream at 10.18.74.`host`, port 11203.
+/// Returns the id of the upstream at 10.18.74.`host`, port 11203.
 fn upstream(host: u8) -> UpstreamId {
     UpstreamId(0x0a12_4a00_2bc3 | u64::from(host) << 16)
 }
@@ -188,7 +188,7 @@
         let name = line.name;
         let batch = decode_batch(&frame(1001.5, &line.bytes));
         let mut batch = batch.unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(batch.clock, micros(1_001_500));
+        assert_eq!(batch.simulator_time, micros(1_001_500));
         let located = batch.records.pop().expect("a record");
         assert_eq!(
             (located.offset, &located.record),
