--- a/simulator-adapter/src/decoder/fields.rs
+++ b/simulator-adapter/src/decoder/fields.rs
@@ -1,4 +1,4 @@
-//! Reads single fields of a frame. Each error names the field and the byte at which it begins.
+//! Reads single fields of a frame. An error contains the name and the position of the invalid field.
 
 use crate::error::{BatchError, BatchFault};
 use crate::protocol::UPSTREAM_BYTES;
@@ -6,7 +6,8 @@
 use frostkeel_settings::duration_from_ms;
 use std::time::Duration;
 
-/// Reads the fields of a frame from its beginning to its end.
+/// A reader that returns the fields of a frame in order. The argument `field` of a method is the name of the field in
+/// error messages.
 pub(super) struct FieldReader<'a> {
     frame: &'a [u8],
     offset: usize,
@@ -98,8 +99,8 @@
         (0..count).map(|_| self.f32("load report")).collect()
     }
 
-    /// Reads a count of items of `item_bytes` each. More items than the rest of the frame can hold are an error, raised
-    /// before memory is reserved for them.
+    /// Reads the number of items that follow, each of `item_bytes` bytes. Returns an error if the rest of the frame is
+    /// too short for this number, so that the caller reserves no memory for a wrong number.
     pub(super) fn count(
         &mut self,
         item_bytes: usize,
@@ -145,7 +146,7 @@
     }
 }
 
-/// Returns the error for an unknown code whose field begins at the byte `offset` of the frame.
+/// Returns the error for an unknown code in a field that begins at the byte `offset` of the frame.
 pub(super) fn unknown_code(offset: usize, field: &'static str, code: u16) -> BatchError {
     BatchError {
         offset,
--- a/simulator-adapter/src/decoder/records.rs
+++ b/simulator-adapter/src/decoder/records.rs
@@ -15,9 +15,9 @@
 /// Reads the next record, and returns it with its position in the frame.
 pub(super) fn located_record(reader: &mut FieldReader<'_>) -> Result<LocatedRecord, BatchError> {
     let offset = reader.offset();
-    let number = reader.u8("record code")?;
-    let code = RecordCode::from_wire(number);
-    let code = code.ok_or_else(|| unknown_code(offset, "event code", number.into()))?;
+    let wire_code = reader.u8("record code")?;
+    let code = RecordCode::from_wire(wire_code);
+    let code = code.ok_or_else(|| unknown_code(offset, "event code", wire_code.into()))?;
     let record = match code {
         RecordCode::EndpointList => endpoint_list(reader)?,
         RecordCode::Start => start(reader)?,
@@ -181,10 +181,11 @@
     let tenant = TenantId(reader.u32("tenant")?);
     reader.u64("key")?;
     let time_left = reader.time("time left")?;
-    let hint_ms = reader.f64("work hint")?;
+    let work_hint_ms = reader.f64("work hint")?;
     let flags = reader.u8("flags")?;
-    let has_hint = flags & REQUEST_HAS_WORK_HINT != 0 && hint_ms.is_finite() && hint_ms > 0.0;
-    let work_ms = has_hint.then_some(hint_ms);
+    let has_work_hint =
+        flags & REQUEST_HAS_WORK_HINT != 0 && work_hint_ms.is_finite() && work_hint_ms > 0.0;
+    let work_ms = has_work_hint.then_some(work_hint_ms);
     let is_retry = flags & REQUEST_IS_RETRY != 0;
     Ok(InstanceEvent::Request {
         id,
