--- a/simulator-adapter/src/encoder.rs
+++ b/simulator-adapter/src/encoder.rs
@@ -4,20 +4,20 @@
 use frostkeel_policy::{Action, UpstreamId};
 use std::time::Duration;
 
-/// The value of the only field of `KEEP_INFORMED`: it starts a watch on the endpoint list. The value 0 would end the
-/// watch.
+/// The value with which the only field of `KEEP_INFORMED` starts a watch on the endpoint list. The value 0 would end
+/// the watch.
 const WATCH_ON: u8 = 1;
-/// The time that is written for an action without a time, in milliseconds.
+/// The value of a time field, in milliseconds, if the action has no timeout or no Retry-After.
 const NO_TIME_MS: f64 = 0.0;
 
-/// A reply to one batch: its length field, then its actions one after the other.
+/// An encoder of the reply to one batch: the length field of the reply, then the actions one after the other.
 #[derive(Debug, Default)]
 pub struct ReplyEncoder {
     bytes: Vec<u8>,
 }
 
 impl ReplyEncoder {
-    /// Starts a reply with space for its length field. Discards the previous reply and reuses its buffer.
+    /// Starts a reply with space for the length field. Discards the previous reply, and reuses the buffer.
     pub fn begin(&mut self) {
         self.bytes.clear();
         self.bytes.extend([0; LENGTH_BYTES]);
@@ -25,20 +25,20 @@
 
     /// Appends an action that an instance requested.
     pub fn push(&mut self, instance: u32, action: &Action) {
-        let mut fields = ActionEncoder {
+        let mut encoder = ActionEncoder {
             bytes: &mut self.bytes,
             instance,
         };
-        fields.encode(action);
+        encoder.encode(action);
     }
 
     /// Appends a log line of an instance. A line over 65,535 bytes is truncated.
     pub fn push_log_line(&mut self, instance: u32, line: &str) {
-        let mut fields = ActionEncoder {
+        let mut encoder = ActionEncoder {
             bytes: &mut self.bytes,
             instance,
         };
-        fields.log_line(line);
+        encoder.log_line(line);
     }
 
     /// Sets the length field and returns the complete reply.
@@ -49,7 +49,7 @@
     }
 }
 
-/// Writes the fields of one action of an instance.
+/// An encoder of one action of an instance.
 struct ActionEncoder<'a> {
     bytes: &'a mut Vec<u8>,
     instance: u32,
@@ -139,7 +139,7 @@
         self.bytes.extend(&upstream.0.to_be_bytes()[2..]);
     }
 
-    /// Writes the length of a text as a `u16`, then the text. A text over the maximum of a `u16` is truncated.
+    /// Writes the length of a text as a `u16`, then the text. A text over 65,535 bytes is truncated.
     fn text(&mut self, text: &str) {
         let length = u16::try_from(text.len()).unwrap_or(u16::MAX);
         self.bytes.extend(length.to_be_bytes());
