--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -18,14 +18,14 @@
     /// The input ended before the end of a frame.
     #[error("frame truncated at byte {received}: expected {expected} bytes")]
     TruncatedFrame {
-        /// The number of bytes received, the length field included.
+        /// The number of bytes of the frame that were received, the length field included.
         received: usize,
         /// The number of bytes expected: the size of the length field if the field is truncated, otherwise the size of
         /// the frame with its length field.
         expected: usize,
     },
-    /// The length field is less than [`CLOCK_BYTES`](crate::protocol::CLOCK_BYTES), the length of a batch without
-    /// records, or over [`MAX_FRAME_BYTES`](crate::protocol::MAX_FRAME_BYTES).
+    /// The value of the length field is out of range. The lowest is [`CLOCK_BYTES`](crate::protocol::CLOCK_BYTES), for
+    /// a batch without records. The highest is [`MAX_FRAME_BYTES`](crate::protocol::MAX_FRAME_BYTES).
     #[error("byte 0: frame length must be 8 to 1073741824 bytes, got {length}")]
     InvalidFrameLength {
         /// The value of the length field, in bytes.
@@ -98,7 +98,7 @@
     /// The settings of an instance can't be parsed.
     #[error(transparent)]
     SettingsSyntax(#[from] SettingsParseError),
-    /// The settings are parsed, but a balancer can't run with their values.
+    /// The settings were parsed, but a balancer can't run with these values.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// An update refers to an endpoint list that no earlier record has defined.
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -25,7 +25,7 @@
     /// A buffer for the actions of one event, reused for each event.
     actions: Vec<Action>,
     /// The actions of all instances for the reply to the current batch, in order.
-    pending: Vec<InstanceAction>,
+    pending_actions: Vec<InstanceAction>,
 }
 
 impl Host {
@@ -38,7 +38,7 @@
 
     /// Removes and returns the actions collected since the last call, in order.
     pub fn drain_actions(&mut self) -> impl Iterator<Item = InstanceAction> {
-        self.pending.drain(..)
+        self.pending_actions.drain(..)
     }
 
     fn apply_record(&mut self, now: Duration, record: Record) -> Result<(), BatchFault> {
@@ -74,7 +74,7 @@
         self.actions.clear();
         balancer.handle(now, event, &mut self.actions);
         let actions = self.actions.drain(..);
-        self.pending
+        self.pending_actions
             .extend(actions.map(|action| InstanceAction { instance, action }));
         Ok(())
     }
@@ -92,10 +92,11 @@
         self.discard_pending(instance);
     }
 
-    /// Discards the pending actions of an instance that was stopped or replaced. An instance with the same number may
-    /// start in the same batch, and the reply must not attribute those actions to it.
+    /// Discards the pending actions of an instance that was stopped or replaced. A new instance with the same number
+    /// may start in the same batch, and the reply must not attribute the old instance's actions to the new one.
     fn discard_pending(&mut self, instance: u32) {
-        self.pending.retain(|pending| pending.instance != instance);
+        self.pending_actions
+            .retain(|pending| pending.instance != instance);
     }
 }
 
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -2,7 +2,7 @@
 //! standard output.
 //!
 //! At the first error, such as a malformed frame, the program writes one line to standard error and exits with code 1.
-//! It writes no part of a reply to an invalid frame.
+//! An invalid frame gets no reply, and no part of one.
 
 use frostkeel_simulator_adapter::session;
 use std::io;
