--- a/simulator-adapter/tests/common/mod.rs
+++ b/simulator-adapter/tests/common/mod.rs
@@ -19,15 +19,15 @@
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("a piped standard input");
     let input = input.to_owned();
-    // The input may exceed the pipe's buffer, so a thread writes it while the output is read. Write errors are ignored,
-    // because the adapter closes its input after a malformed frame.
+    // The input may exceed the pipe's buffer, so a thread writes it while the output is read. After a malformed frame
+    // the adapter closes its input, which makes the rest of the write fail. Write errors are therefore ignored.
     let writer = std::thread::spawn(move || drop(stdin.write_all(&input)));
     let output = child.wait_with_output().expect("the adapter ends");
     writer.join().expect("the input is written");
     output
 }
 
-/// Returns the frame of a batch with these encoded records.
+/// Returns the frame of a batch with this time and these encoded records.
 pub fn frame(clock_ms: f64, records: &[u8]) -> Vec<u8> {
     let length = (8 + records.len() as u32).to_be_bytes();
     [&length[..], &clock_ms.to_be_bytes(), records].concat()
--- a/simulator-adapter/tests/frame_fixtures.rs
+++ b/simulator-adapter/tests/frame_fixtures.rs
@@ -28,8 +28,8 @@
     );
 }
 
-/// Checks that the data of the test above contains all kinds of records, and all kinds of actions that its session can
-/// cause. Without this check, a kind missing from the data would go untested.
+/// Checks that the data of `replies_to_a_session_byte_for_byte` contains all kinds of records, and all kinds of actions
+/// that this session can cause. Without this check, a kind missing from the data would go untested.
 #[test]
 fn session_data_covers_all_record_kinds_and_six_action_kinds() {
     let kinds = |text: &'static str| -> BTreeSet<&str> {
--- a/simulator-adapter/tests/session.rs
+++ b/simulator-adapter/tests/session.rs
@@ -95,8 +95,8 @@
     assert_eq!(attempt.len(), 23, "the reply contains one action");
 }
 
-/// Checks that the adapter exits with code 1 at a malformed frame, that it writes one line which names `byte` and
-/// contains `word`, and that only the batch before the malformed frame gets a reply.
+/// Checks that the adapter exits with code 1 at a malformed frame, and that only the batch before this frame gets a
+/// reply. Checks that the adapter writes one line to standard error, which names `byte` and contains `word`.
 fn assert_malformed(malformed: &[u8], byte: usize, word: &str) {
     let output = run_adapter(&[start_batch(), malformed.to_vec()].concat());
     let message = error_message(&output);
