--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -24,7 +24,7 @@
     parse(&value.to_string()).expect("valid settings")
 }
 
-/// Parses settings with one class object, and returns the class or the message of the error.
+/// Parses settings with one class object. Returns the class, or the message of the error.
 fn parse_class(class: Value) -> Result<Class, String> {
     let text = json!({ "classes": [class] }).to_string();
     parse(&text)
@@ -36,7 +36,7 @@
     vec![
         Class {
             latency_objective: micros(1_200_500),
-            objective_work_multiple: 0.25,
+            objective_extension_per_cpu_time: 0.25,
             deadline: micros(2_750_000),
             priority_weight: 2.5,
             late_weight_share: 0.125,
@@ -45,7 +45,7 @@
         },
         Class {
             latency_objective: micros(800_000),
-            objective_work_multiple: 1.5,
+            objective_extension_per_cpu_time: 1.5,
             deadline: micros(6_000_000),
             priority_weight: 10.0,
             late_weight_share: 0.5,
@@ -99,11 +99,11 @@
         ],
         prices: Prices {
             cross_zone: 0.02,
-            connection: 0.01,
+            hundred_connections: 0.01,
             handshake: 0.03,
-            late_failure: 0.04,
+            failure_after_objective: 0.04,
             health_check: 0.05,
-            waste: 0.06,
+            wasted_work: 0.06,
         },
     }
 }
@@ -121,7 +121,7 @@
     assert_eq!(site.names, names);
 }
 
-/// Appends the JSON pointers to all scalar values in objects and lists below the pointer `at`.
+/// Appends to `found` the JSON pointer of each scalar value in `value`. `at` is the JSON pointer of `value` itself.
 fn scalar_pointers(value: &Value, at: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
@@ -152,7 +152,7 @@
         match without.pointer_mut(parent).expect("the parent of the key") {
             Value::Object(map) => drop(map.remove(last).expect("the key")),
             Value::Array(list) => drop(list.remove(last.parse().expect("a position"))),
-            other => panic!("{parent} is {other}"),
+            other => panic!("expected an object or a list at {parent}, got {other}"),
         }
         assert!(
             parse(&without.to_string()).ok() != Some(site.clone()),
@@ -182,7 +182,7 @@
 fn class_without_keys_has_default_values() {
     let class = Class {
         latency_objective: micros(1_000_000),
-        objective_work_multiple: 0.0,
+        objective_extension_per_cpu_time: 0.0,
         deadline: micros(3_000_000),
         priority_weight: 1.0,
         late_weight_share: 0.0,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -40,7 +40,7 @@
     /// Multiple of the request's own CPU time by which the latency objective is extended, where
     /// that time is known; 0 or more. Decisions depend only on whether it is above 0: a response
     /// after `latency_objective` is then still useful.
-    pub objective_work_multiple: f64,
+    pub objective_extension_per_cpu_time: f64,
     /// Longest time that a client waits for a response.
     pub deadline: Duration,
     /// Value of a response within the objective, compared with other classes; 0 or more.
@@ -66,7 +66,7 @@
     fn default() -> Self {
         Self {
             latency_objective: Duration::from_secs(1),
-            objective_work_multiple: 0.0,
+            objective_extension_per_cpu_time: 0.0,
             deadline: Duration::from_secs(3),
             priority_weight: 1.0,
             late_weight_share: 0.0,
@@ -126,15 +126,15 @@
     /// An attempt at an upstream in another zone.
     pub cross_zone: f64,
     /// A hundred connections to an upstream that stay open all the time.
-    pub connection: f64,
+    pub hundred_connections: f64,
     /// The establishment of a new connection.
     pub handshake: f64,
     /// A request that fails only after its latency objective.
-    pub late_failure: f64,
+    pub failure_after_objective: f64,
     /// A health check.
     pub health_check: f64,
     /// Wasted upstream work, as much as one request needs on average.
-    pub waste: f64,
+    pub wasted_work: f64,
 }
 
 /// The configuration of a balancer, which stays constant while the balancer runs.
@@ -305,12 +305,12 @@
         check_not_negative(self.slow_start_initial_share, "cold_from")?;
         check_not_negative(self.overload_multiple, "fall_multiple")?;
         check_not_negative(self.prices.cross_zone, "prices.cross_zone")?;
-        check_not_negative(self.prices.connection, "prices.connection")?;
+        check_not_negative(self.prices.hundred_connections, "prices.connection")?;
         check_not_negative(self.prices.handshake, "prices.handshake")?;
-        check_not_negative(self.prices.late_failure, "prices.late_fail")?;
+        check_not_negative(self.prices.failure_after_objective, "prices.late_fail")?;
         check_not_negative(self.tolerated_late_fraction.unwrap_or(0.0), "tail_miss")?;
         check_not_negative(self.prices.health_check, "prices.probe")?;
-        check_not_negative(self.prices.waste, "prices.waste")
+        check_not_negative(self.prices.wasted_work, "prices.waste")
     }
 }
 
@@ -321,7 +321,7 @@
         }
         check_not_negative(self.priority_weight, "class worth")?;
         check_not_negative(self.late_weight_share, "class late_worth")?;
-        check_not_negative(self.objective_work_multiple, "class aim_stretch")
+        check_not_negative(self.objective_extension_per_cpu_time, "class aim_stretch")
     }
 }
 
