--- a/frostkeel/src/commands/lab/simulate.rs
+++ b/frostkeel/src/commands/lab/simulate.rs
@@ -134,8 +134,8 @@
         figures.detection_p50_s,
         figures.detection_p99_s,
         figures.detection_max_s,
-        figures.false_failure_count,
-        figures.paused_failure_count,
+        figures.running_declared_down_count,
+        figures.paused_declared_down_count,
         converged_since.as_deref().unwrap_or("never"),
         figures.divergent_view_count
     );
@@ -143,7 +143,7 @@
 
 fn print_deviations(experiment: &Experiment, simulated: &Simulated) {
     let Simulated { outcome, missed } = simulated;
-    let violations = if experiment.expect.no_false_failures {
+    let violations = if experiment.expect.no_running_declared_down {
         &outcome.violations[..]
     } else {
         &[]
--- a/frostkeel/src/output/results.rs
+++ b/frostkeel/src/output/results.rs
@@ -66,9 +66,9 @@
         figures.undetected_count,
         figures.leave_count,
         figures.leave_detection_max_s,
-        figures.leave_as_failure_count,
-        figures.false_failure_count,
-        figures.paused_failure_count,
+        figures.left_declared_dead_count,
+        figures.running_declared_down_count,
+        figures.paused_declared_down_count,
         figures.suspicion_count,
         converged_since.as_deref().unwrap_or("never"),
         figures.divergent_view_count
--- a/lab/src/checks/membership_checks.rs
+++ b/lab/src/checks/membership_checks.rs
@@ -256,7 +256,7 @@
             .record_detection(change)
             .is_some_and(|departure| departure.is_graceful);
         let is_failure = change.state == MemberState::Dead;
-        self.figures.leave_as_failure_count += usize::from(is_graceful && is_failure);
+        self.figures.left_declared_dead_count += usize::from(is_graceful && is_failure);
     }
 
     /// Returns whether a change reports a live process as left or dead, and counts it if it does. A
@@ -275,10 +275,10 @@
             .find(|member| member.is_active());
         let Some(member) = live else { return false };
         if member.is_paused {
-            self.figures.paused_failure_count += 1;
+            self.figures.paused_declared_down_count += 1;
             return true;
         }
-        self.figures.false_failure_count += 1;
+        self.figures.running_declared_down_count += 1;
         if self.violations.len() < MAX_DESCRIBED_VIOLATIONS {
             let description = format!(
                 "b{} declared the live process {} {} at {:.3} s",
--- a/lab/src/checks/membership_figures.rs
+++ b/lab/src/checks/membership_figures.rs
@@ -28,15 +28,17 @@
     /// Number of departures that fewer than 99% of the surviving members ever detected.
     #[serde(rename = "unknown")]
     pub undetected_count: usize,
-    /// Number of times that a process declared a live, running member left or dead.
+    /// Number of times that a process declared a running member left or dead. Paused members are
+    /// not included.
     #[serde(rename = "false_gone")]
-    pub false_failure_count: usize,
+    pub running_declared_down_count: usize,
     /// Number of times that a process declared a paused member left or dead.
     #[serde(rename = "false_gone_held")]
-    pub paused_failure_count: usize,
-    /// Number of times that a process declared a member dead that had been shut down gracefully.
+    pub paused_declared_down_count: usize,
+    /// Number of times that a process declared a member dead, instead of left, that had been shut
+    /// down gracefully.
     #[serde(rename = "left_as_gone")]
-    pub leave_as_failure_count: usize,
+    pub left_declared_dead_count: usize,
     /// Number of times that a process suspected a member.
     #[serde(rename = "suspected")]
     pub suspicion_count: usize,
@@ -50,13 +52,13 @@
     pub differences: Vec<String>,
 }
 
-/// Returns a text for each expectation of the experiment that was missed.
+/// Returns a description of each expectation of the experiment that was missed.
 pub fn missed_expectations(experiment: &Experiment, figures: &MembershipFigures) -> Vec<String> {
     [
-        missed_detection(experiment, figures),
-        missed_convergence(experiment, figures),
-        missed_false_failures(experiment, figures),
-        missed_paused_failures(experiment, figures),
+        check_detection(experiment, figures),
+        check_convergence(experiment, figures),
+        check_running_declared_down(experiment, figures),
+        check_paused_declared_down(experiment, figures),
     ]
     .into_iter()
     .flatten()
@@ -64,8 +66,8 @@
 }
 
 /// Checks `known_s`: the seconds within which 99% of the other balancers detect a kill. A departure
-/// that was not detected misses the expectation as well.
-fn missed_detection(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
+/// that was never detected also misses the expectation.
+fn check_detection(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
     let within = experiment.expect.detected_within_s?;
     let is_missed = figures.detection_max_s > within || figures.undetected_count > 0;
     is_missed.then(|| {
@@ -78,7 +80,7 @@
 }
 
 /// Checks `equal_s`: the seconds after the last fault within which all views are equal.
-fn missed_convergence(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
+fn check_convergence(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
     let within = experiment.expect.converged_within_s?;
     let ends = experiment
         .faults
@@ -98,16 +100,22 @@
     }
 }
 
-/// Checks `none_taken_for_gone`: no live process is declared left or dead.
-fn missed_false_failures(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
-    let count = figures.false_failure_count;
-    (experiment.expect.no_false_failures && count > 0)
+/// Checks `none_taken_for_gone`: no running process is declared left or dead.
+fn check_running_declared_down(
+    experiment: &Experiment,
+    figures: &MembershipFigures,
+) -> Option<String> {
+    let count = figures.running_declared_down_count;
+    (experiment.expect.no_running_declared_down && count > 0)
         .then(|| format!("live processes were declared left or dead {count} times, expected 0"))
 }
 
 /// Checks `none_stopped_taken_for_gone`: no paused process is declared left or dead.
-fn missed_paused_failures(experiment: &Experiment, figures: &MembershipFigures) -> Option<String> {
-    let count = figures.paused_failure_count;
-    (experiment.expect.no_paused_failures && count > 0)
+fn check_paused_declared_down(
+    experiment: &Experiment,
+    figures: &MembershipFigures,
+) -> Option<String> {
+    let count = figures.paused_declared_down_count;
+    (experiment.expect.no_paused_declared_down && count > 0)
         .then(|| format!("paused processes were declared left or dead {count} times, expected 0"))
 }
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -377,10 +377,10 @@
     /// seconds; `None` for no check.
     #[serde(rename = "equal_s")]
     pub converged_within_s: Option<f64>,
-    /// Whether it is a failure of the run if a live balancer is declared dead.
+    /// Whether the run fails if a running balancer is declared left or dead.
     #[serde(rename = "none_taken_for_gone")]
-    pub no_false_failures: bool,
-    /// Whether it is a failure of the run if a paused balancer is declared dead.
+    pub no_running_declared_down: bool,
+    /// Whether the run fails if a paused balancer is declared left or dead.
     #[serde(rename = "none_stopped_taken_for_gone")]
-    pub no_paused_failures: bool,
+    pub no_paused_declared_down: bool,
 }
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -147,7 +147,7 @@
     let mut membership = None;
     if let Some(traffic) = measured.peer_traffic {
         let report = check_membership(&events, elapsed_s);
-        if experiment.expect.no_false_failures {
+        if experiment.expect.no_running_declared_down {
             violations.extend(report.violations.into_iter().map(|found| Violation {
                 rule: Rule::MembershipAccurate,
                 at_us: found.at_us,
--- a/lab/tests/membership_checks.rs
+++ b/lab/tests/membership_checks.rs
@@ -25,8 +25,8 @@
     EventKind::BalancerState { balancer, state }
 }
 
-/// Returns the figures and the number of violations for three members that know each other from 1 s
-/// on, followed by the events of a test case. The times of the events are in seconds.
+/// Returns the figures and the number of violations of a history in which three members learn of
+/// each other at 1 s, and the events of a test case then occur at the given times in seconds.
 fn check_views(case_events: Vec<(u64, EventKind)>) -> (MembershipFigures, usize) {
     let mut checker = MembershipChecker::default();
     for observer in 0..3 {
@@ -61,7 +61,7 @@
 #[test]
 fn a_live_process_declared_dead_is_a_violation() {
     let (figures, violations) = check_views(vec![(10, view_change(0, 2, MemberState::Dead, 4))]);
-    assert_eq!((figures.false_failure_count, violations), (1, 1));
+    assert_eq!((figures.running_declared_down_count, violations), (1, 1));
     assert_eq!(
         (figures.divergent_view_count, figures.converged_since_s),
         (1, None)
@@ -75,7 +75,10 @@
         (10, view_change(0, 2, MemberState::Dead, 4)),
     ]);
     assert_eq!(
-        (figures.false_failure_count, figures.paused_failure_count),
+        (
+            figures.running_declared_down_count,
+            figures.paused_declared_down_count
+        ),
         (0, 1)
     );
 }
@@ -102,7 +105,7 @@
         (13, view_change(0, 2, MemberState::Dead, 4)),
     ]);
     assert_eq!(
-        (figures.leave_count, figures.leave_as_failure_count),
+        (figures.leave_count, figures.left_declared_dead_count),
         (1, 1)
     );
 }
