--- a/lab/src/balancers/member_log.rs
+++ b/lab/src/balancers/member_log.rs
@@ -47,8 +47,8 @@
         _ => return None,
     };
     let name = Name::new(log_field(message, "name")?).ok()?;
-    // In the log, `incarnation` is the start time of the member, and `turn` counts how often the
-    // member has refuted that it failed. The incarnation in the protocol is their sum.
+    // In the log, `incarnation` is the start time of the member, and `turn` is the number of times
+    // that it has rejoined because others had declared it dead. The history contains their sum.
     let incarnation = number("incarnation")? + number("turn")?;
     let version = number("version")?;
     Some(EventKind::ViewChanged {
--- a/lab/src/checks/balancer_rules.rs
+++ b/lab/src/checks/balancer_rules.rs
@@ -65,8 +65,8 @@
 /// Checks that a client receives at least one final response to an attempt that a running balancer
 /// accepted.
 ///
-/// Requests in flight in a balancer when it is killed, or at the end of its shutdown, may be lost.
-/// Requests whose client connection a fault resets may be lost as well.
+/// A missing response is not a violation if the balancer ended or was shutting down, or if a fault
+/// reset the client's connection (see [`is_missing_response_excused`]).
 ///
 /// Source: the platform's brief, "No run may break these rules".
 fn at_least_one_response(
@@ -78,7 +78,7 @@
     let failure = attempt.failure.as_ref()?;
     if failure.cause != AttemptFailure::ConnectionClosed
         || !attempt.responses.is_empty()
-        || may_be_lost(events, sent.balancer, sent.at_us, failure.at_us)
+        || is_missing_response_excused(events, sent.balancer, sent.at_us, failure.at_us)
     {
         return None;
     }
@@ -122,7 +122,8 @@
     })
 }
 
-/// Checks that a balancer makes at most three attempts for each request that it accepted.
+/// Checks that a balancer makes at most three attempts to upstreams, retries and hedges included,
+/// for each client attempt. A client's own retry is a new client attempt.
 ///
 /// Source: the platform's wire format, `limits.try_limit`, which the lab sets to 3.
 fn attempt_limit(id: ClientAttemptId, attempt: &AttemptRecord) -> Option<Violation> {
@@ -208,7 +209,8 @@
     found
 }
 
-/// Returns the notifications in the order of time, by the numbers of the balancer and the upstream.
+/// Groups the notifications by the numbers of the notified balancer and the upstream. The
+/// notifications of a group are in order of time.
 fn notifications(events: &[Event]) -> HashMap<(u32, u32), Vec<Notification>> {
     let mut notified: HashMap<(u32, u32), Vec<Notification>> = HashMap::new();
     for Event { at_us, kind } in events {
@@ -231,9 +233,9 @@
     notified
 }
 
-/// Returns the last notification whose grace had ended at `at_us`, if it reports the upstream as
-/// not ready. Returns `None` if a later notification, until `at_us`, reports the upstream as ready
-/// again.
+/// Returns the last notification that is more than [`DRAIN_GRACE_US`] older than `at_us`, if it
+/// reports the upstream as not ready. Returns `None` if a later notification, received no later
+/// than `at_us`, reports the upstream as ready again.
 fn drained_before(known: &[Notification], at_us: u64) -> Option<&Notification> {
     let grace_has_ended = |notified: &Notification| notified.at_us + DRAIN_GRACE_US < at_us;
     let last = known
@@ -289,11 +291,14 @@
     })
 }
 
-/// Returns whether requests that a balancer had in flight between two times may be lost: the
-/// balancer ended or its clients' connections were reset in that period, or its shutdown was
-/// requested in that period or at most [`MAX_SHUTDOWN_US`] before it. The ends of the period have a
-/// tolerance of [`RECORDING_TOLERANCE_US`].
-fn may_be_lost(events: &[Event], balancer: u32, from_us: u64, to_us: u64) -> bool {
+/// Returns whether an event explains why a client attempt, which a balancer had in flight from
+/// `from_us` to `to_us`, received no response. These events are:
+///
+/// - The balancer ended or a fault reset its clients' connections during that period, with a
+///   tolerance of [`RECORDING_TOLERANCE_US`] at both ends.
+/// - The graceful shutdown of the balancer was requested at most [`MAX_SHUTDOWN_US`] before the
+///   start of that period, and at most [`RECORDING_TOLERANCE_US`] after its end.
+fn is_missing_response_excused(events: &[Event], balancer: u32, from_us: u64, to_us: u64) -> bool {
     events.iter().any(|event| {
         let (affected, effect_us) = match event.kind {
             EventKind::ClientConnectionsReset { balancer } => (balancer, RECORDING_TOLERANCE_US),
--- a/lab/src/runs/outcome.rs
+++ b/lab/src/runs/outcome.rs
@@ -139,7 +139,7 @@
             figures.served_share
         ));
     }
-    missed.extend(missed_recovery(experiment, figures));
+    missed.extend(check_recovery(experiment, figures));
     missed
 }
 
@@ -147,7 +147,7 @@
 /// fault: the share of requests served in time from then on must be at least `MIN_RECOVERED_RATIO`
 /// times the share before the first fault. Returns `None` if it recovers or if the experiment does
 /// not set that expectation.
-fn missed_recovery(experiment: &Experiment, figures: &Figures) -> Option<String> {
+fn check_recovery(experiment: &Experiment, figures: &Figures) -> Option<String> {
     let within = experiment.expect.recovered_within_s?;
     match recovery(experiment, figures, within) {
         Some(Recovery { before, after }) if after >= MIN_RECOVERED_RATIO * before => None,
--- a/lab/tests/load_digest.rs
+++ b/lab/tests/load_digest.rs
@@ -64,7 +64,7 @@
     digest: u64,
 }
 
-fn arrivals(experiment: &Experiment, seed: u64) -> Digest {
+fn arrival_digest(experiment: &Experiment, seed: u64) -> Digest {
     let (mut text, arrivals) = (String::new(), draw_load(experiment, seed));
     for arrival in &arrivals {
         let at_us = (arrival.at_s * 1e6).round() as u64;
@@ -78,7 +78,7 @@
     }
 }
 
-fn faults(experiment: &Experiment, seed: u64) -> Digest {
+fn fault_digest(experiment: &Experiment, seed: u64) -> Digest {
     let (mut text, schedule) = (String::new(), fault_schedule(experiment, seed));
     for occurrence in &schedule {
         let at_us = occurrence.fault.start.as_micros();
@@ -102,7 +102,7 @@
     }
 }
 
-fn configurations(experiment: &Experiment, seed: u64) -> u64 {
+fn configuration_digest(experiment: &Experiment, seed: u64) -> u64 {
     let discovery: SocketAddr = "127.16.1.251:9".parse().expect("an address");
     let peers = experiment
         .membership
@@ -129,9 +129,9 @@
     let mut actual = String::new();
     for NamedExperiment { name, experiment } in experiments() {
         for seed in [experiment.seed, OTHER_SEED] {
-            let arrivals = arrivals(&experiment, seed);
-            let faults = faults(&experiment, seed);
-            let configurations = configurations(&experiment, seed);
+            let arrivals = arrival_digest(&experiment, seed);
+            let faults = fault_digest(&experiment, seed);
+            let configurations = configuration_digest(&experiment, seed);
             writeln!(
                 actual,
                 "{name} seed {seed}: {} arrivals {:016x}, {} faults {:016x}, configurations \
