--- a/membership/tests/wire_fixtures/scenarios.rs
+++ b/membership/tests/wire_fixtures/scenarios.rs
@@ -1,6 +1,6 @@
-//! The scenarios: simulated fleets with the faults that are applied to them.
+//! The scenarios: simulated fleets with the steps that are applied to them.
 
-use crate::simulation::{EPOCH_MS, FLEET, Fault, Simulation, member_name};
+use crate::simulation::{EPOCH_MS, FLEET, Simulation, Step, member_name};
 use frostkeel_membership::{Identity, PeerIndex};
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
     Duration::from_secs(seconds)
 }
 
-fn start(peer: u16, name: u16, incarnation_offset_ms: u64, is_restored: bool) -> Fault {
-    Fault::Start {
+fn start(peer: u16, name: u16, incarnation_offset_ms: u64, is_restored: bool) -> Step {
+    Step::Start {
         peer,
         name,
         incarnation_offset_ms,
@@ -71,8 +71,8 @@
     ]
 }
 
-/// Returns a fault that delivers a join message as a process at the peer `from` would send it.
-fn join(to: u16, from: u16, name: u16, incarnation_offset_ms: u64) -> Fault {
+/// Returns a step that delivers a join message as a process at the peer `from` would send it.
+fn join(to: u16, from: u16, name: u16, incarnation_offset_ms: u64) -> Step {
     let (name, peer) = (member_name(name), PeerIndex(from));
     let id = Identity {
         name,
@@ -82,17 +82,17 @@
         is_leaving: false,
     };
     let id = postcard::to_allocvec(&id).expect("an identity can be encoded");
-    Fault::Inject {
+    Step::Inject {
         to,
         from,
         datagram: encode_with_checksum(FLEET, &[&[1, 0], &id[..]].concat()),
     }
 }
 
-/// Returns faults that deliver more join messages over ten seconds than the receiver may respond
-/// to, and faults that deliver claims to a name by more claimants than a process that has just
+/// Returns steps that deliver more join messages over ten seconds than the receiver may respond
+/// to, and steps that deliver claims to a name by more claimants than a process that has just
 /// started may supersede.
-fn join_storms() -> impl Iterator<Item = (Duration, Fault)> {
+fn join_storms() -> impl Iterator<Item = (Duration, Step)> {
     let at = |start_s, step_ms: u64, index: u64| {
         seconds(start_s) + Duration::from_millis(step_ms * index)
     };
@@ -102,35 +102,31 @@
     joins.chain(claims)
 }
 
-/// Returns faults that block links temporarily: first the links from peer 1 to 2, from 2 to 1 and
+/// Returns steps that block links temporarily: first the links from peer 1 to 2, from 2 to 1 and
 /// from 4 to 5, and later all links from and to peer 3.
-fn link_faults() -> Vec<(Duration, Fault)> {
-    let mut faults = Vec::new();
-    let block_and_unblock = |from, to| {
-        (
-            Fault::BlockLink { from, to },
-            Fault::UnblockLink { from, to },
-        )
-    };
+fn link_block_steps() -> Vec<(Duration, Step)> {
+    let mut steps = Vec::new();
+    let block_and_unblock =
+        |from, to| (Step::BlockLink { from, to }, Step::UnblockLink { from, to });
     for (from, to) in [(1, 2), (2, 1), (4, 5)] {
         let (block, unblock) = block_and_unblock(from, to);
-        faults.extend([(seconds(8), block), (seconds(18), unblock)]);
+        steps.extend([(seconds(8), block), (seconds(18), unblock)]);
     }
     let isolated = (0..SMALL_MEMBER_COUNT)
         .filter(|other| *other != 3)
         .flat_map(|other| [(3, other), (other, 3)]);
     for (from, to) in isolated {
         let (block, unblock) = block_and_unblock(from, to);
-        faults.extend([(seconds(40), block), (seconds(52), unblock)]);
+        steps.extend([(seconds(40), block), (seconds(52), unblock)]);
     }
-    faults
+    steps
 }
 
-/// Returns the faults of the small simulation, each with the time at which it is applied: starts,
+/// Returns the steps of the small simulation, each with the time at which it is applied: starts,
 /// kills, restarts, leaves, name conflicts, pauses, blocked links, lost datagrams, invalid
 /// datagrams and storms of join messages.
-fn small_simulation_faults() -> Vec<(Duration, Fault)> {
-    let mut faults: Vec<(Duration, Fault)> = (0..SMALL_MEMBER_COUNT - 1)
+fn small_simulation_steps() -> Vec<(Duration, Step)> {
+    let mut steps: Vec<(Duration, Step)> = (0..SMALL_MEMBER_COUNT - 1)
         .map(|peer| {
             (
                 Duration::from_millis(130 * u64::from(peer)),
@@ -140,58 +136,58 @@
         .collect();
     for (index, datagram) in (0u64..).zip(invalid_datagrams()) {
         let at = seconds(6) + Duration::from_millis(10 * index);
-        faults.push((
+        steps.push((
             at,
-            Fault::Inject {
+            Step::Inject {
                 to: 0,
                 from: 1,
                 datagram,
             },
         ));
     }
-    faults.extend(link_faults());
-    faults.extend([
-        (seconds(7), Fault::UnknownSender(0)),
+    steps.extend(link_block_steps());
+    steps.extend([
+        (seconds(7), Step::UnknownSender(0)),
         (seconds(7), start(7, 7, 7_000, false)),
-        (seconds(20), Fault::Kill(2)),
+        (seconds(20), Step::Kill(2)),
         (seconds(21), start(2, 2, 21_000, true)),
-        (seconds(22), Fault::Loss(25)),
-        (seconds(30), Fault::Loss(0)),
-        (seconds(31), Fault::Leave(5)),
+        (seconds(22), Step::Loss(25)),
+        (seconds(30), Step::Loss(0)),
+        (seconds(31), Step::Leave(5)),
         (seconds(33), start(5, 5, 33_000, true)),
-        (seconds(35), Fault::Pause(4)),
-        (seconds(38), Fault::Resume(4)),
-        (seconds(56), Fault::Pause(6)),
-        (seconds(68), Fault::Resume(6)),
+        (seconds(35), Step::Pause(4)),
+        (seconds(38), Step::Resume(4)),
+        (seconds(56), Step::Pause(6)),
+        (seconds(68), Step::Resume(6)),
         // The clock was set back before the restart, so the restarted process has an earlier
         // incarnation than the process that it replaces.
-        (seconds(70), Fault::Kill(1)),
+        (seconds(70), Step::Kill(1)),
         (seconds(71), start(1, 1, 0, false)),
         // The process at peer 7 claims the name of the live process at peer 0 with a later
         // incarnation. Then a process with that name and an earlier incarnation starts at peer 0.
-        (seconds(76), Fault::Kill(7)),
+        (seconds(76), Step::Kill(7)),
         (seconds(80), start(7, 0, 80_000, false)),
-        (seconds(86), Fault::Kill(0)),
+        (seconds(86), Step::Kill(0)),
         (seconds(88), start(0, 0, 1, true)),
-        (seconds(100), Fault::Kill(3)),
-        (seconds(104), Fault::Loss(60)),
-        (seconds(114), Fault::Loss(5)),
-        (seconds(118), Fault::Leave(4)),
+        (seconds(100), Step::Kill(3)),
+        (seconds(104), Step::Loss(60)),
+        (seconds(114), Step::Loss(5)),
+        (seconds(118), Step::Leave(4)),
         (seconds(140), start(3, 3, 140_000, false)),
     ]);
-    faults.extend(join_storms());
-    faults
+    steps.extend(join_storms());
+    steps
 }
 
-/// Creates a fleet of eight members with the faults of [`small_simulation_faults`].
+/// Creates a fleet of eight members with the steps of [`small_simulation_steps`].
 pub fn small_simulation(seed: u64) -> Simulation {
-    Simulation::new(SMALL_MEMBER_COUNT, seed, small_simulation_faults())
+    Simulation::new(SMALL_MEMBER_COUNT, seed, small_simulation_steps())
 }
 
 /// Creates a fleet of 120 members that start within 0.6 s without knowing each other and lose a
 /// tenth of their datagrams. A third of them is killed after 12 s.
 pub fn large_simulation() -> Simulation {
-    let mut faults: Vec<(Duration, Fault)> = (0..LARGE_MEMBER_COUNT)
+    let mut steps: Vec<(Duration, Step)> = (0..LARGE_MEMBER_COUNT)
         .map(|peer| {
             (
                 Duration::from_millis(5 * u64::from(peer)),
@@ -199,7 +195,7 @@
             )
         })
         .collect();
-    faults.push((Duration::ZERO, Fault::Loss(10)));
-    faults.extend((0..40).map(|peer| (seconds(12), Fault::Kill(peer))));
-    Simulation::new(LARGE_MEMBER_COUNT, LARGE_SIMULATION_SEED, faults)
+    steps.push((Duration::ZERO, Step::Loss(10)));
+    steps.extend((0..40).map(|peer| (seconds(12), Step::Kill(peer))));
+    Simulation::new(LARGE_MEMBER_COUNT, LARGE_SIMULATION_SEED, steps)
 }
--- a/membership/tests/wire_fixtures/simulation.rs
+++ b/membership/tests/wire_fixtures/simulation.rs
@@ -23,9 +23,9 @@
 /// The number of delivered datagrams of each kind that are captured.
 const CAPTURED_PER_KIND: usize = 2;
 
-/// A change that the scenario makes to the processes or the network.
+/// A step of a scenario, which changes the processes or the network or injects a datagram.
 #[derive(Clone, Debug)]
-pub enum Fault {
+pub enum Step {
     /// A process starts at a peer. If `is_restored`, it restores the live members that the previous
     /// process at this peer knew. `name` is the number for [`member_name`], and the incarnation is
     /// `incarnation_offset_ms` after [`EPOCH_MS`].
@@ -62,7 +62,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A datagram arrives. `send_number` is its position among all datagrams sent, or `u64::MAX` if
-    /// a fault injected the datagram.
+    /// a step injected the datagram.
     Arrival {
         to: u16,
         from: u16,
@@ -71,8 +71,8 @@
     },
     /// A timeout of the process that runs at a peer in the given generation is due.
     Timeout { peer: u16, generation: u32 },
-    /// The fault at this index of [`Simulation::faults`] occurs.
-    Fault(usize),
+    /// The step at this index of [`Simulation::steps`] occurs.
+    Step(usize),
 }
 
 /// The state of one peer: its process, if one runs, and the events that are deferred while the
@@ -97,7 +97,7 @@
     queue: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     next_event_number: u64,
     next_send_number: u64,
-    faults: Vec<Fault>,
+    steps: Vec<Step>,
     blocked_links: HashSet<(u16, u16)>,
     loss_percent: u32,
     rng: StdRng,
@@ -114,14 +114,14 @@
 
 impl Simulation {
     /// Creates a fleet of `peer_count` peers at which no process runs yet.
-    pub fn new(peer_count: u16, seed: u64, faults: Vec<(Duration, Fault)>) -> Self {
+    pub fn new(peer_count: u16, seed: u64, steps: Vec<(Duration, Step)>) -> Self {
         let mut simulation = Self {
             now: Duration::ZERO,
             peers: (0..peer_count).map(|_| PeerState::default()).collect(),
             queue: BinaryHeap::new(),
             next_event_number: 0,
             next_send_number: 0,
-            faults: Vec::new(),
+            steps: Vec::new(),
             blocked_links: HashSet::new(),
             loss_percent: 0,
             rng: StdRng::seed_from_u64(seed),
@@ -132,9 +132,9 @@
             replacements: BTreeMap::new(),
             drops: BTreeMap::new(),
         };
-        for (index, (at, fault)) in faults.into_iter().enumerate() {
-            simulation.faults.push(fault);
-            simulation.push(at, Event::Fault(index));
+        for (index, (at, step)) in steps.into_iter().enumerate() {
+            simulation.steps.push(step);
+            simulation.push(at, Event::Step(index));
         }
         simulation
     }
@@ -153,7 +153,7 @@
             match event {
                 Event::Arrival { .. } => self.deliver(event),
                 Event::Timeout { peer, generation } => self.handle_timeout_event(peer, generation),
-                Event::Fault(index) => self.apply(self.faults[index].clone()),
+                Event::Step(index) => self.apply(self.steps[index].clone()),
             }
         }
         self.now = end;
@@ -175,16 +175,16 @@
             .push(Reverse((at, self.next_event_number, event)));
     }
 
-    fn apply(&mut self, fault: Fault) {
-        match fault {
-            Fault::Start {
+    fn apply(&mut self, step: Step) {
+        match step {
+            Step::Start {
                 peer,
                 name,
                 incarnation_offset_ms,
                 is_restored,
             } => self.start(peer, name, incarnation_offset_ms, is_restored),
-            Fault::Kill(peer) => self.end_process(peer),
-            Fault::Leave(peer) => {
+            Step::Kill(peer) => self.end_process(peer),
+            Step::Leave(peer) => {
                 let now = self.now;
                 if let Some(membership) = &mut self.peers[usize::from(peer)].membership {
                     membership.leave(now);
@@ -192,8 +192,8 @@
                 }
                 self.end_process(peer);
             }
-            Fault::Pause(peer) => self.peers[usize::from(peer)].is_paused = true,
-            Fault::Resume(peer) => {
+            Step::Pause(peer) => self.peers[usize::from(peer)].is_paused = true,
+            Step::Resume(peer) => {
                 let peer_state = &mut self.peers[usize::from(peer)];
                 peer_state.is_paused = false;
                 let generation = peer_state.generation;
@@ -202,10 +202,10 @@
                 }
                 self.handle_timeout_event(peer, generation);
             }
-            Fault::BlockLink { from, to } => drop(self.blocked_links.insert((from, to))),
-            Fault::UnblockLink { from, to } => drop(self.blocked_links.remove(&(from, to))),
-            Fault::Loss(percent) => self.loss_percent = percent,
-            Fault::Inject { to, from, datagram } => {
+            Step::BlockLink { from, to } => drop(self.blocked_links.insert((from, to))),
+            Step::UnblockLink { from, to } => drop(self.blocked_links.remove(&(from, to))),
+            Step::Loss(percent) => self.loss_percent = percent,
+            Step::Inject { to, from, datagram } => {
                 self.deliver(Event::Arrival {
                     to,
                     from,
@@ -213,7 +213,7 @@
                     datagram,
                 });
             }
-            Fault::UnknownSender(peer) => {
+            Step::UnknownSender(peer) => {
                 if let Some(membership) = &mut self.peers[usize::from(peer)].membership {
                     membership.record_unknown_sender();
                 }
