--- a/membership/src/config.rs
+++ b/membership/src/config.rs
@@ -64,7 +64,7 @@
         /// The number of peers, which is the minimum.
         peer_count: u16,
     },
-    /// The time for which members that left or died are remembered is out of range.
+    /// [`Config::down_member_retention`] is not between 60 s and 7 days.
     #[error("forget_s must be between 60 s and 7 days, got {0:?}")]
     DownMemberRetention(Duration),
 }
--- a/membership/src/hash_tree.rs
+++ b/membership/src/hash_tree.rs
@@ -1,10 +1,11 @@
 //! A tree of hashes over a view, which finds the differences between two views with small
 //! datagrams.
 //!
-//! The position of a name is its hash. A [`HashPrefix`] is a node: all names whose position begins
-//! with the prefix. Two processes exchange the hashes of a node's children, descend to the
-//! children whose hashes differ, and send the members of a child that has at most
-//! [`MAX_MEMBERS_SENT`] of them.
+//! The position of a member in the tree is the hash of its name. A [`PositionPrefix`] identifies a
+//! node: it contains the members whose positions begin with the prefix. The hash of a node combines
+//! the hashes of the identities of its live members. Two processes exchange the hashes of a node's
+//! children, descend to the children whose hashes differ, and send the members of a child that has
+//! at most [`MAX_MEMBERS_SENT`] of them.
 
 use crate::identity::{Identity, Name};
 use rand::RngExt;
@@ -29,7 +30,7 @@
 /// The hashes of the children of a node; 0 for a child without live members.
 pub type ChildHashes = [u32; FANOUT];
 
-/// The position of a member in the tree, and its hash.
+/// The position of a member in the tree, and the hash of its identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HashedMember {
     /// The position of the member's name.
@@ -48,7 +49,8 @@
     }
 }
 
-/// Returns the position of a name in the tree. It is the same in all processes.
+/// Returns the position of a name in the tree, which is a hash of the name. It is the same in all
+/// processes.
 pub fn name_position(name: &Name) -> u32 {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_str().as_bytes());
@@ -63,9 +65,9 @@
     hasher.finish()
 }
 
-/// A node of the tree: the names whose position begins with a prefix of `depth` times four bits.
+/// A node of the tree: the members whose position begins with a prefix of `depth` times four bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HashPrefix {
+pub struct PositionPrefix {
     depth: u8,
     prefix: u32,
 }
@@ -74,12 +76,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowUp {
     /// Send the members of this node, and request the peer's members of it.
-    SendMembers(HashPrefix),
+    SendMembers(PositionPrefix),
     /// Send the hashes of this node's children.
-    SendHashes(HashPrefix),
+    SendHashes(PositionPrefix),
 }
 
-impl HashPrefix {
+impl PositionPrefix {
     /// Returns whether a received prefix is a node of the tree.
     pub fn is_valid(self) -> bool {
         self.depth <= MAX_DEPTH && (self.depth > 0 || self.prefix == 0)
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Computes the hashes of this node's children from the live members of a view.
+    /// Computes the hashes of this node's children from the live members of a view. The hash of a
+    /// child is the exclusive or of the low 32 bits of its members' identity hashes.
     pub fn child_hashes(self, live: impl Iterator<Item = HashedMember>) -> ChildHashes {
         let mut hashes = [0; FANOUT];
         for member in live.filter(|member| self.contains(member.position)) {
--- a/membership/src/identity.rs
+++ b/membership/src/identity.rs
@@ -106,10 +106,11 @@
 }
 
 impl Identity {
-    /// Returns whether this identity takes precedence over another identity with the same name: the
-    /// later incarnation does; within one incarnation the higher rejoin count, then the leaving
-    /// identity, then the higher peer index.
-    pub fn supersedes(&self, other: &Self) -> bool {
+    /// Returns whether this identity takes precedence over another identity with the same name. The
+    /// identity with the later incarnation takes precedence. If the incarnations are equal, the
+    /// following decide in this order: the higher rejoin count, the leaving identity, the higher
+    /// peer index.
+    pub fn takes_precedence_over(&self, other: &Self) -> bool {
         let rank = |id: &Self| (id.incarnation, id.rejoin_count, id.is_leaving, id.peer);
         rank(self) > rank(other)
     }
@@ -134,6 +135,6 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        self.supersedes(adversary)
+        self.takes_precedence_over(adversary)
     }
 }
--- a/membership/src/membership/anti_entropy.rs
+++ b/membership/src/membership/anti_entropy.rs
@@ -2,7 +2,7 @@
 //! members in which they differ.
 
 use super::{Membership, Phase};
-use crate::hash_tree::{self, ChildHashes, FollowUp, HashPrefix};
+use crate::hash_tree::{self, ChildHashes, FollowUp, PositionPrefix};
 use crate::identity::{Identity, PeerIndex};
 use crate::wire::{self, Message};
 use foca::Member;
@@ -21,9 +21,10 @@
 }
 
 impl AntiEntropy {
-    /// Records whether another member's view was equal to this process's, and returns whether the
-    /// two views are to be compared.
-    pub(super) fn record_comparison(&mut self, is_equal: bool) -> bool {
+    /// Records whether a check found the checked member's view equal to this process's. Returns
+    /// whether to send the member the hashes of this process's view, which is the case if at least
+    /// the last [`MIN_CONSECUTIVE_DIFFERENCES`] checks found a different view.
+    pub(super) fn must_send_hashes_after_check(&mut self, is_equal: bool) -> bool {
         self.consecutive_differences = if is_equal {
             0
         } else {
@@ -35,7 +36,7 @@
 
 impl Membership {
     /// Sends the hashes of the children of a hash tree node to a peer.
-    pub(super) fn send_view_hashes(&mut self, to: PeerIndex, prefix: HashPrefix) {
+    pub(super) fn send_view_hashes(&mut self, to: PeerIndex, prefix: PositionPrefix) {
         let from = self.identity();
         let hashes = prefix.child_hashes(self.view.hashed_live_members());
         self.send_message(
@@ -53,7 +54,7 @@
     pub(super) fn on_view_hashes(
         &mut self,
         from: &Identity,
-        prefix: HashPrefix,
+        prefix: PositionPrefix,
         hashes: &ChildHashes,
     ) {
         if !self.response_limiter.allows(self.now) || !self.is_live_sender(from) {
@@ -76,7 +77,7 @@
     pub(super) fn on_view_members(
         &mut self,
         from: Identity,
-        requested_in_return: Option<HashPrefix>,
+        requested_in_return: Option<PositionPrefix>,
         members: &[Member<Identity>],
     ) {
         if !self.is_live_sender(&from) {
@@ -108,8 +109,8 @@
     fn send_view_members(
         &mut self,
         to: PeerIndex,
-        prefix: HashPrefix,
-        requested_in_return: Option<HashPrefix>,
+        prefix: PositionPrefix,
+        requested_in_return: Option<PositionPrefix>,
     ) {
         let mut known = self.known_members(prefix);
         known.shuffle(&mut self.rng);
@@ -124,7 +125,7 @@
     }
 
     /// Returns the remembered members below a hash tree node, this process included.
-    fn known_members(&self, prefix: HashPrefix) -> Vec<Member<Identity>> {
+    fn known_members(&self, prefix: PositionPrefix) -> Vec<Member<Identity>> {
         let own_id = self.identity();
         let is_below = |id: &Identity| prefix.contains(hash_tree::name_position(&id.name));
         let others = self
--- a/membership/src/membership/name_conflict.rs
+++ b/membership/src/membership/name_conflict.rs
@@ -6,8 +6,8 @@
 use crate::wire::Message;
 use std::time::Duration;
 
-/// The time after its start during which a process may supersede a claimant with a later
-/// incarnation. This covers a restart after the clock was set back.
+/// The time after its start during which a process supersedes a claimant that takes precedence, by
+/// taking a later incarnation. This covers a restart after the clock was set back.
 const SUPERSEDE_WINDOW: Duration = Duration::from_secs(5);
 /// The maximum number of claimants that a process may supersede within `SUPERSEDE_WINDOW`.
 const MAX_SUPERSEDED_COUNT: u32 = 3;
@@ -21,8 +21,8 @@
     Report,
 }
 
-/// This process's claim to its name, which limits how often, and until how long after its start,
-/// the process may supersede other claimants.
+/// This process's claim to its name: when the process started, and how many claimants it has
+/// superseded since.
 #[derive(Debug)]
 pub(super) struct NameClaim {
     started_at: Duration,
@@ -44,15 +44,18 @@
 }
 
 impl Membership {
-    /// Resolves a claim to this process's name. If the claimant takes precedence, this process
-    /// supersedes it or yields to it. If this process takes precedence and the claimant sent the
-    /// claim itself, this process informs the claimant. A claim by this process's own identity has
-    /// no effect.
+    /// Resolves a claim to this process's name.
+    ///
+    /// If the claimant's identity takes precedence, this process supersedes the claimant by taking
+    /// the incarnation after the claimant's, but only within [`SUPERSEDE_WINDOW`] after its start
+    /// and at most [`MAX_SUPERSEDED_COUNT`] times; otherwise it yields the name. If this process's
+    /// identity takes precedence and the claimant sent the claim itself, this process informs the
+    /// claimant. A claim by this process's own identity has no effect.
     pub(super) fn on_name_conflict(&mut self, claimant: Identity, source: ClaimSource) {
         let own_id = self.identity();
-        if !claimant.supersedes(&own_id) {
-            if source == ClaimSource::Claimant && own_id.supersedes(&claimant) {
-                self.inform_superseded_claimant(&claimant);
+        if !claimant.takes_precedence_over(&own_id) {
+            if source == ClaimSource::Claimant && own_id.takes_precedence_over(&claimant) {
+                self.inform_claimant(&claimant);
             }
         } else if self.name_claim.may_supersede(self.now) {
             self.supersede(claimant);
@@ -63,7 +66,7 @@
     }
 
     /// Sends a join message, from which the claimant learns which process has the name.
-    fn inform_superseded_claimant(&mut self, claimant: &Identity) {
+    fn inform_claimant(&mut self, claimant: &Identity) {
         if self.response_limiter.allows(self.now) {
             let from = self.identity();
             self.send_message(claimant.peer, &Message::Join { from });
--- a/membership/src/membership/neighbor_monitor.rs
+++ b/membership/src/membership/neighbor_monitor.rs
@@ -2,7 +2,7 @@
 //! suspects that member if it acknowledges none of several attempts.
 
 use super::Membership;
-use crate::hash_tree::HashPrefix;
+use crate::hash_tree::PositionPrefix;
 use crate::identity::{Identity, Name, PeerIndex};
 use crate::local_health::LocalHealth;
 use crate::view::MemberState;
@@ -172,8 +172,8 @@
             return;
         }
         let is_equal = digest == self.view.digest();
-        if self.anti_entropy.record_comparison(is_equal) {
-            self.send_view_hashes(source, HashPrefix::default());
+        if self.anti_entropy.must_send_hashes_after_check(is_equal) {
+            self.send_view_hashes(source, PositionPrefix::default());
         }
     }
 
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -33,10 +33,10 @@
     interval: Duration::from_secs(10),
     member_count: 1,
 };
-/// The number of times that a member transmits an update in a fleet of one member. In a larger
-/// fleet, the binary logarithm of the fleet's size is added. With n transmissions by each member, a
-/// fraction e^-n of the members does not receive an update until anti-entropy delivers it.
-const BASE_TRANSMISSIONS: u8 = 8;
+/// The minimum number of times that each member transmits an update. The binary logarithm of the
+/// fleet's size is added to it. With n transmissions by each member, a fraction e^-n of the members
+/// does not receive an update until anti-entropy delivers it.
+const MIN_TRANSMISSIONS_PER_UPDATE: u8 = 8;
 /// The number of gossip rounds in which a leave is announced.
 const LEAVE_GOSSIP_ROUNDS: usize = 3;
 /// The maximum number of stored timers is `TIMERS_PER_MEMBER` for each member that can be
@@ -281,7 +281,7 @@
     let mut parameters = foca::Config::simple();
     parameters.probe_period = PROBE_INTERVAL;
     parameters.probe_rtt = PROBE_TIMEOUT;
-    let transmissions = BASE_TRANSMISSIONS + size.max(1).ilog2() as u8;
+    let transmissions = MIN_TRANSMISSIONS_PER_UPDATE + size.max(1).ilog2() as u8;
     parameters.max_transmissions = NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN);
     parameters.suspect_to_down_after = suspicion_timeout(size);
     parameters.remove_down_after = Some(down_member_retention);
--- a/membership/src/wire/message.rs
+++ b/membership/src/wire/message.rs
@@ -1,6 +1,6 @@
 //! The messages that this crate adds to the SWIM protocol.
 
-use crate::hash_tree::{ChildHashes, HashPrefix};
+use crate::hash_tree::{ChildHashes, PositionPrefix};
 use crate::identity::{Identity, PeerIndex};
 use foca::Member;
 use serde::{Deserialize, Serialize};
@@ -68,7 +68,7 @@
         /// The identity of the sender.
         from: Identity,
         /// The hash tree node whose children are hashed.
-        prefix: HashPrefix,
+        prefix: PositionPrefix,
         /// The hashes of the node's children, computed from the live members.
         hashes: ChildHashes,
     },
@@ -80,7 +80,7 @@
         /// The hash tree node whose members the receiver is to send in return; `None` if the sender
         /// requests no members.
         #[serde(rename = "requested")]
-        requested_in_return: Option<HashPrefix>,
+        requested_in_return: Option<PositionPrefix>,
         /// The members, at most as many as fit into a datagram.
         members: Vec<Member<Identity>>,
     },
--- a/membership/tests/hash_tree.rs
+++ b/membership/tests/hash_tree.rs
@@ -5,7 +5,7 @@
 )]
 
 use frostkeel_membership::hash_tree::{
-    FollowUp, HashPrefix, HashedMember, MAX_DEPTH, MAX_MEMBERS_SENT,
+    FollowUp, HashedMember, MAX_DEPTH, MAX_MEMBERS_SENT, PositionPrefix,
 };
 use frostkeel_membership::{Identity, Name, PeerIndex};
 use rand::SeedableRng;
@@ -34,7 +34,7 @@
     let mut peer_members = own_members.clone();
     peer_members[DIFFERING_MEMBER] = hashed_member(DIFFERING_MEMBER as u64, 2);
     let differing_position = own_members[DIFFERING_MEMBER].position;
-    let mut prefix = HashPrefix::default();
+    let mut prefix = PositionPrefix::default();
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..MAX_DEPTH {
         assert!(prefix.is_valid() && prefix.contains(differing_position));
