--- a/registry/src/endpoint_registry.rs
+++ b/registry/src/endpoint_registry.rs
@@ -36,7 +36,7 @@
     entries: BTreeMap<String, Entry>,
     changes: ChangeLog,
     self_preservation: SelfPreservation,
-    /// The uids of the entries that have changed since the last call of `take_dirty`.
+    /// The uids of the entries that have changed since the last call of `extract_dirty_entries`.
     dirty: BTreeSet<String>,
 }
 
@@ -135,8 +135,8 @@
             .filter(|record| !record.is_removed())
     }
 
-    /// Returns the entries to persist, which are those that have changed since the last call.
-    pub fn take_dirty(&mut self) -> Vec<DirtyEntry> {
+    /// Returns the entries that have changed since the last call, which are those to persist.
+    pub fn extract_dirty_entries(&mut self) -> Vec<DirtyEntry> {
         let dirty = std::mem::take(&mut self.dirty);
         let to_persist = |uid: String| {
             let entry = self
@@ -152,7 +152,7 @@
         dirty.into_iter().map(to_persist).collect()
     }
 
-    /// Returns the last change of each endpoint that has changed after `revision`, in their order.
+    /// Returns the last change of each endpoint that changed after `revision`, ordered by revision.
     pub fn changes_after(&self, revision: u64) -> Vec<EndpointChange> {
         let changed = self.changes.changes_after(revision);
         let changes = changed.filter_map(|(revision, uid)| {
--- a/registry/src/writer.rs
+++ b/registry/src/writer.rs
@@ -77,7 +77,7 @@
                 },
                 _ = ticks.tick() => self.expire_leases(),
             }
-            uncommitted.extend(self.registry.take_dirty());
+            uncommitted.extend(self.registry.extract_dirty_entries());
             let committed = self.commit(&mut uncommitted);
             self.reply_to(applied, &committed);
             match committed {
--- a/registry/tests/endpoint_registry.rs
+++ b/registry/tests/endpoint_registry.rs
@@ -244,7 +244,7 @@
 
 impl Disk {
     fn write(&mut self, registry: &mut EndpointRegistry) {
-        for dirty in registry.take_dirty() {
+        for dirty in registry.extract_dirty_entries() {
             match dirty.entry {
                 Some(entry) => drop(self.0.insert(dirty.uid, entry)),
                 None => drop(self.0.remove(&dirty.uid)),
--- a/registry/tests/store_fixtures.rs
+++ b/registry/tests/store_fixtures.rs
@@ -57,7 +57,7 @@
     }
 }
 
-fn copy_folder(from: &Path, to: &Path) {
+fn clone_folder(from: &Path, to: &Path) {
     fs::create_dir_all(to).expect("a folder");
     fs::copy(from.join("list.redb"), to.join("list.redb")).expect("copied");
 }
@@ -92,7 +92,7 @@
 fn the_service_recovers_the_recorded_folders() {
     for written in ["closed", "killed"] {
         let folder = new_folder(&format!("store-{written}"));
-        copy_folder(&store_data(written), &folder);
+        clone_folder(&store_data(written), &folder);
         let service = TestService::start(&folder, CONFIG_TABLES);
         let list = mask_dates(&service.read("GET /registry/instances"));
         assert_recorded(&data("recovered/list.response"), &list);
@@ -130,7 +130,7 @@
 #[test]
 fn a_recovered_lease_expires_after_its_duration() {
     let folder = new_folder("store-lease");
-    copy_folder(&store_data("closed"), &folder);
+    clone_folder(&store_data("closed"), &folder);
     let started = Instant::now();
     let service = TestService::start(&folder, "[leases]\ngrace_s = 0\nlapse_share = 1.0\n");
     let mut watch = Watch::open(&service, "stream=1&index=0");
