--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -382,10 +382,10 @@
     /// seconds; `None` for no check.
     #[serde(rename = "equal_s")]
     pub converged_within_s: Option<f64>,
-    /// Whether the run fails if a live, running balancer is declared left or dead.
+    /// Whether the run fails if a running balancer is declared left or dead.
     #[serde(rename = "none_taken_for_gone")]
-    pub no_false_failures: bool,
+    pub no_running_declared_down: bool,
     /// Whether the run fails if a paused balancer is declared left or dead.
     #[serde(rename = "none_stopped_taken_for_gone")]
-    pub no_paused_failures: bool,
+    pub no_paused_declared_down: bool,
 }
