--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,5 +1,5 @@
-//! Service rate and spare capacity: the rate at which the upstreams of the rotation can serve
-//! requests, and how many more requests this balancer may send to them.
+//! Service rate and spare capacity: the rate at which the upstreams of the rotation can serve this
+//! balancer's requests, and how many more requests this balancer may send to them.
 
 use super::class_statistics::ClassStatistics;
 use super::load::{LoadReportTracker, UTILIZATION_VALID_S};
@@ -7,35 +7,40 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{EndpointWeights, LoadField, LoadReports, Settings};
 
-/// Time constant, in seconds, of smoothed rates. It applies to the service rate in overload, and
-/// always if load reports contain the utilization.
+/// Time constant, in seconds, with which rates are smoothed. For the service rate it applies in
+/// overload, and at all times if load reports contain the utilization.
 pub(super) const RATE_TIME_CONSTANT_S: f64 = 2.0;
-/// Time constant, in seconds, with which the service rate falls to the observed rate while there is
-/// no overload and the utilization is not known.
+/// Time constant, in seconds, with which the service rate falls to the rate of completions while
+/// there is no overload and the utilization is not known.
 const UNLOADED_RATE_TIME_CONSTANT_S: f64 = 30.0;
 /// Mean latency, as a fraction of the latency objective, from which on the queues count as full;
-/// above it many responses are late.
+/// above this latency many responses are late.
 pub(super) const QUEUE_OBJECTIVE_FRACTION: f64 = 0.4;
-/// Replaces [`QUEUE_OBJECTIVE_FRACTION`] if load reports contain the utilization: the utilization
-/// is then the first limit of the load, and the latency only the second.
+/// Replacement for [`QUEUE_OBJECTIVE_FRACTION`] if load reports contain the utilization. The
+/// utilization then limits the load first, and the latency is only the second limit.
 const REPORTED_QUEUE_OBJECTIVE_FRACTION: f64 = 0.55;
-/// Fraction of the upstreams' cores that may be in use if load reports contain the utilization and
-/// demand over the quotas has a weight of zero.
+/// Fraction of the upstreams' cores that may be in use if a request over its tenant's quota has no
+/// priority weight. It applies if load reports contain the utilization.
 const BASE_UTILIZATION_BOUND: f64 = 0.62;
-/// Increase of the fraction of the cores that may be in use, per unit of the weight of demand over
-/// the quotas: demand of little weight justifies little risk.
+/// Increase of the fraction of the cores that may be in use, per unit of `over_quota_weight_share`.
+/// This setting is the fraction of its class's priority weight that a request over its tenant's
+/// quota has: requests of little weight justify little risk.
 const OVER_QUOTA_UTILIZATION: f64 = 0.4;
-/// Upper limit of the weight of demand over the quotas that [`OVER_QUOTA_UTILIZATION`] multiplies.
+/// Largest `over_quota_weight_share` that counts: above it, the fraction of the cores that may be
+/// in use does not increase further.
 const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
-/// Largest relative growth of the service rate per second. It applies while pacing rejects every
+/// Largest relative growth per second of the service rate. It applies while pacing rejects every
 /// request and the utilization is at most half of its bound; fewer rejections or a higher
-/// utilization reduce the growth. Growth is slow because reports are about a second old.
+/// utilization reduce the growth. Growth is slow because load reports are about a second old and
+/// show the effect of the growth late.
 const PACED_GROWTH_PER_S: f64 = 0.7;
 /// Weight of the newest rejection in the fraction of requests that pacing rejects.
 const PACED_NEWEST_WEIGHT: f64 = 0.1;
-/// Lowest utilization that is assumed when an observed rate is scaled up to the utilization bound.
+/// Lowest utilization that is assumed when the rate of completions is scaled up to the rate that is
+/// expected at the utilization bound.
 const MIN_SCALED_UTILIZATION: f64 = 0.1;
-/// Largest factor by which an observed rate is scaled up to the utilization bound.
+/// Largest factor by which the rate of completions is scaled up to the rate that is expected at the
+/// utilization bound.
 const MAX_UTILIZATION_SCALE: f64 = 2.0;
 
 /// Returns the fraction of the upstreams' cores that may be in use.
@@ -70,9 +75,9 @@
     utilization_bound: f64,
     /// Number of balancers in the settings, including this one.
     balancers: f64,
-    /// Requests of this balancer that an upstream can complete per second and unit of its weight.
-    /// This rate times the weight of the upstream is C_j in the paper.
-    service_rate: f64,
+    /// Requests of this balancer that an upstream can complete per second and per unit of the
+    /// upstream's weight. This rate times the weight of the upstream is C_j in the paper.
+    service_rate_per_weight: f64,
     /// Successful responses since the last tick.
     completions: f64,
     /// Successful responses per second, smoothed.
@@ -84,13 +89,13 @@
     /// Fraction of the upstreams' cores in use, from load reports. Before the first report it is
     /// the utilization bound if responses will contain reports, and zero if not.
     utilization: f64,
-    /// Utilization that the service rate follows: equal to `utilization`, except that it falls
-    /// slowly during the first seconds of reports.
+    /// Utilization that the service rate follows: equal to `utilization`, except that this value
+    /// falls slowly during the first seconds of reports.
     settled_utilization: f64,
     /// Seconds for which the utilization has been reported.
     reported_for_s: f64,
-    /// Spare capacity in requests (W in the paper); negative if more is in flight than there is
-    /// capacity for.
+    /// Spare capacity in requests (W in the paper); negative if more attempts are in flight than
+    /// there is capacity for.
     spare: f64,
     /// This balancer's attempts in flight at the last update, including abandoned ones that may
     /// still run.
@@ -106,8 +111,8 @@
         let will_report = settings.load_reports == LoadReports::Inline
             && settings.report_fields.contains(&LoadField::Utilization);
         let utilization = if will_report { bound } else { 0.0 };
-        // If the list states no sizes, the initial rate is lower: the expected rate would overload
-        // the small upstreams first.
+        // If the endpoint list states no sizes of upstreams, the initial rate is lower: the
+        // expected rate would overload the small upstreams first.
         let are_sizes_unknown = settings.endpoint_weights == EndpointWeights::Off;
         let completions_per_s = if will_report && are_sizes_unknown {
             utilization * expected_requests_per_s
@@ -117,7 +122,7 @@
         Self {
             utilization_bound: bound,
             balancers: f64::from(settings.balancers),
-            service_rate: 0.0,
+            service_rate_per_weight: 0.0,
             completions: 0.0,
             completions_per_s,
             rotation_weight: 0.0,
@@ -130,10 +135,10 @@
         }
     }
 
-    /// Returns how many requests of this balancer an upstream can complete per second and unit of
-    /// its weight.
-    pub(super) fn service_rate(&self) -> f64 {
-        self.service_rate
+    /// Returns how many requests of this balancer an upstream can complete per second and per unit
+    /// of the upstream's weight.
+    pub(super) fn service_rate_per_weight(&self) -> f64 {
+        self.service_rate_per_weight
     }
 
     /// Returns the fraction of the upstreams' cores in use. Before the first report it is the
@@ -146,14 +151,14 @@
         self.utilization > 0.0
     }
 
-    /// Returns the spare capacity in requests (W in the paper); negative if more is in flight than
-    /// there is capacity for.
+    /// Returns the spare capacity in requests (W in the paper); negative if more attempts are in
+    /// flight than there is capacity for.
     pub(super) fn spare(&self) -> f64 {
         self.spare
     }
 
-    /// Returns the attempts in flight beyond the capacity, as a fraction of all in flight; zero if
-    /// there is spare capacity.
+    /// Returns the number of attempts in flight beyond the capacity, as a fraction of all attempts
+    /// in flight; zero if there is spare capacity.
     pub(super) fn shortage(&self) -> f64 {
         (-self.spare / f64::max(self.in_flight, 1e-9)).max(0.0)
     }
@@ -167,10 +172,11 @@
         self.paced_fraction += PACED_NEWEST_WEIGHT * (1.0 - self.paced_fraction);
     }
 
-    /// Adapts the estimates after the rotation has grown to `factor` times its size. The total rate
-    /// of this balancer stays the same, as other balancers send to the new upstreams too.
+    /// Adapts the estimates after the rotation has grown to `factor` times its size. The total
+    /// service rate for this balancer stays the same, as the new upstreams also serve other
+    /// balancers.
     pub(super) fn on_rotation_grown(&mut self, factor: f64) {
-        self.service_rate /= factor;
+        self.service_rate_per_weight /= factor;
         self.rotation_weight *= factor;
     }
 
@@ -195,8 +201,9 @@
     }
 
     /// Sets the utilization to the mean of the reported utilizations, weighted by the size of the
-    /// upstreams. The last report of an upstream counts for [`UTILIZATION_VALID_S`], even if the
-    /// upstream does not respond to this balancer again in that time.
+    /// upstreams. Without a valid report, the utilization stays the same. The last report of an
+    /// upstream is valid for [`UTILIZATION_VALID_S`], even if the upstream does not respond to this
+    /// balancer again in that time.
     fn update_utilization(&mut self, inputs: &CapacityInputs<'_>) {
         let (mut cores_in_use, mut cores) = (0.0, 0.0);
         for upstream in inputs
@@ -210,8 +217,8 @@
         if cores <= 0.0 {
             return;
         }
-        // The first reports come from idle upstreams and must not set the service rate alone: the
-        // settled utilization approaches them slowly.
+        // The first reports come from idle upstreams and must not determine the service rate by
+        // themselves: the settled utilization approaches them slowly.
         self.reported_for_s += inputs.elapsed_s;
         let weight_of_newest = if self.reported_for_s < UTILIZATION_VALID_S {
             newest_weight(inputs.elapsed_s, RATE_TIME_CONSTANT_S)
@@ -230,18 +237,20 @@
         self.completions_per_s += weight_of_newest * (per_s - self.completions_per_s);
         self.completions = 0.0;
         self.paced_fraction -= weight_of_newest * self.paced_fraction;
-        let observed_rate = self.completions_per_s / self.smoothed_weight(inputs).max(1e-9);
+        let observed_rate_per_weight =
+            self.completions_per_s / self.smoothed_weight(inputs).max(1e-9);
         if self.knows_utilization() {
-            self.follow_utilization(observed_rate, elapsed_s);
+            self.follow_utilization(observed_rate_per_weight, elapsed_s);
         } else {
             let time_constant_s = if slack_s < 0.0 {
                 RATE_TIME_CONSTANT_S
             } else {
                 UNLOADED_RATE_TIME_CONSTANT_S
             };
-            let change =
-                newest_weight(elapsed_s, time_constant_s) * (observed_rate - self.service_rate);
-            self.service_rate = (self.service_rate + change).max(observed_rate);
+            let change = newest_weight(elapsed_s, time_constant_s)
+                * (observed_rate_per_weight - self.service_rate_per_weight);
+            self.service_rate_per_weight =
+                (self.service_rate_per_weight + change).max(observed_rate_per_weight);
         }
     }
 
@@ -264,38 +273,44 @@
         self.rotation_weight
     }
 
-    /// Adapts the service rate to the known utilization. A rate that was reached earlier is not
-    /// retained: it would continue to admit requests that slow an overloaded upstream down.
-    fn follow_utilization(&mut self, observed_rate: f64, elapsed_s: f64) {
-        let headroom =
+    /// Adapts the service rate to the known utilization. `observed_rate_per_weight` is the smoothed
+    /// rate of completions. A service rate that was reached earlier is not retained: that rate
+    /// would continue to admit requests that slow an overloaded upstream down.
+    fn follow_utilization(&mut self, observed_rate_per_weight: f64, elapsed_s: f64) {
+        let utilization_scale =
             self.utilization_bound / self.settled_utilization.max(MIN_SCALED_UTILIZATION);
-        let achievable_rate = observed_rate * headroom.min(MAX_UTILIZATION_SCALE);
+        let achievable_rate_per_weight =
+            observed_rate_per_weight * utilization_scale.min(MAX_UTILIZATION_SCALE);
         // If pacing rejects requests, the completions only show the rate that was admitted, so the
         // service rate grows while cores are idle.
-        let idle = (headroom - 1.0).clamp(0.0, 1.0);
-        self.service_rate *= 1.0 + elapsed_s * PACED_GROWTH_PER_S * self.paced_fraction * idle;
-        let change =
-            newest_weight(elapsed_s, RATE_TIME_CONSTANT_S) * (achievable_rate - self.service_rate);
-        // The rate is at least the observed one, if that keeps the utilization within its bound.
-        self.service_rate = (self.service_rate + change).max(observed_rate.min(achievable_rate));
+        let relative_headroom = (utilization_scale - 1.0).clamp(0.0, 1.0);
+        self.service_rate_per_weight *=
+            1.0 + elapsed_s * PACED_GROWTH_PER_S * self.paced_fraction * relative_headroom;
+        let change = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S)
+            * (achievable_rate_per_weight - self.service_rate_per_weight);
+        // The service rate is at least the observed rate if the utilization is within its bound,
+        // and otherwise at least the achievable rate.
+        self.service_rate_per_weight = (self.service_rate_per_weight + change)
+            .max(observed_rate_per_weight.min(achievable_rate_per_weight));
     }
 
-    /// Sets the spare capacity: the sum, over the upstreams with a weight, of the attempts that an
-    /// upstream completes between two ticks and of its queue limit, minus its attempts in flight.
-    /// In the paper, W = sum of (tau C_j + (Q_j - q_j)). All terms count this balancer alone.
+    /// Sets the spare capacity and the number of attempts in flight. Each upstream with a weight
+    /// above zero adds to the spare capacity the attempts that it completes between two ticks, plus
+    /// its queue limit, minus its attempts in flight. All terms count only this balancer's
+    /// attempts. In the paper, W = sum of (tau C_j + (Q_j - q_j)).
     fn update_spare(&mut self, inputs: &CapacityInputs<'_>, allowed_queue_s: f64) {
         (self.spare, self.in_flight) = (0.0, 0.0);
         for upstream in inputs.members().filter(|u| u.weight.weight() > 0.0) {
-            let rate = self.service_rate * upstream.weight.weight();
-            let own = upstream.load.own_in_flight();
+            let rate = self.service_rate_per_weight * upstream.weight.weight();
+            let own_in_flight = upstream.load.own_in_flight();
             // Overdue attempts reduce the capacity of an upstream, but all of its attempts in
-            // flight are subtracted: if overdue ones were left out, the spare capacity and the
-            // shortage would both be zero when all upstreams are stuck, and no guarantee would be
-            // cut.
+            // flight are subtracted: if overdue attempts were not subtracted, the spare capacity
+            // and the shortage would both be zero when all upstreams are stuck, and no guarantee
+            // would be cut.
             let responsive = upstream.load.responsive_fraction();
             let queue = self.queue_limit(inputs, upstream, rate * allowed_queue_s) * responsive;
-            self.spare += inputs.elapsed_s * rate * responsive + queue - own;
-            self.in_flight += own;
+            self.spare += inputs.elapsed_s * rate * responsive + queue - own_in_flight;
+            self.in_flight += own_in_flight;
         }
     }
 
@@ -309,8 +324,8 @@
         served_in_queue_time: f64,
     ) -> f64 {
         // The limit is at least this balancer's equal part of one attempt, times the weight of the
-        // upstream. The initial service rate derives from the stated quotas: if none is stated, it
-        // is close to zero, and the limit would rise only slowly without this minimum.
+        // upstream. The initial service rate derives from the stated quotas: if no quota is stated,
+        // that rate is close to zero, and the limit would rise only slowly without this minimum.
         let min_limit = upstream.weight.weight() / self.balancers;
         // The limit is also at least this balancer's equal part of the requests that the idle cores
         // can process, even if this balancer has admitted few requests recently.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,13 +2,13 @@
 //! it returns are declared in `interface.rs`.
 //!
 //! The ordinary path follows the paper "Dynamic Admission Control for Improving Utilization of
-//! Parlay X Gateway", whose symbols are listed below. Every tick refills one token bucket per
-//! tenant: by a guaranteed rate and by a fraction, in proportion to the tenant's demand, of the
-//! spare capacity of the upstreams (W in the paper). A request is admitted if the bucket of its
-//! tenant has a token; otherwise it is rejected on arrival. Admitted requests are distributed round
-//! robin over the ready upstreams; an upstream that has clearly more in flight than the next ones
-//! is skipped. Everything else is an exception to that path, and its comment states what it guards
-//! against.
+//! Parlay X Gateway", whose symbols are listed below. Every tick refills the token bucket of each
+//! tenant at a guaranteed rate, and with a part of the spare capacity of the upstreams (W in the
+//! paper) in proportion to the tenant's demand. A request is admitted if the bucket of its tenant
+//! has a token; otherwise it is rejected on arrival. Admitted requests are distributed round robin
+//! over the ready upstreams; an upstream is skipped if it has clearly more requests in flight per
+//! unit of capacity than the next upstreams in turn. Everything else is an exception to that path,
+//! and the comment of each exception states what the exception guards against.
 //!
 //! Each module owns its constants and its state, including its state of each upstream; [`Balancer`]
 //! passes it the inputs from other modules. `request_flow.rs`, `attempt_flow.rs` and
@@ -104,8 +104,9 @@
     pacing: SendPacing,
 }
 
-/// Returns the requests a second that a balancer expects before it has received any: an equal part
-/// of the sum of the stated quotas. The sum counts as at least one request a second.
+/// Returns the number of requests per second that a balancer expects before it has received any
+/// request: the sum of the stated quotas divided by the number of balancers. The sum counts as at
+/// least one request per second.
 fn expected_requests_per_s(settings: &Settings) -> f64 {
     let quotas = settings
         .tenants
@@ -160,7 +161,7 @@
     }
 
     /// Returns the number of entries in all collections of state: upstreams, requests and overdue
-    /// times of attempts. It is bounded; `tests/bounded_state.rs` checks this.
+    /// times of attempts. The number is bounded; `tests/bounded_state.rs` checks this.
     pub fn entries(&self) -> usize {
         self.upstreams.entry_count() + self.requests.entry_count()
     }
@@ -170,7 +171,7 @@
         let weight: f64 = self.members().map(|u| u.weight.weight()).sum();
         StatusSnapshot {
             spare_capacity: self.capacity.spare(),
-            service_rate: self.capacity.service_rate() * weight,
+            service_rate: self.capacity.service_rate_per_weight() * weight,
             utilization: self.capacity.utilization(),
             mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.admission.demand_per_s(),
@@ -245,16 +246,16 @@
         std::mem::swap(&mut self.actions, actions);
     }
 
-    /// Starts ticks and polls at the first event, each after a random delay that spreads those of
-    /// many balancers.
+    /// Schedules the first tick and the first poll, if this is the first event. Each has a random
+    /// delay, so that the ticks and polls of many balancers are spread.
     fn start(&mut self) {
         if std::mem::replace(&mut self.is_started, true) {
             return;
         }
         self.last_tick_s = self.now_s;
         self.polling.start(self.now_s, &mut self.random);
-        let first_s = TICK_S * self.random.f64();
-        self.schedule_tick(first_s);
+        let first_tick_after_s = TICK_S * self.random.f64();
+        self.schedule_tick(first_tick_after_s);
     }
 
     fn schedule_tick(&mut self, after_s: f64) {
@@ -300,14 +301,15 @@
             .map(|slot| &self.upstreams[*slot])
     }
 
-    /// Updates the upstreams of the rotation: decays their suspicion and their abandoned attempts,
-    /// sets the capacity and weight of each, adds turns to those in slow start, and refills the
-    /// send budgets. Also updates the mean of the load reports.
+    /// Updates the upstreams of the rotation: decays the suspicion and the abandoned attempts of
+    /// each, sets its capacity and weight, adds turns to the deficits of upstreams in slow start,
+    /// and refills the send budgets. Also updates the mean, over the rotation, of the requests that
+    /// other balancers have in flight.
     fn update_weights(&mut self, elapsed_s: f64) {
         let now_s = self.now_s;
         let ready = || self.members().filter(|u| u.endpoint.is_ready());
-        let ejected = ready().filter(|u| u.health.is_ejected(now_s)).count();
-        let ejections_apply = may_be_ejected(ejected, ready().count());
+        let ejected_count = ready().filter(|u| u.health.is_ejected(now_s)).count();
+        let ejections_apply = may_be_ejected(ejected_count, ready().count());
         let suspicion_decay = suspicion_decay(elapsed_s);
         let abandoned_decay = (-elapsed_s / self.classes.shortest_objective_s()).exp();
         let (upstreams, members) = (&mut self.upstreams, self.rotation.members());
@@ -318,14 +320,14 @@
         self.weights
             .update(upstreams, members, ejections_apply, elapsed_s, now_s);
         self.load_reports.update_mean(upstreams, members, now_s);
-        let service_rate = self.capacity.service_rate();
+        let service_rate_per_weight = self.capacity.service_rate_per_weight();
         let slow_start = self
             .weights
-            .slow_start_rate(upstreams, members, service_rate);
+            .slow_start_rate(upstreams, members, service_rate_per_weight);
         self.rotation
             .add_slow_start_deficit(upstreams, slow_start, elapsed_s);
         let rates = PacingRates {
-            service_rate,
+            service_rate_per_weight,
             slow_start,
             utilization: self.capacity.utilization(),
             balancers_per_upstream: self.subset.balancers_per_upstream(),
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,6 +1,7 @@
 //! Send pacing: limits the send rate to each upstream by its capacity. The limit is low if many
-//! balancers share an upstream, as load reports show the load of other balancers late. It is higher
-//! if few do, as this balancer's own attempts show most of the load immediately.
+//! balancers share an upstream, as load reports show the load of other balancers late. The limit is
+//! higher if few balancers share the upstream, as this balancer's own attempts are then most of the
+//! load and are known immediately.
 
 use super::load::LoadReportTracker;
 use super::upstreams::{Upstream, Upstreams};
@@ -23,12 +24,14 @@
 /// Fraction of the burst that a class with a relative value of zero may not use. The fraction falls
 /// as the relative value rises, and the class with the highest value may use the complete burst.
 const RESERVED_FOR_HIGH_VALUE: f64 = 0.4;
-/// Smallest factor of an upstream's send rate if its utilization is higher than the mean.
+/// Lower limit of the factor that reduces an upstream's send rate if the utilization of the
+/// upstream is higher than the mean.
 const MIN_UTILIZATION_FACTOR: f64 = 0.5;
-/// Largest factor of an upstream's send rate if its utilization is lower than the mean.
+/// Upper limit of the factor that increases an upstream's send rate if the utilization of the
+/// upstream is lower than the mean.
 const MAX_UTILIZATION_FACTOR: f64 = 1.5;
-/// Largest divisor of an upstream's send rate if it has more requests in flight than it has at full
-/// utilization.
+/// Upper limit of the divisor that reduces an upstream's send rate if the upstream has more
+/// requests in flight than at full utilization.
 const MAX_QUEUE_FACTOR: f64 = 4.0;
 
 /// The number of sends that one upstream may still get.
@@ -46,11 +49,12 @@
 
 /// Inputs of [`SendPacing::refill`].
 pub(super) struct PacingRates<'a> {
-    /// Requests of this balancer that an upstream can complete per second and unit of its weight.
-    pub(super) service_rate: f64,
+    /// Requests of this balancer that an upstream can complete per second and per unit of the
+    /// upstream's weight.
+    pub(super) service_rate_per_weight: f64,
     pub(super) slow_start: SlowStartRate,
     /// Fraction of the upstreams' cores in use, as `capacity.rs` estimates it; zero if it is not
-    /// known, and sends are not paced then.
+    /// known; sends are then not paced.
     pub(super) utilization: f64,
     /// Number of balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
@@ -81,7 +85,8 @@
         self.is_active = is_active;
     }
 
-    /// Adds the sends that the upstreams of the rotation gained in `elapsed_s` to their budgets.
+    /// Adds the sends that the upstreams of the rotation gained in `elapsed_s` to the budgets of
+    /// the upstreams and to the shared budget.
     pub(super) fn refill(
         &mut self,
         upstreams: &mut Upstreams,
@@ -145,7 +150,8 @@
     /// Returns the sends per second that an upstream outside slow start gains.
     fn upstream_rate(&self, upstream: &Upstream, now_s: f64) -> f64 {
         let weight = upstream.weight.weight();
-        let mut rate = (self.service_rate * weight).max(weight / self.balancers_per_upstream);
+        let mut rate =
+            (self.service_rate_per_weight * weight).max(weight / self.balancers_per_upstream);
         let in_flight_at_full_utilization = self.load_reports.in_flight_at_full_utilization();
         if upstream.load.utilization_is_recent(now_s) && in_flight_at_full_utilization > 0.0 {
             // The rate is lower if the upstream reports a higher utilization than the mean, and
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -10,9 +10,9 @@
 /// Number of assumed latencies with a ratio of one that are added to a mean latency ratio as a
 /// prior: without them a few latencies would determine it.
 const LATENCY_RATIO_PRIOR: f64 = 4.0;
-/// Lower limit of the latency ratio that the capacity is divided by.
+/// Lower limit of the latency ratio as a divisor of the capacity.
 const MIN_LATENCY_RATIO: f64 = 0.25;
-/// Upper limit of the latency ratio that the capacity is divided by.
+/// Upper limit of the latency ratio as a divisor of the capacity.
 const MAX_LATENCY_RATIO: f64 = 4.0;
 /// Upper limit of the ratio of a single latency to the mean latency of its class.
 const MAX_SAMPLE_RATIO: f64 = 5.0;
@@ -22,23 +22,25 @@
 /// upstream would be overloaded.
 const SLOW_START_LOAD_FRACTION: f64 = 0.4;
 /// Cross-zone price from which on upstreams of other zones get no turns while the own zone has
-/// healthy upstreams. A lower price reduces their turns in proportion to the price.
+/// healthy upstreams. A lower price reduces the turns of those upstreams in proportion to the
+/// price.
 const MAX_CROSS_ZONE_PRICE: f64 = 0.05;
 
 /// The capacity and weight of one upstream, its slow start, and the statistics of its latency.
 #[derive(Default)]
 pub(super) struct UpstreamWeight {
-    /// Work that the upstream can do now, as a fraction of that of the largest one in the rotation.
+    /// Work that the upstream can do now, relative to the size of the largest upstream in the
+    /// rotation.
     capacity: f64,
     /// Turns that the upstream gets in each round of the rotation. The rate of the upstream (C_j in
-    /// the paper) is the service rate times this weight.
+    /// the paper) is the service rate per unit of weight times this weight.
     weight: f64,
     /// Time at which slow start began or will begin; `None` outside slow start.
     slow_start_since_s: Option<f64>,
-    /// Mean of the latencies, each as a multiple of the mean latency of its class just before that
-    /// latency was added.
+    /// Mean ratio of a latency to the mean latency of its class. The mean of the class is taken
+    /// just before the latency is added to it.
     latency_ratio: f64,
-    /// Number of latencies in that mean; decays with time.
+    /// Number of latencies in `latency_ratio`; decays with time.
     sample_count: f64,
 }
 
@@ -63,7 +65,8 @@
         self.slow_start_since_s.is_some()
     }
 
-    /// Begins slow start at `at_s`, the time at which the process has started or is expected to.
+    /// Begins slow start at `at_s`, the time at which the process has started or is expected to
+    /// start.
     pub(super) fn begin_slow_start(&mut self, at_s: f64) {
         self.slow_start_since_s = Some(at_s);
     }
@@ -102,12 +105,14 @@
 /// The settings that weights depend on.
 pub(super) struct Weights {
     zone: ZoneId,
-    /// Fraction of their turns that upstreams of other zones get while this zone has healthy ones.
+    /// Factor that reduces the turns of upstreams of other zones while this zone has a healthy
+    /// upstream.
     other_zone_fraction: f64,
     /// Fraction of its full capacity that an upstream has when it starts.
     slow_start_initial_share: f64,
     slow_start_duration_s: f64,
-    /// Multiple of its present capacity above which load overloads an upstream in slow start.
+    /// Load above which an upstream in slow start is overloaded, as a multiple of its present
+    /// capacity.
     overload_multiple: f64,
 }
 
@@ -128,7 +133,7 @@
     }
 
     /// Updates the capacity and weight of the upstreams in the rotation. Ejected upstreams get no
-    /// turns while `ejections_apply`.
+    /// turns if `ejections_apply` is true.
     pub(super) fn update(
         &self,
         upstreams: &mut Upstreams,
@@ -187,7 +192,7 @@
         &self,
         upstreams: &Upstreams,
         rotation: &[usize],
-        service_rate: f64,
+        service_rate_per_weight: f64,
     ) -> SlowStartRate {
         let (mut steady_weight, mut steady_count) = (0.0, 0.0);
         for weight in rotation.iter().map(|slot| &upstreams[*slot].weight) {
@@ -197,9 +202,9 @@
             }
         }
         let steady_rate = if steady_count > 0.0 {
-            service_rate * steady_weight / steady_count
+            service_rate_per_weight * steady_weight / steady_count
         } else {
-            service_rate
+            service_rate_per_weight
         };
         SlowStartRate {
             steady_rate,
