--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -1,38 +1,39 @@
 //! The lease on the endpoint list: how long the list remains valid after discovery has stopped
 //! confirming it.
 //!
-//! Sends to a draining or removed upstream have to stop within the drain grace after discovery has
-//! notified the balancer of the change. A balancer that missed a change also counts as notified of
-//! it: some seconds after its watch has failed, or as soon as discovery has written the change to a
-//! response, regardless of later polls. If the drain grace has passed since then, any upstream may
-//! be draining or removed: no attempt is sent until an update of the list or a heartbeat confirms
-//! the list, for at most [`MAX_PAUSE_S`].
+//! Sends to a draining or removed upstream have to stop within the drain grace, which begins when
+//! the change counts as notified. A change that this balancer receives counts as notified on
+//! receipt. A change that this balancer has missed counts as notified some seconds after the list
+//! could first be stale; [`notified_after_s`] gives this time for each cause of staleness. The time
+//! is zero for a response that may be truncated: discovery has written the change to that response,
+//! and later polls do not alter this. When the drain grace after a missed change may have passed,
+//! any upstream may be draining or removed: no attempt is sent until an update of the list or a
+//! heartbeat confirms the list, for at most [`MAX_PAUSE_S`].
 //!
 //! While discovery is down, it notifies no balancer of a change, so no drain grace begins.
-//! Discovery counts as down if a poll can't connect, if its connection closes without a response,
-//! or if the poll is rejected after [`IMMEDIATE_REJECTION_S`] or more. This ends the causes of
-//! staleness that [`ends_with_outage`] accepts; the other causes remain.
+//! Discovery counts as down if a poll can't connect, if the connection of a poll closes without a
+//! response, or if a poll is rejected [`IMMEDIATE_REJECTION_S`] or more after it was sent. An
+//! outage ends the causes of staleness that [`ends_with_outage`] accepts; the other causes remain.
 
 use crate::interface::{LogEvent, SendPause, StalenessCause, WatchEvent};
 use std::time::Duration;
 
-/// Seconds after which this balancer counts as notified of the changes that it missed, if a watch
-/// has no heartbeats or if polls are rejected.
+/// Seconds until a missed change counts as notified, if nothing is received on the watch or in
+/// response to a poll, or if polls are rejected.
 const NOTIFIED_AFTER_SILENCE_S: f64 = 6.0;
-/// Seconds after which this balancer counts as notified of the changes that it missed, if discovery
-/// has ended the watch.
+/// Seconds until a missed change counts as notified, if discovery has ended the watch.
 const NOTIFIED_AFTER_END_S: f64 = 2.0;
-/// Seconds after which this balancer counts as notified of the changes that it missed, if discovery
-/// has moved to another address.
+/// Seconds until a missed change counts as notified, if discovery has moved to another address.
 const NOTIFIED_AFTER_MOVE_S: f64 = 4.0;
 /// Seconds subtracted from the drain grace: for a pause between reading the clock and writing an
 /// attempt, and for the network.
 const SAFETY_MARGIN_S: f64 = 0.2;
-/// Seconds within which an overloaded discovery rejects a poll. A later rejection counts as an
-/// outage, as discovery that is down does not respond.
+/// Seconds after the send of a poll within which its rejection counts as immediate: discovery is
+/// running and overloaded. A later rejection is handled like a poll that can't connect: discovery
+/// counts as down.
 const IMMEDIATE_REJECTION_S: f64 = 0.5;
-/// Longest pause of sends, in seconds. A balancer that can't reach discovery for longer sends
-/// again, with a list that may be stale.
+/// Longest pause of sends, in seconds. If the list is not confirmed within this time, the balancer
+/// sends again, although the list may be stale.
 const MAX_PAUSE_S: f64 = 24.0;
 
 /// All causes, in the order of their discriminants.
@@ -44,8 +45,8 @@
     StalenessCause::PartialResponse,
 ];
 
-/// Returns how many seconds after the beginning of this cause the balancer counts as notified of
-/// the changes that it missed.
+/// Returns how many seconds after the beginning of this cause a change that this balancer has
+/// missed counts as notified.
 fn notified_after_s(cause: StalenessCause) -> f64 {
     match cause {
         StalenessCause::WatchSilent | StalenessCause::PollsRejected => NOTIFIED_AFTER_SILENCE_S,
@@ -55,7 +56,7 @@
     }
 }
 
-/// Returns whether the cause ends when discovery is found to be down. While it is down, discovery
+/// Returns whether the cause ends when discovery is found to be down. A discovery that is down
 /// notifies no balancer of a change, so no drain grace begins for a change that this balancer has
 /// missed.
 fn ends_with_outage(cause: StalenessCause) -> bool {
@@ -75,17 +76,17 @@
 /// The lease on the endpoint list, and the causes for which the list may be stale.
 pub(super) struct EndpointLease {
     /// Seconds for which a balancer may continue to send to a draining upstream, counted from the
-    /// time at which it is, or counts as, notified of the change.
+    /// time at which the change counts as notified.
     drain_grace_s: f64,
-    /// Whether the list comes from a local agent. An agent responds immediately, and the balancer
-    /// counts as notified of a change only after a response: only a partial response makes the list
-    /// of an agent stale.
+    /// Whether the list comes from a local agent. An agent responds immediately, and a change
+    /// counts as notified only after the agent has responded. Of all causes, only a partial
+    /// response therefore makes the list of an agent stale.
     has_local_agent: bool,
     /// Time since which each of [`CAUSES`] exists; `None` for a cause that does not exist.
     stale_since_s: [Option<f64>; CAUSES.len()],
-    /// Time at which the list last counted as current: it was confirmed, discovery ended a watch,
-    /// or discovery seemed to be down. If discovery rejects polls, this balancer may have missed
-    /// the changes since then.
+    /// Time at which the list last counted as current: discovery confirmed the list, ended a watch,
+    /// or seemed to be down. If discovery rejects polls, this balancer may have missed the changes
+    /// after this time.
     last_current_at_s: f64,
 }
 
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Begins a new lease, as discovery has confirmed the list. Returns the log event for the pause
-    /// of sends that this ends, if there was one.
+    /// Begins a new lease after discovery has confirmed the list. Returns the log event for the
+    /// pause of sends that followed the end of the last lease; `None` if that lease had not ended.
     pub(super) fn renew(&mut self, now_s: f64) -> Option<LogEvent> {
         let expired = self.expiry().filter(|expiry| expiry.at_s <= now_s);
         self.stale_since_s = [None; CAUSES.len()];
@@ -137,8 +138,7 @@
         })
     }
 
-    /// Returns whether no attempt may be sent now: the lease has ended, at most [`MAX_PAUSE_S`]
-    /// ago.
+    /// Returns whether sends are paused: the lease ended less than [`MAX_PAUSE_S`] ago.
     pub(super) fn is_expired(&self, now_s: f64) -> bool {
         self.expiry().is_some_and(|expiry| {
             let pause = expiry.at_s..expiry.at_s + MAX_PAUSE_S;
@@ -156,8 +156,8 @@
         self.has_cause(StalenessCause::PollsRejected)
     }
 
-    /// Returns the period in which no attempt may be sent unless a list is received first; `None`
-    /// while the list is confirmed.
+    /// Returns the period in which no attempt may be sent unless discovery confirms the list first;
+    /// `None` while the list is confirmed.
     pub(super) fn send_pause(&self) -> Option<SendPause> {
         let from_s = self.expiry()?.at_s;
         let to_duration = |at_s: f64| Duration::from_secs_f64(at_s.clamp(0.0, 1e9));
@@ -176,7 +176,7 @@
         self.stale_since_s[cause as usize].is_some()
     }
 
-    /// Records that discovery seemed to be down at `at_s`, which ends the causes that
+    /// Records that discovery seemed to be down at `at_s`. This ends the causes that
     /// [`ends_with_outage`] accepts.
     fn record_outage(&mut self, at_s: f64) {
         self.last_current_at_s = self.last_current_at_s.max(at_s);
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Returns when the lease on the list ends, and why; `None` while the list is confirmed.
+    /// Returns the time at which the lease on the list ends, and the cause; `None` while the list
+    /// is confirmed.
     fn expiry(&self) -> Option<Expiry> {
         let notified = |cause: &StalenessCause| {
             let since_s = self.stale_since_s[*cause as usize]?;
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -4,16 +4,16 @@
 use crate::interface::Settings;
 use crate::random::Random;
 
-/// Seconds that discovery needs for the poll of each balancer. It serves polls one after another; a
-/// poll that waits for too long fails and is retried.
+/// Seconds that discovery needs for the poll of each balancer. Discovery serves polls one after
+/// another; a poll that waits for too long fails and is retried.
 const POLL_SERVICE_S: f64 = 0.05;
 /// Upper limit of the time over which the polls of all balancers are spread, as a fraction of the
 /// poll interval.
 const MAX_SPREAD_FRACTION: f64 = 0.5;
-/// Seconds after which this balancer counts as notified of a change, even if no poll has received
-/// it.
+/// Seconds after which a change counts as notified even if this balancer has not received it.
+/// `endpoint_lease.rs` describes when a change counts as notified.
 const NOTIFIED_WITHIN_S: f64 = 6.0;
-/// Part of [`NOTIFIED_WITHIN_S`] that a successful poll takes, including its connection.
+/// Part of [`NOTIFIED_WITHIN_S`] that a successful poll takes, including the time to connect.
 const POLL_DURATION_S: f64 = 1.5;
 /// Part of [`NOTIFIED_WITHIN_S`] that passes until the loss of the heartbeats of a watch is
 /// detected.
@@ -120,12 +120,12 @@
 
     /// Returns whether a poll is due, and records it as made if it is.
     pub(super) fn poll_if_due(&mut self, now_s: f64, random: &mut Random) -> bool {
-        let has_response = self.is_watching || self.is_receiving;
-        if self.target == PollTarget::Disabled || has_response || now_s < self.next_poll_at_s {
+        let has_open_response = self.is_watching || self.is_receiving;
+        if self.target == PollTarget::Disabled || has_open_response || now_s < self.next_poll_at_s {
             return false;
         }
-        // A poll without a response is retried well before this balancer counts as notified of the
-        // changes that it missed.
+        // A poll without a response is retried well before the changes that this balancer has
+        // missed count as notified.
         let timeout_s =
             self.interval_s * (POLL_TIMEOUT_FRACTION + POLL_TIMEOUT_JITTER_RANGE * random.f64());
         let timeout_s = if self.target == PollTarget::LocalAgent {
@@ -162,9 +162,9 @@
             now_s + backoff_s * (MIN_BACKOFF_JITTER_FACTOR + BACKOFF_JITTER_RANGE * random.f64());
     }
 
-    /// Returns the backoff in seconds. It doubles with each failure, so that not all balancers poll
-    /// a recovered discovery at the same time. It is limited so that the next poll receives a
-    /// change before this balancer counts as notified of it.
+    /// Returns the backoff in seconds, before jitter. The backoff doubles with each failure, so
+    /// that not all balancers poll a recovered discovery at the same time. The backoff is limited
+    /// so that the next poll receives a change before the change counts as notified.
     fn backoff_s(&self, failure: &PollFailure, now_s: f64) -> f64 {
         let spread_s = self.spread_s.min(MAX_BACKOFF_SPREAD_S);
         let backoff_s = if self.target == PollTarget::LocalAgent {
@@ -198,8 +198,8 @@
     }
 
     /// Returns the longest backoff, in seconds, after which the next poll still receives a change
-    /// before this balancer counts as notified of it. The result has a lower limit, which applies
-    /// even if the next poll is then too late for that.
+    /// before the change counts as notified. The result has a lower limit, which applies even if
+    /// the next poll then receives the change too late.
     fn longest_backoff_s(&self, spread_s: f64, now_s: f64) -> f64 {
         let elapsed_s = if self.is_watching {
             WATCH_SILENCE_S
