--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -1,15 +1,15 @@
 //! Weighted round robin over the upstreams of the subset, with the skip rule: an upstream that has
-//! clearly more in flight than the next ones loses its turn.
+//! clearly more requests in flight per unit of capacity than the next ones loses its turn.
 
 use super::upstreams::{Upstream, Upstreams};
 use super::weights::SlowStartRate;
 use std::collections::VecDeque;
 
-/// Number of turns that the skip rule compares. The published round-robin design that this rule
-/// extends compares the next two turns.
+/// Number of upcoming turns whose upstreams the skip rule compares. The published round-robin
+/// design that this rule extends compares the next two turns.
 const LOOKAHEAD_COUNT: usize = 3;
-/// Factor of the skip rule: an upstream is skipped if it has more in flight per unit of capacity
-/// than the lowest value compared, times this factor, plus [`SKIP_MARGIN_ATTEMPTS`].
+/// Factor of the skip rule: an upstream is skipped if its attempts in flight per unit of capacity
+/// exceed the lowest value compared times this factor, plus [`SKIP_MARGIN_ATTEMPTS`].
 const SKIP_MULTIPLE: f64 = 1.5;
 /// Margin of the skip rule, in attempts in flight per unit of capacity.
 const SKIP_MARGIN_ATTEMPTS: f64 = 0.5;
@@ -21,14 +21,15 @@
 /// one.
 const MAX_ROUNDS: usize = 8;
 
-/// The number of turns that one upstream has gained and not taken, as in deficit round robin.
+/// The deficit counter of one upstream, as in deficit round robin: the number of turns that the
+/// upstream has gained and not taken.
 pub(super) struct Deficit {
-    turns: f64,
+    counter: f64,
 }
 
 impl Deficit {
-    pub(super) fn new(turns: f64) -> Self {
-        Self { turns }
+    pub(super) fn new(counter: f64) -> Self {
+        Self { counter }
     }
 }
 
@@ -64,9 +65,10 @@
         self.lookahead.clear();
     }
 
-    /// Adds turns to the upstreams in slow start, in proportion to `elapsed_s`. Other upstreams
-    /// gain turns in each round, but rounds follow faster while upstreams are skipped, and an
-    /// upstream in slow start must not get more turns then.
+    /// Adds turns to the deficits of the upstreams in slow start, in proportion to `elapsed_s`.
+    /// Upstreams outside slow start gain turns in each round instead. Rounds follow each other
+    /// faster while upstreams are skipped, and this must not give more turns to upstreams in slow
+    /// start.
     pub(super) fn add_slow_start_deficit(
         &self,
         upstreams: &mut Upstreams,
@@ -76,10 +78,10 @@
         for slot in &self.members {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let added_turns =
+                let added_deficit =
                     elapsed_s * rate.steady_rate * rate.multiple * upstream.weight.weight();
-                let turns = upstream.deficit.turns + added_turns;
-                upstream.deficit.turns = turns.min(MAX_SLOW_START_DEFICIT);
+                let counter = upstream.deficit.counter + added_deficit;
+                upstream.deficit.counter = counter.min(MAX_SLOW_START_DEFICIT);
             }
         }
     }
@@ -92,9 +94,10 @@
         });
     }
 
-    /// Returns the next upstream in turn that `accepts` is true for and that the skip rule does not
-    /// skip: its `in_flight_per_capacity` is not clearly more than the lowest of the upstreams
-    /// compared. A skipped upstream loses its turn; one that `accepts` is false for retains it.
+    /// Returns the slot of the next upstream in turn for which `accepts` is true and that the skip
+    /// rule does not skip; `None` if there is none. The skip rule skips an upstream whose
+    /// `in_flight_per_capacity` is clearly above the lowest value of the upstreams compared. A
+    /// skipped upstream loses its turn; an upstream for which `accepts` is false retains its turn.
     pub(super) fn next(
         &mut self,
         upstreams: &mut Upstreams,
@@ -126,8 +129,9 @@
         None
     }
 
-    /// Adds upcoming turns to the lookahead until `accepts` is true for [`LOOKAHEAD_COUNT`] of
-    /// them.
+    /// Adds upcoming turns to the lookahead until `accepts` is true for the upstreams of
+    /// [`LOOKAHEAD_COUNT`] turns. If the lookahead reaches its maximum length, its first turn is
+    /// discarded.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
         let max_len = LOOKAHEAD_COUNT + self.members.len();
         let mut accepted_count = self
@@ -158,7 +162,7 @@
             if weight <= 0.0 {
                 continue;
             }
-            let deficit = &mut upstream.deficit.turns;
+            let deficit = &mut upstream.deficit.counter;
             if !upstream.weight.is_warming_up() {
                 *deficit = (*deficit + weight).min(MAX_DEFICIT);
             }
