--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -17,21 +17,21 @@
 /// Cost of a retry after an attempt that was not processed, as a number of retries in the retry
 /// budget. It is lower because the retry adds no work.
 const UNPROCESSED_RETRY_COST: f64 = 0.1;
-/// Seconds that have to remain until the deadline for a retry.
-const MIN_RETRY_TIME_S: f64 = 1e-3;
-/// Time that has to remain for a retry until a response is of no use, as a fraction of the mean
-/// latency of the class.
-const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
-/// Spare capacity, in requests, above which hedged attempts are sent. It is negative because an
-/// overdue attempt, which the hedged attempt duplicates, itself counts as in flight.
+/// Least time, in seconds, that must remain until the deadline when a retry is sent.
+const MIN_TIME_TO_DEADLINE_S: f64 = 1e-3;
+/// Least time for which a response must still be of use when a retry is sent, as a fraction of the
+/// mean latency of the class.
+const MIN_USEFUL_TIME_FRACTION: f64 = 0.5;
+/// Spare capacity, in requests, above which hedged attempts are sent. The limit is negative because
+/// the overdue attempt, which the hedged attempt duplicates, counts as in flight itself.
 const MIN_HEDGE_SPARE_CAPACITY: f64 = -1.0;
 /// Shortest time-out of an attempt, in seconds.
 const MIN_TIMEOUT_S: f64 = 1e-3;
 /// Longest time-out of an attempt, in seconds.
 const MAX_TIMEOUT_S: f64 = 1e6;
-/// Penalty that is added to the rank of a retry candidate, of which the lowest is chosen: once for
-/// an upstream of another zone, twice for one outside the subset. It outweighs any number of
-/// requests in flight.
+/// Penalty that is added to the rank of a retry candidate; the candidate with the lowest rank is
+/// chosen. It is added once for an upstream of another zone and twice for an upstream outside the
+/// subset. It outweighs any number of requests in flight.
 const DISTANCE_PENALTY: f64 = 1e6;
 
 impl Balancer {
@@ -113,24 +113,24 @@
     }
 
     fn may_retry(&self, request: &Request, cost: f64) -> bool {
-        let min_remaining_s =
-            MIN_RETRY_LATENCY_FRACTION * self.classes.class_mean_latency_s(request.class);
+        let min_useful_s =
+            MIN_USEFUL_TIME_FRACTION * self.classes.class_mean_latency_s(request.class);
         request.is_waiting()
             && request.attempts.len() < usize::from(self.settings.max_attempts)
-            && self.now_s + MIN_RETRY_TIME_S < request.deadline_s
-            && self.now_s + min_remaining_s < request.useful_until_s
+            && self.now_s + MIN_TIME_TO_DEADLINE_S < request.deadline_s
+            && self.now_s + min_useful_s < request.useful_until_s
             && self.retry_budget.affords(cost)
             && !self.upstreams.is_empty()
             && !self.lease.is_expired(self.now_s)
     }
 
-    /// Returns the target of a retry: among the next eligible upstreams, the one with the least in
-    /// flight per unit of capacity, preferably of this zone. Upstreams outside the subset, from
-    /// index `start` on, are used only if none in the subset is eligible, for instance if only the
-    /// upstreams of one dedup cell know the idempotency key.
+    /// Returns the target of a retry: among the next eligible upstreams, the one with the fewest
+    /// requests in flight per unit of capacity, preferably of this zone. Upstreams outside the
+    /// subset, from index `start` on, are used only if none in the subset is eligible, for instance
+    /// if only the upstreams of one dedup cell know the idempotency key.
     fn retry_target(&self, request: &Request, start: usize) -> Option<usize> {
         let count = self.upstreams.len();
-        let others = (0..count).map(|step| (step + start % count) % count);
+        let all_from_start = (0..count).map(|step| (step + start % count) % count);
         let rank = |slot: usize| {
             let upstream = &self.upstreams[slot];
             let is_other_zone = u8::from(upstream.endpoint.zone() != self.settings.zone);
@@ -142,7 +142,7 @@
         };
         self.rotation
             .after_cursor()
-            .chain(others)
+            .chain(all_from_start)
             .filter(|slot| self.accepts_retry(request, &self.upstreams[*slot]))
             .take(MAX_RETRY_CANDIDATES)
             .min_by(|a, b| rank(*a).total_cmp(&rank(*b)))
@@ -171,8 +171,8 @@
 
     /// Handles an attempt that has become overdue. If its upstream has not responded to any request
     /// since the send, the upstream is suspected, and a hedged attempt may be sent. If the upstream
-    /// has responded to another request, the overdue one is an expensive request that would take as
-    /// long at another upstream.
+    /// has responded to another request, the overdue request is assumed to be an expensive one that
+    /// would take as long at another upstream.
     fn handle_overdue(&mut self, attempt: &OverdueAttempt) {
         let Some(slot) = self.upstreams.slot(attempt.upstream) else {
             return;
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -11,7 +11,7 @@
 /// Fraction of the latency objective at which an attempt is abandoned if a late response is of no
 /// use: just before the objective, not after it.
 const USEFUL_OBJECTIVE_FRACTION: f64 = 0.98;
-/// Upper limit, in seconds, of the time until the deadline that a Retry-After is computed from.
+/// Upper limit, in seconds, of the time until the deadline in the computation of a Retry-After.
 const MAX_REMAINING_S: f64 = 1e6;
 
 /// A request that has just been received.
@@ -73,7 +73,7 @@
     }
 
     /// Returns the upstream for a request of a class: an ejected upstream whose trial is due, or
-    /// otherwise the next one in the rotation.
+    /// otherwise the next one in the rotation. Returns `None` if no upstream can take the request.
     fn next_upstream(&mut self, class: usize) -> Option<usize> {
         let upstreams = &mut self.upstreams;
         self.rotation.drop_unusable(upstreams);
@@ -82,11 +82,11 @@
             now_s: self.now_s,
             random: &mut self.random,
         };
-        let trial = self
+        let trial_slot = self
             .outliers
             .due_trial(upstreams, members, class, &mut clock);
-        if trial.is_some() {
-            return trial;
+        if trial_slot.is_some() {
+            return trial_slot;
         }
         let avoids_suspected = self.class_avoids_suspected(class);
         let eligibility =
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -33,8 +33,8 @@
 pub(super) struct Attempt {
     pub(super) upstream: UpstreamId,
     pub(super) zone: ZoneId,
-    /// Group of upstreams that share a record of the idempotency keys they have received, and that
-    /// the upstream of this attempt belongs to.
+    /// Group of this attempt's upstream and the upstreams with which it shares a record of the
+    /// idempotency keys that they have received.
     pub(super) dedup_cell: CellId,
     pub(super) sent_at_s: f64,
     pub(super) state: AttemptState,
@@ -76,7 +76,7 @@
     }
 
     /// Returns whether the attempt is a fault of its upstream. A missing response is a fault only
-    /// if `missing_response_counts`, which the caller sets unless the upstream is ejected.
+    /// if `missing_response_counts` is true; the caller sets it unless the upstream is ejected.
     pub(super) fn is_fault(&self, missing_response_counts: bool) -> bool {
         matches!(self.outcome, Outcome::Error | Outcome::Rejected)
             || (self.is_abandoned() && missing_response_counts)
@@ -265,8 +265,8 @@
         self.overdue_deadlines.insert(deadline);
     }
 
-    /// Marks the next attempt in flight whose overdue time has passed as overdue and returns it;
-    /// `None` if there is none.
+    /// Finds the next attempt in flight whose overdue time has passed, marks it as overdue and
+    /// returns it; `None` if there is none.
     pub(super) fn next_overdue(&mut self, now: Duration) -> Option<OverdueAttempt> {
         loop {
             let next = self
