--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -1,9 +1,11 @@
-//! Detects idle connections that the network has silently dropped. If requests are lost on idle
-//! connections and not on those in use, idle connections are closed before they are used again.
+//! Detects idle connections that the network has silently dropped. If requests are lost clearly
+//! more often on idle connections than on connections in use, idle connections are closed before
+//! they are used again.
 
 /// Seconds without use after which a connection counts as idle and may have been dropped.
 const MIN_IDLE_S: f64 = 0.3;
-/// Seconds for which idle connections remain suspected after the last unanswered attempt on one.
+/// Seconds for which idle connections remain suspected after the last unanswered attempt on an idle
+/// connection.
 const SUSPICION_VALID_S: f64 = 15.0;
 /// Weight of the newest attempt in the fractions of unanswered attempts. It is low, as two long
 /// requests in a row are no evidence that connections were dropped.
@@ -43,12 +45,12 @@
 #[derive(Default)]
 pub(super) struct IdleConnections {
     /// Fraction of the attempts on connections in use that got no response, smoothed.
-    unanswered_in_use: f64,
+    unanswered_fraction_in_use: f64,
     /// Fraction of the attempts on idle connections that got no response, smoothed.
-    unanswered_idle: f64,
+    unanswered_fraction_idle: f64,
     /// Seconds without use above which a connection is suspected to be dropped.
     max_idle_s: f64,
-    /// Time until which such connections are suspected.
+    /// Time until which connections without use for longer than `max_idle_s` are suspected.
     suspect_until_s: f64,
 }
 
@@ -66,13 +68,13 @@
     pub(super) fn record(&mut self, idle_s: f64, was_unanswered: bool, now_s: f64) {
         let was_idle = idle_s > MIN_IDLE_S;
         let fraction = if was_idle {
-            &mut self.unanswered_idle
+            &mut self.unanswered_fraction_idle
         } else {
-            &mut self.unanswered_in_use
+            &mut self.unanswered_fraction_in_use
         };
         *fraction += NEWEST_WEIGHT * (f64::from(u8::from(was_unanswered)) - *fraction);
-        let is_suspect =
-            self.unanswered_idle > MIN_UNANSWERED_FRACTION && self.are_idle_connections_lossy();
+        let is_suspect = self.unanswered_fraction_idle > MIN_UNANSWERED_FRACTION
+            && self.are_idle_connections_lossy();
         if was_unanswered && was_idle && is_suspect {
             let is_valid = now_s < self.suspect_until_s;
             let previous_s = if is_valid {
@@ -86,6 +88,6 @@
     }
 
     fn are_idle_connections_lossy(&self) -> bool {
-        self.unanswered_idle > UNANSWERED_RATIO * self.unanswered_in_use
+        self.unanswered_fraction_idle > UNANSWERED_RATIO * self.unanswered_fraction_in_use
     }
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: compares the outcomes of an upstream with those of the others, ejects it for
 //! single classes, and decides which upstreams a request of a class may be sent to. An ejection for
-//! a class ends after a successful trial: a request of the class that is sent to the upstream
-//! although it is ejected.
+//! a class ends after a successful trial. A trial is a request of the class that is sent to the
+//! upstream although the upstream is ejected for the class.
 
 use super::clock::JitteredClock;
 use super::requests::EndedAttempt;
@@ -31,7 +31,7 @@
 struct ClassTrials {
     /// Number of trials since the last one that got a successful response before it became overdue.
     /// Each of them doubles the time to the next trial.
-    unsuccessful: u32,
+    unsuccessful_count: u32,
     /// Time at which the next trial is due.
     next_at_s: f64,
 }
@@ -42,7 +42,7 @@
     /// Whether the class avoids suspected upstreams: its requests may not be processed twice, and
     /// requests of other classes can show whether a suspected upstream is healthy.
     avoids_suspected: bool,
-    /// Whether all upstreams are accepted, as none is healthy for the class.
+    /// Whether all upstreams are accepted, because the class would otherwise have no upstream.
     ignores_health: bool,
 }
 
@@ -60,10 +60,10 @@
     }
 }
 
-/// Returns whether `ejected` of `all` upstreams may be ejected: if more seem unhealthy, the cause
-/// is common to them.
-pub(super) fn may_be_ejected(ejected: usize, all: usize) -> bool {
-    ejected as f64 <= MAX_EJECTED_FRACTION * all as f64
+/// Returns whether `ejected_count` of `upstream_count` upstreams may be ejected: if more seem
+/// unhealthy, the cause is common to them.
+pub(super) fn may_be_ejected(ejected_count: usize, upstream_count: usize) -> bool {
+    ejected_count as f64 <= MAX_EJECTED_FRACTION * upstream_count as f64
 }
 
 /// Returns the fraction of the other upstreams of the rotation that have recently responded with an
@@ -75,10 +75,10 @@
     now_s: f64,
 ) -> f64 {
     let others = || rotation.iter().filter(|slot| **slot != excluded_slot);
-    let erring = others()
+    let erring_count = others()
         .filter(|slot| upstreams[**slot].health.has_erred_recently(now_s))
         .count();
-    erring as f64 / others().count().max(1) as f64
+    erring_count as f64 / others().count().max(1) as f64
 }
 
 /// Returns the fault that an outcome counts as for all classes; `None` if it counts as none.
@@ -121,16 +121,16 @@
         let now_s = clock.now_s;
         let erring_fraction = common_error_fraction(upstreams, rotation, slot, now_s);
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected_for(attempt.class);
-        let ejected = rotation.iter().filter(is_ejected).count() + 1;
-        let may_eject = may_be_ejected(ejected, rotation.len());
+        let ejected_count = rotation.iter().filter(is_ejected).count() + 1;
+        let may_eject = may_be_ejected(ejected_count, rotation.len());
         let health = &mut upstreams[slot].health;
         let trials = &mut self.trials[attempt.class];
         health.record_response(attempt.outcome, now_s);
         if attempt.outcome == Outcome::Ok {
             if health.record_class_success(attempt.class, attempt.was_overdue) {
-                // The cause may have been common to the ejected upstreams, so the next trial is due
-                // immediately.
-                trials.unsuccessful = 0;
+                // The ejected upstreams may have had a common cause that has ended, so the next
+                // trial is due immediately.
+                trials.unsuccessful_count = 0;
                 trials.next_at_s = now_s;
             }
         } else if attempt.is_fault(!health.is_ejected(now_s)) {
@@ -146,7 +146,7 @@
         if may_eject && health.is_faulty_for(attempt.class, max_faults) {
             health.eject_for(attempt.class, now_s);
             if trials.next_at_s <= now_s {
-                trials.unsuccessful = 0;
+                trials.unsuccessful_count = 0;
                 trials.next_at_s = clock.after_s(BASE_EJECTION_S);
             }
         }
@@ -168,14 +168,15 @@
         };
         eligibility.ignores_health = rotation.iter().all(|slot| {
             let upstream = &upstreams[*slot];
-            is_weighted_and_ejected_for(upstream, class) || eligibility.avoids(upstream)
+            is_trial_candidate(upstream, class) || eligibility.avoids(upstream)
         });
         eligibility
     }
 
-    /// Returns the upstream that a request of the class is sent to as a trial, if one is due: the
-    /// one ejected for the class whose last trial is the oldest. Trials are made one at a time with
-    /// a backoff, as each may cost a request that can't be retried.
+    /// Returns the upstream that gets a request of the class as a trial; `None` if no trial is due
+    /// or possible. Of the upstreams that are ejected for the class, it is the one with the oldest
+    /// last trial. Trials are made one at a time with a backoff, as each may cost a request that
+    /// can't be retried.
     pub(super) fn due_trial(
         &mut self,
         upstreams: &mut Upstreams,
@@ -191,17 +192,18 @@
         let oldest = rotation
             .iter()
             .copied()
-            .filter(|slot| is_weighted_and_ejected_for(&upstreams[*slot], class))
+            .filter(|slot| is_trial_candidate(&upstreams[*slot], class))
             .min_by(|a, b| last_trial_at_s(a).total_cmp(&last_trial_at_s(b)))?;
-        trials.unsuccessful += 1;
-        let doublings = trials.unsuccessful.min(MAX_TRIAL_DOUBLINGS);
+        trials.unsuccessful_count += 1;
+        let doublings = trials.unsuccessful_count.min(MAX_TRIAL_DOUBLINGS);
         trials.next_at_s = clock.after_s(BASE_EJECTION_S * f64::from(1 << doublings));
         upstreams[oldest].health.record_trial(class, clock.now_s);
         Some(oldest)
     }
 }
 
-/// Returns whether an upstream has a weight and is ejected for a class.
-fn is_weighted_and_ejected_for(upstream: &Upstream, class: usize) -> bool {
+/// Returns whether an upstream may get a trial for a class: it is ejected for the class, and its
+/// weight is above zero.
+fn is_trial_candidate(upstream: &Upstream, class: usize) -> bool {
     upstream.health.is_ejected_for(class) && upstream.weight.weight() > 0.0
 }
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -4,27 +4,28 @@
 use super::clock::JitteredClock;
 use crate::interface::Outcome;
 
-/// Suspicion that a fault other than a connection error adds, as a fraction of the distance to the
-/// highest suspicion, one. The faults are an error, a rejection, and an overdue attempt after whose
-/// send the upstream has not responded to any request.
+/// Increase of the suspicion by one fault, as a fraction of the difference between the highest
+/// suspicion, which is one, and the present suspicion. It applies to an error, a rejection, and an
+/// overdue attempt if the upstream has not responded to any request since the attempt was sent.
 const FAULT_SUSPICION: f64 = 0.4;
-/// Suspicion that a connection error adds, as a fraction of the distance to one.
+/// Increase of the suspicion by one connection error, as a fraction of the same difference.
 const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
 /// Factor by which a successful response multiplies the suspicion.
 const SUCCESS_SUSPICION_FACTOR: f64 = 0.6;
 /// Suspicion above which an upstream is on probation: it gets one attempt at a time and only
 /// requests that may be retried.
 const PROBATION_SUSPICION: f64 = 0.35;
-/// Suspicion at which an upstream is ejected: it is reached by two faults in a row, or by three
-/// connection errors without a response.
+/// Suspicion at which an upstream is ejected. Two faults in a row reach it, as do three connection
+/// errors without a response in between.
 const EJECTION_SUSPICION: f64 = 0.6;
 /// Time constant, in seconds, of the decay of suspicion.
 const SUSPICION_TIME_CONSTANT_S: f64 = 10.0;
 /// Base of ejection times, in seconds. The first ejection of an upstream lasts this long times the
-/// square root of the number of balancers that share the upstream: they probe it independently, and
-/// this is a compromise between their joint load and the delay until each of them detects that the
-/// upstream is healthy. Each further ejection in the same probation doubles the length. The times
-/// between trials of upstreams that are ejected for one class are multiples of this base.
+/// square root of the number of balancers that share the upstream. These balancers probe the
+/// upstream independently, and the length is a compromise between the joint load of their probes
+/// and the delay until each balancer detects that the upstream is healthy. Each further ejection in
+/// the same probation doubles the length. The times between trials of upstreams that are ejected
+/// for one class are multiples of this base.
 pub(super) const BASE_EJECTION_S: f64 = 1.5;
 /// Longest ejection in seconds, before jitter.
 const MAX_EJECTION_S: f64 = 12.0;
@@ -46,7 +47,7 @@
     Error { weight: f64 },
     /// The upstream rejected an attempt.
     Rejected,
-    /// An attempt is overdue, and the upstream has not responded since it was sent.
+    /// An attempt is overdue, and the upstream has not responded since the attempt was sent.
     Unresponsive,
     /// A connection failed or could not be established.
     ConnectionFailure,
@@ -105,7 +106,7 @@
     ejected_until_s: f64,
     /// Time of the last error response; zero if there was none.
     last_error_at_s: f64,
-    /// Time of the last success, error or rejection.
+    /// Time of the last success, error or rejection; negative infinity if there was none.
     last_response_at_s: f64,
     classes: Vec<ClassHealth>,
 }
@@ -201,8 +202,9 @@
         self.last_response_at_s >= at_s
     }
 
-    /// Returns whether the upstream is suspected: it then gets one attempt at a time, and only
-    /// requests that may be retried.
+    /// Returns whether the upstream is on probation: it is suspected, or successful responses have
+    /// not yet ended the probation after its last ejection. It then gets one attempt at a time, and
+    /// only requests that may be retried.
     pub(super) fn is_on_probation(&self) -> bool {
         self.suspicion > PROBATION_SUSPICION || self.consecutive_ejections > 0
     }
@@ -228,7 +230,8 @@
         }
     }
 
-    /// Adds a fault to the suspicion. Returns whether the upstream is ejected because of it.
+    /// Adds a fault to the suspicion. Returns whether the upstream is ejected because of this
+    /// fault.
     pub(super) fn record_fault(
         &mut self,
         fault: Fault,
