--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -13,20 +13,21 @@
 };
 use crate::random::Random;
 
-/// Removed upstreams without attempts in flight are forgotten if there are more of them than the
-/// number of known upstreams divided by this, and whenever the list adds an upstream.
+/// Divisor for the number of removed upstreams to retain. Those without attempts in flight are
+/// forgotten if their number exceeds the number of known upstreams divided by this, and whenever
+/// the list adds an upstream.
 const MAX_REMOVED_DIVISOR: usize = 4;
 
 /// The entry of one upstream in the list.
 pub(super) struct EndpointRecord {
     id: UpstreamId,
     zone: ZoneId,
-    /// Group of upstreams that share a record of the idempotency keys they have received, and that
-    /// this upstream belongs to.
+    /// Group of this upstream and the upstreams with which it shares a record of the idempotency
+    /// keys that they have received.
     dedup_cell: CellId,
     availability: Availability,
     /// Size of the upstream according to the list; with live weights, the largest weight received;
-    /// one if weights have no meaning.
+    /// one if weights are off in the settings.
     size: f64,
 }
 
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -24,10 +24,10 @@
 /// Smallest mean number of subsets that contain an upstream. If there are few balancers, their
 /// subsets are therefore larger; a single balancer takes all upstreams.
 const MIN_SUBSETS_PER_UPSTREAM: usize = 4;
-/// Numerator of the fraction of the ready upstreams from which on the subset contains all of them.
+/// Numerator of a fraction of the ready upstreams. If the subset should contain at least this
+/// fraction, it contains all ready upstreams.
 const INCLUDES_ALL_NUMERATOR: usize = 4;
-/// Denominator of the fraction of the ready upstreams from which on the subset contains all of
-/// them.
+/// Denominator of the fraction that [`INCLUDES_ALL_NUMERATOR`] describes.
 const INCLUDES_ALL_DENOMINATOR: usize = 5;
 /// Numerator of the growth factor. The size for the traffic replaces the present size if it is at
 /// least the present size times this factor, so that random variation does not change the subset.
@@ -76,11 +76,10 @@
 
 /// The number of ready upstreams that the subset should contain.
 struct SubsetSize {
-    /// The number for an equal part of the traffic of all balancers; the parts of the shared order
-    /// have this length.
+    /// The number for a balancer that gets an equal part of the traffic of all balancers; the parts
+    /// of the shared order have this length.
     equal_traffic_size: usize,
-    /// The number for the traffic that this balancer gets, and at least the number for an equal
-    /// part.
+    /// The number for the traffic that this balancer gets; at least `equal_traffic_size`.
     own_traffic_size: usize,
     /// Whether the subset contains all ready upstreams.
     includes_all: bool,
@@ -91,9 +90,10 @@
     balancers: u32,
     /// This balancer's number among all balancers, from 0.
     index: u32,
-    /// The size for an equal part of the traffic of all balancers.
+    /// Smallest value of `size`, in upstreams: the number for the traffic that this balancer would
+    /// get if the expected traffic were divided equally among all balancers.
     min_size: usize,
-    /// The size for the traffic that this balancer gets.
+    /// Number of upstreams for the traffic that this balancer gets.
     size: usize,
     /// First attempts of clients since the last tick; the admitted requests if clients do not mark
     /// their retries.
@@ -102,7 +102,8 @@
     first_attempts_per_s: f64,
     /// Number of balancers that send to each upstream if the subsets are spread equally.
     balancers_per_upstream: f64,
-    /// Time of the next choice of the subset, which is made at the first tick from then on.
+    /// Time from which on a new choice of the subset is due; infinite if none is planned. The first
+    /// tick from this time on makes the choice.
     review_at_s: f64,
 }
 
@@ -142,8 +143,9 @@
     }
 
     /// Adapts the size to the traffic, once per tick. Traffic is uneven: a balancer with several
-    /// times the mean traffic would overload a subset of equal size while other upstreams are idle.
-    /// `has_upstreams_outside` is true if there are upstreams outside the subset.
+    /// times the mean traffic would overload a subset as large as those of the other balancers
+    /// while other upstreams are idle. `has_upstreams_outside` is true if there are upstreams
+    /// outside the subset.
     pub(super) fn update_size(&mut self, has_upstreams_outside: bool, elapsed_s: f64, now_s: f64) {
         let per_s = per_second(self.first_attempts, elapsed_s);
         let weight_of_newest = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S);
@@ -167,11 +169,11 @@
         if !size.includes_all {
             self.sort(&mut order, upstreams, &size);
         }
-        // If more seem unhealthy than may be ejected, the cause is common, and no upstream is
-        // replaced.
+        // If more upstreams seem unhealthy than may be ejected, the cause is common to them, and no
+        // upstream is replaced.
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected(now_s);
-        let ejected = order.iter().filter(is_ejected).count();
-        let may_eject = may_be_ejected(ejected, order.len());
+        let ejected_count = order.iter().filter(is_ejected).count();
+        let may_eject = may_be_ejected(ejected_count, order.len());
         let ejection_check_at_s = if may_eject { now_s } else { f64::INFINITY };
         for upstream in upstreams.iter_mut() {
             upstream.membership.is_member &= upstream.endpoint.is_ready();
@@ -213,9 +215,12 @@
     /// Puts the upstreams into the order that balancers share, starting with the part of this
     /// balancer. When all parts are taken, the next balancers share another order.
     fn sort(&self, order: &mut [usize], upstreams: &Upstreams, size: &SubsetSize) {
-        let parts = (order.len() / size.equal_traffic_size.max(1)).max(1);
+        let part_count = (order.len() / size.equal_traffic_size.max(1)).max(1);
         let index = self.index as usize;
-        let (round, start) = (index / parts, index % parts * size.equal_traffic_size);
+        let (round, start) = (
+            index / part_count,
+            index % part_count * size.equal_traffic_size,
+        );
         let key = |slot: &usize| {
             let id = upstreams[*slot].endpoint.id();
             Random::with_seed(id.0 ^ (round as u64) << 48).u64(..)
@@ -226,14 +231,15 @@
 }
 
 /// Sets which upstreams are members. Returns the ready upstreams that are no longer members. Only
-/// upstreams that are ejected at `ejection_check_at_s` count as ejected: none if it is infinite.
+/// upstreams that are ejected at `ejection_check_at_s` count as ejected; if that time is infinite,
+/// no upstream does.
 fn set_members(
     order: &[usize],
     upstreams: &mut Upstreams,
     size: &SubsetSize,
     ejection_check_at_s: f64,
 ) -> Vec<UpstreamId> {
-    let (mut members, mut unusable) = (0, 0);
+    let (mut member_count, mut unusable_count) = (0, 0);
     for (rank, slot) in order.iter().enumerate() {
         let upstream = &mut upstreams[*slot];
         let is_usable = !upstream.health.is_ejected(ejection_check_at_s);
@@ -243,28 +249,28 @@
         let joins = is_usable && membership.is_new && rank < size.own_traffic_size;
         membership.is_member = size.includes_all || membership.is_member || joins;
         membership.is_new &= !is_usable;
-        members += usize::from(membership.is_member);
-        unusable += usize::from(membership.is_member && !is_usable);
+        member_count += usize::from(membership.is_member);
+        unusable_count += usize::from(membership.is_member && !is_usable);
     }
     // Up to half of the members remain in the subset while ejected: otherwise all balancers that
     // share them would move their load to other upstreams at the same time, and overload those.
     let target_size = size
         .own_traffic_size
-        .max(unusable + size.own_traffic_size.div_ceil(2));
+        .max(unusable_count + size.own_traffic_size.div_ceil(2));
     for slot in order {
         let upstream = &mut upstreams[*slot];
         let is_usable = !upstream.health.is_ejected(ejection_check_at_s);
-        if members < target_size && !upstream.membership.is_member && is_usable {
+        if member_count < target_size && !upstream.membership.is_member && is_usable {
             upstream.membership.is_member = true;
-            members += 1;
+            member_count += 1;
         }
     }
     let mut removed = Vec::new();
     for slot in order.iter().rev() {
         let upstream = &mut upstreams[*slot];
-        if members > target_size && upstream.membership.is_member && !size.includes_all {
+        if member_count > target_size && upstream.membership.is_member && !size.includes_all {
             upstream.membership.is_member = false;
-            members -= 1;
+            member_count -= 1;
             removed.push(upstream.endpoint.id());
         }
     }
