--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: one token bucket per tenant, refilled by a guaranteed rate and by a fraction, in
-//! proportion to the tenant's demand, of the spare capacity.
+//! Admission: one token bucket per tenant, refilled at a guaranteed rate and with a part of the
+//! spare capacity, in proportion to the tenant's demand.
 
 use super::smoothing::{newest_weight, per_second};
 use crate::interface::{RequestId, Settings};
@@ -14,10 +14,10 @@
 /// Shortest window, in seconds, over which demand is averaged: a single tick sees too few requests.
 const MIN_DEMAND_WINDOW_S: f64 = 1.0;
 /// Smallest mean number of requests, of all tenants together, in the window over which demand is
-/// averaged. If demand is low, the window is longer for this.
+/// averaged. If demand is low, the window is extended until it contains this many requests.
 const MIN_DEMAND_WINDOW_REQUESTS: f64 = 10.0;
-/// Factor that is applied to the median tenant's ratio of demand to base guarantee: the result is
-/// the growth of all guarantees, if it is above one.
+/// Factor by which the median of the tenants' ratios of demand to base guarantee is multiplied. If
+/// the product is above one, all guarantees are multiplied by it.
 const GUARANTEE_MARGIN: f64 = 1.3;
 /// Largest guarantee as a multiple of the base guarantee.
 const MAX_GUARANTEE_GROWTH: f64 = 4.0;
@@ -104,8 +104,8 @@
 struct Refill {
     /// Spare capacity in requests (W in the paper).
     spare_capacity: f64,
-    /// Attempts in flight beyond the capacity, as a fraction of all in flight; zero if there is no
-    /// shortage.
+    /// Attempts in flight beyond the capacity, as a fraction of all attempts in flight; zero if
+    /// there is no shortage.
     shortage: f64,
     total_demand_per_s: f64,
     /// Seconds since the last tick (tau in the paper).
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -20,8 +20,8 @@
 const ABANDONED_LATENCY_MULTIPLE: f64 = 1.5;
 /// Quantile of a class's latencies after which an attempt is overdue.
 const OVERDUE_QUANTILE: f64 = 0.95;
-/// Relative step by which each latency changes the estimate of that quantile: this is multiplied by
-/// [`OVERDUE_QUANTILE`] for a rise, and by one minus it for a fall.
+/// Relative step by which each latency changes the estimate of this quantile. The step is
+/// multiplied by [`OVERDUE_QUANTILE`] for a rise, and by one minus [`OVERDUE_QUANTILE`] for a fall.
 const QUANTILE_STEP: f64 = 0.05;
 /// Lower limit of the quantile in seconds: two ticks, as each tick looks for overdue attempts.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
@@ -39,7 +39,7 @@
 const LATENCY_VALID_S: f64 = 5.0;
 /// Mean latency, as a fraction of the objective, that the decay approaches.
 const DECAYED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
-/// Lower limit, in seconds, of a latency that a priority weight is divided by.
+/// Lower limit, in seconds, of the mean latency as a divisor of a priority weight.
 const MIN_LATENCY_S: f64 = TICK_S;
 
 /// Whether a recorded latency is that of a successful response or of an abandoned attempt.
@@ -130,12 +130,12 @@
     /// request displaces several cheap ones. If weights are per request, the mean latency of the
     /// class stands for that capacity.
     pub(super) fn relative_value(&self, class: usize) -> f64 {
-        let best = self
+        let highest_value = self
             .classes
             .iter()
             .map(|class| self.value(class))
             .fold(1e-9, f64::max);
-        self.value(&self.classes[class]) / best
+        self.value(&self.classes[class]) / highest_value
     }
 
     fn value(&self, class: &ClassRecord) -> f64 {
@@ -147,8 +147,8 @@
     }
 
     /// Returns how much the queues may still grow, in seconds of latency; negative if they are too
-    /// long. All classes share the queues: the class whose mean latency comes closest to its limit,
-    /// `objective_fraction` of its objective, decides.
+    /// long. All classes share the queues, so the class whose mean latency is closest to its limit
+    /// decides. The limit is `objective_fraction` of the latency objective of the class.
     pub(super) fn queue_slack_s(&self, objective_fraction: f64) -> f64 {
         let counted = self
             .classes
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -5,23 +5,23 @@
 use crate::interface::{LoadField, Settings};
 
 /// Number of attempts in flight that are added to the load of an upstream for each overdue attempt:
-/// the upstream is stuck or unresponsive.
+/// an overdue attempt indicates that the upstream is stuck or unresponsive.
 const OVERDUE_ATTEMPT_WEIGHT: f64 = 4.0;
 /// Number of attempts that other balancers are assumed to have in flight at an upstream that
 /// rejects an attempt: without them the upstream would seem idle.
 const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_ATTEMPT_WEIGHT;
-/// Time constant, in seconds, with which the requests in flight of a report decay to the mean over
-/// the rotation.
+/// Time constant, in seconds, with which the number of requests in flight in a report decays to the
+/// mean over the rotation.
 const REPORT_TIME_CONSTANT_S: f64 = 1.0;
 /// Seconds for which a report of the requests in flight counts in the mean over the rotation.
 const REPORT_VALID_S: f64 = 3.0;
 /// Seconds for which a reported utilization is valid, unless the upstream reports another one.
 pub(super) const UTILIZATION_VALID_S: f64 = 3.0;
-/// Lowest utilization in a report that counts for the estimate of the requests in flight at full
-/// utilization.
+/// Lowest reported utilization at which a report counts in the estimate of the requests in flight
+/// at full utilization.
 const MIN_INFORMATIVE_UTILIZATION: f64 = 0.2;
-/// Upper limit of the utilization in a report that counts for the estimate of the requests in
-/// flight at full utilization.
+/// Reported utilization below which a report counts in the estimate of the requests in flight at
+/// full utilization.
 const MAX_INFORMATIVE_UTILIZATION: f64 = 0.8;
 /// Weight of the newest report in the estimate of the requests in flight at full utilization.
 const FULL_UTILIZATION_NEWEST_WEIGHT: f64 = 0.02;
@@ -98,8 +98,8 @@
         self.abandoned_attempts += 1.0;
     }
 
-    /// Records that the upstream rejected an attempt, for any reason, as load by other balancers:
-    /// without this load the upstream would seem idle.
+    /// Records the rejection of an attempt, for any reason, as load of other balancers: without
+    /// this load the upstream would seem idle.
     pub(super) fn record_rejected(&mut self, now_s: f64) {
         self.others_in_flight = self.others_in_flight.max(REJECTING_IN_FLIGHT);
         self.others_reported_at_s = now_s;
@@ -126,7 +126,7 @@
     fields: Vec<LoadField>,
     /// Fraction of the reported requests that are assumed to be of other balancers: all balancers
     /// count as having equal parts. This balancer's own attempts in flight can't be subtracted from
-    /// a report instead, as the report is older than their present number.
+    /// a report instead, as the report is older than the present number of these attempts.
     others_fraction: f64,
     /// Requests of other balancers in flight per unit of capacity, as a mean over the upstreams of
     /// the rotation.
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Updates the mean of the requests that other balancers have in flight at the upstreams of the
-    /// rotation.
+    /// Updates the mean, over the upstreams of the rotation, of the requests that other balancers
+    /// have in flight per unit of capacity.
     pub(super) fn update_mean(&mut self, upstreams: &Upstreams, rotation: &[usize], now_s: f64) {
         let (mut sum, mut count) = (0.0, 0.0);
         for upstream in rotation.iter().map(|slot| &upstreams[*slot]) {
