--- a/frostkeel/src/commands/lab/compare.rs
+++ b/frostkeel/src/commands/lab/compare.rs
@@ -98,8 +98,8 @@
         stop: &watch::Receiver<bool>,
     ) -> Result<RunOutcome, CommandError> {
         let options = RunOptions {
-            balancer: self.program.clone(),
-            guard: Some(std::env::current_exe()?),
+            balancer_program: self.program.clone(),
+            guard_and_registry_program: Some(std::env::current_exe()?),
             seed,
             dir: folder.to_owned(),
             stop: stop.clone(),
--- a/frostkeel/src/commands/lab/run.rs
+++ b/frostkeel/src/commands/lab/run.rs
@@ -20,8 +20,8 @@
 pub async fn run_and_report(experiment: Experiment, args: RunArgs) -> CommandResult {
     let folder = args.output_folder(&experiment.name);
     let options = RunOptions {
-        balancer: args.balancer_program()?,
-        guard: Some(std::env::current_exe()?),
+        balancer_program: args.balancer_program()?,
+        guard_and_registry_program: Some(std::env::current_exe()?),
         seed: args.seed.unwrap_or(experiment.seed),
         dir: folder.clone(),
         stop: interrupt_signal(),
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -60,7 +60,7 @@
     /// registry.
     #[error(
         "the experiment has a [registry] table, but no program that serves the registry is given: \
-         set `guard` in the run options to that program"
+         set `guard_and_registry_program` in the run options to that program"
     )]
     NoRegistryProgram,
     /// A loopback address could not be bound for a stand-in or a link.
--- a/lab/src/runs/experiment_run.rs
+++ b/lab/src/runs/experiment_run.rs
@@ -25,11 +25,12 @@
 /// Options of a run that the experiment itself does not set.
 pub struct RunOptions {
     /// Path of the program that is started as each balancer.
-    pub balancer: PathBuf,
-    /// Path of the program that serves as the [guard](crate::guard) of the child processes when its
-    /// first argument is `guard`, and as the registry when it is run with the command `registry`.
-    /// `None`: the children are not guarded, and an experiment with a registry cannot run.
-    pub guard: Option<PathBuf>,
+    pub balancer_program: PathBuf,
+    /// Path of the program that runs in two roles: as the [guard](crate::guard) of the child
+    /// processes when its first argument is `guard`, and as the registry when it is run with the
+    /// command `registry`. With `None`, the child processes survive if the lab is killed, and an
+    /// experiment with a registry cannot run.
+    pub guard_and_registry_program: Option<PathBuf>,
     /// Seed of all random draws of the run.
     pub seed: u64,
     /// Directory for the logs and configurations of the processes; created if it does not exist.
@@ -59,9 +60,10 @@
     pub upstreams: Vec<UpstreamStatus>,
 }
 
-/// Measurements from the start of the load to its end or interruption.
+/// Measurements from the start of the load until all requests have ended or the run is interrupted.
 struct LoadMeasurements {
     is_interrupted: bool,
+    /// Time from the start of the load to the end of the measurement.
     elapsed: Duration,
     /// Processor time that the lab's own process used, in seconds.
     processor_s: f64,
@@ -164,7 +166,7 @@
     RunOutcome {
         experiment: experiment.name.clone(),
         seed: options.seed,
-        balancer: options.balancer,
+        balancer: options.balancer_program,
         seconds: measured.elapsed.min(experiment.length).as_secs_f64(),
         is_interrupted: measured.is_interrupted,
         void_reason: lab.void_reason(),
--- a/lab/src/runs/test_bed.rs
+++ b/lab/src/runs/test_bed.rs
@@ -36,25 +36,27 @@
 struct StandIns {
     experiment: Arc<Experiment>,
     history: Arc<History>,
-    guard: Option<Arc<Guard>>,
+    /// Guard process of the child processes; `None` if the run has no guard.
+    guard_process: Option<Arc<Guard>>,
     upstreams: Arc<Upstreams>,
     discovery: Arc<DiscoveryService>,
     /// Address at which each balancer reaches the discovery service, by the balancer's number.
     discovery_addresses: Vec<SocketAddr>,
     links: Arc<Links>,
+    /// Links between the balancers; `None` if the experiment has no membership.
     peer_links: Option<Arc<PeerLinks>>,
     tasks: JoinSet<()>,
 }
 
 impl StandIns {
-    /// Starts the guard, the registry, the discovery service, the upstreams and the peer links. All
-    /// upstreams are on the endpoint list when it returns.
+    /// Starts the guard, the registry, the discovery service, the upstreams and the peer links. On
+    /// return, all upstreams are on the endpoint list.
     async fn start(experiment: Experiment, options: &RunOptions) -> Result<Self, LabError> {
         let experiment = Arc::new(experiment);
         let history = Arc::new(History::new(MAX_EVENTS));
         let links = Links::new(options.seed, !experiment.impairs_links());
-        let guard = start_guard(options)?;
-        let registrations = start_registry(&experiment, options, &guard, &history).await?;
+        let guard_process = start_guard(options)?;
+        let registrations = start_registry(&experiment, options, &guard_process, &history).await?;
         let discovery =
             DiscoveryService::new(Arc::clone(&history), Arc::clone(&links), registrations);
         let upstreams = Upstreams::new(
@@ -71,13 +73,16 @@
         }
         let peer_links = bind_peer_links(&experiment, options.seed, &mut tasks).await?;
         if let Some(registrations) = discovery.registrations() {
-            let upstreams = experiment.fleet.upstreams as usize;
-            registrations.registry().wait_until_ready(upstreams).await?;
+            let upstream_count = experiment.fleet.upstreams as usize;
+            registrations
+                .registry()
+                .wait_until_ready(upstream_count)
+                .await?;
         }
         Ok(Self {
             experiment,
             history,
-            guard,
+            guard_process,
             upstreams,
             discovery,
             discovery_addresses,
@@ -99,13 +104,14 @@
     pub balancers: Arc<BalancerProcesses>,
     discovery: Arc<DiscoveryService>,
     links: Arc<Links>,
+    /// Links between the balancers; `None` if the experiment has no membership.
     peer_links: Option<Arc<PeerLinks>>,
     /// Background tasks, which are aborted when the run stops.
     tasks: JoinSet<()>,
 }
 
 impl TestBed {
-    /// Starts all processes and stand-ins of a run; all servers accept requests when it returns.
+    /// Starts all processes and stand-ins of a run. On return, all servers accept requests.
     pub async fn start(experiment: Experiment, options: &RunOptions) -> Result<Self, LabError> {
         check_descriptor_limit(&experiment)?;
         let created = tokio::fs::create_dir_all(&options.dir).await;
@@ -130,13 +136,13 @@
             history: Arc::clone(&history),
             pool: Arc::clone(&pool),
             peer_links: peer_links.clone(),
-            guard: stand_ins.guard,
+            guard: stand_ins.guard_process,
             dir: options.dir.clone(),
         };
         let list = Arc::clone(&discovery);
         let balancers = BalancerProcesses::new(
             context,
-            &options.balancer,
+            &options.balancer_program,
             stand_ins.discovery_addresses,
             move |balancer| list.snapshot_text(balancer),
         );
@@ -201,28 +207,36 @@
 }
 
 fn start_guard(options: &RunOptions) -> Result<Option<Arc<Guard>>, LabError> {
-    let Some(program) = &options.guard else {
+    let Some(program) = &options.guard_and_registry_program else {
         return Ok(None);
     };
-    let guard = Guard::start(program).map_err(|source| LabError::Start {
+    let guard_process = Guard::start(program).map_err(|source| LabError::Start {
         program: program.clone(),
         source,
     })?;
-    Ok(Some(Arc::new(guard)))
+    Ok(Some(Arc::new(guard_process)))
 }
 
 /// Starts the real registry; returns `None` if the experiment has none.
 async fn start_registry(
     experiment: &Experiment,
     options: &RunOptions,
-    guard: &Option<Arc<Guard>>,
+    guard_process: &Option<Arc<Guard>>,
     history: &Arc<History>,
 ) -> Result<Option<Arc<Registrations>>, LabError> {
     let Some(settings) = &experiment.registry else {
         return Ok(None);
     };
-    let program = options.guard.as_ref().ok_or(LabError::NoRegistryProgram)?;
-    let registry = RegistryProcess::new(program, &options.dir, guard.clone(), Arc::clone(history));
+    let program = options
+        .guard_and_registry_program
+        .as_ref()
+        .ok_or(LabError::NoRegistryProgram)?;
+    let registry = RegistryProcess::new(
+        program,
+        &options.dir,
+        guard_process.clone(),
+        Arc::clone(history),
+    );
     registry.start().await?;
     Ok(Some(Registrations::new(registry, settings.lease())))
 }
@@ -302,9 +316,10 @@
     }
 }
 
-/// Estimates the file descriptors that the lab needs. Each pair of a balancer and an upstream needs
-/// a listener and a connection, and one more where upstreams are replaced. The connections of
-/// clients, the sockets between peers and the descriptors of each balancer process are added.
+/// Estimates the number of file descriptors that the lab needs. Each pair of a balancer and an
+/// upstream needs a listener and a connection, and a third descriptor if the experiment replaces
+/// upstreams. The connections of clients, the sockets between peers and the descriptors of each
+/// balancer process are added.
 fn needed_descriptors(experiment: &Experiment) -> u64 {
     let fleet = &experiment.fleet;
     let pairs = u64::from(fleet.balancers) * u64::from(fleet.upstreams);
