--- a/frostkeel/src/commands/lab/registry.rs
+++ b/frostkeel/src/commands/lab/registry.rs
@@ -56,12 +56,12 @@
         return Err(CommandError::RegistryLoad);
     }
     Ok(RegistryRunOptions {
-        watchers: args.watchers,
-        upstreams: args.upstreams,
+        watcher_count: args.watchers,
+        upstream_count: args.upstreams,
         changes_per_s: args.changes_per_s,
-        writers: args.writers,
+        writer_count: args.writers,
         duration,
-        kills: args.kills,
+        kill_count: args.kills,
         seed: args.run.seed.unwrap_or(DEFAULT_SEED),
     })
 }
--- a/lab/src/runs/registry_run.rs
+++ b/lab/src/runs/registry_run.rs
@@ -54,17 +54,17 @@
 #[derive(Clone, Debug)]
 pub struct RegistryRunOptions {
     /// Number of clients that watch the endpoint list.
-    pub watchers: u32,
+    pub watcher_count: u32,
     /// Number of upstreams on the endpoint list.
-    pub upstreams: u32,
+    pub upstream_count: u32,
     /// Rate of changes, in changes per second over all writers.
     pub changes_per_s: f64,
     /// Number of clients that change weights of upstreams.
-    pub writers: u32,
+    pub writer_count: u32,
     /// Time for which the writers send changes.
     pub duration: Duration,
     /// Number of times that the registry is killed and restarted, at equal intervals.
-    pub kills: u32,
+    pub kill_count: u32,
     /// Seed of all random draws.
     pub seed: u64,
 }
@@ -102,7 +102,7 @@
 pub struct RegistryRunOutcome {
     /// Number of changes that the registry acknowledged.
     pub acknowledged_count: u64,
-    /// Number of writes that failed or got no response.
+    /// Number of writes that failed or got no valid response.
     pub failed_count: u64,
     /// Time from the sending of a change until 99% of the watchers had received it. Changes that
     /// fewer watchers received are excluded.
@@ -128,20 +128,21 @@
 /// index in [`RegistryRun::changes`].
 #[derive(Default)]
 pub(super) struct Change {
-    /// Time when it was sent, in microseconds from the start of the run.
+    /// Time at which the change was sent, in microseconds from the start of the run.
     pub sent_us: AtomicU64,
-    /// Times from its sending until watchers received it, one for each watcher that has received
-    /// it, in microseconds.
-    delivered_us: Mutex<Vec<u32>>,
+    /// Times from the sending of the change until a watcher received it, in microseconds; one
+    /// element for each watcher that has received the change.
+    delivery_times_us: Mutex<Vec<u32>>,
 }
 
 /// The state of a run that watchers and writers share.
 pub(super) struct RegistryRun {
     pub registry: Arc<RegistryProcess>,
     pub start: Instant,
-    /// Changes, indexed by the weight that they set. The writers stop at the last element.
+    /// Changes, indexed by the weight that they set. The writers stop when no element is left.
     pub changes: Vec<Change>,
     pub acknowledged: Mutex<Acknowledged>,
+    /// Number of writes that failed or got no valid response.
     pub failed_count: AtomicU64,
     line_count: AtomicU64,
     is_over: AtomicBool,
@@ -154,65 +155,65 @@
     dir: &Path,
     options: RegistryRunOptions,
 ) -> Result<RegistryRunOutcome, LabError> {
-    let registry = start_registry(program, dir, options.upstreams).await?;
+    let registry = start_registry(program, dir, options.upstream_count).await?;
     let run = Arc::new(RegistryRun::new(Arc::clone(&registry), &options));
     let mut watchers = JoinSet::new();
-    for number in 0..options.watchers {
+    for number in 0..options.watcher_count {
         watchers.spawn(Arc::clone(&run).watch(number));
     }
     let next_weight = Arc::new(AtomicU64::new(FIRST_WEIGHT));
     let mut writers = JoinSet::new();
-    for number in 0..options.writers {
+    for number in 0..options.writer_count {
         let writer = Writer::new(Arc::clone(&run), &options, number, Arc::clone(&next_weight));
         writers.spawn(writer.run(options.duration));
     }
-    let kill_interval = options.duration / (options.kills + 1);
-    for kill in 1..=options.kills {
+    let kill_interval = options.duration / (options.kill_count + 1);
+    for kill in 1..=options.kill_count {
         sleep_until(run.start + kill_interval * kill).await;
         registry.kill(Some(RESTART_DELAY)).await;
     }
     while writers.join_next().await.is_some() {}
     run.check_at_end(watchers).await;
     registry.kill(None).await;
-    Ok(run.outcome(options.watchers))
+    Ok(run.outcome(options.watcher_count))
 }
 
-/// Starts a registry, and registers `upstreams` upstreams with it; all are listed as ready when it
-/// returns.
+/// Starts a registry, and registers `upstream_count` upstreams with it. On return, the registry
+/// lists all of them as ready.
 async fn start_registry(
     program: PathBuf,
     dir: &Path,
-    upstreams: u32,
+    upstream_count: u32,
 ) -> Result<Arc<RegistryProcess>, LabError> {
     let created = tokio::fs::create_dir_all(dir).await;
     created.map_err(|source| LabError::File {
         path: dir.to_owned(),
         source,
     })?;
-    let guard = Guard::start(&program).map_err(|source| LabError::Start {
+    let guard_process = Guard::start(&program).map_err(|source| LabError::Start {
         program: program.clone(),
         source,
     })?;
     let history = Arc::new(History::new(MAX_EVENTS));
-    let registry = RegistryProcess::new(&program, dir, Some(Arc::new(guard)), history);
+    let registry = RegistryProcess::new(&program, dir, Some(Arc::new(guard_process)), history);
     registry.start().await?;
     let registrations = Registrations::new(Arc::clone(&registry), LEASE);
-    for upstream in 0..upstreams {
+    for upstream in 0..upstream_count {
         let port = FIRST_PORT + upstream as u16;
         registrations.add(upstream, SocketAddr::from(([127, 0, 0, 1], port)));
         registrations.announce(upstream, EndpointState::Ready, 1);
     }
-    registry.wait_until_ready(upstreams as usize).await?;
+    registry.wait_until_ready(upstream_count as usize).await?;
     Ok(registry)
 }
 
 impl RegistryRun {
     fn new(registry: Arc<RegistryProcess>, options: &RegistryRunOptions) -> Self {
-        let changes = options.changes_per_s * options.duration.as_secs_f64() * 1.1;
+        let estimated_changes = options.changes_per_s * options.duration.as_secs_f64() * 1.1;
         Self {
             registry,
             start: Instant::now(),
-            changes: (0..changes as usize + 100)
+            changes: (0..estimated_changes as usize + 100)
                 .map(|_| Change::default())
                 .collect(),
             acknowledged: Mutex::default(),
@@ -238,8 +239,8 @@
         }
     }
 
-    /// Watches the endpoint list until the run is over, and starts a new watch whenever one ends;
-    /// returns the list as this watcher has received it.
+    /// Watches the endpoint list until the run is over, and starts a new watch whenever one ends.
+    /// Returns the endpoint list as this watcher has received it.
     async fn watch(self: Arc<Self>, number: u32) -> WatchedList {
         let mut watcher = Watcher::new(number);
         while !self.is_over() {
@@ -292,7 +293,7 @@
         for weight in changed {
             if let Some(change) = self.changes.get(weight as usize) {
                 let sent_us = change.sent_us.load(Ordering::Relaxed);
-                lock(&change.delivered_us).push(now_us.saturating_sub(sent_us) as u32);
+                lock(&change.delivery_times_us).push(now_us.saturating_sub(sent_us) as u32);
             }
         }
     }
@@ -328,13 +329,13 @@
             .for_each(|violation| self.add_violation(violation));
     }
 
-    fn outcome(&self, watchers: u32) -> RegistryRunOutcome {
-        let needed = (f64::from(watchers) * DELIVERED_FRACTION).ceil() as usize;
+    fn outcome(&self, watcher_count: u32) -> RegistryRunOutcome {
+        let needed = (f64::from(watcher_count) * DELIVERED_FRACTION).ceil() as usize;
         // Excludes changes that a later change replaced before enough watchers had received them.
         let delivered = self.changes.iter().filter_map(|change| {
-            let mut times_us = lock(&change.delivered_us).clone();
-            times_us.sort_unstable();
-            times_us.get(needed - 1).copied()
+            let mut delivery_times_us = lock(&change.delivery_times_us).clone();
+            delivery_times_us.sort_unstable();
+            delivery_times_us.get(needed - 1).copied()
         });
         let times_us = lock(&self.acknowledged).times_us.clone();
         RegistryRunOutcome {
--- a/lab/src/runs/registry_writer.rs
+++ b/lab/src/runs/registry_writer.rs
@@ -16,13 +16,14 @@
 /// Probability with which a writer reads and checks the list after an acknowledged change.
 const READ_CHECK_PROBABILITY: f64 = 0.05;
 
-/// A writer of changes. Only one writer changes the weight of an upstream, so that the upstream's
-/// weights increase in the order of their acknowledgements.
+/// A writer of changes. Each upstream belongs to one writer, which waits for the response to a
+/// change before it sends the next and sets a higher weight each time. The weights of an upstream
+/// thus increase in the order of their acknowledgements.
 pub(super) struct Writer {
     run: Arc<RegistryRun>,
     /// Numbers of the upstreams whose weights only this writer changes.
     upstreams: Vec<u32>,
-    /// Time between two changes of this writer.
+    /// Time between the due times of successive changes of this writer.
     interval: Duration,
     /// Weight of the next change; shared by all writers, so that each change sets a different
     /// weight.
@@ -37,18 +38,20 @@
         number: u32,
         next_weight: Arc<AtomicU64>,
     ) -> Self {
-        let is_own = |upstream: &u32| upstream % options.writers == number;
+        let is_own = |upstream: &u32| upstream % options.writer_count == number;
         Self {
             run,
-            upstreams: (0..options.upstreams).filter(is_own).collect(),
-            interval: Duration::from_secs_f64(f64::from(options.writers) / options.changes_per_s),
+            upstreams: (0..options.upstream_count).filter(is_own).collect(),
+            interval: Duration::from_secs_f64(
+                f64::from(options.writer_count) / options.changes_per_s,
+            ),
             next_weight,
             rng: ChaCha8Rng::seed_from_u64(options.seed ^ (u64::from(number) << 32)),
         }
     }
 
     /// Sends one change per interval until `duration` after the start of the run, or until
-    /// [`RegistryRun::changes`] has no element for the next one. Waits for the response to each
+    /// [`RegistryRun::changes`] has no element for the next change. Waits for the response to each
     /// change before it sends the next.
     pub async fn run(mut self, duration: Duration) {
         let mut due = Instant::now() + self.interval.mul_f64(self.rng.random::<f64>());
@@ -69,8 +72,8 @@
     }
 
     /// Sends the change that sets `weight`, which is also its index in [`RegistryRun::changes`].
-    /// After some of the acknowledged changes, checks that a read returns a list at least as new
-    /// as the change.
+    /// After a random selection of acknowledged changes, checks that a read returns a list at least
+    /// as new as the change.
     async fn write(&mut self, address: SocketAddr, uid: String, weight: u64) {
         let sent_us = self.run.now_us();
         self.run.changes[weight as usize]
@@ -96,8 +99,8 @@
     }
 }
 
-/// Writes an upstream's weight; returns the revision of the acknowledgement, or `None` if the write
-/// failed or got no valid response.
+/// Writes an upstream's weight. Returns the revision of the endpoint list in the acknowledgement,
+/// or `None` if the write failed or got no valid response.
 async fn write_weight(address: SocketAddr, uid: &str, weight: u64) -> Option<u64> {
     let body = format!("{{\"capacity_hint\":{weight}}}");
     let target = format!("/upstreams/{uid}/weight");
