--- a/frostkeel/src/commands/lab/simulate.rs
+++ b/frostkeel/src/commands/lab/simulate.rs
@@ -125,7 +125,7 @@
         .map(|seconds| format!("{seconds:.1}"));
     println!(
         "{:>7} {:>5} {:>9.0} {:>6.2} {:>7.1} {:>5} {:>6.2} {:>6.2} {:>6.2} {:>6} {:>6} {:>8} {:>8}",
-        outcome.members,
+        outcome.member_count,
         outcome.seed,
         outcome.seconds,
         outcome.datagrams_per_s,
--- a/lab/src/reports/size_plot.rs
+++ b/lab/src/reports/size_plot.rs
@@ -7,7 +7,7 @@
 /// Plots the time until departures are detected, and the traffic that each member sends, by the
 /// size of the simulated fleet. Returns the plot as SVG.
 pub fn size_plot(outcomes: &[SimulationOutcome]) -> String {
-    let size = |outcome: &SimulationOutcome| f64::from(outcome.members).log10();
+    let size = |outcome: &SimulationOutcome| f64::from(outcome.member_count).log10();
     let series = |name, color, value: fn(&SimulationOutcome) -> f64| Series {
         name,
         color,
--- a/lab/src/runs/simulation.rs
+++ b/lab/src/runs/simulation.rs
@@ -1,7 +1,7 @@
 //! Simulates the membership of an experiment's balancers.
 //!
-//! Only the state machines of the membership run, in simulated time and without processes or
-//! sockets. The simulation injects the faults of the experiment that affect balancers.
+//! The simulation executes only the membership's state machines, in simulated time and without
+//! processes or sockets. It injects the faults of the experiment that affect balancers.
 
 use super::simulation_faults::AffectedBalancers;
 use crate::checks::membership_checks::MembershipChecker;
@@ -21,8 +21,8 @@
 const MIN_DELAY: Duration = Duration::from_micros(300);
 /// Period from the start of the run over which the starts of the members are distributed randomly.
 const START_SPREAD: Duration = Duration::from_secs(1);
-/// Simulated time from which traffic is counted, or half of the run's length if that is earlier.
-/// Before it, the members discover each other.
+/// Simulated time from which traffic is counted; runs shorter than twice this time count it from
+/// half of their length. Before the count starts, the members discover each other.
 const TRAFFIC_COUNT_START: Duration = Duration::from_secs(20);
 /// Unix time of the start of a run, in milliseconds. The incarnation of a member is the Unix time
 /// of its start: this value plus the simulated time in milliseconds.
@@ -32,7 +32,8 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct SimulationOutcome {
     /// Number of members.
-    pub members: u32,
+    #[serde(rename = "members")]
+    pub member_count: u32,
     /// Seed of all random draws.
     pub seed: u64,
     /// Length of the run in simulated seconds.
@@ -50,9 +51,10 @@
     pub violations: Vec<String>,
 }
 
-/// An event at a simulated time. Events at the same time are handled in the order in which they
-/// were scheduled. `member`, `from` and `to` are numbers of members; `fault` is the index of a
-/// fault in the experiment.
+/// An event that is scheduled for a simulated time. Events at the same time are handled in the
+/// order in which they were scheduled. `member`, `from` and `to` are numbers of members; `fault` is
+/// the index of a fault in the experiment; `start_count` is the member's number of starts when the
+/// timer was scheduled.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum SimulationEvent {
     DatagramArrives {
@@ -91,12 +93,12 @@
 pub(super) struct SimulatedMember {
     /// State machine of the membership; `None` while the process is not running.
     pub machine: Option<Membership>,
-    /// Number of times that it has been started; timers from before the last start are ignored.
+    /// Number of starts of the process; timers from before the last start are ignored.
     pub start_count: u32,
     pub is_paused: bool,
-    /// Datagrams that arrived while it was paused; they are handled when it resumes.
+    /// Datagrams that arrived while the process was paused; they are handled when it resumes.
     pub pending: Vec<PendingDatagram>,
-    /// Simulated time at which its timer expires; `Duration::MAX` if none is scheduled.
+    /// Simulated time at which the timer expires; `Duration::MAX` if none is scheduled.
     pub timer: Duration,
     pub name: Name,
 }
@@ -109,17 +111,17 @@
     /// Scheduled events, each with its time and a sequence number, which orders events at the same
     /// time.
     queue: BinaryHeap<Reverse<(Duration, u64, SimulationEvent)>>,
-    /// Number of events that have been scheduled; the sequence number of the last one.
+    /// Number of events scheduled so far, which is the sequence number of the last one.
     event_count: u64,
     pub members: Vec<SimulatedMember>,
     pub links: LinkMatrix,
     pub rng: ChaCha8Rng,
-    /// The first datagrams that were sent, for faults that send them again.
+    /// First datagrams that were sent, for faults that send them again unchanged or corrupted.
     pub samples: DatagramSamples,
-    /// Whether a fault needs the samples.
+    /// Whether sent datagrams are added to `samples`, which only some faults need.
     records_samples: bool,
     checker: MembershipChecker,
-    /// For each fault of the experiment, the balancers that its last occurrence affected.
+    /// Balancers that the last occurrence of each fault affected, by the fault's index.
     pub affected_by_fault: Vec<AffectedBalancers>,
     sent_datagrams: u64,
     sent_bytes: u64,
@@ -129,7 +131,8 @@
 
 /// Simulates the membership of an experiment's balancers over the length of the experiment, with
 /// the faults that affect balancers. If `with_known_members` is true, all members start at time
-/// zero and know each other; otherwise they start within a second and discover each other.
+/// zero and know each other; otherwise they start at random times within the first second and
+/// discover each other.
 pub fn simulate(
     experiment: &Experiment,
     seed: u64,
@@ -150,7 +153,7 @@
     let member_seconds = counted_s * f64::from(count);
     let report = simulation.checker.finish();
     Ok(SimulationOutcome {
-        members: count,
+        member_count: count,
         seed,
         seconds: experiment.length.as_secs_f64(),
         datagrams_per_s: simulation.sent_datagrams as f64 / member_seconds,
--- a/lab/src/runs/simulation_faults.rs
+++ b/lab/src/runs/simulation_faults.rs
@@ -11,16 +11,19 @@
 /// Time from the graceful shutdown of a balancer until it is restarted.
 const RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// The balancers that one occurrence of a fault affects, by number.
+/// Numbers of the balancers that one occurrence of a fault affects.
 #[derive(Clone, Default)]
 pub(super) struct AffectedBalancers {
+    /// Balancers that the fault is applied to.
     pub targets: Vec<u32>,
-    /// Balancers at the other ends of the impaired links; empty if the fault names no peers.
+    /// Balancers at the other ends of the links that the fault impairs. Empty if the fault names no
+    /// balancers as peers; the simulation then impairs no links.
     pub peers: Vec<u32>,
 }
 
 impl Simulation<'_> {
-    /// Injects one occurrence of a fault, and schedules its end and its next occurrence.
+    /// Injects one occurrence of the fault at `index` in the experiment. Schedules the end of this
+    /// occurrence and the start of the next.
     pub(super) fn begin_fault(&mut self, index: usize) {
         let experiment = self.experiment;
         let fault = &experiment.faults[index];
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Delivers the recorded datagrams again, from each of `senders` to each other member.
+    /// Delivers the recorded datagrams again, from each of `senders` to all other members.
     fn replay_datagrams(&mut self, senders: &[u32]) {
         for datagram in self.samples.all().to_vec() {
             for to in 0..self.experiment.fleet.balancers {
@@ -120,8 +123,8 @@
         }
     }
 
-    /// Delivers one corrupted datagram from a random target of the fault to a random member, or
-    /// none if both are the same, and schedules the next one until the fault ends.
+    /// Delivers one corrupted datagram from a random target of the fault to a random member;
+    /// delivers none if both are the same member. Schedules the next datagram until the fault ends.
     pub(super) fn inject_corrupted(&mut self, index: usize) {
         let fault = &self.experiment.faults[index];
         let FaultKind::InjectDatagrams {
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -252,8 +252,8 @@
 
 #[test]
 fn plot_over_fleet_sizes_matches_the_committed_one() {
-    let of_size = |members: u32| SimulationOutcome {
-        members,
+    let of_size = |member_count: u32| SimulationOutcome {
+        member_count,
         seed: 1,
         seconds: 60.0,
         datagrams_per_s: 2.5,
