--- a/lab/src/runs/outcome.rs
+++ b/lab/src/runs/outcome.rs
@@ -14,7 +14,7 @@
 /// with a higher value is invalid: its figures describe the lab rather than the balancers.
 const MAX_LATENESS_MS: f64 = 20.0;
 /// Minimum recovery after the faults: the share of requests served in time must reach this fraction
-/// of what it was before the faults.
+/// of the share before the faults.
 const MIN_RECOVERED_RATIO: f64 = 0.9;
 
 /// The delays with which the lab sent requests, its processor use, and the number of events that it
@@ -35,7 +35,8 @@
 }
 
 impl LabOverhead {
-    /// Creates the figures; `lateness` is a histogram of the delays of requests in microseconds.
+    /// Creates the figures. `lateness` is a histogram of the delays of requests in microseconds,
+    /// and `cores` the mean number of cores that the lab used.
     pub(super) fn new(lateness: &LatencyHistogram, cores: f64, dropped_event_count: u64) -> Self {
         Self {
             late_p50_ms: quantile_ms(lateness, 0.5),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Returns why the run is invalid because of the lab; `None` if it is valid.
+    /// Returns the reason why the lab's overhead makes the run invalid; `None` if the run is valid.
     pub(super) fn void_reason(&self) -> Option<String> {
         if self.late_p99_ms > MAX_LATENESS_MS {
             return Some(format!(
@@ -144,21 +145,21 @@
 }
 
 /// Checks that the service recovers within `recovered_within_s` seconds after the end of the last
-/// fault: the share of requests served in time from then on must be at least `MIN_RECOVERED_RATIO`
-/// times the share before the first fault. Returns `None` if it recovers or if the experiment does
-/// not set that expectation.
+/// fault: from that time on, the share of requests served in time must be at least
+/// `MIN_RECOVERED_RATIO` times the share before the first fault. Returns `None` if the service
+/// recovers or if the experiment does not set `recovered_within_s`.
 fn missed_recovery(experiment: &Experiment, figures: &Figures) -> Option<String> {
-    let within = experiment.expect.recovered_within_s?;
-    match recovery(experiment, figures, within) {
+    let within_s = experiment.expect.recovered_within_s?;
+    match recovery(experiment, figures, within_s) {
         Some(Recovery { before, after }) if after >= MIN_RECOVERED_RATIO * before => None,
         Some(Recovery { before, after }) => Some(format!(
-            "share of requests served in time from {within} s after the end of the last fault: \
+            "share of requests served in time from {within_s} s after the end of the last fault: \
              {after:.3}, expected at least {:.3} ({before:.3} before the first fault)",
             MIN_RECOVERED_RATIO * before
         )),
         None => Some(format!(
             "recovery cannot be checked: it requires a fault, requests before the first fault, and \
-             requests later than {within} s after the end of the last fault"
+             requests later than {within_s} s after the end of the last fault"
         )),
     }
 }
