--- a/lab/src/standins/registration.rs
+++ b/lab/src/standins/registration.rs
@@ -17,8 +17,8 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of renewals during one lease.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Time before an acknowledged drain call is repeated, in leases. Until then the upstream makes no
-/// call, not even to renew its lease, unless its announcement changes.
+/// Time before an acknowledged drain call is repeated, in leases. In the meantime the upstream
+/// makes no call, not even to renew its lease, unless its announcement changes.
 const DRAIN_REPEAT_INTERVAL_LEASES: u32 = 100;
 
 /// The state that an upstream announces to the registry.
@@ -44,7 +44,7 @@
 enum NextStep {
     /// Makes the next call after this time, or as soon as the announcement changes.
     Wait(Duration),
-    /// Makes no more calls, because the registry has removed it from the list.
+    /// Makes no more calls, because the registry has removed the upstream.
     Stop,
 }
 
@@ -71,8 +71,8 @@
         &self.registry
     }
 
-    /// Adds an upstream, which makes no calls until [`announce`](Self::announce). Upstreams are
-    /// added in the order of their numbers.
+    /// Adds an upstream, which makes no calls until [`announce`](Self::announce). Upstreams must be
+    /// added in the order of their numbers, from 0.
     pub fn add(self: &Arc<Self>, upstream: u32, endpoint: SocketAddr) {
         let (sender, receiver) = watch::channel(Announcement::Nothing);
         lock(&self.announcements).push(sender);
@@ -114,8 +114,8 @@
     registrations: Arc<Registrations>,
     upstream: u32,
     endpoint: SocketAddr,
-    /// `boot_ms` of the last registration that the registry acknowledged; `None` if there is none,
-    /// or if the registry no longer has it.
+    /// `boot_ms` of the last registration that the registry acknowledged; `None` if the registry
+    /// has acknowledged none, or if it no longer has the upstream.
     registered_boot_ms: Option<u64>,
 }
 
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Returns the call that sends an announcement to the registry, or renews the lease if the
-    /// registry has acknowledged it; `None` for [`Announcement::Nothing`].
+    /// Returns the call that sends an announcement to the registry, or that renews the lease if the
+    /// registry has acknowledged the registration; `None` for [`Announcement::Nothing`].
     fn next_call(&self, announcement: Announcement) -> Option<Call> {
         let path = format!("/upstreams/u{}", self.upstream);
         let (method, target, body) = match announcement {
--- a/lab/src/standins/registry_process.rs
+++ b/lab/src/standins/registry_process.rs
@@ -43,18 +43,21 @@
     dir: PathBuf,
     /// Addresses since the first start; later starts use the same. `None` before the first start.
     addresses: Mutex<Option<RegistryAddresses>>,
+    /// The current process; `None` while the registry is not running.
     running: tokio::sync::Mutex<Option<Running>>,
-    guard: Option<Arc<Guard>>,
+    /// Guard process that kills the registry if the lab dies; `None` if the run has no guard.
+    guard_process: Option<Arc<Guard>>,
     history: Arc<History>,
 }
 
 impl RegistryProcess {
     /// Creates a registry that is not started yet. `program` runs as a registry when it is run with
-    /// the command `registry`; its configuration, log and data are written to `dir`.
+    /// the command `registry`. The registry's configuration, log and data are written to `dir`.
+    /// Without a `guard_process`, the registry survives if the lab is killed.
     pub fn new(
         program: &Path,
         dir: &Path,
-        guard: Option<Arc<Guard>>,
+        guard_process: Option<Arc<Guard>>,
         history: Arc<History>,
     ) -> Arc<Self> {
         Arc::new(Self {
@@ -62,22 +65,23 @@
             dir: dir.to_owned(),
             addresses: Mutex::default(),
             running: tokio::sync::Mutex::default(),
-            guard,
+            guard_process,
             history,
         })
     }
 
-    /// Returns the addresses on which the registry listens; `None` before its first start.
+    /// Returns the addresses on which the registry listens; `None` before the registry's first
+    /// start.
     pub fn addresses(&self) -> Option<RegistryAddresses> {
         *lock(&self.addresses)
     }
 
-    /// Returns the address for reads and watches; `None` before its first start.
+    /// Returns the address for reads and watches; `None` before the registry's first start.
     pub fn read_address(&self) -> Option<SocketAddr> {
         self.addresses().map(|addresses| addresses.read)
     }
 
-    /// Returns the address for writes; `None` before its first start.
+    /// Returns the address for writes and the status; `None` before the registry's first start.
     pub fn write_address(&self) -> Option<SocketAddr> {
         self.addresses().map(|addresses| addresses.write)
     }
@@ -129,23 +133,23 @@
         };
         *lock(&self.addresses) = Some(addresses);
         let pid = process_id(&child).ok_or_else(|| self.not_ready())?;
-        if let Some(guard) = &self.guard {
-            guard.register(pid);
+        if let Some(guard_process) = &self.guard_process {
+            guard_process.register(pid);
         }
         *self.running.lock().await = Some(Running { pid, child });
         self.record_state(ProcessState::Ready);
         Ok(())
     }
 
-    /// Kills the process with SIGKILL, and restarts it after `restart_after`; with `None` it stays
-    /// down.
+    /// Kills the process with SIGKILL, and restarts it after `restart_after`; with `None`, the
+    /// registry stays down.
     pub async fn kill(&self, restart_after: Option<Duration>) {
         if let Some(mut running) = self.running.lock().await.take() {
             self.record_state(ProcessState::Killed);
             let _ = kill_process(running.pid, Signal::KILL);
             let _ = running.child.wait().await;
-            if let Some(guard) = &self.guard {
-                guard.unregister(running.pid);
+            if let Some(guard_process) = &self.guard_process {
+                guard_process.unregister(running.pid);
             }
             self.record_state(ProcessState::Exited);
         }
@@ -177,13 +181,13 @@
         }
     }
 
-    /// Waits until the registry lists at least `upstreams` upstreams as ready.
-    pub async fn wait_until_ready(&self, upstreams: usize) -> Result<(), LabError> {
+    /// Waits until the registry lists at least `upstream_count` upstreams as ready.
+    pub async fn wait_until_ready(&self, upstream_count: usize) -> Result<(), LabError> {
         let all_ready = async {
             while let Some(address) = self.write_address() {
                 if ready_count(address)
                     .await
-                    .is_some_and(|ready| ready >= upstreams as u64)
+                    .is_some_and(|ready| ready >= upstream_count as u64)
                 {
                     return;
                 }
