--- a/lab/src/standins/upstream_model.rs
+++ b/lab/src/standins/upstream_model.rs
@@ -26,29 +26,32 @@
 /// A load report of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Mean share of its cores in use since the previous report, with a random error.
+    /// Mean share of the upstream's cores in use since the previous report, with a random relative
+    /// error.
     pub utilization: f64,
-    /// Number of requests in flight, with the same random error.
+    /// Number of requests in flight, with the same relative error.
     pub in_flight: f64,
 }
 
-/// The state of congestion. An upstream slows down once its queue has been too long for
-/// `congestion_onset_s`, and recovers once its utilization has been low for `recovery_s`.
+/// The state of congestion. An upstream becomes congested, and slows down, once its queue has been
+/// long for `congestion_onset_s` seconds. It recovers once its utilization has been low for
+/// `recovery_s` seconds. A long queue has at least `congestion_queue_per_core` requests per core; a
+/// low utilization is at most `recovery_utilization`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Congestion {
-    /// The queue is shorter than the limit, or the settings rule out congestion.
+    /// The upstream is not congested and its queue is not long, or congestion is switched off.
     None,
-    /// The queue has been too long since this time.
+    /// The queue has been long since `since`; the upstream is not congested yet.
     Building { since: f64 },
-    /// Processing has been slow since `since`. Utilization has been low since `low_since`; `None`
-    /// if it is not low.
+    /// The upstream has been congested since `since`. Its utilization has been low since
+    /// `low_since`; `None` if the utilization is not low.
     Congested { since: f64, low_since: Option<f64> },
 }
 
 /// A request that was accepted during slow start.
 #[derive(Clone, Copy)]
 struct AcceptedRequest {
-    at: f64,
+    accepted_at: f64,
     /// Time that the request takes on a core of speed 1, in seconds.
     work: f64,
 }
@@ -57,7 +60,7 @@
 struct Reports {
     newest: LoadReport,
     previous: LoadReport,
-    /// Core time that had been spent when the newest report was made.
+    /// Core time in seconds that had been spent when the newest report was made.
     measured_work: f64,
     /// Time when the newest report was made.
     measured_at: f64,
@@ -67,21 +70,22 @@
 pub struct UpstreamModel {
     settings: UpstreamSettings,
     rng: ChaCha8Rng,
-    /// Time when its slow start began; `None` if it started without one.
+    /// Time at which the upstream's slow start began; `None` if it started at full capacity.
     started_at: Option<f64>,
-    /// Factor by which a fault slows it down; 1 is normal.
+    /// Factor by which a fault multiplies the time of each request on a core; 1 without a fault.
     slowdown: f64,
     /// Time at which each core becomes free.
     core_free_at: Vec<f64>,
-    /// Core time of all accepted requests, whether spent or still to be spent.
+    /// Core time of all accepted requests in seconds, whether spent or still to be spent.
     accepted_work: f64,
     /// Times at which cores begin to process the queued requests, in ascending order.
     begin_times: VecDeque<f64>,
-    /// Times at which the responses of the requests in flight are sent, in microseconds.
-    finish_times: BinaryHeap<Reverse<u64>>,
+    /// Times at which the responses of the requests in flight are sent, in microseconds from the
+    /// start of the load.
+    finish_times_us: BinaryHeap<Reverse<u64>>,
     congestion: Congestion,
-    /// Requests that were accepted during slow start, within the last `overload_window_s` seconds
-    /// before the newest of them.
+    /// Requests that were accepted during slow start: the newest one, and those that were accepted
+    /// at most `overload_window_s` seconds before it.
     overload_window: VecDeque<AcceptedRequest>,
     /// Total work of the requests in `overload_window`; no longer updated after slow start.
     overload_window_work: f64,
@@ -90,7 +94,8 @@
 }
 
 impl UpstreamModel {
-    /// Creates an upstream that begins its slow start at `now`, or one at full capacity.
+    /// Creates the model of an upstream that starts at `now`: in slow start if `in_slow_start` is
+    /// true, otherwise at full capacity.
     pub fn new(settings: UpstreamSettings, rng: ChaCha8Rng, now: f64, in_slow_start: bool) -> Self {
         Self {
             core_free_at: vec![now; settings.cores as usize],
@@ -100,7 +105,7 @@
             slowdown: 1.0,
             accepted_work: 0.0,
             begin_times: VecDeque::new(),
-            finish_times: BinaryHeap::new(),
+            finish_times_us: BinaryHeap::new(),
             congestion: Congestion::None,
             overload_window: VecDeque::new(),
             overload_window_work: 0.0,
@@ -119,7 +124,8 @@
         self.slowdown = factor.max(MIN_SLOWDOWN);
     }
 
-    /// Returns the share of its full capacity that it has at `now`; 1 after slow start.
+    /// Returns the fraction of the upstream's full capacity that is available at `now`; 1 after
+    /// slow start.
     pub fn slow_start_share(&self, now: f64) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -129,9 +135,10 @@
         initial + (1.0 - initial) * progress
     }
 
-    /// Accepts a request at `now` and returns when its response is sent. `work` is the time that
-    /// the request takes on a core of speed 1, and `wait` the time for which it then waits for
-    /// other systems, both in seconds.
+    /// Accepts a request that arrives at `now`, and returns the time at which its response is sent;
+    /// both are in seconds from the start of the load. `work` is the time that the request takes on
+    /// a core of speed 1, in seconds. `wait` is the time for which the request then waits for other
+    /// systems, in seconds.
     pub fn accept(&mut self, now: f64, work: f64, wait: f64) -> Result<f64, Rejection> {
         self.advance(now);
         if self.has_crashed {
@@ -141,7 +148,7 @@
         if self.begin_times.len() as f64 >= f64::from(self.settings.queue_per_core) * cores {
             return Err(Rejection::QueueFull);
         }
-        self.update_overload(now, work);
+        self.check_slow_start_overload(now, work);
         let congestion = match self.is_congested() {
             true => self.settings.congestion_slowdown,
             false => 1.0,
@@ -158,13 +165,13 @@
         self.accepted_work += service_time;
         // Requests begin in the order of arrival, so `begin_times` stays sorted.
         self.begin_times.push_back(begin);
-        self.finish_times.push(Reverse(microseconds(finish)));
+        self.finish_times_us.push(Reverse(microseconds(finish)));
         self.update_congestion(now);
         Ok(finish)
     }
 
-    /// Returns the load report that responses carry at `now`. A new report is first sent after the
-    /// report delay; until then, responses carry the previous one.
+    /// Returns the load report that responses carry at `now`. Responses carry a new report only
+    /// after the report delay; during the delay, they carry the previous report.
     pub fn report(&mut self, now: f64) -> LoadReport {
         self.advance(now);
         let age = now - self.reports.measured_at;
@@ -194,41 +201,41 @@
     /// Returns the number of requests in flight as of the last call of [`accept`](Self::accept),
     /// [`report`](Self::report) or [`advance`](Self::advance).
     pub fn in_flight(&self) -> usize {
-        self.finish_times.len()
+        self.finish_times_us.len()
     }
 
-    /// Returns whether it has crashed under overload during slow start.
+    /// Returns whether the upstream has crashed under overload during slow start.
     pub fn has_crashed(&self) -> bool {
         self.has_crashed
     }
 
-    /// Returns whether it is congested, so that requests take longer.
+    /// Returns whether the upstream is congested, which makes requests take longer.
     pub fn is_congested(&self) -> bool {
         matches!(self.congestion, Congestion::Congested { .. })
     }
 
-    /// Returns the time at which all its cores are free.
+    /// Returns the time from which all cores are free, unless further requests are accepted.
     pub fn idle_at(&self) -> f64 {
         self.core_free_at.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Advances the model to `now`: removes the requests that have begun from the queue and those
-    /// that have ended from the ones in flight, and updates the congestion.
+    /// Advances the model to `now`. A request leaves the queue when a core begins to process it,
+    /// and is in flight until its response is sent. Also updates the congestion.
     pub fn advance(&mut self, now: f64) {
         while self.begin_times.front().is_some_and(|begin| *begin <= now) {
             self.begin_times.pop_front();
         }
         while self
-            .finish_times
+            .finish_times_us
             .peek()
             .is_some_and(|finish| finish.0 <= microseconds(now))
         {
-            self.finish_times.pop();
+            self.finish_times_us.pop();
         }
         self.update_congestion(now);
     }
 
-    /// Returns the core time that has been spent by `now`.
+    /// Returns the core time that has been spent up to the time `now`, in seconds.
     fn work_done(&self, now: f64) -> f64 {
         let outstanding: f64 = self
             .core_free_at
@@ -285,23 +292,26 @@
         }
     }
 
-    /// Crashes an upstream in slow start if the work of the requests in the overload window exceeds
-    /// `overload_multiple` times the work that the current capacity could do in that window.
-    fn update_overload(&mut self, now: f64, work: f64) {
+    /// Adds a request to the overload window, and marks the upstream as crashed if the work in the
+    /// window exceeds `overload_multiple` times the work that the current capacity could do in a
+    /// window of that length. After slow start, empties the window instead.
+    fn check_slow_start_overload(&mut self, now: f64, work: f64) {
         let share = self.slow_start_share(now);
         if share >= 1.0 {
             self.overload_window.clear();
             return;
         }
-        self.overload_window
-            .push_back(AcceptedRequest { at: now, work });
+        self.overload_window.push_back(AcceptedRequest {
+            accepted_at: now,
+            work,
+        });
         self.overload_window_work += work;
         let window_start = now - self.settings.overload_window_s;
         while let Some(oldest) = self
             .overload_window
             .front()
             .copied()
-            .filter(|accepted| accepted.at < window_start)
+            .filter(|accepted| accepted.accepted_at < window_start)
         {
             self.overload_window_work -= oldest.work;
             self.overload_window.pop_front();
