--- a/lab/src/standins/upstream.rs
+++ b/lab/src/standins/upstream.rs
@@ -21,7 +21,7 @@
 /// A stand-in upstream.
 pub(super) struct Upstream {
     number: u32,
-    /// Address at which each balancer reaches it, by the balancer's number.
+    /// Address at which each balancer reaches the upstream, by the balancer's number.
     endpoints: Arc<Vec<SocketAddr>>,
     phase: watch::Sender<Phase>,
     /// Whether its drain period is over; if so, it rejects all requests.
@@ -56,7 +56,7 @@
         self.number
     }
 
-    /// Returns the address at which each balancer reaches it, by the balancer's number.
+    /// Returns the address at which each balancer reaches the upstream, by the balancer's number.
     pub fn endpoints(&self) -> &Arc<Vec<SocketAddr>> {
         &self.endpoints
     }
@@ -120,7 +120,8 @@
         self.connection_count.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Returns its status for display; `None` if it has been replaced and no longer listens.
+    /// Returns the upstream's status for display; `None` if the upstream has been replaced and no
+    /// longer listens. `now` is in seconds from the start of the load.
     pub fn status(&self, now: f64) -> Option<UpstreamStatus> {
         let is_drained = self.is_drained();
         let state = match self.phase() {
@@ -153,6 +154,7 @@
     pub state: &'static str,
     /// Number of requests in flight; 0 unless its state is `up`.
     pub in_flight: usize,
-    /// Share of its cores in use according to its last load report; 0 unless its state is `up`.
+    /// Share of the upstream's cores in use according to its last load report; 0 unless its state
+    /// is `up`.
     pub utilization: f64,
 }
--- a/lab/src/standins/upstream_server.rs
+++ b/lab/src/standins/upstream_server.rs
@@ -87,8 +87,9 @@
         }
     }
 
-    /// Serves a connection until it closes, the upstream goes down, or an unresponsive phase ends
-    /// during which it was opened; closes it immediately if too many are open.
+    /// Serves a connection until it closes or the upstream goes down. A connection that was opened
+    /// during an unresponsive phase is closed when the phase ends. A new connection is closed
+    /// immediately if the upstream already has its maximum number of open connections.
     async fn serve(self: Arc<Self>, stream: Box<dyn Connection>) {
         let settings = &self.experiment.upstream;
         let max_connections = settings.connections_per_core * settings.cores;
@@ -139,7 +140,8 @@
         Ok(self.complete(id))
     }
 
-    /// Returns the class that the first segment of the path names.
+    /// Returns the class whose name is the first segment of the request's path; `None` if there is
+    /// no such class.
     fn class(&self, request: &Parts) -> Option<&Class> {
         let path = request.uri.path().trim_start_matches('/');
         let name = path.split('/').next().unwrap_or_default();
@@ -149,8 +151,8 @@
             .find(|class| class.name == name)
     }
 
-    /// Passes a request to the model; returns when its response is sent, in seconds from the start
-    /// of the load.
+    /// Passes a request to the model; returns the time at which its response is sent, in seconds
+    /// from the start of the load.
     fn process(&self, class: &Class, id: ClientAttemptId) -> Result<f64, Rejection> {
         // Seeded by the request's number, so that all attempts of a request have the same work
         // and wait.
--- a/lab/src/standins/upstreams.rs
+++ b/lab/src/standins/upstreams.rs
@@ -18,7 +18,7 @@
 
 /// Interval at which the load of each upstream is recorded.
 const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for which a replaced upstream still listens after its removal from the list.
+/// Time for which a replaced upstream still listens after its removal from the endpoint list.
 const LISTEN_AFTER_REMOVAL: Duration = Duration::from_secs(1);
 
 /// All upstreams of a run, including those that have been replaced.
@@ -62,8 +62,8 @@
         self.all().len() as u32
     }
 
-    /// Adds an upstream, puts it on the list as ready, and returns its number. It begins a slow
-    /// start if `in_slow_start` is true.
+    /// Adds an upstream, puts it on the endpoint list as ready, and returns its number. The
+    /// upstream begins a slow start if `in_slow_start` is true.
     pub async fn add(self: &Arc<Self>, in_slow_start: bool) -> io::Result<u32> {
         let number = self.count();
         let mut listeners = Vec::new();
@@ -120,9 +120,10 @@
     }
 
     /// Crashes an upstream, and restarts it after `restart_after` in slow start and under the same
-    /// name; with `None` it stays down. The list removes the upstream after the crash detection
-    /// time unless it is restarted earlier, or when its lease expires if there is a real registry.
-    /// The list shows the restart after the update delay.
+    /// name; with `None`, the upstream stays down. The stand-in discovery service removes the
+    /// upstream from the endpoint list after the crash detection time, unless the restart comes
+    /// earlier. A real registry removes the upstream when its lease expires. The endpoint list
+    /// shows the restart after the update delay.
     pub async fn crash(self: Arc<Self>, number: u32, restart_after: Option<Duration>) {
         let Some(upstream) = self.get(number) else {
             return;
@@ -160,8 +161,8 @@
         self.record_state(number, ProcessState::Recovered);
     }
 
-    /// Makes an upstream unresponsive during `duration`. At the end, the connections that were
-    /// opened or have sent requests during it are closed.
+    /// Makes an upstream unresponsive during `duration`. Connections that are opened or carry
+    /// requests during that time are closed when it ends.
     pub async fn make_unresponsive(self: Arc<Self>, number: u32, duration: Duration) {
         let Some(upstream) = self.get(number) else {
             return;
@@ -173,9 +174,10 @@
         self.record_state(number, ProcessState::Recovered);
     }
 
-    /// Replaces an upstream: adds a new one in slow start, and after the update delay lists the old
-    /// one as terminating for `drain`, removes it from the list and shuts it down.
-    pub async fn replace(self: Arc<Self>, number: u32, drain: Duration) {
+    /// Replaces an upstream: adds a new upstream in slow start, and lists the old one as
+    /// terminating after the update delay. After a further `drain_period`, removes the old upstream
+    /// from the endpoint list and then shuts it down.
+    pub async fn replace(self: Arc<Self>, number: u32, drain_period: Duration) {
         let Some(upstream) = self.get(number) else {
             return;
         };
@@ -188,7 +190,7 @@
         ))
         .await;
         self.update_list(&upstream, EndpointState::Terminating);
-        sleep(drain).await;
+        sleep(drain_period).await;
         upstream.set_drained();
         self.update_list(&upstream, EndpointState::Removed);
         sleep(LISTEN_AFTER_REMOVAL).await;
