--- a/lab/src/standins/discovery.rs
+++ b/lab/src/standins/discovery.rs
@@ -1,7 +1,8 @@
 //! The stand-in for the discovery service: serves reads and watches of the endpoint list.
 //!
-//! Each balancer reaches it at a separate address. In an experiment with a real registry, it
-//! registers the upstreams there and forwards the balancers' calls to it.
+//! Each balancer reaches the stand-in at a separate address. In an experiment with a real registry,
+//! the stand-in registers the upstreams with the registry and forwards the balancers' calls to the
+//! registry.
 
 use super::forwarding::Forwarder;
 use super::registration::Registrations;
@@ -28,8 +29,9 @@
 /// Interval at which a watch without changes sends an empty line as a heartbeat. A watcher that
 /// does not accept a line within this time is disconnected.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time after which a balancer counts as notified of a change while its link from the discovery
-/// service is cut. During the cut, the balancer's watch receives neither changes nor heartbeats.
+/// Delay after which a balancer counts as notified of a change that is sent while the link from the
+/// discovery service to the balancer is cut. During the cut, the balancer's watch receives neither
+/// changes nor heartbeats.
 const NOTIFICATION_DELAY_DURING_CUT: Duration = Duration::from_secs(6);
 /// Maximum number of lines of a watch that wait to be sent to a balancer.
 pub(super) const MAX_PENDING_LINES: usize = 16;
@@ -38,12 +40,14 @@
 
 /// The body of a response to a balancer, complete or streamed.
 pub(super) type ResponseBody = BoxBody<Bytes, io::Error>;
-/// A line of a watch for a balancer; an error truncates the response.
+/// A line that a watch sends to a balancer, or an error that truncates the response.
 pub(super) type WatchLine = Result<Frame<Bytes>, io::Error>;
 
-/// An upstream's entry in the endpoint list.
+/// An upstream's entry in the endpoint list. If a real registry serves the list, only `endpoints`
+/// is used.
 pub(super) struct Entry {
     state: EndpointState,
+    /// Unix time of the upstream's start in milliseconds; 0 if it started without a slow start.
     boot_ms: u64,
     /// Address at which each balancer reaches the upstream, by the balancer's number.
     pub(super) endpoints: Arc<Vec<SocketAddr>>,
@@ -280,8 +284,8 @@
         Response::new(BodyExt::boxed(StreamBody::new(ReceiverStream::new(body))))
     }
 
-    /// Sends the complete list, or the changes after the revision `since`, and then each later
-    /// change.
+    /// Sends the complete list if `since` is `None`, otherwise the changes after the revision
+    /// `since`; then sends each later change.
     async fn stream_changes(
         self: Arc<Self>,
         balancer: u32,
@@ -311,7 +315,7 @@
             since = Some(revision);
             let _ = timeout(
                 KEEP_ALIVE_INTERVAL,
-                revisions.wait_for(|now| *now != revision),
+                revisions.wait_for(|latest| *latest != revision),
             )
             .await;
         }
--- a/lab/src/standins/forwarding.rs
+++ b/lab/src/standins/forwarding.rs
@@ -64,7 +64,7 @@
         Ok(response)
     }
 
-    /// Forwards the lines of a watch until the registry or the balancer ends it.
+    /// Forwards the lines of a watch until the registry or the balancer ends the watch.
     async fn forward_watch(self, mut body: Incoming, lines: mpsc::Sender<WatchLine>) {
         let mut pending = BytesMut::new();
         while let Some(Ok(frame)) = body.frame().await {
@@ -85,9 +85,9 @@
         let _ = lines.send(Err(no_response())).await;
     }
 
-    /// Replaces the endpoints in a list or a line of a watch, and records the upstream
-    /// states in it. Text that is not JSON, such as the empty line of a heartbeat, is returned
-    /// trimmed.
+    /// Replaces the endpoints in `text`, which is a complete list or one line of a watch, and
+    /// records the upstream states that `text` contains. Text that is not JSON, such as the empty
+    /// line of a heartbeat, is returned trimmed.
     fn rewrite(&self, text: &[u8]) -> Bytes {
         let Ok(mut list) = serde_json::from_slice::<serde_json::Value>(text) else {
             return Bytes::copy_from_slice(text.trim_ascii());
