--- a/lab/src/standins/balancer_pool.rs
+++ b/lab/src/standins/balancer_pool.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Removes a balancer's address if it is still `address`; a restarted balancer has
-    /// another address.
+    /// Removes a balancer's address if it is still `address`. The address of a balancer that has
+    /// been restarted in the meantime stays, because it differs from `address`.
     pub fn remove_address(&self, balancer: u32, address: Option<SocketAddr>) {
         if self.address(balancer) == address {
             self.set_address(balancer, None);
@@ -104,8 +104,8 @@
         None
     }
 
-    /// Counts a response, and returns its connection to the pool unless the balancer's address has
-    /// changed.
+    /// Counts a response, and returns the connection that carried it to the pool unless the
+    /// balancer's address has changed.
     pub(super) fn return_idle(&self, to: Destination, connection: ClientConnection) {
         if let Some(mut entry) = self.entry(to.balancer) {
             entry.response_count += 1;
--- a/lab/src/standins/clients.rs
+++ b/lab/src/standins/clients.rs
@@ -2,7 +2,7 @@
 //! open loop), and retry it.
 //!
 //! The lab may start a request late. The deadline still counts from when the request was due, so
-//! that the request has less time; its latency counts from the `RequestDue` event, which is
+//! that a late request has less time. The latency counts from the `RequestDue` event, which is
 //! recorded when the request is started.
 
 use super::balancer_pool::{BalancerPool, ClientConnection, Destination};
@@ -52,7 +52,7 @@
 struct Attempt<'a> {
     id: ClientAttemptId,
     request: u32,
-    /// 0 for the first attempt.
+    /// Number of the retry; 0 for the first attempt.
     retry: u8,
     arrival: &'a Arrival,
     class: &'a Class,
@@ -250,8 +250,8 @@
         }
     }
 
-    /// Opens a connection to a balancer; records a failed attempt if it is not open by the
-    /// attempt's deadline.
+    /// Opens a connection to a balancer for an attempt. Records the attempt as failed and returns
+    /// `None` if connecting fails or is not complete by the attempt's deadline.
     async fn connect(
         &self,
         attempt: &Attempt<'_>,
--- a/lab/src/standins/load.rs
+++ b/lab/src/standins/load.rs
@@ -39,15 +39,21 @@
         let wave = (TAU * at_s / load.period_s).sin();
         let rate = load.rate_per_s * (1.0 + load.rate_amplitude * wave);
         let thinning = rng.random::<f64>();
-        let class = rng.random::<f64>();
-        let tenant = rng.random::<f64>();
+        let class_draw = rng.random::<f64>();
+        let tenant_draw = rng.random::<f64>();
         // The exponential of a uniform draw makes a few low keys far more frequent than the rest.
         let key = (f64::from(load.key_count).powf(rng.random::<f64>()) - 1.0) as u32;
         let honors_retry_after = rng.random::<f64>() < load.retry_after_compliance;
         let seed = rng.random();
         if thinning * max_rate <= rate {
-            let class = pick(class, experiment.classes.iter().map(|class| class.share));
-            let tenant = pick(tenant, experiment.tenants.iter().map(|tenant| tenant.share));
+            let class = pick(
+                class_draw,
+                experiment.classes.iter().map(|class| class.share),
+            );
+            let tenant = pick(
+                tenant_draw,
+                experiment.tenants.iter().map(|tenant| tenant.share),
+            );
             arrivals.push(Arrival {
                 at_s,
                 class,
