--- a/frostkeel/tests/lab.rs
+++ b/frostkeel/tests/lab.rs
@@ -156,7 +156,7 @@
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success());
     assert!(
-        error.contains("wrong.toml: line 3: balancers is 0"),
+        error.contains("wrong.toml: line 3: balancers must be between 1 and 300, got 0\n"),
         "{error}"
     );
 }
