--- a/balancer/tests/common/config.rs
+++ b/balancer/tests/common/config.rs
@@ -16,10 +16,10 @@
     pub balancers: usize,
     /// The deadline and the latency objective of every class, in milliseconds.
     pub deadline_and_objective_ms: u64,
-    /// Whether the balancer polls discovery for its endpoint list, with a request that opens a
-    /// watch. If not, the discovery mode is `automatic`: endpoints are pushed to a local agent,
-    /// which the balancer watches.
-    pub polls_endpoints: bool,
+    /// Whether the balancer watches its endpoint list at discovery itself. If not, the discovery
+    /// mode is `automatic`: discovery pushes the list to a local agent, and the balancer watches
+    /// the list there.
+    pub watches_discovery_directly: bool,
     /// Whether the balancer may cancel attempts that are in flight.
     pub cancellation: bool,
     /// The duration of an upstream's slow start, in milliseconds.
@@ -42,7 +42,7 @@
             max_sockets: 256,
             balancers: 1,
             deadline_and_objective_ms: 8000,
-            polls_endpoints: false,
+            watches_discovery_directly: false,
             cancellation: true,
             slow_start_ms: 10_000,
             syscall_faults: Vec::new(),
@@ -60,7 +60,7 @@
             slow_start_ms,
             ..
         } = self;
-        let discovery_mode = if self.polls_endpoints {
+        let discovery_mode = if self.watches_discovery_directly {
             "subscribe"
         } else {
             "automatic"
--- a/balancer/tests/common/process.rs
+++ b/balancer/tests/common/process.rs
@@ -255,7 +255,7 @@
         let discovery = RawPeer::start();
         let mut config = TestConfig::with_upstreams(&[upstream.address]);
         config.discovery = discovery.address;
-        config.polls_endpoints = true;
+        config.watches_discovery_directly = true;
         let process = config.start();
         let poll = discovery.next_connection_with_request();
         Self {
@@ -284,7 +284,7 @@
     pub fn start_with(mut config: TestConfig) -> Self {
         let discovery = Discovery::start();
         config.discovery = discovery.address;
-        config.polls_endpoints = true;
+        config.watches_discovery_directly = true;
         let process = config.start();
         let watch = discovery.next_watch();
         Self {
--- a/balancer/tests/endpoint_lease.rs
+++ b/balancer/tests/endpoint_lease.rs
@@ -240,7 +240,7 @@
 fn keeps_sending_while_discovery_is_unreachable() {
     let upstream = Upstream::healthy();
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
-    config.polls_endpoints = true;
+    config.watches_discovery_directly = true;
     let process = config.start();
     let start = Instant::now();
     while start.elapsed() < NOTIFICATION_DELAY_AFTER_SILENCE + DRAIN_GRACE + OBSERVATION_TIME {
--- a/balancer/tests/endpoint_watch.rs
+++ b/balancer/tests/endpoint_watch.rs
@@ -152,7 +152,7 @@
     let discovery = RawPeer::start();
     let mut config = TestConfig::with_upstreams(&[unreachable_address()]);
     config.discovery = discovery.address;
-    config.polls_endpoints = true;
+    config.watches_discovery_directly = true;
     let _process = config.start();
     let mut watch = discovery.next_connection_with_request();
     watch.write_all(text.as_bytes()).unwrap();
@@ -253,7 +253,7 @@
     let upstream = Upstream::healthy();
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.max_sockets = 64;
-    config.polls_endpoints = true;
+    config.watches_discovery_directly = true;
     let mut process = config.start();
     let idle_clients: Vec<_> = (0..120).map(|_| process.connect()).collect();
     assert_eq!(process.status_of(&idempotent_request(5000)), 200);
--- a/balancer/tests/process_lifecycle.rs
+++ b/balancer/tests/process_lifecycle.rs
@@ -48,7 +48,7 @@
     let (discovery, moved_discovery) = (Discovery::start(), Discovery::start());
     let mut config = TestConfig::with_upstreams(&[]);
     config.discovery = discovery.address;
-    config.polls_endpoints = true;
+    config.watches_discovery_directly = true;
     let mut process = config.start();
     let mut client = process.connect();
     let request = at_most_once_request(5000, "x");
--- a/balancer/tests/races_shutdown.rs
+++ b/balancer/tests/races_shutdown.rs
@@ -124,7 +124,7 @@
     let (discovery, moved_discovery) = (Discovery::start(), Discovery::start());
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.discovery = discovery.address;
-    config.polls_endpoints = true;
+    config.watches_discovery_directly = true;
     config.deadline_and_objective_ms = 3000;
     let mut process = config.start();
     let watch = discovery.next_watch();
@@ -151,7 +151,7 @@
 fn shutdown_right_after_start_answers_accepted_requests() {
     let upstream = Upstream::start(Behavior::NeverRespond);
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
-    config.polls_endpoints = true;
+    config.watches_discovery_directly = true;
     config.deadline_and_objective_ms = 1000;
     let mut process = config.start();
     let mut client = process.connect();
--- a/balancer/tests/wire_fixtures/outgoing_calls.rs
+++ b/balancer/tests/wire_fixtures/outgoing_calls.rs
@@ -16,7 +16,7 @@
     let discovery = RawPeer::start();
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
     config.discovery = discovery.address;
-    config.polls_endpoints = true;
+    config.watches_discovery_directly = true;
     let _balancer = config.start();
     let connection = discovery.next_connection();
     transcript.add_received(
