--- a/balancer/tests/syscall_failures.rs
+++ b/balancer/tests/syscall_failures.rs
@@ -71,7 +71,7 @@
     let upstream = Upstream::healthy();
     let discovery = Discovery::start();
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
-    config.polls_endpoints = true;
+    config.watches_discovery_directly = true;
     let mut process = config.start();
     config.discovery = discovery.address;
     let text = config.to_json();
@@ -124,10 +124,11 @@
     served
 }
 
-/// System calls fail for local or transient reasons. No failure may lose a request or count against
-/// an upstream.
+/// System calls fail for local or transient reasons. Each request must still get a final response,
+/// although that response may be an error if connects fail. No failure may count against an
+/// upstream.
 #[test]
-fn intermittent_syscall_failures_lose_no_request() {
+fn each_request_gets_a_final_response_when_syscalls_fail() {
     let respond = Behavior::Respond(OK_RESPONSE);
     let close_after_response = Behavior::RespondAndClose(OK_RESPONSE);
     for (name, value, behavior, min_served) in [
@@ -139,6 +140,9 @@
         ),
         ("FAULT_READ", "0.3:EINTR", respond, REQUEST_COUNT),
         ("FAULT_WRITE", "0.3:EINTR", respond, REQUEST_COUNT),
+        // The upstreams close the connection after each response, so that every attempt has to
+        // connect, and half of the connects fail. A request is attempted at most once at each of
+        // the two upstreams, so about one request in four ends with an error response.
         (
             "FAULT_CONNECT",
             "0.5:EADDRNOTAVAIL,ENOBUFS,ENETUNREACH,ENOMEM",
