--- a/balancer/tests/client_connections.rs
+++ b/balancer/tests/client_connections.rs
@@ -60,12 +60,12 @@
         "POST /book/day HTTP/1.1\r\nHost: app.svc\r\n",
         &half_body,
     ];
-    let connect = |text: &str| {
+    let connect_and_write = |text: &str| {
         let mut client = process.connect();
         client.write(text);
         client
     };
-    let mut clients: Vec<Client> = texts.into_iter().map(connect).collect();
+    let mut clients: Vec<Client> = texts.into_iter().map(connect_and_write).collect();
     for (k, client) in clients.iter_mut().enumerate() {
         // Reading times out after `TIMEOUT`, a third of the last client's `X-Time-Left-Ms`.
         let response = client.read_response();
--- a/balancer/tests/operations_page/logging_calls.rs
+++ b/balancer/tests/operations_page/logging_calls.rs
@@ -91,8 +91,8 @@
     lines.fold(first, |text, line| text + line.trim_start())
 }
 
-/// Returns the name and the fields of the event of a logging call. Arguments after the name fill its placeholders and
-/// are not fields.
+/// Returns the name and the fields of the event that a logging call with these arguments logs. The name is the first
+/// argument that is a string literal. The arguments before it are the fields; those after it fill its placeholders.
 pub fn event_of(arguments: &[String]) -> (String, BTreeSet<String>) {
     let mut fields = BTreeSet::new();
     for argument in arguments {
--- a/balancer/tests/wire_fixtures/peers.rs
+++ b/balancer/tests/wire_fixtures/peers.rs
@@ -105,8 +105,9 @@
         read_raw(&mut self.0)
     }
 
-    /// Sends another request after a response, and returns the transcript's text for the state of the connection: it is
-    /// kept if the request gets a response, and closed if no bytes are received.
+    /// Finds out, after a response, whether the balancer has closed the connection, and returns the line that the
+    /// transcript contains about it. Sends another request: the connection is kept if that request gets a response, and
+    /// closed if no bytes are received.
     pub fn connection_state_after_response(mut self) -> &'static [u8] {
         let sent = self
             .0
