--- a/lab/src/links/connections.rs
+++ b/lab/src/links/connections.rs
@@ -95,8 +95,9 @@
         self.resets.send_modify(|count| *count += 1);
     }
 
-    /// Relays a connection with the balancer through the link, and returns the other party's end.
-    /// `stream` is the end that would belong to the other party without the link.
+    /// Relays the TCP connection `stream` between the other party and the balancer through the
+    /// link. Returns the stream that the other party must use in place of `stream`; the relay reads
+    /// and writes `stream` itself. A transparent link returns `stream` unchanged.
     pub fn attach(&self, stream: TcpStream) -> Box<dyn Connection> {
         if self.is_transparent {
             return Box::new(stream);
--- a/lab/src/links/datagrams.rs
+++ b/lab/src/links/datagrams.rs
@@ -23,7 +23,8 @@
 }
 
 impl LinkMatrix {
-    /// Creates normal conditions between `count` processes.
+    /// Creates the conditions between `count` processes. Until they are set, no datagram is
+    /// delayed, lost or duplicated.
     pub fn new(count: u32) -> Self {
         let count = count as usize;
         Self {
