--- a/lab/src/experiment/faults.rs
+++ b/lab/src/experiment/faults.rs
@@ -52,13 +52,15 @@
         /// The highest balancer number of the range.
         last: u32,
     },
-    /// A random share of the balancers, from 0 to 1, drawn from the seed.
+    /// A given share of the balancers, from 0 to 1. The balancers that belong to it are chosen at
+    /// random with the seed of the run.
     BalancerShare(f64),
     /// All balancers that are not targets of the fault; meaningful only as [`Fault::peer`].
     OtherBalancers,
     /// One upstream, by number.
     Upstream(u32),
-    /// A random share of the upstreams, from 0 to 1, drawn from the seed.
+    /// A given share of the upstreams, from 0 to 1. The upstreams that belong to it are chosen at
+    /// random with the seed of the run.
     UpstreamShare(f64),
     /// The discovery service: a stand-in, or the registry if the experiment has one.
     Discovery,
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -176,9 +176,9 @@
     /// The length of slow start, in seconds, over which the capacity rises linearly.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
-    /// The overload above which an upstream in slow start crashes: the work of the requests
-    /// accepted within `overload_window_s`, as a multiple of the work that the upstream can do in
-    /// that time at its current capacity.
+    /// The limit on the load of an upstream in slow start, as a multiple of its current capacity.
+    /// The upstream crashes if the work of the requests accepted within `overload_window_s` exceeds
+    /// this multiple of the work that its current capacity can do in that time.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// The window over which the work of accepted requests is summed to detect overload, in
