--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -25,7 +25,8 @@
 
 /// The time within which a balancer must log its listen address after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time after SIGTERM for which clients may still open connections to a balancer.
+/// The time after SIGTERM during which clients continue to open connections to a balancer. Its
+/// address is then removed from the addresses that clients use.
 const NEW_CONNECTION_PERIOD_AFTER_TERM: Duration = Duration::from_millis(300);
 /// The time from SIGTERM to SIGKILL, for a balancer that has not exited. A balancer exits within
 /// the longest deadline (3 s at most) plus 0.7 s; the remaining time is slack.
