--- a/lab/src/experiment/fault_parsing.rs
+++ b/lab/src/experiment/fault_parsing.rs
@@ -116,7 +116,7 @@
     /// The length of the run, within which the first occurrence of a fault must start.
     pub length: Duration,
     pub has_membership: bool,
-    /// Whether a real registry, not a stand-in, serves as discovery. Only then may `stop` target it.
+    /// Whether a real registry serves as discovery. Without one, `stop` cannot target discovery.
     pub has_registry: bool,
 }
 
