--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -74,9 +74,9 @@
     fn refill(&mut self, refill: &Refill) {
         let size = self.size();
         let cut = if self.demand_per_s > self.guarantee_per_s {
-            OVER_GUARANTEE_CUT * refill.shortage
+            OVER_GUARANTEE_CUT * refill.shortage_fraction
         } else {
-            WITHIN_GUARANTEE_CUT * (refill.shortage - WITHIN_GUARANTEE_CUT_MIN_SHORTAGE)
+            WITHIN_GUARANTEE_CUT * (refill.shortage_fraction - WITHIN_GUARANTEE_CUT_MIN_SHORTAGE)
         };
         let demand_fraction = if refill.total_demand_per_s > 0.0 {
             self.demand_per_s / refill.total_demand_per_s
@@ -106,7 +106,7 @@
     spare_capacity: f64,
     /// Attempts in flight beyond the capacity, as a fraction of all attempts in flight; zero if
     /// there is no shortage.
-    shortage: f64,
+    shortage_fraction: f64,
     total_demand_per_s: f64,
     /// Seconds since the last tick (tau in the paper).
     elapsed_s: f64,
@@ -159,16 +159,16 @@
     /// its tenant exceeds it. In a large shortage, such as after the loss of half the upstreams,
     /// the guarantees of the other tenants are cut as well: otherwise the queues would be full and
     /// all responses late.
-    pub(super) fn refill(&mut self, spare_capacity: f64, shortage: f64, elapsed_s: f64) {
+    pub(super) fn refill(&mut self, spare_capacity: f64, shortage_fraction: f64, elapsed_s: f64) {
         let total_demand_per_s = self.demand_per_s();
-        let growth = self.guarantee_growth(shortage);
+        let growth = self.guarantee_growth(shortage_fraction);
         // The window is long enough for a few requests, so that a tenant that sends nothing for a
         // moment still has demand.
         let window_s =
             MIN_DEMAND_WINDOW_S.max(MIN_DEMAND_WINDOW_REQUESTS / total_demand_per_s.max(0.1));
         let refill = Refill {
             spare_capacity,
-            shortage,
+            shortage_fraction,
             total_demand_per_s,
             elapsed_s,
         };
@@ -183,14 +183,14 @@
     /// tenant, multiplied by [`GUARANTEE_MARGIN`], is above its base guarantee: this balancer then
     /// gets more traffic than other balancers, and the cause is not a surge of one tenant. A
     /// shortage reduces the growth, as retries raise the demand of all tenants during a shortage.
-    fn guarantee_growth(&self, shortage: f64) -> f64 {
+    fn guarantee_growth(&self, shortage_fraction: f64) -> f64 {
         let demand_ratio =
             |bucket: &TokenBucket| bucket.demand_per_s / bucket.base_guarantee_per_s.max(1e-9);
         let mut demand_ratios: Vec<f64> = self.buckets.iter().map(demand_ratio).collect();
         demand_ratios.sort_by(f64::total_cmp);
         let median = demand_ratios.get(demand_ratios.len() / 2).unwrap_or(&1.0);
         let growth = (median * GUARANTEE_MARGIN).clamp(1.0, MAX_GUARANTEE_GROWTH);
-        1.0 + (growth - 1.0) * (1.0 - shortage).max(0.0)
+        1.0 + (growth - 1.0) * (1.0 - shortage_fraction).max(0.0)
     }
 }
 
--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -47,7 +47,10 @@
         let mut idle_s = upstream
             .connections
             .idle_s(self.now_s, upstream.load.in_flight());
-        if self.idle_connections.is_suspect(idle_s, self.now_s) {
+        if self
+            .idle_connection_statistics
+            .is_suspect(idle_s, self.now_s)
+        {
             self.actions.push(Action::CloseIdleConnections {
                 upstream: upstream.endpoint.id(),
             });
@@ -138,7 +141,7 @@
             DISTANCE_PENALTY * f64::from(is_other_zone + 2 * is_outside)
                 + self
                     .load_reports
-                    .in_flight_per_capacity(upstream, self.last_tick_s)
+                    .in_flight_per_capacity(upstream, self.last_tick_at_s)
         };
         self.rotation
             .after_cursor()
@@ -183,7 +186,7 @@
             return;
         }
         self.record_fault(slot, Fault::Unresponsive);
-        if self.settings.hedging && self.capacity.spare() > MIN_HEDGE_SPARE_CAPACITY {
+        if self.settings.hedging && self.capacity.spare_capacity() > MIN_HEDGE_SPARE_CAPACITY {
             self.retry_elsewhere(attempt.request, RETRY_COST);
         }
     }
@@ -264,8 +267,11 @@
         };
         let latency_ratio = source.map(|source| {
             let was_unanswered = source == LatencySource::Abandoned;
-            self.idle_connections
-                .record(attempt.connection_idle_s, was_unanswered, self.now_s);
+            self.idle_connection_statistics.record(
+                attempt.connection_idle_s,
+                was_unanswered,
+                self.now_s,
+            );
             self.classes
                 .record_latency(attempt.class, source, attempt.latency_s, self.now_s)
         });
@@ -290,7 +296,7 @@
         let upstreams = &mut self.upstreams;
         let fault = self.outliers.record_outcome(
             upstreams,
-            self.rotation.members(),
+            self.rotation.member_slots(),
             slot,
             attempt,
             &mut clock,
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -53,7 +53,7 @@
 pub(super) struct CapacityInputs<'a> {
     pub(super) upstreams: &'a Upstreams,
     /// Slots of the upstreams in the rotation.
-    pub(super) rotation: &'a [usize],
+    pub(super) rotation_slots: &'a [usize],
     pub(super) classes: &'a ClassStatistics,
     pub(super) load_reports: &'a LoadReportTracker,
     /// Number of balancers that send to each upstream.
@@ -65,7 +65,9 @@
 
 impl CapacityInputs<'_> {
     fn members(&self) -> impl Iterator<Item = &Upstream> {
-        self.rotation.iter().map(|slot| &self.upstreams[*slot])
+        self.rotation_slots
+            .iter()
+            .map(|slot| &self.upstreams[*slot])
     }
 }
 
@@ -96,7 +98,7 @@
     reported_for_s: f64,
     /// Spare capacity in requests (W in the paper); negative if more attempts are in flight than
     /// there is capacity for.
-    spare: f64,
+    spare_capacity: f64,
     /// This balancer's attempts in flight at the last update, including abandoned ones that may
     /// still run.
     in_flight: f64,
@@ -130,7 +132,7 @@
             utilization,
             settled_utilization: utilization,
             reported_for_s: 0.0,
-            spare: 0.0,
+            spare_capacity: 0.0,
             in_flight: 0.0,
         }
     }
@@ -153,14 +155,14 @@
 
     /// Returns the spare capacity in requests (W in the paper); negative if more attempts are in
     /// flight than there is capacity for.
-    pub(super) fn spare(&self) -> f64 {
-        self.spare
+    pub(super) fn spare_capacity(&self) -> f64 {
+        self.spare_capacity
     }
 
     /// Returns the number of attempts in flight beyond the capacity, as a fraction of all attempts
     /// in flight; zero if there is spare capacity.
-    pub(super) fn shortage(&self) -> f64 {
-        (-self.spare / f64::max(self.in_flight, 1e-9)).max(0.0)
+    pub(super) fn shortage_fraction(&self) -> f64 {
+        (-self.spare_capacity / f64::max(self.in_flight, 1e-9)).max(0.0)
     }
 
     pub(super) fn record_completion(&mut self) {
@@ -175,9 +177,9 @@
     /// Adapts the estimates after the rotation has grown to `factor` times its size. The total
     /// service rate for this balancer stays the same, as the new upstreams also serve other
     /// balancers.
-    pub(super) fn on_rotation_grown(&mut self, factor: f64) {
-        self.service_rate_per_weight /= factor;
-        self.rotation_weight *= factor;
+    pub(super) fn on_rotation_grown(&mut self, growth_factor: f64) {
+        self.service_rate_per_weight /= growth_factor;
+        self.rotation_weight *= growth_factor;
     }
 
     /// Updates all estimates, once per tick.
@@ -299,7 +301,7 @@
     /// its queue limit, minus its attempts in flight. All terms count only this balancer's
     /// attempts. In the paper, W = sum of (tau C_j + (Q_j - q_j)).
     fn update_spare(&mut self, inputs: &CapacityInputs<'_>, allowed_queue_s: f64) {
-        (self.spare, self.in_flight) = (0.0, 0.0);
+        (self.spare_capacity, self.in_flight) = (0.0, 0.0);
         for upstream in inputs.members().filter(|u| u.weight.weight() > 0.0) {
             let rate = self.service_rate_per_weight * upstream.weight.weight();
             let own_in_flight = upstream.load.own_in_flight();
@@ -309,7 +311,7 @@
             // would be cut.
             let responsive = upstream.load.responsive_fraction();
             let queue = self.queue_limit(inputs, upstream, rate * allowed_queue_s) * responsive;
-            self.spare += inputs.elapsed_s * rate * responsive + queue - own_in_flight;
+            self.spare_capacity += inputs.elapsed_s * rate * responsive + queue - own_in_flight;
             self.in_flight += own_in_flight;
         }
     }
--- a/src/policy/endpoint_flow.rs
+++ b/src/policy/endpoint_flow.rs
@@ -51,15 +51,16 @@
     pub(super) fn choose_subset(&mut self) {
         let choice = self.subset.choose(&mut self.upstreams, self.now_s);
         let close = |upstream| Action::CloseIdleConnections { upstream };
-        self.actions.extend(choice.removed.into_iter().map(close));
-        let before = self.rotation.members().len();
-        let growth = choice.members.len() as f64 / before.max(1) as f64;
-        if choice.is_partial && before > 0 && growth > 1.0 {
-            self.capacity.on_rotation_grown(growth);
+        self.actions
+            .extend(choice.removed_ids.into_iter().map(close));
+        let previous_member_count = self.rotation.member_slots().len();
+        let growth_factor = choice.member_slots.len() as f64 / previous_member_count.max(1) as f64;
+        if choice.is_partial && previous_member_count > 0 && growth_factor > 1.0 {
+            self.capacity.on_rotation_grown(growth_factor);
         }
-        let mut members = choice.members;
-        self.random.shuffle(&mut members);
-        self.rotation.replace(members);
+        let mut member_slots = choice.member_slots;
+        self.random.shuffle(&mut member_slots);
+        self.rotation.replace(member_slots);
         self.update_weights(0.0);
     }
 }
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -43,7 +43,7 @@
 /// Statistics of attempts on idle connections and on connections in use. If idle connections are
 /// suspected wrongly, each attempt that could have used one costs a handshake.
 #[derive(Default)]
-pub(super) struct IdleConnections {
+pub(super) struct IdleConnectionStatistics {
     /// Fraction of the attempts on connections in use that got no response, smoothed.
     unanswered_fraction_in_use: f64,
     /// Fraction of the attempts on idle connections that got no response, smoothed.
@@ -54,7 +54,7 @@
     suspect_until_s: f64,
 }
 
-impl IdleConnections {
+impl IdleConnectionStatistics {
     /// Returns whether a connection that has been idle for `idle_s` seconds has to be closed rather
     /// than used.
     pub(super) fn is_suspect(&self, idle_s: f64, now_s: f64) -> bool {
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -209,9 +209,14 @@
 
     /// Updates the mean, over the upstreams of the rotation, of the requests that other balancers
     /// have in flight per unit of capacity.
-    pub(super) fn update_mean(&mut self, upstreams: &Upstreams, rotation: &[usize], now_s: f64) {
+    pub(super) fn update_mean(
+        &mut self,
+        upstreams: &Upstreams,
+        rotation_slots: &[usize],
+        now_s: f64,
+    ) {
         let (mut sum, mut count) = (0.0, 0.0);
-        for upstream in rotation.iter().map(|slot| &upstreams[*slot]) {
+        for upstream in rotation_slots.iter().map(|slot| &upstreams[*slot]) {
             if upstream.load.others_are_recent(now_s) {
                 sum += upstream.load.others_in_flight / upstream.weight.capacity();
                 count += 1.0;
@@ -224,9 +229,9 @@
     /// attempts, and the reported requests of other balancers. A report decays with its age to the
     /// mean over the rotation: without this decay, an upstream without reports would seem idle and
     /// attract all balancers.
-    pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, last_tick_s: f64) -> f64 {
+    pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, last_tick_at_s: f64) -> f64 {
         let (load, capacity) = (&upstream.load, upstream.weight.capacity());
-        let age_s = (last_tick_s - load.others_reported_at_s).max(0.0);
+        let age_s = (last_tick_at_s - load.others_reported_at_s).max(0.0);
         let mean = self.mean_others_in_flight;
         let others = mean
             + (load.others_in_flight / capacity - mean) * (-age_s / REPORT_TIME_CONSTANT_S).exp();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -51,16 +51,16 @@
 use class_statistics::ClassStatistics;
 use endpoint_lease::EndpointLease;
 use endpoint_polling::EndpointPolling;
-use idle_connections::IdleConnections;
+use idle_connections::IdleConnectionStatistics;
 use load::LoadReportTracker;
 use outlier_detection::{OutlierDetection, may_be_ejected};
-use pacing::{PacingRates, SendPacing};
+use pacing::{PacingInputs, SendPacing};
 use request_flow::Arrival;
 use requests::{Requests, RetryBudget};
 use round_robin::Rotation;
 use std::time::Duration;
 use subset::Subset;
-use upstream_health::suspicion_decay;
+use upstream_health::suspicion_decay_factor;
 use upstreams::{Upstream, Upstreams};
 use weights::Weights;
 
@@ -83,7 +83,7 @@
     actions: Vec<Action>,
     random: Random,
     is_started: bool,
-    last_tick_s: f64,
+    last_tick_at_s: f64,
     // The upstreams, and the subset of them that this balancer sends to.
     polling: EndpointPolling,
     lease: EndpointLease,
@@ -96,7 +96,7 @@
     classes: ClassStatistics,
     load_reports: LoadReportTracker,
     outliers: OutlierDetection,
-    idle_connections: IdleConnections,
+    idle_connection_statistics: IdleConnectionStatistics,
     // Limits of admissions and of sends.
     weights: Weights,
     capacity: Capacity,
@@ -140,7 +140,7 @@
             actions: Vec::new(),
             random: Random::with_seed(seed),
             is_started: false,
-            last_tick_s: 0.0,
+            last_tick_at_s: 0.0,
             polling: EndpointPolling::new(&settings),
             lease: EndpointLease::new(settings.drain_grace, settings.has_local_agent),
             upstreams: Upstreams::default(),
@@ -151,7 +151,7 @@
             classes: ClassStatistics::new(&settings),
             load_reports: LoadReportTracker::new(&settings),
             outliers: OutlierDetection::new(settings.classes.len()),
-            idle_connections: IdleConnections::default(),
+            idle_connection_statistics: IdleConnectionStatistics::default(),
             weights: Weights::new(&settings),
             admission: Admission::new(&settings),
             pacing: SendPacing::new(capacity.knows_utilization()),
@@ -170,13 +170,13 @@
     pub fn status(&self) -> StatusSnapshot {
         let weight: f64 = self.members().map(|u| u.weight.weight()).sum();
         StatusSnapshot {
-            spare_capacity: self.capacity.spare(),
+            spare_capacity: self.capacity.spare_capacity(),
             service_rate: self.capacity.service_rate_per_weight() * weight,
             utilization: self.capacity.utilization(),
             mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.admission.demand_per_s(),
             in_flight: self.upstreams.iter().map(|u| u.load.in_flight()).sum(),
-            rotation_size: self.rotation.members().len(),
+            rotation_size: self.rotation.member_slots().len(),
             warming_up: self.members().filter(|u| u.weight.is_warming_up()).count(),
             ejected: self
                 .members()
@@ -252,7 +252,7 @@
         if std::mem::replace(&mut self.is_started, true) {
             return;
         }
-        self.last_tick_s = self.now_s;
+        self.last_tick_at_s = self.now_s;
         self.polling.start(self.now_s, &mut self.random);
         let first_tick_after_s = TICK_S * self.random.f64();
         self.schedule_tick(first_tick_after_s);
@@ -269,9 +269,9 @@
     /// Processes a tick: updates the subset, the weights, the spare capacity and the token buckets,
     /// then handles overdue attempts and polls discovery if a poll is due.
     fn on_tick(&mut self) {
-        let elapsed_s = (self.now_s - self.last_tick_s).clamp(0.0, MAX_TICK_S);
-        self.last_tick_s = self.now_s;
-        let has_upstreams_outside = self.rotation.members().len() < self.upstreams.len();
+        let elapsed_s = (self.now_s - self.last_tick_at_s).clamp(0.0, MAX_TICK_S);
+        self.last_tick_at_s = self.now_s;
+        let has_upstreams_outside = self.rotation.member_slots().len() < self.upstreams.len();
         self.subset
             .update_size(has_upstreams_outside, elapsed_s, self.now_s);
         if self.subset.is_review_due(self.now_s) {
@@ -296,7 +296,7 @@
     /// Returns the upstreams of the rotation.
     fn members(&self) -> impl Iterator<Item = &Upstream> {
         self.rotation
-            .members()
+            .member_slots()
             .iter()
             .map(|slot| &self.upstreams[*slot])
     }
@@ -310,23 +310,28 @@
         let ready = || self.members().filter(|u| u.endpoint.is_ready());
         let ejected_count = ready().filter(|u| u.health.is_ejected(now_s)).count();
         let ejections_apply = may_be_ejected(ejected_count, ready().count());
-        let suspicion_decay = suspicion_decay(elapsed_s);
-        let abandoned_decay = (-elapsed_s / self.classes.shortest_objective_s()).exp();
-        let (upstreams, members) = (&mut self.upstreams, self.rotation.members());
-        for slot in members {
-            upstreams[*slot].health.decay_suspicion(suspicion_decay);
-            upstreams[*slot].load.decay_abandoned(abandoned_decay);
+        let suspicion_decay_factor = suspicion_decay_factor(elapsed_s);
+        let abandoned_decay_factor = (-elapsed_s / self.classes.shortest_objective_s()).exp();
+        let (upstreams, member_slots) = (&mut self.upstreams, self.rotation.member_slots());
+        for slot in member_slots {
+            upstreams[*slot]
+                .health
+                .decay_suspicion(suspicion_decay_factor);
+            upstreams[*slot]
+                .load
+                .decay_abandoned(abandoned_decay_factor);
         }
         self.weights
-            .update(upstreams, members, ejections_apply, elapsed_s, now_s);
-        self.load_reports.update_mean(upstreams, members, now_s);
+            .update(upstreams, member_slots, ejections_apply, elapsed_s, now_s);
+        self.load_reports
+            .update_mean(upstreams, member_slots, now_s);
         let service_rate_per_weight = self.capacity.service_rate_per_weight();
-        let slow_start = self
-            .weights
-            .slow_start_rate(upstreams, members, service_rate_per_weight);
+        let slow_start =
+            self.weights
+                .slow_start_rate(upstreams, member_slots, service_rate_per_weight);
         self.rotation
             .add_slow_start_deficit(upstreams, slow_start, elapsed_s);
-        let rates = PacingRates {
+        let inputs = PacingInputs {
             service_rate_per_weight,
             slow_start,
             utilization: self.capacity.utilization(),
@@ -334,7 +339,7 @@
             load_reports: &self.load_reports,
         };
         self.pacing
-            .refill(upstreams, members, &rates, elapsed_s, now_s);
+            .refill(upstreams, member_slots, &inputs, elapsed_s, now_s);
     }
 
     /// Decays stale latencies, updates the estimates of capacity, switches pacing on or off, and
@@ -343,7 +348,7 @@
         self.classes.decay_stale_latencies(elapsed_s, self.now_s);
         self.capacity.update(&CapacityInputs {
             upstreams: &self.upstreams,
-            rotation: self.rotation.members(),
+            rotation_slots: self.rotation.member_slots(),
             classes: &self.classes,
             load_reports: &self.load_reports,
             balancers_per_upstream: self.subset.balancers_per_upstream(),
@@ -351,7 +356,11 @@
             now_s: self.now_s,
         });
         self.pacing.set_active(self.capacity.knows_utilization());
-        let (spare, shortage) = (self.capacity.spare(), self.capacity.shortage());
-        self.admission.refill(spare, shortage, elapsed_s);
+        let (spare_capacity, shortage_fraction) = (
+            self.capacity.spare_capacity(),
+            self.capacity.shortage_fraction(),
+        );
+        self.admission
+            .refill(spare_capacity, shortage_fraction, elapsed_s);
     }
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -70,11 +70,11 @@
 /// error.
 fn common_error_fraction(
     upstreams: &Upstreams,
-    rotation: &[usize],
+    rotation_slots: &[usize],
     excluded_slot: usize,
     now_s: f64,
 ) -> f64 {
-    let others = || rotation.iter().filter(|slot| **slot != excluded_slot);
+    let others = || rotation_slots.iter().filter(|slot| **slot != excluded_slot);
     let erring_count = others()
         .filter(|slot| upstreams[**slot].health.has_erred_recently(now_s))
         .count();
@@ -113,16 +113,16 @@
     pub(super) fn record_outcome(
         &mut self,
         upstreams: &mut Upstreams,
-        rotation: &[usize],
+        rotation_slots: &[usize],
         slot: usize,
         attempt: &EndedAttempt,
         clock: &mut JitteredClock<'_>,
     ) -> Option<Fault> {
         let now_s = clock.now_s;
-        let erring_fraction = common_error_fraction(upstreams, rotation, slot, now_s);
+        let erring_fraction = common_error_fraction(upstreams, rotation_slots, slot, now_s);
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected_for(attempt.class);
-        let ejected_count = rotation.iter().filter(is_ejected).count() + 1;
-        let may_eject = may_be_ejected(ejected_count, rotation.len());
+        let ejected_count = rotation_slots.iter().filter(is_ejected).count() + 1;
+        let may_eject = may_be_ejected(ejected_count, rotation_slots.len());
         let health = &mut upstreams[slot].health;
         let trials = &mut self.trials[attempt.class];
         health.record_response(attempt.outcome, now_s);
@@ -147,7 +147,7 @@
             health.eject_for(attempt.class, now_s);
             if trials.next_at_s <= now_s {
                 trials.unsuccessful_count = 0;
-                trials.next_at_s = clock.after_s(BASE_EJECTION_S);
+                trials.next_at_s = clock.jittered_time_s(BASE_EJECTION_S);
             }
         }
         fault_of(attempt.outcome, erring_fraction)
@@ -157,7 +157,7 @@
     pub(super) fn eligibility(
         &self,
         upstreams: &Upstreams,
-        rotation: &[usize],
+        rotation_slots: &[usize],
         class: usize,
         avoids_suspected: bool,
     ) -> ClassEligibility {
@@ -166,7 +166,7 @@
             avoids_suspected,
             ignores_health: false,
         };
-        eligibility.ignores_health = rotation.iter().all(|slot| {
+        eligibility.ignores_health = rotation_slots.iter().all(|slot| {
             let upstream = &upstreams[*slot];
             is_trial_candidate(upstream, class) || eligibility.avoids(upstream)
         });
@@ -180,7 +180,7 @@
     pub(super) fn due_trial(
         &mut self,
         upstreams: &mut Upstreams,
-        rotation: &[usize],
+        rotation_slots: &[usize],
         class: usize,
         clock: &mut JitteredClock<'_>,
     ) -> Option<usize> {
@@ -189,14 +189,14 @@
             return None;
         }
         let last_trial_at_s = |slot: &usize| upstreams[*slot].health.last_trial_at_s(class);
-        let oldest = rotation
+        let oldest = rotation_slots
             .iter()
             .copied()
             .filter(|slot| is_trial_candidate(&upstreams[*slot], class))
             .min_by(|a, b| last_trial_at_s(a).total_cmp(&last_trial_at_s(b)))?;
         trials.unsuccessful_count += 1;
         let doublings = trials.unsuccessful_count.min(MAX_TRIAL_DOUBLINGS);
-        trials.next_at_s = clock.after_s(BASE_EJECTION_S * f64::from(1 << doublings));
+        trials.next_at_s = clock.jittered_time_s(BASE_EJECTION_S * f64::from(1 << doublings));
         upstreams[oldest].health.record_trial(class, clock.now_s);
         Some(oldest)
     }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -48,7 +48,7 @@
 }
 
 /// Inputs of [`SendPacing::refill`].
-pub(super) struct PacingRates<'a> {
+pub(super) struct PacingInputs<'a> {
     /// Requests of this balancer that an upstream can complete per second and per unit of the
     /// upstream's weight.
     pub(super) service_rate_per_weight: f64,
@@ -90,24 +90,25 @@
     pub(super) fn refill(
         &mut self,
         upstreams: &mut Upstreams,
-        rotation: &[usize],
-        rates: &PacingRates<'_>,
+        rotation_slots: &[usize],
+        inputs: &PacingInputs<'_>,
         elapsed_s: f64,
         now_s: f64,
     ) {
-        let balancers = rates.balancers_per_upstream;
+        let balancers = inputs.balancers_per_upstream;
         let unshared_multiple =
             (balancers / (balancers - 1.0).max(1e-3)).min(MAX_UNSHARED_MULTIPLE);
         let mut sends_per_s = 0.0;
-        for slot in rotation {
+        for slot in rotation_slots {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let slow_start = rates.slow_start;
-                sends_per_s +=
-                    slow_start.steady_rate * slow_start.multiple * upstream.weight.weight();
+                let slow_start = inputs.slow_start;
+                sends_per_s += slow_start.steady_rate_per_s
+                    * slow_start.rate_multiple
+                    * upstream.weight.weight();
                 continue;
             }
-            let rate = rates.upstream_rate(upstream, now_s);
+            let rate = inputs.upstream_rate(upstream, now_s);
             upstream.send_budget.sends = (upstream.send_budget.sends
                 + elapsed_s * unshared_multiple * rate)
                 .min(MAX_UPSTREAM_BUDGET_SENDS * unshared_multiple);
@@ -146,7 +147,7 @@
     }
 }
 
-impl PacingRates<'_> {
+impl PacingInputs<'_> {
     /// Returns the sends per second that an upstream outside slow start gains.
     fn upstream_rate(&self, upstream: &Upstream, now_s: f64) -> f64 {
         let weight = upstream.weight.weight();
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -49,7 +49,7 @@
             return Err(FailureReason::StaleEndpoints);
         }
         if !self.admission.has_token(arrival.tenant) {
-            return Err(if self.capacity.spare() > 0.0 {
+            return Err(if self.capacity.spare_capacity() > 0.0 {
                 FailureReason::QuotaExceeded
             } else {
                 FailureReason::NoSpareCapacity
@@ -77,25 +77,25 @@
     fn next_upstream(&mut self, class: usize) -> Option<usize> {
         let upstreams = &mut self.upstreams;
         self.rotation.drop_unusable(upstreams);
-        let members = self.rotation.members();
+        let member_slots = self.rotation.member_slots();
         let mut clock = JitteredClock {
             now_s: self.now_s,
             random: &mut self.random,
         };
         let trial_slot = self
             .outliers
-            .due_trial(upstreams, members, class, &mut clock);
+            .due_trial(upstreams, member_slots, class, &mut clock);
         if trial_slot.is_some() {
             return trial_slot;
         }
         let avoids_suspected = self.class_avoids_suspected(class);
         let eligibility =
             self.outliers
-                .eligibility(&self.upstreams, members, class, avoids_suspected);
+                .eligibility(&self.upstreams, member_slots, class, avoids_suspected);
         let accepts = |u: &Upstream| !self.pacing.is_exhausted(u) && eligibility.accepts(u);
-        let last_tick_s = self.last_tick_s;
+        let last_tick_at_s = self.last_tick_at_s;
         let in_flight_per_capacity =
-            |u: &Upstream| self.load_reports.in_flight_per_capacity(u, last_tick_s);
+            |u: &Upstream| self.load_reports.in_flight_per_capacity(u, last_tick_at_s);
         self.rotation
             .next(&mut self.upstreams, accepts, in_flight_per_capacity)
     }
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -38,8 +38,8 @@
 pub(super) struct Rotation {
     /// Slots of the upstreams, in an order that differs between balancers: balancers must not step
     /// through the upstreams in the same order.
-    members: Vec<usize>,
-    /// Position in `members` of the last member that was considered for a turn (sigma in the
+    member_slots: Vec<usize>,
+    /// Position in `member_slots` of the last member that was considered for a turn (sigma in the
     /// paper).
     cursor: usize,
     /// Slots of the upstreams that have the upcoming turns, in order. These turns are already
@@ -49,19 +49,19 @@
 
 impl Rotation {
     /// Returns the upstreams of the rotation.
-    pub(super) fn members(&self) -> &[usize] {
-        &self.members
+    pub(super) fn member_slots(&self) -> &[usize] {
+        &self.member_slots
     }
 
     /// Returns all members, starting with the one after the cursor.
     pub(super) fn after_cursor(&self) -> impl Iterator<Item = usize> {
-        let count = self.members.len();
-        (1..=count).map(move |step| self.members[(self.cursor + step) % count])
+        let count = self.member_slots.len();
+        (1..=count).map(move |step| self.member_slots[(self.cursor + step) % count])
     }
 
     /// Replaces the members and restarts the rotation.
-    pub(super) fn replace(&mut self, members: Vec<usize>) {
-        (self.members, self.cursor) = (members, 0);
+    pub(super) fn replace(&mut self, member_slots: Vec<usize>) {
+        (self.member_slots, self.cursor) = (member_slots, 0);
         self.lookahead.clear();
     }
 
@@ -75,11 +75,13 @@
         rate: SlowStartRate,
         elapsed_s: f64,
     ) {
-        for slot in &self.members {
+        for slot in &self.member_slots {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let added_deficit =
-                    elapsed_s * rate.steady_rate * rate.multiple * upstream.weight.weight();
+                let added_deficit = elapsed_s
+                    * rate.steady_rate_per_s
+                    * rate.rate_multiple
+                    * upstream.weight.weight();
                 let counter = upstream.deficit.counter + added_deficit;
                 upstream.deficit.counter = counter.min(MAX_SLOW_START_DEFICIT);
             }
@@ -133,7 +135,7 @@
     /// [`LOOKAHEAD_COUNT`] turns. If the lookahead reaches its maximum length, its first turn is
     /// discarded.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
-        let max_len = LOOKAHEAD_COUNT + self.members.len();
+        let max_len = LOOKAHEAD_COUNT + self.member_slots.len();
         let mut accepted_count = self
             .lookahead
             .iter()
@@ -154,9 +156,9 @@
     /// Moves the cursor to the next upstream with a turn, and subtracts the turn from its deficit.
     /// Returns its slot; `None` if no upstream gains a turn within [`MAX_ROUNDS`].
     fn step(&mut self, upstreams: &mut Upstreams) -> Option<usize> {
-        for _ in 0..self.members.len() * MAX_ROUNDS {
-            self.cursor = (self.cursor + 1) % self.members.len();
-            let slot = self.members[self.cursor];
+        for _ in 0..self.member_slots.len() * MAX_ROUNDS {
+            self.cursor = (self.cursor + 1) % self.member_slots.len();
+            let slot = self.member_slots[self.cursor];
             let upstream = &mut upstreams[slot];
             let weight = upstream.weight.weight();
             if weight <= 0.0 {
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -67,9 +67,9 @@
 /// The result of a choice of the subset.
 pub(super) struct SubsetChoice {
     /// Slots of the members, in the order that balancers share.
-    pub(super) members: Vec<usize>,
+    pub(super) member_slots: Vec<usize>,
     /// Upstreams that are no longer members although they are ready.
-    pub(super) removed: Vec<UpstreamId>,
+    pub(super) removed_ids: Vec<UpstreamId>,
     /// Whether the subset is limited to a part of the ready upstreams.
     pub(super) is_partial: bool,
 }
@@ -185,14 +185,14 @@
         self.review_at_s = ejection_ends
             .filter(|end_s| *end_s > now_s)
             .fold(f64::INFINITY, f64::min);
-        let removed = set_members(&order, upstreams, &size, ejection_check_at_s);
+        let removed_ids = set_members(&order, upstreams, &size, ejection_check_at_s);
         let equal_traffic_fraction =
             size.equal_traffic_size.min(order.len()) as f64 / order.len().max(1) as f64;
         self.balancers_per_upstream = (f64::from(self.balancers) * equal_traffic_fraction).max(1.0);
         order.retain(|slot| upstreams[*slot].membership.is_member);
         SubsetChoice {
-            members: order,
-            removed,
+            member_slots: order,
+            removed_ids,
             is_partial: !size.includes_all,
         }
     }
@@ -265,14 +265,14 @@
             member_count += 1;
         }
     }
-    let mut removed = Vec::new();
+    let mut removed_ids = Vec::new();
     for slot in order.iter().rev() {
         let upstream = &mut upstreams[*slot];
         if member_count > target_size && upstream.membership.is_member && !size.includes_all {
             upstream.membership.is_member = false;
             member_count -= 1;
-            removed.push(upstream.endpoint.id());
+            removed_ids.push(upstream.endpoint.id());
         }
     }
-    removed
+    removed_ids
 }
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -35,7 +35,7 @@
 const RECENT_ERROR_S: f64 = 5.0;
 
 /// Returns the factor by which suspicion decays in `elapsed_s` seconds.
-pub(super) fn suspicion_decay(elapsed_s: f64) -> f64 {
+pub(super) fn suspicion_decay_factor(elapsed_s: f64) -> f64 {
     (-elapsed_s / SUSPICION_TIME_CONSTANT_S).exp()
 }
 
@@ -133,7 +133,7 @@
         self.classes.fill(ClassHealth::default());
     }
 
-    /// Multiplies the suspicion by a decay factor from [`suspicion_decay`].
+    /// Multiplies the suspicion by a decay factor from [`suspicion_decay_factor`].
     pub(super) fn decay_suspicion(&mut self, factor: f64) {
         self.suspicion *= factor;
     }
@@ -264,7 +264,7 @@
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         let length_s = (first_s * f64::from(1 << doublings)).min(MAX_EJECTION_S);
         self.consecutive_ejections += 1;
-        self.ejected_until_s = clock.after_s(length_s);
+        self.ejected_until_s = clock.jittered_time_s(length_s);
         for class in &mut self.classes {
             (class.consecutive_faults, class.is_ejected) = (0, false);
         }
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -92,14 +92,14 @@
     }
 }
 
-/// The rate of requests to an upstream in slow start: `steady_rate` times `multiple` times the
-/// weight of the upstream.
+/// The rate of requests to an upstream in slow start: `steady_rate_per_s` times `rate_multiple`
+/// times the weight of the upstream.
 #[derive(Clone, Copy)]
 pub(super) struct SlowStartRate {
     /// Mean service rate of an upstream outside slow start, in requests a second.
-    pub(super) steady_rate: f64,
+    pub(super) steady_rate_per_s: f64,
     /// Rate per unit of weight in slow start, as a multiple of the steady rate.
-    pub(super) multiple: f64,
+    pub(super) rate_multiple: f64,
 }
 
 /// The settings that weights depend on.
@@ -137,17 +137,17 @@
     pub(super) fn update(
         &self,
         upstreams: &mut Upstreams,
-        rotation: &[usize],
+        rotation_slots: &[usize],
         ejections_apply: bool,
         elapsed_s: f64,
         now_s: f64,
     ) {
-        let members = || rotation.iter().map(|slot| &upstreams[*slot]);
+        let members = || rotation_slots.iter().map(|slot| &upstreams[*slot]);
         let largest_size = members().map(|u| u.endpoint.size()).fold(1e-9, f64::max);
         let is_healthy_local = |u: &Upstream| self.is_same_zone(u) && !u.health.is_ejected(now_s);
         let has_healthy_local = members().any(|u| u.endpoint.is_ready() && is_healthy_local(u));
         let decay = (-elapsed_s / LATENCY_RATIO_TIME_CONSTANT_S).exp();
-        for slot in rotation {
+        for slot in rotation_slots {
             let upstream = &mut upstreams[*slot];
             upstream.weight.sample_count *= decay;
             let slow_start_fraction = self.advance_slow_start(&mut upstream.weight, now_s);
@@ -191,24 +191,24 @@
     pub(super) fn slow_start_rate(
         &self,
         upstreams: &Upstreams,
-        rotation: &[usize],
+        rotation_slots: &[usize],
         service_rate_per_weight: f64,
     ) -> SlowStartRate {
         let (mut steady_weight, mut steady_count) = (0.0, 0.0);
-        for weight in rotation.iter().map(|slot| &upstreams[*slot].weight) {
+        for weight in rotation_slots.iter().map(|slot| &upstreams[*slot].weight) {
             if weight.weight > 0.0 && !weight.is_warming_up() {
                 steady_count += 1.0;
                 steady_weight += weight.weight;
             }
         }
-        let steady_rate = if steady_count > 0.0 {
+        let steady_rate_per_s = if steady_count > 0.0 {
             service_rate_per_weight * steady_weight / steady_count
         } else {
             service_rate_per_weight
         };
         SlowStartRate {
-            steady_rate,
-            multiple: SLOW_START_LOAD_FRACTION * self.overload_multiple,
+            steady_rate_per_s,
+            rate_multiple: SLOW_START_LOAD_FRACTION * self.overload_multiple,
         }
     }
 }
