--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -41,7 +41,7 @@
     /// Number of tokens in the bucket (mu_i in the paper).
     tokens: f64,
     /// Number of requests received since the last tick (V_i in the paper).
-    arrivals: f64,
+    arrival_count: f64,
     /// Demand of the tenant: requests received per second, smoothed.
     demand_per_s: f64,
     /// This balancer's equal part of the tenant's quota, in requests a second; a default if no
@@ -56,24 +56,24 @@
     fn new(guarantee_per_s: f64) -> Self {
         Self {
             tokens: MIN_BUCKET_TOKENS + guarantee_per_s,
-            arrivals: 0.0,
+            arrival_count: 0.0,
             demand_per_s: 0.0,
             base_guarantee_per_s: guarantee_per_s,
             guarantee_per_s,
         }
     }
 
-    /// Returns the size of the bucket in tokens (T_i in the paper).
-    fn size(&self) -> f64 {
+    /// Returns the largest number of tokens that the bucket can hold (T_i in the paper).
+    fn max_tokens(&self) -> f64 {
         MIN_BUCKET_TOKENS + (BUCKET_DEMAND_S * self.demand_per_s).max(self.guarantee_per_s)
     }
 
     /// Adds the tokens that the tenant gains in a tick (u_i in the paper): the guarantee, reduced
-    /// in a shortage, and the tenant's fraction of the spare capacity. The bucket is not filled
-    /// beyond its size.
+    /// in a shortage, and the tenant's fraction of the spare capacity. The bucket never holds
+    /// more than [`Self::max_tokens`].
     fn refill(&mut self, refill: &Refill) {
-        let size = self.size();
-        let cut = if self.demand_per_s > self.guarantee_per_s {
+        let max_tokens = self.max_tokens();
+        let cut_fraction = if self.demand_per_s > self.guarantee_per_s {
             OVER_GUARANTEE_CUT * refill.shortage_fraction
         } else {
             WITHIN_GUARANTEE_CUT * (refill.shortage_fraction - WITHIN_GUARANTEE_CUT_MIN_SHORTAGE)
@@ -86,17 +86,19 @@
         // Only complete tokens are subtracted from the spare capacity: if fractions of a token were
         // subtracted too, the bucket would never reach one token while the spare capacity is below
         // one request.
-        let ungranted_spare = (refill.spare_capacity - self.tokens.floor()).max(0.0);
-        let guaranteed = (1.0 - cut).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
-        let grant = guaranteed + demand_fraction * ungranted_spare;
-        self.tokens += grant.min((size - self.tokens).max(0.0));
+        let ungranted_spare_capacity = (refill.spare_capacity - self.tokens.floor()).max(0.0);
+        let guaranteed_tokens =
+            (1.0 - cut_fraction).clamp(0.0, 1.0) * self.guarantee_per_s * refill.elapsed_s;
+        let granted_tokens = guaranteed_tokens + demand_fraction * ungranted_spare_capacity;
+        self.tokens += granted_tokens.min((max_tokens - self.tokens).max(0.0));
     }
 
     /// Updates the smoothed demand with the requests received since the last tick.
-    fn update_demand(&mut self, window_s: f64, elapsed_s: f64) {
-        let per_s = per_second(self.arrivals, elapsed_s);
-        self.demand_per_s += newest_weight(elapsed_s, window_s) * (per_s - self.demand_per_s);
-        self.arrivals = 0.0;
+    fn update_demand(&mut self, demand_window_s: f64, elapsed_s: f64) {
+        let arrivals_per_s = per_second(self.arrival_count, elapsed_s);
+        self.demand_per_s +=
+            newest_weight(elapsed_s, demand_window_s) * (arrivals_per_s - self.demand_per_s);
+        self.arrival_count = 0.0;
     }
 }
 
@@ -139,7 +141,7 @@
     }
 
     pub(super) fn record_arrival(&mut self, tenant: usize) {
-        self.bucket(tenant).arrivals += 1.0;
+        self.bucket(tenant).arrival_count += 1.0;
     }
 
     pub(super) fn has_token(&mut self, tenant: usize) -> bool {
@@ -161,10 +163,10 @@
     /// all responses late.
     pub(super) fn refill(&mut self, spare_capacity: f64, shortage_fraction: f64, elapsed_s: f64) {
         let total_demand_per_s = self.demand_per_s();
-        let growth = self.guarantee_growth(shortage_fraction);
+        let growth_factor = self.guarantee_growth_factor(shortage_fraction);
         // The window is long enough for a few requests, so that a tenant that sends nothing for a
         // moment still has demand.
-        let window_s =
+        let demand_window_s =
             MIN_DEMAND_WINDOW_S.max(MIN_DEMAND_WINDOW_REQUESTS / total_demand_per_s.max(0.1));
         let refill = Refill {
             spare_capacity,
@@ -173,9 +175,9 @@
             elapsed_s,
         };
         for bucket in &mut self.buckets {
-            bucket.guarantee_per_s = bucket.base_guarantee_per_s * growth;
+            bucket.guarantee_per_s = bucket.base_guarantee_per_s * growth_factor;
             bucket.refill(&refill);
-            bucket.update_demand(window_s, elapsed_s);
+            bucket.update_demand(demand_window_s, elapsed_s);
         }
     }
 
@@ -183,30 +185,31 @@
     /// tenant, multiplied by [`GUARANTEE_MARGIN`], is above its base guarantee: this balancer then
     /// gets more traffic than other balancers, and the cause is not a surge of one tenant. A
     /// shortage reduces the growth, as retries raise the demand of all tenants during a shortage.
-    fn guarantee_growth(&self, shortage_fraction: f64) -> f64 {
+    fn guarantee_growth_factor(&self, shortage_fraction: f64) -> f64 {
         let demand_ratio =
             |bucket: &TokenBucket| bucket.demand_per_s / bucket.base_guarantee_per_s.max(1e-9);
         let mut demand_ratios: Vec<f64> = self.buckets.iter().map(demand_ratio).collect();
         demand_ratios.sort_by(f64::total_cmp);
-        let median = demand_ratios.get(demand_ratios.len() / 2).unwrap_or(&1.0);
-        let growth = (median * GUARANTEE_MARGIN).clamp(1.0, MAX_GUARANTEE_GROWTH);
-        1.0 + (growth - 1.0) * (1.0 - shortage_fraction).max(0.0)
+        let median_demand_ratio = demand_ratios.get(demand_ratios.len() / 2).unwrap_or(&1.0);
+        let growth_factor =
+            (median_demand_ratio * GUARANTEE_MARGIN).clamp(1.0, MAX_GUARANTEE_GROWTH);
+        1.0 + (growth_factor - 1.0) * (1.0 - shortage_fraction).max(0.0)
     }
 }
 
 /// Returns how long a rejected client should wait before a retry. Before jitter, the wait is half
-/// of `time_left`. It is at least `attempt_latency_s`, the mean latency of an attempt, even if
-/// little time is left, as the client may send another request; and it is at most `longest`. The
-/// jitter derives from the id of the request, so that clients rejected together do not retry
-/// together.
+/// of `time_to_deadline`, the time until the deadline of the request. The wait is at least
+/// `mean_attempt_latency_s`, even if the deadline is close, as the client may send another request;
+/// and it is at most `max_wait`. The jitter derives from the id of the request, so that clients
+/// rejected together do not retry together.
 pub(super) fn retry_after(
     id: RequestId,
-    time_left: Duration,
-    attempt_latency_s: f64,
-    longest: Duration,
+    time_to_deadline: Duration,
+    mean_attempt_latency_s: f64,
+    max_wait: Duration,
 ) -> Duration {
-    let shortest = Duration::from_secs_f64(attempt_latency_s);
-    let longest = longest.min(shortest.max(time_left / 2));
+    let min_wait = Duration::from_secs_f64(mean_attempt_latency_s);
+    let wait = max_wait.min(min_wait.max(time_to_deadline / 2));
     let jitter = Random::with_seed(u64::from(id.0)).f64();
-    longest.mul_f64(MIN_RETRY_AFTER_FRACTION + RETRY_AFTER_JITTER_RANGE * jitter)
+    wait.mul_f64(MIN_RETRY_AFTER_FRACTION + RETRY_AFTER_JITTER_RANGE * jitter)
 }
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -12,7 +12,7 @@
 /// use: just before the objective, not after it.
 const USEFUL_OBJECTIVE_FRACTION: f64 = 0.98;
 /// Upper limit, in seconds, of the time until the deadline in the computation of a Retry-After.
-const MAX_REMAINING_S: f64 = 1e6;
+const MAX_TIME_TO_DEADLINE_S: f64 = 1e6;
 
 /// A request that has just been received.
 #[derive(Clone, Copy)]
@@ -20,6 +20,7 @@
     pub(super) id: RequestId,
     pub(super) class: usize,
     pub(super) tenant: usize,
+    /// Time from the receipt of the request to its deadline, as stated by the client.
     pub(super) time_left: Duration,
     pub(super) is_retry: bool,
 }
@@ -133,8 +134,8 @@
         let useful_until_s = if is_useful_when_late(class) {
             deadline_s
         } else {
-            let useful_s = USEFUL_OBJECTIVE_FRACTION * class.latency_objective.as_secs_f64();
-            deadline_s.min(self.now_s + useful_s)
+            let useful_for_s = USEFUL_OBJECTIVE_FRACTION * class.latency_objective.as_secs_f64();
+            deadline_s.min(self.now_s + useful_for_s)
         };
         let request = Request::new(arrival.class, useful_until_s, deadline_s);
         self.requests.insert(arrival.id, request);
@@ -142,10 +143,15 @@
     }
 
     /// Rejects a request, always with a Retry-After.
-    fn reject(&mut self, id: RequestId, time_left: Duration, reason: FailureReason) {
-        let attempt_latency_s = self.classes.mean_latency_s().max(TICK_S);
-        let longest = self.settings.max_retry_after;
-        let retry_after = Some(retry_after(id, time_left, attempt_latency_s, longest));
+    fn reject(&mut self, id: RequestId, time_to_deadline: Duration, reason: FailureReason) {
+        let mean_attempt_latency_s = self.classes.mean_latency_s().max(TICK_S);
+        let max_wait = self.settings.max_retry_after;
+        let retry_after = Some(retry_after(
+            id,
+            time_to_deadline,
+            mean_attempt_latency_s,
+            max_wait,
+        ));
         self.actions.push(Action::Reject {
             id,
             retry_after,
@@ -161,9 +167,10 @@
         };
         let is_idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
         if is_idempotent || request.never_ran() {
-            let remaining_s = (request.deadline_s - self.now_s).max(0.0);
-            let time_left = Duration::from_secs_f64(remaining_s.min(MAX_REMAINING_S));
-            self.reject(id, time_left, reason);
+            let time_to_deadline_s = (request.deadline_s - self.now_s).max(0.0);
+            let time_to_deadline =
+                Duration::from_secs_f64(time_to_deadline_s.min(MAX_TIME_TO_DEADLINE_S));
+            self.reject(id, time_to_deadline, reason);
         } else {
             self.actions.push(Action::Fail { id, reason });
         }
