--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -44,17 +44,17 @@
         let overdue_after = Duration::from_secs_f64(self.classes.overdue_after_s(class));
         let timeout = self.attempt_timeout(request, overdue_after);
         let upstream = &mut self.upstreams[slot];
-        let mut idle_s = upstream
+        let mut connections_idle_s = upstream
             .connections
             .idle_s(self.now_s, upstream.load.in_flight());
         if self
             .idle_connection_statistics
-            .is_suspect(idle_s, self.now_s)
+            .is_suspect(connections_idle_s, self.now_s)
         {
             self.actions.push(Action::CloseIdleConnections {
                 upstream: upstream.endpoint.id(),
             });
-            idle_s = 0.0;
+            connections_idle_s = 0.0;
         }
         upstream.connections.record(self.now_s);
         upstream.load.record_sent();
@@ -72,7 +72,7 @@
             dedup_cell: upstream.endpoint.dedup_cell(),
             sent_at_s: self.now_s,
             state: AttemptState::InFlight,
-            connection_idle_s: idle_s,
+            connection_idle_s: connections_idle_s,
         };
         self.requests
             .add_attempt(id, attempt, self.now + overdue_after);
@@ -92,60 +92,63 @@
         // An attempt is abandoned when its response would be of no use: upstreams that drop
         // cancelled requests gain capacity for other requests, and an unresponsive upstream is
         // detected sooner.
-        let useful_s = (request.useful_until_s - self.now_s).clamp(MIN_TIMEOUT_S, MAX_TIMEOUT_S);
-        let ends_early = request.useful_until_s < request.deadline_s;
-        ends_early.then(|| Duration::from_secs_f64(useful_s))
+        let useful_for_s =
+            (request.useful_until_s - self.now_s).clamp(MIN_TIMEOUT_S, MAX_TIMEOUT_S);
+        let ends_before_deadline = request.useful_until_s < request.deadline_s;
+        ends_before_deadline.then(|| Duration::from_secs_f64(useful_for_s))
     }
 
     /// Sends a retry or a hedged attempt if the request, the retry budget and the upstreams allow
     /// one. Returns whether it was sent.
-    fn retry_elsewhere(&mut self, id: RequestId, cost: f64) -> bool {
+    fn retry_elsewhere(&mut self, id: RequestId, retry_cost: f64) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
         };
-        if !self.may_retry(request, cost) {
+        if !self.may_retry(request, retry_cost) {
             return false;
         }
-        let start = self.random.usize(..);
-        let Some(slot) = self.retry_target(request, start) else {
+        let random_start = self.random.usize(..);
+        let Some(slot) = self.retry_target(request, random_start) else {
             return false;
         };
-        self.retry_budget.spend(cost);
+        self.retry_budget.spend(retry_cost);
         self.send(id, slot);
         true
     }
 
-    fn may_retry(&self, request: &Request, cost: f64) -> bool {
-        let min_useful_s =
+    fn may_retry(&self, request: &Request, retry_cost: f64) -> bool {
+        let min_useful_for_s =
             MIN_USEFUL_TIME_FRACTION * self.classes.class_mean_latency_s(request.class);
         request.is_waiting()
             && request.attempts.len() < usize::from(self.settings.max_attempts)
             && self.now_s + MIN_TIME_TO_DEADLINE_S < request.deadline_s
-            && self.now_s + min_useful_s < request.useful_until_s
-            && self.retry_budget.affords(cost)
+            && self.now_s + min_useful_for_s < request.useful_until_s
+            && self.retry_budget.affords(retry_cost)
             && !self.upstreams.is_empty()
             && !self.lease.is_expired(self.now_s)
     }
 
     /// Returns the target of a retry: among the next eligible upstreams, the one with the fewest
     /// requests in flight per unit of capacity, preferably of this zone. Upstreams outside the
-    /// subset, from index `start` on, are used only if none in the subset is eligible, for instance
-    /// if only the upstreams of one dedup cell know the idempotency key.
-    fn retry_target(&self, request: &Request, start: usize) -> Option<usize> {
-        let count = self.upstreams.len();
-        let all_from_start = (0..count).map(|step| (step + start % count) % count);
+    /// subset are used only if none in the subset is eligible, for instance if only the upstreams
+    /// of one dedup cell know the idempotency key. The search among them begins at the slot
+    /// `random_start` modulo the number of upstreams.
+    fn retry_target(&self, request: &Request, random_start: usize) -> Option<usize> {
+        let upstream_count = self.upstreams.len();
+        let all_slots_from_start = (0..upstream_count)
+            .map(|offset| (offset + random_start % upstream_count) % upstream_count);
         let rank = |slot: usize| {
             let upstream = &self.upstreams[slot];
             let is_other_zone = u8::from(upstream.endpoint.zone() != self.settings.zone);
-            let is_outside = u8::from(!upstream.membership.is_member());
-            DISTANCE_PENALTY * f64::from(is_other_zone + 2 * is_outside)
+            let is_outside_subset = u8::from(!upstream.membership.is_member());
+            DISTANCE_PENALTY * f64::from(is_other_zone + 2 * is_outside_subset)
                 + self
                     .load_reports
                     .in_flight_per_capacity(upstream, self.last_tick_at_s)
         };
         self.rotation
             .after_cursor()
-            .chain(all_from_start)
+            .chain(all_slots_from_start)
             .filter(|slot| self.accepts_retry(request, &self.upstreams[*slot]))
             .take(MAX_RETRY_CANDIDATES)
             .min_by(|a, b| rank(*a).total_cmp(&rank(*b)))
@@ -187,7 +190,7 @@
         }
         self.record_fault(slot, Fault::Unresponsive);
         if self.settings.hedging && self.capacity.spare_capacity() > MIN_HEDGE_SPARE_CAPACITY {
-            self.retry_elsewhere(attempt.request, RETRY_COST);
+            self.retry_elsewhere(attempt.request_id, RETRY_COST);
         }
     }
 
@@ -224,12 +227,12 @@
     /// request if no retry can be sent.
     fn retry_or_end(&mut self, id: RequestId, attempt: &EndedAttempt) {
         let never_ran = attempt.outcome.never_ran();
-        let cost = if never_ran {
+        let retry_cost = if never_ran {
             UNPROCESSED_RETRY_COST
         } else {
             RETRY_COST
         };
-        if !self.retry_elsewhere(id, cost) {
+        if !self.retry_elsewhere(id, retry_cost) {
             self.end_without_response(id, self.failure_reason(attempt));
         }
     }
@@ -259,21 +262,25 @@
     /// Records the outcome of an attempt in the statistics of its class, the capacity, the idle
     /// connections and its upstream.
     fn record_outcome(&mut self, attempt: &EndedAttempt) {
-        let source = if attempt.outcome == Outcome::Ok {
+        let latency_source = if attempt.outcome == Outcome::Ok {
             self.capacity.record_completion();
             Some(LatencySource::Success)
         } else {
             attempt.is_abandoned().then_some(LatencySource::Abandoned)
         };
-        let latency_ratio = source.map(|source| {
-            let was_unanswered = source == LatencySource::Abandoned;
+        let latency_ratio = latency_source.map(|latency_source| {
+            let was_unanswered = latency_source == LatencySource::Abandoned;
             self.idle_connection_statistics.record(
                 attempt.connection_idle_s,
                 was_unanswered,
                 self.now_s,
             );
-            self.classes
-                .record_latency(attempt.class, source, attempt.latency_s, self.now_s)
+            self.classes.record_latency(
+                attempt.class,
+                latency_source,
+                attempt.latency_s,
+                self.now_s,
+            )
         });
         let Some(slot) = self.upstreams.slot(attempt.upstream) else {
             return;
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -49,8 +49,8 @@
     /// Fraction of the attempts on idle connections that got no response, smoothed.
     unanswered_fraction_idle: f64,
     /// Seconds without use above which a connection is suspected to be dropped.
-    max_idle_s: f64,
-    /// Time until which connections without use for longer than `max_idle_s` are suspected.
+    max_trusted_idle_s: f64,
+    /// Time until which connections without use for longer than `max_trusted_idle_s` are suspected.
     suspect_until_s: f64,
 }
 
@@ -58,7 +58,7 @@
     /// Returns whether a connection that has been idle for `idle_s` seconds has to be closed rather
     /// than used.
     pub(super) fn is_suspect(&self, idle_s: f64, now_s: f64) -> bool {
-        idle_s > self.max_idle_s
+        idle_s > self.max_trusted_idle_s
             && now_s < self.suspect_until_s
             && self.are_idle_connections_lossy()
     }
@@ -67,22 +67,25 @@
     /// response.
     pub(super) fn record(&mut self, idle_s: f64, was_unanswered: bool, now_s: f64) {
         let was_idle = idle_s > MIN_IDLE_S;
-        let fraction = if was_idle {
+        let unanswered_fraction = if was_idle {
             &mut self.unanswered_fraction_idle
         } else {
             &mut self.unanswered_fraction_in_use
         };
-        *fraction += NEWEST_WEIGHT * (f64::from(u8::from(was_unanswered)) - *fraction);
-        let is_suspect = self.unanswered_fraction_idle > MIN_UNANSWERED_FRACTION
+        *unanswered_fraction +=
+            NEWEST_WEIGHT * (f64::from(u8::from(was_unanswered)) - *unanswered_fraction);
+        let are_idle_connections_suspect = self.unanswered_fraction_idle > MIN_UNANSWERED_FRACTION
             && self.are_idle_connections_lossy();
-        if was_unanswered && was_idle && is_suspect {
-            let is_valid = now_s < self.suspect_until_s;
-            let previous_s = if is_valid {
-                self.max_idle_s
+        if was_unanswered && was_idle && are_idle_connections_suspect {
+            let is_suspicion_valid = now_s < self.suspect_until_s;
+            let previous_max_trusted_idle_s = if is_suspicion_valid {
+                self.max_trusted_idle_s
             } else {
                 f64::INFINITY
             };
-            self.max_idle_s = previous_s.min(idle_s / 2.0).max(MIN_IDLE_S);
+            self.max_trusted_idle_s = previous_max_trusted_idle_s
+                .min(idle_s / 2.0)
+                .max(MIN_IDLE_S);
             self.suspect_until_s = now_s + SUSPICION_VALID_S;
         }
     }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -134,8 +134,8 @@
 
     /// Ends the request. Returns whether it had not ended before.
     pub(super) fn complete(&mut self) -> bool {
-        let before = std::mem::replace(&mut self.state, RequestState::Completed);
-        before != RequestState::Completed
+        let previous_state = std::mem::replace(&mut self.state, RequestState::Completed);
+        previous_state != RequestState::Completed
     }
 
     pub(super) fn has_attempt_in_flight(&self) -> bool {
@@ -156,7 +156,8 @@
         connect_timeout: Duration,
         now_s: f64,
     ) -> bool {
-        let Some(first) = self.attempts.iter().find(|attempt| attempt.may_have_run()) else {
+        let Some(first_possible_run) = self.attempts.iter().find(|attempt| attempt.may_have_run())
+        else {
             return true;
         };
         let Effect::Deduplicated { group, ttl } = class.effect else {
@@ -164,12 +165,12 @@
         };
         let shares_keys = match group {
             DedupGroup::All => true,
-            DedupGroup::Zone => upstream.endpoint.zone() == first.zone,
-            DedupGroup::Cell => upstream.endpoint.dedup_cell() == first.dedup_cell,
+            DedupGroup::Zone => upstream.endpoint.zone() == first_possible_run.zone,
+            DedupGroup::Cell => upstream.endpoint.dedup_cell() == first_possible_run.dedup_cell,
         };
         // The attempt may have to wait for a new connection.
-        let margin_s = connect_timeout.as_secs_f64() + KEY_EXPIRY_MARGIN_S;
-        shares_keys && now_s + margin_s < first.sent_at_s + ttl.as_secs_f64()
+        let expiry_margin_s = connect_timeout.as_secs_f64() + KEY_EXPIRY_MARGIN_S;
+        shares_keys && now_s + expiry_margin_s < first_possible_run.sent_at_s + ttl.as_secs_f64()
     }
 
     pub(super) fn was_sent_to(&self, upstream: UpstreamId) -> bool {
@@ -181,26 +182,27 @@
 
 /// The number of retries that may still be sent.
 pub(super) struct RetryBudget {
-    retries: f64,
+    available_retries: f64,
 }
 
 impl RetryBudget {
     pub(super) fn full() -> Self {
         Self {
-            retries: MAX_BUDGETED_RETRIES,
+            available_retries: MAX_BUDGETED_RETRIES,
         }
     }
 
     pub(super) fn record_admission(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_BUDGETED_RETRIES);
+        self.available_retries =
+            (self.available_retries + RETRIES_PER_REQUEST).min(MAX_BUDGETED_RETRIES);
     }
 
-    pub(super) fn affords(&self, cost: f64) -> bool {
-        self.retries >= cost
+    pub(super) fn affords(&self, retry_cost: f64) -> bool {
+        self.available_retries >= retry_cost
     }
 
-    pub(super) fn spend(&mut self, cost: f64) {
-        self.retries -= cost;
+    pub(super) fn spend(&mut self, retry_cost: f64) {
+        self.available_retries -= retry_cost;
     }
 }
 
@@ -209,14 +211,14 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OverdueDeadline {
     at: Duration,
-    request: RequestId,
-    attempt: u8,
+    request_id: RequestId,
+    attempt_no: u8,
 }
 
 /// An attempt that has become overdue.
 #[derive(Clone, Copy)]
 pub(super) struct OverdueAttempt {
-    pub(super) request: RequestId,
+    pub(super) request_id: RequestId,
     pub(super) upstream: UpstreamId,
     pub(super) sent_at_s: f64,
 }
@@ -259,8 +261,8 @@
         request.attempts.push(attempt);
         let deadline = OverdueDeadline {
             at: overdue_at,
-            request: id,
-            attempt: number,
+            request_id: id,
+            attempt_no: number,
         };
         self.overdue_deadlines.insert(deadline);
     }
@@ -269,19 +271,20 @@
     /// returns it; `None` if there is none.
     pub(super) fn next_overdue(&mut self, now: Duration) -> Option<OverdueAttempt> {
         loop {
-            let next = self
+            let next_deadline = self
                 .overdue_deadlines
                 .first()
                 .copied()
-                .filter(|next| next.at <= now)?;
+                .filter(|next_deadline| next_deadline.at <= now)?;
             self.overdue_deadlines.pop_first();
-            let request = self.requests.get_mut(&next.request);
-            let attempt = request.and_then(|r| r.attempts.get_mut(usize::from(next.attempt)));
+            let request = self.requests.get_mut(&next_deadline.request_id);
+            let attempt =
+                request.and_then(|r| r.attempts.get_mut(usize::from(next_deadline.attempt_no)));
             if let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight()) {
                 attempt.state = AttemptState::Overdue;
                 let (upstream, sent_at_s) = (attempt.upstream, attempt.sent_at_s);
                 return Some(OverdueAttempt {
-                    request: next.request,
+                    request_id: next_deadline.request_id,
                     upstream,
                     sent_at_s,
                 });
@@ -293,12 +296,12 @@
     pub(super) fn end_attempt(
         &mut self,
         id: RequestId,
-        attempt: u8,
+        attempt_no: u8,
         outcome: Outcome,
         latency_s: f64,
     ) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&id)?;
-        let attempt = request.attempts.get_mut(usize::from(attempt))?;
+        let attempt = request.attempts.get_mut(usize::from(attempt_no))?;
         let was_overdue = match attempt.state {
             AttemptState::InFlight => false,
             AttemptState::Overdue => true,
