--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -25,10 +25,10 @@
 /// Increase of the fraction of the cores that may be in use, per unit of `over_quota_weight_share`.
 /// This setting is the fraction of its class's priority weight that a request over its tenant's
 /// quota has: requests of little weight justify little risk.
-const OVER_QUOTA_UTILIZATION: f64 = 0.4;
+const UTILIZATION_PER_WEIGHT_SHARE: f64 = 0.4;
 /// Largest `over_quota_weight_share` that counts: above it, the fraction of the cores that may be
 /// in use does not increase further.
-const MAX_OVER_QUOTA_WEIGHT: f64 = 0.5;
+const MAX_OVER_QUOTA_WEIGHT_SHARE: f64 = 0.5;
 /// Largest relative growth per second of the service rate. It applies while pacing rejects every
 /// request and the utilization is at most half of its bound; fewer rejections or a higher
 /// utilization reduce the growth. Growth is slow because load reports are about a second old and
@@ -45,8 +45,10 @@
 
 /// Returns the fraction of the upstreams' cores that may be in use.
 fn utilization_bound(settings: &Settings) -> f64 {
-    let over_quota_weight = settings.over_quota_weight_share.min(MAX_OVER_QUOTA_WEIGHT);
-    BASE_UTILIZATION_BOUND + OVER_QUOTA_UTILIZATION * over_quota_weight
+    let over_quota_weight_share = settings
+        .over_quota_weight_share
+        .min(MAX_OVER_QUOTA_WEIGHT_SHARE);
+    BASE_UTILIZATION_BOUND + UTILIZATION_PER_WEIGHT_SHARE * over_quota_weight_share
 }
 
 /// Inputs of [`Capacity::update`].
@@ -76,16 +78,16 @@
     /// Fraction of the upstreams' cores that may be in use.
     utilization_bound: f64,
     /// Number of balancers in the settings, including this one.
-    balancers: f64,
+    balancer_count: f64,
     /// Requests of this balancer that an upstream can complete per second and per unit of the
     /// upstream's weight. This rate times the weight of the upstream is C_j in the paper.
     service_rate_per_weight: f64,
     /// Successful responses since the last tick.
-    completions: f64,
+    completion_count: f64,
     /// Successful responses per second, smoothed.
     completions_per_s: f64,
     /// Sum of the weights in the rotation, smoothed.
-    rotation_weight: f64,
+    smoothed_rotation_weight: f64,
     /// Fraction of requests that pacing rejects; grows with each rejection and decays with time.
     paced_fraction: f64,
     /// Fraction of the upstreams' cores in use, from load reports. Before the first report it is
@@ -95,13 +97,13 @@
     /// falls slowly during the first seconds of reports.
     settled_utilization: f64,
     /// Seconds for which the utilization has been reported.
-    reported_for_s: f64,
+    utilization_reported_for_s: f64,
     /// Spare capacity in requests (W in the paper); negative if more attempts are in flight than
     /// there is capacity for.
     spare_capacity: f64,
     /// This balancer's attempts in flight at the last update, including abandoned ones that may
     /// still run.
-    in_flight: f64,
+    own_in_flight: f64,
 }
 
 impl Capacity {
@@ -110,30 +112,30 @@
     pub(super) fn new(settings: &Settings, expected_requests_per_s: f64) -> Self {
         let bound = utilization_bound(settings);
         // Until the first report, the utilization is assumed to be at its bound.
-        let will_report = settings.load_reports == LoadReports::Inline
+        let will_report_utilization = settings.load_reports == LoadReports::Inline
             && settings.report_fields.contains(&LoadField::Utilization);
-        let utilization = if will_report { bound } else { 0.0 };
+        let utilization = if will_report_utilization { bound } else { 0.0 };
         // If the endpoint list states no sizes of upstreams, the initial rate is lower: the
         // expected rate would overload the small upstreams first.
         let are_sizes_unknown = settings.endpoint_weights == EndpointWeights::Off;
-        let completions_per_s = if will_report && are_sizes_unknown {
+        let completions_per_s = if will_report_utilization && are_sizes_unknown {
             utilization * expected_requests_per_s
         } else {
             expected_requests_per_s
         };
         Self {
             utilization_bound: bound,
-            balancers: f64::from(settings.balancers),
+            balancer_count: f64::from(settings.balancers),
             service_rate_per_weight: 0.0,
-            completions: 0.0,
+            completion_count: 0.0,
             completions_per_s,
-            rotation_weight: 0.0,
+            smoothed_rotation_weight: 0.0,
             paced_fraction: 0.0,
             utilization,
             settled_utilization: utilization,
-            reported_for_s: 0.0,
+            utilization_reported_for_s: 0.0,
             spare_capacity: 0.0,
-            in_flight: 0.0,
+            own_in_flight: 0.0,
         }
     }
 
@@ -162,11 +164,11 @@
     /// Returns the number of attempts in flight beyond the capacity, as a fraction of all attempts
     /// in flight; zero if there is spare capacity.
     pub(super) fn shortage_fraction(&self) -> f64 {
-        (-self.spare_capacity / f64::max(self.in_flight, 1e-9)).max(0.0)
+        (-self.spare_capacity / f64::max(self.own_in_flight, 1e-9)).max(0.0)
     }
 
     pub(super) fn record_completion(&mut self) {
-        self.completions += 1.0;
+        self.completion_count += 1.0;
     }
 
     /// Records that pacing has rejected a request.
@@ -174,32 +176,32 @@
         self.paced_fraction += PACED_NEWEST_WEIGHT * (1.0 - self.paced_fraction);
     }
 
-    /// Adapts the estimates after the rotation has grown to `factor` times its size. The total
-    /// service rate for this balancer stays the same, as the new upstreams also serve other
+    /// Adapts the estimates after the rotation has grown to `growth_factor` times its size. The
+    /// total service rate for this balancer stays the same, as the new upstreams also serve other
     /// balancers.
     pub(super) fn on_rotation_grown(&mut self, growth_factor: f64) {
         self.service_rate_per_weight /= growth_factor;
-        self.rotation_weight *= growth_factor;
+        self.smoothed_rotation_weight *= growth_factor;
     }
 
     /// Updates all estimates, once per tick.
     pub(super) fn update(&mut self, inputs: &CapacityInputs<'_>) {
         self.update_utilization(inputs);
-        let objective_fraction = if self.knows_utilization() {
+        let queue_objective_fraction = if self.knows_utilization() {
             REPORTED_QUEUE_OBJECTIVE_FRACTION
         } else {
             QUEUE_OBJECTIVE_FRACTION
         };
-        let slack_s = inputs.classes.queue_slack_s(objective_fraction);
-        let latency_s = inputs.classes.mean_latency_s();
-        let allowed_queue_s = (latency_s + slack_s).max(0.0);
-        self.update_service_rate(inputs, slack_s);
+        let queue_slack_s = inputs.classes.queue_slack_s(queue_objective_fraction);
+        let mean_latency_s = inputs.classes.mean_latency_s();
+        let allowed_queue_s = (mean_latency_s + queue_slack_s).max(0.0);
+        self.update_service_rate(inputs, queue_slack_s);
         let allowed_queue_s = if self.knows_utilization() {
-            allowed_queue_s.min(latency_s)
+            allowed_queue_s.min(mean_latency_s)
         } else {
             allowed_queue_s
         };
-        self.update_spare(inputs, allowed_queue_s);
+        self.update_spare_capacity(inputs, allowed_queue_s);
     }
 
     /// Sets the utilization to the mean of the reported utilizations, weighted by the size of the
@@ -221,58 +223,62 @@
         }
         // The first reports come from idle upstreams and must not determine the service rate by
         // themselves: the settled utilization approaches them slowly.
-        self.reported_for_s += inputs.elapsed_s;
-        let weight_of_newest = if self.reported_for_s < UTILIZATION_VALID_S {
+        self.utilization_reported_for_s += inputs.elapsed_s;
+        let weight_of_newest = if self.utilization_reported_for_s < UTILIZATION_VALID_S {
             newest_weight(inputs.elapsed_s, RATE_TIME_CONSTANT_S)
         } else {
             1.0
         };
         self.utilization = cores_in_use / cores;
-        let change = weight_of_newest * (self.utilization - self.settled_utilization);
-        self.settled_utilization = self.utilization.max(self.settled_utilization + change);
+        let utilization_change = weight_of_newest * (self.utilization - self.settled_utilization);
+        self.settled_utilization = self
+            .utilization
+            .max(self.settled_utilization + utilization_change);
     }
 
-    fn update_service_rate(&mut self, inputs: &CapacityInputs<'_>, slack_s: f64) {
+    fn update_service_rate(&mut self, inputs: &CapacityInputs<'_>, queue_slack_s: f64) {
         let elapsed_s = inputs.elapsed_s;
         let weight_of_newest = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S);
-        let per_s = per_second(self.completions, elapsed_s);
-        self.completions_per_s += weight_of_newest * (per_s - self.completions_per_s);
-        self.completions = 0.0;
+        let newest_completions_per_s = per_second(self.completion_count, elapsed_s);
+        self.completions_per_s +=
+            weight_of_newest * (newest_completions_per_s - self.completions_per_s);
+        self.completion_count = 0.0;
         self.paced_fraction -= weight_of_newest * self.paced_fraction;
         let observed_rate_per_weight =
-            self.completions_per_s / self.smoothed_weight(inputs).max(1e-9);
+            self.completions_per_s / self.update_rotation_weight(inputs).max(1e-9);
         if self.knows_utilization() {
             self.follow_utilization(observed_rate_per_weight, elapsed_s);
         } else {
-            let time_constant_s = if slack_s < 0.0 {
+            let time_constant_s = if queue_slack_s < 0.0 {
                 RATE_TIME_CONSTANT_S
             } else {
                 UNLOADED_RATE_TIME_CONSTANT_S
             };
-            let change = newest_weight(elapsed_s, time_constant_s)
+            let rate_change = newest_weight(elapsed_s, time_constant_s)
                 * (observed_rate_per_weight - self.service_rate_per_weight);
             self.service_rate_per_weight =
-                (self.service_rate_per_weight + change).max(observed_rate_per_weight);
+                (self.service_rate_per_weight + rate_change).max(observed_rate_per_weight);
         }
     }
 
     /// Updates and returns the sum of the weights in the rotation, smoothed with the same time
     /// constant as the completions: otherwise the estimated service rate of the remaining upstreams
     /// would rise as soon as others leave.
-    fn smoothed_weight(&mut self, inputs: &CapacityInputs<'_>) -> f64 {
-        let weight = inputs
+    fn update_rotation_weight(&mut self, inputs: &CapacityInputs<'_>) -> f64 {
+        let rotation_weight = inputs
             .members()
             .map(|u| u.weight.weight())
             .sum::<f64>()
             .max(1e-9);
-        let time_constant_s = if self.rotation_weight > 0.0 {
+        let time_constant_s = if self.smoothed_rotation_weight > 0.0 {
             RATE_TIME_CONSTANT_S
         } else {
             0.0
         };
         let weight_of_newest = newest_weight(inputs.elapsed_s, time_constant_s);
-        self.rotation_weight += weight_of_newest * (weight - self.rotation_weight);
-        self.rotation_weight
+        self.smoothed_rotation_weight +=
+            weight_of_newest * (rotation_weight - self.smoothed_rotation_weight);
+        self.smoothed_rotation_weight
     }
 
     /// Adapts the service rate to the known utilization. `observed_rate_per_weight` is the smoothed
@@ -288,11 +294,11 @@
         let relative_headroom = (utilization_scale - 1.0).clamp(0.0, 1.0);
         self.service_rate_per_weight *=
             1.0 + elapsed_s * PACED_GROWTH_PER_S * self.paced_fraction * relative_headroom;
-        let change = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S)
+        let rate_change = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S)
             * (achievable_rate_per_weight - self.service_rate_per_weight);
         // The service rate is at least the observed rate if the utilization is within its bound,
         // and otherwise at least the achievable rate.
-        self.service_rate_per_weight = (self.service_rate_per_weight + change)
+        self.service_rate_per_weight = (self.service_rate_per_weight + rate_change)
             .max(observed_rate_per_weight.min(achievable_rate_per_weight));
     }
 
@@ -300,19 +306,23 @@
     /// above zero adds to the spare capacity the attempts that it completes between two ticks, plus
     /// its queue limit, minus its attempts in flight. All terms count only this balancer's
     /// attempts. In the paper, W = sum of (tau C_j + (Q_j - q_j)).
-    fn update_spare(&mut self, inputs: &CapacityInputs<'_>, allowed_queue_s: f64) {
-        (self.spare_capacity, self.in_flight) = (0.0, 0.0);
+    fn update_spare_capacity(&mut self, inputs: &CapacityInputs<'_>, allowed_queue_s: f64) {
+        (self.spare_capacity, self.own_in_flight) = (0.0, 0.0);
         for upstream in inputs.members().filter(|u| u.weight.weight() > 0.0) {
-            let rate = self.service_rate_per_weight * upstream.weight.weight();
+            let service_rate_per_s = self.service_rate_per_weight * upstream.weight.weight();
             let own_in_flight = upstream.load.own_in_flight();
             // Overdue attempts reduce the capacity of an upstream, but all of its attempts in
             // flight are subtracted: if overdue attempts were not subtracted, the spare capacity
             // and the shortage would both be zero when all upstreams are stuck, and no guarantee
             // would be cut.
-            let responsive = upstream.load.responsive_fraction();
-            let queue = self.queue_limit(inputs, upstream, rate * allowed_queue_s) * responsive;
-            self.spare_capacity += inputs.elapsed_s * rate * responsive + queue - own_in_flight;
-            self.in_flight += own_in_flight;
+            let responsive_fraction = upstream.load.responsive_fraction();
+            let queue_limit =
+                self.queue_limit(inputs, upstream, service_rate_per_s * allowed_queue_s)
+                    * responsive_fraction;
+            self.spare_capacity += inputs.elapsed_s * service_rate_per_s * responsive_fraction
+                + queue_limit
+                - own_in_flight;
+            self.own_in_flight += own_in_flight;
         }
     }
 
@@ -328,13 +338,13 @@
         // The limit is at least this balancer's equal part of one attempt, times the weight of the
         // upstream. The initial service rate derives from the stated quotas: if no quota is stated,
         // that rate is close to zero, and the limit would rise only slowly without this minimum.
-        let min_limit = upstream.weight.weight() / self.balancers;
+        let min_limit = upstream.weight.weight() / self.balancer_count;
         // The limit is also at least this balancer's equal part of the requests that the idle cores
         // can process, even if this balancer has admitted few requests recently.
-        let has_report = upstream.load.has_utilization(inputs.now_s);
-        let idle_core_requests = if has_report && !upstream.weight.is_warming_up() {
-            let at_full = inputs.load_reports.in_flight_at_full_utilization();
-            self.utilization_bound * at_full * upstream.endpoint.size()
+        let has_utilization = upstream.load.has_utilization(inputs.now_s);
+        let idle_core_requests = if has_utilization && !upstream.weight.is_warming_up() {
+            let in_flight_at_full_utilization = inputs.load_reports.in_flight_at_full_utilization();
+            self.utilization_bound * in_flight_at_full_utilization * upstream.endpoint.size()
                 - upstream.load.reported_in_flight()
         } else {
             0.0
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -6,7 +6,8 @@
 use super::smoothing::newest_weight;
 use crate::interface::{Class, Settings};
 
-/// Time constant, in seconds, of a class's mean latency. It gives the weight of the newest latency,
+/// Time constant, in seconds, of a class's mean latency. The weight of the newest latency in the
+/// mean is the time since the previous latency divided by this time constant, limited to the range
 /// from [`MIN_NEWEST_WEIGHT`] to [`MAX_NEWEST_WEIGHT`].
 const LATENCY_TIME_CONSTANT_S: f64 = 3.0;
 /// Lower limit of the weight of the newest latency in the mean.
@@ -96,7 +97,7 @@
     /// Returns the mean latency of an attempt in seconds, weighted by each class's fraction of the
     /// admitted requests.
     pub(super) fn mean_latency_s(&self) -> f64 {
-        let total_fraction: f64 = self
+        let admitted_fraction_sum: f64 = self
             .classes
             .iter()
             .map(|class| class.admitted_fraction)
@@ -105,7 +106,7 @@
             .classes
             .iter()
             .map(|class| class.mean_latency_s * class.admitted_fraction);
-        weighted.sum::<f64>() / total_fraction.max(1e-9)
+        weighted.sum::<f64>() / admitted_fraction_sum.max(1e-9)
     }
 
     pub(super) fn shortest_objective_s(&self) -> f64 {
@@ -161,10 +162,10 @@
 
     /// Records that a request of the class was admitted.
     pub(super) fn record_admission(&mut self, class: usize) {
-        for (k, record) in self.classes.iter_mut().enumerate() {
-            let newest = f64::from(u8::from(k == class));
+        for (index, record) in self.classes.iter_mut().enumerate() {
+            let newest_fraction = f64::from(u8::from(index == class));
             record.admitted_fraction +=
-                ADMITTED_NEWEST_WEIGHT * (newest - record.admitted_fraction);
+                ADMITTED_NEWEST_WEIGHT * (newest_fraction - record.admitted_fraction);
         }
     }
 
@@ -178,26 +179,28 @@
         now_s: f64,
     ) -> f64 {
         let record = &mut self.classes[class];
-        let ratio = latency_s / record.mean_latency_s.max(1e-6);
-        let counted_s = match source {
+        let latency_ratio = latency_s / record.mean_latency_s.max(1e-6);
+        let counted_latency_s = match source {
             LatencySource::Success => {
                 record.update_quantile(latency_s);
                 latency_s
             }
             LatencySource::Abandoned => ABANDONED_LATENCY_MULTIPLE * latency_s,
         };
-        record.update_mean(counted_s, now_s);
-        ratio
+        record.update_mean(counted_latency_s, now_s);
+        latency_ratio
     }
 
     /// Reduces the mean latency of classes without recent responses. Without this, a high mean
     /// could leave no spare capacity, and no request would be admitted whose latency could lower
     /// the mean.
     pub(super) fn decay_stale_latencies(&mut self, elapsed_s: f64, now_s: f64) {
-        let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
-        for class in self.classes.iter_mut().filter(stale) {
-            let excess_s = class.mean_latency_s - DECAYED_LATENCY_FRACTION * class.objective_s;
-            class.mean_latency_s -= newest_weight(elapsed_s, LATENCY_VALID_S) * excess_s.max(0.0);
+        let is_stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
+        for class in self.classes.iter_mut().filter(is_stale) {
+            let excess_latency_s =
+                class.mean_latency_s - DECAYED_LATENCY_FRACTION * class.objective_s;
+            class.mean_latency_s -=
+                newest_weight(elapsed_s, LATENCY_VALID_S) * excess_latency_s.max(0.0);
         }
     }
 }
@@ -217,9 +220,9 @@
 
     fn update_mean(&mut self, latency_s: f64, now_s: f64) {
         let latency_s = latency_s.min(MAX_LATENCY_MULTIPLE * self.objective_s);
-        let since_s = now_s - self.last_sample_at_s;
-        let weight_of_newest =
-            (since_s / LATENCY_TIME_CONSTANT_S).clamp(MIN_NEWEST_WEIGHT, MAX_NEWEST_WEIGHT);
+        let sample_interval_s = now_s - self.last_sample_at_s;
+        let weight_of_newest = (sample_interval_s / LATENCY_TIME_CONSTANT_S)
+            .clamp(MIN_NEWEST_WEIGHT, MAX_NEWEST_WEIGHT);
         self.last_sample_at_s = now_s;
         self.mean_latency_s += weight_of_newest * (latency_s - self.mean_latency_s);
     }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -25,8 +25,9 @@
 const MAX_INFORMATIVE_UTILIZATION: f64 = 0.8;
 /// Weight of the newest report in the estimate of the requests in flight at full utilization.
 const FULL_UTILIZATION_NEWEST_WEIGHT: f64 = 0.02;
-/// Largest plausible value in a report; a larger one is reduced to it.
-const MAX_REPORTED: f64 = 1e4;
+/// Upper limit of the number of requests that a load report states as in flight or in the queue; a
+/// larger number counts as this limit.
+const MAX_REPORTED_REQUESTS: f64 = 1e4;
 
 /// The load of one upstream.
 #[derive(Default)]
@@ -34,7 +35,7 @@
     /// Number of this balancer's attempts in flight (q_j in the paper).
     in_flight: u32,
     /// Number of this balancer's attempts in flight that are overdue.
-    overdue: u32,
+    overdue_in_flight: u32,
     /// Number of this balancer's abandoned attempts that may still be processed. It decays with the
     /// shortest latency objective as its time constant.
     abandoned_attempts: f64,
@@ -61,7 +62,8 @@
 
     /// Returns the fraction of this balancer's attempts that are neither overdue nor abandoned.
     pub(super) fn responsive_fraction(&self) -> f64 {
-        1.0 - (f64::from(self.overdue) + self.abandoned_attempts) / self.own_in_flight().max(1.0)
+        1.0 - (f64::from(self.overdue_in_flight) + self.abandoned_attempts)
+            / self.own_in_flight().max(1.0)
     }
 
     pub(super) fn reported_in_flight(&self) -> f64 {
@@ -86,12 +88,14 @@
     }
 
     pub(super) fn record_overdue(&mut self) {
-        self.overdue += 1;
+        self.overdue_in_flight += 1;
     }
 
     pub(super) fn record_ended(&mut self, was_overdue: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.overdue = self.overdue.saturating_sub(u32::from(was_overdue));
+        self.overdue_in_flight = self
+            .overdue_in_flight
+            .saturating_sub(u32::from(was_overdue));
     }
 
     pub(super) fn record_abandoned(&mut self) {
@@ -112,8 +116,8 @@
     }
 
     /// Multiplies the number of abandoned attempts by a decay factor.
-    pub(super) fn decay_abandoned(&mut self, factor: f64) {
-        self.abandoned_attempts *= factor;
+    pub(super) fn decay_abandoned(&mut self, decay_factor: f64) {
+        self.abandoned_attempts *= decay_factor;
     }
 
     fn others_are_recent(&self, now_s: f64) -> bool {
@@ -123,14 +127,14 @@
 
 /// Estimates from the load reports of all upstreams.
 pub(super) struct LoadReportTracker {
-    fields: Vec<LoadField>,
+    report_fields: Vec<LoadField>,
     /// Fraction of the reported requests that are assumed to be of other balancers: all balancers
     /// count as having equal parts. This balancer's own attempts in flight can't be subtracted from
     /// a report instead, as the report is older than the present number of these attempts.
     others_fraction: f64,
     /// Requests of other balancers in flight per unit of capacity, as a mean over the upstreams of
     /// the rotation.
-    mean_others_in_flight: f64,
+    mean_others_in_flight_per_capacity: f64,
     /// Requests in flight at an upstream of unit size when all its cores are in use and no request
     /// is waiting; zero while unknown.
     in_flight_at_full_utilization: f64,
@@ -139,9 +143,9 @@
 impl LoadReportTracker {
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
-            fields: settings.report_fields.clone(),
+            report_fields: settings.report_fields.clone(),
             others_fraction: 1.0 - 1.0 / f64::from(settings.balancers.max(1)),
-            mean_others_in_flight: 0.0,
+            mean_others_in_flight_per_capacity: 0.0,
             in_flight_at_full_utilization: 0.0,
         }
     }
@@ -155,13 +159,13 @@
     pub(super) fn record(&mut self, upstream: &mut Upstream, report: &[f32], now_s: f64) {
         let (load, size) = (&mut upstream.load, upstream.endpoint.size());
         let mut max_in_flight: Option<f64> = None;
-        let fields = self
-            .fields
+        let reported_values = self
+            .report_fields
             .iter()
             .zip(report)
             .filter(|(_, value)| value.is_finite());
-        for (field, value) in fields {
-            let value = f64::from(*value).clamp(0.0, MAX_REPORTED);
+        for (field, value) in reported_values {
+            let value = f64::from(*value).clamp(0.0, MAX_REPORTED_REQUESTS);
             match field {
                 LoadField::InFlight | LoadField::Queue => {
                     max_in_flight = Some(value.max(max_in_flight.unwrap_or(0.0)));
@@ -184,8 +188,13 @@
     }
 
     /// Records the requests in flight per core that a live weight states.
-    pub(super) fn record_live_weight(&self, load: &mut UpstreamLoad, in_flight: f64, now_s: f64) {
-        load.record_others_in_flight(in_flight * self.others_fraction, now_s);
+    pub(super) fn record_live_weight(
+        &self,
+        load: &mut UpstreamLoad,
+        in_flight_per_core: f64,
+        now_s: f64,
+    ) {
+        load.record_others_in_flight(in_flight_per_core * self.others_fraction, now_s);
     }
 
     fn update_in_flight_at_full_utilization(
@@ -194,16 +203,16 @@
         utilization: f64,
         size: f64,
     ) {
-        let at_full = in_flight / (utilization * size).max(1e-9);
-        let informative = MIN_INFORMATIVE_UTILIZATION..MAX_INFORMATIVE_UTILIZATION;
-        if informative.contains(&utilization) && at_full > 0.0 {
+        let newest_at_full_utilization = in_flight / (utilization * size).max(1e-9);
+        let informative_utilizations = MIN_INFORMATIVE_UTILIZATION..MAX_INFORMATIVE_UTILIZATION;
+        if informative_utilizations.contains(&utilization) && newest_at_full_utilization > 0.0 {
             let newest_weight = if self.in_flight_at_full_utilization > 0.0 {
                 FULL_UTILIZATION_NEWEST_WEIGHT
             } else {
                 1.0
             };
             self.in_flight_at_full_utilization +=
-                newest_weight * (at_full - self.in_flight_at_full_utilization);
+                newest_weight * (newest_at_full_utilization - self.in_flight_at_full_utilization);
         }
     }
 
@@ -215,14 +224,14 @@
         rotation_slots: &[usize],
         now_s: f64,
     ) {
-        let (mut sum, mut count) = (0.0, 0.0);
+        let (mut per_capacity_sum, mut upstream_count) = (0.0, 0.0);
         for upstream in rotation_slots.iter().map(|slot| &upstreams[*slot]) {
             if upstream.load.others_are_recent(now_s) {
-                sum += upstream.load.others_in_flight / upstream.weight.capacity();
-                count += 1.0;
+                per_capacity_sum += upstream.load.others_in_flight / upstream.weight.capacity();
+                upstream_count += 1.0;
             }
         }
-        self.mean_others_in_flight = sum / f64::max(count, 1.0);
+        self.mean_others_in_flight_per_capacity = per_capacity_sum / f64::max(upstream_count, 1.0);
     }
 
     /// Returns the requests in flight at an upstream per unit of capacity: this balancer's
@@ -231,13 +240,14 @@
     /// attract all balancers.
     pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, last_tick_at_s: f64) -> f64 {
         let (load, capacity) = (&upstream.load, upstream.weight.capacity());
-        let age_s = (last_tick_at_s - load.others_reported_at_s).max(0.0);
-        let mean = self.mean_others_in_flight;
-        let others = mean
-            + (load.others_in_flight / capacity - mean) * (-age_s / REPORT_TIME_CONSTANT_S).exp();
-        let own = f64::from(load.in_flight)
-            + OVERDUE_ATTEMPT_WEIGHT * f64::from(load.overdue)
+        let report_age_s = (last_tick_at_s - load.others_reported_at_s).max(0.0);
+        let mean_others = self.mean_others_in_flight_per_capacity;
+        let others_per_capacity = mean_others
+            + (load.others_in_flight / capacity - mean_others)
+                * (-report_age_s / REPORT_TIME_CONSTANT_S).exp();
+        let weighted_own_in_flight = f64::from(load.in_flight)
+            + OVERDUE_ATTEMPT_WEIGHT * f64::from(load.overdue_in_flight)
             + load.abandoned_attempts;
-        own / capacity + others
+        weighted_own_in_flight / capacity + others_per_capacity
     }
 }
