--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -129,10 +129,10 @@
     /// Begins a new lease after discovery has confirmed the list. Returns the log event for the
     /// pause of sends that followed the end of the last lease; `None` if that lease had not ended.
     pub(super) fn renew(&mut self, now_s: f64) -> Option<LogEvent> {
-        let expired = self.expiry().filter(|expiry| expiry.at_s <= now_s);
+        let past_expiry = self.expiry().filter(|expiry| expiry.at_s <= now_s);
         self.stale_since_s = [None; CAUSES.len()];
         self.last_current_at_s = now_s;
-        expired.map(|expiry| LogEvent::EndpointsConfirmed {
+        past_expiry.map(|expiry| LogEvent::EndpointsConfirmed {
             paused_for_s: (now_s - expiry.at_s).min(MAX_PAUSE_S),
             cause: expiry.cause,
         })
@@ -159,11 +159,11 @@
     /// Returns the period in which no attempt may be sent unless discovery confirms the list first;
     /// `None` while the list is confirmed.
     pub(super) fn send_pause(&self) -> Option<SendPause> {
-        let from_s = self.expiry()?.at_s;
+        let pause_from_s = self.expiry()?.at_s;
         let to_duration = |at_s: f64| Duration::from_secs_f64(at_s.clamp(0.0, 1e9));
         Some(SendPause {
-            from: to_duration(from_s),
-            until: to_duration(from_s + MAX_PAUSE_S),
+            from: to_duration(pause_from_s),
+            until: to_duration(pause_from_s + MAX_PAUSE_S),
         })
     }
 
@@ -178,8 +178,8 @@
 
     /// Records that discovery seemed to be down at `at_s`. This ends the causes that
     /// [`ends_with_outage`] accepts.
-    fn record_outage(&mut self, at_s: f64) {
-        self.last_current_at_s = self.last_current_at_s.max(at_s);
+    fn record_outage(&mut self, down_at_s: f64) {
+        self.last_current_at_s = self.last_current_at_s.max(down_at_s);
         for cause in CAUSES.iter().filter(|cause| ends_with_outage(**cause)) {
             self.stale_since_s[*cause as usize] = None;
         }
@@ -188,21 +188,21 @@
     /// Returns the time at which the lease on the list ends, and the cause; `None` while the list
     /// is confirmed.
     fn expiry(&self) -> Option<Expiry> {
-        let notified = |cause: &StalenessCause| {
+        let expiry_without_grace = |cause: &StalenessCause| {
             let since_s = self.stale_since_s[*cause as usize]?;
             Some(Expiry {
                 at_s: since_s + notified_after_s(*cause),
                 cause: *cause,
             })
         };
-        let first = CAUSES
+        let first_expiry = CAUSES
             .iter()
-            .filter_map(notified)
+            .filter_map(expiry_without_grace)
             .min_by(|a, b| a.at_s.total_cmp(&b.at_s))?;
         let grace_s = (self.drain_grace_s - SAFETY_MARGIN_S).max(0.0);
         Some(Expiry {
-            at_s: first.at_s + grace_s,
-            ..first
+            at_s: first_expiry.at_s + grace_s,
+            ..first_expiry
         })
     }
 }
--- a/src/policy/endpoint_polling.rs
+++ b/src/policy/endpoint_polling.rs
@@ -78,14 +78,14 @@
 /// The schedule of one balancer's polls for the endpoint list.
 pub(super) struct EndpointPolling {
     target: PollTarget,
-    interval_s: f64,
+    poll_interval_s: f64,
     /// Seconds over which the polls of all balancers are spread if all of them need their list at
     /// the same time.
-    spread_s: f64,
+    poll_spread_s: f64,
     /// Whether a watch is open: no poll is made while it is.
     is_watching: bool,
     /// Whether part of a response was received and the rest may follow.
-    is_receiving: bool,
+    is_receiving_response: bool,
     next_poll_at_s: f64,
     last_poll_at_s: f64,
     /// Failures of polls or of the watch since the last update.
@@ -94,18 +94,21 @@
 
 impl EndpointPolling {
     pub(super) fn new(settings: &Settings) -> Self {
-        let interval_s = settings.poll_interval.as_secs_f64();
-        let balancers = if settings.has_local_agent {
+        let poll_interval_s = settings.poll_interval.as_secs_f64();
+        // All balancers may poll discovery at the same time, so the polls of all are spread. A
+        // local agent serves this balancer alone, so polls of an agent are not spread.
+        let spread_poll_count = if settings.has_local_agent {
             0.0
         } else {
             f64::from(settings.balancers)
         };
         Self {
             target: PollTarget::new(settings),
-            interval_s,
-            spread_s: (POLL_SERVICE_S * balancers).min(MAX_SPREAD_FRACTION * interval_s),
+            poll_interval_s,
+            poll_spread_s: (POLL_SERVICE_S * spread_poll_count)
+                .min(MAX_SPREAD_FRACTION * poll_interval_s),
             is_watching: false,
-            is_receiving: false,
+            is_receiving_response: false,
             next_poll_at_s: 0.0,
             last_poll_at_s: 0.0,
             consecutive_failures: 0,
@@ -115,37 +118,37 @@
     /// Schedules the first poll at a random time, so that the first polls of many balancers are
     /// spread.
     pub(super) fn start(&mut self, now_s: f64, random: &mut Random) {
-        self.next_poll_at_s = now_s + self.spread_s * random.f64();
+        self.next_poll_at_s = now_s + self.poll_spread_s * random.f64();
     }
 
     /// Returns whether a poll is due, and records it as made if it is.
     pub(super) fn poll_if_due(&mut self, now_s: f64, random: &mut Random) -> bool {
-        let has_open_response = self.is_watching || self.is_receiving;
+        let has_open_response = self.is_watching || self.is_receiving_response;
         if self.target == PollTarget::Disabled || has_open_response || now_s < self.next_poll_at_s {
             return false;
         }
         // A poll without a response is retried well before the changes that this balancer has
         // missed count as notified.
-        let timeout_s =
-            self.interval_s * (POLL_TIMEOUT_FRACTION + POLL_TIMEOUT_JITTER_RANGE * random.f64());
-        let timeout_s = if self.target == PollTarget::LocalAgent {
+        let poll_timeout_s = self.poll_interval_s
+            * (POLL_TIMEOUT_FRACTION + POLL_TIMEOUT_JITTER_RANGE * random.f64());
+        let poll_timeout_s = if self.target == PollTarget::LocalAgent {
             LOCAL_AGENT_POLL_TIMEOUT_S
         } else {
-            timeout_s.max(MIN_POLL_TIMEOUT_S)
+            poll_timeout_s.max(MIN_POLL_TIMEOUT_S)
         };
-        (self.last_poll_at_s, self.next_poll_at_s) = (now_s, now_s + timeout_s);
+        (self.last_poll_at_s, self.next_poll_at_s) = (now_s, now_s + poll_timeout_s);
         true
     }
 
     /// Records that part of a response was received: no other poll is made until the response ends.
     pub(super) fn on_partial_response(&mut self) {
-        self.is_receiving = true;
+        self.is_receiving_response = true;
     }
 
     /// Records that an update was received or a poll failed: either ends a response that was being
     /// received.
     pub(super) fn on_response_end(&mut self) {
-        self.is_receiving = false;
+        self.is_receiving_response = false;
     }
 
     /// Records that discovery has sent an update, so that a watch is open.
@@ -166,15 +169,15 @@
     /// that not all balancers poll a recovered discovery at the same time. The backoff is limited
     /// so that the next poll receives a change before the change counts as notified.
     fn backoff_s(&self, failure: &PollFailure, now_s: f64) -> f64 {
-        let spread_s = self.spread_s.min(MAX_BACKOFF_SPREAD_S);
+        let backoff_spread_s = self.poll_spread_s.min(MAX_BACKOFF_SPREAD_S);
         let backoff_s = if self.target == PollTarget::LocalAgent {
             MIN_BACKOFF_S
         } else {
             self.exponential_backoff_s(
-                self.interval_s * MAX_BACKOFF_FRACTION / FIRST_BACKOFF_DIVISOR,
+                self.poll_interval_s * MAX_BACKOFF_FRACTION / FIRST_BACKOFF_DIVISOR,
             )
-            .max(spread_s)
-            .min(self.longest_backoff_s(spread_s, now_s))
+            .max(backoff_spread_s)
+            .min(self.longest_backoff_s(backoff_spread_s, now_s))
         };
         // The backoff is short after a truncated response: sends will have to pause soon, and no
         // other balancer is affected.
@@ -187,32 +190,32 @@
         // backoff is limited. The limit is not short, as an overloaded discovery spends time on
         // each rejection.
         if failure.was_rejected {
-            backoff_s.min(spread_s.max(MAX_REJECTED_BACKOFF_S))
+            backoff_s.min(backoff_spread_s.max(MAX_REJECTED_BACKOFF_S))
         } else {
             backoff_s
         }
     }
 
-    fn exponential_backoff_s(&self, first_s: f64) -> f64 {
-        first_s * f64::from(1u32 << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS))
+    fn exponential_backoff_s(&self, first_backoff_s: f64) -> f64 {
+        first_backoff_s * f64::from(1u32 << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS))
     }
 
     /// Returns the longest backoff, in seconds, after which the next poll still receives a change
     /// before the change counts as notified. The result has a lower limit, which applies even if
     /// the next poll then receives the change too late.
-    fn longest_backoff_s(&self, spread_s: f64, now_s: f64) -> f64 {
-        let elapsed_s = if self.is_watching {
+    fn longest_backoff_s(&self, backoff_spread_s: f64, now_s: f64) -> f64 {
+        let unconfirmed_for_s = if self.is_watching {
             WATCH_SILENCE_S
         } else {
             now_s - self.last_poll_at_s
         };
         // If there are so many balancers that their polls are spread over the longest time, the
         // limit is at least that time: discovery serves few of them if all poll at the same time.
-        let min_s = if spread_s < MAX_BACKOFF_SPREAD_S {
+        let min_backoff_s = if backoff_spread_s < MAX_BACKOFF_SPREAD_S {
             MIN_BACKOFF_S
         } else {
             MAX_BACKOFF_SPREAD_S
         };
-        (NOTIFIED_WITHIN_S - POLL_DURATION_S - elapsed_s).max(min_s)
+        (NOTIFIED_WITHIN_S - POLL_DURATION_S - unconfirmed_for_s).max(min_backoff_s)
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -113,8 +113,8 @@
     endpoints: &[Endpoint],
     context: &mut UpdateContext<'_>,
 ) -> bool {
-    let mut is_changed = scope != UpdateScope::Delta;
-    if is_changed {
+    let mut needs_new_subset = scope != UpdateScope::Delta;
+    if needs_new_subset {
         // An upstream that is missing from a snapshot is removed.
         upstreams
             .iter_mut()
@@ -123,33 +123,35 @@
     // An upstream that is not in the first list counts as started when it first appears, unless its
     // entry states when it started.
     let is_first_list = upstreams.is_empty();
-    let known_count = upstreams.len();
+    let previous_upstream_count = upstreams.len();
     for endpoint in endpoints {
         let started_at_s = endpoint.started.map(|started| started.as_secs_f64());
         let slot = upstreams.slot(endpoint.id).unwrap_or_else(|| {
             let slow_start_since_s = started_at_s.or((!is_first_list).then_some(context.now_s));
             let initial_deficit = context.random.f64();
-            let count = context.class_count;
+            let class_count = context.class_count;
             upstreams.push(Upstream::new(
                 endpoint.id,
-                count,
+                class_count,
                 slow_start_since_s,
                 !is_first_list,
                 initial_deficit,
             ))
         });
-        is_changed |= context.apply_endpoint(&mut upstreams[slot], endpoint, started_at_s);
+        needs_new_subset |= context.apply_endpoint(&mut upstreams[slot], endpoint, started_at_s);
     }
     let removable_count = upstreams
         .iter()
         .filter(|upstream| upstream.is_removable())
         .count();
-    if upstreams.len() > known_count || removable_count > upstreams.len() / MAX_REMOVED_DIVISOR {
+    if upstreams.len() > previous_upstream_count
+        || removable_count > upstreams.len() / MAX_REMOVED_DIVISOR
+    {
         // Removed upstreams are forgotten: otherwise the state would grow without bound.
         upstreams.retain(|upstream| !upstream.is_removable());
-        is_changed = true;
+        needs_new_subset = true;
     }
-    is_changed
+    needs_new_subset
 }
 
 impl UpdateContext<'_> {
@@ -186,9 +188,12 @@
             EndpointWeights::Size => *size = weight,
             EndpointWeights::Live => {
                 *size = size.max(weight);
-                let in_flight = *size / weight - 1.0;
-                self.load_reports
-                    .record_live_weight(&mut upstream.load, in_flight, self.now_s);
+                let in_flight_per_core = *size / weight - 1.0;
+                self.load_reports.record_live_weight(
+                    &mut upstream.load,
+                    in_flight_per_core,
+                    self.now_s,
+                );
             }
         }
     }
