--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -18,9 +18,9 @@
 /// expected to get.
 const UPSTREAMS_PER_REQUEST_PER_S: f64 = 0.7;
 /// Smallest size of a subset that the traffic can give, in upstreams.
-const MIN_SIZE: f64 = 2.0;
+const MIN_TRAFFIC_SIZE: f64 = 2.0;
 /// Largest size of a subset that the traffic can give, in upstreams.
-const MAX_SIZE: f64 = 1e6;
+const MAX_TRAFFIC_SIZE: f64 = 1e6;
 /// Smallest mean number of subsets that contain an upstream. If there are few balancers, their
 /// subsets are therefore larger; a single balancer takes all upstreams.
 const MIN_SUBSETS_PER_UPSTREAM: usize = 4;
@@ -75,7 +75,7 @@
 }
 
 /// The number of ready upstreams that the subset should contain.
-struct SubsetSize {
+struct SubsetSizes {
     /// The number for a balancer that gets an equal part of the traffic of all balancers; the parts
     /// of the shared order have this length.
     equal_traffic_size: usize,
@@ -87,17 +87,17 @@
 
 /// The size of the subset, and the time at which it is chosen again.
 pub(super) struct Subset {
-    balancers: u32,
+    balancer_count: u32,
     /// This balancer's number among all balancers, from 0.
-    index: u32,
-    /// Smallest value of `size`, in upstreams: the number for the traffic that this balancer would
-    /// get if the expected traffic were divided equally among all balancers.
-    min_size: usize,
+    balancer_index: u32,
+    /// Smallest value of `traffic_size`, in upstreams: the number for the traffic that this
+    /// balancer would get if the expected traffic were divided equally among all balancers.
+    min_traffic_size: usize,
     /// Number of upstreams for the traffic that this balancer gets.
-    size: usize,
+    traffic_size: usize,
     /// First attempts of clients since the last tick; the admitted requests if clients do not mark
     /// their retries.
-    first_attempts: f64,
+    first_attempt_count: f64,
     /// First attempts per second, smoothed.
     first_attempts_per_s: f64,
     /// Number of balancers that send to each upstream if the subsets are spread equally.
@@ -109,14 +109,14 @@
 
 impl Subset {
     pub(super) fn new(settings: &Settings, expected_requests_per_s: f64) -> Self {
-        let size = (UPSTREAMS_PER_REQUEST_PER_S * expected_requests_per_s).clamp(MIN_SIZE, MAX_SIZE)
-            as usize;
+        let traffic_size = (UPSTREAMS_PER_REQUEST_PER_S * expected_requests_per_s)
+            .clamp(MIN_TRAFFIC_SIZE, MAX_TRAFFIC_SIZE) as usize;
         Self {
-            balancers: settings.balancers,
-            index: settings.index,
-            min_size: size,
-            size,
-            first_attempts: 0.0,
+            balancer_count: settings.balancers,
+            balancer_index: settings.index,
+            min_traffic_size: traffic_size,
+            traffic_size,
+            first_attempt_count: 0.0,
             first_attempts_per_s: expected_requests_per_s,
             balancers_per_upstream: 0.0,
             review_at_s: 0.0,
@@ -130,7 +130,7 @@
     /// Records a client's first attempt. If clients do not mark their retries, the caller records
     /// the admitted requests instead: if it recorded all requests, retries would count as traffic.
     pub(super) fn record_first_attempt(&mut self) {
-        self.first_attempts += 1.0;
+        self.first_attempt_count += 1.0;
     }
 
     /// Schedules a new choice of the subset at the next tick.
@@ -147,16 +147,18 @@
     /// while other upstreams are idle. `has_upstreams_outside` is true if there are upstreams
     /// outside the subset.
     pub(super) fn update_size(&mut self, has_upstreams_outside: bool, elapsed_s: f64, now_s: f64) {
-        let per_s = per_second(self.first_attempts, elapsed_s);
+        let newest_first_attempts_per_s = per_second(self.first_attempt_count, elapsed_s);
         let weight_of_newest = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S);
-        self.first_attempts_per_s += weight_of_newest * (per_s - self.first_attempts_per_s);
-        self.first_attempts = 0.0;
-        let size = UPSTREAMS_PER_REQUEST_PER_S * self.first_attempts_per_s;
-        let size = size.clamp(self.min_size as f64, MAX_SIZE) as usize;
-        let grows =
-            size * GROWTH_DENOMINATOR >= self.size * GROWTH_NUMERATOR && has_upstreams_outside;
-        if grows || size * SHRINK_DENOMINATOR <= self.size {
-            self.size = size;
+        self.first_attempts_per_s +=
+            weight_of_newest * (newest_first_attempts_per_s - self.first_attempts_per_s);
+        self.first_attempt_count = 0.0;
+        let new_traffic_size = UPSTREAMS_PER_REQUEST_PER_S * self.first_attempts_per_s;
+        let new_traffic_size =
+            new_traffic_size.clamp(self.min_traffic_size as f64, MAX_TRAFFIC_SIZE) as usize;
+        let grows = new_traffic_size * GROWTH_DENOMINATOR >= self.traffic_size * GROWTH_NUMERATOR
+            && has_upstreams_outside;
+        if grows || new_traffic_size * SHRINK_DENOMINATOR <= self.traffic_size {
+            self.traffic_size = new_traffic_size;
             self.review_at_s = now_s;
         }
     }
@@ -164,48 +166,49 @@
     /// Chooses the members. Ejected upstreams are replaced by the next ones in the order.
     pub(super) fn choose(&mut self, upstreams: &mut Upstreams, now_s: f64) -> SubsetChoice {
         let ready = |slot: &usize| upstreams[*slot].endpoint.is_ready();
-        let mut order: Vec<usize> = (0..upstreams.len()).filter(ready).collect();
-        let size = self.choose_size(order.len());
-        if !size.includes_all {
-            self.sort(&mut order, upstreams, &size);
+        let mut ordered_slots: Vec<usize> = (0..upstreams.len()).filter(ready).collect();
+        let sizes = self.choose_sizes(ordered_slots.len());
+        if !sizes.includes_all {
+            self.sort(&mut ordered_slots, upstreams, &sizes);
         }
         // If more upstreams seem unhealthy than may be ejected, the cause is common to them, and no
-        // upstream is replaced.
+        // upstream is replaced: an infinite `min_ejected_until_s` lets none count as ejected.
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected(now_s);
-        let ejected_count = order.iter().filter(is_ejected).count();
-        let may_eject = may_be_ejected(ejected_count, order.len());
-        let ejection_check_at_s = if may_eject { now_s } else { f64::INFINITY };
+        let ejected_count = ordered_slots.iter().filter(is_ejected).count();
+        let may_eject = may_be_ejected(ejected_count, ordered_slots.len());
+        let min_ejected_until_s = if may_eject { now_s } else { f64::INFINITY };
         for upstream in upstreams.iter_mut() {
             upstream.membership.is_member &= upstream.endpoint.is_ready();
         }
         // The subset is chosen again when an ejection ends.
-        let ejection_ends = upstreams
+        let ejection_end_times_s = upstreams
             .iter()
             .map(|upstream| upstream.health.ejected_until_s());
-        self.review_at_s = ejection_ends
+        self.review_at_s = ejection_end_times_s
             .filter(|end_s| *end_s > now_s)
             .fold(f64::INFINITY, f64::min);
-        let removed_ids = set_members(&order, upstreams, &size, ejection_check_at_s);
-        let equal_traffic_fraction =
-            size.equal_traffic_size.min(order.len()) as f64 / order.len().max(1) as f64;
-        self.balancers_per_upstream = (f64::from(self.balancers) * equal_traffic_fraction).max(1.0);
-        order.retain(|slot| upstreams[*slot].membership.is_member);
+        let removed_ids = set_members(&ordered_slots, upstreams, &sizes, min_ejected_until_s);
+        let equal_traffic_fraction = sizes.equal_traffic_size.min(ordered_slots.len()) as f64
+            / ordered_slots.len().max(1) as f64;
+        self.balancers_per_upstream =
+            (f64::from(self.balancer_count) * equal_traffic_fraction).max(1.0);
+        ordered_slots.retain(|slot| upstreams[*slot].membership.is_member);
         SubsetChoice {
-            member_slots: order,
+            member_slots: ordered_slots,
             removed_ids,
-            is_partial: !size.includes_all,
+            is_partial: !sizes.includes_all,
         }
     }
 
-    fn choose_size(&self, ready_count: usize) -> SubsetSize {
-        let balancers = (self.balancers as usize).max(1);
+    fn choose_sizes(&self, ready_count: usize) -> SubsetSizes {
+        let balancer_count = (self.balancer_count as usize).max(1);
         let equal_traffic_size = self
-            .min_size
-            .max(MIN_SUBSETS_PER_UPSTREAM * ready_count / balancers);
-        let own_traffic_size = equal_traffic_size.max(self.size);
+            .min_traffic_size
+            .max(MIN_SUBSETS_PER_UPSTREAM * ready_count / balancer_count);
+        let own_traffic_size = equal_traffic_size.max(self.traffic_size);
         let includes_all =
             own_traffic_size * INCLUDES_ALL_DENOMINATOR >= ready_count * INCLUDES_ALL_NUMERATOR;
-        SubsetSize {
+        SubsetSizes {
             equal_traffic_size,
             own_traffic_size,
             includes_all,
@@ -214,61 +217,61 @@
 
     /// Puts the upstreams into the order that balancers share, starting with the part of this
     /// balancer. When all parts are taken, the next balancers share another order.
-    fn sort(&self, order: &mut [usize], upstreams: &Upstreams, size: &SubsetSize) {
-        let part_count = (order.len() / size.equal_traffic_size.max(1)).max(1);
-        let index = self.index as usize;
-        let (round, start) = (
-            index / part_count,
-            index % part_count * size.equal_traffic_size,
+    fn sort(&self, ordered_slots: &mut [usize], upstreams: &Upstreams, sizes: &SubsetSizes) {
+        let part_count = (ordered_slots.len() / sizes.equal_traffic_size.max(1)).max(1);
+        let balancer_index = self.balancer_index as usize;
+        let (order_number, start_position) = (
+            balancer_index / part_count,
+            balancer_index % part_count * sizes.equal_traffic_size,
         );
         let key = |slot: &usize| {
             let id = upstreams[*slot].endpoint.id();
-            Random::with_seed(id.0 ^ (round as u64) << 48).u64(..)
+            Random::with_seed(id.0 ^ (order_number as u64) << 48).u64(..)
         };
-        order.sort_by_cached_key(key);
-        order.rotate_left(start % order.len().max(1));
+        ordered_slots.sort_by_cached_key(key);
+        ordered_slots.rotate_left(start_position % ordered_slots.len().max(1));
     }
 }
 
-/// Sets which upstreams are members. Returns the ready upstreams that are no longer members. Only
-/// upstreams that are ejected at `ejection_check_at_s` count as ejected; if that time is infinite,
-/// no upstream does.
+/// Sets which upstreams are members. Returns the ready upstreams that are no longer members. An
+/// upstream counts as ejected if its ejection ends after `min_ejected_until_s`; if that time is
+/// infinite, no upstream counts as ejected.
 fn set_members(
-    order: &[usize],
+    ordered_slots: &[usize],
     upstreams: &mut Upstreams,
-    size: &SubsetSize,
-    ejection_check_at_s: f64,
+    sizes: &SubsetSizes,
+    min_ejected_until_s: f64,
 ) -> Vec<UpstreamId> {
-    let (mut member_count, mut unusable_count) = (0, 0);
-    for (rank, slot) in order.iter().enumerate() {
+    let (mut member_count, mut ejected_member_count) = (0, 0);
+    for (position, slot) in ordered_slots.iter().enumerate() {
         let upstream = &mut upstreams[*slot];
-        let is_usable = !upstream.health.is_ejected(ejection_check_at_s);
+        let is_usable = !upstream.health.is_ejected(min_ejected_until_s);
         let membership = &mut upstream.membership;
         // A member remains one, so that its connections are reused; new members are added in the
         // shared order.
-        let joins = is_usable && membership.is_new && rank < size.own_traffic_size;
-        membership.is_member = size.includes_all || membership.is_member || joins;
+        let is_joining = is_usable && membership.is_new && position < sizes.own_traffic_size;
+        membership.is_member = sizes.includes_all || membership.is_member || is_joining;
         membership.is_new &= !is_usable;
         member_count += usize::from(membership.is_member);
-        unusable_count += usize::from(membership.is_member && !is_usable);
+        ejected_member_count += usize::from(membership.is_member && !is_usable);
     }
     // Up to half of the members remain in the subset while ejected: otherwise all balancers that
     // share them would move their load to other upstreams at the same time, and overload those.
-    let target_size = size
+    let target_size = sizes
         .own_traffic_size
-        .max(unusable_count + size.own_traffic_size.div_ceil(2));
-    for slot in order {
+        .max(ejected_member_count + sizes.own_traffic_size.div_ceil(2));
+    for slot in ordered_slots {
         let upstream = &mut upstreams[*slot];
-        let is_usable = !upstream.health.is_ejected(ejection_check_at_s);
+        let is_usable = !upstream.health.is_ejected(min_ejected_until_s);
         if member_count < target_size && !upstream.membership.is_member && is_usable {
             upstream.membership.is_member = true;
             member_count += 1;
         }
     }
     let mut removed_ids = Vec::new();
-    for slot in order.iter().rev() {
+    for slot in ordered_slots.iter().rev() {
         let upstream = &mut upstreams[*slot];
-        if member_count > target_size && upstream.membership.is_member && !size.includes_all {
+        if member_count > target_size && upstream.membership.is_member && !sizes.includes_all {
             upstream.membership.is_member = false;
             member_count -= 1;
             removed_ids.push(upstream.endpoint.id());
