--- a/src/policy/clock.rs
+++ b/src/policy/clock.rs
@@ -15,8 +15,8 @@
 }
 
 impl JitteredClock<'_> {
-    /// Returns the time `span_s` seconds from now. Jitter changes the span, so that balancers do
-    /// not act at the same time.
+    /// Returns the time at which the span of `span_s` seconds from now ends, with jitter added to
+    /// the span, so that balancers do not act at the same time.
     pub(super) fn jittered_time_s(&mut self, span_s: f64) -> f64 {
         self.now_s + span_s * (MIN_JITTER_FACTOR + JITTER_RANGE * self.random.f64())
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -15,7 +15,7 @@
 /// to them.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
 /// Consecutive faults after which an upstream is ejected for the class that they occurred in.
-const MAX_CLASS_FAULTS: u32 = 2;
+const CLASS_EJECTION_FAULTS: u32 = 2;
 /// Fraction of the other upstreams with recent errors above which the errors have a common cause,
 /// such as the network.
 const COMMON_ERROR_FRACTION: f64 = 0.5;
@@ -31,9 +31,9 @@
 struct ClassTrials {
     /// Number of trials since the last one that got a successful response before it became overdue.
     /// Each of them doubles the time to the next trial.
-    unsuccessful_count: u32,
+    unsuccessful_trial_count: u32,
     /// Time at which the next trial is due.
-    next_at_s: f64,
+    next_trial_at_s: f64,
 }
 
 /// The rule that decides which upstreams may take a request of a class.
@@ -86,8 +86,8 @@
 fn fault_of(outcome: Outcome, erring_fraction: f64) -> Option<Fault> {
     match outcome {
         Outcome::Error => {
-            let weight = (1.0 - erring_fraction).max(MIN_ERROR_WEIGHT);
-            Some(Fault::Error { weight })
+            let error_weight = (1.0 - erring_fraction).max(MIN_ERROR_WEIGHT);
+            Some(Fault::Error { error_weight })
         }
         Outcome::Rejected => Some(Fault::Rejected),
         Outcome::ConnectFailed | Outcome::Reset => Some(Fault::ConnectionFailure),
@@ -97,13 +97,13 @@
 
 /// The schedules of trials of ejected upstreams, by class.
 pub(super) struct OutlierDetection {
-    trials: Vec<ClassTrials>,
+    trials_by_class: Vec<ClassTrials>,
 }
 
 impl OutlierDetection {
     pub(super) fn new(class_count: usize) -> Self {
         Self {
-            trials: vec![ClassTrials::default(); class_count],
+            trials_by_class: vec![ClassTrials::default(); class_count],
         }
     }
 
@@ -121,33 +121,33 @@
         let now_s = clock.now_s;
         let erring_fraction = common_error_fraction(upstreams, rotation_slots, slot, now_s);
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected_for(attempt.class);
-        let ejected_count = rotation_slots.iter().filter(is_ejected).count() + 1;
-        let may_eject = may_be_ejected(ejected_count, rotation_slots.len());
+        let ejected_count_after = rotation_slots.iter().filter(is_ejected).count() + 1;
+        let may_eject = may_be_ejected(ejected_count_after, rotation_slots.len());
         let health = &mut upstreams[slot].health;
-        let trials = &mut self.trials[attempt.class];
+        let trials = &mut self.trials_by_class[attempt.class];
         health.record_response(attempt.outcome, now_s);
         if attempt.outcome == Outcome::Ok {
             if health.record_class_success(attempt.class, attempt.was_overdue) {
                 // The ejected upstreams may have had a common cause that has ended, so the next
                 // trial is due immediately.
-                trials.unsuccessful_count = 0;
-                trials.next_at_s = now_s;
+                trials.unsuccessful_trial_count = 0;
+                trials.next_trial_at_s = now_s;
             }
         } else if attempt.is_fault(!health.is_ejected(now_s)) {
             health.record_class_fault(attempt.class);
         }
-        let is_common = erring_fraction > COMMON_ERROR_FRACTION;
-        let max_faults = MAX_CLASS_FAULTS
-            * if is_common {
+        let has_common_cause = erring_fraction > COMMON_ERROR_FRACTION;
+        let ejection_fault_count = CLASS_EJECTION_FAULTS
+            * if has_common_cause {
                 COMMON_ERROR_FAULT_FACTOR
             } else {
                 1
             };
-        if may_eject && health.is_faulty_for(attempt.class, max_faults) {
+        if may_eject && health.is_faulty_for(attempt.class, ejection_fault_count) {
             health.eject_for(attempt.class, now_s);
-            if trials.next_at_s <= now_s {
-                trials.unsuccessful_count = 0;
-                trials.next_at_s = clock.jittered_time_s(BASE_EJECTION_S);
+            if trials.next_trial_at_s <= now_s {
+                trials.unsuccessful_trial_count = 0;
+                trials.next_trial_at_s = clock.jittered_time_s(BASE_EJECTION_S);
             }
         }
         fault_of(attempt.outcome, erring_fraction)
@@ -184,21 +184,23 @@
         class: usize,
         clock: &mut JitteredClock<'_>,
     ) -> Option<usize> {
-        let trials = &mut self.trials[class];
-        if clock.now_s < trials.next_at_s {
+        let trials = &mut self.trials_by_class[class];
+        if clock.now_s < trials.next_trial_at_s {
             return None;
         }
         let last_trial_at_s = |slot: &usize| upstreams[*slot].health.last_trial_at_s(class);
-        let oldest = rotation_slots
+        let oldest_trial_slot = rotation_slots
             .iter()
             .copied()
             .filter(|slot| is_trial_candidate(&upstreams[*slot], class))
             .min_by(|a, b| last_trial_at_s(a).total_cmp(&last_trial_at_s(b)))?;
-        trials.unsuccessful_count += 1;
-        let doublings = trials.unsuccessful_count.min(MAX_TRIAL_DOUBLINGS);
-        trials.next_at_s = clock.jittered_time_s(BASE_EJECTION_S * f64::from(1 << doublings));
-        upstreams[oldest].health.record_trial(class, clock.now_s);
-        Some(oldest)
+        trials.unsuccessful_trial_count += 1;
+        let doublings = trials.unsuccessful_trial_count.min(MAX_TRIAL_DOUBLINGS);
+        trials.next_trial_at_s = clock.jittered_time_s(BASE_EJECTION_S * f64::from(1 << doublings));
+        upstreams[oldest_trial_slot]
+            .health
+            .record_trial(class, clock.now_s);
+        Some(oldest_trial_slot)
     }
 }
 
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -42,9 +42,9 @@
 /// A fault that counts against an upstream for all classes.
 #[derive(Clone, Copy)]
 pub(super) enum Fault {
-    /// The upstream responded with an error. `weight` is the fraction of the usual suspicion that
-    /// the error adds.
-    Error { weight: f64 },
+    /// The upstream responded with an error. `error_weight` is the fraction of the usual suspicion
+    /// that the error adds.
+    Error { error_weight: f64 },
     /// The upstream rejected an attempt.
     Rejected,
     /// An attempt is overdue, and the upstream has not responded since the attempt was sent.
@@ -56,7 +56,7 @@
 impl Fault {
     fn suspicion(self) -> f64 {
         match self {
-            Self::Error { weight } => FAULT_SUSPICION * weight,
+            Self::Error { error_weight } => FAULT_SUSPICION * error_weight,
             Self::Rejected | Self::Unresponsive => FAULT_SUSPICION,
             Self::ConnectionFailure => CONNECTION_FAULT_SUSPICION,
         }
@@ -108,7 +108,7 @@
     last_error_at_s: f64,
     /// Time of the last success, error or rejection; negative infinity if there was none.
     last_response_at_s: f64,
-    classes: Vec<ClassHealth>,
+    health_by_class: Vec<ClassHealth>,
 }
 
 impl UpstreamHealth {
@@ -119,7 +119,7 @@
             ejected_until_s: 0.0,
             last_error_at_s: 0.0,
             last_response_at_s: f64::NEG_INFINITY,
-            classes: vec![ClassHealth::default(); class_count],
+            health_by_class: vec![ClassHealth::default(); class_count],
         }
     }
 
@@ -130,12 +130,12 @@
             self.consecutive_ejections,
             self.ejected_until_s,
         ) = (0.0, 0, 0.0);
-        self.classes.fill(ClassHealth::default());
+        self.health_by_class.fill(ClassHealth::default());
     }
 
     /// Multiplies the suspicion by a decay factor from [`suspicion_decay_factor`].
-    pub(super) fn decay_suspicion(&mut self, factor: f64) {
-        self.suspicion *= factor;
+    pub(super) fn decay_suspicion(&mut self, decay_factor: f64) {
+        self.suspicion *= decay_factor;
     }
 
     pub(super) fn state(&self, now_s: f64) -> EjectionState {
@@ -157,30 +157,30 @@
     }
 
     pub(super) fn is_ejected_for(&self, class: usize) -> bool {
-        self.classes[class].is_ejected
+        self.health_by_class[class].is_ejected
     }
 
     /// Records a successful response for a class. Returns whether it ends the ejection for the
     /// class; a response to an overdue attempt does not.
     pub(super) fn record_class_success(&mut self, class: usize, was_overdue: bool) -> bool {
-        let health = &mut self.classes[class];
+        let health = &mut self.health_by_class[class];
         health.consecutive_faults = 0;
         !was_overdue && std::mem::take(&mut health.is_ejected)
     }
 
     pub(super) fn record_class_fault(&mut self, class: usize) {
-        self.classes[class].consecutive_faults += 1;
+        self.health_by_class[class].consecutive_faults += 1;
     }
 
     /// Returns whether the upstream should be ejected for a class: it is not ejected for that class
-    /// yet, and has had at least `max_faults` consecutive faults.
-    pub(super) fn is_faulty_for(&self, class: usize, max_faults: u32) -> bool {
-        let health = &self.classes[class];
-        !health.is_ejected && health.consecutive_faults >= max_faults
+    /// yet, and has had at least `ejection_fault_count` consecutive faults.
+    pub(super) fn is_faulty_for(&self, class: usize, ejection_fault_count: u32) -> bool {
+        let health = &self.health_by_class[class];
+        !health.is_ejected && health.consecutive_faults >= ejection_fault_count
     }
 
     pub(super) fn eject_for(&mut self, class: usize, now_s: f64) {
-        self.classes[class] = ClassHealth {
+        self.health_by_class[class] = ClassHealth {
             consecutive_faults: 0,
             is_ejected: true,
             last_trial_at_s: now_s,
@@ -190,11 +190,11 @@
     /// Returns the time of the last trial for a class, or of the ejection if there was no trial
     /// since.
     pub(super) fn last_trial_at_s(&self, class: usize) -> f64 {
-        self.classes[class].last_trial_at_s
+        self.health_by_class[class].last_trial_at_s
     }
 
     pub(super) fn record_trial(&mut self, class: usize, now_s: f64) {
-        self.classes[class].last_trial_at_s = now_s;
+        self.health_by_class[class].last_trial_at_s = now_s;
     }
 
     /// Returns whether the upstream has responded at `at_s` or later.
@@ -258,14 +258,15 @@
         true
     }
 
-    /// Ejects the upstream for all classes. The ejection lasts `first_s` seconds, doubled for each
-    /// ejection since the probation last ended, and at most [`MAX_EJECTION_S`] before jitter.
-    fn eject(&mut self, first_s: f64, clock: &mut JitteredClock<'_>) {
+    /// Ejects the upstream for all classes. The ejection lasts `first_ejection_s` seconds, doubled
+    /// for each ejection since the probation last ended, and at most [`MAX_EJECTION_S`] before
+    /// jitter.
+    fn eject(&mut self, first_ejection_s: f64, clock: &mut JitteredClock<'_>) {
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
-        let length_s = (first_s * f64::from(1 << doublings)).min(MAX_EJECTION_S);
+        let ejection_length_s = (first_ejection_s * f64::from(1 << doublings)).min(MAX_EJECTION_S);
         self.consecutive_ejections += 1;
-        self.ejected_until_s = clock.jittered_time_s(length_s);
-        for class in &mut self.classes {
+        self.ejected_until_s = clock.jittered_time_s(ejection_length_s);
+        for class in &mut self.health_by_class {
             (class.consecutive_faults, class.is_ejected) = (0, false);
         }
     }
