--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -69,7 +69,7 @@
 const TICK_S: f64 = 0.025;
 /// Upper limit, in seconds, of the time that one tick accounts for, even if more time has passed
 /// since the last tick.
-const MAX_TICK_S: f64 = 1.0;
+const MAX_TICK_ELAPSED_S: f64 = 1.0;
 const TICK_TIMER: TimerId = TimerId(0);
 
 /// Makes the decisions of one balancer: takes events and returns actions. The documentation of the
@@ -112,8 +112,8 @@
         .tenants
         .iter()
         .map(|tenant: &Tenant| tenant.quota_per_s);
-    let stated: f64 = quotas.filter(|quota| quota.is_finite()).sum();
-    stated.max(1.0) / f64::from(settings.balancers)
+    let stated_quota_sum_per_s: f64 = quotas.filter(|quota| quota.is_finite()).sum();
+    stated_quota_sum_per_s.max(1.0) / f64::from(settings.balancers)
 }
 
 impl Default for Balancer {
@@ -168,10 +168,10 @@
 
     /// Returns a snapshot of the state that decisions are based on.
     pub fn status(&self) -> StatusSnapshot {
-        let weight: f64 = self.members().map(|u| u.weight.weight()).sum();
+        let rotation_weight: f64 = self.members().map(|u| u.weight.weight()).sum();
         StatusSnapshot {
             spare_capacity: self.capacity.spare_capacity(),
-            service_rate: self.capacity.service_rate_per_weight() * weight,
+            service_rate: self.capacity.service_rate_per_weight() * rotation_weight,
             utilization: self.capacity.utilization(),
             mean_latency_s: self.classes.mean_latency_s(),
             demand_per_s: self.admission.demand_per_s(),
@@ -254,12 +254,12 @@
         }
         self.last_tick_at_s = self.now_s;
         self.polling.start(self.now_s, &mut self.random);
-        let first_tick_after_s = TICK_S * self.random.f64();
-        self.schedule_tick(first_tick_after_s);
+        let first_tick_delay_s = TICK_S * self.random.f64();
+        self.schedule_tick(first_tick_delay_s);
     }
 
-    fn schedule_tick(&mut self, after_s: f64) {
-        let after = Duration::from_secs_f64(after_s);
+    fn schedule_tick(&mut self, delay_s: f64) {
+        let after = Duration::from_secs_f64(delay_s);
         self.actions.push(Action::Timer {
             after,
             timer: TICK_TIMER,
@@ -269,7 +269,7 @@
     /// Processes a tick: updates the subset, the weights, the spare capacity and the token buckets,
     /// then handles overdue attempts and polls discovery if a poll is due.
     fn on_tick(&mut self) {
-        let elapsed_s = (self.now_s - self.last_tick_at_s).clamp(0.0, MAX_TICK_S);
+        let elapsed_s = (self.now_s - self.last_tick_at_s).clamp(0.0, MAX_TICK_ELAPSED_S);
         self.last_tick_at_s = self.now_s;
         let has_upstreams_outside = self.rotation.member_slots().len() < self.upstreams.len();
         self.subset
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -36,13 +36,13 @@
 
 /// The number of sends that one upstream may still get.
 pub(super) struct SendBudget {
-    sends: f64,
+    available_sends: f64,
 }
 
 impl SendBudget {
     pub(super) fn full() -> Self {
         Self {
-            sends: MAX_UPSTREAM_BUDGET_SENDS,
+            available_sends: MAX_UPSTREAM_BUDGET_SENDS,
         }
     }
 }
@@ -66,7 +66,7 @@
     /// Number of sends that are available now; negative after more sends than were available.
     available_sends: f64,
     /// Upper limit of `available_sends`.
-    burst: f64,
+    burst_sends: f64,
     /// Whether the utilization of the upstreams is known: sends are paced only then.
     is_active: bool,
 }
@@ -75,7 +75,7 @@
     pub(super) fn new(is_active: bool) -> Self {
         Self {
             available_sends: 1.0,
-            burst: 0.0,
+            burst_sends: 0.0,
             is_active,
         }
     }
@@ -95,9 +95,9 @@
         elapsed_s: f64,
         now_s: f64,
     ) {
-        let balancers = inputs.balancers_per_upstream;
-        let unshared_multiple =
-            (balancers / (balancers - 1.0).max(1e-3)).min(MAX_UNSHARED_MULTIPLE);
+        let balancers_per_upstream = inputs.balancers_per_upstream;
+        let unshared_multiple = (balancers_per_upstream / (balancers_per_upstream - 1.0).max(1e-3))
+            .min(MAX_UNSHARED_MULTIPLE);
         let mut sends_per_s = 0.0;
         for slot in rotation_slots {
             let upstream = &mut upstreams[*slot];
@@ -108,21 +108,22 @@
                     * upstream.weight.weight();
                 continue;
             }
-            let rate = inputs.upstream_rate(upstream, now_s);
-            upstream.send_budget.sends = (upstream.send_budget.sends
-                + elapsed_s * unshared_multiple * rate)
+            let upstream_sends_per_s = inputs.upstream_sends_per_s(upstream, now_s);
+            upstream.send_budget.available_sends = (upstream.send_budget.available_sends
+                + elapsed_s * unshared_multiple * upstream_sends_per_s)
                 .min(MAX_UPSTREAM_BUDGET_SENDS * unshared_multiple);
-            let is_weighted = upstream.weight.weight() > 0.0;
-            sends_per_s += unshared_multiple * rate * f64::from(u8::from(is_weighted));
+            let has_weight = upstream.weight.weight() > 0.0;
+            sends_per_s +=
+                unshared_multiple * upstream_sends_per_s * f64::from(u8::from(has_weight));
         }
-        self.burst = MIN_BURST_SENDS + BURST_S * sends_per_s;
-        self.available_sends =
-            (self.available_sends + elapsed_s * sends_per_s).clamp(-self.burst, self.burst);
+        self.burst_sends = MIN_BURST_SENDS + BURST_S * sends_per_s;
+        self.available_sends = (self.available_sends + elapsed_s * sends_per_s)
+            .clamp(-self.burst_sends, self.burst_sends);
     }
 
     /// Records that an attempt is sent to the upstream with this budget.
     pub(super) fn record_send(&mut self, budget: &mut SendBudget) {
-        budget.sends = (budget.sends - 1.0).max(0.0);
+        budget.available_sends = (budget.available_sends - 1.0).max(0.0);
         self.available_sends -= 1.0;
     }
 
@@ -136,34 +137,36 @@
         } else {
             reserved_for_high_value
         };
-        let reserved = (self.burst - 1.0) * reserved_fraction;
-        self.is_active && self.available_sends < 1.0 + reserved
+        let reserved_sends = (self.burst_sends - 1.0) * reserved_fraction;
+        self.is_active && self.available_sends < 1.0 + reserved_sends
     }
 
     /// Returns whether the budget of an upstream is used up. An upstream in slow start is limited
     /// by its turns instead.
     pub(super) fn is_exhausted(&self, upstream: &Upstream) -> bool {
-        self.is_active && !upstream.weight.is_warming_up() && upstream.send_budget.sends < 1.0
+        self.is_active
+            && !upstream.weight.is_warming_up()
+            && upstream.send_budget.available_sends < 1.0
     }
 }
 
 impl PacingInputs<'_> {
     /// Returns the sends per second that an upstream outside slow start gains.
-    fn upstream_rate(&self, upstream: &Upstream, now_s: f64) -> f64 {
+    fn upstream_sends_per_s(&self, upstream: &Upstream, now_s: f64) -> f64 {
         let weight = upstream.weight.weight();
-        let mut rate =
+        let mut upstream_sends_per_s =
             (self.service_rate_per_weight * weight).max(weight / self.balancers_per_upstream);
         let in_flight_at_full_utilization = self.load_reports.in_flight_at_full_utilization();
         if upstream.load.utilization_is_recent(now_s) && in_flight_at_full_utilization > 0.0 {
             // The rate is lower if the upstream reports a higher utilization than the mean, and
             // higher if it reports a lower one. The rate is also lower if the upstream reports more
             // requests in flight than it has at full utilization, as the others wait in its queue.
-            rate *= (self.utilization / upstream.load.utilization().max(0.1))
+            upstream_sends_per_s *= (self.utilization / upstream.load.utilization().max(0.1))
                 .clamp(MIN_UTILIZATION_FACTOR, MAX_UTILIZATION_FACTOR);
             let full_in_flight = in_flight_at_full_utilization * upstream.endpoint.size();
-            rate /=
+            upstream_sends_per_s /=
                 (upstream.load.reported_in_flight() / full_in_flight).clamp(1.0, MAX_QUEUE_FACTOR);
         }
-        rate
+        upstream_sends_per_s
     }
 }
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -24,12 +24,12 @@
 /// The deficit counter of one upstream, as in deficit round robin: the number of turns that the
 /// upstream has gained and not taken.
 pub(super) struct Deficit {
-    counter: f64,
+    turns: f64,
 }
 
 impl Deficit {
-    pub(super) fn new(counter: f64) -> Self {
-        Self { counter }
+    pub(super) fn new(turns: f64) -> Self {
+        Self { turns }
     }
 }
 
@@ -48,15 +48,16 @@
 }
 
 impl Rotation {
-    /// Returns the upstreams of the rotation.
+    /// Returns the slots of the upstreams of the rotation, in the order in which they take turns.
     pub(super) fn member_slots(&self) -> &[usize] {
         &self.member_slots
     }
 
-    /// Returns all members, starting with the one after the cursor.
+    /// Returns the slots of all members, starting with the one after the cursor.
     pub(super) fn after_cursor(&self) -> impl Iterator<Item = usize> {
-        let count = self.member_slots.len();
-        (1..=count).map(move |step| self.member_slots[(self.cursor + step) % count])
+        let member_count = self.member_slots.len();
+        (1..=member_count)
+            .map(move |offset| self.member_slots[(self.cursor + offset) % member_count])
     }
 
     /// Replaces the members and restarts the rotation.
@@ -72,18 +73,18 @@
     pub(super) fn add_slow_start_deficit(
         &self,
         upstreams: &mut Upstreams,
-        rate: SlowStartRate,
+        slow_start_rate: SlowStartRate,
         elapsed_s: f64,
     ) {
         for slot in &self.member_slots {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let added_deficit = elapsed_s
-                    * rate.steady_rate_per_s
-                    * rate.rate_multiple
+                let added_turns = elapsed_s
+                    * slow_start_rate.steady_rate_per_s
+                    * slow_start_rate.rate_multiple
                     * upstream.weight.weight();
-                let counter = upstream.deficit.counter + added_deficit;
-                upstream.deficit.counter = counter.min(MAX_SLOW_START_DEFICIT);
+                let turns = upstream.deficit.turns + added_turns;
+                upstream.deficit.turns = turns.min(MAX_SLOW_START_DEFICIT);
             }
         }
     }
@@ -115,13 +116,13 @@
             .take(LOOKAHEAD_COUNT)
             .map(|slot| in_flight_per_capacity(&upstreams[*slot]));
         let min_in_flight_per_capacity = compared.fold(f64::INFINITY, f64::min);
-        let mut position = 0;
-        while let Some(&slot) = self.lookahead.get(position) {
+        let mut lookahead_position = 0;
+        while let Some(&slot) = self.lookahead.get(lookahead_position) {
             if !accepts(&upstreams[slot]) {
-                position += 1;
+                lookahead_position += 1;
                 continue;
             }
-            self.lookahead.remove(position);
+            self.lookahead.remove(lookahead_position);
             if in_flight_per_capacity(&upstreams[slot])
                 <= min_in_flight_per_capacity * SKIP_MULTIPLE + SKIP_MARGIN_ATTEMPTS
             {
@@ -135,20 +136,20 @@
     /// [`LOOKAHEAD_COUNT`] turns. If the lookahead reaches its maximum length, its first turn is
     /// discarded.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
-        let max_len = LOOKAHEAD_COUNT + self.member_slots.len();
+        let max_lookahead_len = LOOKAHEAD_COUNT + self.member_slots.len();
         let mut accepted_count = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]))
             .count();
-        while accepted_count < LOOKAHEAD_COUNT && self.lookahead.len() < max_len {
+        while accepted_count < LOOKAHEAD_COUNT && self.lookahead.len() < max_lookahead_len {
             let Some(slot) = self.step(upstreams) else {
                 break;
             };
             self.lookahead.push_back(slot);
             accepted_count += usize::from(accepts(&upstreams[slot]));
         }
-        if self.lookahead.len() >= max_len {
+        if self.lookahead.len() >= max_lookahead_len {
             self.lookahead.pop_front();
         }
     }
@@ -164,12 +165,12 @@
             if weight <= 0.0 {
                 continue;
             }
-            let deficit = &mut upstream.deficit.counter;
+            let deficit_turns = &mut upstream.deficit.turns;
             if !upstream.weight.is_warming_up() {
-                *deficit = (*deficit + weight).min(MAX_DEFICIT);
+                *deficit_turns = (*deficit_turns + weight).min(MAX_DEFICIT);
             }
-            if *deficit >= 1.0 {
-                *deficit -= 1.0;
+            if *deficit_turns >= 1.0 {
+                *deficit_turns -= 1.0;
                 return Some(slot);
             }
         }
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -39,8 +39,8 @@
     slow_start_since_s: Option<f64>,
     /// Mean ratio of a latency to the mean latency of its class. The mean of the class is taken
     /// just before the latency is added to it.
-    latency_ratio: f64,
-    /// Number of latencies in `latency_ratio`; decays with time.
+    mean_latency_ratio: f64,
+    /// Number of latencies in `mean_latency_ratio`; decays with time.
     sample_count: f64,
 }
 
@@ -78,15 +78,16 @@
     }
 
     /// Adds a latency, as a multiple of the mean latency of its class.
-    pub(super) fn record_latency_ratio(&mut self, ratio: f64) {
-        let ratio = ratio.min(MAX_SAMPLE_RATIO);
+    pub(super) fn record_latency_ratio(&mut self, latency_ratio: f64) {
+        let latency_ratio = latency_ratio.min(MAX_SAMPLE_RATIO);
         self.sample_count += 1.0;
-        self.latency_ratio += (ratio - self.latency_ratio) / self.sample_count.max(1.0);
+        self.mean_latency_ratio +=
+            (latency_ratio - self.mean_latency_ratio) / self.sample_count.max(1.0);
     }
 
     /// Returns the latency ratio, weighted with a prior of one and limited to its bounds.
     fn weighted_latency_ratio(&self) -> f64 {
-        let ratio = (self.latency_ratio * self.sample_count + LATENCY_RATIO_PRIOR)
+        let ratio = (self.mean_latency_ratio * self.sample_count + LATENCY_RATIO_PRIOR)
             / (self.sample_count + LATENCY_RATIO_PRIOR);
         ratio.clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO)
     }
@@ -107,7 +108,7 @@
     zone: ZoneId,
     /// Factor that reduces the turns of upstreams of other zones while this zone has a healthy
     /// upstream.
-    other_zone_fraction: f64,
+    other_zone_factor: f64,
     /// Fraction of its full capacity that an upstream has when it starts.
     slow_start_initial_share: f64,
     slow_start_duration_s: f64,
@@ -120,7 +121,7 @@
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             zone: settings.zone,
-            other_zone_fraction: (1.0 - settings.prices.cross_zone / MAX_CROSS_ZONE_PRICE).max(0.0),
+            other_zone_factor: (1.0 - settings.prices.cross_zone / MAX_CROSS_ZONE_PRICE).max(0.0),
             slow_start_initial_share: settings.slow_start_initial_share.min(1.0),
             slow_start_duration_s: settings.slow_start_duration.as_secs_f64(),
             overload_multiple: settings.overload_multiple,
@@ -146,21 +147,21 @@
         let largest_size = members().map(|u| u.endpoint.size()).fold(1e-9, f64::max);
         let is_healthy_local = |u: &Upstream| self.is_same_zone(u) && !u.health.is_ejected(now_s);
         let has_healthy_local = members().any(|u| u.endpoint.is_ready() && is_healthy_local(u));
-        let decay = (-elapsed_s / LATENCY_RATIO_TIME_CONSTANT_S).exp();
+        let sample_decay_factor = (-elapsed_s / LATENCY_RATIO_TIME_CONSTANT_S).exp();
         for slot in rotation_slots {
             let upstream = &mut upstreams[*slot];
-            upstream.weight.sample_count *= decay;
-            let slow_start_fraction = self.advance_slow_start(&mut upstream.weight, now_s);
+            upstream.weight.sample_count *= sample_decay_factor;
+            let capacity_fraction = self.advance_slow_start(&mut upstream.weight, now_s);
             let relative_size = upstream.endpoint.size() / largest_size;
             let capacity =
-                relative_size * slow_start_fraction / upstream.weight.weighted_latency_ratio();
+                relative_size * capacity_fraction / upstream.weight.weighted_latency_ratio();
             upstream.weight.capacity = capacity.max(MIN_CAPACITY);
             let is_excluded = ejections_apply && upstream.health.is_ejected(now_s);
             let is_usable = upstream.endpoint.is_ready() && !is_excluded;
             let zone_factor = if self.is_same_zone(upstream) || !has_healthy_local {
                 1.0
             } else {
-                self.other_zone_fraction
+                self.other_zone_factor
             };
             let usable_factor = f64::from(u8::from(is_usable));
             upstream.weight.weight = upstream.weight.capacity * zone_factor * usable_factor;
@@ -173,17 +174,18 @@
 
     /// Returns the fraction of its full capacity that an upstream has at `now_s`, which is below
     /// one in slow start. Ends a slow start that is over.
-    fn advance_slow_start(&self, weight: &mut UpstreamWeight, now_s: f64) -> f64 {
-        let Some(since_s) = weight.slow_start_since_s else {
+    fn advance_slow_start(&self, upstream_weight: &mut UpstreamWeight, now_s: f64) -> f64 {
+        let Some(began_at_s) = upstream_weight.slow_start_since_s else {
             return 1.0;
         };
-        let progress = ((now_s - since_s) / self.slow_start_duration_s.max(1e-6)).clamp(0.0, 1.0);
-        let initial = self.slow_start_initial_share;
-        let fraction = initial + (1.0 - initial) * progress;
-        if fraction >= 1.0 {
-            weight.slow_start_since_s = None;
+        let progress_fraction =
+            ((now_s - began_at_s) / self.slow_start_duration_s.max(1e-6)).clamp(0.0, 1.0);
+        let initial_share = self.slow_start_initial_share;
+        let capacity_fraction = initial_share + (1.0 - initial_share) * progress_fraction;
+        if capacity_fraction >= 1.0 {
+            upstream_weight.slow_start_since_s = None;
         }
-        fraction
+        capacity_fraction
     }
 
     /// Returns the rate of requests to upstreams in slow start, based on the service rate per unit
@@ -194,15 +196,15 @@
         rotation_slots: &[usize],
         service_rate_per_weight: f64,
     ) -> SlowStartRate {
-        let (mut steady_weight, mut steady_count) = (0.0, 0.0);
-        for weight in rotation_slots.iter().map(|slot| &upstreams[*slot].weight) {
-            if weight.weight > 0.0 && !weight.is_warming_up() {
-                steady_count += 1.0;
-                steady_weight += weight.weight;
+        let (mut steady_weight_sum, mut steady_upstream_count) = (0.0, 0.0);
+        for upstream_weight in rotation_slots.iter().map(|slot| &upstreams[*slot].weight) {
+            if upstream_weight.weight > 0.0 && !upstream_weight.is_warming_up() {
+                steady_upstream_count += 1.0;
+                steady_weight_sum += upstream_weight.weight;
             }
         }
-        let steady_rate_per_s = if steady_count > 0.0 {
-            service_rate_per_weight * steady_weight / steady_count
+        let steady_rate_per_s = if steady_upstream_count > 0.0 {
+            service_rate_per_weight * steady_weight_sum / steady_upstream_count
         } else {
             service_rate_per_weight
         };
