--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -193,7 +193,7 @@
         objective_extension_per_cpu_time: document.objective_extension_per_cpu_time,
         deadline: duration_from_ms(document.deadline_ms),
         priority_weight: document.priority_weight,
-        late_weight_share: document.late_weight_share,
+        late_weight_fraction: document.late_weight_fraction,
         effect: effect(position, document)?,
         streamed: document.streamed,
     })
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -79,7 +79,7 @@
     pub(crate) priority_weight: f64,
     /// The fraction of the priority weight that a response after the latency objective still has; 0 or more.
     #[serde(rename = "late_worth")]
-    pub(crate) late_weight_share: f64,
+    pub(crate) late_weight_fraction: f64,
     /// The effect that a second execution of a request may have: `idempotent`, `deduplicated` or `at_most_once`.
     pub(crate) effect: String,
     /// The upstreams that share a record of the idempotency keys that they have received: `all`, or those of one `zone`
@@ -102,7 +102,7 @@
             objective_extension_per_cpu_time: 0.0,
             deadline_ms: 3000.0,
             priority_weight: 1.0,
-            late_weight_share: 0.0,
+            late_weight_fraction: 0.0,
             effect: AT_MOST_ONCE.to_owned(),
             dedup_group: None,
             dedup_ttl_ms: 0.0,
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -39,7 +39,7 @@
             objective_extension_per_cpu_time: 0.25,
             deadline: micros(2_750_000),
             priority_weight: 2.5,
-            late_weight_share: 0.125,
+            late_weight_fraction: 0.125,
             effect: Effect::Idempotent,
             streamed: true,
         },
@@ -48,7 +48,7 @@
             objective_extension_per_cpu_time: 1.5,
             deadline: micros(6_000_000),
             priority_weight: 10.0,
-            late_weight_share: 0.5,
+            late_weight_fraction: 0.5,
             effect: Effect::Deduplicated {
                 group: DedupGroup::Zone,
                 ttl: micros(12_000_750),
@@ -185,7 +185,7 @@
         objective_extension_per_cpu_time: 0.0,
         deadline: micros(3_000_000),
         priority_weight: 1.0,
-        late_weight_share: 0.0,
+        late_weight_fraction: 0.0,
         effect: Effect::AtMostOnce,
         streamed: false,
     };
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -205,5 +205,7 @@
 
 /// Returns whether a response after the latency objective of the class can still be of use.
 fn is_useful_when_late(class: &Class) -> bool {
-    class.late_weight_share > 0.0 || class.objective_extension_per_cpu_time > 0.0 || class.streamed
+    class.late_weight_fraction > 0.0
+        || class.objective_extension_per_cpu_time > 0.0
+        || class.streamed
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -46,7 +46,7 @@
     /// Value of a response within the objective, compared with other classes; 0 or more.
     pub priority_weight: f64,
     /// Fraction of the priority weight that a response after the objective still has; 0 or more.
-    pub late_weight_share: f64,
+    pub late_weight_fraction: f64,
     /// The effect that a second execution of a request may have.
     pub effect: Effect,
     /// Whether the response is a stream, whose start the embedder reports by
@@ -69,7 +69,7 @@
             objective_extension_per_cpu_time: 0.0,
             deadline: Duration::from_secs(3),
             priority_weight: 1.0,
-            late_weight_share: 0.0,
+            late_weight_fraction: 0.0,
             effect: Effect::AtMostOnce,
             streamed: false,
         }
@@ -320,7 +320,7 @@
             return Err(SettingsError::OutOfRange("class aim"));
         }
         check_not_negative(self.priority_weight, "class worth")?;
-        check_not_negative(self.late_weight_share, "class late_worth")?;
+        check_not_negative(self.late_weight_fraction, "class late_worth")?;
         check_not_negative(self.objective_extension_per_cpu_time, "class aim_stretch")
     }
 }
--- a/tests/action_digest/sites.rs
+++ b/tests/action_digest/sites.rs
@@ -65,7 +65,7 @@
             class(250, 1500, deduplicated(DedupGroup::Zone, 360)),
             Class {
                 priority_weight: 0.3,
-                late_weight_share: 0.5,
+                late_weight_fraction: 0.5,
                 ..class(150, 1500, deduplicated(DedupGroup::All, 600))
             },
             streamed,
@@ -138,7 +138,7 @@
         index: 1,
         classes: vec![
             Class {
-                late_weight_share: 0.2,
+                late_weight_fraction: 0.2,
                 ..class(100, 500, Effect::Idempotent)
             },
             Class {
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -86,9 +86,9 @@
 /// it. If a late response still has weight, the attempt runs until the client's deadline.
 #[test]
 fn attempt_times_out_before_the_objective_if_a_late_response_has_no_weight() {
-    for (late_weight_share, expected) in [(0.0, Some(ms(392))), (0.5, None)] {
+    for (late_weight_fraction, expected) in [(0.0, Some(ms(392))), (0.5, None)] {
         let mut settings = single_class_settings(Effect::AtMostOnce);
-        settings.classes[0].late_weight_share = late_weight_share;
+        settings.classes[0].late_weight_fraction = late_weight_fraction;
         let mut harness = Harness::new(settings, &endpoints(2));
         harness.request();
         let Some(Action::Attempt { timeout, .. }) = harness.actions.last() else {
@@ -96,7 +96,7 @@
         };
         assert_eq!(
             *timeout, expected,
-            "timeout with a late weight share of {late_weight_share}"
+            "timeout with a late weight fraction of {late_weight_fraction}"
         );
     }
 }
