--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -60,11 +60,11 @@
         prices: prices(&document.prices),
         ..Settings::default()
     };
-    let over_quota_weight_share = document.over_quota_weight_share;
+    let over_quota_weight_fraction = document.over_quota_weight_fraction;
     set_value(&mut settings.balancers, document.balancers);
     set_value(
-        &mut settings.over_quota_weight_share,
-        over_quota_weight_share,
+        &mut settings.over_quota_weight_fraction,
+        over_quota_weight_fraction,
     );
     set_value(
         &mut settings.retries_marked,
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -38,7 +38,7 @@
     pub(crate) limits: LimitsDocument,
     /// The fraction of its class's priority weight that a request over its tenant's quota has; 0 or more.
     #[serde(rename = "over_share_worth")]
-    pub(crate) over_quota_weight_share: Option<f64>,
+    pub(crate) over_quota_weight_fraction: Option<f64>,
     /// The costs of operations.
     pub(crate) prices: PricesDocument,
     /// The names of the hardware kinds of upstreams. The id of a hardware kind is the position of its name.
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -65,7 +65,7 @@
         zone: ZoneId(2),
         classes: expected_classes(),
         tenants: vec![Tenant { quota_per_s: 31.0 }, Tenant { quota_per_s: 17.5 }],
-        over_quota_weight_share: 0.35,
+        over_quota_weight_fraction: 0.35,
         scales_priority_weight_by_work: true,
         polls_endpoints: true,
         has_local_agent: false,
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -22,12 +22,12 @@
 /// Fraction of the upstreams' cores that may be in use if a request over its tenant's quota has no
 /// priority weight. It applies if load reports contain the utilization.
 const BASE_UTILIZATION_BOUND: f64 = 0.62;
-/// Increase of the fraction of the cores that may be in use, per unit of `over_quota_weight_share`.
-/// This setting is the fraction of its class's priority weight that a request over its tenant's
-/// quota has: requests of little weight justify little risk.
+/// Increase of the fraction of the cores that may be in use, per unit of
+/// `over_quota_weight_fraction`. This setting is the fraction of its class's priority weight that a
+/// request over its tenant's quota has: requests of little weight justify little risk.
 const UTILIZATION_PER_WEIGHT_SHARE: f64 = 0.4;
-/// Largest `over_quota_weight_share` that counts: above it, the fraction of the cores that may be
-/// in use does not increase further.
+/// Largest `over_quota_weight_fraction` that counts: above it, the fraction of the cores that may
+/// be in use does not increase further.
 const MAX_OVER_QUOTA_WEIGHT_SHARE: f64 = 0.5;
 /// Largest relative growth per second of the service rate. It applies while pacing rejects every
 /// request and the utilization is at most half of its bound; fewer rejections or a higher
@@ -45,10 +45,10 @@
 
 /// Returns the fraction of the upstreams' cores that may be in use.
 fn utilization_bound(settings: &Settings) -> f64 {
-    let over_quota_weight_share = settings
-        .over_quota_weight_share
+    let over_quota_weight_fraction = settings
+        .over_quota_weight_fraction
         .min(MAX_OVER_QUOTA_WEIGHT_SHARE);
-    BASE_UTILIZATION_BOUND + UTILIZATION_PER_WEIGHT_SHARE * over_quota_weight_share
+    BASE_UTILIZATION_BOUND + UTILIZATION_PER_WEIGHT_SHARE * over_quota_weight_fraction
 }
 
 /// Inputs of [`Capacity::update`].
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -159,7 +159,7 @@
     pub tenants: Vec<Tenant>,
     /// Fraction of its class's priority weight that a request over its tenant's quota has; 0 or
     /// more.
-    pub over_quota_weight_share: f64,
+    pub over_quota_weight_fraction: f64,
     /// Whether the priority weight of a request is in proportion to its work.
     pub scales_priority_weight_by_work: bool,
     /// Whether the balancer polls discovery for the endpoint list, by
@@ -226,7 +226,7 @@
             zone: ZoneId(0),
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_quota_weight_share: 0.1,
+            over_quota_weight_fraction: 0.1,
             scales_priority_weight_by_work: false,
             polls_endpoints: false,
             has_local_agent: false,
@@ -301,7 +301,7 @@
     }
 
     fn check_numbers(&self) -> Result<(), SettingsError> {
-        check_not_negative(self.over_quota_weight_share, "over_share_worth")?;
+        check_not_negative(self.over_quota_weight_fraction, "over_share_worth")?;
         check_not_negative(self.slow_start_initial_share, "cold_from")?;
         check_not_negative(self.overload_multiple, "fall_multiple")?;
         check_not_negative(self.prices.cross_zone, "prices.cross_zone")?;
--- a/tests/action_digest/sites.rs
+++ b/tests/action_digest/sites.rs
@@ -148,7 +148,7 @@
             streamed,
         ],
         tenants: tenants(&[120.0, 60.0]),
-        over_quota_weight_share: 0.4,
+        over_quota_weight_fraction: 0.4,
         max_attempts: 4,
         slow_start_initial_share: 0.1,
         slow_start_duration: Duration::from_secs(4),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -46,7 +46,7 @@
         ),
         (
             Settings {
-                over_quota_weight_share: -1.0,
+                over_quota_weight_fraction: -1.0,
                 ..valid()
             },
             "over_share_worth",
