--- a/lab/src/balancers/balancer_config.rs
+++ b/lab/src/balancers/balancer_config.rs
@@ -76,7 +76,7 @@
         "failure_domains": ["a"], "skus": ["m"], "weight_kind": "nominal",
         "telemetry": {"how": "inline", "fields": ["util", "inflight"]},
         "guarantees": {
-            "ask_every_ms": 6000.0, "cold_from": upstream.slow_start_initial_share,
+            "ask_every_ms": 6000.0, "cold_from": upstream.slow_start_initial_fraction,
             "cold_ms": upstream.slow_start_s * 1e3, "fall_multiple": upstream.overload_multiple,
             "overload_for_ms": upstream.overload_window_s * 1e3,
         },
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -169,10 +169,10 @@
     pub speed: f64,
     /// The largest number of queued requests per core; further requests are rejected.
     pub queue_per_core: u32,
-    /// The share of its full capacity that an upstream has at the beginning of slow start, 0.01 to
-    /// 1.
+    /// The fraction of its full capacity that an upstream has at the beginning of slow start, 0.01
+    /// to 1.
     #[serde(rename = "cold_from")]
-    pub slow_start_initial_share: f64,
+    pub slow_start_initial_fraction: f64,
     /// The length of slow start, in seconds, over which the capacity rises linearly.
     #[serde(rename = "cold_s")]
     pub slow_start_s: f64,
@@ -226,7 +226,7 @@
             cores: 2,
             speed: 1.8,
             queue_per_core: 300,
-            slow_start_initial_share: 0.25,
+            slow_start_initial_fraction: 0.25,
             slow_start_s: 12.0,
             overload_multiple: 3.0,
             overload_window_s: 2.0,
--- a/lab/src/experiment/parsing.rs
+++ b/lab/src/experiment/parsing.rs
@@ -242,7 +242,7 @@
     let (check, upstream) = (RangeCheck::at(&upstream.span()), upstream.get_ref());
     check.within("cores", f64::from(upstream.cores), 1.0, 64.0)?;
     check.within("speed", upstream.speed, 0.01, 100.0)?;
-    check.within("cold_from", upstream.slow_start_initial_share, 0.01, 1.0)?;
+    check.within("cold_from", upstream.slow_start_initial_fraction, 0.01, 1.0)?;
     check.within("cold_s", upstream.slow_start_s, 0.0, 600.0)?;
     check.within("report_ms", upstream.report_interval_ms, 10.0, 60_000.0)
 }
--- a/lab/src/standins/upstream_model.rs
+++ b/lab/src/standins/upstream_model.rs
@@ -130,7 +130,7 @@
         let Some(started_at) = self.started_at else {
             return 1.0;
         };
-        let initial = self.settings.slow_start_initial_share;
+        let initial = self.settings.slow_start_initial_fraction;
         let progress = ((now - started_at) / self.settings.slow_start_s.max(1e-9)).clamp(0.0, 1.0);
         initial + (1.0 - initial) * progress
     }
--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -76,10 +76,10 @@
 }
 
 fn set_guarantees(settings: &mut Settings, guarantees: &GuaranteesDocument) {
-    let initial_share = guarantees.slow_start_initial_share;
+    let initial_fraction = guarantees.slow_start_initial_fraction;
     set_duration(&mut settings.poll_interval, guarantees.poll_interval_ms);
     set_duration(&mut settings.drain_grace, guarantees.drain_grace_ms);
-    set_value(&mut settings.slow_start_initial_share, initial_share);
+    set_value(&mut settings.slow_start_initial_fraction, initial_fraction);
     set_duration(
         &mut settings.slow_start_duration,
         guarantees.slow_start_duration_ms,
--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -163,7 +163,7 @@
     pub(crate) poll_interval_ms: Option<f64>,
     /// The fraction of its full capacity that an upstream has at least when it starts; 0 or more.
     #[serde(rename = "cold_from")]
-    pub(crate) slow_start_initial_share: Option<f64>,
+    pub(crate) slow_start_initial_fraction: Option<f64>,
     /// The time in milliseconds from the start of an upstream until it has its full capacity.
     #[serde(rename = "cold_ms")]
     pub(crate) slow_start_duration_ms: Option<f64>,
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -71,7 +71,7 @@
         has_local_agent: false,
         poll_interval: micros(7_500_000),
         drain_grace: micros(1_250_000),
-        slow_start_initial_share: 0.12,
+        slow_start_initial_fraction: 0.12,
         slow_start_duration: micros(23_000_000),
         overload_multiple: 2.25,
         overload_window: micros(3_500_000),
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -110,7 +110,7 @@
     /// upstream.
     other_zone_factor: f64,
     /// Fraction of its full capacity that an upstream has when it starts.
-    slow_start_initial_share: f64,
+    slow_start_initial_fraction: f64,
     slow_start_duration_s: f64,
     /// Load above which an upstream in slow start is overloaded, as a multiple of its present
     /// capacity.
@@ -122,7 +122,7 @@
         Self {
             zone: settings.zone,
             other_zone_factor: (1.0 - settings.prices.cross_zone / MAX_CROSS_ZONE_PRICE).max(0.0),
-            slow_start_initial_share: settings.slow_start_initial_share.min(1.0),
+            slow_start_initial_fraction: settings.slow_start_initial_fraction.min(1.0),
             slow_start_duration_s: settings.slow_start_duration.as_secs_f64(),
             overload_multiple: settings.overload_multiple,
         }
@@ -180,8 +180,8 @@
         };
         let progress_fraction =
             ((now_s - began_at_s) / self.slow_start_duration_s.max(1e-6)).clamp(0.0, 1.0);
-        let initial_share = self.slow_start_initial_share;
-        let capacity_fraction = initial_share + (1.0 - initial_share) * progress_fraction;
+        let initial_fraction = self.slow_start_initial_fraction;
+        let capacity_fraction = initial_fraction + (1.0 - initial_fraction) * progress_fraction;
         if capacity_fraction >= 1.0 {
             upstream_weight.slow_start_since_s = None;
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -174,7 +174,7 @@
     /// notification of the balancer.
     pub drain_grace: Duration,
     /// Fraction of its full capacity that an upstream has at least when it starts; 0 or more.
-    pub slow_start_initial_share: f64,
+    pub slow_start_initial_fraction: f64,
     /// Time after its start until an upstream has its full capacity.
     pub slow_start_duration: Duration,
     /// Multiple of its present capacity above which the load of `overload_window` overloads an
@@ -232,7 +232,7 @@
             has_local_agent: false,
             poll_interval: Duration::from_secs(10),
             drain_grace: Duration::from_secs(1),
-            slow_start_initial_share: 0.3,
+            slow_start_initial_fraction: 0.3,
             slow_start_duration: Duration::from_secs(10),
             overload_multiple: 3.0,
             overload_window: Duration::from_secs(2),
@@ -302,7 +302,7 @@
 
     fn check_numbers(&self) -> Result<(), SettingsError> {
         check_not_negative(self.over_quota_weight_fraction, "over_share_worth")?;
-        check_not_negative(self.slow_start_initial_share, "cold_from")?;
+        check_not_negative(self.slow_start_initial_fraction, "cold_from")?;
         check_not_negative(self.overload_multiple, "fall_multiple")?;
         check_not_negative(self.prices.cross_zone, "prices.cross_zone")?;
         check_not_negative(self.prices.hundred_connections, "prices.connection")?;
--- a/tests/action_digest/sites.rs
+++ b/tests/action_digest/sites.rs
@@ -150,7 +150,7 @@
         tenants: tenants(&[120.0, 60.0]),
         over_quota_weight_fraction: 0.4,
         max_attempts: 4,
-        slow_start_initial_share: 0.1,
+        slow_start_initial_fraction: 0.1,
         slow_start_duration: Duration::from_secs(4),
         overload_multiple: 2.0,
         load_reports: LoadReports::Inline,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -32,7 +32,7 @@
         ),
         (
             Settings {
-                slow_start_initial_share: f64::NAN,
+                slow_start_initial_fraction: f64::NAN,
                 ..valid()
             },
             "cold_from",
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -45,7 +45,7 @@
             tenants: vec![Tenant {
                 quota_per_s: self.arrival_rate(),
             }],
-            slow_start_initial_share: 0.12,
+            slow_start_initial_fraction: 0.12,
             slow_start_duration: ms(23_000),
             overload_multiple: 3.0,
             overload_window: ms(2000),
@@ -83,7 +83,7 @@
         let settings = self.settings();
         let age = (sent_at - UPSTREAM_START).as_secs_f64();
         let progress = (age / settings.slow_start_duration.as_secs_f64()).min(1.0);
-        let initial_fraction = settings.slow_start_initial_share;
+        let initial_fraction = settings.slow_start_initial_fraction;
         let capacity_fraction = initial_fraction + (1.0 - initial_fraction) * progress;
         settings.overload_multiple
             * self.service_rate as f64
@@ -271,7 +271,7 @@
     let settings = Settings {
         balancers,
         polls_endpoints: false,
-        slow_start_initial_share: 0.1,
+        slow_start_initial_fraction: 0.1,
         slow_start_duration: ms(20_000),
         overload_multiple: 3.0,
         overload_window: OVERLOAD_WINDOW,
