--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -14,20 +14,24 @@
 /// Shortest window, in seconds, over which demand is averaged: a single tick sees too few requests.
 const MIN_DEMAND_WINDOW_S: f64 = 1.0;
 /// Smallest mean number of requests, of all tenants together, in the window over which demand is
-/// averaged. If demand is low, the window is extended until it contains this many requests.
+/// averaged. If demand is low, the window is extended until it contains this mean number.
 const MIN_DEMAND_WINDOW_REQUESTS: f64 = 10.0;
 /// Factor by which the median of the tenants' ratios of demand to base guarantee is multiplied. If
-/// the product is above one, all guarantees are multiplied by it.
+/// the product is above one, it is the factor by which all guarantees grow outside a shortage, up
+/// to [`MAX_GUARANTEE_GROWTH`].
 const GUARANTEE_MARGIN: f64 = 1.3;
 /// Largest guarantee as a multiple of the base guarantee.
 const MAX_GUARANTEE_GROWTH: f64 = 4.0;
-/// Fraction of a guarantee that is cut per unit of shortage, for a tenant whose demand is above its
-/// guarantee.
+/// Fraction of a guarantee that is cut per unit of [`Refill::shortage_fraction`], for a tenant
+/// whose demand is above its guarantee.
 const OVER_GUARANTEE_CUT: f64 = 20.0;
-/// Fraction of a guarantee that is cut per unit of shortage, for a tenant whose demand is within
-/// its guarantee. Only the shortage above [`WITHIN_GUARANTEE_CUT_MIN_SHORTAGE`] counts.
+/// Fraction of a guarantee that is cut per unit of [`Refill::shortage_fraction`], for a tenant
+/// whose demand is within its guarantee. Only the part of the shortage above
+/// [`WITHIN_GUARANTEE_CUT_MIN_SHORTAGE`] counts.
 const WITHIN_GUARANTEE_CUT: f64 = 2.0;
-/// Shortage up to which the guarantee of a tenant whose demand is within it is not cut.
+/// Number of attempts in flight beyond the capacity, as a fraction of all attempts of this balancer
+/// in flight, up to which the guarantee of a tenant is not cut if the tenant's demand is within the
+/// guarantee.
 const WITHIN_GUARANTEE_CUT_MIN_SHORTAGE: f64 = 0.25;
 /// Guarantee of a tenant without a stated quota, in requests a second.
 const DEFAULT_GUARANTEE_PER_S: f64 = 1.0;
@@ -106,8 +110,8 @@
 struct Refill {
     /// Spare capacity in requests (W in the paper).
     spare_capacity: f64,
-    /// Attempts in flight beyond the capacity, as a fraction of all attempts in flight; zero if
-    /// there is no shortage.
+    /// Number of this balancer's attempts in flight beyond the capacity, as a fraction of all its
+    /// attempts in flight; zero if there is no shortage.
     shortage_fraction: f64,
     total_demand_per_s: f64,
     /// Seconds since the last tick (tau in the paper).
@@ -157,10 +161,10 @@
         self.buckets.iter().map(|bucket| bucket.demand_per_s).sum()
     }
 
-    /// Refills the buckets, once per tick. In a shortage, a guarantee is cut first if the demand of
-    /// its tenant exceeds it. In a large shortage, such as after the loss of half the upstreams,
-    /// the guarantees of the other tenants are cut as well: otherwise the queues would be full and
-    /// all responses late.
+    /// Refills the buckets, once per tick. In a small shortage, only the guarantees of tenants
+    /// whose demand exceeds their guarantee are cut. In a large shortage, such as after the loss of
+    /// half the upstreams, the guarantees of the other tenants are cut as well: otherwise the
+    /// queues would be full and all responses late.
     pub(super) fn refill(&mut self, spare_capacity: f64, shortage_fraction: f64, elapsed_s: f64) {
         let total_demand_per_s = self.demand_per_s();
         let growth_factor = self.guarantee_growth_factor(shortage_fraction);
