--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -75,8 +75,9 @@
 
 /// The lease on the endpoint list, and the causes for which the list may be stale.
 pub(super) struct EndpointLease {
-    /// Seconds for which a balancer may continue to send to a draining upstream, counted from the
-    /// time at which the change counts as notified.
+    /// Seconds for which sends to an upstream may continue after its change to draining or removed
+    /// counts as notified. The comment at the head of this file says when a change counts as
+    /// notified.
     drain_grace_s: f64,
     /// Whether the list comes from a local agent. An agent responds immediately, and a change
     /// counts as notified only after the agent has responded. Of all causes, only a partial
