--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -25,10 +25,10 @@
 /// Increase of the fraction of the cores that may be in use, per unit of
 /// `over_quota_weight_fraction`. This setting is the fraction of its class's priority weight that a
 /// request over its tenant's quota has: requests of little weight justify little risk.
-const UTILIZATION_PER_WEIGHT_SHARE: f64 = 0.4;
+const UTILIZATION_PER_WEIGHT_FRACTION: f64 = 0.4;
 /// Largest `over_quota_weight_fraction` that counts: above it, the fraction of the cores that may
 /// be in use does not increase further.
-const MAX_OVER_QUOTA_WEIGHT_SHARE: f64 = 0.5;
+const MAX_OVER_QUOTA_WEIGHT_FRACTION: f64 = 0.5;
 /// Largest relative growth per second of the service rate. It applies while pacing rejects every
 /// request and the utilization is at most half of its bound; fewer rejections or a higher
 /// utilization reduce the growth. Growth is slow because load reports are about a second old and
@@ -47,8 +47,8 @@
 fn utilization_bound(settings: &Settings) -> f64 {
     let over_quota_weight_fraction = settings
         .over_quota_weight_fraction
-        .min(MAX_OVER_QUOTA_WEIGHT_SHARE);
-    BASE_UTILIZATION_BOUND + UTILIZATION_PER_WEIGHT_SHARE * over_quota_weight_fraction
+        .min(MAX_OVER_QUOTA_WEIGHT_FRACTION);
+    BASE_UTILIZATION_BOUND + UTILIZATION_PER_WEIGHT_FRACTION * over_quota_weight_fraction
 }
 
 /// Inputs of [`Capacity::update`].
@@ -177,8 +177,8 @@
     }
 
     /// Adapts the estimates after the rotation has grown to `growth_factor` times its size. The
-    /// total service rate for this balancer stays the same, as the new upstreams also serve other
-    /// balancers.
+    /// estimate of the total service rate for this balancer stays the same, as the added upstreams
+    /// also serve other balancers; later updates adapt the estimate to the rate of completions.
     pub(super) fn on_rotation_grown(&mut self, growth_factor: f64) {
         self.service_rate_per_weight /= growth_factor;
         self.smoothed_rotation_weight *= growth_factor;
