--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -18,7 +18,7 @@
 /// upstream; it is reached if only one balancer sends to the upstream.
 const MAX_UNSHARED_MULTIPLE: f64 = 1e3;
 /// Fraction of the burst that is reserved for first attempts of clients. The response to a client's
-/// retry may be too late to be of use; and each retry that is admitted in a shortage takes the
+/// retry may be too late to be of use, and each retry that is admitted in a shortage takes the
 /// place of a first attempt, which is then retried too.
 const RESERVED_FROM_RETRIES: f64 = 0.6;
 /// Fraction of the burst that a class with a relative value of zero may not use. The fraction falls
@@ -53,8 +53,8 @@
     /// upstream's weight.
     pub(super) service_rate_per_weight: f64,
     pub(super) slow_start: SlowStartRate,
-    /// Fraction of the upstreams' cores in use, as `capacity.rs` estimates it; zero if it is not
-    /// known; sends are then not paced.
+    /// Fraction of the upstreams' cores in use, as `capacity.rs` estimates it. Zero means that the
+    /// utilization is not known; sends are then not paced.
     pub(super) utilization: f64,
     /// Number of balancers that send to each upstream.
     pub(super) balancers_per_upstream: f64,
@@ -163,9 +163,11 @@
             // requests in flight than it has at full utilization, as the others wait in its queue.
             upstream_sends_per_s *= (self.utilization / upstream.load.utilization().max(0.1))
                 .clamp(MIN_UTILIZATION_FACTOR, MAX_UTILIZATION_FACTOR);
-            let full_in_flight = in_flight_at_full_utilization * upstream.endpoint.size();
-            upstream_sends_per_s /=
-                (upstream.load.reported_in_flight() / full_in_flight).clamp(1.0, MAX_QUEUE_FACTOR);
+            let upstream_in_flight_at_full_utilization =
+                in_flight_at_full_utilization * upstream.endpoint.size();
+            upstream_sends_per_s /= (upstream.load.reported_in_flight()
+                / upstream_in_flight_at_full_utilization)
+                .clamp(1.0, MAX_QUEUE_FACTOR);
         }
         upstream_sends_per_s
     }
