--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -347,7 +347,7 @@
         if is_ejected {
             upstream.deficit = Deficit::new(self.random.f64());
             upstream.membership.mark_new();
-            self.subset.request_review(self.now_s);
+            self.subset.schedule_choice(self.now_s);
         }
         is_ejected
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -274,7 +274,7 @@
         let has_upstreams_outside = self.rotation.member_slots().len() < self.upstreams.len();
         self.subset
             .update_size(has_upstreams_outside, elapsed_s, self.now_s);
-        if self.subset.is_review_due(self.now_s) {
+        if self.subset.is_choice_due(self.now_s) {
             self.choose_subset();
         }
         self.update_weights(elapsed_s);
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -35,7 +35,7 @@
 /// Denominator of the growth factor that [`GROWTH_NUMERATOR`] describes.
 const GROWTH_DENOMINATOR: usize = 2;
 /// Divisor for a smaller size. The size for the traffic replaces the present size if it is at most
-/// the present size divided by this, so that random variation does not change the subset.
+/// the present size divided by this number, so that random variation does not change the subset.
 const SHRINK_DENOMINATOR: usize = 3;
 
 /// The membership of one upstream in the subset.
@@ -43,7 +43,7 @@
 pub(super) struct SubsetMembership {
     is_member: bool,
     /// Whether the upstream was added after the first list, has restarted, or has been ejected. A
-    /// choice of the subset clears this if the upstream is ready and not ejected.
+    /// choice of the subset clears this flag if the upstream is ready and not ejected.
     is_new: bool,
 }
 
@@ -104,7 +104,7 @@
     balancers_per_upstream: f64,
     /// Time from which on a new choice of the subset is due; infinite if none is planned. The first
     /// tick from this time on makes the choice.
-    review_at_s: f64,
+    next_choice_at_s: f64,
 }
 
 impl Subset {
@@ -119,7 +119,7 @@
             first_attempt_count: 0.0,
             first_attempts_per_s: expected_requests_per_s,
             balancers_per_upstream: 0.0,
-            review_at_s: 0.0,
+            next_choice_at_s: 0.0,
         }
     }
 
@@ -134,12 +134,12 @@
     }
 
     /// Schedules a new choice of the subset at the next tick.
-    pub(super) fn request_review(&mut self, now_s: f64) {
-        self.review_at_s = now_s;
+    pub(super) fn schedule_choice(&mut self, now_s: f64) {
+        self.next_choice_at_s = now_s;
     }
 
-    pub(super) fn is_review_due(&self, now_s: f64) -> bool {
-        now_s >= self.review_at_s
+    pub(super) fn is_choice_due(&self, now_s: f64) -> bool {
+        now_s >= self.next_choice_at_s
     }
 
     /// Adapts the size to the traffic, once per tick. Traffic is uneven: a balancer with several
@@ -159,7 +159,7 @@
             && has_upstreams_outside;
         if grows || new_traffic_size * SHRINK_DENOMINATOR <= self.traffic_size {
             self.traffic_size = new_traffic_size;
-            self.review_at_s = now_s;
+            self.next_choice_at_s = now_s;
         }
     }
 
@@ -184,7 +184,7 @@
         let ejection_end_times_s = upstreams
             .iter()
             .map(|upstream| upstream.health.ejected_until_s());
-        self.review_at_s = ejection_end_times_s
+        self.next_choice_at_s = ejection_end_times_s
             .filter(|end_s| *end_s > now_s)
             .fold(f64::INFINITY, f64::min);
         let removed_ids = set_members(&ordered_slots, upstreams, &sizes, min_ejected_until_s);
