--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -174,9 +174,9 @@
     }
 
     /// Returns the upstream that gets a request of the class as a trial; `None` if no trial is due
-    /// or possible. Of the upstreams that are ejected for the class, it is the one with the oldest
-    /// last trial. Trials are made one at a time with a backoff, as each may cost a request that
-    /// can't be retried.
+    /// or possible. Of the upstreams that are ejected for the class, it is the one whose last
+    /// trial was longest ago. Trials are made one at a time with a backoff, as each may cost a
+    /// request that can't be retried.
     pub(super) fn due_trial(
         &mut self,
         upstreams: &mut Upstreams,
@@ -189,7 +189,7 @@
             return None;
         }
         let last_trial_at_s = |slot: &usize| upstreams[*slot].health.last_trial_at_s(class);
-        let oldest_trial_slot = rotation_slots
+        let least_recently_tried_slot = rotation_slots
             .iter()
             .copied()
             .filter(|slot| is_trial_candidate(&upstreams[*slot], class))
@@ -197,10 +197,10 @@
         trials.unsuccessful_trial_count += 1;
         let doublings = trials.unsuccessful_trial_count.min(MAX_TRIAL_DOUBLINGS);
         trials.next_trial_at_s = clock.jittered_time_s(BASE_EJECTION_S * f64::from(1 << doublings));
-        upstreams[oldest_trial_slot]
+        upstreams[least_recently_tried_slot]
             .health
             .record_trial(class, clock.now_s);
-        Some(oldest_trial_slot)
+        Some(least_recently_tried_slot)
     }
 }
 
