--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -79,11 +79,11 @@
         for slot in &self.member_slots {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let added_turns = elapsed_s
+                let added_deficit = elapsed_s
                     * slow_start_rate.steady_rate_per_s
                     * slow_start_rate.rate_multiple
                     * upstream.weight.weight();
-                let turns = upstream.deficit.turns + added_turns;
+                let turns = upstream.deficit.turns + added_deficit;
                 upstream.deficit.turns = turns.min(MAX_SLOW_START_DEFICIT);
             }
         }
@@ -165,12 +165,12 @@
             if weight <= 0.0 {
                 continue;
             }
-            let deficit_turns = &mut upstream.deficit.turns;
+            let deficit = &mut upstream.deficit.turns;
             if !upstream.weight.is_warming_up() {
-                *deficit_turns = (*deficit_turns + weight).min(MAX_DEFICIT);
+                *deficit = (*deficit + weight).min(MAX_DEFICIT);
             }
-            if *deficit_turns >= 1.0 {
-                *deficit_turns -= 1.0;
+            if *deficit >= 1.0 {
+                *deficit -= 1.0;
                 return Some(slot);
             }
         }
