--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -21,7 +21,7 @@
 const ABANDONED_LATENCY_MULTIPLE: f64 = 1.5;
 /// Quantile of a class's latencies after which an attempt is overdue.
 const OVERDUE_QUANTILE: f64 = 0.95;
-/// Relative step by which each latency changes the estimate of this quantile. The step is
+/// Relative step by which each latency changes the estimate of the quantile. The step is
 /// multiplied by [`OVERDUE_QUANTILE`] for a rise, and by one minus [`OVERDUE_QUANTILE`] for a fall.
 const QUANTILE_STEP: f64 = 0.05;
 /// Lower limit of the quantile in seconds: two ticks, as each tick looks for overdue attempts.
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Adds the latency of an attempt to the statistics of its class. Returns it as a multiple of
-    /// the previous mean latency of the class.
+    /// Adds the latency of an attempt to the statistics of its class. Returns the latency as a
+    /// multiple of the previous mean latency of the class.
     pub(super) fn record_latency(
         &mut self,
         class: usize,
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -13,9 +13,9 @@
 };
 use crate::random::Random;
 
-/// Divisor for the number of removed upstreams to retain. Those without attempts in flight are
-/// forgotten if their number exceeds the number of known upstreams divided by this, and whenever
-/// the list adds an upstream.
+/// Divisor for the number of removed upstreams to retain. Removed upstreams without attempts in
+/// flight are forgotten if their number exceeds the number of known upstreams divided by this
+/// number, and whenever the list adds an upstream.
 const MAX_REMOVED_DIVISOR: usize = 4;
 
 /// The entry of one upstream in the list.
--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -8,7 +8,8 @@
 /// suspicion, which is one, and the present suspicion. It applies to an error, a rejection, and an
 /// overdue attempt if the upstream has not responded to any request since the attempt was sent.
 const FAULT_SUSPICION: f64 = 0.4;
-/// Increase of the suspicion by one connection error, as a fraction of the same difference.
+/// Increase of the suspicion by one connection error, as a fraction of the difference between one
+/// and the present suspicion.
 const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
 /// Factor by which a successful response multiplies the suspicion.
 const SUCCESS_SUSPICION_FACTOR: f64 = 0.6;
