--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -38,7 +38,7 @@
     pub(crate) limits: LimitsDocument,
     /// The fraction of its class's priority weight that a request over its tenant's quota has; 0 or more.
     #[serde(rename = "over_share_worth")]
-    pub(crate) over_quota_weight_share: Option<f64>,
+    pub(crate) over_quota_weight_fraction: Option<f64>,
     /// The costs of operations.
     pub(crate) prices: PricesDocument,
     /// The names of the hardware kinds of upstreams. The id of a hardware kind is the position of its name.
@@ -79,7 +79,7 @@
     pub(crate) priority_weight: f64,
     /// The fraction of the priority weight that a response after the latency objective still has; 0 or more.
     #[serde(rename = "late_worth")]
-    pub(crate) late_weight_share: f64,
+    pub(crate) late_weight_fraction: f64,
     /// The effect that a second execution of a request may have: `idempotent`, `deduplicated` or `at_most_once`.
     pub(crate) effect: String,
     /// The upstreams that share a record of the idempotency keys that they have received: `all`, or those of one `zone`
@@ -102,7 +102,7 @@
             objective_extension_per_cpu_time: 0.0,
             deadline_ms: 3000.0,
             priority_weight: 1.0,
-            late_weight_share: 0.0,
+            late_weight_fraction: 0.0,
             effect: AT_MOST_ONCE.to_owned(),
             dedup_group: None,
             dedup_ttl_ms: 0.0,
@@ -163,7 +163,7 @@
     pub(crate) poll_interval_ms: Option<f64>,
     /// The fraction of its full capacity that an upstream has at least when it starts; 0 or more.
     #[serde(rename = "cold_from")]
-    pub(crate) slow_start_initial_share: Option<f64>,
+    pub(crate) slow_start_initial_fraction: Option<f64>,
     /// The time in milliseconds from the start of an upstream until it has its full capacity.
     #[serde(rename = "cold_ms")]
     pub(crate) slow_start_duration_ms: Option<f64>,
