--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -60,11 +60,11 @@
         prices: prices(&document.prices),
         ..Settings::default()
     };
-    let over_quota_weight_share = document.over_quota_weight_share;
+    let over_quota_weight_fraction = document.over_quota_weight_fraction;
     set_value(&mut settings.balancers, document.balancers);
     set_value(
-        &mut settings.over_quota_weight_share,
-        over_quota_weight_share,
+        &mut settings.over_quota_weight_fraction,
+        over_quota_weight_fraction,
     );
     set_value(
         &mut settings.retries_marked,
@@ -76,10 +76,10 @@
 }
 
 fn set_guarantees(settings: &mut Settings, guarantees: &GuaranteesDocument) {
-    let initial_share = guarantees.slow_start_initial_share;
+    let initial_fraction = guarantees.slow_start_initial_fraction;
     set_duration(&mut settings.poll_interval, guarantees.poll_interval_ms);
     set_duration(&mut settings.drain_grace, guarantees.drain_grace_ms);
-    set_value(&mut settings.slow_start_initial_share, initial_share);
+    set_value(&mut settings.slow_start_initial_fraction, initial_fraction);
     set_duration(
         &mut settings.slow_start_duration,
         guarantees.slow_start_duration_ms,
@@ -193,7 +193,7 @@
         objective_extension_per_cpu_time: document.objective_extension_per_cpu_time,
         deadline: duration_from_ms(document.deadline_ms),
         priority_weight: document.priority_weight,
-        late_weight_share: document.late_weight_share,
+        late_weight_fraction: document.late_weight_fraction,
         effect: effect(position, document)?,
         streamed: document.streamed,
     })
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -46,7 +46,7 @@
     /// Value of a response within the objective, compared with other classes; 0 or more.
     pub priority_weight: f64,
     /// Fraction of the priority weight that a response after the objective still has; 0 or more.
-    pub late_weight_share: f64,
+    pub late_weight_fraction: f64,
     /// The effect that a second execution of a request may have.
     pub effect: Effect,
     /// Whether the response is a stream, whose start the embedder reports by
@@ -69,7 +69,7 @@
             objective_extension_per_cpu_time: 0.0,
             deadline: Duration::from_secs(3),
             priority_weight: 1.0,
-            late_weight_share: 0.0,
+            late_weight_fraction: 0.0,
             effect: Effect::AtMostOnce,
             streamed: false,
         }
@@ -159,7 +159,7 @@
     pub tenants: Vec<Tenant>,
     /// Fraction of its class's priority weight that a request over its tenant's quota has; 0 or
     /// more.
-    pub over_quota_weight_share: f64,
+    pub over_quota_weight_fraction: f64,
     /// Whether the priority weight of a request is in proportion to its work.
     pub scales_priority_weight_by_work: bool,
     /// Whether the balancer polls discovery for the endpoint list, by
@@ -174,7 +174,7 @@
     /// notification of the balancer.
     pub drain_grace: Duration,
     /// Fraction of its full capacity that an upstream has at least when it starts; 0 or more.
-    pub slow_start_initial_share: f64,
+    pub slow_start_initial_fraction: f64,
     /// Time after its start until an upstream has its full capacity.
     pub slow_start_duration: Duration,
     /// Multiple of its present capacity above which the load of `overload_window` overloads an
@@ -226,13 +226,13 @@
             zone: ZoneId(0),
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_quota_weight_share: 0.1,
+            over_quota_weight_fraction: 0.1,
             scales_priority_weight_by_work: false,
             polls_endpoints: false,
             has_local_agent: false,
             poll_interval: Duration::from_secs(10),
             drain_grace: Duration::from_secs(1),
-            slow_start_initial_share: 0.3,
+            slow_start_initial_fraction: 0.3,
             slow_start_duration: Duration::from_secs(10),
             overload_multiple: 3.0,
             overload_window: Duration::from_secs(2),
@@ -301,8 +301,8 @@
     }
 
     fn check_numbers(&self) -> Result<(), SettingsError> {
-        check_not_negative(self.over_quota_weight_share, "over_share_worth")?;
-        check_not_negative(self.slow_start_initial_share, "cold_from")?;
+        check_not_negative(self.over_quota_weight_fraction, "over_share_worth")?;
+        check_not_negative(self.slow_start_initial_fraction, "cold_from")?;
         check_not_negative(self.overload_multiple, "fall_multiple")?;
         check_not_negative(self.prices.cross_zone, "prices.cross_zone")?;
         check_not_negative(self.prices.hundred_connections, "prices.connection")?;
@@ -320,7 +320,7 @@
             return Err(SettingsError::OutOfRange("class aim"));
         }
         check_not_negative(self.priority_weight, "class worth")?;
-        check_not_negative(self.late_weight_share, "class late_worth")?;
+        check_not_negative(self.late_weight_fraction, "class late_worth")?;
         check_not_negative(self.objective_extension_per_cpu_time, "class aim_stretch")
     }
 }
