--- a/balancer/tests/common/config.rs
+++ b/balancer/tests/common/config.rs
@@ -15,10 +15,11 @@
     /// The number of balancers in the fleet.
     pub balancers: usize,
     /// The deadline and the latency objective of every class, in milliseconds.
-    pub deadline_ms: u64,
-    /// Whether the balancer polls discovery for its endpoints. If not, the discovery mode is
-    /// `automatic`: endpoints are pushed to a local agent, which the balancer watches.
-    pub polls_endpoints: bool,
+    pub deadline_and_objective_ms: u64,
+    /// Whether the balancer watches its endpoint list at discovery itself. If not, the discovery
+    /// mode is `automatic`: discovery pushes the list to a local agent, and the balancer watches
+    /// the list there.
+    pub watches_discovery_directly: bool,
     /// Whether the balancer may cancel attempts that are in flight.
     pub cancellation: bool,
     /// The duration of an upstream's slow start, in milliseconds.
@@ -40,8 +41,8 @@
             cached_list: endpoint_list_json(1, true, &entries.collect::<Vec<_>>()),
             max_sockets: 256,
             balancers: 1,
-            deadline_ms: 8000,
-            polls_endpoints: false,
+            deadline_and_objective_ms: 8000,
+            watches_discovery_directly: false,
             cancellation: true,
             slow_start_ms: 10_000,
             syscall_faults: Vec::new(),
@@ -59,7 +60,7 @@
             slow_start_ms,
             ..
         } = self;
-        let discovery_mode = if self.polls_endpoints {
+        let discovery_mode = if self.watches_discovery_directly {
             "subscribe"
         } else {
             "automatic"
@@ -82,9 +83,9 @@
     }
 
     fn class_json(&self, name: &str, effect: &str) -> String {
-        let deadline_ms = self.deadline_ms;
+        let deadline_and_objective_ms = self.deadline_and_objective_ms;
         format!(
-            r#"{{"name":"{name}","aim_ms":{deadline_ms},"hard_limit_ms":{deadline_ms},"late_worth":0.5,"effect":"{effect}","dedup_scope":"all","key_ttl_ms":5000}}"#
+            r#"{{"name":"{name}","aim_ms":{deadline_and_objective_ms},"hard_limit_ms":{deadline_and_objective_ms},"late_worth":0.5,"effect":"{effect}","dedup_scope":"all","key_ttl_ms":5000}}"#
         )
     }
 }
--- a/balancer/tests/process_lifecycle.rs
+++ b/balancer/tests/process_lifecycle.rs
@@ -14,7 +14,7 @@
 fn shutdown_answers_all_accepted_requests() {
     let upstream = Upstream::start(Behavior::NeverRespond);
     let mut config = TestConfig::with_upstreams(&[upstream.address]);
-    config.deadline_ms = 60_000;
+    config.deadline_and_objective_ms = 60_000;
     let mut process = config.start();
     let (mut waiting, mut idle) = (process.connect(), process.connect());
     assert_eq!(idle.exchange(READINESS_REQUEST).status(), 200);
@@ -48,7 +48,7 @@
     let (discovery, moved_discovery) = (Discovery::start(), Discovery::start());
     let mut config = TestConfig::with_upstreams(&[]);
     config.discovery = discovery.address;
-    config.polls_endpoints = true;
+    config.watches_discovery_directly = true;
     let mut process = config.start();
     let mut client = process.connect();
     let request = at_most_once_request(5000, "x");
--- a/frostkeel/src/commands/lab/compare.rs
+++ b/frostkeel/src/commands/lab/compare.rs
@@ -13,7 +13,7 @@
 /// Arguments of `frostkeel lab compare`.
 #[derive(Args)]
 pub struct CompareArgs {
-    /// Path of the experiment file of the side `before`, in TOML.
+    /// Path of the experiment file of the side `before`, in TOML, with the keys that `lab run` needs.
     file: PathBuf,
     /// Path of the experiment file of the side `after` [default: the same file].
     #[arg(value_name = "OTHER_FILE")]
@@ -98,8 +98,8 @@
         stop: &watch::Receiver<bool>,
     ) -> Result<RunOutcome, CommandError> {
         let options = RunOptions {
-            balancer: self.program.clone(),
-            guard: Some(std::env::current_exe()?),
+            balancer_program: self.program.clone(),
+            guard_and_registry_program: Some(std::env::current_exe()?),
             seed,
             dir: folder.to_owned(),
             stop: stop.clone(),
--- a/frostkeel/src/commands/lab/simulate.rs
+++ b/frostkeel/src/commands/lab/simulate.rs
@@ -17,10 +17,10 @@
 /// Arguments of `frostkeel lab simulate`.
 #[derive(Args)]
 pub struct SimulateArgs {
-    /// Path of the experiment file, in TOML.
+    /// Path of the experiment file, in TOML. It needs `name`, `seconds`, `fleet.balancers` and `fleet.upstreams`.
     file: PathBuf,
     /// Numbers of balancers to simulate, separated by commas, e.g. 10,100 [default: the experiment's number].
-    #[arg(long = "members", value_name = "COUNT", value_delimiter = ',')]
+    #[arg(long = "members", value_name = "COUNT,...", value_delimiter = ',')]
     member_counts: Vec<u32>,
     /// Seed of the first simulation of each size, an integer [default: the seed of the experiment].
     #[arg(long)]
@@ -125,7 +125,7 @@
         .map(|seconds| format!("{seconds:.1}"));
     println!(
         "{:>7} {:>5} {:>9.0} {:>6.2} {:>7.1} {:>5} {:>6.2} {:>6.2} {:>6.2} {:>6} {:>6} {:>8} {:>8}",
-        outcome.members,
+        outcome.member_count,
         outcome.seed,
         outcome.seconds,
         outcome.datagrams_per_s,
@@ -134,8 +134,8 @@
         figures.detection_p50_s,
         figures.detection_p99_s,
         figures.detection_max_s,
-        figures.false_failure_count,
-        figures.paused_failure_count,
+        figures.running_declared_down_count,
+        figures.paused_declared_down_count,
         converged_since.as_deref().unwrap_or("never"),
         figures.divergent_view_count
     );
@@ -143,7 +143,7 @@
 
 fn print_deviations(experiment: &Experiment, simulated: &Simulated) {
     let Simulated { outcome, missed } = simulated;
-    let violations = if experiment.expect.no_false_failures {
+    let violations = if experiment.expect.no_running_declared_down {
         &outcome.violations[..]
     } else {
         &[]
--- a/lab/src/balancers/balancer_process.rs
+++ b/lab/src/balancers/balancer_process.rs
@@ -1,4 +1,4 @@
-//! The balancers as children: started, signalled, and observed until they exit.
+//! Starts the balancers as child processes, sends them signals, and observes them until they exit.
 
 use super::balancer_config::{ConfigInputs, balancer_config};
 use super::member_log::{MemberLogLine, parse_member_log};
@@ -23,50 +23,52 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long one may take until it serves.
+/// The time within which a balancer must log its listen address after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// New connections may still arrive for this long after SIGTERM.
-const CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
-/// SIGKILL follows SIGTERM after this: the longest deadline, counted as 3 s, and 0.7 s, with some
-/// slack.
+/// The time after SIGTERM during which clients continue to open connections to a balancer. Its
+/// address is then removed from the addresses that clients use.
+const NEW_CONNECTION_PERIOD_AFTER_TERM: Duration = Duration::from_millis(300);
+/// The time from SIGTERM to SIGKILL, for a balancer that has not exited. A balancer exits within
+/// the longest deadline (3 s at most) plus 0.7 s; the remaining time is slack.
 const KILL_AFTER_TERM: Duration = Duration::from_secs(5);
-/// How long one may take to exit after SIGKILL.
+/// The time within which a balancer must exit after SIGKILL.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often the use of memory and processor is sampled.
+/// The interval at which memory and processor usage are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The share of a core that balancers used while they ran last.
+/// The usage of processor cores by the balancers. The share of a core that a balancer used is
+/// measured since the last start of that balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct CoreUsage {
-    /// The mean over the balancers.
+    /// The mean share over the balancers; 1 is one core in full use.
     pub mean: f64,
-    /// Of the one that used most.
+    /// The largest share among the balancers.
     pub max: f64,
 }
 
-/// The form in `result.json`.
+/// Converts the usage to the pair that `result.json` contains.
 impl From<CoreUsage> for (f64, f64) {
     fn from(usage: CoreUsage) -> Self {
         (usage.mean, usage.max)
     }
 }
 
-/// What a run consists of besides the balancers.
+/// The parts of a run that the balancers depend on.
 pub struct RunContext {
-    /// What is run.
+    /// The experiment that is run.
     pub experiment: Arc<Experiment>,
-    /// The seed.
+    /// The seed of the run, from which each start of a balancer gets its own seed.
     pub seed: u64,
-    /// The record of the run.
+    /// The history in which states and view changes of the balancers are recorded.
     pub history: Arc<History>,
-    /// Where clients find the balancers.
+    /// The addresses of the balancers, as known to the clients.
     pub pool: Arc<BalancerPool>,
-    /// The balancers' links with each other, where they have membership.
+    /// The links between balancers; `None` without membership.
     pub peer_links: Option<Arc<PeerLinks>>,
-    /// The guard of the children.
+    /// The guard that kills the children if the lab dies; `None` if the run has no guard.
     pub guard: Option<Arc<Guard>>,
-    /// Where logs and configurations go.
+    /// The folder for logs and configuration files.
     pub dir: PathBuf,
 }
 
@@ -74,24 +76,26 @@
 pub struct BalancerProcesses {
     context: RunContext,
     program: PathBuf,
-    /// By number, where each reaches the discovery service.
-    discovery: Vec<SocketAddr>,
-    /// The endpoint list as each knows it before its start.
+    /// The address at which each balancer reaches the discovery service, by balancer number.
+    discovery_addresses: Vec<SocketAddr>,
+    /// A function that takes the number of a balancer and returns the endpoint list that the
+    /// balancer knows at its start, as JSON.
     known_endpoints: Box<dyn Fn(u32) -> String + Send + Sync>,
     slots: Vec<Slot>,
     max_memory_kb: Mutex<u64>,
-    /// By number, the share of a core that each used while it ran last.
+    /// The share of a core that each balancer used since its last start, by balancer number.
     core_shares: Mutex<BTreeMap<u32, f64>>,
-    /// By number, where each shows its view of the others.
-    pages: Mutex<BTreeMap<u32, String>>,
+    /// The address of each balancer's members page, by balancer number. The members page is the
+    /// HTTP page on which a balancer shows its view of the members.
+    page_addresses: Mutex<BTreeMap<u32, String>>,
 }
 
 impl BalancerProcesses {
-    /// None is started yet.
+    /// Prepares the balancers of a run without starting them.
     pub fn new(
         context: RunContext,
         program: &Path,
-        discovery: Vec<SocketAddr>,
+        discovery_addresses: Vec<SocketAddr>,
         known_endpoints: impl Fn(u32) -> String + Send + Sync + 'static,
     ) -> Arc<Self> {
         let balancers = 0..context.experiment.fleet.balancers;
@@ -101,11 +105,11 @@
                 .collect(),
             context,
             program: program.to_owned(),
-            discovery,
+            discovery_addresses,
             known_endpoints: Box::new(known_endpoints),
             max_memory_kb: Mutex::new(0),
             core_shares: Mutex::default(),
-            pages: Mutex::default(),
+            page_addresses: Mutex::default(),
         })
     }
 
@@ -119,12 +123,12 @@
             .record(EventKind::BalancerState { balancer, state });
     }
 
-    /// The most memory that any has used, in KB, as far as was sampled.
+    /// Returns the largest memory usage sampled of any balancer, in KB.
     pub fn max_memory_kb(&self) -> u64 {
         *lock(&self.max_memory_kb)
     }
 
-    /// The share of a core that balancers used while they ran last.
+    /// Returns the usage of processor cores by the balancers.
     pub fn core_usage(&self) -> CoreUsage {
         let shares = lock(&self.core_shares);
         CoreUsage {
@@ -133,46 +137,47 @@
         }
     }
 
-    /// Where the balancers show their views, one a line.
+    /// Returns a text that lists the addresses of the balancers' members pages, one address per
+    /// line. A balancer that has not logged the address of its page is left out.
     pub fn pages(&self) -> String {
-        lock(&self.pages)
+        lock(&self.page_addresses)
             .values()
             .map(|page| format!("{page}\n"))
             .collect()
     }
 
-    /// The status of each, as a label.
+    /// Returns the status of each balancer, by number: `up`, `down`, `stopped` or `leaving`.
     pub fn statuses(&self) -> Vec<&'static str> {
         self.slots.iter().map(Slot::status).collect()
     }
 
-    /// Starts one and waits until it serves.
+    /// Starts a balancer and waits until it logs its listen address.
     pub async fn start(self: &Arc<Self>, number: u32) -> Result<(), LabError> {
         let slot = self.slot(number);
         let start_count = slot.count_start();
-        let config = self.context.dir.join(format!("b{number}.json"));
-        write_file(&config, &self.config_text(number, start_count)).await?;
-        let log = self.context.dir.join(format!("b{number}.log"));
+        let config_path = self.context.dir.join(format!("b{number}.json"));
+        write_file(&config_path, &self.config_text(number, start_count)).await?;
+        let log_path = self.context.dir.join(format!("b{number}.log"));
         let not_ready = || LabError::NotReady {
             number,
-            log: log.clone(),
+            log: log_path.clone(),
         };
-        let (sender, serving) = oneshot::channel();
-        let (balancers, mut sender) = (Arc::clone(self), Some(sender));
+        let (address_sender, address_receiver) = oneshot::channel();
+        let (balancers, mut address_sender) = (Arc::clone(self), Some(address_sender));
         let mut command = Command::new(&self.program);
         command
-            .env("NODE_CONFIG", &config)
+            .env("NODE_CONFIG", &config_path)
             .env("NODE_NAME", slot.name());
-        let child = spawn_logged(&mut command, &log, move |line| {
+        let child = spawn_logged(&mut command, &log_path, move |line| {
             balancers.on_log_line(number, line);
             if let Some(address) = listen_address(line)
-                && let Some(sender) = sender.take()
+                && let Some(sender) = address_sender.take()
             {
                 let _ = sender.send(address);
             }
         })
         .await?;
-        let Ok(Ok(address)) = timeout(READY_TIMEOUT, serving).await else {
+        let Ok(Ok(address)) = timeout(READY_TIMEOUT, address_receiver).await else {
             return Err(not_ready());
         };
         let pid = process_id(&child).ok_or_else(not_ready)?;
@@ -195,7 +200,7 @@
             name: self.slot(number).name(),
             start_count,
             known_endpoints: (self.known_endpoints)(number),
-            discovery: self.discovery[number as usize],
+            discovery: self.discovery_addresses[number as usize],
             peers: peer_links.map(|links| links.addresses_for(number)),
         };
         balancer_config(inputs).to_string()
@@ -205,26 +210,26 @@
         match parse_member_log(number, line) {
             None => {}
             Some(MemberLogLine::Event(kind)) => self.context.history.record(kind),
-            Some(MemberLogLine::Serving { peers, page }) => {
+            Some(MemberLogLine::Serving { peer_address, page }) => {
                 if let Some(peer_links) = &self.context.peer_links {
-                    peer_links.set_address(number, peers);
+                    peer_links.set_address(number, peer_address);
                 }
                 if let Some(page) = page {
-                    lock(&self.pages).insert(number, page);
+                    lock(&self.page_addresses).insert(number, page);
                 }
             }
         }
     }
 
-    /// Samples the use of memory and processor until the process exits, and records its exit.
+    /// Samples memory and processor usage until the process exits, and records the exit.
     async fn observe(self: Arc<Self>, number: u32, mut child: Child, pid: Pid) {
         let started_at = Instant::now();
-        let mut is_over_memory = false;
+        let mut is_over_memory_limit = false;
         loop {
             tokio::select! {
                 _ = child.wait() => break,
                 () = sleep(SAMPLE_INTERVAL) => {
-                    self.sample_usage(number, pid, started_at, &mut is_over_memory).await;
+                    self.sample_usage(number, pid, started_at, &mut is_over_memory_limit).await;
                 }
             }
         }
@@ -241,7 +246,7 @@
         self.record_state(number, state);
         slot.set_stopped();
         if !is_expected {
-            self.remove_from_pool_late(number);
+            self.remove_from_pool_after_delay(number);
         }
     }
 
@@ -250,7 +255,7 @@
         number: u32,
         pid: Pid,
         started_at: Instant,
-        is_over_memory: &mut bool,
+        is_over_memory_limit: &mut bool,
     ) {
         let status = read_proc(pid, "status").await;
         let memory_kb = status
@@ -265,24 +270,27 @@
             *max_memory_kb = memory_kb.max(*max_memory_kb);
         }
         let limit_kb = self.context.experiment.fleet.memory_mb * 1024;
-        if memory_kb > limit_kb && !std::mem::replace(is_over_memory, true) {
+        if memory_kb > limit_kb && !std::mem::replace(is_over_memory_limit, true) {
             self.record_state(number, ProcessState::MemoryLimitExceeded);
         }
     }
 
-    /// Clients continue to send to a dead balancer for a while.
-    fn remove_from_pool_late(&self, number: u32) {
+    /// Removes the address of a dead balancer from the pool after the failover delay. During the
+    /// delay, clients continue to send to the dead balancer.
+    fn remove_from_pool_after_delay(&self, number: u32) {
         let pool = Arc::clone(&self.context.pool);
         let address = pool.address(number);
         let delay = Duration::from_secs_f64(self.context.experiment.load.failover_delay_s);
         tokio::spawn(async move {
             sleep(delay).await;
-            // If it has been restarted meanwhile, it has another address.
+            // If the balancer has been restarted by now, the pool has its new address, which is not
+            // removed.
             pool.remove_address(number, address);
         });
     }
 
-    /// SIGKILL; started again after `restart_after`, under another name where one is given.
+    /// Sends SIGKILL to a balancer, and restarts it after `restart_after`, under `new_name` if one
+    /// is given. With `None` as `restart_after`, the balancer is not restarted.
     pub async fn kill(
         self: Arc<Self>,
         number: u32,
@@ -298,21 +306,23 @@
         if !slot.signal(Signal::KILL) {
             return;
         }
-        self.remove_from_pool_late(number);
+        self.remove_from_pool_after_delay(number);
         if let Some(restart_after) = restart_after {
             sleep(restart_after).await;
             self.start_when_stopped(number).await;
         }
     }
 
-    /// Sends SIGTERM, and SIGKILL after a time-out; restarts it once it has exited.
+    /// Shuts a balancer down as [`shut_down`](Self::shut_down) does, and restarts it once it has
+    /// exited.
     pub async fn restart(self: Arc<Self>, number: u32) {
         if self.shut_down(number).await {
             self.start_when_stopped(number).await;
         }
     }
 
-    /// Sends SIGTERM, and SIGKILL after a time-out; returns whether it has exited.
+    /// Sends SIGTERM to a balancer, and SIGKILL if the balancer does not exit in time. Returns
+    /// whether the balancer has exited.
     pub async fn shut_down(&self, number: u32) -> bool {
         let slot = self.slot(number);
         slot.set_ending();
@@ -326,7 +336,7 @@
             self.context.pool.address(number),
         );
         tokio::spawn(async move {
-            sleep(CONNECTIONS_AFTER_TERM).await;
+            sleep(NEW_CONNECTION_PERIOD_AFTER_TERM).await;
             pool.remove_address(number, address);
         });
         if slot.wait_until_stopped(KILL_AFTER_TERM).await {
@@ -341,7 +351,7 @@
         has_exited
     }
 
-    /// SIGSTOP, and SIGCONT after so long.
+    /// Sends SIGSTOP to a balancer, and SIGCONT after `duration`.
     pub async fn pause(self: Arc<Self>, number: u32, duration: Duration) {
         let slot = self.slot(number);
         if slot.signal(Signal::STOP) {
@@ -358,18 +368,18 @@
         if self.slot(number).wait_until_stopped(EXIT_TIMEOUT).await
             && let Err(e) = self.start(number).await
         {
-            tracing::warn!("b{number} is not back: {e}");
+            tracing::warn!("balancer b{number} cannot be restarted: {e}");
             self.record_state(number, ProcessState::Crashed);
         }
     }
 }
 
-/// Where a balancer listens, by the line of its log that says so.
+/// Parses the address in the line that a balancer logs when it listens for clients.
 fn listen_address(line: &str) -> Option<SocketAddr> {
     log_field(line, "listen")?.parse().ok()
 }
 
-/// A file about a process under `/proc`; `None` once it has exited.
+/// Reads a file of a process under `/proc`; returns `None` if the process has exited.
 async fn read_proc(pid: Pid, file: &str) -> Option<String> {
     tokio::fs::read_to_string(format!("/proc/{}/{file}", pid.as_raw_nonzero()))
         .await
--- a/lab/src/faults/description.rs
+++ b/lab/src/faults/description.rs
@@ -1,8 +1,8 @@
-//! Descriptions of faults, as the history and the report show them.
+//! Descriptions of faults for the history and the report.
 
 use crate::experiment::{Fault, FaultKind, LinkCondition, Target};
 
-/// Describes a fault: its target and its effect.
+/// Returns a text with the target and the effect of a fault.
 pub(super) fn describe(fault: &Fault) -> String {
     format!(
         "{}: {}",
--- a/lab/src/links/peer_links.rs
+++ b/lab/src/links/peer_links.rs
@@ -1,6 +1,8 @@
-//! Links for datagrams: a socket for each ordered pair of balancers, so that each reaches each
-//! other one at an address of its own, and what passes between them is subject to the conditions of
-//! the link.
+//! Links that carry datagrams between balancers.
+//!
+//! For each ordered pair of balancers, the lab binds a relay socket. The first balancer of the pair
+//! sends its datagrams for the second to this socket. The lab delivers the datagrams to the second
+//! balancer under the conditions of the link, from the relay socket of the opposite pair.
 
 use super::{DatagramSamples, LinkMatrix, delivery_delays, pair_address};
 use crate::experiment::LinkConditions;
@@ -17,26 +19,28 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Delayed datagrams in transit: more are lost, as on a real link.
-const MAX_IN_TRANSIT: usize = 20_000;
-/// Longer than any datagram of the protocol, in bytes.
+/// The largest number of delayed datagrams in transit; further delayed datagrams are lost, as on a
+/// real link.
+const MAX_DELAYED_DATAGRAMS: usize = 20_000;
+/// The size of the receive buffer, in bytes, larger than any datagram of the protocol.
 const BUFFER_BYTES: usize = 512;
-/// The interval at which corrupted datagrams are injected.
+/// The interval between batches of injected corrupted datagrams.
 const INJECTION_INTERVAL: Duration = Duration::from_millis(10);
-/// The address of a balancer for itself: no socket listens there.
-const UNREACHABLE: &str = "127.0.0.1:1";
+/// The address that the peer list of a balancer contains for the balancer itself; no socket listens
+/// there.
+const UNREACHABLE_ADDRESS: &str = "127.0.0.1:1";
 
-/// What balancers have sent to each other.
+/// The number and size of the datagrams that balancers have sent to each other.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Datagrams.
+    /// The number of datagrams that balancers have sent.
     pub datagrams: u64,
-    /// Their bytes.
+    /// The sum of the lengths of these datagrams, in bytes, without UDP and IP headers.
     pub bytes: u64,
 }
 
 impl Traffic {
-    /// What was sent since an earlier count.
+    /// Returns the traffic since `earlier`, which is an earlier total.
     pub fn since(self, earlier: Self) -> Self {
         Self {
             datagrams: self.datagrams - earlier.datagrams,
@@ -45,26 +49,29 @@
     }
 }
 
-/// All links for datagrams of a run.
+/// All links of a run that carry datagrams.
 pub struct PeerLinks {
-    /// By the balancer that sends to it, then by the balancer that it represents.
-    sockets: Vec<Vec<Option<Arc<UdpSocket>>>>,
-    /// By balancer, its own address.
-    addresses: Vec<Mutex<Option<SocketAddr>>>,
+    /// The relay sockets, indexed by the number of the sending balancer, then by the number of the
+    /// receiving balancer; `None` if both numbers are equal.
+    relay_sockets: Vec<Vec<Option<Arc<UdpSocket>>>>,
+    /// The address at which each balancer receives datagrams, by balancer number; `None` until the
+    /// balancer has logged it.
+    balancer_addresses: Vec<Mutex<Option<SocketAddr>>>,
     conditions: Mutex<LinkMatrix>,
     samples: Mutex<DatagramSamples>,
-    /// A fault sends datagrams again.
-    keeps_samples: bool,
+    /// Whether datagrams are recorded, because a fault of the run sends them again.
+    records_samples: bool,
     sent_datagrams: AtomicU64,
     sent_bytes: AtomicU64,
-    in_transit: Arc<Semaphore>,
+    /// Limits the number of delayed datagrams in transit; each such datagram holds one permit.
+    transit_permits: Arc<Semaphore>,
     seed: u64,
 }
 
 impl PeerLinks {
-    /// Binds the sockets for so many balancers.
-    pub async fn bind(count: u32, seed: u64, keeps_samples: bool) -> io::Result<Arc<Self>> {
-        let mut sockets = Vec::new();
+    /// Binds a relay socket for each ordered pair of `count` balancers.
+    pub async fn bind(count: u32, seed: u64, records_samples: bool) -> io::Result<Arc<Self>> {
+        let mut relay_sockets = Vec::new();
         for sender in 0..count {
             let mut row = Vec::new();
             for peer in 0..count {
@@ -75,52 +82,59 @@
                     )),
                 });
             }
-            sockets.push(row);
+            relay_sockets.push(row);
         }
         Ok(Arc::new(Self {
-            sockets,
-            addresses: (0..count).map(|_| Mutex::default()).collect(),
+            relay_sockets,
+            balancer_addresses: (0..count).map(|_| Mutex::default()).collect(),
             conditions: Mutex::new(LinkMatrix::new(count)),
             samples: Mutex::default(),
-            keeps_samples,
+            records_samples,
             sent_datagrams: AtomicU64::new(0),
             sent_bytes: AtomicU64::new(0),
-            in_transit: Arc::new(Semaphore::new(MAX_IN_TRANSIT)),
+            transit_permits: Arc::new(Semaphore::new(MAX_DELAYED_DATAGRAMS)),
             seed,
         }))
     }
 
-    /// How many sockets so many balancers take.
+    /// Returns the number of relay sockets for this number of balancers.
     pub fn socket_count(balancers: u32) -> u64 {
         u64::from(balancers) * u64::from(balancers.saturating_sub(1))
     }
 
-    /// By number, where one balancer reaches all of them.
+    /// Returns the addresses at which `balancer` reaches each balancer of the run, indexed by the
+    /// number of the receiver. The entry for `balancer` itself is an address where no socket
+    /// listens.
     pub fn addresses_for(&self, balancer: u32) -> Vec<String> {
-        let row = self.sockets.get(balancer as usize).into_iter().flatten();
+        let row = self
+            .relay_sockets
+            .get(balancer as usize)
+            .into_iter()
+            .flatten();
         row.map(
             |socket| match socket.as_ref().map(|socket| socket.local_addr()) {
                 Some(Ok(address)) => address.to_string(),
-                _ => UNREACHABLE.into(),
+                _ => UNREACHABLE_ADDRESS.into(),
             },
         )
         .collect()
     }
 
-    /// Sets a balancer's own address.
+    /// Sets the address to which the datagrams for a balancer are delivered.
     pub fn set_address(&self, balancer: u32, address: SocketAddr) {
-        if let Some(current) = self.addresses.get(balancer as usize) {
+        if let Some(current) = self.balancer_addresses.get(balancer as usize) {
             *lock(current) = Some(address);
         }
     }
 
-    /// Sets the conditions between some balancers and their peers.
+    /// Sets the conditions between each target and each peer, as
+    /// [`LinkMatrix::set_conditions`] does.
     pub fn set_conditions(&self, targets: &[u32], peers: &[u32], conditions: LinkConditions) {
         let mut matrix = lock(&self.conditions);
         matrix.set_conditions(targets, peers, conditions);
     }
 
-    /// What balancers have sent so far.
+    /// Returns the traffic that the balancers have sent, without injected datagrams.
     pub fn traffic(&self) -> Traffic {
         Traffic {
             datagrams: self.sent_datagrams.load(Ordering::Relaxed),
@@ -128,9 +142,9 @@
         }
     }
 
-    /// Relays datagrams for as long as the tasks live.
+    /// Spawns the tasks that relay datagrams. Relaying ends when the tasks are aborted.
     pub fn spawn_relays(self: &Arc<Self>, tasks: &mut JoinSet<()>) {
-        for (from, row) in (0u32..).zip(&self.sockets) {
+        for (from, row) in (0u32..).zip(&self.relay_sockets) {
             for (to, socket) in (0u32..).zip(row) {
                 if let Some(socket) = socket {
                     tasks.spawn(Arc::clone(self).relay(from, to, Arc::clone(socket)));
@@ -145,29 +159,28 @@
         let mut buffer = [0; BUFFER_BYTES];
         loop {
             let Ok((length, source)) = socket.recv_from(&mut buffer).await else {
-                // The error concerns an earlier datagram, which the other end of the socket
-                // rejected.
+                // The error reports that the receiver of an earlier datagram was not listening.
                 continue;
             };
-            if self.address(from) == Some(source) {
+            if self.balancer_address(from) == Some(source) {
                 self.forward(from, to, &buffer[..length], &mut rng);
             }
         }
     }
 
-    /// Delivers a datagram under the conditions of its link.
+    /// Counts and records a datagram, and delivers it under the conditions of its link.
     fn forward(self: &Arc<Self>, from: u32, to: u32, datagram: &[u8], rng: &mut ChaCha8Rng) {
         self.sent_datagrams.fetch_add(1, Ordering::Relaxed);
         self.sent_bytes
             .fetch_add(datagram.len() as u64, Ordering::Relaxed);
-        if self.keeps_samples {
+        if self.records_samples {
             lock(&self.samples).add(datagram);
         }
         let condition = lock(&self.conditions).condition(from, to);
         for delay in delivery_delays(&condition, rng) {
             if delay.is_zero() {
                 self.deliver(from, to, datagram);
-            } else if let Ok(permit) = Arc::clone(&self.in_transit).try_acquire_owned() {
+            } else if let Ok(permit) = Arc::clone(&self.transit_permits).try_acquire_owned() {
                 let (links, datagram) = (Arc::clone(self), datagram.to_vec());
                 tokio::spawn(async move {
                     sleep(delay).await;
@@ -178,28 +191,29 @@
         }
     }
 
-    fn address(&self, balancer: u32) -> Option<SocketAddr> {
-        let address = self.addresses.get(balancer as usize)?;
+    fn balancer_address(&self, balancer: u32) -> Option<SocketAddr> {
+        let address = self.balancer_addresses.get(balancer as usize)?;
         *lock(address)
     }
 
-    /// Delivers a datagram from the address at which its receiver knows the sender.
+    /// Sends a datagram to the balancer `to`, from the relay socket at whose address `to` reaches
+    /// `from`. To the receiver, `from` is the sender.
     fn deliver(&self, from: u32, to: u32, datagram: &[u8]) {
         let socket = self
-            .sockets
+            .relay_sockets
             .get(to as usize)
             .and_then(|row| row.get(from as usize)?.as_ref());
-        if let (Some(socket), Some(address)) = (socket, self.address(to)) {
-            // A full socket loses it, as a real link does.
+        if let (Some(socket), Some(address)) = (socket, self.balancer_address(to)) {
+            // If the send buffer is full, the datagram is lost, as on a real link.
             let _ = socket.try_send_to(datagram, address);
         }
     }
 
-    /// Sends the first datagrams that passed once more, in the name of some to all.
+    /// Sends the recorded datagrams from each of the senders to all other balancers.
     pub fn replay(&self, senders: &[u32]) {
         let samples = lock(&self.samples);
         for datagram in samples.all() {
-            for to in 0..self.addresses.len() as u32 {
+            for to in 0..self.balancer_addresses.len() as u32 {
                 for from in senders.iter().filter(|from| **from != to) {
                     self.deliver(*from, to, datagram);
                 }
@@ -207,7 +221,8 @@
         }
     }
 
-    /// Sends corrupted datagrams in the name of some, so many a second, for so long.
+    /// Sends `rate_per_s` corrupted datagrams per second, each from a random one of the senders to
+    /// a random balancer. If the drawn receiver is the sender itself, the datagram is not sent.
     pub async fn inject_corrupted(
         self: Arc<Self>,
         senders: Vec<u32>,
@@ -216,13 +231,13 @@
         seed: u64,
     ) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut remaining, mut owed) = (duration, 0.0);
+        let (mut remaining, mut due_datagrams) = (duration, 0.0);
         while !remaining.is_zero() && !senders.is_empty() {
-            owed += rate_per_s * INJECTION_INTERVAL.as_secs_f64();
-            while owed >= 1.0 {
-                owed -= 1.0;
+            due_datagrams += rate_per_s * INJECTION_INTERVAL.as_secs_f64();
+            while due_datagrams >= 1.0 {
+                due_datagrams -= 1.0;
                 let from = senders[rng.random_range(0..senders.len())];
-                let to = rng.random_range(0..self.addresses.len()) as u32;
+                let to = rng.random_range(0..self.balancer_addresses.len()) as u32;
                 let samples = lock(&self.samples);
                 let datagram = samples.corrupted(&mut rng);
                 drop(samples);
--- a/lab/src/processes/child.rs
+++ b/lab/src/processes/child.rs
@@ -1,4 +1,4 @@
-//! Child processes of the lab: started without input; their logs are stored and read line by line.
+//! Starts child processes of the lab, and stores and reads their logs.
 
 use crate::error::LabError;
 use rustix::process::Pid;
@@ -7,18 +7,18 @@
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncWriteExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// The value of a field in a line of a log.
+/// Returns the value of the field `name=value` in a line of a log; `None` if the field is missing.
 pub fn log_field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split(' ')
         .find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// A child's process id, while it runs.
+/// Returns the process id of a child; `None` once its exit has been collected.
 pub fn process_id(child: &Child) -> Option<Pid> {
     child.id().and_then(|pid| Pid::from_raw(pid as i32))
 }
 
-/// Writes a file of the run.
+/// Writes a file of the run, and replaces the content if the file exists.
 pub async fn write_file(path: &Path, text: &str) -> Result<(), LabError> {
     let written = tokio::fs::write(path, text).await;
     written.map_err(|source| LabError::File {
@@ -27,19 +27,21 @@
     })
 }
 
-/// Starts a command whose log is appended to a file; each line of it goes to `on_line` first.
+/// Starts a command without standard input and output. The standard error of the process is its
+/// log: each line is passed to `on_line` and then appended to the file at `log_path`. Dropping the
+/// returned child kills the process.
 pub async fn spawn_logged(
     command: &mut Command,
-    log: &Path,
+    log_path: &Path,
     on_line: impl FnMut(&str) + Send + 'static,
 ) -> Result<Child, LabError> {
     let file = tokio::fs::OpenOptions::new()
         .create(true)
         .append(true)
-        .open(log)
+        .open(log_path)
         .await;
     let file = file.map_err(|source| LabError::File {
-        path: log.to_owned(),
+        path: log_path.to_owned(),
         source,
     })?;
     let spawned = command
@@ -64,7 +66,7 @@
     mut on_line: impl FnMut(&str),
 ) {
     let mut lines = BufReader::new(stderr).lines();
-    // A log that cannot be written must still be read, or the child would block.
+    // The pipe is read even if the log file cannot be written: a full pipe would block the child.
     while let Ok(Some(line)) = lines.next_line().await {
         on_line(&line);
         let _ = file.write_all(format!("{line}\n").as_bytes()).await;
--- a/lab/src/processes/guard.rs
+++ b/lab/src/processes/guard.rs
@@ -1,6 +1,8 @@
-//! Children must not outlive the lab, even if it is killed: a guard, a small process of the same
-//! program, reads from a pipe which children live. When the pipe ends, it kills those that are
-//! left.
+//! The guard ensures that child processes do not outlive the lab, even if the lab is killed.
+//!
+//! The guard is a separate process of the same program. The lab reports the start and the exit of
+//! each child through a pipe. When the lab ends, the pipe closes, and the guard kills the remaining
+//! children.
 
 use crate::sync::lock;
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,14 +12,16 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::sync::Mutex;
 
-/// The lab's end of the pipe.
+/// The guard process, and the lab's end of the pipe to it.
 pub struct Guard {
     child: Child,
+    /// The lab's end of the pipe; `None` once a write has failed because the guard has exited.
     pipe: Mutex<Option<ChildStdin>>,
 }
 
 impl Guard {
-    /// Starts `program guard`, which must call [`watch`] on its standard input.
+    /// Starts `program guard`, which must call [`kill_children_when_input_ends`] with its standard
+    /// input.
     pub fn start(program: &Path) -> io::Result<Self> {
         let mut child = Command::new(program)
             .arg("guard")
@@ -28,12 +32,13 @@
         Ok(Self { child, pipe })
     }
 
-    /// A child has started.
+    /// Reports to the guard that a child has started.
     pub fn register(&self, pid: Pid) {
         self.send(&format!("+{}\n", pid.as_raw_nonzero()));
     }
 
-    /// A child has exited and been waited for: its number may become another process's.
+    /// Reports to the guard that a child has exited and has been waited for. From then on, the
+    /// operating system may give the child's process id to a process that the guard must not kill.
     pub fn unregister(&self, pid: Pid) {
         self.send(&format!("-{}\n", pid.as_raw_nonzero()));
     }
@@ -43,7 +48,7 @@
         if let Some(writer) = pipe.as_mut()
             && writer.write_all(line.as_bytes()).is_err()
         {
-            tracing::warn!("the guard has ended: children would outlive a lab that is killed");
+            tracing::warn!("the guard process has exited: children survive if the lab is killed");
             *pipe = None;
         }
     }
@@ -56,10 +61,10 @@
     }
 }
 
-/// Reads which children live until the input ends, then kills those left; returns how many it
-/// killed.
-pub fn watch(input: impl BufRead) -> usize {
-    let mut live = BTreeSet::new();
+/// Reads the starts (`+PID`) and exits (`-PID`) of children, one a line, until the input ends. Then
+/// kills the remaining children and returns the number of processes that were killed.
+pub fn kill_children_when_input_ends(input: impl BufRead) -> usize {
+    let mut live_pids = BTreeSet::new();
     for line in input.lines().map_while(Result::ok) {
         let Some((sign, pid)) = line.split_at_checked(1) else {
             continue;
@@ -68,11 +73,12 @@
             continue;
         };
         match sign {
-            "+" => live.insert(pid),
-            _ => live.remove(&pid),
+            "+" => live_pids.insert(pid),
+            _ => live_pids.remove(&pid),
         };
     }
-    live.into_iter()
+    live_pids
+        .into_iter()
         .filter_map(Pid::from_raw)
         .filter(|pid| kill_process(*pid, Signal::KILL).is_ok())
         .count()
--- a/lab/src/standins/registry_process.rs
+++ b/lab/src/standins/registry_process.rs
@@ -1,4 +1,4 @@
-//! A real registry, as a child process.
+//! A real registry that runs as a child process of the lab.
 
 use crate::error::LabError;
 use crate::history::{EventKind, History, ProcessState};
@@ -16,19 +16,19 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-/// How long it may take until it serves, and until it lists all upstreams.
+/// Timeout for the registry to start serving, and for it to list all upstreams as ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Before the status is read again.
+/// Interval between two reads of the registry's status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
-/// The address of the first start: any port.
-const ANY_PORT: &str = "127.0.0.1:0";
+/// Listen address for the first start; the operating system chooses a free port.
+const ANY_PORT_ADDRESS: &str = "127.0.0.1:0";
 
-/// Where a registry serves.
+/// The addresses on which a registry listens.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryAddresses {
-    /// Reads and watches.
+    /// Address for reads and watches.
     pub read: SocketAddr,
-    /// Writes.
+    /// Address for writes and the status.
     pub write: SocketAddr,
 }
 
@@ -37,23 +37,27 @@
     child: Child,
 }
 
-/// A real registry.
+/// A real registry, which can be killed, paused and restarted.
 pub struct RegistryProcess {
     program: PathBuf,
     dir: PathBuf,
-    /// Chosen at its first start, and used again by all later ones.
+    /// Addresses since the first start; later starts use the same. `None` before the first start.
     addresses: Mutex<Option<RegistryAddresses>>,
+    /// The current process; `None` while the registry is not running.
     running: tokio::sync::Mutex<Option<Running>>,
-    guard: Option<Arc<Guard>>,
+    /// Guard process that kills the registry if the lab dies; `None` if the run has no guard.
+    guard_process: Option<Arc<Guard>>,
     history: Arc<History>,
 }
 
 impl RegistryProcess {
-    /// Not started yet.
+    /// Creates a registry that is not started yet. `program` runs as a registry when it is run with
+    /// the command `registry`. The registry's configuration, log and data are written to `dir`.
+    /// Without a `guard_process`, the registry survives if the lab is killed.
     pub fn new(
         program: &Path,
         dir: &Path,
-        guard: Option<Arc<Guard>>,
+        guard_process: Option<Arc<Guard>>,
         history: Arc<History>,
     ) -> Arc<Self> {
         Arc::new(Self {
@@ -61,22 +65,23 @@
             dir: dir.to_owned(),
             addresses: Mutex::default(),
             running: tokio::sync::Mutex::default(),
-            guard,
+            guard_process,
             history,
         })
     }
 
-    /// Where it serves, once it has been started.
+    /// Returns the addresses on which the registry listens; `None` before the registry's first
+    /// start.
     pub fn addresses(&self) -> Option<RegistryAddresses> {
         *lock(&self.addresses)
     }
 
-    /// Where it is read.
+    /// Returns the address for reads and watches; `None` before the registry's first start.
     pub fn read_address(&self) -> Option<SocketAddr> {
         self.addresses().map(|addresses| addresses.read)
     }
 
-    /// Where it is written to.
+    /// Returns the address for writes and the status; `None` before the registry's first start.
     pub fn write_address(&self) -> Option<SocketAddr> {
         self.addresses().map(|addresses| addresses.write)
     }
@@ -95,7 +100,7 @@
 
     fn config_text(&self) -> String {
         let (read, write) = self.addresses().map_or_else(
-            || (ANY_PORT.to_owned(), ANY_PORT.to_owned()),
+            || (ANY_PORT_ADDRESS.to_owned(), ANY_PORT_ADDRESS.to_owned()),
             |addresses| (addresses.read.to_string(), addresses.write.to_string()),
         );
         let folder = self.dir.join("registry");
@@ -105,7 +110,7 @@
         )
     }
 
-    /// Starts it, and waits until it serves.
+    /// Starts the process, and waits until its log states the addresses on which it serves.
     pub async fn start(&self) -> Result<(), LabError> {
         let config = self.dir.join("registry.toml");
         write_file(&config, &self.config_text()).await?;
@@ -128,22 +133,23 @@
         };
         *lock(&self.addresses) = Some(addresses);
         let pid = process_id(&child).ok_or_else(|| self.not_ready())?;
-        if let Some(guard) = &self.guard {
-            guard.register(pid);
+        if let Some(guard_process) = &self.guard_process {
+            guard_process.register(pid);
         }
         *self.running.lock().await = Some(Running { pid, child });
         self.record_state(ProcessState::Ready);
         Ok(())
     }
 
-    /// SIGKILL; started again after `restart_after`.
+    /// Kills the process with SIGKILL, and restarts it after `restart_after`; with `None`, the
+    /// registry stays down.
     pub async fn kill(&self, restart_after: Option<Duration>) {
         if let Some(mut running) = self.running.lock().await.take() {
             self.record_state(ProcessState::Killed);
             let _ = kill_process(running.pid, Signal::KILL);
             let _ = running.child.wait().await;
-            if let Some(guard) = &self.guard {
-                guard.unregister(running.pid);
+            if let Some(guard_process) = &self.guard_process {
+                guard_process.unregister(running.pid);
             }
             self.record_state(ProcessState::Exited);
         }
@@ -152,12 +158,12 @@
         };
         sleep(restart_after).await;
         if let Err(e) = self.start().await {
-            tracing::warn!("the list service is not back: {e}");
+            tracing::warn!("registry not restarted after a kill: {e}");
             self.record_state(ProcessState::Crashed);
         }
     }
 
-    /// SIGSTOP, and SIGCONT after so long.
+    /// Pauses the process with SIGSTOP, and resumes it with SIGCONT after `duration`.
     pub async fn pause(&self, duration: Duration) {
         let pid = self
             .running
@@ -175,13 +181,13 @@
         }
     }
 
-    /// Waits until it lists so many ready upstreams.
-    pub async fn wait_until_ready(&self, upstreams: usize) -> Result<(), LabError> {
+    /// Waits until the registry lists at least `upstream_count` upstreams as ready.
+    pub async fn wait_until_ready(&self, upstream_count: usize) -> Result<(), LabError> {
         let all_ready = async {
             while let Some(address) = self.write_address() {
                 if ready_count(address)
                     .await
-                    .is_some_and(|ready| ready >= upstreams as u64)
+                    .is_some_and(|ready| ready >= upstream_count as u64)
                 {
                     return;
                 }
@@ -194,7 +200,8 @@
     }
 }
 
-/// Where a registry serves, by the line of its log that says so.
+/// Parses the addresses of a registry from the line of its log that states them; returns `None` for
+/// other lines.
 fn serving_addresses(line: &str) -> Option<RegistryAddresses> {
     let address = |name| log_field(line, name).and_then(|value| value.parse().ok());
     Some(RegistryAddresses {
@@ -203,7 +210,8 @@
     })
 }
 
-/// How many upstreams a registry lists as ready.
+/// Returns the number of upstreams that a registry lists as ready; `None` if its status cannot be
+/// read.
 async fn ready_count(address: SocketAddr) -> Option<u64> {
     let response = call(address, Method::GET, "/status", String::new())
         .await
--- a/lab/tests/written_forms.rs
+++ b/lab/tests/written_forms.rs
@@ -1,4 +1,5 @@
-//! What a run writes: `events.jsonl`, `result.json` and the page, byte for byte as committed.
+//! The files that a run writes: `events.jsonl`, `result.json` and the HTML page must be identical
+//! to the committed ones.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -52,7 +53,7 @@
     AttemptFailure::TimedOut,
 ];
 
-/// One event of each kind that has no enumeration.
+/// Returns one event of each kind that has no enumeration; two faults, with and without a duration.
 fn plain_events() -> Vec<EventKind> {
     vec![
         EventKind::RequestDue {
@@ -94,7 +95,7 @@
     ]
 }
 
-/// Every kind of event, with every value of each of its enumerations.
+/// Returns events of every kind, with every value of each of its enumerations.
 fn events() -> Vec<Event> {
     let mut all = plain_events();
     all.extend(FAILURES.map(|failure| EventKind::AttemptFailed { id: 25, failure }));
@@ -169,9 +170,9 @@
         detection_max_s: 5.5,
         leave_detection_max_s: 0.25,
         undetected_count: 3,
-        false_failure_count: 4,
-        paused_failure_count: 5,
-        leave_as_failure_count: 6,
+        running_declared_down_count: 4,
+        paused_declared_down_count: 5,
+        left_declared_dead_count: 6,
         suspicion_count: 7,
         converged_since_s: Some(8.5),
         divergent_view_count: 9,
@@ -189,8 +190,8 @@
     Figures {
         served_share: 0.75,
         worst_class_share: 0.5,
-        client_attempts: 1.25,
-        upstream_attempts: 1.5,
+        client_attempts_per_request: 1.25,
+        upstream_attempts_per_request: 1.5,
         p50_ms: 100.5,
         p90_ms: 400.25,
         p99_ms: 900.125,
@@ -251,8 +252,8 @@
 
 #[test]
 fn plot_over_fleet_sizes_matches_the_committed_one() {
-    let of_size = |members: u32| SimulationOutcome {
-        members,
+    let of_size = |member_count: u32| SimulationOutcome {
+        member_count,
         seed: 1,
         seconds: 60.0,
         datagrams_per_s: 2.5,
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -33,10 +33,10 @@
     interval: Duration::from_secs(10),
     member_count: 1,
 };
-/// The number of times that each member transmits an update, to which the binary logarithm of the
-/// fleet's size is added. With n transmissions by each member, a fraction e^-n of the members does
-/// not receive an update until anti-entropy delivers it.
-const BASE_TRANSMISSIONS: u8 = 8;
+/// The minimum number of times that each member transmits an update. The binary logarithm of the
+/// fleet's size is added to it. With n transmissions by each member, a fraction e^-n of the members
+/// does not receive an update until anti-entropy delivers it.
+const MIN_TRANSMISSIONS_PER_UPDATE: u8 = 8;
 /// The number of gossip rounds in which a leave is announced.
 const LEAVE_GOSSIP_ROUNDS: usize = 3;
 /// The maximum number of stored timers is `TIMERS_PER_MEMBER` for each member that can be
@@ -86,13 +86,15 @@
     }
 }
 
-/// The SWIM protocol of one process.
+/// The state of the SWIM protocol in one process.
 pub(crate) struct Swim {
     foca: Foca<Identity, PostcardCodec, StdRng, NoCustomBroadcast>,
     runtime: FocaRuntime,
-    /// The size of the fleet for which the parameters were last set.
+    /// The number of members for which the parameters of `foca` were last set.
     configured_size: usize,
-    forget_after: Duration,
+    /// The time for which `foca` remembers a member after this process learned that the member left
+    /// or died.
+    down_member_retention: Duration,
     max_payload_len: usize,
     error_count: u64,
 }
@@ -102,13 +104,17 @@
     pub(crate) fn new(id: Identity, config: &Config, now: Duration, rng: StdRng) -> Self {
         let configured_size = usize::from(config.peer_count);
         let max_payload_len = wire::payload_capacity(&config.fleet);
-        let parameters = parameters(configured_size, config.forget_after, max_payload_len);
+        let parameters = parameters(
+            configured_size,
+            config.down_member_retention,
+            max_payload_len,
+        );
         let max_timers = TIMERS_PER_MEMBER * config.max_members + EXTRA_TIMERS;
         Self {
             foca: Foca::new(id, parameters, rng, PostcardCodec),
             runtime: FocaRuntime::new(now, max_timers),
             configured_size,
-            forget_after: config.forget_after,
+            down_member_retention: config.down_member_retention,
             max_payload_len,
             error_count: 0,
         }
@@ -230,14 +236,14 @@
         self.runtime.postpone_suspicion_timers(by);
     }
 
-    /// Updates the parameters if the fleet has shrunk by more than a fifth or grown by more than a
-    /// quarter since they were last set.
+    /// Sets the parameters of `foca` for the current number of members if the fleet has shrunk by
+    /// more than a fifth or grown by more than a quarter since they were last set.
     pub(crate) fn adapt_to_member_count(&mut self) {
         let size = self.foca.num_members() + 1;
         let has_shrunk = size * 5 < self.configured_size * 4;
         let has_grown = size * 4 > self.configured_size * 5;
         if has_shrunk || has_grown {
-            let parameters = parameters(size, self.forget_after, self.max_payload_len);
+            let parameters = parameters(size, self.down_member_retention, self.max_payload_len);
             let result = self.foca.set_config(parameters);
             self.count_error(result);
             self.configured_size = size;
@@ -267,14 +273,18 @@
 }
 
 /// Returns the parameters of `foca` for a fleet of `size` members.
-fn parameters(size: usize, forget_after: Duration, max_payload_len: usize) -> foca::Config {
+fn parameters(
+    size: usize,
+    down_member_retention: Duration,
+    max_payload_len: usize,
+) -> foca::Config {
     let mut parameters = foca::Config::simple();
     parameters.probe_period = PROBE_INTERVAL;
     parameters.probe_rtt = PROBE_TIMEOUT;
-    let transmissions = BASE_TRANSMISSIONS + size.max(1).ilog2() as u8;
+    let transmissions = MIN_TRANSMISSIONS_PER_UPDATE + size.max(1).ilog2() as u8;
     parameters.max_transmissions = NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN);
     parameters.suspect_to_down_after = suspicion_timeout(size);
-    parameters.remove_down_after = Some(forget_after);
+    parameters.remove_down_after = Some(down_member_retention);
     let default_len = parameters.max_packet_size;
     parameters.max_packet_size = NonZeroUsize::new(max_payload_len).unwrap_or(default_len);
     parameters.notify_down_members = true;
--- a/membership/tests/state_machine/name_conflicts.rs
+++ b/membership/tests/state_machine/name_conflicts.rs
@@ -22,7 +22,7 @@
         .expect("a valid datagram");
 }
 
-/// The earlier incarnation must report that it yields, and send nothing afterwards.
+/// The process with the earlier incarnation must report that it yields, and send nothing more.
 #[test]
 fn the_later_incarnation_retains_the_name_and_the_earlier_one_yields() {
     let mut earlier = new_membership(0);
@@ -32,7 +32,7 @@
         ..earlier.identity()
     };
     report_claim(&mut earlier, Duration::from_secs(60), later);
-    assert!(outputs(&mut earlier).contains(&Output::Yielded(later)));
+    assert!(outputs(&mut earlier).contains(&Output::YieldedTo(later)));
     assert_eq!(earlier.phase(), Phase::Yielded);
     assert_eq!(earlier.next_timeout(), None);
     let join = Message::Join {
@@ -55,7 +55,7 @@
         ..restarted.identity()
     };
     report_claim(&mut restarted, Duration::from_millis(100), replaced);
-    assert!(outputs(&mut restarted).contains(&Output::Superseded(replaced)));
+    assert!(outputs(&mut restarted).contains(&Output::SupersededClaimant(replaced)));
     assert_eq!(restarted.phase(), Phase::Member);
     assert_eq!(restarted.identity().incarnation, replaced.incarnation + 1);
     let own_id = restarted.identity();
@@ -69,6 +69,6 @@
     assert_eq!(
         restarted.phase(),
         Phase::Yielded,
-        "the number of claims is limited"
+        "the number of claimants that a process supersedes is limited"
     );
 }
--- a/settings/src/convert.rs
+++ b/settings/src/convert.rs
@@ -1,4 +1,4 @@
-//! The settings object's values in the policy crate's types.
+//! Converts the values of the settings object into the policy crate's types.
 
 use crate::document::{
     AT_MOST_ONCE, ClassDocument, GoalDocument, GuaranteesDocument, LimitsDocument, PricesDocument,
@@ -11,12 +11,14 @@
 };
 use std::time::Duration;
 
-/// Attempts of a request are numbered in a byte; higher limits mean the same as this one.
+/// The maximum number of attempts per request that the settings can allow. A higher `try_limit` is reduced to this
+/// number, because the policy crate numbers the attempts of a request in one byte.
 const MAX_ATTEMPT_LIMIT: u32 = 250;
 const MICROS_PER_MILLI: f64 = 1e3;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// A time in milliseconds. A negative value or one that is no number becomes zero, one that is too long the maximum.
+/// Converts a time in milliseconds into a [`Duration`]. A negative value or NaN becomes zero, and a value too large for
+/// a [`Duration`] becomes the maximum.
 pub fn duration_from_ms(ms: f64) -> Duration {
     if ms.is_nan() || ms <= 0.0 {
         return Duration::ZERO;
@@ -24,7 +26,8 @@
     Duration::try_from_secs_f64(ms / MILLIS_PER_SECOND).unwrap_or(Duration::MAX)
 }
 
-/// The value of a load report that has this name in settings or in reports.
+/// Returns the meaning of a load report's value, given the name of the value in the settings or in a report. An unknown
+/// name has the meaning [`LoadField::Other`].
 pub fn parse_load_field(name: &str) -> LoadField {
     match name {
         "concurrent" | "inflight" => LoadField::InFlight,
@@ -37,7 +40,7 @@
     }
 }
 
-/// The policy's settings; a key that is missing in the document means the default.
+/// Converts the parsed settings object into the policy crate's [`Settings`]. A missing key has its default value.
 pub(crate) fn settings(document: &SiteDocument) -> Result<Settings, SettingsParseError> {
     let report_fields = &document.load_reports.fields;
     let mut settings = Settings {
@@ -45,9 +48,9 @@
         zone: ZoneId(document.zone),
         classes: classes(&document.classes)?,
         tenants: document.tenants.iter().map(tenant).collect(),
-        weight_by_work: document.weight_by.as_deref() == Some("work"),
+        scales_priority_weight_by_work: document.priority_weight_basis.as_deref() == Some("work"),
         polls_endpoints: document.discovery.as_deref() == Some("subscribe"),
-        tail_miss: tail_miss(&document.goal),
+        tolerated_late_fraction: tolerated_late_fraction(&document.goal),
         endpoint_weights: endpoint_weights(document.endpoint_weights.as_deref()),
         load_reports: load_reports(document.load_reports.source.as_deref()),
         report_fields: report_fields
@@ -57,9 +60,12 @@
         prices: prices(&document.prices),
         ..Settings::default()
     };
-    let over_quota = document.over_quota_weight_share;
+    let over_quota_weight_fraction = document.over_quota_weight_fraction;
     set_value(&mut settings.balancers, document.balancers);
-    set_value(&mut settings.over_quota_weight_share, over_quota);
+    set_value(
+        &mut settings.over_quota_weight_fraction,
+        over_quota_weight_fraction,
+    );
     set_value(
         &mut settings.retries_marked,
         document.clients.retries_marked,
@@ -70,10 +76,10 @@
 }
 
 fn set_guarantees(settings: &mut Settings, guarantees: &GuaranteesDocument) {
-    let initial_share = guarantees.slow_start_initial_share;
+    let initial_fraction = guarantees.slow_start_initial_fraction;
     set_duration(&mut settings.poll_interval, guarantees.poll_interval_ms);
     set_duration(&mut settings.drain_grace, guarantees.drain_grace_ms);
-    set_value(&mut settings.slow_start_initial_share, initial_share);
+    set_value(&mut settings.slow_start_initial_fraction, initial_fraction);
     set_duration(
         &mut settings.slow_start_duration,
         guarantees.slow_start_duration_ms,
@@ -124,7 +130,7 @@
             .map(|tenant| tenant.name)
             .collect(),
         zones: document.zones,
-        kinds: document.kinds,
+        hardware_kinds: document.hardware_kinds,
     }
 }
 
@@ -138,10 +144,12 @@
     limit.min(MAX_ATTEMPT_LIMIT) as u8
 }
 
-/// The tolerated share of misses counts only where the goal gives its tail a weight.
-fn tail_miss(goal: &GoalDocument) -> Option<f64> {
-    let has_weight = goal.tail_weight.is_some_and(|weight| weight > 0.0);
-    goal.tail_miss.filter(|_| has_weight)
+/// Returns the fraction of each class's responses that may take longer than the class's latency objective. Returns
+/// `None` if the key of that fraction (`tail_miss`) is missing, or if the weight of late responses (`slow_end`) is
+/// missing or not above 0.
+fn tolerated_late_fraction(goal: &GoalDocument) -> Option<f64> {
+    let has_weight = goal.late_fraction_weight.is_some_and(|weight| weight > 0.0);
+    goal.tolerated_late_fraction.filter(|_| has_weight)
 }
 
 fn endpoint_weights(value: Option<&str>) -> EndpointWeights {
@@ -163,11 +171,11 @@
 fn prices(document: &PricesDocument) -> Prices {
     Prices {
         cross_zone: document.cross_zone,
-        connection: document.connection,
+        hundred_connections: document.hundred_connections,
         handshake: document.handshake,
-        late_failure: document.late_failure,
+        failure_after_objective: document.failure_after_objective,
         health_check: document.health_check,
-        waste: document.waste,
+        wasted_work: document.wasted_work,
     }
 }
 
@@ -182,10 +190,10 @@
 fn class(position: usize, document: &ClassDocument) -> Result<Class, SettingsParseError> {
     Ok(Class {
         latency_objective: duration_from_ms(document.latency_objective_ms),
-        objective_work_multiple: document.objective_work_multiple,
+        objective_extension_per_cpu_time: document.objective_extension_per_cpu_time,
         deadline: duration_from_ms(document.deadline_ms),
         priority_weight: document.priority_weight,
-        late_weight_share: document.late_weight_share,
+        late_weight_fraction: document.late_weight_fraction,
         effect: effect(position, document)?,
         streamed: document.streamed,
     })
@@ -202,7 +210,7 @@
         other => Err(SettingsParseError::UnknownValue {
             key: format!("classes[{position}].effect"),
             value: other.to_owned(),
-            possible: "idempotent, deduplicated, at_most_once",
+            accepted_values: "idempotent, deduplicated, at_most_once",
         }),
     }
 }
@@ -216,11 +224,11 @@
         Some(other) => Err(SettingsParseError::UnknownValue {
             key: key(),
             value: other.to_owned(),
-            possible: "all, zone, cell",
+            accepted_values: "all, zone, cell",
         }),
         None => Err(SettingsParseError::MissingKey {
             key: key(),
-            required_by: "the effect \"deduplicated\"",
+            requirement: "the effect \"deduplicated\" requires one of all, zone, cell",
         }),
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,8 +1,12 @@
-//! A site's settings: the JSON object that the simulator and the platform's configuration share, turned into the policy
-//! crate's [`Settings`], with the names for its numbers.
+//! Parses the settings of a site from a JSON object. A site is a group of balancers with the same upstreams. The
+//! simulator and the platform's configuration use the same form of the object.
 //!
-//! Unknown keys are ignored. Missing keys take the values of [`Settings::default`], except that without `weight_kind`
-//! the endpoints' weights have no meaning ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
+//! The result has two parts. One is the policy crate's [`Settings`], which identify classes, tenants, zones and
+//! hardware kinds by number. The other is the names of these classes, tenants, zones and hardware kinds.
+//!
+//! Unknown keys are ignored. Missing keys have the values of [`Settings::default`] and, in a class, of
+//! [`Class::default`](frostkeel_policy::Class::default). The only exception is `weight_kind`: without it, the weights
+//! of endpoints are ignored ([`EndpointWeights::Off`](frostkeel_policy::EndpointWeights::Off)).
 
 mod convert;
 mod document;
@@ -16,26 +20,31 @@
 /// A parsed settings object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// The policy's settings.
+    /// The settings in the form that [`Balancer::new`](frostkeel_policy::Balancer::new) takes.
     pub settings: Settings,
-    /// The names for the numbers in them.
+    /// The names of the classes, tenants, zones and hardware kinds, which the policy crate identifies by number.
     pub names: Names,
 }
 
-/// Names by position: those of classes and tenants as in [`Settings`], those of zones and kinds by their ids.
+/// The names of classes, tenants, zones and hardware kinds.
+///
+/// The names of the classes and tenants are in the order of [`Settings::classes`] and [`Settings::tenants`]. The id of
+/// a zone or hardware kind is the position of its name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// The classes of requests.
+    /// The names of the classes of requests. A class without a name has the empty string.
     pub classes: Vec<String>,
-    /// The tenants.
+    /// The names of the tenants. A tenant without a name has the empty string.
     pub tenants: Vec<String>,
-    /// The zones.
+    /// The names of the zones. A zone whose id is not a position in this list has no name.
     pub zones: Vec<String>,
-    /// The kinds of upstreams.
-    pub kinds: Vec<String>,
+    /// The names of the hardware kinds of upstreams. A kind whose id is not a position in this list has no name.
+    pub hardware_kinds: Vec<String>,
 }
 
-/// Parses the text of a settings object.
+/// Parses the JSON text of a settings object.
+///
+/// Does not check the ranges of the values; [`Settings::check`] does.
 pub fn parse(text: &str) -> Result<Site, SettingsParseError> {
     let document: document::SiteDocument = serde_json::from_str(text)?;
     let settings = convert::settings(&document)?;
--- a/settings/tests/every_key.rs
+++ b/settings/tests/every_key.rs
@@ -1,4 +1,4 @@
-//! A site's settings with every key that is read, compared field by field with what they mean.
+//! Parses settings with every key that is read, and compares each field of the result with the expected value.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -24,8 +24,8 @@
     parse(&value.to_string()).expect("valid settings")
 }
 
-/// The class that settings with this one class object have.
-fn with_class(class: Value) -> Result<Class, String> {
+/// Parses settings with one class object. Returns the class, or the message of the error.
+fn parse_class(class: Value) -> Result<Class, String> {
     let text = json!({ "classes": [class] }).to_string();
     parse(&text)
         .map(|site| site.settings.classes[0].clone())
@@ -36,19 +36,19 @@
     vec![
         Class {
             latency_objective: micros(1_200_500),
-            objective_work_multiple: 0.25,
+            objective_extension_per_cpu_time: 0.25,
             deadline: micros(2_750_000),
             priority_weight: 2.5,
-            late_weight_share: 0.125,
+            late_weight_fraction: 0.125,
             effect: Effect::Idempotent,
             streamed: true,
         },
         Class {
             latency_objective: micros(800_000),
-            objective_work_multiple: 1.5,
+            objective_extension_per_cpu_time: 1.5,
             deadline: micros(6_000_000),
             priority_weight: 10.0,
-            late_weight_share: 0.5,
+            late_weight_fraction: 0.5,
             effect: Effect::Deduplicated {
                 group: DedupGroup::Zone,
                 ttl: micros(12_000_750),
@@ -65,13 +65,13 @@
         zone: ZoneId(2),
         classes: expected_classes(),
         tenants: vec![Tenant { quota_per_s: 31.0 }, Tenant { quota_per_s: 17.5 }],
-        over_quota_weight_share: 0.35,
-        weight_by_work: true,
+        over_quota_weight_fraction: 0.35,
+        scales_priority_weight_by_work: true,
         polls_endpoints: true,
         has_local_agent: false,
         poll_interval: micros(7_500_000),
         drain_grace: micros(1_250_000),
-        slow_start_initial_share: 0.12,
+        slow_start_initial_fraction: 0.12,
         slow_start_duration: micros(23_000_000),
         overload_multiple: 2.25,
         overload_window: micros(3_500_000),
@@ -84,7 +84,7 @@
         connect_timeout: micros(325_500),
         connection_idle_timeout: micros(5_000_000),
         max_streams: 9,
-        tail_miss: Some(0.015),
+        tolerated_late_fraction: Some(0.015),
         cpu_per_request: Duration::from_nanos(12_500),
         endpoint_weights: EndpointWeights::Live,
         load_reports: LoadReports::OnHealthCheck,
@@ -99,11 +99,11 @@
         ],
         prices: Prices {
             cross_zone: 0.02,
-            connection: 0.01,
+            hundred_connections: 0.01,
             handshake: 0.03,
-            late_failure: 0.04,
+            failure_after_objective: 0.04,
             health_check: 0.05,
-            waste: 0.06,
+            wasted_work: 0.06,
         },
     }
 }
@@ -116,54 +116,55 @@
         classes: owned(&["status", "start"]),
         tenants: owned(&["gyeonggi", "seoul"]),
         zones: owned(&["north", "south", "west"]),
-        kinds: owned(&["std-2c", "wide-3c"]),
+        hardware_kinds: owned(&["std-2c", "wide-3c"]),
     };
     assert_eq!(site.names, names);
 }
 
-/// JSON pointers to all scalar values: those of keys and those in lists.
-fn leaves(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Appends to `found` the JSON pointer of each scalar value in `value`. `at` is the JSON pointer of `value` itself.
+fn scalar_pointers(value: &Value, at: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
             map.iter()
-                .for_each(|(key, value)| leaves(value, &format!("{at}/{key}"), found));
+                .for_each(|(key, value)| scalar_pointers(value, &format!("{at}/{key}"), found));
         }
         Value::Array(list) => {
             list.iter()
                 .enumerate()
-                .for_each(|(k, value)| leaves(value, &format!("{at}/{k}"), found));
+                .for_each(|(k, value)| scalar_pointers(value, &format!("{at}/{k}"), found));
         }
         _ => found.push(at.to_owned()),
     }
 }
 
-/// Guards the data of the test above: a key that is misspelt there, or that has its default value, would not be noticed.
+/// Checks `every-key.json`: a key that is misspelt there, or that has its default value, would leave its field
+/// untested.
 #[test]
 fn removing_any_key_changes_the_result() {
     let document: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
     let site = parsed(&document);
     let mut keys = Vec::new();
-    leaves(&document, "", &mut keys);
+    scalar_pointers(&document, "", &mut keys);
     assert_eq!(keys.len(), 66);
     for key in keys {
-        let (parent, last) = key.rsplit_once('/').expect("a pointer");
+        let (parent, last) = key.rsplit_once('/').expect("a JSON pointer");
         let mut without = document.clone();
-        match without.pointer_mut(parent).expect("its parent") {
+        match without.pointer_mut(parent).expect("the parent of the key") {
             Value::Object(map) => drop(map.remove(last).expect("the key")),
             Value::Array(list) => drop(list.remove(last.parse().expect("a position"))),
-            other => panic!("{parent} is {other}"),
+            other => panic!("expected an object or a list at {parent}, got {other}"),
         }
         assert!(
             parse(&without.to_string()).ok() != Some(site.clone()),
-            "{key} changes nothing"
+            "removing {key} changes nothing"
         );
     }
 }
 
 #[test]
-fn missing_keys_take_the_defaults() {
+fn missing_keys_have_default_values() {
     let site = parse("{}").expect("valid settings");
-    // An absent `weight_kind` is the one key whose meaning is not the default of `Settings`.
+    // The value for a missing `weight_kind` is the only one that differs from `Settings::default`.
     let settings = Settings {
         endpoint_weights: EndpointWeights::Off,
         ..Settings::default()
@@ -178,17 +179,17 @@
 }
 
 #[test]
-fn class_without_keys_takes_the_defaults() {
+fn class_without_keys_has_default_values() {
     let class = Class {
         latency_objective: micros(1_000_000),
-        objective_work_multiple: 0.0,
+        objective_extension_per_cpu_time: 0.0,
         deadline: micros(3_000_000),
         priority_weight: 1.0,
-        late_weight_share: 0.0,
+        late_weight_fraction: 0.0,
         effect: Effect::AtMostOnce,
         streamed: false,
     };
-    assert_eq!(with_class(json!({})), Ok(class));
+    assert_eq!(parse_class(json!({})), Ok(class));
     let site = parsed(&json!({ "classes": [{}], "parties": [{}] }));
     assert_eq!(site.settings.tenants, [Tenant { quota_per_s: 0.0 }]);
     assert_eq!(
@@ -199,17 +200,17 @@
 
 #[test]
 fn unknown_keys_are_ignored() {
-    let mut more: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
-    more["tick_ms"] = json!(5.0);
-    more["limits"]["peers"] = json!(true);
-    more["classes"][0]["colour"] = json!(["red"]);
-    assert_eq!(Some(parsed(&more)), parse(EVERY_KEY).ok());
+    let mut document: Value = serde_json::from_str(EVERY_KEY).expect("JSON");
+    document["tick_ms"] = json!(5.0);
+    document["limits"]["peers"] = json!(true);
+    document["classes"][0]["colour"] = json!(["red"]);
+    assert_eq!(Some(parsed(&document)), parse(EVERY_KEY).ok());
 }
 
 #[test]
 fn reads_effects_and_deduplication_scopes() {
     let deduplicated = |scope: &str| {
-        with_class(json!({ "effect": "deduplicated", "dedup_scope": scope, "key_ttl_ms": 1.5 }))
+        parse_class(json!({ "effect": "deduplicated", "dedup_scope": scope, "key_ttl_ms": 1.5 }))
     };
     for (scope, group) in [
         ("all", DedupGroup::All),
@@ -230,18 +231,18 @@
         ("idempotent", Effect::Idempotent),
         ("at_most_once", Effect::AtMostOnce),
     ] {
-        let class = with_class(json!({ "effect": effect, "dedup_scope": "nonsense" }));
+        let class = parse_class(json!({ "effect": effect, "dedup_scope": "nonsense" }));
         assert_eq!(
             class.map(|class| class.effect),
             Ok(expected),
-            "{effect}: no scope is read"
+            "{effect}: dedup_scope is ignored"
         );
     }
 }
 
 #[test]
 fn reads_the_values_of_enumerated_keys() {
-    let set = |key: &str, value: &str| parsed(&json!({ key: value })).settings;
+    let settings_with = |key: &str, value: &str| parsed(&json!({ key: value })).settings;
     for (word, weights) in [
         ("live", EndpointWeights::Live),
         ("nominal", EndpointWeights::Size),
@@ -249,13 +250,25 @@
         ("off", EndpointWeights::Off),
         ("new", EndpointWeights::Off),
     ] {
-        assert_eq!(set("weight_kind", word).endpoint_weights, weights, "{word}");
+        assert_eq!(
+            settings_with("weight_kind", word).endpoint_weights,
+            weights,
+            "{word}"
+        );
     }
-    for (word, asks) in [("subscribe", true), ("automatic", false), ("new", false)] {
-        assert_eq!(set("discovery", word).polls_endpoints, asks, "{word}");
+    for (word, polls) in [("subscribe", true), ("automatic", false), ("new", false)] {
+        assert_eq!(
+            settings_with("discovery", word).polls_endpoints,
+            polls,
+            "{word}"
+        );
     }
     for (word, by_work) in [("work", true), ("request", false), ("new", false)] {
-        assert_eq!(set("worth_by", word).weight_by_work, by_work, "{word}");
+        assert_eq!(
+            settings_with("worth_by", word).scales_priority_weight_by_work,
+            by_work,
+            "{word}"
+        );
     }
     for (word, reports) in [
         ("inline", LoadReports::Inline),
@@ -286,7 +299,7 @@
 }
 
 #[test]
-fn clamps_attempts_and_reads_tail_miss_only_with_its_weight() {
+fn clamps_attempt_limit_and_reads_tolerated_late_fraction_only_with_its_weight() {
     let limit = |n: u32| {
         parsed(&json!({ "limits": { "try_limit": n } }))
             .settings
@@ -296,14 +309,21 @@
         (limit(0), limit(250), limit(251), limit(u32::MAX)),
         (0, 250, 250, 250)
     );
-    let goal = |goal: Value| parsed(&json!({ "goal": goal })).settings.tail_miss;
+    let late_fraction = |goal: Value| {
+        parsed(&json!({ "goal": goal }))
+            .settings
+            .tolerated_late_fraction
+    };
     assert_eq!(
-        goal(json!({ "slow_end": 0.1, "tail_miss": 0.02 })),
+        late_fraction(json!({ "slow_end": 0.1, "tail_miss": 0.02 })),
         Some(0.02)
     );
-    assert_eq!(goal(json!({ "slow_end": 0.0, "tail_miss": 0.02 })), None);
-    assert_eq!(goal(json!({ "tail_miss": 0.02 })), None);
-    assert_eq!(goal(json!({ "slow_end": 0.1 })), None);
+    assert_eq!(
+        late_fraction(json!({ "slow_end": 0.0, "tail_miss": 0.02 })),
+        None
+    );
+    assert_eq!(late_fraction(json!({ "tail_miss": 0.02 })), None);
+    assert_eq!(late_fraction(json!({ "slow_end": 0.1 })), None);
 }
 
 #[test]
@@ -325,10 +345,11 @@
     );
 }
 
-/// Checks what the message must name, not its whole text.
+/// Checks that each error message contains the invalid key, its value or the position in the text. The rest of the
+/// message is not checked.
 #[test]
 fn rejects_invalid_settings_naming_key_and_value() {
-    for (text, named) in [
+    for (text, expected_words) in [
         (
             r#"{"classes": [{"effect": "sometimes"}]}"#,
             &["classes[0].effect", "\"sometimes\""][..],
@@ -357,7 +378,7 @@
         ("[1", &["settings", "line 1 column 2"]),
     ] {
         let message = parse(text).map(|_| ()).expect_err(text).to_string();
-        for word in named {
+        for word in expected_words {
             assert!(message.contains(word), "{text}: no {word} in {message}");
         }
     }
--- a/simulator-adapter/src/decoder.rs
+++ b/simulator-adapter/src/decoder.rs
@@ -1,4 +1,4 @@
-//! Bytes of a frame to the records of a batch.
+//! Decodes the bytes of a frame into the records of a batch.
 
 mod fields;
 mod records;
@@ -7,7 +7,9 @@
 use crate::protocol::{Batch, LENGTH_BYTES};
 use fields::FieldReader;
 
-/// Decodes a complete batch, its length field included.
+/// Decodes a complete batch. `frame` begins with the length field.
+///
+/// An error contains the position in the frame of the first invalid field.
 pub fn decode_batch(frame: &[u8]) -> Result<Batch, BatchError> {
     let mut reader = FieldReader::new(frame);
     let stated = reader.u32("length")? as usize;
@@ -16,10 +18,13 @@
         let fault = BatchFault::LengthMismatch { stated, actual };
         return Err(BatchError { offset: 0, fault });
     }
-    let clock = reader.time("clock")?;
+    let simulator_time = reader.time("clock")?;
     let mut records = Vec::new();
     while !reader.is_at_end() {
         records.push(records::located_record(&mut reader)?);
     }
-    Ok(Batch { clock, records })
+    Ok(Batch {
+        simulator_time,
+        records,
+    })
 }
--- a/simulator-adapter/src/decoder/fields.rs
+++ b/simulator-adapter/src/decoder/fields.rs
@@ -1,4 +1,4 @@
-//! Reads single fields of a frame; each error names the field and its byte.
+//! Reads single fields of a frame. An error contains the name and the position of the invalid field.
 
 use crate::error::{BatchError, BatchFault};
 use crate::protocol::UPSTREAM_BYTES;
@@ -6,7 +6,8 @@
 use frostkeel_settings::duration_from_ms;
 use std::time::Duration;
 
-/// A position in a frame.
+/// A reader that returns the fields of a frame in order. The argument `field` of a method is the name of the field in
+/// error messages.
 pub(super) struct FieldReader<'a> {
     frame: &'a [u8],
     offset: usize,
@@ -17,7 +18,7 @@
         Self { frame, offset: 0 }
     }
 
-    /// The byte of the frame that is read next.
+    /// Returns the position of the next byte to read, counted from the beginning of the frame.
     pub(super) fn offset(&self) -> usize {
         self.offset
     }
@@ -26,6 +27,7 @@
         self.offset >= self.frame.len()
     }
 
+    /// Returns the number of bytes that have not been read yet.
     fn available(&self) -> usize {
         self.frame.len() - self.offset
     }
@@ -97,7 +99,8 @@
         (0..count).map(|_| self.f32("load report")).collect()
     }
 
-    /// A count of items of `item_bytes` each, checked before memory is reserved for more than the frame can hold.
+    /// Reads the number of items that follow, each of `item_bytes` bytes. Returns an error if the rest of the frame is
+    /// too short for this number, so that the caller reserves no memory for a wrong number.
     pub(super) fn count(
         &mut self,
         item_bytes: usize,
@@ -120,7 +123,7 @@
         Ok(count)
     }
 
-    /// A code of one byte; an unknown one is an error.
+    /// Reads a code of one byte. An unknown code is an error.
     pub(super) fn u8_code<T>(
         &mut self,
         field: &'static str,
@@ -131,7 +134,7 @@
         from_wire(code).ok_or_else(|| unknown_code(offset, field, code.into()))
     }
 
-    /// A code of two bytes; an unknown one is an error.
+    /// Reads a code of two bytes. An unknown code is an error.
     pub(super) fn u16_code<T>(
         &mut self,
         field: &'static str,
@@ -143,7 +146,7 @@
     }
 }
 
-/// The error for an unknown code at `offset`.
+/// Returns the error for an unknown code in a field that begins at the byte `offset` of the frame.
 pub(super) fn unknown_code(offset: usize, field: &'static str, code: u16) -> BatchError {
     BatchError {
         offset,
--- a/simulator-adapter/src/decoder/records.rs
+++ b/simulator-adapter/src/decoder/records.rs
@@ -1,40 +1,40 @@
-//! Reads complete records, one function a kind.
+//! Reads complete records, with one function for each kind of record.
 
 use super::fields::{FieldReader, unknown_code};
 use crate::error::{BatchError, BatchFault};
 use crate::protocol::{
-    ENDPOINT_BYTES, EventCode, InstanceEvent, LocatedRecord, MAX_ENDPOINT_LIST_NUMBER,
-    REQUEST_HAS_WORK_HINT, REQUEST_IS_RETRY, Record, UpstreamResult, availability_from_wire,
+    ENDPOINT_BYTES, InstanceEvent, LocatedRecord, MAX_ENDPOINT_LIST_NUMBER, REQUEST_HAS_WORK_HINT,
+    REQUEST_IS_RETRY, Record, RecordCode, UpstreamResult, availability_from_wire,
     outcome_from_wire, update_scope_from_wire,
 };
 use frostkeel_policy::{
-    AttemptNo, CellId, ClassId, Endpoint, KindId, RequestId, TenantId, TimerId, ZoneId,
+    AttemptNo, CellId, ClassId, Endpoint, HardwareKindId, RequestId, TenantId, TimerId, ZoneId,
 };
 use frostkeel_settings::duration_from_ms;
 
-/// Reads the next record.
+/// Reads the next record, and returns it with its position in the frame.
 pub(super) fn located_record(reader: &mut FieldReader<'_>) -> Result<LocatedRecord, BatchError> {
     let offset = reader.offset();
-    let number = reader.u8("record code")?;
-    let code = EventCode::from_wire(number);
-    let code = code.ok_or_else(|| unknown_code(offset, "event code", number.into()))?;
+    let wire_code = reader.u8("record code")?;
+    let code = RecordCode::from_wire(wire_code);
+    let code = code.ok_or_else(|| unknown_code(offset, "event code", wire_code.into()))?;
     let record = match code {
-        EventCode::EndpointList => endpoint_list(reader)?,
-        EventCode::Start => start(reader)?,
-        EventCode::Stop => stop(reader)?,
-        EventCode::PeerMessage => peer_message(reader)?,
-        EventCode::ClientDisconnected => instance_event(reader, client_disconnected)?,
-        EventCode::StreamStarted => instance_event(reader, stream_started)?,
-        EventCode::Timer => instance_event(reader, timer)?,
-        EventCode::HealthCheckEnded => instance_event(reader, health_check_ended)?,
-        EventCode::EndpointsUpdated => instance_event(reader, endpoints_updated)?,
-        EventCode::AttemptEnded => instance_event(reader, attempt_ended)?,
-        EventCode::Request => instance_event(reader, request)?,
+        RecordCode::EndpointList => endpoint_list(reader)?,
+        RecordCode::Start => start(reader)?,
+        RecordCode::Stop => stop(reader)?,
+        RecordCode::PeerMessage => peer_message(reader)?,
+        RecordCode::ClientDisconnected => instance_event(reader, client_disconnected)?,
+        RecordCode::StreamStarted => instance_event(reader, stream_started)?,
+        RecordCode::Timer => instance_event(reader, timer)?,
+        RecordCode::HealthCheckEnded => instance_event(reader, health_check_ended)?,
+        RecordCode::EndpointsUpdated => instance_event(reader, endpoints_updated)?,
+        RecordCode::AttemptEnded => instance_event(reader, attempt_ended)?,
+        RecordCode::Request => instance_event(reader, request)?,
     };
     Ok(LocatedRecord { offset, record })
 }
 
-/// Reads the instance's number and, with the given function, the event for its balancer.
+/// Reads the number of an instance and, with `read_event`, the event for its balancer.
 fn instance_event(
     reader: &mut FieldReader<'_>,
     read_event: fn(&mut FieldReader<'_>) -> Result<InstanceEvent, BatchError>,
@@ -61,7 +61,7 @@
 fn endpoint(reader: &mut FieldReader<'_>) -> Result<Endpoint, BatchError> {
     let id = reader.upstream()?;
     let zone = ZoneId(reader.u8("zone")?);
-    let kind = KindId(reader.u16("kind")?);
+    let hardware_kind = HardwareKindId(reader.u16("hardware kind")?);
     let cell = CellId(reader.u16("cell")?);
     let availability = reader.u8_code("availability", availability_from_wire)?;
     let weight = f64::from(reader.f32("weight")?);
@@ -72,7 +72,7 @@
     Ok(Endpoint {
         id,
         zone,
-        kind,
+        hardware_kind,
         cell,
         availability,
         weight,
@@ -181,10 +181,11 @@
     let tenant = TenantId(reader.u32("tenant")?);
     reader.u64("key")?;
     let time_left = reader.time("time left")?;
-    let hint_ms = reader.f64("work hint")?;
+    let work_hint_ms = reader.f64("work hint")?;
     let flags = reader.u8("flags")?;
-    let has_hint = flags & REQUEST_HAS_WORK_HINT != 0 && hint_ms.is_finite() && hint_ms > 0.0;
-    let work_ms = has_hint.then_some(hint_ms);
+    let has_work_hint =
+        flags & REQUEST_HAS_WORK_HINT != 0 && work_hint_ms.is_finite() && work_hint_ms > 0.0;
+    let work_ms = has_work_hint.then_some(work_hint_ms);
     let is_retry = flags & REQUEST_IS_RETRY != 0;
     Ok(InstanceEvent::Request {
         id,
--- a/simulator-adapter/tests/codec.rs
+++ b/simulator-adapter/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Single records and actions, compared with bytes that an earlier version read and wrote.
+//! Decodes single records and encodes single actions, and compares them with fixtures. An earlier version of the
+//! adapter read the records of the fixtures and wrote the actions.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -6,24 +7,24 @@
 
 use common::{NamedBytes, frame, parse_named_hex};
 use frostkeel_policy::{
-    Action, AttemptNo, Availability, CellId, ClassId, Endpoint, FailureReason, KindId, Outcome,
-    RequestId, TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
+    Action, AttemptNo, Availability, CellId, ClassId, Endpoint, FailureReason, HardwareKindId,
+    Outcome, RequestId, TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
 };
 use frostkeel_simulator_adapter::decoder::decode_batch;
 use frostkeel_simulator_adapter::encoder::ReplyEncoder;
 use frostkeel_simulator_adapter::error::BatchFault;
 use frostkeel_simulator_adapter::protocol::{
-    ActionCode, EventCode, InstanceEvent, Record, UpstreamResult,
+    ActionCode, InstanceEvent, Record, RecordCode, UpstreamResult,
 };
 use std::time::Duration;
 
 const INSTANCE: u32 = 3;
 const REQUEST: RequestId = RequestId(0x5d3a_91c4);
 const OTHER_REQUEST: RequestId = RequestId(0x0e6f_2b19);
-/// Where the first record of a frame begins.
-const FIRST_RECORD: usize = 12;
+/// The byte of a frame at which the first record begins.
+const FIRST_RECORD_OFFSET: usize = 12;
 
-/// The upstream at 10.18.74.`host`, port 11203.
+/// Returns the id of the upstream at 10.18.74.`host`, port 11203.
 fn upstream(host: u8) -> UpstreamId {
     UpstreamId(0x0a12_4a00_2bc3 | u64::from(host) << 16)
 }
@@ -32,14 +33,14 @@
     Duration::from_micros(value)
 }
 
-fn of_instance(event: InstanceEvent) -> Record {
+fn event_record(event: InstanceEvent) -> Record {
     Record::Event {
         instance: INSTANCE,
         event,
     }
 }
 
-fn result(outcome: Outcome, latency_us: u64, load_report: &[f32]) -> UpstreamResult {
+fn upstream_result(outcome: Outcome, latency_us: u64, load_report: &[f32]) -> UpstreamResult {
     UpstreamResult {
         upstream: upstream(7),
         outcome,
@@ -49,16 +50,16 @@
 }
 
 fn attempt_ended(outcome: Outcome, request_finished: bool, load_report: &[f32]) -> Record {
-    of_instance(InstanceEvent::AttemptEnded {
+    event_record(InstanceEvent::AttemptEnded {
         id: REQUEST,
         attempt: AttemptNo(1),
         request_finished,
-        result: result(outcome, 4_500, load_report),
+        result: upstream_result(outcome, 4_500, load_report),
     })
 }
 
 fn endpoints_updated(scope: UpdateScope) -> Record {
-    of_instance(InstanceEvent::EndpointsUpdated {
+    event_record(InstanceEvent::EndpointsUpdated {
         scope,
         list_number: 15,
     })
@@ -69,7 +70,7 @@
         Endpoint {
             id: upstream(7),
             zone: ZoneId(1),
-            kind: KindId(258),
+            hardware_kind: HardwareKindId(258),
             cell: CellId(772),
             availability: Availability::Removed,
             weight: 1.5,
@@ -78,7 +79,7 @@
         Endpoint {
             id: upstream(8),
             zone: ZoneId(2),
-            kind: KindId(3),
+            hardware_kind: HardwareKindId(3),
             cell: CellId(4),
             availability: Availability::Ready,
             weight: 0.25,
@@ -87,7 +88,7 @@
         Endpoint {
             id: upstream(9),
             zone: ZoneId(255),
-            kind: KindId(65535),
+            hardware_kind: HardwareKindId(65535),
             cell: CellId(65535),
             availability: Availability::Draining,
             weight: -2.0,
@@ -96,12 +97,12 @@
     ]
 }
 
-/// The records of `records.hex` up to those of requests, in its order.
-fn lifecycle_and_upstream_records() -> Vec<Record> {
+/// Returns the records of `records.hex` that come before the requests, in the order of the file.
+fn records_before_requests() -> Vec<Record> {
     vec![
         Record::PeerMessage { instance: INSTANCE },
-        of_instance(InstanceEvent::ClientDisconnected { id: OTHER_REQUEST }),
-        of_instance(InstanceEvent::StreamStarted {
+        event_record(InstanceEvent::ClientDisconnected { id: OTHER_REQUEST }),
+        event_record(InstanceEvent::StreamStarted {
             id: REQUEST,
             attempt: AttemptNo(2),
             latency: micros(9_250),
@@ -119,16 +120,16 @@
             seed: 0x0102_0304_0506_0708,
             settings: r#"{"classes": [{"name": "a"}]}"#.to_owned(),
         },
-        of_instance(InstanceEvent::Timer {
+        event_record(InstanceEvent::Timer {
             timer: TimerId(0x4d),
         }),
-        of_instance(InstanceEvent::HealthCheckEnded {
-            result: result(Outcome::Ok, 1_400, &[0.62, 7.0]),
+        event_record(InstanceEvent::HealthCheckEnded {
+            result: upstream_result(Outcome::Ok, 1_400, &[0.62, 7.0]),
         }),
         Record::Event {
             instance: u32::MAX,
             event: InstanceEvent::HealthCheckEnded {
-                result: result(Outcome::Reset, 2_500, &[]),
+                result: upstream_result(Outcome::Reset, 2_500, &[]),
             },
         },
         Record::Stop { instance: INSTANCE },
@@ -147,8 +148,8 @@
     ]
 }
 
-/// The records of `records.hex` with requests, in its order: with a work hint, without one, marked as a retry, and with
-/// hints that say nothing.
+/// Returns the requests of `records.hex`, in the order of the file: with a work hint, without one, marked as a retry,
+/// with a hint that isn't finite and with a hint of zero.
 fn request_records() -> Vec<Record> {
     let time_left = micros(240_000);
     let request = |id, class, tenant| (RequestId(id), ClassId(class), TenantId(tenant));
@@ -161,7 +162,7 @@
         (request(2, 0, 0), Duration::ZERO, None, true),
     ]
     .map(|((id, class, tenant), time_left, work_ms, is_retry)| {
-        of_instance(InstanceEvent::Request {
+        event_record(InstanceEvent::Request {
             id,
             class,
             tenant,
@@ -180,24 +181,24 @@
 #[test]
 fn decodes_each_record_kind() {
     let lines = parse_named_hex(include_str!("data/records.hex"));
-    let mut expected = lifecycle_and_upstream_records();
+    let mut expected = records_before_requests();
     expected.extend(request_records());
     assert_eq!(lines.len(), expected.len());
     for (line, record) in lines.iter().zip(&expected) {
         let name = line.name;
         let batch = decode_batch(&frame(1001.5, &line.bytes));
         let mut batch = batch.unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(batch.clock, micros(1_001_500));
+        assert_eq!(batch.simulator_time, micros(1_001_500));
         let located = batch.records.pop().expect("a record");
         assert_eq!(
             (located.offset, &located.record),
-            (FIRST_RECORD, record),
+            (FIRST_RECORD_OFFSET, record),
             "{name}"
         );
         assert!(batch.records.is_empty(), "{name}: one record");
     }
     let batch =
-        decode_batch(&frame(0.0, &concatenated(&lines))).expect("one batch with all of them");
+        decode_batch(&frame(0.0, &concatenated(&lines))).expect("one batch with all records");
     let records: Vec<Record> = batch
         .records
         .into_iter()
@@ -206,7 +207,8 @@
     assert_eq!(records, expected);
 }
 
-/// The actions of `actions.hex` in its order, each with its instance.
+/// Returns the actions of `actions.hex` that come before the log line, in the order of the file, each with its
+/// instance.
 fn actions() -> Vec<(u32, Action)> {
     let id = OTHER_REQUEST;
     let attempt = |id, host, timeout| Action::Attempt {
@@ -250,15 +252,15 @@
 /// The log line that is the last action of `actions.hex`, with its instance.
 const LOG_LINE: (u32, &str) = (5, "two servers known");
 
-/// A reply of what `push` adds, without its length field.
+/// Returns the bytes of a reply with the actions that `push` appends, without the length field.
 fn encoded(push: impl FnOnce(&mut ReplyEncoder)) -> Vec<u8> {
     let mut reply = ReplyEncoder::default();
     reply.begin();
     push(&mut reply);
     let bytes = reply.finish();
-    let (length, action) = bytes.split_first_chunk().expect("a length field");
-    assert_eq!(u32::from_be_bytes(*length) as usize, action.len());
-    action.to_vec()
+    let (length, actions) = bytes.split_first_chunk().expect("a length field");
+    assert_eq!(u32::from_be_bytes(*length) as usize, actions.len());
+    actions.to_vec()
 }
 
 #[test]
@@ -269,7 +271,7 @@
     let mut reply = ReplyEncoder::default();
     reply.begin();
     reply.push(INSTANCE, &Action::WatchEndpoints);
-    // A second start drops what the first reply held.
+    // A second call of `begin` discards the actions of the first reply.
     reply.begin();
     for (line, (instance, action)) in lines.iter().zip(&actions) {
         let bytes = encoded(|reply| reply.push(*instance, action));
@@ -294,8 +296,8 @@
 }
 
 #[test]
-fn event_codes_have_the_numbers_of_the_wire() {
-    let known = (0..=u8::MAX).filter_map(|number| Some((number, EventCode::from_wire(number)?)));
+fn record_codes_match_their_numbers_on_the_wire() {
+    let known = (0..=u8::MAX).filter_map(|number| Some((number, RecordCode::from_wire(number)?)));
     let mut count = 0;
     for (number, code) in known {
         assert_eq!(code as u8, number, "{code:?}");
@@ -306,9 +308,9 @@
 }
 
 #[test]
-fn decoding_errors_have_their_fault_and_byte() {
-    let error = decode_batch(&frame(0.0, &[8, 0, 0])).expect_err("a cut record");
-    assert_eq!(error.offset, FIRST_RECORD + 1);
+fn decoding_errors_name_fault_and_byte() {
+    let error = decode_batch(&frame(0.0, &[8, 0, 0])).expect_err("a truncated record");
+    assert_eq!(error.offset, FIRST_RECORD_OFFSET + 1);
     assert!(matches!(
         error.fault,
         BatchFault::Truncated {
@@ -320,5 +322,8 @@
     let mut longer = frame(0.0, &[]);
     longer.push(0);
     let error = decode_batch(&longer).expect_err("a wrong length");
-    assert_eq!(error.to_string(), "byte 0: length 8 for 9 bytes");
+    assert_eq!(
+        error.to_string(),
+        "byte 0: frame length is 8, but 9 bytes follow it"
+    );
 }
--- a/src/policy/attempt_flow.rs
+++ b/src/policy/attempt_flow.rs
@@ -12,22 +12,26 @@
 
 /// Number of eligible upstreams that are compared to choose the target of a retry.
 const MAX_RETRY_CANDIDATES: usize = 6;
-/// Cost of a retry, in retries of the budget. It is lower if the previous attempt was not
-/// processed: the retry then adds no work.
+/// Cost of a retry or a hedged attempt, as a number of retries in the retry budget.
 const RETRY_COST: f64 = 1.0;
+/// Cost of a retry after an attempt that was not processed, as a number of retries in the retry
+/// budget. It is lower because the retry adds no work.
 const UNPROCESSED_RETRY_COST: f64 = 0.1;
-/// Time that has to remain for a retry: seconds until the deadline; and, as a fraction of the
-/// class's mean latency, the time until a response is of no use.
-const MIN_RETRY_TIME_S: f64 = 1e-3;
-const MIN_RETRY_LATENCY_FRACTION: f64 = 0.5;
-/// Spare capacity, in requests, above which hedged attempts are sent. It is negative because the
-/// overdue attempt itself counts as in flight.
+/// Least time, in seconds, that must remain until the deadline when a retry is sent.
+const MIN_TIME_TO_DEADLINE_S: f64 = 1e-3;
+/// Least time for which a response must still be of use when a retry is sent, as a fraction of the
+/// mean latency of the class.
+const MIN_USEFUL_TIME_FRACTION: f64 = 0.5;
+/// Spare capacity, in requests, above which hedged attempts are sent. The limit is negative because
+/// the overdue attempt, which the hedged attempt duplicates, counts as in flight itself.
 const MIN_HEDGE_SPARE_CAPACITY: f64 = -1.0;
-/// Bounds of the time-out of an attempt, in seconds.
+/// Shortest time-out of an attempt, in seconds.
 const MIN_TIMEOUT_S: f64 = 1e-3;
+/// Longest time-out of an attempt, in seconds.
 const MAX_TIMEOUT_S: f64 = 1e6;
-/// Penalty in the rank of a retry candidate: once for an upstream of another zone, twice for one
-/// outside the subset. It outweighs any number of requests in flight.
+/// Penalty that is added to the rank of a retry candidate; the candidate with the lowest rank is
+/// chosen. It is added once for an upstream of another zone and twice for an upstream outside the
+/// subset. It outweighs any number of requests in flight.
 const DISTANCE_PENALTY: f64 = 1e6;
 
 impl Balancer {
@@ -40,14 +44,17 @@
         let overdue_after = Duration::from_secs_f64(self.classes.overdue_after_s(class));
         let timeout = self.attempt_timeout(request, overdue_after);
         let upstream = &mut self.upstreams[slot];
-        let mut idle_s = upstream
+        let mut connections_idle_s = upstream
             .connections
             .idle_s(self.now_s, upstream.load.in_flight());
-        if self.idle_connections.is_suspect(idle_s, self.now_s) {
+        if self
+            .idle_connection_statistics
+            .is_suspect(connections_idle_s, self.now_s)
+        {
             self.actions.push(Action::CloseIdleConnections {
                 upstream: upstream.endpoint.id(),
             });
-            idle_s = 0.0;
+            connections_idle_s = 0.0;
         }
         upstream.connections.record(self.now_s);
         upstream.load.record_sent();
@@ -57,13 +64,15 @@
             upstream: upstream.endpoint.id(),
             timeout,
         });
+        // The attempt records the zone and the dedup cell of its upstream: they decide which other
+        // upstreams know the idempotency key, and so where a retry may be sent.
         let attempt = Attempt {
             upstream: upstream.endpoint.id(),
             zone: upstream.endpoint.zone(),
-            cell: upstream.endpoint.cell(),
+            dedup_cell: upstream.endpoint.dedup_cell(),
             sent_at_s: self.now_s,
             state: AttemptState::InFlight,
-            connection_idle_s: idle_s,
+            connection_idle_s: connections_idle_s,
         };
         self.requests
             .add_attempt(id, attempt, self.now + overdue_after);
@@ -83,60 +92,63 @@
         // An attempt is abandoned when its response would be of no use: upstreams that drop
         // cancelled requests gain capacity for other requests, and an unresponsive upstream is
         // detected sooner.
-        let useful_s = (request.useful_until_s - self.now_s).clamp(MIN_TIMEOUT_S, MAX_TIMEOUT_S);
-        let ends_early = request.useful_until_s < request.deadline_s;
-        ends_early.then(|| Duration::from_secs_f64(useful_s))
+        let useful_for_s =
+            (request.useful_until_s - self.now_s).clamp(MIN_TIMEOUT_S, MAX_TIMEOUT_S);
+        let ends_before_deadline = request.useful_until_s < request.deadline_s;
+        ends_before_deadline.then(|| Duration::from_secs_f64(useful_for_s))
     }
 
     /// Sends a retry or a hedged attempt if the request, the retry budget and the upstreams allow
     /// one. Returns whether it was sent.
-    fn retry_elsewhere(&mut self, id: RequestId, cost: f64) -> bool {
+    fn retry_elsewhere(&mut self, id: RequestId, retry_cost: f64) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
         };
-        if !self.may_retry(request, cost) {
+        if !self.may_retry(request, retry_cost) {
             return false;
         }
-        let start = self.random.usize(..);
-        let Some(slot) = self.retry_target(request, start) else {
+        let random_start = self.random.usize(..);
+        let Some(slot) = self.retry_target(request, random_start) else {
             return false;
         };
-        self.retry_budget.spend(cost);
+        self.retry_budget.spend(retry_cost);
         self.send(id, slot);
         true
     }
 
-    fn may_retry(&self, request: &Request, cost: f64) -> bool {
-        let min_remaining_s =
-            MIN_RETRY_LATENCY_FRACTION * self.classes.class_mean_latency_s(request.class);
+    fn may_retry(&self, request: &Request, retry_cost: f64) -> bool {
+        let min_useful_for_s =
+            MIN_USEFUL_TIME_FRACTION * self.classes.class_mean_latency_s(request.class);
         request.is_waiting()
             && request.attempts.len() < usize::from(self.settings.max_attempts)
-            && self.now_s + MIN_RETRY_TIME_S < request.deadline_s
-            && self.now_s + min_remaining_s < request.useful_until_s
-            && self.retry_budget.affords(cost)
+            && self.now_s + MIN_TIME_TO_DEADLINE_S < request.deadline_s
+            && self.now_s + min_useful_for_s < request.useful_until_s
+            && self.retry_budget.affords(retry_cost)
             && !self.upstreams.is_empty()
             && !self.lease.is_expired(self.now_s)
     }
 
-    /// Returns the target of a retry: among the next eligible upstreams, the one with the least in
-    /// flight per capacity, preferably of this zone. Upstreams outside the subset, from index
-    /// `start` on, are used only if none in the subset is eligible, for instance if only one cell
-    /// knows the idempotency key.
-    fn retry_target(&self, request: &Request, start: usize) -> Option<usize> {
-        let count = self.upstreams.len();
-        let others = (0..count).map(|step| (step + start % count) % count);
+    /// Returns the target of a retry: among the next eligible upstreams, the one with the fewest
+    /// requests in flight per unit of capacity, preferably of this zone. Upstreams outside the
+    /// subset are used only if none in the subset is eligible, for instance if only the upstreams
+    /// of one dedup cell know the idempotency key. The search among them begins at the slot
+    /// `random_start` modulo the number of upstreams.
+    fn retry_target(&self, request: &Request, random_start: usize) -> Option<usize> {
+        let upstream_count = self.upstreams.len();
+        let all_slots_from_start = (0..upstream_count)
+            .map(|offset| (offset + random_start % upstream_count) % upstream_count);
         let rank = |slot: usize| {
             let upstream = &self.upstreams[slot];
             let is_other_zone = u8::from(upstream.endpoint.zone() != self.settings.zone);
-            let is_outside = u8::from(!upstream.membership.is_member());
-            DISTANCE_PENALTY * f64::from(is_other_zone + 2 * is_outside)
+            let is_outside_subset = u8::from(!upstream.membership.is_member());
+            DISTANCE_PENALTY * f64::from(is_other_zone + 2 * is_outside_subset)
                 + self
                     .load_reports
-                    .in_flight_per_capacity(upstream, self.last_tick_s)
+                    .in_flight_per_capacity(upstream, self.last_tick_at_s)
         };
         self.rotation
             .after_cursor()
-            .chain(others)
+            .chain(all_slots_from_start)
             .filter(|slot| self.accepts_retry(request, &self.upstreams[*slot]))
             .take(MAX_RETRY_CANDIDATES)
             .min_by(|a, b| rank(*a).total_cmp(&rank(*b)))
@@ -165,8 +177,8 @@
 
     /// Handles an attempt that has become overdue. If its upstream has not responded to any request
     /// since the send, the upstream is suspected, and a hedged attempt may be sent. If the upstream
-    /// has responded to another request, the overdue one is an expensive request that would take as
-    /// long at another upstream.
+    /// has responded to another request, the overdue request is assumed to be an expensive one that
+    /// would take as long at another upstream.
     fn handle_overdue(&mut self, attempt: &OverdueAttempt) {
         let Some(slot) = self.upstreams.slot(attempt.upstream) else {
             return;
@@ -177,8 +189,8 @@
             return;
         }
         self.record_fault(slot, Fault::Unresponsive);
-        if self.settings.hedging && self.capacity.spare() > MIN_HEDGE_SPARE_CAPACITY {
-            self.retry_elsewhere(attempt.request, RETRY_COST);
+        if self.settings.hedging && self.capacity.spare_capacity() > MIN_HEDGE_SPARE_CAPACITY {
+            self.retry_elsewhere(attempt.request_id, RETRY_COST);
         }
     }
 
@@ -215,12 +227,12 @@
     /// request if no retry can be sent.
     fn retry_or_end(&mut self, id: RequestId, attempt: &EndedAttempt) {
         let never_ran = attempt.outcome.never_ran();
-        let cost = if never_ran {
+        let retry_cost = if never_ran {
             UNPROCESSED_RETRY_COST
         } else {
             RETRY_COST
         };
-        if !self.retry_elsewhere(id, cost) {
+        if !self.retry_elsewhere(id, retry_cost) {
             self.end_without_response(id, self.failure_reason(attempt));
         }
     }
@@ -250,18 +262,25 @@
     /// Records the outcome of an attempt in the statistics of its class, the capacity, the idle
     /// connections and its upstream.
     fn record_outcome(&mut self, attempt: &EndedAttempt) {
-        let source = if attempt.outcome == Outcome::Ok {
+        let latency_source = if attempt.outcome == Outcome::Ok {
             self.capacity.record_completion();
             Some(LatencySource::Success)
         } else {
             attempt.is_abandoned().then_some(LatencySource::Abandoned)
         };
-        let latency_ratio = source.map(|source| {
-            let was_unanswered = source == LatencySource::Abandoned;
-            self.idle_connections
-                .record(attempt.connection_idle_s, was_unanswered, self.now_s);
-            self.classes
-                .record_latency(attempt.class, source, attempt.latency_s, self.now_s)
+        let latency_ratio = latency_source.map(|latency_source| {
+            let was_unanswered = latency_source == LatencySource::Abandoned;
+            self.idle_connection_statistics.record(
+                attempt.connection_idle_s,
+                was_unanswered,
+                self.now_s,
+            );
+            self.classes.record_latency(
+                attempt.class,
+                latency_source,
+                attempt.latency_s,
+                self.now_s,
+            )
         });
         let Some(slot) = self.upstreams.slot(attempt.upstream) else {
             return;
@@ -284,7 +303,7 @@
         let upstreams = &mut self.upstreams;
         let fault = self.outliers.record_outcome(
             upstreams,
-            self.rotation.members(),
+            self.rotation.member_slots(),
             slot,
             attempt,
             &mut clock,
@@ -302,9 +321,9 @@
         let is_ejected = fault.is_some_and(|fault| self.record_fault(slot, fault));
         if is_ejected && attempt.outcome == Outcome::ConnectFailed {
             // No process listens at the upstream: the process has died, and its successor will be
-            // in slow start. Each balancer sends to it again at a random time. An upstream that
-            // accepts connections, even if it only resets them, has not restarted and retains its
-            // capacity.
+            // in slow start. It counts as started at the end of the ejection, which is a random
+            // time in each balancer. An upstream that accepts connections, even if it only resets
+            // them, has not restarted and retains its capacity.
             let upstream = &mut self.upstreams[slot];
             upstream
                 .weight
@@ -328,7 +347,7 @@
         if is_ejected {
             upstream.deficit = Deficit::new(self.random.f64());
             upstream.membership.mark_new();
-            self.subset.request_review(self.now_s);
+            self.subset.schedule_choice(self.now_s);
         }
         is_ejected
     }
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,42 +1,46 @@
-//! Statistics of each class of requests: mean latency, an upper quantile of latency, and the
-//! fraction of the admitted requests.
+//! Statistics of each class of requests: its mean latency, an upper quantile of its latencies, and
+//! its fraction of the admitted requests.
 
 use super::TICK_S;
 use super::capacity::QUEUE_OBJECTIVE_FRACTION;
 use super::smoothing::newest_weight;
 use crate::interface::{Class, Settings};
 
-/// Time constant, in seconds, of a class's mean latency, which applies while the weight of the
-/// newest latency is within its bounds; and the bounds of that weight.
+/// Time constant, in seconds, of a class's mean latency. The weight of the newest latency in the
+/// mean is the time since the previous latency divided by this time constant, limited to the range
+/// from [`MIN_NEWEST_WEIGHT`] to [`MAX_NEWEST_WEIGHT`].
 const LATENCY_TIME_CONSTANT_S: f64 = 3.0;
+/// Lower limit of the weight of the newest latency in the mean.
 const MIN_NEWEST_WEIGHT: f64 = 0.02;
+/// Upper limit of the weight of the newest latency in the mean.
 const MAX_NEWEST_WEIGHT: f64 = 0.2;
-/// Upper limit of one latency in the mean, as a multiple of the objective.
+/// Upper limit of a latency that is added to the mean, as a multiple of the objective.
 const MAX_LATENCY_MULTIPLE: f64 = 2.0;
-/// Factor for the latency of an abandoned attempt in the mean: the response to the attempt would
-/// have taken longer.
-const TIMEOUT_LATENCY_MULTIPLE: f64 = 1.5;
-/// Quantile of a class's latencies after which an attempt is overdue, and the relative step of its
-/// estimate.
+/// Factor that is applied to the latency of an abandoned attempt before it is added to the mean:
+/// the response would have taken longer than the time until the attempt was abandoned.
+const ABANDONED_LATENCY_MULTIPLE: f64 = 1.5;
+/// Quantile of a class's latencies after which an attempt is overdue.
 const OVERDUE_QUANTILE: f64 = 0.95;
+/// Relative step by which each latency changes the estimate of the quantile. The step is
+/// multiplied by [`OVERDUE_QUANTILE`] for a rise, and by one minus [`OVERDUE_QUANTILE`] for a fall.
 const QUANTILE_STEP: f64 = 0.05;
 /// Lower limit of the quantile in seconds: two ticks, as each tick looks for overdue attempts.
 const MIN_QUANTILE_S: f64 = 2.0 * TICK_S;
-/// Fraction of the objective after which an attempt is overdue at the latest, so that a hedged
-/// attempt can still succeed within the objective.
+/// Fraction of the objective after which an attempt is overdue even if the quantile is longer, so
+/// that a hedged attempt can still succeed within the objective.
 const OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
 /// Mean latency of a class before its first response, as a fraction of the objective.
 const INITIAL_LATENCY_FRACTION: f64 = 0.3;
-/// Weight of the newest request in each class's fraction of the admitted requests.
+/// Weight of the newest admitted request in each class's fraction of the admitted requests.
 const ADMITTED_NEWEST_WEIGHT: f64 = 0.01;
-/// Fraction of the admitted requests that a class must exceed for its latency to limit the queues.
+/// Fraction of the admitted requests above which the latency of a class limits the queues.
 const MIN_ADMITTED_FRACTION: f64 = 0.02;
-/// Seconds without a latency after which the mean of a class decays, and the time constant of that
-/// decay.
+/// Seconds without a new latency after which the mean of a class decays; also the time constant of
+/// this decay.
 const LATENCY_VALID_S: f64 = 5.0;
-/// Fraction of the objective that the mean decays to.
+/// Mean latency, as a fraction of the objective, that the decay approaches.
 const DECAYED_LATENCY_FRACTION: f64 = 0.5 * QUEUE_OBJECTIVE_FRACTION;
-/// Lower limit, in seconds, of a latency that a priority weight is divided by.
+/// Lower limit, in seconds, of the mean latency as a divisor of a priority weight.
 const MIN_LATENCY_S: f64 = TICK_S;
 
 /// Whether a recorded latency is that of a successful response or of an abandoned attempt.
@@ -56,7 +60,7 @@
     mean_latency_s: f64,
     /// Time at which the last latency was added to the mean.
     last_sample_at_s: f64,
-    /// Estimate of the quantile [`OVERDUE_QUANTILE`] of the latencies.
+    /// Estimate of the quantile [`OVERDUE_QUANTILE`] of the latencies of successful responses.
     latency_quantile_s: f64,
     /// Fraction of the admitted requests that are of this class, smoothed.
     admitted_fraction: f64,
@@ -65,10 +69,10 @@
 /// The statistics of all classes, in the order of the settings.
 pub(super) struct ClassStatistics {
     classes: Vec<ClassRecord>,
-    /// Whether `priority_weight` is a weight per unit of a request's work: an expensive request
-    /// then has a larger weight than a cheap one of its class. If false, it is a weight per
+    /// Whether `priority_weight` is a weight per unit of a request's work, so that an expensive
+    /// request has a larger weight than a cheap one of its class. If false, it is a weight per
     /// request.
-    weight_by_work: bool,
+    scales_priority_weight_by_work: bool,
 }
 
 impl ClassStatistics {
@@ -86,14 +90,14 @@
         };
         Self {
             classes: settings.classes.iter().map(record).collect(),
-            weight_by_work: settings.weight_by_work,
+            scales_priority_weight_by_work: settings.scales_priority_weight_by_work,
         }
     }
 
     /// Returns the mean latency of an attempt in seconds, weighted by each class's fraction of the
     /// admitted requests.
     pub(super) fn mean_latency_s(&self) -> f64 {
-        let total_fraction: f64 = self
+        let admitted_fraction_sum: f64 = self
             .classes
             .iter()
             .map(|class| class.admitted_fraction)
@@ -102,7 +106,7 @@
             .classes
             .iter()
             .map(|class| class.mean_latency_s * class.admitted_fraction);
-        weighted.sum::<f64>() / total_fraction.max(1e-9)
+        weighted.sum::<f64>() / admitted_fraction_sum.max(1e-9)
     }
 
     pub(super) fn shortest_objective_s(&self) -> f64 {
@@ -122,21 +126,21 @@
             .min(OVERDUE_OBJECTIVE_FRACTION * class.objective_s)
     }
 
-    /// Returns the priority weight of a class per unit of the capacity that its requests use,
-    /// divided by the highest of these values of all classes: 0 to 1. If weights are per request,
-    /// the mean latency of the class stands for the capacity that a request uses: an expensive
-    /// request displaces several cheap ones.
+    /// Returns the value of a class as a fraction, 0 to 1, of the highest value of all classes. The
+    /// value is the priority weight per unit of the capacity that a request uses, as an expensive
+    /// request displaces several cheap ones. If weights are per request, the mean latency of the
+    /// class stands for that capacity.
     pub(super) fn relative_value(&self, class: usize) -> f64 {
-        let best = self
+        let highest_value = self
             .classes
             .iter()
             .map(|class| self.value(class))
             .fold(1e-9, f64::max);
-        self.value(&self.classes[class]) / best
+        self.value(&self.classes[class]) / highest_value
     }
 
     fn value(&self, class: &ClassRecord) -> f64 {
-        if self.weight_by_work {
+        if self.scales_priority_weight_by_work {
             class.priority_weight
         } else {
             class.priority_weight / class.mean_latency_s.max(MIN_LATENCY_S)
@@ -144,8 +148,8 @@
     }
 
     /// Returns how much the queues may still grow, in seconds of latency; negative if they are too
-    /// long. All classes share the queues: the class whose mean latency comes closest to its limit,
-    /// `objective_fraction` of its objective, decides.
+    /// long. All classes share the queues, so the class whose mean latency is closest to its limit
+    /// decides. The limit is `objective_fraction` of the latency objective of the class.
     pub(super) fn queue_slack_s(&self, objective_fraction: f64) -> f64 {
         let counted = self
             .classes
@@ -158,15 +162,15 @@
 
     /// Records that a request of the class was admitted.
     pub(super) fn record_admission(&mut self, class: usize) {
-        for (k, record) in self.classes.iter_mut().enumerate() {
-            let newest = f64::from(u8::from(k == class));
+        for (index, record) in self.classes.iter_mut().enumerate() {
+            let newest_fraction = f64::from(u8::from(index == class));
             record.admitted_fraction +=
-                ADMITTED_NEWEST_WEIGHT * (newest - record.admitted_fraction);
+                ADMITTED_NEWEST_WEIGHT * (newest_fraction - record.admitted_fraction);
         }
     }
 
-    /// Adds the latency of an attempt to the statistics of its class. Returns it as a multiple of
-    /// the previous mean latency of the class.
+    /// Adds the latency of an attempt to the statistics of its class. Returns the latency as a
+    /// multiple of the previous mean latency of the class.
     pub(super) fn record_latency(
         &mut self,
         class: usize,
@@ -175,26 +179,28 @@
         now_s: f64,
     ) -> f64 {
         let record = &mut self.classes[class];
-        let ratio = latency_s / record.mean_latency_s.max(1e-6);
-        let counted_s = match source {
+        let latency_ratio = latency_s / record.mean_latency_s.max(1e-6);
+        let counted_latency_s = match source {
             LatencySource::Success => {
                 record.update_quantile(latency_s);
                 latency_s
             }
-            LatencySource::Abandoned => TIMEOUT_LATENCY_MULTIPLE * latency_s,
+            LatencySource::Abandoned => ABANDONED_LATENCY_MULTIPLE * latency_s,
         };
-        record.update_mean(counted_s, now_s);
-        ratio
+        record.update_mean(counted_latency_s, now_s);
+        latency_ratio
     }
 
     /// Reduces the mean latency of classes without recent responses. Without this, a high mean
     /// could leave no spare capacity, and no request would be admitted whose latency could lower
     /// the mean.
     pub(super) fn decay_stale_latencies(&mut self, elapsed_s: f64, now_s: f64) {
-        let stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
-        for class in self.classes.iter_mut().filter(stale) {
-            let excess_s = class.mean_latency_s - DECAYED_LATENCY_FRACTION * class.objective_s;
-            class.mean_latency_s -= newest_weight(elapsed_s, LATENCY_VALID_S) * excess_s.max(0.0);
+        let is_stale = |class: &&mut ClassRecord| now_s > class.last_sample_at_s + LATENCY_VALID_S;
+        for class in self.classes.iter_mut().filter(is_stale) {
+            let excess_latency_s =
+                class.mean_latency_s - DECAYED_LATENCY_FRACTION * class.objective_s;
+            class.mean_latency_s -=
+                newest_weight(elapsed_s, LATENCY_VALID_S) * excess_latency_s.max(0.0);
         }
     }
 }
@@ -214,9 +220,9 @@
 
     fn update_mean(&mut self, latency_s: f64, now_s: f64) {
         let latency_s = latency_s.min(MAX_LATENCY_MULTIPLE * self.objective_s);
-        let since_s = now_s - self.last_sample_at_s;
-        let weight_of_newest =
-            (since_s / LATENCY_TIME_CONSTANT_S).clamp(MIN_NEWEST_WEIGHT, MAX_NEWEST_WEIGHT);
+        let sample_interval_s = now_s - self.last_sample_at_s;
+        let weight_of_newest = (sample_interval_s / LATENCY_TIME_CONSTANT_S)
+            .clamp(MIN_NEWEST_WEIGHT, MAX_NEWEST_WEIGHT);
         self.last_sample_at_s = now_s;
         self.mean_latency_s += weight_of_newest * (latency_s - self.mean_latency_s);
     }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -4,37 +4,43 @@
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::{LoadField, Settings};
 
-/// Number of attempts in flight that one overdue attempt counts as: its upstream is stuck or
-/// unresponsive.
+/// Number of attempts in flight that are added to the load of an upstream for each overdue attempt:
+/// an overdue attempt indicates that the upstream is stuck or unresponsive.
 const OVERDUE_ATTEMPT_WEIGHT: f64 = 4.0;
-/// Attempts of other balancers that are assumed at an upstream that rejects an attempt: without
-/// them the upstream would seem idle.
+/// Number of attempts that other balancers are assumed to have in flight at an upstream that
+/// rejects an attempt: without them the upstream would seem idle.
 const REJECTING_IN_FLIGHT: f64 = 2.0 * OVERDUE_ATTEMPT_WEIGHT;
-/// Time constant, in seconds, of the decay of a report of the requests in flight, and the seconds
-/// for which the report counts in the mean.
+/// Time constant, in seconds, with which the number of requests in flight in a report decays to the
+/// mean over the rotation.
 const REPORT_TIME_CONSTANT_S: f64 = 1.0;
+/// Seconds for which a report of the requests in flight counts in the mean over the rotation.
 const REPORT_VALID_S: f64 = 3.0;
-/// Seconds for which a reported utilization is valid if the upstream reports no other.
+/// Seconds for which a reported utilization is valid, unless the upstream reports another one.
 pub(super) const UTILIZATION_VALID_S: f64 = 3.0;
-/// Range of utilization in which a report counts for the estimate of the requests in flight at full
-/// utilization, and the weight of the newest report in that estimate.
+/// Lowest reported utilization at which a report counts in the estimate of the requests in flight
+/// at full utilization.
 const MIN_INFORMATIVE_UTILIZATION: f64 = 0.2;
+/// Reported utilization below which a report counts in the estimate of the requests in flight at
+/// full utilization.
 const MAX_INFORMATIVE_UTILIZATION: f64 = 0.8;
+/// Weight of the newest report in the estimate of the requests in flight at full utilization.
 const FULL_UTILIZATION_NEWEST_WEIGHT: f64 = 0.02;
-/// Largest plausible value in a report; a larger one is reduced to it.
-const MAX_REPORTED: f64 = 1e4;
+/// Upper limit of the number of requests that a load report states as in flight or in the queue; a
+/// larger number counts as this limit.
+const MAX_REPORTED_REQUESTS: f64 = 1e4;
 
 /// The load of one upstream.
 #[derive(Default)]
 pub(super) struct UpstreamLoad {
-    /// q_j: this balancer's attempts in flight.
+    /// Number of this balancer's attempts in flight (q_j in the paper).
     in_flight: u32,
     /// Number of this balancer's attempts in flight that are overdue.
-    overdue: u32,
-    /// Number of this balancer's abandoned attempts that may still be processed; decays over the
-    /// shortest objective.
+    overdue_in_flight: u32,
+    /// Number of this balancer's abandoned attempts that may still be processed. It decays with the
+    /// shortest latency objective as its time constant.
     abandoned_attempts: f64,
-    /// Requests of other balancers in flight, by the latest report or live weight.
+    /// Requests of other balancers in flight, by the latest load report or by the latest live
+    /// weight in the endpoint list ([`Live`](crate::interface::EndpointWeights::Live)).
     others_in_flight: f64,
     others_reported_at_s: f64,
     /// Requests of all balancers in flight, by the latest report.
@@ -56,7 +62,8 @@
 
     /// Returns the fraction of this balancer's attempts that are neither overdue nor abandoned.
     pub(super) fn responsive_fraction(&self) -> f64 {
-        1.0 - (f64::from(self.overdue) + self.abandoned_attempts) / self.own_in_flight().max(1.0)
+        1.0 - (f64::from(self.overdue_in_flight) + self.abandoned_attempts)
+            / self.own_in_flight().max(1.0)
     }
 
     pub(super) fn reported_in_flight(&self) -> f64 {
@@ -81,20 +88,22 @@
     }
 
     pub(super) fn record_overdue(&mut self) {
-        self.overdue += 1;
+        self.overdue_in_flight += 1;
     }
 
     pub(super) fn record_ended(&mut self, was_overdue: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.overdue = self.overdue.saturating_sub(u32::from(was_overdue));
+        self.overdue_in_flight = self
+            .overdue_in_flight
+            .saturating_sub(u32::from(was_overdue));
     }
 
     pub(super) fn record_abandoned(&mut self) {
         self.abandoned_attempts += 1.0;
     }
 
-    /// Records that the upstream rejected an attempt, for any reason, as load by other balancers:
-    /// without this load the upstream would seem idle.
+    /// Records the rejection of an attempt, for any reason, as load of other balancers: without
+    /// this load the upstream would seem idle.
     pub(super) fn record_rejected(&mut self, now_s: f64) {
         self.others_in_flight = self.others_in_flight.max(REJECTING_IN_FLIGHT);
         self.others_reported_at_s = now_s;
@@ -107,8 +116,8 @@
     }
 
     /// Multiplies the number of abandoned attempts by a decay factor.
-    pub(super) fn decay_abandoned(&mut self, factor: f64) {
-        self.abandoned_attempts *= factor;
+    pub(super) fn decay_abandoned(&mut self, decay_factor: f64) {
+        self.abandoned_attempts *= decay_factor;
     }
 
     fn others_are_recent(&self, now_s: f64) -> bool {
@@ -118,15 +127,14 @@
 
 /// Estimates from the load reports of all upstreams.
 pub(super) struct LoadReportTracker {
-    fields: Vec<LoadField>,
-    /// Fraction of the requests in a report that are assumed to be of other balancers. This
-    /// balancer's own attempts in flight are not subtracted from the report instead: a report is
-    /// older than their present number, so the difference would not be the requests of other
-    /// balancers.
+    report_fields: Vec<LoadField>,
+    /// Fraction of the reported requests that are assumed to be of other balancers: all balancers
+    /// count as having equal parts. This balancer's own attempts in flight can't be subtracted from
+    /// a report instead, as the report is older than the present number of these attempts.
     others_fraction: f64,
     /// Requests of other balancers in flight per unit of capacity, as a mean over the upstreams of
     /// the rotation.
-    mean_others_in_flight: f64,
+    mean_others_in_flight_per_capacity: f64,
     /// Requests in flight at an upstream of unit size when all its cores are in use and no request
     /// is waiting; zero while unknown.
     in_flight_at_full_utilization: f64,
@@ -135,9 +143,9 @@
 impl LoadReportTracker {
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
-            fields: settings.report_fields.clone(),
+            report_fields: settings.report_fields.clone(),
             others_fraction: 1.0 - 1.0 / f64::from(settings.balancers.max(1)),
-            mean_others_in_flight: 0.0,
+            mean_others_in_flight_per_capacity: 0.0,
             in_flight_at_full_utilization: 0.0,
         }
     }
@@ -151,13 +159,13 @@
     pub(super) fn record(&mut self, upstream: &mut Upstream, report: &[f32], now_s: f64) {
         let (load, size) = (&mut upstream.load, upstream.endpoint.size());
         let mut max_in_flight: Option<f64> = None;
-        let fields = self
-            .fields
+        let reported_values = self
+            .report_fields
             .iter()
             .zip(report)
             .filter(|(_, value)| value.is_finite());
-        for (field, value) in fields {
-            let value = f64::from(*value).clamp(0.0, MAX_REPORTED);
+        for (field, value) in reported_values {
+            let value = f64::from(*value).clamp(0.0, MAX_REPORTED_REQUESTS);
             match field {
                 LoadField::InFlight | LoadField::Queue => {
                     max_in_flight = Some(value.max(max_in_flight.unwrap_or(0.0)));
@@ -179,9 +187,14 @@
         load.record_others_in_flight(in_flight * self.others_fraction, now_s);
     }
 
-    /// Records the requests that each core has in flight, from a live weight.
-    pub(super) fn record_live_weight(&self, load: &mut UpstreamLoad, in_flight: f64, now_s: f64) {
-        load.record_others_in_flight(in_flight * self.others_fraction, now_s);
+    /// Records the requests in flight per core that a live weight states.
+    pub(super) fn record_live_weight(
+        &self,
+        load: &mut UpstreamLoad,
+        in_flight_per_core: f64,
+        now_s: f64,
+    ) {
+        load.record_others_in_flight(in_flight_per_core * self.others_fraction, now_s);
     }
 
     fn update_in_flight_at_full_utilization(
@@ -190,45 +203,51 @@
         utilization: f64,
         size: f64,
     ) {
-        let at_full = in_flight / (utilization * size).max(1e-9);
-        let informative = MIN_INFORMATIVE_UTILIZATION..MAX_INFORMATIVE_UTILIZATION;
-        if informative.contains(&utilization) && at_full > 0.0 {
+        let newest_at_full_utilization = in_flight / (utilization * size).max(1e-9);
+        let informative_utilizations = MIN_INFORMATIVE_UTILIZATION..MAX_INFORMATIVE_UTILIZATION;
+        if informative_utilizations.contains(&utilization) && newest_at_full_utilization > 0.0 {
             let newest_weight = if self.in_flight_at_full_utilization > 0.0 {
                 FULL_UTILIZATION_NEWEST_WEIGHT
             } else {
                 1.0
             };
             self.in_flight_at_full_utilization +=
-                newest_weight * (at_full - self.in_flight_at_full_utilization);
+                newest_weight * (newest_at_full_utilization - self.in_flight_at_full_utilization);
         }
     }
 
-    /// Updates the mean of the requests that other balancers have in flight at the upstreams of the
-    /// rotation.
-    pub(super) fn update_mean(&mut self, upstreams: &Upstreams, rotation: &[usize], now_s: f64) {
-        let (mut sum, mut count) = (0.0, 0.0);
-        for upstream in rotation.iter().map(|slot| &upstreams[*slot]) {
+    /// Updates the mean, over the upstreams of the rotation, of the requests that other balancers
+    /// have in flight per unit of capacity.
+    pub(super) fn update_mean(
+        &mut self,
+        upstreams: &Upstreams,
+        rotation_slots: &[usize],
+        now_s: f64,
+    ) {
+        let (mut per_capacity_sum, mut upstream_count) = (0.0, 0.0);
+        for upstream in rotation_slots.iter().map(|slot| &upstreams[*slot]) {
             if upstream.load.others_are_recent(now_s) {
-                sum += upstream.load.others_in_flight / upstream.weight.capacity();
-                count += 1.0;
+                per_capacity_sum += upstream.load.others_in_flight / upstream.weight.capacity();
+                upstream_count += 1.0;
             }
         }
-        self.mean_others_in_flight = sum / f64::max(count, 1.0);
+        self.mean_others_in_flight_per_capacity = per_capacity_sum / f64::max(upstream_count, 1.0);
     }
 
     /// Returns the requests in flight at an upstream per unit of capacity: this balancer's
     /// attempts, and the reported requests of other balancers. A report decays with its age to the
     /// mean over the rotation: without this decay, an upstream without reports would seem idle and
     /// attract all balancers.
-    pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, last_tick_s: f64) -> f64 {
+    pub(super) fn in_flight_per_capacity(&self, upstream: &Upstream, last_tick_at_s: f64) -> f64 {
         let (load, capacity) = (&upstream.load, upstream.weight.capacity());
-        let age_s = (last_tick_s - load.others_reported_at_s).max(0.0);
-        let mean = self.mean_others_in_flight;
-        let others = mean
-            + (load.others_in_flight / capacity - mean) * (-age_s / REPORT_TIME_CONSTANT_S).exp();
-        let own = f64::from(load.in_flight)
-            + OVERDUE_ATTEMPT_WEIGHT * f64::from(load.overdue)
+        let report_age_s = (last_tick_at_s - load.others_reported_at_s).max(0.0);
+        let mean_others = self.mean_others_in_flight_per_capacity;
+        let others_per_capacity = mean_others
+            + (load.others_in_flight / capacity - mean_others)
+                * (-report_age_s / REPORT_TIME_CONSTANT_S).exp();
+        let weighted_own_in_flight = f64::from(load.in_flight)
+            + OVERDUE_ATTEMPT_WEIGHT * f64::from(load.overdue_in_flight)
             + load.abandoned_attempts;
-        own / capacity + others
+        weighted_own_in_flight / capacity + others_per_capacity
     }
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,44 +1,48 @@
 //! Outlier detection: compares the outcomes of an upstream with those of the others, ejects it for
-//! single classes, schedules the trials that end these ejections, and decides which upstreams a
-//! class may be sent to.
+//! single classes, and decides which upstreams a request of a class may be sent to. An ejection for
+//! a class ends after a successful trial. A trial is a request of the class that is sent to the
+//! upstream although the upstream is ejected for the class.
 
 use super::clock::JitteredClock;
 use super::requests::EndedAttempt;
-use super::upstream_health::{FIRST_EJECTION_S, Fault};
+use super::upstream_health::{BASE_EJECTION_S, Fault};
 use super::upstreams::{Upstream, Upstreams};
 use crate::interface::Outcome;
 
-/// Upper limit of the doublings of the time between trials of upstreams that are ejected for a
-/// class.
+/// Upper limit of the number of times that the time between trials is doubled.
 const MAX_TRIAL_DOUBLINGS: u32 = 4;
 /// Fraction of the ready upstreams that may be ejected: if more seem unhealthy, the cause is common
 /// to them.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
 /// Consecutive faults after which an upstream is ejected for the class that they occurred in.
-const MAX_CLASS_FAULTS: u32 = 2;
-/// Fraction of the other upstreams with recent errors above which the cause is common, such as the
-/// network; the lowest weight of an error, which falls as that fraction rises; and the factor by
-/// which a common cause raises the number of consecutive faults for an ejection.
+const CLASS_EJECTION_FAULTS: u32 = 2;
+/// Fraction of the other upstreams with recent errors above which the errors have a common cause,
+/// such as the network.
 const COMMON_ERROR_FRACTION: f64 = 0.5;
+/// Lowest weight of an error. The weight falls as the fraction of the other upstreams with recent
+/// errors rises.
 const MIN_ERROR_WEIGHT: f64 = 0.3;
+/// Factor by which a common cause raises the number of consecutive faults that lead to an ejection
+/// for a class.
 const COMMON_ERROR_FAULT_FACTOR: u32 = 4;
 
 /// The schedule of trials of the upstreams that are ejected for one class.
 #[derive(Clone, Default)]
 struct ClassTrials {
-    /// Number of trials since the last one that got a successful response before it was overdue.
-    unsuccessful: u32,
+    /// Number of trials since the last one that got a successful response before it became overdue.
+    /// Each of them doubles the time to the next trial.
+    unsuccessful_trial_count: u32,
     /// Time at which the next trial is due.
-    next_at_s: f64,
+    next_trial_at_s: f64,
 }
 
 /// The rule that decides which upstreams may take a request of a class.
 pub(super) struct ClassEligibility {
     class: usize,
     /// Whether the class avoids suspected upstreams: its requests may not be processed twice, and
-    /// those of other classes can show whether such an upstream is healthy.
+    /// requests of other classes can show whether a suspected upstream is healthy.
     avoids_suspected: bool,
-    /// Whether no upstream is healthy for the class, so that all are accepted.
+    /// Whether all upstreams are accepted, because the class would otherwise have no upstream.
     ignores_health: bool,
 }
 
@@ -56,25 +60,25 @@
     }
 }
 
-/// Returns whether `ejected` of `all` upstreams may be ejected: if more seem unhealthy, the cause
-/// is common to them.
-pub(super) fn may_be_ejected(ejected: usize, all: usize) -> bool {
-    ejected as f64 <= MAX_EJECTED_FRACTION * all as f64
+/// Returns whether `ejected_count` of `upstream_count` upstreams may be ejected: if more seem
+/// unhealthy, the cause is common to them.
+pub(super) fn may_be_ejected(ejected_count: usize, upstream_count: usize) -> bool {
+    ejected_count as f64 <= MAX_EJECTED_FRACTION * upstream_count as f64
 }
 
 /// Returns the fraction of the other upstreams of the rotation that have recently responded with an
 /// error.
 fn common_error_fraction(
     upstreams: &Upstreams,
-    rotation: &[usize],
+    rotation_slots: &[usize],
     excluded_slot: usize,
     now_s: f64,
 ) -> f64 {
-    let others = || rotation.iter().filter(|slot| **slot != excluded_slot);
-    let erring = others()
+    let others = || rotation_slots.iter().filter(|slot| **slot != excluded_slot);
+    let erring_count = others()
         .filter(|slot| upstreams[**slot].health.has_erred_recently(now_s))
         .count();
-    erring as f64 / others().count().max(1) as f64
+    erring_count as f64 / others().count().max(1) as f64
 }
 
 /// Returns the fault that an outcome counts as for all classes; `None` if it counts as none.
@@ -82,8 +86,8 @@
 fn fault_of(outcome: Outcome, erring_fraction: f64) -> Option<Fault> {
     match outcome {
         Outcome::Error => {
-            let weight = (1.0 - erring_fraction).max(MIN_ERROR_WEIGHT);
-            Some(Fault::Error { weight })
+            let error_weight = (1.0 - erring_fraction).max(MIN_ERROR_WEIGHT);
+            Some(Fault::Error { error_weight })
         }
         Outcome::Rejected => Some(Fault::Rejected),
         Outcome::ConnectFailed | Outcome::Reset => Some(Fault::ConnectionFailure),
@@ -93,56 +97,57 @@
 
 /// The schedules of trials of ejected upstreams, by class.
 pub(super) struct OutlierDetection {
-    trials: Vec<ClassTrials>,
+    trials_by_class: Vec<ClassTrials>,
 }
 
 impl OutlierDetection {
     pub(super) fn new(class_count: usize) -> Self {
         Self {
-            trials: vec![ClassTrials::default(); class_count],
+            trials_by_class: vec![ClassTrials::default(); class_count],
         }
     }
 
     /// Records the outcome of an attempt in the health of its upstream for the class of the
-    /// attempt. Returns the fault that the outcome is for all classes, if it is one.
+    /// attempt. Returns the fault that the outcome counts as for all classes; `None` if it counts
+    /// as none.
     pub(super) fn record_outcome(
         &mut self,
         upstreams: &mut Upstreams,
-        rotation: &[usize],
+        rotation_slots: &[usize],
         slot: usize,
         attempt: &EndedAttempt,
         clock: &mut JitteredClock<'_>,
     ) -> Option<Fault> {
         let now_s = clock.now_s;
-        let erring_fraction = common_error_fraction(upstreams, rotation, slot, now_s);
+        let erring_fraction = common_error_fraction(upstreams, rotation_slots, slot, now_s);
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected_for(attempt.class);
-        let ejected = rotation.iter().filter(is_ejected).count() + 1;
-        let may_eject = may_be_ejected(ejected, rotation.len());
+        let ejected_count_after = rotation_slots.iter().filter(is_ejected).count() + 1;
+        let may_eject = may_be_ejected(ejected_count_after, rotation_slots.len());
         let health = &mut upstreams[slot].health;
-        let trials = &mut self.trials[attempt.class];
+        let trials = &mut self.trials_by_class[attempt.class];
         health.record_response(attempt.outcome, now_s);
         if attempt.outcome == Outcome::Ok {
             if health.record_class_success(attempt.class, attempt.was_overdue) {
-                // The cause may have been common to the ejected upstreams, so the next trial is due
-                // immediately.
-                trials.unsuccessful = 0;
-                trials.next_at_s = now_s;
+                // The ejected upstreams may have had a common cause that has ended, so the next
+                // trial is due immediately.
+                trials.unsuccessful_trial_count = 0;
+                trials.next_trial_at_s = now_s;
             }
         } else if attempt.is_fault(!health.is_ejected(now_s)) {
             health.record_class_fault(attempt.class);
         }
-        let is_common = erring_fraction > COMMON_ERROR_FRACTION;
-        let max_faults = MAX_CLASS_FAULTS
-            * if is_common {
+        let has_common_cause = erring_fraction > COMMON_ERROR_FRACTION;
+        let ejection_fault_count = CLASS_EJECTION_FAULTS
+            * if has_common_cause {
                 COMMON_ERROR_FAULT_FACTOR
             } else {
                 1
             };
-        if may_eject && health.is_faulty_for(attempt.class, max_faults) {
+        if may_eject && health.is_faulty_for(attempt.class, ejection_fault_count) {
             health.eject_for(attempt.class, now_s);
-            if trials.next_at_s <= now_s {
-                trials.unsuccessful = 0;
-                trials.next_at_s = clock.after_s(FIRST_EJECTION_S);
+            if trials.next_trial_at_s <= now_s {
+                trials.unsuccessful_trial_count = 0;
+                trials.next_trial_at_s = clock.jittered_time_s(BASE_EJECTION_S);
             }
         }
         fault_of(attempt.outcome, erring_fraction)
@@ -152,7 +157,7 @@
     pub(super) fn eligibility(
         &self,
         upstreams: &Upstreams,
-        rotation: &[usize],
+        rotation_slots: &[usize],
         class: usize,
         avoids_suspected: bool,
     ) -> ClassEligibility {
@@ -161,42 +166,46 @@
             avoids_suspected,
             ignores_health: false,
         };
-        eligibility.ignores_health = rotation.iter().all(|slot| {
+        eligibility.ignores_health = rotation_slots.iter().all(|slot| {
             let upstream = &upstreams[*slot];
-            is_weighted_and_ejected_for(upstream, class) || eligibility.avoids(upstream)
+            is_trial_candidate(upstream, class) || eligibility.avoids(upstream)
         });
         eligibility
     }
 
-    /// Returns the upstream that a request of the class is sent to as a trial, if one is due: the
-    /// one ejected for the class whose last trial is the oldest. Trials are made one at a time with
-    /// a backoff, as each may cost a request that can't be retried.
+    /// Returns the upstream that gets a request of the class as a trial; `None` if no trial is due
+    /// or possible. Of the upstreams that are ejected for the class, it is the one whose last
+    /// trial was longest ago. Trials are made one at a time with a backoff, as each may cost a
+    /// request that can't be retried.
     pub(super) fn due_trial(
         &mut self,
         upstreams: &mut Upstreams,
-        rotation: &[usize],
+        rotation_slots: &[usize],
         class: usize,
         clock: &mut JitteredClock<'_>,
     ) -> Option<usize> {
-        let trials = &mut self.trials[class];
-        if clock.now_s < trials.next_at_s {
+        let trials = &mut self.trials_by_class[class];
+        if clock.now_s < trials.next_trial_at_s {
             return None;
         }
         let last_trial_at_s = |slot: &usize| upstreams[*slot].health.last_trial_at_s(class);
-        let oldest = rotation
+        let least_recently_tried_slot = rotation_slots
             .iter()
             .copied()
-            .filter(|slot| is_weighted_and_ejected_for(&upstreams[*slot], class))
+            .filter(|slot| is_trial_candidate(&upstreams[*slot], class))
             .min_by(|a, b| last_trial_at_s(a).total_cmp(&last_trial_at_s(b)))?;
-        trials.unsuccessful += 1;
-        let doublings = trials.unsuccessful.min(MAX_TRIAL_DOUBLINGS);
-        trials.next_at_s = clock.after_s(FIRST_EJECTION_S * f64::from(1 << doublings));
-        upstreams[oldest].health.record_trial(class, clock.now_s);
-        Some(oldest)
+        trials.unsuccessful_trial_count += 1;
+        let doublings = trials.unsuccessful_trial_count.min(MAX_TRIAL_DOUBLINGS);
+        trials.next_trial_at_s = clock.jittered_time_s(BASE_EJECTION_S * f64::from(1 << doublings));
+        upstreams[least_recently_tried_slot]
+            .health
+            .record_trial(class, clock.now_s);
+        Some(least_recently_tried_slot)
     }
 }
 
-/// Returns whether an upstream has a weight and is ejected for a class.
-fn is_weighted_and_ejected_for(upstream: &Upstream, class: usize) -> bool {
+/// Returns whether an upstream may get a trial for a class: it is ejected for the class, and its
+/// weight is above zero.
+fn is_trial_candidate(upstream: &Upstream, class: usize) -> bool {
     upstream.health.is_ejected_for(class) && upstream.weight.weight() > 0.0
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -7,11 +7,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Retries that each admitted request adds to the retry budget, and the largest budget in retries.
+/// Number of retries that each admitted request adds to the retry budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Largest number of retries in the retry budget.
 const MAX_BUDGETED_RETRIES: f64 = 10.0;
-/// Margin for the network, in seconds: a retry with an idempotency key is sent only while more than
-/// the connect time-out and this margin remain until the upstream forgets the key.
+/// Margin for the network, in seconds. A retry with an idempotency key is sent only if the time
+/// until the upstreams forget the key is longer than the connect time-out plus this margin.
 const KEY_EXPIRY_MARGIN_S: f64 = 0.05;
 
 /// The state of an attempt.
@@ -32,7 +33,9 @@
 pub(super) struct Attempt {
     pub(super) upstream: UpstreamId,
     pub(super) zone: ZoneId,
-    pub(super) cell: CellId,
+    /// Group of this attempt's upstream and the upstreams with which it shares a record of the
+    /// idempotency keys that they have received.
+    pub(super) dedup_cell: CellId,
     pub(super) sent_at_s: f64,
     pub(super) state: AttemptState,
     /// Seconds for which the connections to the upstream had been idle at the send; zero if one was
@@ -73,7 +76,7 @@
     }
 
     /// Returns whether the attempt is a fault of its upstream. A missing response is a fault only
-    /// if `missing_response_counts`, which the caller sets unless the upstream is ejected.
+    /// if `missing_response_counts` is true; the caller sets it unless the upstream is ejected.
     pub(super) fn is_fault(&self, missing_response_counts: bool) -> bool {
         matches!(self.outcome, Outcome::Error | Outcome::Rejected)
             || (self.is_abandoned() && missing_response_counts)
@@ -83,9 +86,9 @@
 /// The state of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RequestState {
-    /// No final response has been given, and no response streams.
+    /// The request has no final response, and no response is being streamed.
     Waiting,
-    /// A response streams: no other attempt may be sent.
+    /// A response is being streamed: no other attempt may be sent.
     Streaming,
     /// The request has ended; attempts of it may still be in flight.
     Completed,
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Returns whether the request has not ended and no response streams yet.
+    /// Returns whether the request has no final response and no response is being streamed.
     pub(super) fn is_waiting(&self) -> bool {
         self.state == RequestState::Waiting
     }
@@ -122,7 +125,7 @@
         self.state == RequestState::Completed
     }
 
-    /// Records that a response streams from now on, unless the request has ended.
+    /// Records that a response is being streamed from now on, unless the request has ended.
     pub(super) fn start_streaming(&mut self) {
         if self.state == RequestState::Waiting {
             self.state = RequestState::Streaming;
@@ -131,8 +134,8 @@
 
     /// Ends the request. Returns whether it had not ended before.
     pub(super) fn complete(&mut self) -> bool {
-        let before = std::mem::replace(&mut self.state, RequestState::Completed);
-        before != RequestState::Completed
+        let previous_state = std::mem::replace(&mut self.state, RequestState::Completed);
+        previous_state != RequestState::Completed
     }
 
     pub(super) fn has_attempt_in_flight(&self) -> bool {
@@ -153,7 +156,8 @@
         connect_timeout: Duration,
         now_s: f64,
     ) -> bool {
-        let Some(first) = self.attempts.iter().find(|attempt| attempt.may_have_run()) else {
+        let Some(first_possible_run) = self.attempts.iter().find(|attempt| attempt.may_have_run())
+        else {
             return true;
         };
         let Effect::Deduplicated { group, ttl } = class.effect else {
@@ -161,12 +165,12 @@
         };
         let shares_keys = match group {
             DedupGroup::All => true,
-            DedupGroup::Zone => upstream.endpoint.zone() == first.zone,
-            DedupGroup::Cell => upstream.endpoint.cell() == first.cell,
+            DedupGroup::Zone => upstream.endpoint.zone() == first_possible_run.zone,
+            DedupGroup::Cell => upstream.endpoint.dedup_cell() == first_possible_run.dedup_cell,
         };
         // The attempt may have to wait for a new connection.
-        let margin_s = connect_timeout.as_secs_f64() + KEY_EXPIRY_MARGIN_S;
-        shares_keys && now_s + margin_s < first.sent_at_s + ttl.as_secs_f64()
+        let expiry_margin_s = connect_timeout.as_secs_f64() + KEY_EXPIRY_MARGIN_S;
+        shares_keys && now_s + expiry_margin_s < first_possible_run.sent_at_s + ttl.as_secs_f64()
     }
 
     pub(super) fn was_sent_to(&self, upstream: UpstreamId) -> bool {
@@ -178,42 +182,43 @@
 
 /// The number of retries that may still be sent.
 pub(super) struct RetryBudget {
-    retries: f64,
+    available_retries: f64,
 }
 
 impl RetryBudget {
     pub(super) fn full() -> Self {
         Self {
-            retries: MAX_BUDGETED_RETRIES,
+            available_retries: MAX_BUDGETED_RETRIES,
         }
     }
 
     pub(super) fn record_admission(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_BUDGETED_RETRIES);
+        self.available_retries =
+            (self.available_retries + RETRIES_PER_REQUEST).min(MAX_BUDGETED_RETRIES);
     }
 
-    pub(super) fn affords(&self, cost: f64) -> bool {
-        self.retries >= cost
+    pub(super) fn affords(&self, retry_cost: f64) -> bool {
+        self.available_retries >= retry_cost
     }
 
-    pub(super) fn spend(&mut self, cost: f64) {
-        self.retries -= cost;
+    pub(super) fn spend(&mut self, retry_cost: f64) {
+        self.available_retries -= retry_cost;
     }
 }
 
-/// The time at which an attempt becomes overdue. Deadlines are ordered by it; it is an exact
-/// `Duration`, so that it can be a key of an ordered set.
+/// The time at which one attempt becomes overdue. Deadlines are ordered by `at` first, which is a
+/// `Duration` and not a number of seconds so that it can be a key of an ordered set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OverdueDeadline {
     at: Duration,
-    request: RequestId,
-    attempt: u8,
+    request_id: RequestId,
+    attempt_no: u8,
 }
 
 /// An attempt that has become overdue.
 #[derive(Clone, Copy)]
 pub(super) struct OverdueAttempt {
-    pub(super) request: RequestId,
+    pub(super) request_id: RequestId,
     pub(super) upstream: UpstreamId,
     pub(super) sent_at_s: f64,
 }
@@ -256,29 +261,30 @@
         request.attempts.push(attempt);
         let deadline = OverdueDeadline {
             at: overdue_at,
-            request: id,
-            attempt: number,
+            request_id: id,
+            attempt_no: number,
         };
         self.overdue_deadlines.insert(deadline);
     }
 
-    /// Marks the next attempt in flight whose overdue time has passed as overdue and returns it;
-    /// `None` if there is none.
+    /// Finds the next attempt in flight whose overdue time has passed, marks it as overdue and
+    /// returns it; `None` if there is none.
     pub(super) fn next_overdue(&mut self, now: Duration) -> Option<OverdueAttempt> {
         loop {
-            let next = self
+            let next_deadline = self
                 .overdue_deadlines
                 .first()
                 .copied()
-                .filter(|next| next.at <= now)?;
+                .filter(|next_deadline| next_deadline.at <= now)?;
             self.overdue_deadlines.pop_first();
-            let request = self.requests.get_mut(&next.request);
-            let attempt = request.and_then(|r| r.attempts.get_mut(usize::from(next.attempt)));
+            let request = self.requests.get_mut(&next_deadline.request_id);
+            let attempt =
+                request.and_then(|r| r.attempts.get_mut(usize::from(next_deadline.attempt_no)));
             if let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight()) {
                 attempt.state = AttemptState::Overdue;
                 let (upstream, sent_at_s) = (attempt.upstream, attempt.sent_at_s);
                 return Some(OverdueAttempt {
-                    request: next.request,
+                    request_id: next_deadline.request_id,
                     upstream,
                     sent_at_s,
                 });
@@ -290,12 +296,12 @@
     pub(super) fn end_attempt(
         &mut self,
         id: RequestId,
-        attempt: u8,
+        attempt_no: u8,
         outcome: Outcome,
         latency_s: f64,
     ) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&id)?;
-        let attempt = request.attempts.get_mut(usize::from(attempt))?;
+        let attempt = request.attempts.get_mut(usize::from(attempt_no))?;
         let was_overdue = match attempt.state {
             AttemptState::InFlight => false,
             AttemptState::Overdue => true,
--- a/src/policy/round_robin.rs
+++ b/src/policy/round_robin.rs
@@ -1,78 +1,90 @@
 //! Weighted round robin over the upstreams of the subset, with the skip rule: an upstream that has
-//! clearly more in flight than the next ones loses its turn.
+//! clearly more requests in flight per unit of capacity than the next ones loses its turn.
 
 use super::upstreams::{Upstream, Upstreams};
 use super::weights::SlowStartRate;
 use std::collections::VecDeque;
 
-/// Number of turns that the skip rule compares; the design has two.
+/// Number of upcoming turns whose upstreams the skip rule compares. The published round-robin
+/// design that this rule extends compares the next two turns.
 const LOOKAHEAD_COUNT: usize = 3;
-/// An upstream is skipped if it has more in flight per capacity than the lowest value compared,
-/// multiplied by this factor, plus this margin.
+/// Factor of the skip rule: an upstream is skipped if its attempts in flight per unit of capacity
+/// exceed the lowest value compared times this factor, plus [`SKIP_MARGIN_ATTEMPTS`].
 const SKIP_MULTIPLE: f64 = 1.5;
+/// Margin of the skip rule, in attempts in flight per unit of capacity.
 const SKIP_MARGIN_ATTEMPTS: f64 = 0.5;
-/// Largest deficits, in turns, outside slow start and in slow start.
+/// Largest deficit, in turns, of an upstream outside slow start.
 const MAX_DEFICIT: f64 = 2.0;
+/// Largest deficit, in turns, of an upstream in slow start.
 const MAX_SLOW_START_DEFICIT: f64 = 1.5;
-/// Rounds of the rotation after which the search for an upstream with a turn ends.
+/// Number of rounds of the rotation after which the search for an upstream with a turn ends without
+/// one.
 const MAX_ROUNDS: usize = 8;
 
-/// The turns that one upstream has gained and not taken, as in deficit round robin.
+/// The deficit counter of one upstream, as in deficit round robin: the number of turns that the
+/// upstream has gained and not taken.
 pub(super) struct Deficit {
-    amount: f64,
+    turns: f64,
 }
 
 impl Deficit {
-    pub(super) fn new(amount: f64) -> Self {
-        Self { amount }
+    pub(super) fn new(turns: f64) -> Self {
+        Self { turns }
     }
 }
 
 /// The upstreams of the subset, in the order in which they take turns.
 #[derive(Default)]
 pub(super) struct Rotation {
-    /// Slots of the upstreams, in an order that differs between balancers: the cursors of balancers
-    /// must not be synchronized.
-    members: Vec<usize>,
-    /// sigma: the position of the last member that was considered.
+    /// Slots of the upstreams, in an order that differs between balancers: balancers must not step
+    /// through the upstreams in the same order.
+    member_slots: Vec<usize>,
+    /// Position in `member_slots` of the last member that was considered for a turn (sigma in the
+    /// paper).
     cursor: usize,
-    /// The upcoming turns, already subtracted from the deficits.
+    /// Slots of the upstreams that have the upcoming turns, in order. These turns are already
+    /// subtracted from the deficits.
     lookahead: VecDeque<usize>,
 }
 
 impl Rotation {
-    /// Returns the upstreams of the rotation.
-    pub(super) fn members(&self) -> &[usize] {
-        &self.members
+    /// Returns the slots of the upstreams of the rotation, in the order in which they take turns.
+    pub(super) fn member_slots(&self) -> &[usize] {
+        &self.member_slots
     }
 
-    /// Returns all members, starting with the one after the cursor.
+    /// Returns the slots of all members, starting with the one after the cursor.
     pub(super) fn after_cursor(&self) -> impl Iterator<Item = usize> {
-        let count = self.members.len();
-        (1..=count).map(move |step| self.members[(self.cursor + step) % count])
+        let member_count = self.member_slots.len();
+        (1..=member_count)
+            .map(move |offset| self.member_slots[(self.cursor + offset) % member_count])
     }
 
     /// Replaces the members and restarts the rotation.
-    pub(super) fn replace(&mut self, members: Vec<usize>) {
-        (self.members, self.cursor) = (members, 0);
+    pub(super) fn replace(&mut self, member_slots: Vec<usize>) {
+        (self.member_slots, self.cursor) = (member_slots, 0);
         self.lookahead.clear();
     }
 
-    /// Adds turns to the upstreams in slow start, in proportion to time: they must not get more
-    /// turns if others are skipped.
+    /// Adds turns to the deficits of the upstreams in slow start, in proportion to `elapsed_s`.
+    /// Upstreams outside slow start gain turns in each round instead. Rounds follow each other
+    /// faster while upstreams are skipped, and this must not give more turns to upstreams in slow
+    /// start.
     pub(super) fn add_slow_start_deficit(
         &self,
         upstreams: &mut Upstreams,
-        rate: SlowStartRate,
+        slow_start_rate: SlowStartRate,
         elapsed_s: f64,
     ) {
-        for slot in &self.members {
+        for slot in &self.member_slots {
             let upstream = &mut upstreams[*slot];
             if upstream.weight.is_warming_up() {
-                let added_deficit =
-                    elapsed_s * rate.steady_rate * rate.multiple * upstream.weight.weight();
-                let amount = upstream.deficit.amount + added_deficit;
-                upstream.deficit.amount = amount.min(MAX_SLOW_START_DEFICIT);
+                let added_deficit = elapsed_s
+                    * slow_start_rate.steady_rate_per_s
+                    * slow_start_rate.rate_multiple
+                    * upstream.weight.weight();
+                let turns = upstream.deficit.turns + added_deficit;
+                upstream.deficit.turns = turns.min(MAX_SLOW_START_DEFICIT);
             }
         }
     }
@@ -85,9 +97,10 @@
         });
     }
 
-    /// Returns the next upstream in turn that `accepts` is true for and whose
-    /// `in_flight_per_capacity` is not clearly more than the lowest of the upstreams compared. An
-    /// upstream that `accepts` is false for retains its turn.
+    /// Returns the slot of the next upstream in turn for which `accepts` is true and that the skip
+    /// rule does not skip; `None` if there is none. The skip rule skips an upstream whose
+    /// `in_flight_per_capacity` is clearly above the lowest value of the upstreams compared. A
+    /// skipped upstream loses its turn; an upstream for which `accepts` is false retains its turn.
     pub(super) fn next(
         &mut self,
         upstreams: &mut Upstreams,
@@ -103,13 +116,13 @@
             .take(LOOKAHEAD_COUNT)
             .map(|slot| in_flight_per_capacity(&upstreams[*slot]));
         let min_in_flight_per_capacity = compared.fold(f64::INFINITY, f64::min);
-        let mut position = 0;
-        while let Some(&slot) = self.lookahead.get(position) {
+        let mut lookahead_position = 0;
+        while let Some(&slot) = self.lookahead.get(lookahead_position) {
             if !accepts(&upstreams[slot]) {
-                position += 1;
+                lookahead_position += 1;
                 continue;
             }
-            self.lookahead.remove(position);
+            self.lookahead.remove(lookahead_position);
             if in_flight_per_capacity(&upstreams[slot])
                 <= min_in_flight_per_capacity * SKIP_MULTIPLE + SKIP_MARGIN_ATTEMPTS
             {
@@ -119,38 +132,40 @@
         None
     }
 
-    /// Adds upcoming turns to the lookahead until `accepts` is true for [`LOOKAHEAD_COUNT`] of
-    /// them.
+    /// Adds upcoming turns to the lookahead until `accepts` is true for the upstreams of
+    /// [`LOOKAHEAD_COUNT`] turns. If the lookahead reaches its maximum length, its first turn is
+    /// discarded.
     fn fill_lookahead(&mut self, upstreams: &mut Upstreams, accepts: impl Fn(&Upstream) -> bool) {
-        let max_len = LOOKAHEAD_COUNT + self.members.len();
+        let max_lookahead_len = LOOKAHEAD_COUNT + self.member_slots.len();
         let mut accepted_count = self
             .lookahead
             .iter()
             .filter(|slot| accepts(&upstreams[**slot]))
             .count();
-        while accepted_count < LOOKAHEAD_COUNT && self.lookahead.len() < max_len {
+        while accepted_count < LOOKAHEAD_COUNT && self.lookahead.len() < max_lookahead_len {
             let Some(slot) = self.step(upstreams) else {
                 break;
             };
             self.lookahead.push_back(slot);
             accepted_count += usize::from(accepts(&upstreams[slot]));
         }
-        if self.lookahead.len() >= max_len {
+        if self.lookahead.len() >= max_lookahead_len {
             self.lookahead.pop_front();
         }
     }
 
     /// Moves the cursor to the next upstream with a turn, and subtracts the turn from its deficit.
+    /// Returns its slot; `None` if no upstream gains a turn within [`MAX_ROUNDS`].
     fn step(&mut self, upstreams: &mut Upstreams) -> Option<usize> {
-        for _ in 0..self.members.len() * MAX_ROUNDS {
-            self.cursor = (self.cursor + 1) % self.members.len();
-            let slot = self.members[self.cursor];
+        for _ in 0..self.member_slots.len() * MAX_ROUNDS {
+            self.cursor = (self.cursor + 1) % self.member_slots.len();
+            let slot = self.member_slots[self.cursor];
             let upstream = &mut upstreams[slot];
             let weight = upstream.weight.weight();
             if weight <= 0.0 {
                 continue;
             }
-            let deficit = &mut upstream.deficit.amount;
+            let deficit = &mut upstream.deficit.turns;
             if !upstream.weight.is_warming_up() {
                 *deficit = (*deficit + weight).min(MAX_DEFICIT);
             }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -4,8 +4,8 @@
 //!
 //! Balancers share a shuffled order of the upstreams and take adjacent parts of it, so that each
 //! upstream is in about as many subsets as any other. A subset guards against connection exhaustion
-//! at the upstreams and against decisions based on stale data. It leaves fewer upstreams to choose
-//! from.
+//! at the upstreams and against decisions based on stale data. Its disadvantage is that there are
+//! fewer upstreams to choose from.
 
 use super::capacity::RATE_TIME_CONSTANT_S;
 use super::outlier_detection::may_be_ejected;
@@ -14,30 +14,36 @@
 use crate::interface::{Settings, UpstreamId};
 use crate::random::Random;
 
-/// Number of upstreams in a subset per request a second that the balancer is expected to get, and
-/// the limits of the size of a subset.
+/// Number of upstreams in a subset for each request per second that the balancer gets or is
+/// expected to get.
 const UPSTREAMS_PER_REQUEST_PER_S: f64 = 0.7;
-const MIN_SIZE: f64 = 2.0;
-const MAX_SIZE: f64 = 1e6;
-/// Smallest number of subsets that contain each upstream: few balancers take larger subsets, and a
-/// single balancer takes all upstreams.
+/// Smallest size of a subset that the traffic can give, in upstreams.
+const MIN_TRAFFIC_SIZE: f64 = 2.0;
+/// Largest size of a subset that the traffic can give, in upstreams.
+const MAX_TRAFFIC_SIZE: f64 = 1e6;
+/// Smallest mean number of subsets that contain an upstream. If there are few balancers, their
+/// subsets are therefore larger; a single balancer takes all upstreams.
 const MIN_SUBSETS_PER_UPSTREAM: usize = 4;
-/// Fraction of the ready upstreams, as numerator and denominator, from which on the subset contains
-/// all of them.
-const ALL_NUMERATOR: usize = 4;
-const ALL_DENOMINATOR: usize = 5;
-/// The size changes only when it would grow to three halves or shrink to a third, so that random
-/// variation does not change it.
+/// Numerator of a fraction of the ready upstreams. If the subset should contain at least this
+/// fraction, it contains all ready upstreams.
+const INCLUDES_ALL_NUMERATOR: usize = 4;
+/// Denominator of the fraction that [`INCLUDES_ALL_NUMERATOR`] describes.
+const INCLUDES_ALL_DENOMINATOR: usize = 5;
+/// Numerator of the growth factor. The size for the traffic replaces the present size if it is at
+/// least the present size times this factor, so that random variation does not change the subset.
 const GROWTH_NUMERATOR: usize = 3;
+/// Denominator of the growth factor that [`GROWTH_NUMERATOR`] describes.
 const GROWTH_DENOMINATOR: usize = 2;
+/// Divisor for a smaller size. The size for the traffic replaces the present size if it is at most
+/// the present size divided by this number, so that random variation does not change the subset.
 const SHRINK_DENOMINATOR: usize = 3;
 
 /// The membership of one upstream in the subset.
 #[derive(Clone, Copy)]
 pub(super) struct SubsetMembership {
     is_member: bool,
-    /// Whether the upstream has been new, restarted or ejected since it was last usable in a choice
-    /// of the subset.
+    /// Whether the upstream was added after the first list, has restarted, or has been ejected. A
+    /// choice of the subset clears this flag if the upstream is ready and not ejected.
     is_new: bool,
 }
 
@@ -61,18 +67,19 @@
 /// The result of a choice of the subset.
 pub(super) struct SubsetChoice {
     /// Slots of the members, in the order that balancers share.
-    pub(super) members: Vec<usize>,
+    pub(super) member_slots: Vec<usize>,
     /// Upstreams that are no longer members although they are ready.
-    pub(super) removed: Vec<UpstreamId>,
+    pub(super) removed_ids: Vec<UpstreamId>,
     /// Whether the subset is limited to a part of the ready upstreams.
     pub(super) is_partial: bool,
 }
 
-/// The number of ready upstreams that a subset should contain.
-struct SubsetSize {
-    /// The number for an equal part of the traffic.
+/// The number of ready upstreams that the subset should contain.
+struct SubsetSizes {
+    /// The number for a balancer that gets an equal part of the traffic of all balancers; the parts
+    /// of the shared order have this length.
     equal_traffic_size: usize,
-    /// The number for the traffic that this balancer gets.
+    /// The number for the traffic that this balancer gets; at least `equal_traffic_size`.
     own_traffic_size: usize,
     /// Whether the subset contains all ready upstreams.
     includes_all: bool,
@@ -80,37 +87,39 @@
 
 /// The size of the subset, and the time at which it is chosen again.
 pub(super) struct Subset {
-    balancers: u32,
+    balancer_count: u32,
     /// This balancer's number among all balancers, from 0.
-    index: u32,
-    /// The size for an equal part of the traffic.
-    min_size: usize,
-    /// The size for the traffic that this balancer gets.
-    size: usize,
+    balancer_index: u32,
+    /// Smallest value of `traffic_size`, in upstreams: the number for the traffic that this
+    /// balancer would get if the expected traffic were divided equally among all balancers.
+    min_traffic_size: usize,
+    /// Number of upstreams for the traffic that this balancer gets.
+    traffic_size: usize,
     /// First attempts of clients since the last tick; the admitted requests if clients do not mark
     /// their retries.
-    first_attempts: f64,
+    first_attempt_count: f64,
     /// First attempts per second, smoothed.
     first_attempts_per_s: f64,
     /// Number of balancers that send to each upstream if the subsets are spread equally.
     balancers_per_upstream: f64,
-    /// Time from which on the subset is chosen again at the next tick.
-    review_at_s: f64,
+    /// Time from which on a new choice of the subset is due; infinite if none is planned. The first
+    /// tick from this time on makes the choice.
+    next_choice_at_s: f64,
 }
 
 impl Subset {
     pub(super) fn new(settings: &Settings, expected_requests_per_s: f64) -> Self {
-        let size = (UPSTREAMS_PER_REQUEST_PER_S * expected_requests_per_s).clamp(MIN_SIZE, MAX_SIZE)
-            as usize;
+        let traffic_size = (UPSTREAMS_PER_REQUEST_PER_S * expected_requests_per_s)
+            .clamp(MIN_TRAFFIC_SIZE, MAX_TRAFFIC_SIZE) as usize;
         Self {
-            balancers: settings.balancers,
-            index: settings.index,
-            min_size: size,
-            size,
-            first_attempts: 0.0,
+            balancer_count: settings.balancers,
+            balancer_index: settings.index,
+            min_traffic_size: traffic_size,
+            traffic_size,
+            first_attempt_count: 0.0,
             first_attempts_per_s: expected_requests_per_s,
             balancers_per_upstream: 0.0,
-            review_at_s: 0.0,
+            next_choice_at_s: 0.0,
         }
     }
 
@@ -119,82 +128,87 @@
     }
 
     /// Records a client's first attempt. If clients do not mark their retries, the caller records
-    /// admitted requests instead: unmarked retries would count as traffic.
+    /// the admitted requests instead: if it recorded all requests, retries would count as traffic.
     pub(super) fn record_first_attempt(&mut self) {
-        self.first_attempts += 1.0;
+        self.first_attempt_count += 1.0;
     }
 
     /// Schedules a new choice of the subset at the next tick.
-    pub(super) fn request_review(&mut self, now_s: f64) {
-        self.review_at_s = now_s;
+    pub(super) fn schedule_choice(&mut self, now_s: f64) {
+        self.next_choice_at_s = now_s;
     }
 
-    pub(super) fn is_review_due(&self, now_s: f64) -> bool {
-        now_s >= self.review_at_s
+    pub(super) fn is_choice_due(&self, now_s: f64) -> bool {
+        now_s >= self.next_choice_at_s
     }
 
     /// Adapts the size to the traffic, once per tick. Traffic is uneven: a balancer with several
-    /// times the mean would overload an equal part of the upstreams while others are idle.
-    /// `has_upstreams_outside` is true if there are upstreams outside the subset.
+    /// times the mean traffic would overload a subset as large as those of the other balancers
+    /// while other upstreams are idle. `has_upstreams_outside` is true if there are upstreams
+    /// outside the subset.
     pub(super) fn update_size(&mut self, has_upstreams_outside: bool, elapsed_s: f64, now_s: f64) {
-        let per_s = per_second(self.first_attempts, elapsed_s);
+        let newest_first_attempts_per_s = per_second(self.first_attempt_count, elapsed_s);
         let weight_of_newest = newest_weight(elapsed_s, RATE_TIME_CONSTANT_S);
-        self.first_attempts_per_s += weight_of_newest * (per_s - self.first_attempts_per_s);
-        self.first_attempts = 0.0;
-        let size = UPSTREAMS_PER_REQUEST_PER_S * self.first_attempts_per_s;
-        let size = size.clamp(self.min_size as f64, MAX_SIZE) as usize;
-        let grows =
-            size * GROWTH_DENOMINATOR >= self.size * GROWTH_NUMERATOR && has_upstreams_outside;
-        if grows || size * SHRINK_DENOMINATOR <= self.size {
-            self.size = size;
-            self.review_at_s = now_s;
+        self.first_attempts_per_s +=
+            weight_of_newest * (newest_first_attempts_per_s - self.first_attempts_per_s);
+        self.first_attempt_count = 0.0;
+        let new_traffic_size = UPSTREAMS_PER_REQUEST_PER_S * self.first_attempts_per_s;
+        let new_traffic_size =
+            new_traffic_size.clamp(self.min_traffic_size as f64, MAX_TRAFFIC_SIZE) as usize;
+        let grows = new_traffic_size * GROWTH_DENOMINATOR >= self.traffic_size * GROWTH_NUMERATOR
+            && has_upstreams_outside;
+        if grows || new_traffic_size * SHRINK_DENOMINATOR <= self.traffic_size {
+            self.traffic_size = new_traffic_size;
+            self.next_choice_at_s = now_s;
         }
     }
 
     /// Chooses the members. Ejected upstreams are replaced by the next ones in the order.
     pub(super) fn choose(&mut self, upstreams: &mut Upstreams, now_s: f64) -> SubsetChoice {
         let ready = |slot: &usize| upstreams[*slot].endpoint.is_ready();
-        let mut order: Vec<usize> = (0..upstreams.len()).filter(ready).collect();
-        let size = self.choose_size(order.len());
-        if !size.includes_all {
-            self.sort(&mut order, upstreams, &size);
+        let mut ordered_slots: Vec<usize> = (0..upstreams.len()).filter(ready).collect();
+        let sizes = self.choose_sizes(ordered_slots.len());
+        if !sizes.includes_all {
+            self.sort(&mut ordered_slots, upstreams, &sizes);
         }
-        // If more seem unhealthy than may be ejected, the cause is common, and no upstream is
-        // replaced.
+        // If more upstreams seem unhealthy than may be ejected, the cause is common to them, and no
+        // upstream is replaced: an infinite `min_ejected_until_s` lets none count as ejected.
         let is_ejected = |slot: &&usize| upstreams[**slot].health.is_ejected(now_s);
-        let ejected = order.iter().filter(is_ejected).count();
-        let may_eject = may_be_ejected(ejected, order.len());
-        let ejection_check_at_s = if may_eject { now_s } else { f64::INFINITY };
+        let ejected_count = ordered_slots.iter().filter(is_ejected).count();
+        let may_eject = may_be_ejected(ejected_count, ordered_slots.len());
+        let min_ejected_until_s = if may_eject { now_s } else { f64::INFINITY };
         for upstream in upstreams.iter_mut() {
             upstream.membership.is_member &= upstream.endpoint.is_ready();
         }
         // The subset is chosen again when an ejection ends.
-        let ejection_ends = upstreams
+        let ejection_end_times_s = upstreams
             .iter()
             .map(|upstream| upstream.health.ejected_until_s());
-        self.review_at_s = ejection_ends
+        self.next_choice_at_s = ejection_end_times_s
             .filter(|end_s| *end_s > now_s)
             .fold(f64::INFINITY, f64::min);
-        let removed = set_members(&order, upstreams, &size, ejection_check_at_s);
-        let equal_traffic_fraction =
-            size.equal_traffic_size.min(order.len()) as f64 / order.len().max(1) as f64;
-        self.balancers_per_upstream = (f64::from(self.balancers) * equal_traffic_fraction).max(1.0);
-        order.retain(|slot| upstreams[*slot].membership.is_member);
+        let removed_ids = set_members(&ordered_slots, upstreams, &sizes, min_ejected_until_s);
+        let equal_traffic_fraction = sizes.equal_traffic_size.min(ordered_slots.len()) as f64
+            / ordered_slots.len().max(1) as f64;
+        self.balancers_per_upstream =
+            (f64::from(self.balancer_count) * equal_traffic_fraction).max(1.0);
+        ordered_slots.retain(|slot| upstreams[*slot].membership.is_member);
         SubsetChoice {
-            members: order,
-            removed,
-            is_partial: !size.includes_all,
+            member_slots: ordered_slots,
+            removed_ids,
+            is_partial: !sizes.includes_all,
         }
     }
 
-    fn choose_size(&self, ready_count: usize) -> SubsetSize {
-        let balancers = (self.balancers as usize).max(1);
+    fn choose_sizes(&self, ready_count: usize) -> SubsetSizes {
+        let balancer_count = (self.balancer_count as usize).max(1);
         let equal_traffic_size = self
-            .min_size
-            .max(MIN_SUBSETS_PER_UPSTREAM * ready_count / balancers);
-        let own_traffic_size = equal_traffic_size.max(self.size);
-        let includes_all = own_traffic_size * ALL_DENOMINATOR >= ready_count * ALL_NUMERATOR;
-        SubsetSize {
+            .min_traffic_size
+            .max(MIN_SUBSETS_PER_UPSTREAM * ready_count / balancer_count);
+        let own_traffic_size = equal_traffic_size.max(self.traffic_size);
+        let includes_all =
+            own_traffic_size * INCLUDES_ALL_DENOMINATOR >= ready_count * INCLUDES_ALL_NUMERATOR;
+        SubsetSizes {
             equal_traffic_size,
             own_traffic_size,
             includes_all,
@@ -203,61 +217,65 @@
 
     /// Puts the upstreams into the order that balancers share, starting with the part of this
     /// balancer. When all parts are taken, the next balancers share another order.
-    fn sort(&self, order: &mut [usize], upstreams: &Upstreams, size: &SubsetSize) {
-        let parts = (order.len() / size.equal_traffic_size.max(1)).max(1);
-        let index = self.index as usize;
-        let (round, start) = (index / parts, index % parts * size.equal_traffic_size);
+    fn sort(&self, ordered_slots: &mut [usize], upstreams: &Upstreams, sizes: &SubsetSizes) {
+        let part_count = (ordered_slots.len() / sizes.equal_traffic_size.max(1)).max(1);
+        let balancer_index = self.balancer_index as usize;
+        let (order_number, start_position) = (
+            balancer_index / part_count,
+            balancer_index % part_count * sizes.equal_traffic_size,
+        );
         let key = |slot: &usize| {
             let id = upstreams[*slot].endpoint.id();
-            Random::with_seed(id.0 ^ (round as u64) << 48).u64(..)
+            Random::with_seed(id.0 ^ (order_number as u64) << 48).u64(..)
         };
-        order.sort_by_cached_key(key);
-        order.rotate_left(start % order.len().max(1));
+        ordered_slots.sort_by_cached_key(key);
+        ordered_slots.rotate_left(start_position % ordered_slots.len().max(1));
     }
 }
 
-/// Sets which upstreams are members. Returns the ready upstreams that are no longer members. Only
-/// upstreams that are ejected at `ejection_check_at_s` count as ejected: none if it is infinite.
+/// Sets which upstreams are members. Returns the ready upstreams that are no longer members. An
+/// upstream counts as ejected if its ejection ends after `min_ejected_until_s`; if that time is
+/// infinite, no upstream counts as ejected.
 fn set_members(
-    order: &[usize],
+    ordered_slots: &[usize],
     upstreams: &mut Upstreams,
-    size: &SubsetSize,
-    ejection_check_at_s: f64,
+    sizes: &SubsetSizes,
+    min_ejected_until_s: f64,
 ) -> Vec<UpstreamId> {
-    let (mut members, mut unusable) = (0, 0);
-    for (rank, slot) in order.iter().enumerate() {
+    let (mut member_count, mut ejected_member_count) = (0, 0);
+    for (position, slot) in ordered_slots.iter().enumerate() {
         let upstream = &mut upstreams[*slot];
-        let is_usable = !upstream.health.is_ejected(ejection_check_at_s);
+        let is_usable = !upstream.health.is_ejected(min_ejected_until_s);
         let membership = &mut upstream.membership;
         // A member remains one, so that its connections are reused; new members are added in the
         // shared order.
-        let joins = is_usable && membership.is_new && rank < size.own_traffic_size;
-        membership.is_member = size.includes_all || membership.is_member || joins;
+        let is_joining = is_usable && membership.is_new && position < sizes.own_traffic_size;
+        membership.is_member = sizes.includes_all || membership.is_member || is_joining;
         membership.is_new &= !is_usable;
-        members += usize::from(membership.is_member);
-        unusable += usize::from(membership.is_member && !is_usable);
+        member_count += usize::from(membership.is_member);
+        ejected_member_count += usize::from(membership.is_member && !is_usable);
     }
     // Up to half of the members remain in the subset while ejected: otherwise all balancers that
     // share them would move their load to other upstreams at the same time, and overload those.
-    let target_size = size
+    let target_size = sizes
         .own_traffic_size
-        .max(unusable + size.own_traffic_size.div_ceil(2));
-    for slot in order {
+        .max(ejected_member_count + sizes.own_traffic_size.div_ceil(2));
+    for slot in ordered_slots {
         let upstream = &mut upstreams[*slot];
-        let is_usable = !upstream.health.is_ejected(ejection_check_at_s);
-        if members < target_size && !upstream.membership.is_member && is_usable {
+        let is_usable = !upstream.health.is_ejected(min_ejected_until_s);
+        if member_count < target_size && !upstream.membership.is_member && is_usable {
             upstream.membership.is_member = true;
-            members += 1;
+            member_count += 1;
         }
     }
-    let mut removed = Vec::new();
-    for slot in order.iter().rev() {
+    let mut removed_ids = Vec::new();
+    for slot in ordered_slots.iter().rev() {
         let upstream = &mut upstreams[*slot];
-        if members > target_size && upstream.membership.is_member && !size.includes_all {
+        if member_count > target_size && upstream.membership.is_member && !sizes.includes_all {
             upstream.membership.is_member = false;
-            members -= 1;
-            removed.push(upstream.endpoint.id());
+            member_count -= 1;
+            removed_ids.push(upstream.endpoint.id());
         }
     }
-    removed
+    removed_ids
 }
