--- a/src/policy/upstream_health.rs
+++ b/src/policy/upstream_health.rs
@@ -1,48 +1,54 @@
 //! The health of one upstream: suspicion raised by the faults of its attempts, ejection for all
-//! classes, and the return on probation.
+//! classes, and probation after an ejection.
 
 use super::clock::JitteredClock;
 use crate::interface::Outcome;
 
-/// Changes of the suspicion of an upstream, which is between zero and one and covers all classes.
-/// An error, a rejection, or an overdue attempt without a response since its send adds the first
-/// fraction of the distance to one; a connection error adds the second. A successful response
-/// multiplies the suspicion by the third.
+/// Increase of the suspicion by one fault, as a fraction of the difference between the highest
+/// suspicion, which is one, and the present suspicion. It applies to an error, a rejection, and an
+/// overdue attempt if the upstream has not responded to any request since the attempt was sent.
 const FAULT_SUSPICION: f64 = 0.4;
+/// Increase of the suspicion by one connection error, as a fraction of the difference between one
+/// and the present suspicion.
 const CONNECTION_FAULT_SUSPICION: f64 = 0.3;
+/// Factor by which a successful response multiplies the suspicion.
 const SUCCESS_SUSPICION_FACTOR: f64 = 0.6;
-/// Suspicion above which an upstream gets one attempt at a time and only requests that may be
-/// retried; and suspicion at which it is ejected: two faults in a row, or three connection errors
-/// without a response.
+/// Suspicion above which an upstream is on probation: it gets one attempt at a time and only
+/// requests that may be retried.
 const PROBATION_SUSPICION: f64 = 0.35;
-const MAX_SUSPICION: f64 = 0.6;
+/// Suspicion at which an upstream is ejected. Two faults in a row reach it, as do three connection
+/// errors without a response in between.
+const EJECTION_SUSPICION: f64 = 0.6;
 /// Time constant, in seconds, of the decay of suspicion.
 const SUSPICION_TIME_CONSTANT_S: f64 = 10.0;
-/// Length of the first ejection and of the longest, in seconds; each further ejection without a
-/// response doubles the length. Balancers probe an upstream independently: the first ejection grows
-/// with the square root of the number of balancers that share an upstream, a compromise between
-/// their joint load and the delay until each detects that the upstream is healthy.
-pub(super) const FIRST_EJECTION_S: f64 = 1.5;
+/// Base of ejection times, in seconds. The first ejection of an upstream lasts this long times the
+/// square root of the number of balancers that share the upstream. These balancers probe the
+/// upstream independently, and the length is a compromise between the joint load of their probes
+/// and the delay until each balancer detects that the upstream is healthy. Each further ejection in
+/// the same probation doubles the length. The times between trials of upstreams that are ejected
+/// for one class are multiples of this base.
+pub(super) const BASE_EJECTION_S: f64 = 1.5;
+/// Longest ejection in seconds, before jitter.
 const MAX_EJECTION_S: f64 = 12.0;
-/// Upper limit of the doublings of the first ejection.
+/// Upper limit of the number of times that the length of the first ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Seconds for which an error response counts as recent.
 const RECENT_ERROR_S: f64 = 5.0;
 
 /// Returns the factor by which suspicion decays in `elapsed_s` seconds.
-pub(super) fn suspicion_decay(elapsed_s: f64) -> f64 {
+pub(super) fn suspicion_decay_factor(elapsed_s: f64) -> f64 {
     (-elapsed_s / SUSPICION_TIME_CONSTANT_S).exp()
 }
 
 /// A fault that counts against an upstream for all classes.
 #[derive(Clone, Copy)]
 pub(super) enum Fault {
-    /// The upstream responded with an error. `weight` is the fraction of the usual suspicion that
-    /// the error adds.
-    Error { weight: f64 },
+    /// The upstream responded with an error. `error_weight` is the fraction of the usual suspicion
+    /// that the error adds.
+    Error { error_weight: f64 },
     /// The upstream rejected an attempt.
     Rejected,
-    /// An attempt is overdue, and the upstream has not responded since it was sent.
+    /// An attempt is overdue, and the upstream has not responded since the attempt was sent.
     Unresponsive,
     /// A connection failed or could not be established.
     ConnectionFailure,
@@ -51,7 +57,7 @@
 impl Fault {
     fn suspicion(self) -> f64 {
         match self {
-            Self::Error { weight } => FAULT_SUSPICION * weight,
+            Self::Error { error_weight } => FAULT_SUSPICION * error_weight,
             Self::Rejected | Self::Unresponsive => FAULT_SUSPICION,
             Self::ConnectionFailure => CONNECTION_FAULT_SUSPICION,
         }
@@ -66,7 +72,7 @@
     pub(super) balancers_per_upstream: f64,
 }
 
-/// Whether an upstream receives requests, for all classes.
+/// Whether an upstream is ejected for all classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectionState {
     /// The upstream receives requests.
@@ -85,7 +91,8 @@
     consecutive_faults: u32,
     /// Whether the upstream is ejected for this class alone.
     is_ejected: bool,
-    /// Time of the last trial, or of the ejection if there was no trial since.
+    /// Time of the last trial, which is a request of the class that was sent to the upstream
+    /// although it was ejected for the class; time of the ejection if there was no trial since.
     last_trial_at_s: f64,
 }
 
@@ -94,15 +101,15 @@
     /// Suspicion between zero and one: grows with the faults of all classes, decreases with
     /// successful responses and with time.
     suspicion: f64,
-    /// Ejections since the last response that ended the probation.
+    /// Number of ejections for all classes since the last response that ended the probation.
     consecutive_ejections: u32,
     /// End of the ejection for all classes; zero if there was none.
     ejected_until_s: f64,
     /// Time of the last error response; zero if there was none.
     last_error_at_s: f64,
-    /// Time of the last success, error or rejection.
+    /// Time of the last success, error or rejection; negative infinity if there was none.
     last_response_at_s: f64,
-    classes: Vec<ClassHealth>,
+    health_by_class: Vec<ClassHealth>,
 }
 
 impl UpstreamHealth {
@@ -113,7 +120,7 @@
             ejected_until_s: 0.0,
             last_error_at_s: 0.0,
             last_response_at_s: f64::NEG_INFINITY,
-            classes: vec![ClassHealth::default(); class_count],
+            health_by_class: vec![ClassHealth::default(); class_count],
         }
     }
 
@@ -124,12 +131,12 @@
             self.consecutive_ejections,
             self.ejected_until_s,
         ) = (0.0, 0, 0.0);
-        self.classes.fill(ClassHealth::default());
+        self.health_by_class.fill(ClassHealth::default());
     }
 
-    /// Multiplies the suspicion by a decay factor from [`suspicion_decay`].
-    pub(super) fn decay_suspicion(&mut self, factor: f64) {
-        self.suspicion *= factor;
+    /// Multiplies the suspicion by a decay factor from [`suspicion_decay_factor`].
+    pub(super) fn decay_suspicion(&mut self, decay_factor: f64) {
+        self.suspicion *= decay_factor;
     }
 
     pub(super) fn state(&self, now_s: f64) -> EjectionState {
@@ -151,30 +158,30 @@
     }
 
     pub(super) fn is_ejected_for(&self, class: usize) -> bool {
-        self.classes[class].is_ejected
+        self.health_by_class[class].is_ejected
     }
 
     /// Records a successful response for a class. Returns whether it ends the ejection for the
     /// class; a response to an overdue attempt does not.
     pub(super) fn record_class_success(&mut self, class: usize, was_overdue: bool) -> bool {
-        let health = &mut self.classes[class];
+        let health = &mut self.health_by_class[class];
         health.consecutive_faults = 0;
         !was_overdue && std::mem::take(&mut health.is_ejected)
     }
 
     pub(super) fn record_class_fault(&mut self, class: usize) {
-        self.classes[class].consecutive_faults += 1;
+        self.health_by_class[class].consecutive_faults += 1;
     }
 
     /// Returns whether the upstream should be ejected for a class: it is not ejected for that class
-    /// yet, and has had at least `max_faults` consecutive faults.
-    pub(super) fn is_faulty_for(&self, class: usize, max_faults: u32) -> bool {
-        let health = &self.classes[class];
-        !health.is_ejected && health.consecutive_faults >= max_faults
+    /// yet, and has had at least `ejection_fault_count` consecutive faults.
+    pub(super) fn is_faulty_for(&self, class: usize, ejection_fault_count: u32) -> bool {
+        let health = &self.health_by_class[class];
+        !health.is_ejected && health.consecutive_faults >= ejection_fault_count
     }
 
     pub(super) fn eject_for(&mut self, class: usize, now_s: f64) {
-        self.classes[class] = ClassHealth {
+        self.health_by_class[class] = ClassHealth {
             consecutive_faults: 0,
             is_ejected: true,
             last_trial_at_s: now_s,
@@ -184,11 +191,11 @@
     /// Returns the time of the last trial for a class, or of the ejection if there was no trial
     /// since.
     pub(super) fn last_trial_at_s(&self, class: usize) -> f64 {
-        self.classes[class].last_trial_at_s
+        self.health_by_class[class].last_trial_at_s
     }
 
     pub(super) fn record_trial(&mut self, class: usize, now_s: f64) {
-        self.classes[class].last_trial_at_s = now_s;
+        self.health_by_class[class].last_trial_at_s = now_s;
     }
 
     /// Returns whether the upstream has responded at `at_s` or later.
@@ -196,8 +203,9 @@
         self.last_response_at_s >= at_s
     }
 
-    /// Returns whether the upstream is suspected: it then gets one attempt at a time, and only
-    /// requests that may be retried.
+    /// Returns whether the upstream is on probation: it is suspected, or successful responses have
+    /// not yet ended the probation after its last ejection. It then gets one attempt at a time, and
+    /// only requests that may be retried.
     pub(super) fn is_on_probation(&self) -> bool {
         self.suspicion > PROBATION_SUSPICION || self.consecutive_ejections > 0
     }
@@ -223,7 +231,8 @@
         }
     }
 
-    /// Adds a fault to the suspicion. Returns whether the upstream is ejected because of it.
+    /// Adds a fault to the suspicion. Returns whether the upstream is ejected because of this
+    /// fault.
     pub(super) fn record_fault(
         &mut self,
         fault: Fault,
@@ -231,33 +240,34 @@
         clock: &mut JitteredClock<'_>,
     ) -> bool {
         self.suspicion += fault.suspicion() * (1.0 - self.suspicion);
-        // A dead process breaks every connection, a lossy network only some: after a recent
-        // response, a connection failure causes no ejection.
+        // A dead process breaks every connection, a lossy network only some. The upstream is
+        // therefore not ejected for a connection failure if it has responded recently.
         let is_likely_network_loss = matches!(fault, Fault::ConnectionFailure)
             && self.last_response_at_s + context.mean_latency_s >= clock.now_s;
         let is_outlier = match self.state(clock.now_s) {
             EjectionState::Ejected => false,
             EjectionState::HalfOpen => true,
-            EjectionState::Serving => self.suspicion >= MAX_SUSPICION,
+            EjectionState::Serving => self.suspicion >= EJECTION_SUSPICION,
         };
         if !is_outlier || is_likely_network_loss {
             return false;
         }
         self.eject(
-            FIRST_EJECTION_S * context.balancers_per_upstream.sqrt(),
+            BASE_EJECTION_S * context.balancers_per_upstream.sqrt(),
             clock,
         );
         true
     }
 
-    /// Ejects the upstream for all classes. The ejection lasts `first_s` seconds, doubled for each
-    /// ejection since the probation last ended, and at most [`MAX_EJECTION_S`] before jitter.
-    fn eject(&mut self, first_s: f64, clock: &mut JitteredClock<'_>) {
+    /// Ejects the upstream for all classes. The ejection lasts `first_ejection_s` seconds, doubled
+    /// for each ejection since the probation last ended, and at most [`MAX_EJECTION_S`] before
+    /// jitter.
+    fn eject(&mut self, first_ejection_s: f64, clock: &mut JitteredClock<'_>) {
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
-        let length_s = (first_s * f64::from(1 << doublings)).min(MAX_EJECTION_S);
+        let ejection_length_s = (first_ejection_s * f64::from(1 << doublings)).min(MAX_EJECTION_S);
         self.consecutive_ejections += 1;
-        self.ejected_until_s = clock.after_s(length_s);
-        for class in &mut self.classes {
+        self.ejected_until_s = clock.jittered_time_s(ejection_length_s);
+        for class in &mut self.health_by_class {
             (class.consecutive_faults, class.is_ejected) = (0, false);
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -40,13 +40,13 @@
     /// Multiple of the request's own CPU time by which the latency objective is extended, where
     /// that time is known; 0 or more. Decisions depend only on whether it is above 0: a response
     /// after `latency_objective` is then still useful.
-    pub objective_work_multiple: f64,
+    pub objective_extension_per_cpu_time: f64,
     /// Longest time that a client waits for a response.
     pub deadline: Duration,
     /// Value of a response within the objective, compared with other classes; 0 or more.
     pub priority_weight: f64,
     /// Fraction of the priority weight that a response after the objective still has; 0 or more.
-    pub late_weight_share: f64,
+    pub late_weight_fraction: f64,
     /// The effect that a second execution of a request may have.
     pub effect: Effect,
     /// Whether the response is a stream, whose start the embedder reports by
@@ -66,10 +66,10 @@
     fn default() -> Self {
         Self {
             latency_objective: Duration::from_secs(1),
-            objective_work_multiple: 0.0,
+            objective_extension_per_cpu_time: 0.0,
             deadline: Duration::from_secs(3),
             priority_weight: 1.0,
-            late_weight_share: 0.0,
+            late_weight_fraction: 0.0,
             effect: Effect::AtMostOnce,
             streamed: false,
         }
@@ -126,21 +126,21 @@
     /// An attempt at an upstream in another zone.
     pub cross_zone: f64,
     /// A hundred connections to an upstream that stay open all the time.
-    pub connection: f64,
+    pub hundred_connections: f64,
     /// The establishment of a new connection.
     pub handshake: f64,
     /// A request that fails only after its latency objective.
-    pub late_failure: f64,
+    pub failure_after_objective: f64,
     /// A health check.
     pub health_check: f64,
     /// Wasted upstream work, as much as one request needs on average.
-    pub waste: f64,
+    pub wasted_work: f64,
 }
 
 /// The configuration of a balancer, which stays constant while the balancer runs.
 ///
 /// Decisions do not depend on `overload_window`, `health_checks`, `connection_idle_timeout`,
-/// `max_streams`, `tail_miss` and `cpu_per_request`.
+/// `max_streams`, `tolerated_late_fraction` and `cpu_per_request`.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -159,9 +159,9 @@
     pub tenants: Vec<Tenant>,
     /// Fraction of its class's priority weight that a request over its tenant's quota has; 0 or
     /// more.
-    pub over_quota_weight_share: f64,
+    pub over_quota_weight_fraction: f64,
     /// Whether the priority weight of a request is in proportion to its work.
-    pub weight_by_work: bool,
+    pub scales_priority_weight_by_work: bool,
     /// Whether the balancer polls discovery for the endpoint list, by
     /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints). Otherwise the list is pushed.
     pub polls_endpoints: bool,
@@ -174,7 +174,7 @@
     /// notification of the balancer.
     pub drain_grace: Duration,
     /// Fraction of its full capacity that an upstream has at least when it starts; 0 or more.
-    pub slow_start_initial_share: f64,
+    pub slow_start_initial_fraction: f64,
     /// Time after its start until an upstream has its full capacity.
     pub slow_start_duration: Duration,
     /// Multiple of its present capacity above which the load of `overload_window` overloads an
@@ -203,7 +203,7 @@
     pub max_streams: u32,
     /// Fraction of each class's responses that may arrive after the latency objective; 0 or more.
     /// `None`: the tail of the latencies does not count.
-    pub tail_miss: Option<f64>,
+    pub tolerated_late_fraction: Option<f64>,
     /// CPU time that a request and its outcomes may cost; zero: no limit.
     pub cpu_per_request: Duration,
     /// The meaning of the weights in the endpoint list.
@@ -226,13 +226,13 @@
             zone: ZoneId(0),
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_quota_weight_share: 0.1,
-            weight_by_work: false,
+            over_quota_weight_fraction: 0.1,
+            scales_priority_weight_by_work: false,
             polls_endpoints: false,
             has_local_agent: false,
             poll_interval: Duration::from_secs(10),
             drain_grace: Duration::from_secs(1),
-            slow_start_initial_share: 0.3,
+            slow_start_initial_fraction: 0.3,
             slow_start_duration: Duration::from_secs(10),
             overload_multiple: 3.0,
             overload_window: Duration::from_secs(2),
@@ -245,7 +245,7 @@
             connect_timeout: Duration::from_millis(250),
             connection_idle_timeout: Duration::from_secs(60),
             max_streams: 100,
-            tail_miss: None,
+            tolerated_late_fraction: None,
             cpu_per_request: Duration::ZERO,
             endpoint_weights: EndpointWeights::Size,
             load_reports: LoadReports::Off,
@@ -301,16 +301,16 @@
     }
 
     fn check_numbers(&self) -> Result<(), SettingsError> {
-        check_not_negative(self.over_quota_weight_share, "over_share_worth")?;
-        check_not_negative(self.slow_start_initial_share, "cold_from")?;
+        check_not_negative(self.over_quota_weight_fraction, "over_share_worth")?;
+        check_not_negative(self.slow_start_initial_fraction, "cold_from")?;
         check_not_negative(self.overload_multiple, "fall_multiple")?;
         check_not_negative(self.prices.cross_zone, "prices.cross_zone")?;
-        check_not_negative(self.prices.connection, "prices.connection")?;
+        check_not_negative(self.prices.hundred_connections, "prices.connection")?;
         check_not_negative(self.prices.handshake, "prices.handshake")?;
-        check_not_negative(self.prices.late_failure, "prices.late_fail")?;
-        check_not_negative(self.tail_miss.unwrap_or(0.0), "tail_miss")?;
+        check_not_negative(self.prices.failure_after_objective, "prices.late_fail")?;
+        check_not_negative(self.tolerated_late_fraction.unwrap_or(0.0), "tail_miss")?;
         check_not_negative(self.prices.health_check, "prices.probe")?;
-        check_not_negative(self.prices.waste, "prices.waste")
+        check_not_negative(self.prices.wasted_work, "prices.waste")
     }
 }
 
@@ -320,8 +320,8 @@
             return Err(SettingsError::OutOfRange("class aim"));
         }
         check_not_negative(self.priority_weight, "class worth")?;
-        check_not_negative(self.late_weight_share, "class late_worth")?;
-        check_not_negative(self.objective_work_multiple, "class aim_stretch")
+        check_not_negative(self.late_weight_fraction, "class late_worth")?;
+        check_not_negative(self.objective_extension_per_cpu_time, "class aim_stretch")
     }
 }
 
--- a/syscall-faults/src/injection.rs
+++ b/syscall-faults/src/injection.rs
@@ -1,12 +1,14 @@
-//! Chooses the calls that fail, and sets their errors.
+//! Decides which calls fail, and sets `errno` for the failing calls.
 
 use crate::config::{FaultConfig, SyscallKind};
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The step of splitmix64's state and the factors of its mixing.
+/// The number that the random number generator splitmix64 adds to its state at each step.
 const SPLITMIX_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The first factor of the mixing function of splitmix64.
 const SPLITMIX_FACTOR_1: u64 = 0xbf58_476d_1ce4_e5b9;
+/// The second factor of the mixing function of splitmix64.
 const SPLITMIX_FACTOR_2: u64 = 0x94d0_49bb_1331_11eb;
 
 struct FaultInjector {
@@ -24,13 +26,13 @@
         }
     }
 
-    /// The injector of this process; the environment is read once.
+    /// Returns the injector of this process. The first call reads the environment.
     fn global() -> &'static Self {
         static INJECTOR: OnceLock<FaultInjector> = OnceLock::new();
         INJECTOR.get_or_init(Self::from_env)
     }
 
-    /// The next random number (splitmix64).
+    /// Returns the next random number of splitmix64.
     fn random(&self) -> u64 {
         let state = self
             .random_state
@@ -41,11 +43,11 @@
     }
 }
 
-/// Whether a call is to fail now; if so, `errno` has been set.
+/// Returns whether the present call, which is of this kind, is to fail. If so, sets `errno` to an error of the rule.
 pub(crate) fn inject_error(kind: SyscallKind) -> bool {
     let injector = FaultInjector::global();
     let rule = injector.config.rule(kind);
-    if rule.errors.is_empty() || injector.random() as f64 / u64::MAX as f64 >= rule.share {
+    if rule.errors.is_empty() || injector.random() as f64 / u64::MAX as f64 >= rule.fraction {
         return false;
     }
     let error = rule.errors[injector.random() as usize % rule.errors.len()];
@@ -54,7 +56,7 @@
     true
 }
 
-/// By how many seconds the wall clock is offset.
+/// Returns the number of seconds to add to the wall clock; may be negative.
 pub(crate) fn wall_clock_offset_s() -> i64 {
     FaultInjector::global().config.wall_clock_offset_s
 }
--- a/tests/action_digest/sites.rs
+++ b/tests/action_digest/sites.rs
@@ -65,7 +65,7 @@
             class(250, 1500, deduplicated(DedupGroup::Zone, 360)),
             Class {
                 priority_weight: 0.3,
-                late_weight_share: 0.5,
+                late_weight_fraction: 0.5,
                 ..class(150, 1500, deduplicated(DedupGroup::All, 600))
             },
             streamed,
@@ -101,12 +101,12 @@
             class(200, 800, Effect::Idempotent),
             Class {
                 priority_weight: 2.0,
-                objective_work_multiple: 2.0,
+                objective_extension_per_cpu_time: 2.0,
                 ..class(400, 1500, Effect::AtMostOnce)
             },
             class(250, 1200, deduplicated(DedupGroup::All, 900)),
         ],
-        weight_by_work: true,
+        scales_priority_weight_by_work: true,
         polls_endpoints: true,
         has_local_agent: true,
         poll_interval: Duration::from_secs(6),
@@ -138,7 +138,7 @@
         index: 1,
         classes: vec![
             Class {
-                late_weight_share: 0.2,
+                late_weight_fraction: 0.2,
                 ..class(100, 500, Effect::Idempotent)
             },
             Class {
@@ -148,9 +148,9 @@
             streamed,
         ],
         tenants: tenants(&[120.0, 60.0]),
-        over_quota_weight_share: 0.4,
+        over_quota_weight_fraction: 0.4,
         max_attempts: 4,
-        slow_start_initial_share: 0.1,
+        slow_start_initial_fraction: 0.1,
         slow_start_duration: Duration::from_secs(4),
         overload_multiple: 2.0,
         load_reports: LoadReports::Inline,
